--- /dev/null
+++ b/internal/membership/golden_test.go
@@ -0,0 +1,20 @@
+package membership
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
+
+// TestGoldenStrings: the words that operators read of GET /members.
+func TestGoldenStrings(t *testing.T) {
+	for r, text := range map[Role]string{Learner: "learner", Voter: "voter"} {
+		assert.Equal(t, text, r.String())
+	}
+	for k, text := range map[Kind]string{None: "none", Promote: "promote", Demote: "demote", Remove: "remove", Transfer: "transfer leadership to"} {
+		assert.Equal(t, text, k.String())
+	}
+	for text, m := range map[string]Member{"its disk is gone": {Lost: true}, "it leaves": {Leaving: true}, "it was down for too long": {}} {
+		assert.Equal(t, text, whyOut(m))
+	}
+}
--- /dev/null
+++ b/internal/store/golden_test.go
@@ -0,0 +1,207 @@
+package store
+
+import (
+	"encoding/json"
+	"io"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/hashicorp/raft"
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"oxbowbridge/internal/identity"
+	"oxbowbridge/internal/kv"
+	"oxbowbridge/internal/lease"
+	"oxbowbridge/internal/membership"
+	"oxbowbridge/internal/storeapi"
+)
+
+// golden checks that a value is written as the text, and that the text is read as the value.
+func golden[T any](t *testing.T, value T, text string) {
+	t.Helper()
+	got, err := json.Marshal(value)
+	require.NoError(t, err)
+	assert.Equal(t, text, string(got))
+	var back T
+	require.NoError(t, json.Unmarshal([]byte(text), &back))
+	assert.Equal(t, value, back)
+}
+
+// TestGoldenLogEntries: what the log of a released version holds.
+func TestGoldenLogEntries(t *testing.T) {
+	golden(t, []command{{Key: "a/b", Value: json.RawMessage(`{"n":1}`)}, {Key: "c", Value: json.RawMessage("null")}},
+		`[{"key":"a/b","value":{"n":1}},{"key":"c","value":null}]`)
+	r, err := requestOf([]byte(`[{"key":"a/b","value":{"n":1}},{"key":"c","value":null}]`))
+	require.NoError(t, err)
+	assert.Equal(t, &kv.Request{Then: []kv.Op{{Do: "put", Key: "a/b", Value: json.RawMessage(`{"n":1}`)}, {Do: "delete", Key: "c"}}}, r)
+	r, err = requestOf([]byte(`{"time_ms":5,"floor":6,"fence":[{"name":"l","token":7}],"session":8,"number":9,` +
+		`"if":[{"key":"k","revision":10}],"then":[{"do":"put","key":"k","value":1}],"else":[{"do":"get","key":"k"}]}`))
+	require.NoError(t, err)
+	assert.Equal(t, &kv.Request{TimeMS: 5, Floor: 6, Fence: []lease.Held{{Name: "l", Token: 7}}, Session: 8, Number: 9,
+		If: []kv.Compare{{Key: "k", Revision: 10}}, Then: []kv.Op{{Do: "put", Key: "k", Value: json.RawMessage("1")}},
+		Else: []kv.Op{{Do: "get", Key: "k"}}}, r)
+}
+
+const goldenState = `{"applied":3,"time_ms":1000,` +
+	`"entries":{"a":{"value":1,"index":1,"created":1,"version":1,"gone":false},"b":{"index":2,"gone":true}},` +
+	`"sessions":{"3":{"seen_ms":1000,"last":0,"kept":null}},` +
+	`"leases":{"last":0,"queued":0,"leases":{}},"sum":{"from":0,"sum":8230598266570899889}}` + "\n"
+
+// TestGoldenSnapshot: a snapshot is the state as JSON, with a line feed; it is read as it was.
+func TestGoldenSnapshot(t *testing.T) {
+	s := newState()
+	for i, text := range []string{`[{"key":"a","value":1},{"key":"b","value":2}]`, `[{"key":"b","value":null}]`, `{"time_ms":1000,"open":true,"then":null}`} {
+		require.NoError(t, s.Apply(&raft.Log{Index: uint64(i + 1), Data: []byte(text)}).(outcome).err)
+	}
+	snap, err := s.Snapshot()
+	require.NoError(t, err)
+	sink := &bufSink{}
+	require.NoError(t, snap.Persist(sink))
+	text := sink.String()
+	assert.Equal(t, goldenState, text)
+
+	to := newState()
+	require.NoError(t, to.Restore(io.NopCloser(strings.NewReader(text))))
+	sink2 := &bufSink{}
+	snap, err = to.Snapshot()
+	require.NoError(t, err)
+	require.NoError(t, snap.Persist(sink2))
+	assert.Equal(t, text, sink2.String())
+}
+
+// TestGoldenKept: what a node keeps beside its log.
+func TestGoldenKept(t *testing.T) {
+	assert.Equal(t, []string{"disk", "starts", "joiner", "seen", "apart"}, []string{keptDisk, keptStarts, keptJoiner, keptSeen, keptApart})
+	golden(t, ledger{"n1@5f": {Starts: 1, Term: 2, LastTerm: 3, LastIndex: 4}},
+		`{"n1@5f":{"starts":1,"term":2,"last_term":3,"last_index":4}}`)
+	golden(t, Good{Revision: 7, Value: json.RawMessage(`{"x":1}`)}, `{"revision":7,"value":{"x":1}}`)
+	assert.Equal(t, "_cluster/restored", restoredKey)
+	golden(t, Left{Node: "n1", ID: "n1@5f", Cluster: "c", Mark: identity.Mark{Starts: 1}, Keys: 2, Members: []string{"n1@5f"}, Voters: []string{"n1@5f"},
+		Seen: map[string]identity.Mark{"n2@6f": {Term: 1}}, Missing: []string{"m"}, New: "d"},
+		`{"node":"n1","id":"n1@5f","cluster":"c","mark":{"starts":1,"term":0,"last_term":0,"last_index":0},"keys":2,"members":["n1@5f"],"voters":["n1@5f"],`+
+			`"seen":{"n2@6f":{"starts":0,"term":1,"last_term":0,"last_index":0}},"missing":["m"],"new_cluster":"d"}`)
+}
+
+// TestGoldenAddress: a member's address in the cluster's configuration.
+func TestGoldenAddress(t *testing.T) {
+	p := Peer{Name: "n1", Raft: "127.0.0.1:1", Admin: "127.0.0.1:2", Zone: "z"}
+	assert.EqualValues(t, "n1@5f|127.0.0.1:1|127.0.0.1:2|z", addressOf(p, "n1@5f"))
+	assert.Equal(t, p, peerOf("n1@5f", "n1@5f|127.0.0.1:1|127.0.0.1:2|z"))
+	assert.Equal(t, Peer{Name: "n1", Raft: "127.0.0.1:1"}, peerOf("n1", "127.0.0.1:1"))
+}
+
+// TestGoldenGreeting: what two nodes say to each other before Raft's own.
+func TestGoldenGreeting(t *testing.T) {
+	golden(t, greeting{From: "n1@5f", To: "n2@6f", Cluster: "c"}, `{"from":"n1@5f","to":"n2@6f","cluster":"c"}`)
+	golden(t, greeting{From: "n1@5f", To: "n2@6f"}, `{"from":"n1@5f","to":"n2@6f"}`)
+	cluster := func() string { return "c" }
+	w, err := listenWire("127.0.0.1:0", "n2@6f", cluster, func(string) (Peer, bool) { return Peer{}, false })
+	require.NoError(t, err)
+	t.Cleanup(func() { w.Close() })
+	go func() {
+		for {
+			if _, err := w.Accept(); err != nil {
+				return
+			}
+		}
+	}()
+	for _, x := range [][2]string{
+		{`oxbowbridge/1 {"from":"n1@5f","to":"n2@6f","cluster":"c"}`, "yes\n"},
+		{`oxbowbridge/1 {"from":"n1@5f","to":"n2@6f"}`, "yes\n"},
+		{`oxbowbridge/1 {"from":"n1@5f","to":"n2@7f"}`, "no: another is meant: this is n2@6f, not n2@7f\n"},
+		{`oxbowbridge/1 {"from":"n1@5f","to":"n2@6f","cluster":"d"}`, "no: another is meant: this is of cluster c, not of d\n"},
+		{`oxbowbridge/2 {}`, "no: greeting can't be read\n"},
+	} {
+		assert.Equal(t, x[1], answerTo(t, w.Addr().String(), x[0]+"\n", len(x[1])), x[0])
+	}
+	// And what the one that connects sends.
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	t.Cleanup(func() { ln.Close() })
+	got := make(chan string, 1)
+	go func() {
+		c, err := ln.Accept()
+		if err != nil {
+			return
+		}
+		defer c.Close()
+		b := make([]byte, 1024)
+		n, _ := c.Read(b)
+		got <- string(b[:n])
+		c.Write([]byte("yes\n"))
+	}()
+	c, err := w.Dial(raft.ServerAddress("n1@5f|"+ln.Addr().String()+"||"), time.Second)
+	require.NoError(t, err)
+	c.Close()
+	assert.Equal(t, `oxbowbridge/1 {"from":"n2@6f","to":"n1@5f","cluster":"c"}`+"\n", <-got)
+}
+
+func answerTo(t *testing.T, addr, text string, size int) string {
+	c, err := net.Dial("tcp", addr)
+	require.NoError(t, err)
+	defer c.Close()
+	c.SetDeadline(time.Now().Add(5 * time.Second))
+	_, err = c.Write([]byte(text))
+	require.NoError(t, err)
+	b := make([]byte, 1024)
+	n := 0
+	for n < size {
+		k, err := c.Read(b[n:])
+		if n += k; err != nil {
+			break
+		}
+	}
+	return string(b[:n])
+}
+
+// TestGoldenConfig: the store's section of the configuration file.
+func TestGoldenConfig(t *testing.T) {
+	peer := Peer{Name: "n1", Raft: "127.0.0.1:1", Admin: "127.0.0.1:2", Zone: "z"}
+	c := Config{Node: "n1", Dir: "/d", Peers: []Peer{peer}, Self: &peer, Voters: 3, ReplaceAfterMS: 4, ForgetAfterMS: 5, Vouchers: 6,
+		Backup: BackupConfig{Dir: "/b", Every: "1h", Keep: 7}}
+	c.SQL.Driver, c.SQL.DSN = "sqlite", "file:x"
+	peerText := `{"name":"n1","raft":"127.0.0.1:1","admin":"127.0.0.1:2","zone":"z"}`
+	golden(t, c, `{"node":"n1","dir":"/d","peers":[`+peerText+`],"self":`+peerText+`,"voters":3,"replace_after_ms":4,"forget_after_ms":5,"vouchers":6,`+
+		`"sql":{"driver":"sqlite","dsn":"file:x"},"backup":{"dir":"/b","every":"1h","keep":7}}`)
+}
+
+// TestGoldenSelf: what a node tells another one of itself.
+func TestGoldenSelf(t *testing.T) {
+	golden(t, storeapi.Self{Word: identity.Word{ID: "n1@5f", Cluster: "c", Was: []string{"b"}, Fresh: true, Config: 1, Members: []string{"m"}, Voters: []string{"v"},
+		Seen: &identity.Mark{Starts: 1, Term: 2, LastTerm: 3, LastIndex: 4}}, State: stateServing, Mark: identity.Mark{Starts: 5}, Applied: 6,
+		Raft: "r", Admin: "a", Zone: "z", Leases: true, Addresses: map[string]string{"m": "x"}},
+		`{"id":"n1@5f","cluster":"c","was":["b"],"fresh":true,"config":1,"members":["m"],"voters":["v"],`+
+			`"seen":{"starts":1,"term":2,"last_term":3,"last_index":4},"state":"serving","mark":{"starts":5,"term":0,"last_term":0,"last_index":0},"applied":6,`+
+			`"raft":"r","admin":"a","zone":"z","leases":true,"addresses":{"m":"x"}}`)
+	assert.Equal(t, "waiting", stateWaiting)
+	golden(t, storeapi.Join{ID: "n1@5f", Raft: "r", Admin: "a", Zone: "z", Leases: true}, `{"id":"n1@5f","raft":"r","admin":"a","zone":"z","leases":true}`)
+}
+
+// TestGoldenMemberStates: the states of a member, as operators read them.
+func TestGoldenMemberStates(t *testing.T) {
+	for want, m := range map[string]membership.Member{"lost": {Lost: true, Leaving: true}, "leaving": {Leaving: true, ID: "l"}, "leader": {ID: "l", Up: true},
+		"up": {ID: "m", Up: true}, "down 2s": {ID: "m", Down: 2400 * time.Millisecond}} {
+		assert.Equal(t, want, stateOf(m, "l"))
+	}
+	s, err := New(Config{Node: "a", Dir: t.TempDir(), Peers: []Peer{{Name: "a", Raft: "127.0.0.1:1", Admin: "127.0.0.1:2"}}}, nil)
+	require.NoError(t, err)
+	golden(t, s.Status(), `{"node":"a","state":"Waiting","leader":"","applied":0,"last":0,"mirrored":0,"watchers":0,"id":"a","waits":"its disk to be opened"}`)
+}
+
+// TestGoldenRecord: the statements of the store of record.
+func TestGoldenRecord(t *testing.T) {
+	assert.Equal(t, []string{
+		`CREATE TABLE IF NOT EXISTS oxbowbridge_store (name TEXT PRIMARY KEY, value TEXT, idx BIGINT NOT NULL)`,
+		"INSERT INTO oxbowbridge_store (name, value, idx) VALUES ($1, $2, $3)\n" +
+			`ON CONFLICT (name) DO UPDATE SET value = excluded.value, idx = excluded.idx WHERE oxbowbridge_store.idx <= excluded.idx`,
+		`SELECT name, value, idx FROM oxbowbridge_store ORDER BY name`,
+		`CREATE TABLE IF NOT EXISTS oxbowbridge_lease (name TEXT PRIMARY KEY, token BIGINT NOT NULL)`,
+		"INSERT INTO oxbowbridge_lease (name, token) VALUES ($1, $2)\n" +
+			`ON CONFLICT (name) DO UPDATE SET token = excluded.token WHERE oxbowbridge_lease.token <= excluded.token`,
+		`UPDATE oxbowbridge_store SET idx = 0`,
+	}, []string{createTable, upsertRow, selectRows, createFence, fenceRow, resetRows})
+	assert.Equal(t, map[string]string{"sqlite": "sqlite", "postgres": "pgx"}, drivers)
+}
