--- /dev/null
+++ b/tests/stored_test.go
@@ -0,0 +1,472 @@
+package tests
+
+import (
+	"archive/tar"
+	"compress/gzip"
+	"database/sql"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"io"
+	"io/fs"
+	"net/http"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"oxbowbridge/internal/rig"
+	"oxbowbridge/internal/storeapi"
+	"oxbowbridge/internal/work"
+)
+
+// storedFrom rewrites the folders below testdata/stored, which must be done with a released
+// program only: they stand for what is on the disks of nodes that are upgraded.
+var storedFrom = flag.String("stored-from", "", "program with which TestWriteStoredFolders writes the stored folders anew")
+
+const (
+	storedDir      = "testdata/stored"
+	storedMembers  = "members.tar.gz"  // three voters, their SQLite record and a scheduled backup
+	storedSnapshot = "snapshot.tar.gz" // one voter with a session and a snapshot
+)
+
+// storedKey is a key as it was read from the program that wrote it.
+type storedKey struct {
+	Value    json.RawMessage `json:"value"`
+	Revision uint64          `json:"revision"`
+}
+
+// storedLease is what a restart must not change of a lease.
+type storedLease struct {
+	Holder string `json:"holder"`
+	Token  uint64 `json:"token"`
+	TTLMS  int64  `json:"ttl_ms"`
+}
+
+// storedWrite is a write in a session, to be repeated, and its answer.
+type storedWrite struct {
+	Session string `json:"session"`
+	Number  string `json:"number"`
+	Key     string `json:"key"`
+	Value   string `json:"value"`
+	Tag     string `json:"tag"`
+}
+
+// storedSite is what a program said of the folders that it wrote.
+type storedSite struct {
+	Cluster string                     `json:"cluster"`
+	Keys    map[string]storedKey       `json:"keys"`
+	Leases  map[string]storedLease     `json:"leases,omitempty"`
+	Members map[string]rig.Member      `json:"members"`
+	Jobs    []work.Job                 `json:"jobs,omitempty"`
+	Pause   string                     `json:"pause,omitempty"`
+	Backups []string                   `json:"backups,omitempty"`
+	Write   *storedWrite               `json:"write,omitempty"`
+	Left    map[string]json.RawMessage `json:"left"` // "store recover --json" of each node
+}
+
+func storedSites(t *testing.T) (sites map[string]storedSite) {
+	text, err := os.ReadFile(filepath.Join(storedDir, "expected.json"))
+	require.NoError(t, err)
+	require.NoError(t, json.Unmarshal(text, &sites))
+	return sites
+}
+
+// storedCluster has the folders of an archive, in a new place.
+func storedCluster(t *testing.T, archive string, nodes int) (c *cluster, dir string) {
+	dir = t.TempDir()
+	unpack(t, filepath.Join(storedDir, archive), dir)
+	return clusterIn(t, dir, nodes), dir
+}
+
+// clusterIn is a cluster whose folders and store of record lie in dir.
+func clusterIn(t *testing.T, dir string, nodes int) *cluster {
+	c := newNodes(t, nodes, nodes)
+	for i, p := range c.Peers {
+		c.Dirs[i] = filepath.Join(dir, p.Name)
+	}
+	if nodes > 1 {
+		c.Fields["sql"] = object{"driver": "sqlite", "dsn": "file:" + filepath.Join(dir, "record.db") + "?_pragma=busy_timeout(5000)"}
+	}
+	c.Launch = func(i int, store map[string]any) rig.Process {
+		c.nodes[i] = startBuild(t, c.build, func(cfg object) {
+			cfg["name"], cfg["engine"], cfg["store"] = c.Peers[i].Name, newEngine(t).addr, store
+			cfg["work"] = object{"zone": fmt.Sprint("z", i), "every_ms": 200, "command": []string{"true"}, "command_ms": 20000}
+		})
+		return c.nodes[i]
+	}
+	return c
+}
+
+// serviceKey matches keys that a service rewrites as soon as it runs.
+var serviceKey = regexp.MustCompile(`^state/(s\d|work/.*)$`)
+
+func (c *cluster) hasKeys(t *testing.T, node int, want map[string]storedKey) {
+	t.Helper()
+	for key, k := range want {
+		if serviceKey.MatchString(key) {
+			continue
+		}
+		var got storedKey
+		await(t, "key "+key, func() bool {
+			client := c.client()
+			client.Nodes = client.Nodes[node : node+1]
+			value, revision, err := client.Get(t.Context(), key, "")
+			got = storedKey{value, revision}
+			return err == nil
+		})
+		assert.JSONEq(t, string(k.Value), string(got.Value), key)
+		assert.Equal(t, k.Revision, got.Revision, key)
+	}
+}
+
+// hasLeft compares what a stopped node's folder holds by its own account.
+func (c *cluster) hasLeft(t *testing.T, site storedSite) {
+	t.Helper()
+	for i, p := range c.Peers {
+		assert.JSONEq(t, string(site.Left[p.Name]), c.left(t, i), p.Name)
+	}
+}
+
+// left is what the program says of a stopped node's folder. It counts as a start of the
+// disk, so it is asked of a copy.
+func (c *cluster) left(t *testing.T, node int) string {
+	t.Helper()
+	dir := filepath.Join(t.TempDir(), "copy")
+	require.NoError(t, os.CopyFS(dir, os.DirFS(c.Dirs[node])))
+	section := c.Section(node)
+	section["dir"] = dir
+	text, err := json.Marshal(object{"name": c.Peers[node].Name, "listen": freePort(t), "seed": "8c1f30d27a5be964", "stop_ms": 4000,
+		"limits":   object{"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+		"settings": settings(), "engine": freePort(t), "store": section})
+	require.NoError(t, err)
+	path := filepath.Join(t.TempDir(), "config.json")
+	require.NoError(t, os.WriteFile(path, text, 0o600))
+	out, errs, code := cli(t, "", "store", "recover", path, "--json")
+	require.Zero(t, code, errs)
+	return out
+}
+
+// TestStoredMembers: three nodes go on from the folders that an earlier version wrote, with
+// every key and its revision, their members, leases with their tokens, the order of work, the
+// settings that were good last, the store of record and the note of the last backup.
+func TestStoredMembers(t *testing.T) {
+	t.Parallel()
+	site := storedSites(t)[storedMembers]
+	c, dir := storedCluster(t, storedMembers, 3)
+	c.hasLeft(t, site)
+	rows := recordRows(t, dir)
+	require.NotEmpty(t, rows)
+
+	c.Start(2) // alone: it has the settings that were good last, and nothing else
+	c.nodes[2].ready()
+	assert.Contains(t, c.nodes[2].log(), `"last_good":true`)
+	assert.Equal(t, 200, (&world{service: c.nodes[2]}).status("stored-class", "ok"))
+	c.Kill(2)
+
+	c.Begin()
+	leader := c.Leader()
+	for i := range 3 {
+		c.hasKeys(t, i, site.Keys)
+		var st storeapi.Status
+		require.True(t, c.Ask(i, "/status", &st))
+		assert.Equal(t, site.Cluster, st.Cluster)
+	}
+	await(t, "the members that were there", func() bool {
+		m := c.Members(c.Leader())
+		for id, want := range site.Members {
+			if m[id].Role != want.Role || m[id].Name != want.Name {
+				return false
+			}
+		}
+		return len(m) == len(site.Members)
+	})
+	for name, want := range site.Leases {
+		code, l := c.leaseOf(name)
+		assert.Equal(t, []any{200, want.Holder, want.Token, want.TTLMS}, []any{code, l.Holder, l.Token, l.TTLMS}, name)
+		code, text := c.sure(leader, "PUT", "/lease/"+name, fmt.Sprintf(`{"token":%d}`, want.Token))
+		assert.Equal(t, 200, code, "its token counts: %s", text)
+	}
+	st, err := c.client().Work(t.Context())
+	require.NoError(t, err)
+	require.Len(t, st.Jobs, len(site.Jobs))
+	for i, want := range site.Jobs {
+		assert.Equal(t, want, st.Jobs[i].Job)
+	}
+	assert.Equal(t, site.Pause, st.Pause.Why)
+	for i := range 3 {
+		assert.Equal(t, 200, (&world{service: c.nodes[i]}).status("stored-class", "ok"))
+	}
+
+	for i := range 3 {
+		_, text := c.sure(i, "GET", fmt.Sprint("/store/state/s", i), "")
+		assert.Regexp(t, `^\{"since_ms":\d{13},"state":"open"\}$`, strings.TrimSpace(text))
+	}
+
+	c.Put(0, "note/new", `"later"`) // it goes on
+	db, err := sql.Open("sqlite", "file:"+filepath.Join(dir, "record.db")+"?mode=ro&_pragma=busy_timeout(5000)")
+	require.NoError(t, err)
+	defer db.Close()
+	await(t, "the store of record", func() bool { return recorded(db, "note/new") })
+	now := recordRows(t, dir)
+	for name, row := range rows {
+		if !serviceKey.MatchString(name) {
+			assert.Equal(t, row, now[name], name)
+		}
+	}
+	code, l := c.grant(0, "job/new", `{"holder":"h","ttl_ms":60000}`)
+	require.Equal(t, 200, code)
+	for name, want := range site.Leases {
+		assert.Greater(t, l.Token, want.Token, name)
+	}
+	c.KillAll()
+
+	// With a schedule, the note of the last backup is followed, and files of the old one stay.
+	c.Fields["backup"] = object{"dir": filepath.Join(dir, "backups"), "every": "1s", "keep": 100}
+	c.Begin()
+	await(t, "another backup", func() bool {
+		list, _ := os.ReadDir(filepath.Join(dir, "backups"))
+		return len(list) > len(site.Backups)
+	})
+	for _, name := range site.Backups {
+		assert.FileExists(t, filepath.Join(dir, "backups", name))
+	}
+	n := newCluster(t, nil)
+	out, code := sub(t, "store", "restore", filepath.Join(dir, "backups", site.Backups[0]), "--nodes="+n.Peers[0].Admin)
+	require.Zero(t, code, out)
+	n.Has(1, "note/1", `{"n":11}`)
+}
+
+// leaseOf reads a lease at the leader.
+func (c *cluster) leaseOf(name string) (code int, l storeapi.Lease) {
+	code, text := c.sure(c.Leader(), "GET", "/lease/"+name, "")
+	json.Unmarshal([]byte(text), &l) // or it is the zero one
+	return code, l
+}
+
+// TestStoredSnapshot: a node goes on from a folder with a snapshot. A write in a session that
+// was open then takes effect once, though it is sent again.
+func TestStoredSnapshot(t *testing.T) {
+	t.Parallel()
+	site := storedSites(t)[storedSnapshot]
+	c, _ := storedCluster(t, storedSnapshot, 1)
+	c.hasLeft(t, site)
+	c.Begin()
+	w := site.Write
+	code, tag := c.writeInSession(t, w)
+	assert.Equal(t, []any{204, w.Tag}, []any{code, tag}, "a repeated write has the answer that it had")
+	c.hasKeys(t, 0, site.Keys)
+	c.Put(0, "note/new", `"later"`)
+	c.KillAll()
+	c.Begin()
+	c.hasKeys(t, 0, site.Keys)
+	c.Has(0, "note/new", `"later"`)
+}
+
+// writeInSession sends a write, perhaps again.
+func (c *cluster) writeInSession(t *testing.T, w *storedWrite) (code int, tag string) {
+	t.Helper()
+	await(t, "an answer to a write in a session", func() bool {
+		req, err := http.NewRequest("PUT", "http://"+c.Peers[0].Admin+"/store/"+w.Key, strings.NewReader(w.Value))
+		require.NoError(t, err)
+		req.Header.Set("Session", w.Session)
+		req.Header.Set("Request-Number", w.Number)
+		res, err := http.DefaultClient.Do(req)
+		if err != nil {
+			return false
+		}
+		defer res.Body.Close()
+		code, tag = res.StatusCode, res.Header.Get("ETag")
+		return code != 503
+	})
+	return code, tag
+}
+
+// recordRows is the content of the store of record.
+func recordRows(t *testing.T, dir string) map[string]string {
+	db, err := sql.Open("sqlite", "file:"+filepath.Join(dir, "record.db")+"?mode=ro&_pragma=busy_timeout(5000)")
+	require.NoError(t, err)
+	defer db.Close()
+	list, err := db.Query(`SELECT name, COALESCE(value, 'null'), idx FROM oxbowbridge_store`)
+	require.NoError(t, err)
+	defer list.Close()
+	rows := map[string]string{}
+	for list.Next() {
+		var name, value string
+		var index int64
+		require.NoError(t, list.Scan(&name, &value, &index))
+		rows[name] = fmt.Sprintf("%s at %d", value, index)
+	}
+	require.NoError(t, list.Err())
+	return rows
+}
+
+// pack writes a folder's files into an archive.
+func pack(t *testing.T, dir, path string) {
+	f, err := os.Create(path)
+	require.NoError(t, err)
+	zip := gzip.NewWriter(f)
+	w := tar.NewWriter(zip)
+	require.NoError(t, w.AddFS(os.DirFS(dir)))
+	require.NoError(t, w.Close())
+	require.NoError(t, zip.Close())
+	require.NoError(t, f.Close())
+}
+
+// unpack is the reverse.
+func unpack(t *testing.T, path, dir string) {
+	f, err := os.Open(path)
+	require.NoError(t, err)
+	defer f.Close()
+	zip, err := gzip.NewReader(f)
+	require.NoError(t, err)
+	for r := tar.NewReader(zip); ; {
+		h, err := r.Next()
+		if err == io.EOF {
+			return
+		}
+		require.NoError(t, err)
+		require.True(t, fs.ValidPath(strings.TrimSuffix(h.Name, "/")))
+		to := filepath.Join(dir, h.Name)
+		if h.FileInfo().IsDir() {
+			require.NoError(t, os.MkdirAll(to, 0o750))
+			continue
+		}
+		require.NoError(t, os.MkdirAll(filepath.Dir(to), 0o750))
+		content, err := io.ReadAll(r)
+		require.NoError(t, err)
+		require.NoError(t, os.WriteFile(to, content, 0o600))
+	}
+}
+
+// record is what the program says of a running cluster and, once it is ended, of its folders.
+func (c *cluster) record(t *testing.T) (site storedSite) {
+	client := c.client()
+	leader := c.Leader()
+	var st storeapi.Status
+	require.True(t, c.Ask(leader, "/status", &st))
+	site = storedSite{Cluster: st.Cluster, Keys: map[string]storedKey{}, Leases: map[string]storedLease{}, Left: map[string]json.RawMessage{}}
+	list, _, err := client.List(t.Context(), "")
+	require.NoError(t, err)
+	for key := range list {
+		value, revision, err := client.Get(t.Context(), key, "")
+		require.NoError(t, err)
+		site.Keys[key] = storedKey{value, revision}
+	}
+	leases, err := client.Leases(t.Context())
+	require.NoError(t, err)
+	for _, l := range leases {
+		if strings.HasPrefix(l.Name, "job/") { // others are held by processes
+			site.Leases[l.Name] = storedLease{l.Holder, l.Token, l.TTLMS}
+		}
+	}
+	site.Members = c.Members(leader)
+	jobs, err := client.Work(t.Context())
+	require.NoError(t, err)
+	for _, j := range jobs.Jobs {
+		site.Jobs = append(site.Jobs, j.Job)
+	}
+	site.Pause = jobs.Pause.Why
+	return site
+}
+
+// TestWriteStoredFolders writes the folders that the tests above read.
+func TestWriteStoredFolders(t *testing.T) {
+	if *storedFrom == "" {
+		t.Skip("only with -stored-from")
+	}
+	require.NoError(t, os.MkdirAll(storedDir, 0o750))
+	program = *storedFrom
+	sites := map[string]storedSite{storedMembers: writeMembers(t), storedSnapshot: writeSnapshot(t)}
+	text, err := json.MarshalIndent(sites, "", " ")
+	require.NoError(t, err)
+	require.NoError(t, os.WriteFile(filepath.Join(storedDir, "expected.json"), append(text, '\n'), 0o600))
+}
+
+// finish ends all nodes, and writes their folders.
+func (c *cluster) finish(t *testing.T, dir, archive string, site *storedSite) {
+	c.KillAll()
+	for i, p := range c.Peers {
+		site.Left[p.Name] = json.RawMessage(c.left(t, i))
+	}
+	pack(t, dir, filepath.Join(storedDir, archive))
+}
+
+func writeMembers(t *testing.T) storedSite {
+	dir := t.TempDir()
+	c := clusterIn(t, dir, 3)
+	c.Fields["backup"] = object{"dir": filepath.Join(dir, "backups"), "every": "24h", "keep": 3}
+	c.Begin()
+	for i := range 5 {
+		c.Put(i%3, fmt.Sprint("note/", i), fmt.Sprintf(`{"n":%d,"text":"café"}`, i))
+	}
+	c.Put(1, "note/1", `{"n":11}`)
+	code, _ := c.sure(0, "DELETE", "/store/note/4", "")
+	require.Equal(t, 204, code)
+	set := settings()
+	set["classes"] = []object{{"name": "stored-class", "effect": "idempotent", "value": 1, "aim_ns": 1e9, "deadline_ns": 2e9}}
+	text, err := json.Marshal(set)
+	require.NoError(t, err)
+	c.Put(0, "config/settings", string(text))
+	c.Put(0, "config/log_level", `"info"`)
+	c.Put(0, "config/work", `{"most":1,"most_zone":1,"share":0.5,"share_zone":1,"spare":0}`)
+	c.Put(0, "state/elsewhere", `{"since_ms":1700000000000,"state":"open"}`)
+	code, text2 := c.sure(0, "POST", "/members/s1", "")
+	require.Equal(t, 204, code, text2)
+	c.KillAll()
+	c.Begin() // which keeps the settings as good ones
+	for i := range 3 {
+		await(t, "settings of the store", func() bool { return strings.Contains(c.nodes[i].log(), `"last_good":false`) })
+	}
+	require.NoError(t, c.client().PauseWork(t.Context(), true, "stored"))
+	_, err = c.client().AskWork(t.Context(), work.Job{Node: "s1", Reason: "kernel", ForMS: 60000, Priority: 2})
+	require.NoError(t, err)
+	_, err = c.client().AskWork(t.Context(), work.Job{Node: "s2", Reason: "disk", ForMS: 30000})
+	require.NoError(t, err)
+	for i := range 3 {
+		code, _ := c.grant(i, fmt.Sprint("job/", i), fmt.Sprintf(`{"holder":"h%d","ttl_ms":600000}`, i))
+		require.Equal(t, 200, code)
+	}
+	var names []string
+	await(t, "a backup", func() bool {
+		list, _ := os.ReadDir(filepath.Join(dir, "backups"))
+		names = nil
+		for _, f := range list {
+			names = append(names, f.Name())
+		}
+		_, noted := c.HTTP(0, "GET", "/store/state/fleet.backup", "")
+		return len(names) > 0 && strings.Contains(noted, names[len(names)-1])
+	})
+	time.Sleep(5 * time.Second) // what services say of themselves settles, and the record follows
+	site := c.record(t)
+	site.Backups = names
+	c.finish(t, dir, storedMembers, &site)
+	return site
+}
+
+func writeSnapshot(t *testing.T) storedSite {
+	dir := t.TempDir()
+	c := clusterIn(t, dir, 1)
+	c.Begin()
+	for i := range 1100 { // more than a snapshot is taken after
+		c.Put(0, fmt.Sprint("note/", i%7), fmt.Sprint(i))
+	}
+	_, text := c.sure(0, "POST", "/session", "")
+	var opened struct{ Session json.Number }
+	require.NoError(t, json.Unmarshal([]byte(text), &opened))
+	w := &storedWrite{Session: opened.Session.String(), Number: "1", Key: "note/in-session", Value: `"once"`}
+	time.Sleep(250 * time.Second) // Raft looks every two to four minutes whether one is due
+	var code int
+	code, w.Tag = c.writeInSession(t, w)
+	require.Equal(t, 204, code)
+	c.Put(0, "note/after", `"the snapshot"`)
+	site := c.record(t)
+	site.Write = w
+	c.finish(t, dir, storedSnapshot, &site)
+	return site
+}
