--- /dev/null
+++ b/internal/durable/format_test.go
@@ -0,0 +1,243 @@
+package durable_test
+
+import (
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"oxbowbridge/internal/durable"
+	"oxbowbridge/internal/durable/plan"
+	"oxbowbridge/internal/durable/vfs"
+)
+
+// The folders under testdata were written by the first release of format 1. They are
+// written anew, with this flag, for a new format only.
+var writeFixtures = flag.Bool("write-fixtures", false, "write the folders of testdata anew")
+
+// formatOptions has segments, checkpoints and compactions happen within some KB, and
+// the same bytes written in each run.
+func formatOptions() durable.Options {
+	return durable.Options{StoreID: 0x0ddba11c0ffee, KeyBytes: 64, ValueBytes: 2048, BatchBytes: 4096, InlineBytes: 12, ReserveBytes: 256,
+		Manual: true, Upkeep: plan.Limits{MaxBytes: 1 << 20, SegmentMin: 1200, SegmentMax: 1200, CheckpointMin: 2000, Chunk: 256, Rate: 1 << 20}}
+}
+
+// formatCase is one folder of testdata, and how it was written.
+type formatCase struct {
+	name     string
+	write    func(t *testing.T, store *durable.Store)
+	tornTail int64 // bytes taken off the last batch of a log that was not closed; 0 if the store was closed
+	cutBytes int64 // what Open says of the tail
+	loss     durable.Loss
+}
+
+var formatCases = []formatCase{
+	{name: "checkpoint", write: writeCheckpointFixture, loss: durable.NoLoss},
+	{name: "compacted", write: writeCompactedFixture, loss: durable.NoLoss},
+	{name: "torn", write: writeTornFixture, tornTail: 7, cutBytes: 105, loss: durable.TailLoss},
+}
+
+// TestFormatWritten: the same operations give the same bytes as when the fixtures
+// were written.
+func TestFormatWritten(t *testing.T) {
+	for _, c := range formatCases {
+		t.Run(c.name, func(t *testing.T) {
+			dir := t.TempDir()
+			store := openFolder(t, dir)
+			c.write(t, store)
+			fixture := filepath.Join("testdata", c.name)
+			if c.tornTail == 0 {
+				require.NoError(t, store.Close())
+			} else {
+				torn := t.TempDir()
+				require.NoError(t, os.CopyFS(torn, os.DirFS(dir)))
+				require.NoError(t, store.Close())
+				dir = torn
+				tearTail(t, dir, c.tornTail)
+			}
+			if *writeFixtures {
+				require.NoError(t, os.RemoveAll(fixture))
+				require.NoError(t, os.CopyFS(fixture, os.DirFS(dir)))
+			}
+			want, got := folderBytes(t, fixture), folderBytes(t, dir)
+			for name := range want {
+				assert.Equal(t, want[name], got[name], name)
+			}
+			assert.Len(t, got, len(want))
+		})
+	}
+}
+
+// TestFormatRead: what was written then is read back key by key; the store goes on
+// from there, and has all of it when it is opened again.
+func TestFormatRead(t *testing.T) {
+	for _, c := range formatCases {
+		t.Run(c.name, func(t *testing.T) {
+			dir := t.TempDir()
+			require.NoError(t, os.CopyFS(dir, os.DirFS(filepath.Join("testdata", c.name))))
+			store := openFolder(t, dir)
+			assert.Equal(t, c.loss, store.Report().Loss)
+			assert.Equal(t, c.cutBytes, store.Report().CutBytes)
+			assert.Empty(t, store.Report().Faults)
+			assert.Empty(t, store.Report().Warnings)
+			golden := filepath.Join("testdata", c.name+".contents")
+			got := contents(t, store)
+			if *writeFixtures {
+				require.NoError(t, os.WriteFile(golden, []byte(got), 0o600))
+			}
+			want, err := os.ReadFile(golden)
+			require.NoError(t, err)
+			require.Equal(t, string(want), got)
+			for i := range 20 {
+				require.NoError(t, store.Put(fmt.Appendf(nil, "later/%02d", i), longValue(i, 90)))
+				step(t, store, time.Hour+time.Duration(i)*time.Second, 5)
+			}
+			require.NoError(t, store.Delete([]byte("later/03")))
+			after := contents(t, store)
+			require.NoError(t, store.Close())
+			store = openFolder(t, dir)
+			assert.Equal(t, durable.NoLoss, store.Report().Loss)
+			require.Equal(t, after, contents(t, store))
+			assert.Equal(t, 19, strings.Count(after, "later/"))
+			for line := range strings.Lines(string(want)) {
+				assert.Contains(t, after, line)
+			}
+			require.NoError(t, store.Close())
+		})
+	}
+}
+
+// writeCheckpointFixture leaves two checkpoints with values in memory and on disk,
+// keys that expire, and batches of every public operation behind them.
+func writeCheckpointFixture(t *testing.T, store *durable.Store) {
+	for i := range 40 {
+		var b durable.Batch
+		b.Put(fmt.Appendf(nil, "short/%02d", i), fmt.Appendf(nil, "%d", i), 0)
+		b.Put(fmt.Appendf(nil, "long/%02d", i), longValue(i, 60+i), 0)
+		b.Put(fmt.Appendf(nil, "lease/%02d", i%5), longValue(i, 5+10*(i%2)), 1_700_000_000+int64(i))
+		apply(t, store, &b, durable.Synced)
+		step(t, store, time.Duration(i)*time.Second, 4)
+	}
+	require.GreaterOrEqual(t, store.Stat().Checkpoints, int64(2))
+	var b durable.Batch
+	b.Put([]byte("tail"), []byte("behind the checkpoint"), 0)
+	b.Delete([]byte("short/07"))
+	b.DeleteRange([]byte("long/10"), []byte("long/15"))
+	b.Put([]byte("long/12"), longValue(12, 30), 1_800_000_000)
+	apply(t, store, &b, durable.Buffered)
+	require.NoError(t, store.Put([]byte("empty"), nil))
+}
+
+// writeCompactedFixture leaves a log from which segments were dropped, and which
+// holds moves and expiries.
+func writeCompactedFixture(t *testing.T, store *durable.Store) {
+	for i := range 60 {
+		var b durable.Batch
+		b.Put(fmt.Appendf(nil, "hot/%d", i%3), longValue(i, 80), 0)
+		if i%10 == 0 {
+			b.Put(fmt.Appendf(nil, "cold/%02d", i), longValue(i, 70), 0)
+		}
+		b.Put(fmt.Appendf(nil, "due/%02d", i), longValue(i, 14), 100+int64(i))
+		apply(t, store, &b, durable.Synced)
+		step(t, store, time.Duration(i)*time.Second, 4)
+	}
+	n, err := store.Expire(130, 100)
+	require.NoError(t, err)
+	require.Equal(t, 31, n)
+	require.NoError(t, store.Compact(t.Context()))
+	stat := store.Stat()
+	require.Positive(t, stat.MovedBytes)
+	require.Positive(t, stat.Dropped)
+	require.NoError(t, store.Put([]byte("last"), longValue(1, 20)))
+	n, err = store.Expire(140, 100)
+	require.NoError(t, err)
+	require.Equal(t, 10, n)
+}
+
+// writeTornFixture ends with a buffered batch, which the test cuts short.
+func writeTornFixture(t *testing.T, store *durable.Store) {
+	for i := range 12 {
+		require.NoError(t, store.Put(fmt.Appendf(nil, "key/%02d", i), longValue(i, 50)))
+		step(t, store, time.Duration(i)*time.Second, 2)
+	}
+	var b durable.Batch
+	b.Put([]byte("lost"), longValue(9, 60), 0)
+	apply(t, store, &b, durable.Buffered)
+}
+
+func longValue(seed, length int) []byte {
+	value := make([]byte, length)
+	for i := range value {
+		value[i] = byte('a' + (seed*7+i*i)%26)
+	}
+	return value
+}
+
+func openFolder(t *testing.T, path string) *durable.Store {
+	dir, err := vfs.NewDir(path)
+	require.NoError(t, err)
+	store, _, err := durable.Open(dir, formatOptions())
+	require.NoError(t, err)
+	return store
+}
+
+func apply(t *testing.T, store *durable.Store, b *durable.Batch, level durable.Level) {
+	_, err := store.Apply(b, level)
+	require.NoError(t, err)
+}
+
+func step(t *testing.T, store *durable.Store, now time.Duration, steps int) {
+	for range steps {
+		_, err := store.Step(now)
+		require.NoError(t, err)
+	}
+}
+
+// contents lists every key with its version, expiry and value.
+func contents(t *testing.T, store *durable.Store) string {
+	snapshot, err := store.Snapshot()
+	require.NoError(t, err)
+	defer snapshot.Close()
+	var list strings.Builder
+	require.NoError(t, snapshot.Scan(nil, nil, 0, func(i durable.Item) bool {
+		value, err := i.Value()
+		require.NoError(t, err)
+		direct, err := store.Get([]byte(i.Key), 0)
+		require.NoError(t, err)
+		require.Equal(t, value, direct)
+		fmt.Fprintf(&list, "%q version %d expiry %d value %q\n", i.Key, i.Version, i.Expiry, value)
+		return true
+	}))
+	return list.String()
+}
+
+// folderBytes gives the files by name, without the lock, which is empty.
+func folderBytes(t *testing.T, path string) map[string][]byte {
+	entries, err := os.ReadDir(path)
+	require.NoError(t, err)
+	files := map[string][]byte{}
+	for _, e := range entries {
+		if e.Name() == durable.LockName {
+			continue
+		}
+		files[e.Name()], err = os.ReadFile(filepath.Join(path, e.Name()))
+		require.NoError(t, err)
+	}
+	return files
+}
+
+// tearTail cuts bytes off the newest segment.
+func tearTail(t *testing.T, path string, bytes int64) {
+	segments, err := filepath.Glob(filepath.Join(path, "*.log"))
+	require.NoError(t, err)
+	newest := segments[len(segments)-1]
+	info, err := os.Stat(newest)
+	require.NoError(t, err)
+	require.NoError(t, os.Truncate(newest, info.Size()-bytes))
+}
