--- /dev/null
+++ b/cmd/oxbowbridge/golden_test.go
@@ -0,0 +1,146 @@
+package main
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+
+	"github.com/spf13/cobra"
+	"github.com/spf13/pflag"
+	"github.com/stretchr/testify/require"
+
+	"oxbowbridge/internal/golden"
+	"oxbowbridge/internal/storeapi"
+	"oxbowbridge/internal/work"
+)
+
+// TestGoldenCommands: the names of all commands, their flags and their defaults.
+func TestGoldenCommands(t *testing.T) {
+	var lines strings.Builder
+	var walk func(c *cobra.Command)
+	walk = func(c *cobra.Command) {
+		fmt.Fprintln(&lines, c.CommandPath()+strings.TrimPrefix(c.Use, c.Name()), "hidden", c.Hidden)
+		c.LocalFlags().VisitAll(func(f *pflag.Flag) {
+			if f.Name != "help" {
+				fmt.Fprintln(&lines, "  --"+f.Name, f.Value.Type(), f.DefValue)
+			}
+		})
+		for _, sub := range c.Commands() {
+			walk(sub)
+		}
+	}
+	walk(rootCommand())
+	fmt.Fprintln(&lines, codeFailed, codeBadCall, codeDamaged, envToken, envName, keySettings, keyLevel, keyState)
+	golden.Text(t, "testdata/commands.golden", lines.String())
+}
+
+// TestGoldenOutput: what the commands that ask a store print, as tables and as JSON, and
+// how they end.
+func TestGoldenOutput(t *testing.T) {
+	node := httptest.NewServer(http.HandlerFunc(answerSample))
+	defer node.Close()
+	address := strings.TrimPrefix(node.URL, "http://")
+	damaged := filepath.Join(t.TempDir(), "damaged")
+	var lines strings.Builder
+	for _, line := range []string{
+		"store status", "store status --json", "store get", "store get --json", "store get a", "store get a --json", "store get a --local", "store get a --stale 2s",
+		"store put a 1", "store put a 1 --json", "store put a x", "store put a 1 --if-revision 4", "store delete a", "store txn", "store txn --json",
+		"store members", "store members --json", "store add n2", "store remove n2", "store promote n2", "store restore", "store restore FILE", "store restore --undo",
+		"store watch --list --from 3", "store watch a", "store backup FILE", "store get a b",
+		"lease list", "lease list --json", "lease show job", "lease show job --json", "lease acquire job --holder h1", "lease acquire job --holder h1 --json",
+		"lease acquire job --holder h1 --ttl 1ms", "lease acquire job --wait 1h", "lease acquire -", "lease release job", "lease release job --token 7 --to h2", "lease revoke job", "lease run job -- nowhere-to-be-found",
+		"lease run job --grace 1h -- true", "lease none",
+		"work list", "work list --json", "work plan", "work plan --json", "work plan --window 5h-1h", "work plan --chart x.txt", "work ask m1 --for 60s", "work ask /", "work cancel m1", "work pause", "work resume", "work back m1",
+	} {
+		root := rootCommand()
+		var out, errOut bytes.Buffer
+		root.SetOut(&out)
+		root.SetErr(&errOut)
+		root.SetIn(strings.NewReader(`{"then":[{"do":"get","key":"a"}]}`))
+		args := strings.Fields(strings.ReplaceAll(line, "FILE", damaged))
+		root.SetArgs(append([]string{args[0], "--nodes", address}, args[1:]...))
+		err := root.ExecuteContext(t.Context())
+		code := 0
+		if err != nil {
+			code = codeFailed
+			var exit *exitError
+			if errors.As(err, &exit) {
+				code = exit.code
+			}
+		}
+		fmt.Fprintf(&lines, "== %s\n%s%s-> %d %v\n", line, &out, &errOut, code, err)
+	}
+	text := strings.NewReplacer(address, "NODE", damaged, "FILE").Replace(lines.String())
+	text = regexp.MustCompile(`\d+h\d+m\d+s`).ReplaceAllString(text, "AGO")
+	text = regexp.MustCompile(` {2,}`).ReplaceAllString(text, "  ") // tables are as wide as the address
+	golden.Text(t, "testdata/output.golden", text)
+}
+
+// answerSample answers each request with one body of its kind.
+func answerSample(w http.ResponseWriter, r *http.Request) {
+	w.Header().Set("ETag", `"9"`)
+	w.Header().Set("Store-Revision", "11")
+	var body any
+	switch path := r.Method + " " + r.URL.Path; {
+	case path == "GET /status":
+		body = sample(&storeapi.Status{})
+	case path == "GET /store":
+		body = map[string]json.RawMessage{"a": []byte(`1`), "b": []byte(`{"x":1}`)}
+	case path == "GET /store/a":
+		body = 7
+	case path == "POST /session":
+		body = map[string]any{"session": 3}
+	case path == "POST /txn":
+		request, _ := io.ReadAll(r.Body)
+		body = map[string]any{"held": !strings.Contains(string(request), `"if"`), "revision": 4, "results": []map[string]any{{"key": "a", "revision": 4, "value": 1}}}
+	case path == "GET /members":
+		body = sample(&storeapi.Members{})
+	case strings.Contains(path, "GET /watch"):
+		fmt.Fprint(w, "id: 8\nevent: change\ndata: {\"revision\":8,\"changes\":[{\"key\":\"a/b\",\"gone\":true},{\"key\":\"a\",\"value\":2}]}\n\nevent: compacted\ndata: {\"error\":\"compacted\",\"oldest\":12}\n\n")
+		return
+	case path == "GET /lease":
+		body = []any{sample(&storeapi.Lease{}), storeapi.Lease{Name: "job", Holder: "h1", Token: 7, TTLMS: 5000}}
+	case path == "GET /lease/job", path == "POST /lease/job":
+		body = sample(&storeapi.Lease{})
+	case path == "GET /work":
+		s := work.Status{Order: "n1", Limits: work.DefaultLimits(), First: "m2", Why: "1 are out, at most 1", Pause: work.Pause{Paused: true, Why: "by us"}}
+		for _, name := range []string{"m1", "m2", "m3"} {
+			s.Machines = append(s.Machines, work.Machine{Name: name, Zone: "z1", Cores: 4, Speed: 1, State: work.In})
+			s.Jobs = append(s.Jobs, work.Row{Job: work.Job{Node: name, Reason: "kernel", ForMS: 60_000, Phase: work.Asked, SinceMS: 1000}, Waits: "the order is paused"})
+		}
+		body = s
+	case path == "POST /work":
+		body = sample(&work.Job{})
+	default:
+		w.WriteHeader(http.StatusNoContent)
+		return
+	}
+	json.NewEncoder(w).Encode(body)
+}
+
+func sample[T any](value *T) *T {
+	golden.Fill(value)
+	return value
+}
+
+// TestGoldenGuard: the lines that a process with a lease writes to its guard.
+func TestGoldenGuard(t *testing.T) {
+	read, write := io.Pipe()
+	g := &guard{in: write}
+	go func() {
+		g.watch(7)
+		write.Close()
+	}()
+	text, err := io.ReadAll(read)
+	require.NoError(t, err)
+	require.Equal(t, "pid 7\n", string(text))
+	require.NoError(t, guarding(strings.NewReader("until 1\ndone\n")))
+}
--- /dev/null
+++ b/internal/kv/golden_test.go
@@ -0,0 +1,94 @@
+package kv
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"oxbowbridge/internal/golden"
+	"oxbowbridge/internal/lease"
+)
+
+// TestGoldenTypes: log entries, snapshots and answers keep their JSON.
+func TestGoldenTypes(t *testing.T) {
+	golden.JSON(t, "testdata/types.golden",
+		golden.Sample{Name: "entry", Value: &Entry{}},
+		golden.Sample{Name: "op", Value: &Op{}},
+		golden.Sample{Name: "compare", Value: &Compare{}},
+		golden.Sample{Name: "request", Value: &Request{}},
+		golden.Sample{Name: "result", Value: &Result{}},
+		golden.Sample{Name: "answer", Value: &Answer{}},
+		golden.Sample{Name: "check", Value: &Check{}},
+		golden.Sample{Name: "checks", Value: &Checks{}},
+		golden.Sample{Name: "sum", Value: &Sum{}},
+		golden.Sample{Name: "session", Value: &session{}},
+		golden.Sample{Name: "state", Value: &State{}},
+	)
+}
+
+// TestGoldenKeys: names and limits that other nodes, backups and the log rely on.
+func TestGoldenKeys(t *testing.T) {
+	golden.Text(t, "testdata/keys.golden", fmt.Sprintln(
+		Reserved, ClusterKey, RestoreKey, WasKey, GonePart, VotePart, LeasesKey, StatePart,
+		KeyBytes, ValueBytes, Keys, Ops, Sessions, Window, AnswerBytes, SessionMS, leapMS, checkStep, checkMost, sumOver))
+}
+
+// TestGoldenErrors: texts of errors, which answers over HTTP contain.
+func TestGoldenErrors(t *testing.T) {
+	var lines strings.Builder
+	for _, err := range []error{ErrFull, ErrSession, ErrNumber, ErrFenced, ErrRestoring, ErrRequest} {
+		fmt.Fprintln(&lines, err)
+	}
+	s := New()
+	for _, r := range []Request{
+		{Session: 1}, {Then: []Op{{Do: "put"}}}, {Then: []Op{{Do: "swap", Key: "a"}}}, {Then: []Op{{Do: "get", Key: "a", Value: []byte("1")}}},
+		{Then: []Op{{Do: "put", Key: "a", Value: []byte("null")}}}, {Session: 9, Number: 1}, {Fence: []lease.Held{{Name: "job", Token: 3}}},
+	} {
+		_, _, err := s.Apply(1, &r)
+		fmt.Fprintln(&lines, err)
+	}
+	fmt.Fprintln(&lines, (&Request{Then: make([]Op, Ops+1)}).CheckLength())
+	golden.Text(t, "testdata/errors.golden", lines.String())
+}
+
+// TestGoldenLog: a log as nodes have written it gives the same answers, changed keys,
+// running checksum and snapshot.
+func TestGoldenLog(t *testing.T) {
+	var lines strings.Builder
+	s := New()
+	for i, data := range []string{
+		`{"time_ms":1000,"open":true,"then":null}`,
+		`{"time_ms":1001,"leases":[{"do":"acquire","name":"job","holder":"h1","ttl_ms":5000},{"do":"acquire","name":"job","holder":"h2","ttl_ms":5000,"wait":true,"priority":2}],"floor":100,"then":null}`,
+		`{"time_ms":1002,"session":1,"number":1,"if":[{"key":"a","revision":0}],"then":[{"do":"put","key":"a","value":{"x":1}},{"do":"put","key":"b","value":2}]}`,
+		`{"time_ms":1003,"session":1,"number":1,"then":[{"do":"put","key":"a","value":7}]}`,
+		`{"time_ms":1004,"fence":[{"name":"job","token":101}],"then":[{"do":"get","key":"a"},{"do":"delete","key":"b"}]}`,
+		`{"time_ms":1005,"leases":[{"do":"release","name":"job","token":101}],"then":null}`,
+		`{"time_ms":1006,"fence":[{"name":"job","token":101}],"then":[{"do":"put","key":"a","value":8}]}`,
+		`{"time_ms":1007,"leases":[{"do":"revoke","name":"job"},{"do":"withdraw","name":"job","holder":"h2"},{"do":"hand-over","name":"job","holder":"h3","token":103},{"do":"expire","name":"job","token":103}],"then":null}`,
+		`{"time_ms":1008,"if":[{"key":"a","revision":1}],"then":[{"do":"put","key":"a","value":9}],"else":[{"do":"get","key":"a"}]}`,
+		`not a request`,
+	} {
+		var r Request
+		bad := json.Unmarshal([]byte(data), &r)
+		if bad != nil {
+			bad = errors.New("not read")
+		}
+		a, changed, err := s.Carry(uint64(i+1), []byte(data), &r, bad)
+		text, marshalErr := json.Marshal(a)
+		require.NoError(t, marshalErr)
+		fmt.Fprintln(&lines, i+1, string(text), changed, err, s.Sum.From, s.Sum.Sum)
+	}
+	text, err := json.Marshal(s)
+	require.NoError(t, err)
+	fmt.Fprintln(&lines, string(text))
+	golden.Text(t, "testdata/log.golden", lines.String())
+	read := New()
+	require.NoError(t, json.Unmarshal(text, read))
+	again, err := json.Marshal(read)
+	require.NoError(t, err)
+	require.Equal(t, string(text), string(again))
+}
--- /dev/null
+++ b/internal/watch/golden_test.go
@@ -0,0 +1,18 @@
+package watch
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"oxbowbridge/internal/golden"
+)
+
+// TestGoldenTypes: watch events keep their JSON.
+func TestGoldenTypes(t *testing.T) {
+	golden.JSON(t, "testdata/types.golden",
+		golden.Sample{Name: "change", Value: &Change{}},
+		golden.Sample{Name: "revision", Value: &Revision{}},
+	)
+	require.Equal(t, "compacted: the oldest revision kept is 7", (&CompactedError{Oldest: 7}).Error())
+}
--- /dev/null
+++ b/internal/workagent/golden_test.go
@@ -0,0 +1,19 @@
+package workagent
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"oxbowbridge/internal/golden"
+)
+
+// TestGoldenConfig: the configuration file's section and its errors.
+func TestGoldenConfig(t *testing.T) {
+	golden.JSON(t, "testdata/types.golden", golden.Sample{Name: "config", Value: &Config{}})
+	var lines strings.Builder
+	for _, c := range []Config{{}, {EveryMS: 1}, {Speed: -1}, {CommandMS: -1}, {Command: []string{""}}} {
+		fmt.Fprintln(&lines, c.Check())
+	}
+	golden.Text(t, "testdata/errors.golden", lines.String())
+}
