--- /dev/null
+++ b/tests/versions_test.go
@@ -0,0 +1,319 @@
+package tests
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"os"
+	"os/exec"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"oxbowbridge/internal/kv"
+	"oxbowbridge/internal/storeapi"
+	"oxbowbridge/internal/storeclient"
+)
+
+// envPrevious names an executable of the previous version of the program.
+const envPrevious = "OXBOWBRIDGE_PREVIOUS"
+
+// mixedCluster is a cluster of three nodes, of which node previousNode runs the previous
+// version of the program and the others run this one.
+type mixedCluster struct {
+	*cluster
+	t        *testing.T
+	previous string // path of its executable
+}
+
+const previousNode = 2
+
+func newMixedCluster(t *testing.T, previous string) *mixedCluster {
+	m := &mixedCluster{cluster: newNodes(t, 3, 3), t: t, previous: previous}
+	for node := range 3 {
+		m.start(node)
+	}
+	m.Leader()
+	return m
+}
+
+// start starts a node in the version that it runs in this cluster.
+func (m *mixedCluster) start(node int) {
+	m.build = ""
+	if node == previousNode {
+		m.build = m.previous
+	}
+	m.Start(node)
+}
+
+// runs is the executable that a node's process runs.
+func (m *mixedCluster) runs(node int) string {
+	path, err := os.Readlink(fmt.Sprintf("/proc/%d/exe", m.nodes[node].cmd.Process.Pid))
+	require.NoError(m.t, err)
+	return path
+}
+
+// lead makes a node the leader: the other two are stopped one after the other, so that the
+// one that starts again lacks an entry that the wanted leader has, and cannot be elected.
+func (m *mixedCluster) lead(node int) {
+	m.Strong(0, 1, 2)
+	for m.Leader() != node {
+		leader := m.Leader()
+		other := 3 - leader - node
+		m.Kill(other)
+		m.Put(node, "election/entry", strconv.Itoa(leader))
+		m.Has(node, "election/entry", strconv.Itoa(leader))
+		m.Kill(leader)
+		m.start(other)
+		require.Equal(m.t, node, m.Leader())
+		m.start(leader)
+		m.Strong(0, 1, 2)
+	}
+}
+
+// command runs a build of the program to its end, and returns what it printed.
+func (m *mixedCluster) command(build string, args ...string) string {
+	m.t.Helper()
+	cmd := exec.Command(build, append(args, "--nodes="+strings.Join(m.client().Nodes, ","))...)
+	var stdout, stderr bytes.Buffer
+	cmd.Stdout, cmd.Stderr = &stdout, &stderr
+	require.NoError(m.t, cmd.Run(), "%v: %s", args, stderr.String())
+	return stdout.String()
+}
+
+// TestMixedVersions runs the store on this version of the program and the previous one at
+// once, with the leader on either, as in an upgrade of one node after the other.
+func TestMixedVersions(t *testing.T) {
+	t.Parallel()
+	previous := os.Getenv(envPrevious)
+	if previous == "" {
+		t.Skip(envPrevious + " does not name an executable of the previous version.")
+	}
+	m := newMixedCluster(t, previous)
+	assert.Equal(t, []string{program, program, previous}, []string{m.runs(0), m.runs(1), m.runs(2)})
+	for _, leader := range []int{previousNode, 0} {
+		m.checkUnderLeader(leader)
+	}
+	m.checkFolders()
+}
+
+// checkUnderLeader makes all checks while one node leads. Where a busy machine makes the
+// cluster elect another one meanwhile, it makes them again.
+func (m *mixedCluster) checkUnderLeader(leader int) {
+	const attempts = 4
+	for attempt := range attempts {
+		m.lead(leader)
+		m.t.Logf("node %d leads, attempt %d", leader, attempt)
+		prefix := fmt.Sprintf("leader%d/%d/", leader, attempt)
+		m.checkWrites(prefix)
+		m.checkTransactions(prefix)
+		m.checkLeases(prefix)
+		m.checkCommands()
+		m.checkReplacedDisk(prefix, 1)
+		if m.Leader() == leader {
+			return
+		}
+	}
+	require.Failf(m.t, "no stable leader", "node %d lost the leadership in each of %d attempts", leader, attempts)
+}
+
+// checkWrites writes, reads, watches and deletes through each node.
+func (m *mixedCluster) checkWrites(prefix string) {
+	t := m.t
+	first, err := m.client().Put(t.Context(), prefix+"first", json.RawMessage("0"), nil)
+	require.NoError(t, err)
+	var followers []*follower
+	for node := range 3 {
+		followers = append(followers, follow(t, storeclient.New([]string{m.Peers[node].Admin}), prefix, first.Revision))
+	}
+	for node := range 3 {
+		m.Put(node, fmt.Sprint(prefix, "note", node), fmt.Sprintf(`{"from":%d}`, node))
+	}
+	for node := range 3 {
+		for writer := range 3 {
+			m.Has(node, fmt.Sprint(prefix, "note", writer), fmt.Sprintf(`{"from":%d}`, writer))
+		}
+		code, text := m.sure(node, "GET", "/store/"+prefix+"note0?stale=2s", "")
+		assert.Equal(t, []any{200, `{"from":0}`}, []any{code, strings.TrimSpace(text)})
+	}
+	for node := range 3 {
+		code, text := m.sure(node, "DELETE", fmt.Sprint("/store/", prefix, "note", node), "")
+		assert.Equal(t, 204, code, text)
+		code, _ = m.sure((node+1)%3, "GET", fmt.Sprint("/store/", prefix, "note", node), "")
+		assert.Equal(t, 404, code)
+	}
+	m.Put(0, prefix+"last", "1")
+	for _, f := range followers {
+		f.until(t, prefix+"last")
+		assert.Equal(t, followers[0].told(), f.told(), "watch events through nodes of both versions")
+	}
+	m.Equal(0, 1, 2)
+}
+
+// checkTransactions carries out a transaction whose compares hold, and one whose compares
+// don't, in a session of each node.
+func (m *mixedCluster) checkTransactions(prefix string) {
+	t := m.t
+	for node := range 3 {
+		client := storeclient.New([]string{m.Peers[node].Admin})
+		key := fmt.Sprint(prefix, "txn", node)
+		made, err := client.Txn(t.Context(), kv.Request{If: []kv.Compare{{Key: key}},
+			Then: []kv.Op{{Do: "put", Key: key, Value: json.RawMessage("1")}, {Do: "get", Key: key}}})
+		require.NoError(t, err)
+		require.True(t, made.Held)
+		require.Len(t, made.Results, 2)
+		assert.Equal(t, "1", string(made.Results[1].Value))
+		missed, err := client.Txn(t.Context(), kv.Request{If: []kv.Compare{{Key: key, Revision: made.Revision + 1}},
+			Then: []kv.Op{{Do: "delete", Key: key}}, Else: []kv.Op{{Do: "get", Key: key}}})
+		require.NoError(t, err)
+		require.False(t, missed.Held)
+		require.Len(t, missed.Results, 1)
+		assert.Equal(t, made.Revision, missed.Results[0].Revision)
+		m.Has((node+1)%3, key, "1")
+	}
+}
+
+// checkLeases acquires leases through each node, renews each through all of them, writes
+// under its fencing token, and hands it to one that waits at a node of the other version.
+func (m *mixedCluster) checkLeases(prefix string) {
+	t := m.t
+	for node := range 3 {
+		name := fmt.Sprint(prefix, "job", node)
+		code, held := m.grant(node, name, `{"holder":"h1","ttl_ms":60000}`)
+		require.Equal(t, 200, code)
+		for other := range 3 {
+			code, text := m.sure(other, "PUT", "/lease/"+name, fmt.Sprintf(`{"token":%d}`, held.Token))
+			assert.Equal(t, 200, code, text)
+			code, text = m.sure(other, "PUT", "/lease", fmt.Sprintf(`{"leases":[{"name":%q,"token":%d},{"name":"none","token":1}]}`, name, held.Token))
+			assert.Equal(t, 200, code, text)
+			assert.JSONEq(t, `{"gone":["none"]}`, text)
+			code, text = m.sure(other, "GET", "/lease/"+name, "")
+			assert.Equal(t, 200, code)
+			assert.Contains(t, text, `"holder":"h1"`)
+			code, text = m.sure(other, "PUT", "/store/"+prefix+"fenced", "1", "Lease", fmt.Sprintf("%s/%d", name, held.Token))
+			assert.Equal(t, 204, code, text)
+			code, _ = m.sure(other, "PUT", "/store/"+prefix+"fenced", "2", "Lease", fmt.Sprintf("%s/%d", name, held.Token+1))
+			assert.Equal(t, 412, code)
+		}
+		next := make(chan storeapi.Lease, 1)
+		go func() {
+			_, l := m.grant((node+1)%3, name, `{"holder":"h2","ttl_ms":60000,"wait_ms":20000}`)
+			next <- l
+		}()
+		await(t, "a waiter", func() bool {
+			_, text := m.HTTP((node+2)%3, "GET", "/lease/"+name, "")
+			return strings.Contains(text, `"holder":"h2"`)
+		})
+		code, text := m.sure((node+2)%3, "DELETE", fmt.Sprintf("/lease/%s?token=%d", name, held.Token), "")
+		assert.Equal(t, 204, code, text)
+		given := <-next
+		assert.Equal(t, "h2", given.Holder)
+		assert.Greater(t, given.Token, held.Token)
+	}
+}
+
+// nodeStatus is a row of the command "store status --json".
+type nodeStatus struct {
+	storeapi.Status
+	Address, Away string
+}
+
+// statuses are those of all nodes as a build of the program reads them, once all nodes know
+// the same leader.
+func (m *mixedCluster) statuses(build string) (statuses []nodeStatus) {
+	await(m.t, "one leader in all statuses", func() bool {
+		statuses = nil
+		require.NoError(m.t, json.Unmarshal([]byte(m.command(build, "store", "status", "--json")), &statuses))
+		require.Len(m.t, statuses, 3)
+		leader := m.Peers[m.Leader()].Name
+		return !slices.ContainsFunc(statuses, func(s nodeStatus) bool { return s.Leader != leader })
+	})
+	return statuses
+}
+
+// checkCommands reads the bodies of nodes of both versions by the command line of both.
+func (m *mixedCluster) checkCommands() {
+	t := m.t
+	for _, build := range []string{program, m.previous} {
+		statuses := m.statuses(build)
+		for node, s := range statuses {
+			assert.Equal(t, []string{m.Peers[node].Name, "", ""}, []string{s.Node, s.Away, s.Waits})
+			assert.Equal(t, s.Node == s.Leader, s.State == "Leader", s.State)
+			assert.NotZero(t, s.Applied)
+			assert.NotZero(t, s.Last)
+			assert.Equal(t, statuses[0].Cluster, s.Cluster)
+			assert.NotEmpty(t, s.Cluster)
+			assert.NotEmpty(t, s.ID)
+		}
+		var members storeapi.Members
+		require.NoError(t, json.Unmarshal([]byte(m.command(build, "store", "members", "--json")), &members))
+		assert.Contains(t, []string{m.Peers[0].Name, m.Peers[1].Name, m.Peers[2].Name}, members.Leader)
+		assert.Equal(t, 3, members.Voters)
+		assert.NotZero(t, members.Index)
+		var ids, want []string
+		for node, member := range members.Members {
+			ids, want = append(ids, member.ID), append(want, statuses[node].ID)
+			assert.Equal(t, "voter", member.Role)
+			assert.Contains(t, []string{"leader", "up"}, member.State)
+		}
+		slices.Sort(ids)
+		slices.Sort(want)
+		assert.Equal(t, want, ids)
+		assert.Contains(t, m.command(build, "lease", "list"), "h2")
+	}
+	listed := func(build string) string {
+		var all map[string]json.RawMessage
+		require.NoError(t, json.Unmarshal([]byte(m.command(build, "store", "get", "--json")), &all))
+		for key := range all {
+			if strings.HasPrefix(key, "state/") { // the services go on to write of themselves
+				delete(all, key)
+			}
+		}
+		text, err := json.Marshal(all)
+		require.NoError(t, err)
+		return string(text)
+	}
+	assert.Equal(t, listed(m.previous), listed(program))
+}
+
+// checkReplacedDisk has a node join again on an empty disk and catch up from the leader.
+func (m *mixedCluster) checkReplacedDisk(prefix string, node int) {
+	before := m.id(node)
+	m.Kill(node)
+	m.Wipe(node)
+	m.Put((node+1)%3, prefix+"missed", "1")
+	m.start(node)
+	m.Strong(0, 1, 2)
+	assert.NotEqual(m.t, before, m.id(node))
+	m.Has(node, prefix+"missed", "1")
+	m.Has(node, prefix+"fenced", "1")
+	m.Equal(0, 1, 2)
+}
+
+// checkFolders has each node go on with the folder that the other version has written.
+func (m *mixedCluster) checkFolders() {
+	t := m.t
+	for node, build := range []string{m.previous, m.previous, ""} {
+		before := m.id(node)
+		m.Kill(node)
+		m.Put((node+1)%3, fmt.Sprint("folder/missed", node), "1")
+		m.build = build
+		m.Start(node)
+		m.Strong(0, 1, 2)
+		assert.Equal(t, before, m.id(node))
+		m.Has(node, fmt.Sprint("folder/missed", node), "1")
+	}
+	m.KillAll()
+	for node := range 3 { // and once more, all at once
+		m.start(node)
+	}
+	m.Strong(0, 1, 2)
+	m.Equal(0, 1, 2)
+	for node := range 3 {
+		m.Has(node, "folder/missed2", "1")
+	}
+}
