--- a/tests/stored_test.go
+++ b/tests/stored_test.go
@@ -20,9 +20,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"oxbowbridge/internal/rig"
-	"oxbowbridge/internal/storeapi"
-	"oxbowbridge/internal/work"
+	"oxbowbridge/internal/cluster/storeapi"
+	"oxbowbridge/internal/maintenance"
+	"oxbowbridge/internal/testrig"
 )
 
 // storedFrom rewrites the folders below testdata/stored, which must be done with a released
@@ -62,8 +62,8 @@
 	Cluster string                     `json:"cluster"`
 	Keys    map[string]storedKey       `json:"keys"`
 	Leases  map[string]storedLease     `json:"leases,omitempty"`
-	Members map[string]rig.Member      `json:"members"`
-	Jobs    []work.Job                 `json:"jobs,omitempty"`
+	Members map[string]testrig.Member  `json:"members"`
+	Jobs    []maintenance.Job          `json:"jobs,omitempty"`
 	Pause   string                     `json:"pause,omitempty"`
 	Backups []string                   `json:"backups,omitempty"`
 	Write   *storedWrite               `json:"write,omitempty"`
@@ -93,7 +93,7 @@
 	if nodes > 1 {
 		c.Fields["sql"] = object{"driver": "sqlite", "dsn": "file:" + filepath.Join(dir, "record.db") + "?_pragma=busy_timeout(5000)"}
 	}
-	c.Launch = func(i int, store map[string]any) rig.Process {
+	c.Launch = func(i int, store map[string]any) testrig.Process {
 		c.nodes[i] = startBuild(t, c.build, func(cfg object) {
 			cfg["name"], cfg["engine"], cfg["store"] = c.Peers[i].Name, newEngine(t).addr, store
 			cfg["work"] = object{"zone": fmt.Sprint("z", i), "every_ms": 200, "command": []string{"true"}, "command_ms": 20000}
@@ -424,9 +424,9 @@
 		await(t, "settings of the store", func() bool { return strings.Contains(c.nodes[i].log(), `"last_good":false`) })
 	}
 	require.NoError(t, c.client().PauseWork(t.Context(), true, "stored"))
-	_, err = c.client().AskWork(t.Context(), work.Job{Node: "s1", Reason: "kernel", ForMS: 60000, Priority: 2})
+	_, err = c.client().AskWork(t.Context(), maintenance.Job{Node: "s1", Reason: "kernel", ForMS: 60000, Priority: 2})
 	require.NoError(t, err)
-	_, err = c.client().AskWork(t.Context(), work.Job{Node: "s2", Reason: "disk", ForMS: 30000})
+	_, err = c.client().AskWork(t.Context(), maintenance.Job{Node: "s2", Reason: "disk", ForMS: 30000})
 	require.NoError(t, err)
 	for i := range 3 {
 		code, _ := c.grant(i, fmt.Sprint("job/", i), fmt.Sprintf(`{"holder":"h%d","ttl_ms":600000}`, i))
