--- a/cmd/oxbowbridge/keeper.go
+++ b/cmd/oxbowbridge/keeper.go
@@ -56,17 +56,17 @@
 		return nil, fmt.Errorf("%w: store: %w", errConfig, err)
 	}
 	k := &keeper{store: s, tasks: tasks, name: cfg.Name, log: log, says: make(chan string, 1)}
-	s.Watch(func(key string, value json.RawMessage) {
+	s.OnChange(func(key string, value json.RawMessage) {
 		if key == keyLevel && k.caught.Load() { // not what a log that is read again once said
 			k.setLevel(level, value)
 		}
 	})
 	first, cancel := context.WithTimeout(ctx, startWait)
 	defer cancel()
-	if s.Caught(first) {
+	if s.WaitCaughtUp(first) {
 		k.caughtUp(level)
 		if e, ok := s.Entry(keySettings); ok {
-			if !k.use(cfg, store.Good{Revision: e.Index, Value: e.Value}, false) {
+			if !k.use(cfg, store.GoodVersion{Revision: e.Index, Value: e.Value}, false) {
 				k.useLast(cfg)
 			}
 		}
@@ -74,7 +74,7 @@
 		log.Warn("store can't be read yet, going on with what was good last")
 		k.useLast(cfg)
 		go func() { // the level is followed once this node has caught up
-			if s.Caught(ctx) {
+			if s.WaitCaughtUp(ctx) {
 				k.caughtUp(level)
 			}
 		}()
@@ -106,7 +106,7 @@
 
 // use takes settings of the store, unless they would not start, and keeps them as
 // good.
-func (k *keeper) use(cfg *config, g store.Good, last bool) bool {
+func (k *keeper) use(cfg *config, g store.GoodVersion, last bool) bool {
 	var w simproto.Settings
 	err := simproto.Decode(g.Value, &w)
 	if err == nil {
@@ -121,7 +121,7 @@
 	if last {
 		return true
 	}
-	if err := k.store.Keep(keySettings, g); err != nil {
+	if err := k.store.SaveLastGood(keySettings, g); err != nil {
 		k.log.Error("good settings not kept for the next start", zap.Error(err))
 	}
 	return true
@@ -158,7 +158,7 @@
 	if k.store == nil {
 		return 0
 	}
-	return store.CloseTime + singleton.CloseTime
+	return store.CloseTimeout + singleton.CloseTimeout
 }
 
 func (k *keeper) tell() {
--- a/cmd/oxbowbridge/members.go
+++ b/cmd/oxbowbridge/members.go
@@ -70,7 +70,7 @@
 	if cfg.Store == nil {
 		return badCall(fmt.Errorf("%s has no store", path))
 	}
-	left, err := store.Look(*cfg.Store)
+	left, err := store.Inspect(*cfg.Store)
 	if err != nil {
 		return err
 	}
@@ -83,18 +83,18 @@
 		return printJSON(c.OutOrStdout(), left)
 	}
 	rows := [][]any{{"NODE", left.Node}, {"ID", left.ID}, {"CLUSTER", left.Cluster}, {"KEYS", left.Keys},
-		{"LAST ENTRY", fmt.Sprintf("%d of term %d", left.Mark.LastIndex, left.Mark.LastTerm)}, {"TERM", left.Mark.Term},
+		{"LAST ENTRY", fmt.Sprintf("%d of term %d", left.Watermark.LastIndex, left.Watermark.LastTerm)}, {"TERM", left.Watermark.Term},
 		{"VOTERS", strings.Join(left.Voters, " ")}}
-	for _, id := range slices.Sorted(maps.Keys(left.Seen)) {
-		m := left.Seen[id]
+	for _, id := range slices.Sorted(maps.Keys(left.LastObserved)) {
+		m := left.LastObserved[id]
 		rows = append(rows, []any{"SEEN OF " + id, fmt.Sprintf("%d of term %d", m.LastIndex, m.LastTerm)})
 	}
 	for _, what := range left.Missing {
 		rows = append(rows, []any{"MISSING", what})
 	}
 	rows = append(rows, []any{"MAY BE MISSING", "whatever the others acknowledged after this node last heard of them"})
-	if left.New != "" {
-		rows = append(rows, []any{"NEW CLUSTER", left.New})
+	if left.NewCluster != "" {
+		rows = append(rows, []any{"NEW CLUSTER", left.NewCluster})
 	} else {
 		rows = append(rows, []any{"TO GO ON", "only if a majority of the voters is lost for good: --cluster " + left.Cluster})
 	}
--- a/internal/cluster/membership/disks_test.go
+++ b/internal/cluster/membership/disks_test.go
@@ -58,7 +58,7 @@
 }
 
 func diskID(i int, gen int8) string {
-	return diskidentity.ID(string(rune('a'+i)), string(rune('0'+gen)))
+	return diskidentity.MemberID(string(rune('a'+i)), string(rune('0'+gen)))
 }
 
 func (w *disks) ids(c config, least int8) (list []string) {
@@ -108,26 +108,26 @@
 		return
 	}
 	conf := w.history[x.len]
-	own := diskidentity.Own{ID: diskID(i, x.gen), Fresh: x.len == 0 && !x.joiner, Empty: x.len == 0, Config: uint64(x.len), Vouchers: r.vouchers,
-		Mark: diskidentity.Mark{Starts: uint64(x.starts), Term: 1, LastTerm: 1, LastIndex: uint64(x.len)}, Founders: []string{"a", "b", "c"},
+	own := diskidentity.LocalDisk{ID: diskID(i, x.gen), Fresh: x.len == 0 && !x.joiner, Empty: x.len == 0, ConfigIndex: uint64(x.len), Attesters: r.vouchers,
+		Watermark: diskidentity.Watermark{Starts: uint64(x.starts), Term: 1, LastTerm: 1, LastIndex: uint64(x.len)}, Founders: []string{"a", "b", "c"},
 		Members: w.ids(conf, 1), Voters: w.ids(conf, 2)}
-	words := map[string]diskidentity.Word{}
+	words := map[string]diskidentity.Attestation{}
 	for j := range w.n {
 		y := w.nodes[j]
 		if j == i || !y.up {
 			continue
 		}
 		c := w.history[y.len]
-		word := diskidentity.Word{ID: diskID(j, y.gen), Fresh: y.len == 0 && !y.joiner, Config: uint64(y.len), Members: w.ids(c, 1), Voters: w.ids(c, 2)}
+		word := diskidentity.Attestation{ID: diskID(j, y.gen), Fresh: y.len == 0 && !y.joiner, ConfigIndex: uint64(y.len), Members: w.ids(c, 1), Voters: w.ids(c, 2)}
 		if m := y.seen[i]; m.gen == x.gen && m.starts > 0 {
-			word.Seen = &diskidentity.Mark{Starts: uint64(m.starts), Term: 1, LastTerm: 1, LastIndex: uint64(m.len)}
+			word.LastObserved = &diskidentity.Watermark{Starts: uint64(m.starts), Term: 1, LastTerm: 1, LastIndex: uint64(m.len)}
 		}
-		words[diskidentity.Name(word.ID)] = word
+		words[diskidentity.MemberName(word.ID)] = word
 	}
 	switch v, _ := diskidentity.Decide(own, words); v {
-	case diskidentity.Resume, diskidentity.Join:
+	case diskidentity.VerdictResume, diskidentity.VerdictJoin:
 		x.runs = true
-	case diskidentity.Renew:
+	case diskidentity.VerdictRenew:
 		if x.next < gensMost {
 			x.gen, x.joiner, x.runs = x.next, true, true
 			x.next++
@@ -192,7 +192,7 @@
 }
 
 func (w *disks) view(lead int) View {
-	v := View{Leader: diskID(lead, w.nodes[lead].gen), Settled: 1 << 40}
+	v := View{Leader: diskID(lead, w.nodes[lead].gen), SinceChange: 1 << 40}
 	conf := w.history[w.nodes[lead].len]
 	for i := range w.n {
 		x := w.nodes[i]
@@ -200,9 +200,9 @@
 			if conf[i][g] == 0 {
 				continue
 			}
-			m := Member{ID: diskID(i, g), Role: Role(conf[i][g] - 1), Up: x.runs && x.gen == g, Lost: x.up && x.gen != g}
+			m := Member{ID: diskID(i, g), Role: Role(conf[i][g] - 1), Up: x.runs && x.gen == g, DiskLost: x.up && x.gen != g}
 			if x.len < w.nodes[lead].len {
-				m.Behind = 1
+				m.Lag = 1
 			}
 			v.Members = append(v.Members, m)
 		}
@@ -216,12 +216,12 @@
 		return false
 	}
 	s := policy().Next(w.view(lead))
-	if s.Kind == None || s.Kind == Transfer {
+	if s.Kind == StepNone || s.Kind == StepTransfer {
 		return false
 	}
 	return w.commit(func(c *config) {
 		i, g := s.ID[0]-'a', s.ID[2]-'0'
-		c[i][g] = map[Kind]int8{Promote: 2, Demote: 1, Remove: 0}[s.Kind]
+		c[i][g] = map[StepKind]int8{StepPromote: 2, StepDemote: 1, StepRemove: 0}[s.Kind]
 	})
 }
 
--- a/internal/cluster/membership/golden_test.go
+++ b/internal/cluster/membership/golden_test.go
@@ -11,10 +11,10 @@
 	for r, text := range map[Role]string{Learner: "learner", Voter: "voter"} {
 		assert.Equal(t, text, r.String())
 	}
-	for k, text := range map[Kind]string{None: "none", Promote: "promote", Demote: "demote", Remove: "remove", Transfer: "transfer leadership to"} {
+	for k, text := range map[StepKind]string{StepNone: "none", StepPromote: "promote", StepDemote: "demote", StepRemove: "remove", StepTransfer: "transfer leadership to"} {
 		assert.Equal(t, text, k.String())
 	}
-	for text, m := range map[string]Member{"its disk is gone": {Lost: true}, "it leaves": {Leaving: true}, "it was down for too long": {}} {
+	for text, m := range map[string]Member{"its disk is gone": {DiskLost: true}, "it leaves": {Leaving: true}, "it was down for too long": {}} {
 		assert.Equal(t, text, whyOut(m))
 	}
 }
--- a/internal/cluster/membership/membership.go
+++ b/internal/cluster/membership/membership.go
@@ -21,23 +21,23 @@
 
 // Member is one node as the leader sees it.
 type Member struct {
-	ID      string
-	Zone    string
-	Role    Role
-	Up      bool
-	Down    time.Duration // for how long, if it isn't up
-	Behind  uint64        // log entries that it misses
-	Leaving bool          // an operator wants it out
-	Lost    bool          // its disk is gone: another one bears its name
-	Wanted  bool          // an operator wants it to have a vote
+	ID            string
+	Zone          string
+	Role          Role
+	Up            bool
+	DownFor       time.Duration // for how long, if it isn't up
+	Lag           uint64        // log entries that it misses
+	Leaving       bool          // an operator wants it out
+	DiskLost      bool          // its disk is gone: another one bears its name
+	VotePreferred bool          // an operator wants it to have a vote
 }
 
 // View is all that a decision rests on.
 type View struct {
-	Leader  string
-	Members []Member
-	Pending bool          // the change before is not committed
-	Settled time.Duration // since the change before, or since this leader was elected
+	Leader        string
+	Members       []Member
+	ChangePending bool          // the change before is not committed
+	SinceChange   time.Duration // since the change before, or since this leader was elected
 }
 
 // Policy is what an operator may set.
@@ -45,37 +45,37 @@
 	Voters       int           // wanted; odd
 	ReplaceAfter time.Duration // a voter that is down for so long gives its vote to a learner
 	ForgetAfter  time.Duration // a learner that is down for so long is removed; 0 is never
-	Settle       time.Duration // between two changes
-	Lag          uint64        // entries that a learner may miss and still be promoted
+	SettleTime   time.Duration // between two changes
+	MaxLag       uint64        // entries that a learner may miss and still be promoted
 }
 
-// Kind is what to do.
-type Kind int
+// StepKind is what to do.
+type StepKind int
 
 const (
-	None Kind = iota
-	Promote
-	Demote
-	Remove
-	Transfer // the leadership, to the member
+	StepNone StepKind = iota
+	StepPromote
+	StepDemote
+	StepRemove
+	StepTransfer // the leadership, to the member
 )
 
-func (k Kind) String() string {
+func (k StepKind) String() string {
 	return [...]string{"none", "promote", "demote", "remove", "transfer leadership to"}[k]
 }
 
 // Step is one change, or none, and why.
 type Step struct {
-	Kind Kind
-	ID   string
-	Why  string
+	Kind   StepKind
+	ID     string
+	Reason string
 }
 
 // Quorum of so many voters.
 func Quorum(voters int) int { return voters/2 + 1 }
 
 // sound is a member that can be counted on: up, not leaving, and with the log.
-func (p Policy) sound(m Member) bool { return m.Up && !m.Lost && m.Behind <= p.Lag }
+func (p Policy) sound(m Member) bool { return m.Up && !m.DiskLost && m.Lag <= p.MaxLag }
 
 // census counts the voters of a view.
 type census struct {
@@ -107,7 +107,7 @@
 
 // outgoing is a voter whose vote is to go to another.
 func (p Policy) outgoing(m Member) bool {
-	return m.Leaving || m.Lost || !m.Up && m.Down >= p.ReplaceAfter
+	return m.Leaving || m.DiskLost || !m.Up && m.DownFor >= p.ReplaceAfter
 }
 
 // Next is the one step to take now. Whatever it is, a majority of the voters after it
@@ -115,22 +115,22 @@
 // unless something changed meanwhile.
 func (p Policy) Next(v View) Step {
 	c := p.count(v)
-	if v.Pending || v.Settled < p.Settle || c.sound < Quorum(c.voters) {
+	if v.ChangePending || v.SinceChange < p.SettleTime || c.sound < Quorum(c.voters) {
 		return Step{}
 	}
-	if s := p.bury(v, c); s.Kind != None {
+	if s := p.bury(v, c); s.Kind != StepNone {
 		return s
 	}
-	if s := p.grow(v, c); s.Kind != None {
+	if s := p.grow(v, c); s.Kind != StepNone {
 		return s
 	}
-	if s := p.shrink(v, c); s.Kind != None {
+	if s := p.shrink(v, c); s.Kind != StepNone {
 		return s
 	}
-	if s := p.prefer(v, c); s.Kind != None {
+	if s := p.prefer(v, c); s.Kind != StepNone {
 		return s
 	}
-	if s := p.balance(v, c); s.Kind != None {
+	if s := p.balance(v, c); s.Kind != StepNone {
 		return s
 	}
 	return p.forget(v)
@@ -138,7 +138,7 @@
 
 func whyOut(m Member) string {
 	switch {
-	case m.Lost:
+	case m.DiskLost:
 		return "its disk is gone"
 	case m.Leaving:
 		return "it leaves"
@@ -150,8 +150,8 @@
 // as it can't come back there is nothing to wait for.
 func (p Policy) bury(v View, c census) Step {
 	for _, m := range v.Members {
-		if m.Role == Voter && m.Lost && p.without(c, m) {
-			return Step{Demote, m.ID, whyOut(m)}
+		if m.Role == Voter && m.DiskLost && p.without(c, m) {
+			return Step{StepDemote, m.ID, whyOut(m)}
 		}
 	}
 	return Step{}
@@ -168,7 +168,7 @@
 	if !ok {
 		return Step{}
 	}
-	return Step{Promote, m.ID, "fewer voters than wanted"}
+	return Step{StepPromote, m.ID, "fewer voters than wanted"}
 }
 
 // candidate is the learner that a vote should go to: in the zone with the fewest.
@@ -177,7 +177,7 @@
 		if m.Role != Learner || m.Leaving || !p.sound(m) {
 			continue
 		}
-		if !found || cmp.Or(unwanted(m)-unwanted(best), cmp.Compare(c.zones[m.Zone], c.zones[best.Zone]), cmp.Compare(m.Behind, best.Behind), cmp.Compare(m.ID, best.ID)) < 0 {
+		if !found || cmp.Or(unwanted(m)-unwanted(best), cmp.Compare(c.zones[m.Zone], c.zones[best.Zone]), cmp.Compare(m.Lag, best.Lag), cmp.Compare(m.ID, best.ID)) < 0 {
 			best, found = m, true
 		}
 	}
@@ -200,14 +200,14 @@
 			return p.transfer(v, "the leader leaves")
 		}
 		if p.without(c, m) {
-			return Step{Demote, m.ID, whyOut(m)}
+			return Step{StepDemote, m.ID, whyOut(m)}
 		}
 	}
 	if c.staying <= p.Voters {
 		return Step{}
 	}
 	if m, ok := p.spare(v, c); ok && p.without(c, m) {
-		return Step{Demote, m.ID, "more voters than wanted"}
+		return Step{StepDemote, m.ID, "more voters than wanted"}
 	}
 	return Step{}
 }
@@ -225,14 +225,14 @@
 // don't care for can give it up.
 func (p Policy) prefer(v View, c census) Step {
 	m, ok := p.candidate(v, c)
-	if s, found := p.spare(v, c); !ok || !m.Wanted || !found || s.Wanted || !p.without(c, s) {
+	if s, found := p.spare(v, c); !ok || !m.VotePreferred || !found || s.VotePreferred || !p.without(c, s) {
 		return Step{}
 	}
-	return Step{Promote, m.ID, "an operator wants it to have a vote"}
+	return Step{StepPromote, m.ID, "an operator wants it to have a vote"}
 }
 
 func unwanted(m Member) int {
-	if m.Wanted {
+	if m.VotePreferred {
 		return 0
 	}
 	return 1
@@ -262,7 +262,7 @@
 func (p Policy) transfer(v View, why string) Step {
 	for _, m := range v.Members {
 		if m.Role == Voter && m.ID != v.Leader && p.sound(m) && !p.outgoing(m) {
-			return Step{Transfer, m.ID, why}
+			return Step{StepTransfer, m.ID, why}
 		}
 	}
 	return Step{}
@@ -282,17 +282,17 @@
 	if !ok || slices.Max(counts)-slices.Min(counts) < 2 || c.zones[m.Zone] != slices.Min(counts) {
 		return Step{}
 	}
-	if s, ok := p.spare(v, c); !ok || s.Wanted || c.zones[s.Zone]-c.zones[m.Zone] < 2 {
+	if s, ok := p.spare(v, c); !ok || s.VotePreferred || c.zones[s.Zone]-c.zones[m.Zone] < 2 {
 		return Step{} // who would lose a vote for it is elsewhere
 	}
-	return Step{Promote, m.ID, "its zone has two voters less than another"}
+	return Step{StepPromote, m.ID, "its zone has two voters less than another"}
 }
 
 // forget removes learners that leave, or that nobody has seen for long.
 func (p Policy) forget(v View) Step {
 	for _, m := range v.Members {
-		if m.Role == Learner && (m.Leaving || m.Lost || !m.Up && p.ForgetAfter > 0 && m.Down >= p.ForgetAfter) {
-			return Step{Remove, m.ID, whyOut(m)}
+		if m.Role == Learner && (m.Leaving || m.DiskLost || !m.Up && p.ForgetAfter > 0 && m.DownFor >= p.ForgetAfter) {
+			return Step{StepRemove, m.ID, whyOut(m)}
 		}
 	}
 	return Step{}
--- a/internal/cluster/membership/model_test.go
+++ b/internal/cluster/membership/model_test.go
@@ -32,7 +32,7 @@
 func id(i int) string { return fmt.Sprint(i) }
 
 func (w *world) view() View {
-	v := View{Leader: id(w.leader), Pending: w.pending.Kind != None, Settled: time.Hour}
+	v := View{Leader: id(w.leader), ChangePending: w.pending.Kind != StepNone, SinceChange: time.Hour}
 	for i, n := range w.nodes[:w.n] {
 		if !n.in {
 			continue
@@ -42,10 +42,10 @@
 			m.Role = Voter
 		}
 		if !n.caught {
-			m.Behind = 1
+			m.Lag = 1
 		}
 		if n.long {
-			m.Down = time.Hour
+			m.DownFor = time.Hour
 		}
 		v.Members = append(v.Members, m)
 	}
@@ -102,13 +102,13 @@
 			continue
 		}
 		switch s.Kind {
-		case Promote:
+		case StepPromote:
 			w.nodes[i].voter = true
-		case Demote:
+		case StepDemote:
 			w.nodes[i].voter = false
-		case Remove:
+		case StepRemove:
 			w.nodes[i] = node{up: w.nodes[i].up}
-		case Transfer:
+		case StepTransfer:
 			w.leader = i
 		}
 	}
@@ -140,11 +140,11 @@
 			add(func(x *world) { x.nodes[i].long = true })
 		}
 	}
-	if w.pending.Kind != None {
+	if w.pending.Kind != StepNone {
 		add(func(x *world) { x.pending = Step{} }) // the message is lost
 		add(func(x *world) { s := x.pending; x.pending = Step{}; x.do(s) })
 	} else if w.leader >= 0 {
-		if s := policy().Next(w.view()); s.Kind != None {
+		if s := policy().Next(w.view()); s.Kind != StepNone {
 			add(func(x *world) { x.pending = s })
 		}
 	}
@@ -165,8 +165,8 @@
 		for range *depth {
 			var next []world
 			for _, w := range layer {
-				if w.leader >= 0 && w.pending.Kind == None {
-					if s := policy().Next(w.view()); s.Kind != None {
+				if w.leader >= 0 && w.pending.Kind == StepNone {
+					if s := policy().Next(w.view()); s.Kind != StepNone {
 						decisions++
 						checkStep(t, w, s)
 					}
@@ -197,7 +197,7 @@
 	if sound >= Quorum(all) && soundAfter < Quorum(allAfter) {
 		t.Errorf("%v %s loses the majority: %+v", s.Kind, s.ID, w)
 	}
-	if soundAfter == 0 || s.Kind == Remove && x.nodes[s.ID[0]-'0'].voter {
+	if soundAfter == 0 || s.Kind == StepRemove && x.nodes[s.ID[0]-'0'].voter {
 		t.Errorf("%v %s gives up the last copy, or a voter: %+v", s.Kind, s.ID, w)
 	}
 	if sound < Quorum(all) {
@@ -210,7 +210,7 @@
 	x, was := w, map[world]bool{}
 	for {
 		s := policy().Next(x.view())
-		if s.Kind == None {
+		if s.Kind == StepNone {
 			break
 		}
 		if was[x] {
--- a/internal/cluster/raftstorage/conf.go
+++ b/internal/cluster/raftstorage/conf.go
@@ -33,7 +33,7 @@
 
 // Configuration is the last one in the log or, below it, in the snapshot, and its index.
 // It may not be committed yet.
-func (d *Disk) Configuration() (raft.Configuration, uint64, error) {
+func (d *Storage) Configuration() (raft.Configuration, uint64, error) {
 	d.conf.mu.Lock()
 	defer d.conf.mu.Unlock()
 	if d.conf.known {
--- a/internal/cluster/raftstorage/disk.go
+++ b/internal/cluster/raftstorage/disk.go
@@ -31,13 +31,13 @@
 	oldFile     = "log.db" // what a node of the version before kept
 )
 
-// ErrOldKind means that the folder was written by a version that kept its log with bbolt.
-var ErrOldKind = errors.New("folder holds a log of the old kind (" + oldFile +
+// ErrLegacyFormat means that the folder was written by a version that kept its log with bbolt.
+var ErrLegacyFormat = errors.New("folder holds a log of the old kind (" + oldFile +
 	"): move the folder away with this node stopped, and the node gets everything from the others")
 
-// Disk is a node's folder. It is a raft.LogStore, raft.StableStore and
+// Storage is a node's folder. It is a raft.LogStore, raft.StableStore and
 // raft.SnapshotStore.
-type Disk struct {
+type Storage struct {
 	store *durable.Store
 	log   *stream.Stream
 	snaps snapshots
@@ -47,9 +47,9 @@
 // Open opens a node's folder, or makes it. One that misses what was acknowledged
 // isn't opened (durable.ErrDamaged): a node that forgot its vote or its log must
 // not go on as if it had not.
-func Open(dir string) (*Disk, *durable.Report, error) {
+func Open(dir string) (*Storage, *durable.Report, error) {
 	if _, err := os.Stat(filepath.Join(dir, oldFile)); err == nil {
-		return nil, nil, fmt.Errorf("%s: %w", dir, ErrOldKind)
+		return nil, nil, fmt.Errorf("%s: %w", dir, ErrLegacyFormat)
 	}
 	fs, err := vfs.NewDir(dir)
 	if err != nil {
@@ -59,12 +59,12 @@
 }
 
 // OpenFS is Open on any folder.
-func OpenFS(fs vfs.FS) (*Disk, *durable.Report, error) {
+func OpenFS(fs vfs.FS) (*Storage, *durable.Report, error) {
 	store, report, err := durable.Open(fs, durable.Options{ValueBytes: entryBytes, BatchBytes: entryBytes + appendBytes + 1<<20})
 	if err != nil {
 		return nil, report, err
 	}
-	d := &Disk{store: store, snaps: snapshots{store: store}}
+	d := &Storage{store: store, snaps: snapshots{store: store}}
 	if d.log, err = stream.Open(store, prefixLog); err == nil {
 		err = d.snaps.clean()
 	}
@@ -76,28 +76,28 @@
 }
 
 // Close syncs and lets go of the folder.
-func (d *Disk) Close() error { return d.store.Close() }
+func (d *Storage) Close() error { return d.store.Close() }
 
 // Stat are the store's figures.
-func (d *Disk) Stat() durable.Stat { return d.store.Stat() }
+func (d *Storage) Stat() durable.Stat { return d.store.Stat() }
 
 // IsMonotonic has Raft leave no gap in the log.
-func (d *Disk) IsMonotonic() bool { return true }
+func (d *Storage) IsMonotonic() bool { return true }
 
 // FirstIndex is 0 if there is no entry.
-func (d *Disk) FirstIndex() (uint64, error) {
+func (d *Storage) FirstIndex() (uint64, error) {
 	first, _ := d.log.Bounds()
 	return first, nil
 }
 
 // LastIndex is 0 if there is no entry.
-func (d *Disk) LastIndex() (uint64, error) {
+func (d *Storage) LastIndex() (uint64, error) {
 	_, last := d.log.Bounds()
 	return last, nil
 }
 
 // GetLog reads one entry.
-func (d *Disk) GetLog(index uint64, to *raft.Log) error {
+func (d *Storage) GetLog(index uint64, to *raft.Log) error {
 	b, err := d.log.Get(index)
 	if errors.Is(err, stream.ErrNotThere) {
 		return raft.ErrLogNotFound
@@ -113,10 +113,10 @@
 }
 
 // StoreLog appends one entry, synced.
-func (d *Disk) StoreLog(l *raft.Log) error { return d.StoreLogs([]*raft.Log{l}) }
+func (d *Storage) StoreLog(l *raft.Log) error { return d.StoreLogs([]*raft.Log{l}) }
 
 // StoreLogs appends entries, synced. A crash may keep the first of them only.
-func (d *Disk) StoreLogs(logs []*raft.Log) error {
+func (d *Storage) StoreLogs(logs []*raft.Log) error {
 	for len(logs) > 0 {
 		var entries [][]byte
 		for size := 0; len(entries) < len(logs) && size < appendBytes; {
@@ -137,7 +137,7 @@
 }
 
 // DeleteRange cuts entries off at the front or at the back, up to and with the last.
-func (d *Disk) DeleteRange(from, to uint64) error {
+func (d *Storage) DeleteRange(from, to uint64) error {
 	first, last := d.log.Bounds()
 	defer d.conf.drop()
 	switch {
@@ -151,13 +151,13 @@
 	return fmt.Errorf("entries %d to %d lie inside of %d to %d", from, to, first, last)
 }
 
-// Keep writes a value of this node's own, synced. Raft knows nothing of it.
-func (d *Disk) Keep(key string, value []byte) error {
+// PutLocal writes a value of this node's own, synced. Raft knows nothing of it.
+func (d *Storage) PutLocal(key string, value []byte) error {
 	return d.store.Put([]byte(prefixKept+key), value)
 }
 
-// Kept reads a value of this node's own; nil if it was never written.
-func (d *Disk) Kept(key string) ([]byte, error) {
+// GetLocal reads a value of this node's own; nil if it was never written.
+func (d *Storage) GetLocal(key string) ([]byte, error) {
 	v, err := d.store.Get([]byte(prefixKept+key), 0)
 	if errors.Is(err, durable.ErrNotFound) {
 		return nil, nil
@@ -222,12 +222,12 @@
 var errNoKey = errors.New("not found") // the words that Raft knows it by
 
 // Set writes a stable key, synced.
-func (d *Disk) Set(key, value []byte) error {
+func (d *Storage) Set(key, value []byte) error {
 	return d.store.Put(append([]byte(prefixStable), key...), value)
 }
 
 // Get reads a stable key.
-func (d *Disk) Get(key []byte) ([]byte, error) {
+func (d *Storage) Get(key []byte) ([]byte, error) {
 	v, err := d.store.Get(append([]byte(prefixStable), key...), 0)
 	if errors.Is(err, durable.ErrNotFound) {
 		return nil, errNoKey
@@ -236,12 +236,12 @@
 }
 
 // SetUint64 writes a number under a stable key, synced.
-func (d *Disk) SetUint64(key []byte, n uint64) error {
+func (d *Storage) SetUint64(key []byte, n uint64) error {
 	return d.Set(key, binary.BigEndian.AppendUint64(nil, n))
 }
 
 // GetUint64 reads a number; 0 if it was never set.
-func (d *Disk) GetUint64(key []byte) (uint64, error) {
+func (d *Storage) GetUint64(key []byte) (uint64, error) {
 	v, err := d.Get(key)
 	if errors.Is(err, errNoKey) {
 		return 0, nil
--- a/internal/cluster/raftstorage/disk_test.go
+++ b/internal/cluster/raftstorage/disk_test.go
@@ -95,7 +95,7 @@
 	dir := t.TempDir()
 	require.NoError(t, os.WriteFile(filepath.Join(dir, oldFile), nil, 0o600))
 	_, _, err := Open(dir)
-	assert.True(t, errors.Is(err, ErrOldKind))
+	assert.True(t, errors.Is(err, ErrLegacyFormat))
 }
 
 func FuzzEntry(f *testing.F) {
--- a/internal/cluster/raftstorage/golden_test.go
+++ b/internal/cluster/raftstorage/golden_test.go
@@ -27,8 +27,8 @@
 	}))
 	require.NoError(t, d.SetUint64([]byte("CurrentTerm"), 300))
 	require.NoError(t, d.Set([]byte("LastVoteCand"), []byte("n1@5f")))
-	require.NoError(t, d.Keep("disk", []byte("5f")))
-	require.NoError(t, d.KeepSoon("seen", []byte("{}")))
+	require.NoError(t, d.PutLocal("disk", []byte("5f")))
+	require.NoError(t, d.PutLocalUnsynced("seen", []byte("{}")))
 	sink, err := d.Create(raft.SnapshotVersionMax, 6, 300, conf, 6, nil)
 	require.NoError(t, err)
 	_, err = sink.Write([]byte("the state"))
@@ -36,9 +36,9 @@
 	require.NoError(t, sink.Close())
 	id := sink.ID()
 	require.Regexp(t, `^00000000000000000300-00000000000000000006-\d+-1$`, id)
-	m, err := d.Mark()
+	m, err := d.Watermark()
 	require.NoError(t, err)
-	assert.Equal(t, diskidentity.Mark{Term: 300, LastTerm: 300, LastIndex: 7}, m)
+	assert.Equal(t, diskidentity.Watermark{Term: 300, LastTerm: 300, LastIndex: 7}, m)
 
 	got := map[string]string{}
 	view, err := d.store.Snapshot()
--- a/internal/cluster/raftstorage/guard.go
+++ b/internal/cluster/raftstorage/guard.go
@@ -12,26 +12,28 @@
 	"oxbowbridge/internal/storage/durable"
 )
 
-// Guard is a Disk as Raft uses it. The first failure is told to the node, which ends
+// FailStopStorage is a Disk as Raft uses it. The first failure is told to the node, which ends
 // Raft. Raft itself would end the whole process when it can't keep a term or read its
 // log: the goroutine that asks is ended in place of that, and Raft does nothing more.
-type Guard struct {
-	*Disk
+type FailStopStorage struct {
+	*Storage
 	once   sync.Once
 	failed func(error)
 }
 
-// Guarded has failed called once, on the first failure.
-func (d *Disk) Guarded(failed func(error)) *Guard { return &Guard{Disk: d, failed: failed} }
+// FailStop has failed called once, on the first failure.
+func (d *Storage) FailStop(failed func(error)) *FailStopStorage {
+	return &FailStopStorage{Storage: d, failed: failed}
+}
 
-func (g *Guard) tell(err error) error {
+func (g *FailStopStorage) tell(err error) error {
 	if err != nil {
 		g.once.Do(func() { g.failed(err) })
 	}
 	return err
 }
 
-func (g *Guard) must(err error) error {
+func (g *FailStopStorage) must(err error) error {
 	if g.tell(err) != nil {
 		runtime.Goexit()
 	}
@@ -39,14 +41,16 @@
 }
 
 // Set keeps a stable key, or ends the goroutine.
-func (g *Guard) Set(key, value []byte) error { return g.must(g.Disk.Set(key, value)) }
+func (g *FailStopStorage) Set(key, value []byte) error { return g.must(g.Storage.Set(key, value)) }
 
 // SetUint64 keeps a number, or ends the goroutine.
-func (g *Guard) SetUint64(key []byte, n uint64) error { return g.must(g.Disk.SetUint64(key, n)) }
+func (g *FailStopStorage) SetUint64(key []byte, n uint64) error {
+	return g.must(g.Storage.SetUint64(key, n))
+}
 
 // GetLog reads an entry, or ends the goroutine if the disk can't.
-func (g *Guard) GetLog(index uint64, to *raft.Log) error {
-	err := g.Disk.GetLog(index, to)
+func (g *FailStopStorage) GetLog(index uint64, to *raft.Log) error {
+	err := g.Storage.GetLog(index, to)
 	if err == nil || errors.Is(err, raft.ErrLogNotFound) {
 		return err
 	}
@@ -54,27 +58,29 @@
 }
 
 // StoreLog appends one entry.
-func (g *Guard) StoreLog(l *raft.Log) error { return g.tell(g.Disk.StoreLog(l)) }
+func (g *FailStopStorage) StoreLog(l *raft.Log) error { return g.tell(g.Storage.StoreLog(l)) }
 
 // StoreLogs appends entries. Raft gives up leadership when it can't.
-func (g *Guard) StoreLogs(logs []*raft.Log) error { return g.tell(g.Disk.StoreLogs(logs)) }
+func (g *FailStopStorage) StoreLogs(logs []*raft.Log) error { return g.tell(g.Storage.StoreLogs(logs)) }
 
 // DeleteRange cuts entries off.
-func (g *Guard) DeleteRange(from, to uint64) error { return g.tell(g.Disk.DeleteRange(from, to)) }
+func (g *FailStopStorage) DeleteRange(from, to uint64) error {
+	return g.tell(g.Storage.DeleteRange(from, to))
+}
 
 // Failed is why nothing can be written any more, or nil.
-func (d *Disk) Failed() error { return d.store.Failed() }
+func (d *Storage) Failed() error { return d.store.Failed() }
 
-// KeepSoon writes a value of this node's own that need not outlast a loss of power.
-func (d *Disk) KeepSoon(key string, value []byte) error {
+// PutLocalUnsynced writes a value of this node's own that need not outlast a loss of power.
+func (d *Storage) PutLocalUnsynced(key string, value []byte) error {
 	var b durable.Batch
 	b.Put([]byte(prefixKept+key), value, 0)
 	_, err := d.store.Apply(&b, durable.Buffered)
 	return err
 }
 
-// Mark is how far the disk has come, but for the starts.
-func (d *Disk) Mark() (m diskidentity.Mark, err error) {
+// Watermark is how far the disk has come, but for the starts.
+func (d *Storage) Watermark() (m diskidentity.Watermark, err error) {
 	if m.Term, err = d.GetUint64([]byte("CurrentTerm")); err != nil { // Raft's name for it
 		return m, fmt.Errorf("term: %w", err)
 	}
--- a/internal/cluster/raftstorage/guard_test.go
+++ b/internal/cluster/raftstorage/guard_test.go
@@ -16,7 +16,7 @@
 	d, _, err := OpenFS(f)
 	require.NoError(t, err)
 	told := 0
-	g := d.Guarded(func(error) { told++ })
+	g := d.FailStop(func(error) { told++ })
 	require.NoError(t, g.SetUint64([]byte("CurrentTerm"), 1))
 	require.NoError(t, g.StoreLog(entry(1, 1, "a")))
 	require.ErrorIs(t, g.GetLog(2, &raft.Log{}), raft.ErrLogNotFound)
@@ -33,7 +33,7 @@
 	require.False(t, went)
 	require.Equal(t, 1, told)
 	require.Error(t, d.Failed())
-	m, err := d.Mark()
+	m, err := d.Watermark()
 	require.NoError(t, err)
 	require.EqualValues(t, 1, m.LastIndex)
 	require.EqualValues(t, 1, m.Term)
--- a/internal/cluster/raftstorage/snapshot.go
+++ b/internal/cluster/raftstorage/snapshot.go
@@ -33,7 +33,7 @@
 var errNoSnapshot = errors.New("no such snapshot")
 
 // Create begins a snapshot.
-func (d *Disk) Create(version raft.SnapshotVersion, index, term uint64, conf raft.Configuration, confIndex uint64,
+func (d *Storage) Create(version raft.SnapshotVersion, index, term uint64, conf raft.Configuration, confIndex uint64,
 	_ raft.Transport) (raft.SnapshotSink, error) {
 	if version != raft.SnapshotVersionMax {
 		return nil, fmt.Errorf("snapshots of version %d are not written", version)
@@ -48,10 +48,10 @@
 }
 
 // List gives the snapshots, the newest first.
-func (d *Disk) List() ([]*raft.SnapshotMeta, error) { return d.snaps.list() }
+func (d *Storage) List() ([]*raft.SnapshotMeta, error) { return d.snaps.list() }
 
 // Open reads a snapshot.
-func (d *Disk) Open(id string) (*raft.SnapshotMeta, io.ReadCloser, error) {
+func (d *Storage) Open(id string) (*raft.SnapshotMeta, io.ReadCloser, error) {
 	text, err := d.store.Get([]byte(prefixMeta+id), 0)
 	if errors.Is(err, durable.ErrNotFound) {
 		err = errNoSnapshot
--- a/internal/cluster/singleton/fleet.go
+++ b/internal/cluster/singleton/fleet.go
@@ -37,8 +37,8 @@
 	ttl           = 5 * time.Second
 	sessionsEvery = 30 * time.Second
 	lookEvery     = time.Second
-	// KeyBackup is where the last scheduled backup is noted.
-	KeyBackup = kv.StatePart + "fleet.backup"
+	// KeyBackupNote is where the last scheduled backup is noted.
+	KeyBackupNote = kv.StatePart + "fleet.backup"
 )
 
 // Tasks are those of one node.
@@ -58,19 +58,19 @@
 	list = append(list, leaseclient.Task{Name: controller.LeaseOrder, TTL: ttl, Do: func(ctx context.Context, h *leaseclient.Held) error {
 		return order.Run(ctx, h.Fence())
 	}})
-	if s.HasRecord() {
+	if s.HasSQLRecord() {
 		list = append(list, leaseclient.Task{Name: LeaseMirror, TTL: ttl, Do: func(ctx context.Context, h *leaseclient.Held) error {
-			return s.Mirror(ctx, h.Fence())
+			return s.RunMirror(ctx, h.Fence())
 		}})
 	}
 	if cfg.Backup.Dir != "" {
-		every, err := cfg.Backup.Period()
+		every, err := cfg.Backup.Interval()
 		if err != nil {
 			cancel()
 			t.keeper.Close()
 			return nil, err
 		}
-		b := &backups{store: s, client: storeclient.New([]string{s.AdminAddress()}), dir: cfg.Backup.Dir, every: every, keep: cfg.Backup.Kept(), log: log}
+		b := &backups{store: s, client: storeclient.New([]string{s.AdminAddress()}), dir: cfg.Backup.Dir, every: every, keep: cfg.Backup.Retention(), log: log}
 		list = append(list, leaseclient.Task{Name: LeaseBackup, TTL: ttl, Do: b.run})
 	}
 	for _, x := range list {
@@ -79,8 +79,8 @@
 	return t, nil
 }
 
-// CloseTime is how long Close takes at most.
-const CloseTime = 300 * time.Millisecond
+// CloseTimeout is how long Close takes at most.
+const CloseTimeout = 300 * time.Millisecond
 
 // Close leaves all tasks to others.
 func (t *Tasks) Close() {
@@ -93,7 +93,7 @@
 	}()
 	select {
 	case <-done:
-	case <-time.After(CloseTime):
+	case <-time.After(CloseTimeout):
 	}
 }
 
@@ -110,7 +110,7 @@
 		if s.Sessions() == 0 {
 			continue
 		}
-		if err := s.DoAnywhere(ctx, kv.Request{Fence: []lease.Held{h.Fence()}}); err != nil {
+		if err := s.ExecuteAnywhere(ctx, kv.Request{Fence: []lease.Held{h.Fence()}}); err != nil {
 			return fmt.Errorf("end sessions: %w", err)
 		}
 	}
@@ -150,11 +150,11 @@
 // wait is how long until the next one, as all nodes know it. The note of the last one must
 // be among what is read: this node may have written it just now.
 func (b *backups) wait(ctx context.Context) (time.Duration, error) {
-	if _, err := b.store.Fresh(ctx, store.Freshness{}); err != nil {
+	if _, err := b.store.WaitFresh(ctx, store.Freshness{}); err != nil {
 		return 0, err
 	}
-	var last Last
-	if e, ok := b.store.Entry(KeyBackup); ok {
+	var last BackupNote
+	if e, ok := b.store.Entry(KeyBackupNote); ok {
 		json.Unmarshal(e.Value, &last) // one that can't be read is none
 	}
 	if last.TimeMS == 0 {
@@ -184,11 +184,11 @@
 	if err != nil {
 		return errors.Join(fmt.Errorf("what was written is not what can be read: %w", err), os.Remove(path))
 	}
-	note, err := json.Marshal(Last{head.TimeMS, b.store.Name(), path, head.Revision, head.SHA256})
+	note, err := json.Marshal(BackupNote{head.TimeMS, b.store.Name(), path, head.Revision, head.SHA256})
 	if err != nil {
 		return err
 	}
-	if err := b.store.DoAnywhere(ctx, kv.Request{Fence: []lease.Held{h.Fence()}, Then: []kv.Op{{Do: "put", Key: KeyBackup, Value: note}}}); err != nil {
+	if err := b.store.ExecuteAnywhere(ctx, kv.Request{Fence: []lease.Held{h.Fence()}, Then: []kv.Op{{Do: "put", Key: KeyBackupNote, Value: note}}}); err != nil {
 		return errors.Join(err, os.Remove(path)) // another one may be at it
 	}
 	b.log.Info("scheduled backup", zap.String("file", path), zap.Uint64("revision", head.Revision), zap.Int("keys", head.Keys))
--- a/internal/cluster/singleton/plan.go
+++ b/internal/cluster/singleton/plan.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Last is what the store says of the last scheduled backup.
-type Last struct {
+// BackupNote is what the store says of the last scheduled backup.
+type BackupNote struct {
 	TimeMS   int64  `json:"time_ms"` // Unix milliseconds, by the clock of the node that wrote it
 	Node     string `json:"node"`
 	File     string `json:"file"`
--- a/internal/cluster/store/backup.go
+++ b/internal/cluster/store/backup.go
@@ -25,7 +25,7 @@
 
 // Restore puts a backup back into an empty store of another cluster; only the leader can.
 func (s *Store) Restore(ctx context.Context, head backup.Head, keys []backup.Key) (storeapi.Restored, error) {
-	if _, err := s.Fresh(ctx, Freshness{}); err != nil {
+	if _, err := s.WaitFresh(ctx, Freshness{}); err != nil {
 		return storeapi.Restored{}, err
 	}
 	own := s.cluster.id()
@@ -52,7 +52,7 @@
 			text, _ := json.Marshal(out)
 			part.Then = append(part.Then, kv.Op{Do: "delete", Key: kv.RestoreKey}, kv.Op{Do: "put", Key: restoredKey, Value: text})
 		}
-		got, err := s.Do(part)
+		got, err := s.Execute(part)
 		if err == nil && !got.Held {
 			err = errors.New("another restore has taken its place")
 		}
@@ -79,7 +79,7 @@
 
 // UndoRestore empties a store in which a restore was cut off, and opens it again.
 func (s *Store) UndoRestore(ctx context.Context) error {
-	if _, err := s.Fresh(ctx, Freshness{}); err != nil {
+	if _, err := s.WaitFresh(ctx, Freshness{}); err != nil {
 		return err
 	}
 	entries, _ := s.state.all()
@@ -94,14 +94,14 @@
 			part.Then = append(part.Then, kv.Op{Do: "delete", Key: key})
 		}
 		if len(part.Then) == restoreOps {
-			if _, err := s.Do(part); err != nil {
+			if _, err := s.Execute(part); err != nil {
 				return err
 			}
 			part.Then = nil
 		}
 	}
 	part.Then = append(part.Then, kv.Op{Do: "delete", Key: kv.RestoreKey})
-	_, err := s.Do(part)
+	_, err := s.Execute(part)
 	return err
 }
 
@@ -109,10 +109,10 @@
 // the same one.
 func (s *Store) markRestore(ctx context.Context, sum string) (revision uint64, err error) {
 	value, _ := json.Marshal(sum)
-	_, err = s.Do(kv.Request{If: []kv.Compare{{Key: kv.RestoreKey}},
+	_, err = s.Execute(kv.Request{If: []kv.Compare{{Key: kv.RestoreKey}},
 		Then: []kv.Op{{Do: "put", Key: kv.RestoreKey, Value: value}}})
 	if err == nil {
-		_, err = s.Fresh(ctx, Freshness{}) // all that was written before is known
+		_, err = s.WaitFresh(ctx, Freshness{}) // all that was written before is known
 	}
 	if err != nil {
 		return 0, err
@@ -132,12 +132,12 @@
 		}
 	}
 	if used > 0 {
-		_, err = s.Do(kv.Request{Then: []kv.Op{{Do: "delete", Key: kv.RestoreKey}}})
+		_, err = s.Execute(kv.Request{Then: []kv.Op{{Do: "delete", Key: kv.RestoreKey}}})
 		return 0, errors.Join(fmt.Errorf("%w: it has %d keys", ErrNotEmpty, used), err)
 	}
 	// A second version of the marker says that the store was empty: from here on, what
 	// is in it is of this backup.
-	got, err := s.Do(kv.Request{If: []kv.Compare{{Key: kv.RestoreKey, Revision: m.Index}},
+	got, err := s.Execute(kv.Request{If: []kv.Compare{{Key: kv.RestoreKey, Revision: m.Index}},
 		Then: []kv.Op{{Do: "put", Key: kv.RestoreKey, Value: value}}})
 	if err == nil && !got.Held {
 		err = errors.New("another restore has taken its place")
--- a/internal/cluster/store/cluster.go
+++ b/internal/cluster/store/cluster.go
@@ -66,8 +66,8 @@
 	delete(c.others, name)
 }
 
-// Cluster is the id of the cluster, or "" while it is not known.
-func (s *Store) Cluster() string { return s.cluster.id() }
+// ClusterID is the id of the cluster, or "" while it is not known.
+func (s *Store) ClusterID() string { return s.cluster.id() }
 
 // keepCluster learns the cluster's id, or as the leader of a new cluster gives it one,
 // and keeps it beside the log.
@@ -90,13 +90,13 @@
 			return nil
 		}
 		// Not before all that was committed is known: the cluster may have one.
-		if _, err := s.Fresh(ctx, Freshness{}); err != nil {
+		if _, err := s.WaitFresh(ctx, Freshness{}); err != nil {
 			return err
 		}
 		b := make([]byte, 16)
 		rand.Read(b)
 		id, _ := json.Marshal(hex.EncodeToString(b))
-		_, err := s.Do(kv.Request{Floor: tokenFloor(0), If: []kv.Compare{{Key: kv.ClusterKey}},
+		_, err := s.Execute(kv.Request{Floor: tokenFloor(0), If: []kv.Compare{{Key: kv.ClusterKey}},
 			Then: []kv.Op{{Do: "put", Key: kv.ClusterKey, Value: id}}})
 		return err
 	}
@@ -104,7 +104,7 @@
 	if err != nil {
 		return err
 	}
-	if err := l.disk.Keep(kv.ClusterKey, []byte(id)); err != nil {
+	if err := l.disk.PutLocal(kv.ClusterKey, []byte(id)); err != nil {
 		return fmt.Errorf("keep cluster id: %w", err)
 	}
 	s.cluster.set(id)
--- a/internal/cluster/store/config.go
+++ b/internal/cluster/store/config.go
@@ -36,7 +36,7 @@
 	// Vouchers is how many other voters must say, before a node that starts may vote,
 	// that they have seen no more of its disk than it has: 0 is what makes a majority
 	// with it, -1 is all of them.
-	Vouchers int `json:"vouchers"`
+	Attesters int `json:"vouchers"`
 
 	SQL struct {
 		Driver string `json:"driver"` // "sqlite", "postgres", or "" for no store of record
@@ -59,8 +59,8 @@
 	backupMost  = 10000
 )
 
-// Period is the time between two backups.
-func (b BackupConfig) Period() (time.Duration, error) {
+// Interval is the time between two backups.
+func (b BackupConfig) Interval() (time.Duration, error) {
 	if b.Every == "" {
 		return backupEvery, nil
 	}
@@ -74,8 +74,8 @@
 	return d, nil
 }
 
-// Kept is how many stay.
-func (b BackupConfig) Kept() int { return cmp.Or(b.Keep, backupKeep) }
+// Retention is how many stay.
+func (b BackupConfig) Retention() int { return cmp.Or(b.Keep, backupKeep) }
 
 func (b BackupConfig) check() error {
 	switch {
@@ -84,7 +84,7 @@
 	case b.Keep < 0 || b.Keep > backupMost:
 		return fmt.Errorf("backup.keep: want 1 to %d, or 0 for %d", backupMost, backupKeep)
 	}
-	_, err := b.Period()
+	_, err := b.Interval()
 	return err
 }
 
@@ -112,7 +112,7 @@
 		return errors.New("self: the node is among the peers")
 	case c.Voters < 0 || c.Voters > votersMost:
 		return fmt.Errorf("voters: want 0 to %d", votersMost)
-	case c.Vouchers < -1 || c.Vouchers > votersMost:
+	case c.Attesters < -1 || c.Attesters > votersMost:
 		return fmt.Errorf("vouchers: want -1 to %d", votersMost)
 	case c.ReplaceAfterMS < 0:
 		return errors.New("replace_after_ms: below 0")
@@ -186,7 +186,7 @@
 // policy is what the leader's decisions on members follow.
 func (c *Config) policy() membership.Policy {
 	p := membership.Policy{Voters: c.Voters, ReplaceAfter: time.Duration(c.ReplaceAfterMS) * time.Millisecond,
-		ForgetAfter: time.Duration(c.ForgetAfterMS) * time.Millisecond, Settle: settleTime, Lag: lagMost}
+		ForgetAfter: time.Duration(c.ForgetAfterMS) * time.Millisecond, SettleTime: settleTime, MaxLag: lagMost}
 	if p.Voters == 0 {
 		p.Voters = len(c.Peers)
 	}
--- a/internal/cluster/store/disk.go
+++ b/internal/cluster/store/disk.go
@@ -31,7 +31,7 @@
 // openDisk opens the node's folder, or makes it. One that is damaged, or whose state differs,
 // is set aside, whole, and a new one is begun that never makes a cluster: what it promised,
 // others must know.
-func (s *Store) openDisk() (*raftstorage.Disk, error) {
+func (s *Store) openDisk() (*raftstorage.Storage, error) {
 	disk, err := s.tryDisk()
 	if !errors.Is(err, durable.ErrDamaged) && !errors.Is(err, errApart) {
 		return disk, err
@@ -50,14 +50,14 @@
 	if disk, err = s.tryDisk(); err != nil {
 		return nil, err
 	}
-	if err := disk.Keep(keptJoiner, []byte("1")); err != nil {
+	if err := disk.PutLocal(keptJoiner, []byte("1")); err != nil {
 		disk.Close()
 		return nil, fmt.Errorf("mark new folder: %w", err)
 	}
 	return disk, nil
 }
 
-func (s *Store) tryDisk() (*raftstorage.Disk, error) {
+func (s *Store) tryDisk() (*raftstorage.Storage, error) {
 	if err := os.MkdirAll(s.cfg.Dir, 0o750); err != nil {
 		return nil, fmt.Errorf("dir: %w", err)
 	}
@@ -68,7 +68,7 @@
 	if report.Loss == durable.TailLoss {
 		s.log.Info("unsynced tail of the log cut off", zap.Int64("bytes", report.CutBytes))
 	}
-	if apart, err := disk.Kept(keptApart); apart != nil || err != nil {
+	if apart, err := disk.GetLocal(keptApart); apart != nil || err != nil {
 		if err == nil {
 			err = errApart
 		}
@@ -79,15 +79,15 @@
 
 // folder is what a node knows of its disk when it starts.
 type folder struct {
-	disk      *raftstorage.Disk
-	own       diskidentity.Own
+	disk      *raftstorage.Storage
+	own       diskidentity.LocalDisk
 	addresses map[string]string // of the members in its log
 }
 
 // readFolder reads a disk's identity, or gives it one, and counts the start.
-func (s *Store) readFolder(disk *raftstorage.Disk) (*folder, error) {
+func (s *Store) readFolder(disk *raftstorage.Storage) (*folder, error) {
 	f := &folder{disk: disk}
-	id, err := disk.Kept(keptDisk)
+	id, err := disk.GetLocal(keptDisk)
 	if err != nil {
 		return nil, fmt.Errorf("identity of the disk: %w", err)
 	}
@@ -96,7 +96,7 @@
 			return nil, err
 		}
 	}
-	starts, err := disk.Kept(keptStarts)
+	starts, err := disk.GetLocal(keptStarts)
 	if err != nil {
 		return nil, fmt.Errorf("starts: %w", err)
 	}
@@ -107,24 +107,24 @@
 		}
 	}
 	count++
-	if err := disk.Keep(keptStarts, strconv.AppendUint(nil, count, 10)); err != nil {
+	if err := disk.PutLocal(keptStarts, strconv.AppendUint(nil, count, 10)); err != nil {
 		return nil, fmt.Errorf("count start: %w", err)
 	}
-	joiner, err := disk.Kept(keptJoiner)
+	joiner, err := disk.GetLocal(keptJoiner)
 	if err != nil {
 		return nil, fmt.Errorf("marker: %w", err)
 	}
-	f.own = diskidentity.Own{ID: diskidentity.ID(s.self.Name, string(id)), Cluster: s.cluster.id(), Vouchers: s.cfg.Vouchers}
-	if f.own.Mark, err = disk.Mark(); err != nil {
+	f.own = diskidentity.LocalDisk{ID: diskidentity.MemberID(s.self.Name, string(id)), Cluster: s.cluster.id(), Attesters: s.cfg.Attesters}
+	if f.own.Watermark, err = disk.Watermark(); err != nil {
 		return nil, fmt.Errorf("mark: %w", err)
 	}
-	f.own.Mark.Starts = count
+	f.own.Watermark.Starts = count
 	if f.own.Cluster == "" {
-		if f.own.Logged, err = loggedCluster(disk); err != nil {
+		if f.own.LoggedCluster, err = loggedCluster(disk); err != nil {
 			return nil, err
 		}
 	}
-	f.own.Empty = f.own.Mark.LastIndex == 0
+	f.own.Empty = f.own.Watermark.LastIndex == 0
 	f.own.Fresh = f.own.Empty && joiner == nil && f.own.Cluster == ""
 	if s.cfg.founder() {
 		for _, p := range s.cfg.Peers {
@@ -135,7 +135,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("members: %w", err)
 	}
-	f.own.Config = index
+	f.own.ConfigIndex = index
 	f.own.Members, f.own.Voters = idsOf(conf)
 	f.addresses = addressesOf(conf)
 	// A log that the version before began knows members by their names alone.
@@ -145,11 +145,11 @@
 	return f, nil
 }
 
-func newDiskID(disk *raftstorage.Disk) ([]byte, error) {
+func newDiskID(disk *raftstorage.Storage) ([]byte, error) {
 	b := make([]byte, diskBytes)
 	rand.Read(b)
 	id := []byte(hex.EncodeToString(b))
-	if err := disk.Keep(keptDisk, id); err != nil {
+	if err := disk.PutLocal(keptDisk, id); err != nil {
 		return nil, fmt.Errorf("give the disk an identity: %w", err)
 	}
 	return id, nil
@@ -157,12 +157,12 @@
 
 // renew gives a disk a new identity: what it promised before is not counted for it any
 // more. Its log stays, as most of it saves being sent again.
-func renew(disk *raftstorage.Disk, name string) (id string, err error) {
+func renew(disk *raftstorage.Storage, name string) (id string, err error) {
 	text, err := newDiskID(disk)
 	if err == nil {
-		err = disk.Keep(keptJoiner, []byte("1"))
+		err = disk.PutLocal(keptJoiner, []byte("1"))
 	}
-	return diskidentity.ID(name, string(text)), err
+	return diskidentity.MemberID(name, string(text)), err
 }
 
 func idsOf(conf raft.Configuration) (members, voters []string) {
@@ -194,11 +194,11 @@
 }
 
 // ledger is what this node has seen of other disks, the highest of each.
-type ledger map[string]diskidentity.Mark
+type ledger map[string]diskidentity.Watermark
 
-func readLedger(disk *raftstorage.Disk) (ledger, error) {
+func readLedger(disk *raftstorage.Storage) (ledger, error) {
 	l := ledger{}
-	text, err := disk.Kept(keptSeen)
+	text, err := disk.GetLocal(keptSeen)
 	if err == nil && text != nil {
 		err = json.Unmarshal(text, &l)
 	}
@@ -209,8 +209,8 @@
 }
 
 // readClusterID recalls the cluster that the folder is of, "" if it was not kept yet.
-func readClusterID(disk *raftstorage.Disk) (string, error) {
-	id, err := disk.Kept(kv.ClusterKey)
+func readClusterID(disk *raftstorage.Storage) (string, error) {
+	id, err := disk.GetLocal(kv.ClusterKey)
 	if err != nil {
 		return "", fmt.Errorf("cluster id: %w", err)
 	}
@@ -219,7 +219,7 @@
 
 // loggedCluster is the cluster's id in the log of a node that ended before it had kept
 // it. It may not have been committed.
-func loggedCluster(disk *raftstorage.Disk) (string, error) {
+func loggedCluster(disk *raftstorage.Storage) (string, error) {
 	s := newState()
 	if err := replay(disk, s); err != nil {
 		return "", fmt.Errorf("cluster id: %w", err)
--- a/internal/cluster/store/folder.go
+++ b/internal/cluster/store/folder.go
@@ -7,4 +7,6 @@
 	"oxbowbridge/internal/storage/durable"
 )
 
-func openFolder(dir string) (*raftstorage.Disk, *durable.Report, error) { return raftstorage.Open(dir) }
+func openFolder(dir string) (*raftstorage.Storage, *durable.Report, error) {
+	return raftstorage.Open(dir)
+}
--- a/internal/cluster/store/folder_faults.go
+++ b/internal/cluster/store/folder_faults.go
@@ -14,7 +14,7 @@
 
 // openFolder of the test build opens a folder that fails as the file beside it, whose
 // name ends in ".fault", says: "full", "write" or "sync".
-func openFolder(dir string) (*raftstorage.Disk, *durable.Report, error) {
+func openFolder(dir string) (*raftstorage.Storage, *durable.Report, error) {
 	real, err := vfs.NewDir(dir)
 	if err != nil {
 		return nil, nil, err
--- a/internal/cluster/store/fresh.go
+++ b/internal/cluster/store/fresh.go
@@ -15,8 +15,8 @@
 
 // Freshness is what a reader asks for.
 type Freshness struct {
-	Local bool          // what this node knows, however old
-	Stale time.Duration // at most so old; 0 is linearizable
+	Local        bool          // what this node knows, however old
+	MaxStaleness time.Duration // at most so old; 0 is linearizable
 }
 
 // ErrNotFresh means that this node can't prove in time that it knows what the
@@ -140,7 +140,7 @@
 
 // committed asks whoever leads for its read index.
 func (s *Store) committed(ctx context.Context) (uint64, error) {
-	if s.Leads() {
+	if s.IsLeader() {
 		return s.ReadIndex(ctx)
 	}
 	p, _, ok := s.Leader()
@@ -155,16 +155,16 @@
 	return at.Index, err
 }
 
-// Fresh waits until this node knows what the reader asked for, and gives the age of
+// WaitFresh waits until this node knows what the reader asked for, and gives the age of
 // what it knows.
-func (s *Store) Fresh(ctx context.Context, f Freshness) (age time.Duration, err error) {
+func (s *Store) WaitFresh(ctx context.Context, f Freshness) (age time.Duration, err error) {
 	if f.Local {
 		return 0, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, proveTimeout)
 	defer cancel()
-	if f.Stale > 0 {
-		if at := s.known(); !at.IsZero() && time.Since(at) <= f.Stale {
+	if f.MaxStaleness > 0 {
+		if at := s.known(); !at.IsZero() && time.Since(at) <= f.MaxStaleness {
 			return time.Since(at), nil
 		}
 	}
--- a/internal/cluster/store/golden_test.go
+++ b/internal/cluster/store/golden_test.go
@@ -77,10 +77,10 @@
 	assert.Equal(t, []string{"disk", "starts", "joiner", "seen", "apart"}, []string{keptDisk, keptStarts, keptJoiner, keptSeen, keptApart})
 	golden(t, ledger{"n1@5f": {Starts: 1, Term: 2, LastTerm: 3, LastIndex: 4}},
 		`{"n1@5f":{"starts":1,"term":2,"last_term":3,"last_index":4}}`)
-	golden(t, Good{Revision: 7, Value: json.RawMessage(`{"x":1}`)}, `{"revision":7,"value":{"x":1}}`)
+	golden(t, GoodVersion{Revision: 7, Value: json.RawMessage(`{"x":1}`)}, `{"revision":7,"value":{"x":1}}`)
 	assert.Equal(t, "_cluster/restored", restoredKey)
-	golden(t, Left{Node: "n1", ID: "n1@5f", Cluster: "c", Mark: diskidentity.Mark{Starts: 1}, Keys: 2, Members: []string{"n1@5f"}, Voters: []string{"n1@5f"},
-		Seen: map[string]diskidentity.Mark{"n2@6f": {Term: 1}}, Missing: []string{"m"}, New: "d"},
+	golden(t, RecoveryReport{Node: "n1", ID: "n1@5f", Cluster: "c", Watermark: diskidentity.Watermark{Starts: 1}, Keys: 2, Members: []string{"n1@5f"}, Voters: []string{"n1@5f"},
+		LastObserved: map[string]diskidentity.Watermark{"n2@6f": {Term: 1}}, Missing: []string{"m"}, NewCluster: "d"},
 		`{"node":"n1","id":"n1@5f","cluster":"c","mark":{"starts":1,"term":0,"last_term":0,"last_index":0},"keys":2,"members":["n1@5f"],"voters":["n1@5f"],`+
 			`"seen":{"n2@6f":{"starts":0,"term":1,"last_term":0,"last_index":0}},"missing":["m"],"new_cluster":"d"}`)
 }
@@ -160,7 +160,7 @@
 // TestGoldenConfig: the store's section of the configuration file.
 func TestGoldenConfig(t *testing.T) {
 	peer := Peer{Name: "n1", Raft: "127.0.0.1:1", Admin: "127.0.0.1:2", Zone: "z"}
-	c := Config{Node: "n1", Dir: "/d", Peers: []Peer{peer}, Self: &peer, Voters: 3, ReplaceAfterMS: 4, ForgetAfterMS: 5, Vouchers: 6,
+	c := Config{Node: "n1", Dir: "/d", Peers: []Peer{peer}, Self: &peer, Voters: 3, ReplaceAfterMS: 4, ForgetAfterMS: 5, Attesters: 6,
 		Backup: BackupConfig{Dir: "/b", Every: "1h", Keep: 7}}
 	c.SQL.Driver, c.SQL.DSN = "sqlite", "file:x"
 	peerText := `{"name":"n1","raft":"127.0.0.1:1","admin":"127.0.0.1:2","zone":"z"}`
@@ -170,8 +170,8 @@
 
 // TestGoldenSelf: what a node tells another one of itself.
 func TestGoldenSelf(t *testing.T) {
-	golden(t, storeapi.Self{Word: diskidentity.Word{ID: "n1@5f", Cluster: "c", Was: []string{"b"}, Fresh: true, Config: 1, Members: []string{"m"}, Voters: []string{"v"},
-		Seen: &diskidentity.Mark{Starts: 1, Term: 2, LastTerm: 3, LastIndex: 4}}, State: stateServing, Mark: diskidentity.Mark{Starts: 5}, Applied: 6,
+	golden(t, storeapi.Self{Attestation: diskidentity.Attestation{ID: "n1@5f", Cluster: "c", PreviousClusters: []string{"b"}, Fresh: true, ConfigIndex: 1, Members: []string{"m"}, Voters: []string{"v"},
+		LastObserved: &diskidentity.Watermark{Starts: 1, Term: 2, LastTerm: 3, LastIndex: 4}}, State: stateServing, Mark: diskidentity.Watermark{Starts: 5}, Applied: 6,
 		Raft: "r", Admin: "a", Zone: "z", Leases: true, Addresses: map[string]string{"m": "x"}},
 		`{"id":"n1@5f","cluster":"c","was":["b"],"fresh":true,"config":1,"members":["m"],"voters":["v"],`+
 			`"seen":{"starts":1,"term":2,"last_term":3,"last_index":4},"state":"serving","mark":{"starts":5,"term":0,"last_term":0,"last_index":0},"applied":6,`+
@@ -182,8 +182,8 @@
 
 // TestGoldenMemberStates: the states of a member, as operators read them.
 func TestGoldenMemberStates(t *testing.T) {
-	for want, m := range map[string]membership.Member{"lost": {Lost: true, Leaving: true}, "leaving": {Leaving: true, ID: "l"}, "leader": {ID: "l", Up: true},
-		"up": {ID: "m", Up: true}, "down 2s": {ID: "m", Down: 2400 * time.Millisecond}} {
+	for want, m := range map[string]membership.Member{"lost": {DiskLost: true, Leaving: true}, "leaving": {Leaving: true, ID: "l"}, "leader": {ID: "l", Up: true},
+		"up": {ID: "m", Up: true}, "down 2s": {ID: "m", DownFor: 2400 * time.Millisecond}} {
 		assert.Equal(t, want, stateOf(m, "l"))
 	}
 	s, err := New(Config{Node: "a", Dir: t.TempDir(), Peers: []Peer{{Name: "a", Raft: "127.0.0.1:1", Admin: "127.0.0.1:2"}}}, nil)
--- a/internal/cluster/store/leases.go
+++ b/internal/cluster/store/leases.go
@@ -19,9 +19,9 @@
 	waiterLook = time.Second           // how often it notes that one who waits is still there
 )
 
-// ErrNoLeases means that leases can't be had yet: a member is of a version that would
+// ErrLeasesUnavailable means that leases can't be had yet: a member is of a version that would
 // not understand them.
-var ErrNoLeases = errors.New("leases wait until all members know them")
+var ErrLeasesUnavailable = errors.New("leases wait until all members know them")
 
 // leases is what a node does for leases while it leads: the timer of its term, and those
 // who wait here for a lease.
@@ -144,7 +144,7 @@
 	}
 	for len(due) > 0 {
 		n := min(len(due), lease.Ops)
-		if _, err := s.Do(kv.Request{Leases: due[:n]}); err != nil {
+		if _, err := s.Execute(kv.Request{Leases: due[:n]}); err != nil {
 			return err
 		}
 		due = due[n:]
@@ -157,12 +157,12 @@
 	conf, _ := l.conf()
 	for _, x := range conf.Servers {
 		if id := string(x.ID); id != l.id {
-			if h, now := s.peers.last(diskidentity.Name(id)); !now || h.ID != id || !h.Leases {
-				return fmt.Errorf("%w: not known of %s", ErrNoLeases, id)
+			if h, now := s.peers.last(diskidentity.MemberName(id)); !now || h.ID != id || !h.Leases {
+				return fmt.Errorf("%w: not known of %s", ErrLeasesUnavailable, id)
 			}
 		}
 	}
-	_, err := s.Do(kv.Request{If: []kv.Compare{{Key: kv.LeasesKey}},
+	_, err := s.Execute(kv.Request{If: []kv.Compare{{Key: kv.LeasesKey}},
 		Then: []kv.Op{{Do: "put", Key: kv.LeasesKey, Value: []byte("true")}}})
 	return err
 }
@@ -179,7 +179,7 @@
 		return nil, err
 	}
 	if _, ok := s.state.get(kv.LeasesKey); !ok {
-		return nil, ErrNoLeases
+		return nil, ErrLeasesUnavailable
 	}
 	ctx, cancel := context.WithTimeout(ctx, proveTimeout)
 	defer cancel()
@@ -197,18 +197,18 @@
 	return t, nil
 }
 
-// Wish is a request for a lease.
-type Wish struct {
+// LeaseRequest is a request for a lease.
+type LeaseRequest struct {
 	Name     string
 	Holder   string // nobody else goes by this name: who asks again under it is given the same token
 	TTLMS    int64
 	Priority int
-	Wait     time.Duration // 0 is not at all
+	MaxWait  time.Duration // 0 is not at all
 }
 
 // AcquireLease gives a lease, or who has it with lease.ErrHeld; only the leader can.
 // Those who wait leave the queue when ctx ends.
-func (s *Store) AcquireLease(ctx context.Context, w Wish) (lease.Lease, error) {
+func (s *Store) AcquireLease(ctx context.Context, w LeaseRequest) (lease.Lease, error) {
 	if err := lease.Check(w.Name, w.Holder, w.TTLMS); err != nil {
 		return lease.Lease{}, err
 	}
@@ -217,11 +217,11 @@
 	if err != nil {
 		return lease.Lease{}, err
 	}
-	if w.Wait <= 0 {
+	if w.MaxWait <= 0 {
 		return s.ask(t, w, came)
 	}
 	defer s.leases.given(w.Name, w.Holder)
-	end := time.NewTimer(w.Wait)
+	end := time.NewTimer(w.MaxWait)
 	defer end.Stop()
 	tick := time.NewTicker(waiterLook)
 	defer tick.Stop()
@@ -239,26 +239,26 @@
 		case <-end.C:
 		case <-ctx.Done():
 		}
-		if _, err := s.Do(kv.Request{Leases: []lease.Op{{Do: lease.Withdraw, Name: w.Name, Holder: w.Holder}}}); err != nil {
+		if _, err := s.Execute(kv.Request{Leases: []lease.Op{{Do: lease.Withdraw, Name: w.Name, Holder: w.Holder}}}); err != nil {
 			return lease.Lease{}, err
 		}
-		w.Wait = 0 // it may have been given meanwhile
+		w.MaxWait = 0 // it may have been given meanwhile
 		return s.ask(t, w, came)
 	}
 }
 
 // ask gives a lease if it is free or the holder's already, and puts the holder into the
 // queue if it waits. What changes nothing needs no entry of the log.
-func (s *Store) ask(t *lease.Timer, w Wish, came time.Duration) (l lease.Lease, err error) {
+func (s *Store) ask(t *lease.Timer, w LeaseRequest, came time.Duration) (l lease.Lease, err error) {
 	needed := true
 	look := func(st *lease.State, now time.Duration) {
-		l, needed, err = t.Ask(st, w.Name, w.Holder, w.Wait > 0, came, now)
+		l, needed, err = t.Ask(st, w.Name, w.Holder, w.MaxWait > 0, came, now)
 	}
 	if e := s.withLeases(t, look); e != nil || !needed {
 		return l, errors.Join(e, err)
 	}
-	a, err := s.Do(kv.Request{Leases: []lease.Op{{Do: lease.Acquire, Name: w.Name, Holder: w.Holder, TTLMS: w.TTLMS,
-		Wait: w.Wait > 0, Priority: w.Priority}}})
+	a, err := s.Execute(kv.Request{Leases: []lease.Op{{Do: lease.Acquire, Name: w.Name, Holder: w.Holder, TTLMS: w.TTLMS,
+		Wait: w.MaxWait > 0, Priority: w.Priority}}})
 	if err != nil {
 		return l, err
 	}
@@ -303,7 +303,7 @@
 	case to != "":
 		o.Do, o.Holder = lease.HandOver, to
 	}
-	a, err := s.Do(kv.Request{Leases: []lease.Op{o}})
+	a, err := s.Execute(kv.Request{Leases: []lease.Op{o}})
 	if err != nil {
 		return err
 	}
--- a/internal/cluster/store/life.go
+++ b/internal/cluster/store/life.go
@@ -32,7 +32,7 @@
 type life struct {
 	s      *Store
 	id     string // this member
-	disk   *raftstorage.Disk
+	disk   *raftstorage.Storage
 	raft   *raft.Raft
 	joined atomic.Bool            // it was a member once, in this life
 	refuse atomic.Pointer[string] // why it is not one yet
@@ -85,7 +85,7 @@
 
 // live waits until the disk may take part, and has it do so until it fails, this node is
 // removed, or the store ends. It closes the disk.
-func (s *Store) live(disk *raftstorage.Disk) (err error) {
+func (s *Store) live(disk *raftstorage.Storage) (err error) {
 	defer func() {
 		s.started.Store(nil)
 		if cerr := disk.Close(); cerr != nil && err == nil && s.ctx.Err() == nil {
@@ -134,18 +134,18 @@
 	for {
 		words, all, news := s.peers.words()
 		verdict, why := diskidentity.Decide(f.own, words)
-		if !all && verdict != diskidentity.Renew {
-			verdict, why = diskidentity.Wait, "the other nodes to be asked"
+		if !all && verdict != diskidentity.VerdictRenew {
+			verdict, why = diskidentity.VerdictWait, "the other nodes to be asked"
 		}
-		if verdict != diskidentity.Wait {
+		if verdict != diskidentity.VerdictWait {
 			s.log.Info("disk looked at", zap.String("id", f.own.ID), zap.Stringer("verdict", verdict), zap.String("why", why))
 		}
 		switch verdict {
-		case diskidentity.Wait:
+		case diskidentity.VerdictWait:
 			if all {
 				s.waiting(why)
 			}
-		case diskidentity.Renew:
+		case diskidentity.VerdictRenew:
 			id, err := renew(f.disk, s.self.Name)
 			if err != nil {
 				return f, verdict, err
@@ -154,7 +154,7 @@
 			g := *f // others look at the first
 			g.own.ID = id
 			s.started.Store(&g)
-			return &g, diskidentity.Join, nil
+			return &g, diskidentity.VerdictJoin, nil
 		default:
 			return f, verdict, nil
 		}
@@ -170,7 +170,7 @@
 // take starts Raft under a verdict, and returns when the life is over.
 func (s *Store) take(f *folder, verdict diskidentity.Verdict) error {
 	l := &life{s: s, id: f.own.ID, disk: f.disk, failed: make(chan error, 1)}
-	guard := f.disk.Guarded(l.fail)
+	guard := f.disk.FailStop(l.fail)
 	w, err := listenWire(s.self.Raft, l.id, s.cluster.id, s.cfg.peer)
 	if err != nil {
 		return err
@@ -187,7 +187,7 @@
 		Timeout: transportTime, Logger: rc.Logger}))
 	l.acks = transport
 	defer func() { transport.Close(); transport.CloseStreams() }()
-	if verdict == diskidentity.Found {
+	if verdict == diskidentity.VerdictBootstrap {
 		conf, err := s.founding(l)
 		if err == nil {
 			err = raft.BootstrapCluster(rc, guard, guard, guard, transport, conf)
@@ -245,7 +245,7 @@
 			if !now || !h.Fresh {
 				return conf, fmt.Errorf("%s is not new any more", p.Name)
 			}
-			if id, p.Raft, p.Admin, p.Zone = h.ID, h.Raft, h.Admin, h.Zone; diskidentity.Name(id) != p.Name {
+			if id, p.Raft, p.Admin, p.Zone = h.ID, h.Raft, h.Admin, h.Zone; diskidentity.MemberName(id) != p.Name {
 				return conf, fmt.Errorf("%s says that it is %s", p.Name, id)
 			}
 		}
@@ -257,7 +257,7 @@
 // tend watches over a life until it has to end: it joins, keeps what was seen of others,
 // and notices that the disk failed or that the others have removed it.
 func (s *Store) tend(ctx context.Context, l *life, verdict diskidentity.Verdict) error {
-	l.joined.Store(verdict == diskidentity.Resume || verdict == diskidentity.Found)
+	l.joined.Store(verdict == diskidentity.VerdictResume || verdict == diskidentity.VerdictBootstrap)
 	tick := time.NewTicker(askEvery)
 	defer tick.Stop()
 	var kept, asked time.Time
@@ -278,13 +278,13 @@
 			s.peers.keep(l)
 		}
 		words, _, _ := s.peers.words()
-		if by := diskidentity.Replaced(s.cluster.id(), words); by != "" {
+		if by := diskidentity.Successor(s.cluster.id(), words); by != "" {
 			return fmt.Errorf("%w: it is %s now", errReplaced, by)
 		}
 		conf, index := l.conf()
 		s.followAll(conf)
 		if at, apart := s.state.checked().Apart(s.peers.checks(conf, l.id)); apart {
-			return errors.Join(fmt.Errorf("%w: at entry %d of the log", errApart, at), l.disk.Keep(keptApart, []byte("1")))
+			return errors.Join(fmt.Errorf("%w: at entry %d of the log", errApart, at), l.disk.PutLocal(keptApart, []byte("1")))
 		}
 		_, in := serverOf(conf, l.id)
 		if in && !l.joined.Swap(true) {
@@ -320,7 +320,7 @@
 		if own := s.cluster.id(); own != "" && w.Cluster != own {
 			continue
 		}
-		if w.Config > index && len(w.Members) > 0 && !slices.Contains(w.Members, l.id) {
+		if w.ConfigIndex > index && len(w.Members) > 0 && !slices.Contains(w.Members, l.id) {
 			return true
 		}
 	}
--- a/internal/cluster/store/members.go
+++ b/internal/cluster/store/members.go
@@ -19,11 +19,11 @@
 	"oxbowbridge/internal/cluster/storeapi"
 )
 
-// ErrRefused means that a member is not taken in; nothing was done.
-var ErrRefused = errors.New("not taken in")
+// ErrMemberRejected means that a member is not taken in; nothing was done.
+var ErrMemberRejected = errors.New("not taken in")
 
-// ErrNoMember means that no such member is there.
-var ErrNoMember = errors.New("no such member")
+// ErrMemberNotFound means that no such member is there.
+var ErrMemberNotFound = errors.New("no such member")
 
 // views is what the leader made of the members last.
 type views struct {
@@ -52,10 +52,10 @@
 			continue
 		}
 		step, conf, index := s.look(l)
-		if step.Kind == membership.None {
+		if step.Kind == membership.StepNone {
 			continue
 		}
-		s.log.Info("members change", zap.Stringer("step", step.Kind), zap.String("member", step.ID), zap.String("why", step.Why))
+		s.log.Info("members change", zap.Stringer("step", step.Kind), zap.String("member", step.ID), zap.String("why", step.Reason))
 		if err := l.step(ctx, step, conf, index); err != nil && ctx.Err() == nil {
 			s.log.Warn("members did not change", zap.Stringer("step", step.Kind), zap.String("member", step.ID), zap.Error(err))
 		}
@@ -77,7 +77,7 @@
 		v.index, v.changed = index, now
 	}
 	// A change must be committed before the next one; Raft sees to that too.
-	v.view = membership.View{Leader: l.id, Pending: l.raft.CommitIndex() < index, Settled: now.Sub(v.changed)}
+	v.view = membership.View{Leader: l.id, ChangePending: l.raft.CommitIndex() < index, SinceChange: now.Sub(v.changed)}
 	for _, x := range conf.Servers {
 		v.view.Members = append(v.view.Members, s.seen(l, x, now))
 	}
@@ -97,16 +97,16 @@
 		m.Role = membership.Voter
 	}
 	_, m.Leaving = s.state.get(kv.GonePart + p.Name)
-	_, m.Wanted = s.state.get(kv.VotePart + p.Name)
+	_, m.VotePreferred = s.state.get(kv.VotePart + p.Name)
 	if p.Name == s.self.Name { // nobody asks itself: what bears this node's name is its disk, or one that it had
-		m.Up, m.Lost = id == l.id, id != l.id
+		m.Up, m.DiskLost = id == l.id, id != l.id
 		return m
 	}
 	h, heard := s.peers.last(p.Name)
 	m.Up = heard && h.ID == id && h.State == stateServing
-	m.Lost = heard && h.ID != id && (diskidentity.Disk(h.ID) != "" || diskidentity.Disk(id) != "") && diskidentity.Name(h.ID) == p.Name
+	m.DiskLost = heard && h.ID != id && (diskidentity.MemberDisk(h.ID) != "" || diskidentity.MemberDisk(id) != "") && diskidentity.MemberName(h.ID) == p.Name
 	if m.Up {
-		m.Behind = l.raft.LastIndex() - min(l.raft.LastIndex(), h.Mark.LastIndex)
+		m.Lag = l.raft.LastIndex() - min(l.raft.LastIndex(), h.Mark.LastIndex)
 		delete(l.view.down, id)
 		return m
 	}
@@ -115,7 +115,7 @@
 		since = now
 		l.view.down[id] = now
 	}
-	m.Down = now.Sub(since)
+	m.DownFor = now.Sub(since)
 	return m
 }
 
@@ -124,13 +124,13 @@
 func (s *Store) convert(l *life, members []membership.Member) {
 	next, voters := -1, 0
 	for i, m := range members {
-		if h, _ := s.peers.last(diskidentity.Name(m.ID)); !m.Up || m.Behind > lagMost || m.ID != l.id && h.old {
+		if h, _ := s.peers.last(diskidentity.MemberName(m.ID)); !m.Up || m.Lag > lagMost || m.ID != l.id && h.old {
 			return
 		}
 		if m.Role == membership.Voter {
 			voters++
 		}
-		if diskidentity.Disk(m.ID) == "" && (next < 0 || members[next].ID == l.id) {
+		if diskidentity.MemberDisk(m.ID) == "" && (next < 0 || members[next].ID == l.id) {
 			next = i
 		}
 	}
@@ -144,18 +144,18 @@
 func (l *life) step(ctx context.Context, step membership.Step, conf raft.Configuration, index uint64) error {
 	x, ok := serverOf(conf, step.ID)
 	if !ok {
-		return fmt.Errorf("%w: %s", ErrNoMember, step.ID)
+		return fmt.Errorf("%w: %s", ErrMemberNotFound, step.ID)
 	}
 	ctx, cancel := context.WithTimeout(ctx, storeapi.ApplyTime)
 	defer cancel()
 	switch step.Kind {
-	case membership.Promote:
+	case membership.StepPromote:
 		return done(ctx, l.raft.AddVoter(x.ID, x.Address, index, storeapi.ApplyTime))
-	case membership.Demote:
+	case membership.StepDemote:
 		return done(ctx, l.raft.DemoteVoter(x.ID, index, storeapi.ApplyTime))
-	case membership.Remove:
+	case membership.StepRemove:
 		return done(ctx, l.raft.RemoveServer(x.ID, index, storeapi.ApplyTime))
-	case membership.Transfer:
+	case membership.StepTransfer:
 		return done(ctx, l.raft.LeadershipTransferToServer(x.ID, x.Address))
 	}
 	return nil
@@ -163,11 +163,11 @@
 
 // Join takes a node in as a learner; only the leader can.
 func (s *Store) Join(ctx context.Context, j storeapi.Join) error {
-	p := Peer{Name: diskidentity.Name(j.ID), Raft: j.Raft, Admin: j.Admin, Zone: j.Zone}
+	p := Peer{Name: diskidentity.MemberName(j.ID), Raft: j.Raft, Admin: j.Admin, Zone: j.Zone}
 	if err := p.check(); err != nil {
 		return fmt.Errorf("%w: %w", kv.ErrRequest, err)
 	}
-	if disk := diskidentity.Disk(j.ID); disk == "" || strings.ContainsAny(disk+p.Zone, "@|#") || len(j.ID)+len(p.Zone) > kv.KeyBytes {
+	if disk := diskidentity.MemberDisk(j.ID); disk == "" || strings.ContainsAny(disk+p.Zone, "@|#") || len(j.ID)+len(p.Zone) > kv.KeyBytes {
 		return fmt.Errorf("%w: id: want a name, @ and a disk; zone: no |", kv.ErrRequest)
 	}
 	l, err := s.alive()
@@ -177,11 +177,11 @@
 	if !l.leads() {
 		return ErrNoLeader
 	}
-	if _, err := s.Fresh(ctx, Freshness{}); err != nil { // who was removed is known
+	if _, err := s.WaitFresh(ctx, Freshness{}); err != nil { // who was removed is known
 		return err
 	}
 	if _, ok := s.state.get(kv.LeasesKey); ok && !j.Leases {
-		return fmt.Errorf("%w: this cluster has leases, which %s does not know", ErrRefused, j.ID)
+		return fmt.Errorf("%w: this cluster has leases, which %s does not know", ErrMemberRejected, j.ID)
 	}
 	conf, index := l.conf()
 	if _, ok := serverOf(conf, j.ID); ok {
@@ -192,11 +192,11 @@
 	}
 	members, _ := idsOf(conf)
 	up := func(id string) bool {
-		h, now := s.peers.last(diskidentity.Name(id))
+		h, now := s.peers.last(diskidentity.MemberName(id))
 		return id == l.id || now && h.ID == id
 	}
-	if why := diskidentity.MayJoin(j.ID, members, s.removedNames(), up, membersMost); why != "" {
-		return fmt.Errorf("%w: %s", ErrRefused, why)
+	if why := diskidentity.CheckJoin(j.ID, members, s.removedNames(), up, membersMost); why != "" {
+		return fmt.Errorf("%w: %s", ErrMemberRejected, why)
 	}
 	s.log.Info("members change", zap.String("step", "learner"), zap.String("member", j.ID))
 	ctx, cancel := context.WithTimeout(ctx, storeapi.ApplyTime)
@@ -224,7 +224,7 @@
 	if !l.leads() {
 		return out, ErrNoLeader
 	}
-	if _, err := s.Fresh(ctx, Freshness{}); err != nil {
+	if _, err := s.WaitFresh(ctx, Freshness{}); err != nil {
 		return out, err
 	}
 	step, conf, index := s.look(l)
@@ -234,10 +234,10 @@
 	out = storeapi.Members{Leader: s.self.Name, Index: index, Voters: s.cfg.policy().Voters, Removed: s.removedNames()}
 	for _, m := range view.Members {
 		x, _ := serverOf(conf, m.ID)
-		row := storeapi.Member{Name: diskidentity.Name(m.ID), ID: m.ID, Zone: m.Zone, Role: m.Role.String(), Behind: m.Behind,
+		row := storeapi.Member{Name: diskidentity.MemberName(m.ID), ID: m.ID, Zone: m.Zone, Role: m.Role.String(), Behind: m.Lag,
 			State: stateOf(m, l.id), Admin: peerOf(x.ID, x.Address).Admin}
 		if step.ID == m.ID {
-			row.Next, row.Why = step.Kind.String(), step.Why
+			row.Next, row.Why = step.Kind.String(), step.Reason
 		}
 		out.Members = append(out.Members, row)
 	}
@@ -247,7 +247,7 @@
 
 func stateOf(m membership.Member, leader string) string {
 	switch {
-	case m.Lost:
+	case m.DiskLost:
 		return "lost"
 	case m.Leaving:
 		return "leaving"
@@ -256,7 +256,7 @@
 	case m.Up:
 		return "up"
 	}
-	return fmt.Sprintf("down %s", m.Down.Round(time.Second))
+	return fmt.Sprintf("down %s", m.DownFor.Round(time.Second))
 }
 
 // RemoveMember has a node lose its vote and its place, and not be taken in again. The
@@ -272,13 +272,13 @@
 	conf, _ := l.conf()
 	members, voters := idsOf(conf)
 	has := func(list []string) bool {
-		return slices.ContainsFunc(list, func(id string) bool { return diskidentity.Name(id) == name })
+		return slices.ContainsFunc(list, func(id string) bool { return diskidentity.MemberName(id) == name })
 	}
 	switch {
 	case !has(members):
-		return fmt.Errorf("%w: %s", ErrNoMember, name)
+		return fmt.Errorf("%w: %s", ErrMemberNotFound, name)
 	case has(voters) && len(voters) == 1:
-		return fmt.Errorf("%w: %s is the only voter", ErrRefused, name)
+		return fmt.Errorf("%w: %s is the only voter", ErrMemberRejected, name)
 	}
 	return s.wish(kv.GonePart+name, kv.VotePart+name)
 }
@@ -299,8 +299,8 @@
 	}
 	conf, _ := l.conf()
 	members, _ := idsOf(conf)
-	if !slices.ContainsFunc(members, func(id string) bool { return diskidentity.Name(id) == name }) {
-		return fmt.Errorf("%w: %s", ErrNoMember, name)
+	if !slices.ContainsFunc(members, func(id string) bool { return diskidentity.MemberName(id) == name }) {
+		return fmt.Errorf("%w: %s", ErrMemberNotFound, name)
 	}
 	wanted := 0
 	all, _ := s.state.all()
@@ -310,7 +310,7 @@
 		}
 	}
 	if most := s.cfg.policy().Voters; wanted >= most {
-		return fmt.Errorf("%w: %d others are wanted as voters already, of %d", ErrRefused, wanted, most)
+		return fmt.Errorf("%w: %d others are wanted as voters already, of %d", ErrMemberRejected, wanted, most)
 	}
 	return s.wish(kv.VotePart+name, "")
 }
@@ -325,6 +325,6 @@
 	if del != "" {
 		r.Then = append(r.Then, kv.Op{Do: "delete", Key: del})
 	}
-	_, err := s.Do(r)
+	_, err := s.Execute(r)
 	return err
 }
--- a/internal/cluster/store/members_test.go
+++ b/internal/cluster/store/members_test.go
@@ -32,11 +32,11 @@
 	conf := r.GetConfiguration().Configuration()
 	second := r.AddNonvoter("c@1", "c", first.Index(), time.Second)
 	require.NoError(t, second.Error())
-	for _, s := range []membership.Step{{Kind: membership.Remove, ID: "b@1"}, {Kind: membership.Promote, ID: "b@1"}} {
+	for _, s := range []membership.Step{{Kind: membership.StepRemove, ID: "b@1"}, {Kind: membership.StepPromote, ID: "b@1"}} {
 		require.ErrorContains(t, l.step(t.Context(), s, conf, first.Index()), "configuration changed")
 	}
-	require.NoError(t, l.step(t.Context(), membership.Step{Kind: membership.Remove, ID: "b@1"}, conf, second.Index()))
-	require.ErrorIs(t, l.step(t.Context(), membership.Step{Kind: membership.Remove, ID: "x@1"}, conf, 0), ErrNoMember)
+	require.NoError(t, l.step(t.Context(), membership.Step{Kind: membership.StepRemove, ID: "b@1"}, conf, second.Index()))
+	require.ErrorIs(t, l.step(t.Context(), membership.Step{Kind: membership.StepRemove, ID: "x@1"}, conf, 0), ErrMemberNotFound)
 }
 
 // TestOwnOldDisk: a leader knows that a disk that it had before is gone, though it asks
@@ -48,7 +48,7 @@
 	l := &life{s: s, id: "a@2"}
 	for id, lost := range map[string]bool{"a@1": true, "a@2": false} {
 		m := s.seen(l, raft.Server{ID: raft.ServerID(id), Address: addressOf(a, id)}, time.Now())
-		require.Equal(t, lost, m.Lost, id)
+		require.Equal(t, lost, m.DiskLost, id)
 		require.Equal(t, !lost, m.Up, id)
 	}
 }
--- a/internal/cluster/store/mirror.go
+++ b/internal/cluster/store/mirror.go
@@ -42,9 +42,9 @@
 	resetRows = `UPDATE oxbowbridge_store SET idx = 0`
 )
 
-// ErrOlderToken means that the store of record has seen a higher token of the lease under
+// ErrStaleToken means that the store of record has seen a higher token of the lease under
 // which it is written: another one writes it now.
-var ErrOlderToken = errors.New("the store of record knows a higher token")
+var ErrStaleToken = errors.New("the store of record knows a higher token")
 
 // mirror keeps the store of record: whoever has its lease writes to it whatever it has not
 // got. While the database is away the store goes on, and catches up after.
@@ -65,11 +65,11 @@
 	return m.index, ""
 }
 
-// HasRecord tells whether the node is set up to write to a store of record.
-func (s *Store) HasRecord() bool { return s.mirror != nil }
+// HasSQLRecord tells whether the node is set up to write to a store of record.
+func (s *Store) HasSQLRecord() bool { return s.mirror != nil }
 
-// Mirror writes to the store of record under a lease until ctx ends, or it fails.
-func (s *Store) Mirror(ctx context.Context, held lease.Held) error {
+// RunMirror writes to the store of record under a lease until ctx ends, or it fails.
+func (s *Store) RunMirror(ctx context.Context, held lease.Held) error {
 	m := s.mirror
 	db, err := sql.Open(drivers[s.cfg.SQL.Driver], s.cfg.SQL.DSN)
 	if err != nil {
@@ -98,7 +98,7 @@
 			first, wait, since = false, mirrorEvery, time.Time{}
 		} else if since.IsZero() {
 			since = time.Now()
-		} else if wait = min(2*wait, mirrorMost); errors.Is(err, ErrOlderToken) || time.Since(since) > mirrorGiveUp {
+		} else if wait = min(2*wait, mirrorMost); errors.Is(err, ErrStaleToken) || time.Since(since) > mirrorGiveUp {
 			return err // another node may fare better
 		}
 		changed := s.state.changed
@@ -132,7 +132,7 @@
 	if err == nil {
 		var n int64
 		if n, err = res.RowsAffected(); err == nil && n == 0 {
-			err = fmt.Errorf("%w than %d", ErrOlderToken, m.held.Token)
+			err = fmt.Errorf("%w than %d", ErrStaleToken, m.held.Token)
 		}
 	}
 	if err != nil {
@@ -187,10 +187,10 @@
 
 // takeOver takes keys from the database that the store has never heard of.
 func (m *mirrorRun) takeOver(ctx context.Context) error {
-	if _, err := m.store.Fresh(ctx, Freshness{}); err != nil {
+	if _, err := m.store.WaitFresh(ctx, Freshness{}); err != nil {
 		return fmt.Errorf("wait for the log: %w", err)
 	}
-	known, last := m.store.state.since(0), m.store.Progress()
+	known, last := m.store.state.since(0), m.store.AppliedRevision()
 	rows, err := m.db.QueryContext(ctx, selectRows)
 	if err != nil {
 		return fmt.Errorf("read rows: %w", err)
@@ -233,7 +233,7 @@
 	}
 	m.store.log.Info("keys taken over from the store of record", zap.Int("keys", len(missing)))
 	for _, r := range missing { // a key that somebody wrote meanwhile stays as it is
-		if err := m.store.DoAnywhere(ctx, r); err != nil {
+		if err := m.store.ExecuteAnywhere(ctx, r); err != nil {
 			return fmt.Errorf("take over: %w", err)
 		}
 	}
--- a/internal/cluster/store/peers.go
+++ b/internal/cluster/store/peers.go
@@ -149,7 +149,7 @@
 		p.s.cluster.found(name, self.Cluster, p.s.log)
 	} else {
 		p.s.cluster.lost(name)
-		if disk := diskidentity.Disk(self.ID); disk != "" {
+		if disk := diskidentity.MemberDisk(self.ID); disk != "" {
 			was, known := p.seen[self.ID]
 			if now := was.Max(self.Mark); now != was && (known || len(p.seen) < ledgerMost) {
 				p.seen[self.ID], p.dirty = now, true
@@ -182,7 +182,7 @@
 			continue
 		}
 		voters++
-		if h, now := p.last(diskidentity.Name(id)); id != own && now && h.ID == id {
+		if h, now := p.last(diskidentity.MemberName(id)); id != own && now && h.ID == id {
 			list = append(list, h.Checks)
 		}
 	}
@@ -191,10 +191,10 @@
 
 // words are the answers that count at a start; all tells whether each node was asked at
 // least once, and answered or could not.
-func (p *peers) words() (words map[string]diskidentity.Word, all bool, news <-chan struct{}) {
+func (p *peers) words() (words map[string]diskidentity.Attestation, all bool, news <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	words, all = map[string]diskidentity.Word{}, true
+	words, all = map[string]diskidentity.Attestation{}, true
 	for name := range p.asking {
 		if h := p.said[name]; h.at.IsZero() && h.err == nil {
 			all = false
@@ -202,14 +202,14 @@
 	}
 	for name, h := range p.said {
 		if !h.at.IsZero() && !h.old && time.Since(h.at) < heardTime {
-			words[name] = h.Word
+			words[name] = h.Attestation
 		}
 	}
 	return words, all, p.news
 }
 
 // of is the most that was seen of a disk.
-func (p *peers) of(id string) *diskidentity.Mark {
+func (p *peers) of(id string) *diskidentity.Watermark {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if m, ok := p.seen[id]; ok {
@@ -230,7 +230,7 @@
 	if text == nil {
 		return
 	}
-	if err := l.disk.KeepSoon(keptSeen, text); err != nil {
+	if err := l.disk.PutLocalUnsynced(keptSeen, text); err != nil {
 		p.s.log.Warn("marks of other disks not kept", zap.Error(err))
 	}
 }
--- a/internal/cluster/store/recover.go
+++ b/internal/cluster/store/recover.go
@@ -19,26 +19,26 @@
 	"oxbowbridge/internal/cluster/raftstorage"
 )
 
-// Left is what a stopped node has of a cluster whose majority is lost for good.
-type Left struct {
-	Node    string                       `json:"node"`
-	ID      string                       `json:"id"`
-	Cluster string                       `json:"cluster"`
-	Mark    diskidentity.Mark            `json:"mark"`
-	Keys    int                          `json:"keys"`
-	Members []string                     `json:"members"`
-	Voters  []string                     `json:"voters"`
-	Seen    map[string]diskidentity.Mark `json:"seen"` // the most that this node saw of the others' disks
+// RecoveryReport is what a stopped node has of a cluster whose majority is lost for good.
+type RecoveryReport struct {
+	Node         string                            `json:"node"`
+	ID           string                            `json:"id"`
+	Cluster      string                            `json:"cluster"`
+	Watermark    diskidentity.Watermark            `json:"mark"`
+	Keys         int                               `json:"keys"`
+	Members      []string                          `json:"members"`
+	Voters       []string                          `json:"voters"`
+	LastObserved map[string]diskidentity.Watermark `json:"seen"` // the most that this node saw of the others' disks
 	// Missing is what others had that this node has not, as far as it knows.
-	Missing []string `json:"missing,omitempty"`
-	New     string   `json:"new_cluster,omitempty"` // once it was recovered
+	Missing    []string `json:"missing,omitempty"`
+	NewCluster string   `json:"new_cluster,omitempty"` // once it was recovered
 }
 
-// ErrConfirm means that a recovery was not confirmed with the cluster's id.
-var ErrConfirm = errors.New("not confirmed")
+// ErrNotConfirmed means that a recovery was not confirmed with the cluster's id.
+var ErrNotConfirmed = errors.New("not confirmed")
 
-// Look reads the folder of a stopped node.
-func Look(cfg Config) (left Left, err error) {
+// Inspect reads the folder of a stopped node.
+func Inspect(cfg Config) (left RecoveryReport, err error) {
 	r, err := openLeft(cfg)
 	if err != nil {
 		return left, err
@@ -49,7 +49,7 @@
 // Recover makes a cluster of one of the folder of a stopped node, if the old cluster's id
 // is given as confirmation. It is another cluster with another id: members of the old one
 // can't come back into it. What is in this node's log counts as committed.
-func Recover(cfg Config, cluster string) (left Left, err error) {
+func Recover(cfg Config, cluster string) (left RecoveryReport, err error) {
 	r, err := openLeft(cfg)
 	if err != nil {
 		return left, err
@@ -57,7 +57,7 @@
 	defer func() { err = errors.Join(err, r.disk.Close()) }()
 	left = r.left
 	if cluster != left.Cluster || cluster == "" {
-		return left, fmt.Errorf("%w: this is of cluster %q", ErrConfirm, left.Cluster)
+		return left, fmt.Errorf("%w: this is of cluster %q", ErrNotConfirmed, left.Cluster)
 	}
 	self, _ := cfg.self()
 	id, err := renew(r.disk, self.Name)
@@ -66,25 +66,25 @@
 	}
 	b := make([]byte, 16)
 	rand.Read(b)
-	left.New, left.ID = hex.EncodeToString(b), id
+	left.NewCluster, left.ID = hex.EncodeToString(b), id
 	rc := raft.DefaultConfig()
 	rc.LocalID = raft.ServerID(id)
 	rc.Logger = hclog.New(&hclog.LoggerOptions{Output: io.Discard})
 	_, transport := raft.NewInmemTransport("")
 	conf := raft.Configuration{Servers: []raft.Server{{ID: raft.ServerID(id), Address: addressOf(self, id)}}}
-	as := &recovered{state: newState(), id: left.New, was: cluster}
+	as := &recovered{state: newState(), id: left.NewCluster, was: cluster}
 	if err := raft.RecoverCluster(rc, as, r.disk, r.disk, r.disk, transport, conf); err != nil {
 		return left, fmt.Errorf("recover: %w", err)
 	}
-	if err := r.disk.Keep(kv.ClusterKey, []byte(left.New)); err != nil {
+	if err := r.disk.PutLocal(kv.ClusterKey, []byte(left.NewCluster)); err != nil {
 		return left, fmt.Errorf("keep cluster id: %w", err)
 	}
 	return left, nil
 }
 
 type leftover struct {
-	disk *raftstorage.Disk
-	left Left
+	disk *raftstorage.Storage
+	left RecoveryReport
 }
 
 func openLeft(cfg Config) (r leftover, err error) {
@@ -122,16 +122,16 @@
 		return r, err
 	}
 	all, _ := state.all()
-	r.left = Left{Node: self.Name, ID: f.own.ID, Cluster: cmp.Or(cluster, f.own.Logged), Mark: f.own.Mark, Keys: len(all), Members: f.own.Members,
-		Voters: f.own.Voters, Seen: map[string]diskidentity.Mark{}}
+	r.left = RecoveryReport{Node: self.Name, ID: f.own.ID, Cluster: cmp.Or(cluster, f.own.LoggedCluster), Watermark: f.own.Watermark, Keys: len(all), Members: f.own.Members,
+		Voters: f.own.Voters, LastObserved: map[string]diskidentity.Watermark{}}
 	for id, m := range seen {
 		if !slices.Contains(f.own.Members, id) {
 			continue
 		}
-		r.left.Seen[id] = m
-		if m.LastTerm > f.own.Mark.LastTerm || m.LastTerm == f.own.Mark.LastTerm && m.LastIndex > f.own.Mark.LastIndex {
+		r.left.LastObserved[id] = m
+		if m.LastTerm > f.own.Watermark.LastTerm || m.LastTerm == f.own.Watermark.LastTerm && m.LastIndex > f.own.Watermark.LastIndex {
 			r.left.Missing = append(r.left.Missing, fmt.Sprintf("%s had entries up to %d of term %d, this node up to %d of term %d",
-				id, m.LastIndex, m.LastTerm, f.own.Mark.LastIndex, f.own.Mark.LastTerm))
+				id, m.LastIndex, m.LastTerm, f.own.Watermark.LastIndex, f.own.Watermark.LastTerm))
 		}
 	}
 	slices.Sort(r.left.Missing)
@@ -139,7 +139,7 @@
 }
 
 // replay reads the newest snapshot and the log above it.
-func replay(disk *raftstorage.Disk, to *state) error {
+func replay(disk *raftstorage.Storage, to *state) error {
 	from := uint64(1)
 	metas, err := disk.List()
 	if err != nil {
--- a/internal/cluster/store/store.go
+++ b/internal/cluster/store/store.go
@@ -23,8 +23,8 @@
 	"oxbowbridge/internal/cluster/watch"
 )
 
-// CloseTime is how long Close takes at most.
-const CloseTime = time.Second
+// CloseTimeout is how long Close takes at most.
+const CloseTimeout = time.Second
 
 const stepDownTime = time.Second // for another node to lead
 
@@ -113,7 +113,7 @@
 
 // run goes from life to life: one ends when the disk fails, or when this node is no
 // member any more.
-func (s *Store) run(disk *raftstorage.Disk) {
+func (s *Store) run(disk *raftstorage.Storage) {
 	defer close(s.ended)
 	for s.ctx.Err() == nil {
 		if err := s.live(disk); err != nil && s.ctx.Err() == nil {
@@ -143,8 +143,8 @@
 	}
 }
 
-// Waits is what keeps this node from taking part, or "".
-func (s *Store) Waits() string {
+// WaitReason is what keeps this node from taking part, or "".
+func (s *Store) WaitReason() string {
 	if s.now.Load() != nil {
 		return ""
 	}
@@ -165,7 +165,7 @@
 	}()
 	select {
 	case <-done:
-	case <-time.After(CloseTime):
+	case <-time.After(CloseTimeout):
 		s.log.Warn("store did not stop in time")
 	}
 }
@@ -199,8 +199,8 @@
 	}
 }
 
-// Leads tells whether this node takes itself for the leader.
-func (s *Store) Leads() bool {
+// IsLeader tells whether this node takes itself for the leader.
+func (s *Store) IsLeader() bool {
 	l := s.now.Load()
 	return l != nil && l.leads()
 }
@@ -220,7 +220,7 @@
 
 // where is how this node reaches a member.
 func (s *Store) where(l *life, id string) Peer {
-	name := diskidentity.Name(id)
+	name := diskidentity.MemberName(id)
 	if name == s.self.Name {
 		return s.self
 	}
@@ -247,7 +247,7 @@
 			st.Leader = p.Name
 		}
 	} else {
-		st.State, st.Waits = "Waiting", s.Waits()
+		st.State, st.Waits = "Waiting", s.WaitReason()
 	}
 	if s.mirror != nil {
 		st.Mirrored, st.SQLError = s.mirror.progress()
@@ -265,42 +265,42 @@
 	own := f.own
 	out := storeapi.Self{State: stateWaiting, Raft: s.self.Raft, Admin: s.self.Admin, Zone: s.self.Zone}
 	out.ID, out.Cluster, out.Leases = own.ID, s.cluster.id(), true
-	out.Mark, out.Fresh = own.Mark, own.Fresh
-	out.Config, out.Members, out.Voters, out.Addresses = own.Config, own.Members, own.Voters, f.addresses
+	out.Mark, out.Fresh = own.Watermark, own.Fresh
+	out.ConfigIndex, out.Members, out.Voters, out.Addresses = own.ConfigIndex, own.Members, own.Voters, f.addresses
 	if l := s.now.Load(); l != nil {
 		out.State, out.Applied, out.Checks = stateServing, l.raft.AppliedIndex(), s.state.checked()
-		if m, err := l.disk.Mark(); err == nil {
-			out.Mark = m.Max(own.Mark)
+		if m, err := l.disk.Watermark(); err == nil {
+			out.Mark = m.Max(own.Watermark)
 		}
 		conf, index := l.conf()
-		out.Config = index
+		out.ConfigIndex = index
 		out.Members, out.Voters = idsOf(conf)
 		out.Addresses = addressesOf(conf)
 		out.Fresh = own.Fresh && out.Mark.LastIndex == 0
 	}
 	if e, ok := s.state.get(kv.WasKey); ok {
-		json.Unmarshal(e.Value, &out.Was) // this package wrote it
+		json.Unmarshal(e.Value, &out.PreviousClusters) // this package wrote it
 	}
-	out.Seen = s.peers.of(asker)
+	out.LastObserved = s.peers.of(asker)
 	return out, nil
 }
 
-// Good is a version of a key that the service has used.
-type Good struct {
+// GoodVersion is a version of a key that the service has used.
+type GoodVersion struct {
 	Revision uint64          `json:"revision"`
 	Value    json.RawMessage `json:"value"`
 }
 
-// Keep remembers on this node's own disk which version of a key is good, for a start
+// SaveLastGood remembers on this node's own disk which version of a key is good, for a start
 // at which the other nodes are away.
-func (s *Store) Keep(key string, g Good) error {
+func (s *Store) SaveLastGood(key string, g GoodVersion) error {
 	l, err := s.alive()
 	if err != nil {
 		return err
 	}
 	text, err := json.Marshal(g)
 	if err == nil {
-		err = l.disk.Keep(key, text)
+		err = l.disk.PutLocal(key, text)
 	}
 	if err != nil {
 		return fmt.Errorf("keep %s: %w", key, err)
@@ -309,12 +309,12 @@
 }
 
 // LastGood is what Keep was last given. It can be had before the node takes part.
-func (s *Store) LastGood(key string) (g Good, found bool, err error) {
+func (s *Store) LastGood(key string) (g GoodVersion, found bool, err error) {
 	f := s.started.Load()
 	if f == nil {
 		return g, false, nil
 	}
-	text, err := f.disk.Kept(key)
+	text, err := f.disk.GetLocal(key)
 	if err != nil || text == nil {
 		return g, false, err
 	}
@@ -322,24 +322,24 @@
 	return g, err == nil, err
 }
 
-// Watch has call told of each change from now on, in order; value is nil for a
+// OnChange has call told of each change from now on, in order; value is nil for a
 // key that was deleted. It must not block.
-func (s *Store) Watch(call func(key string, value json.RawMessage)) { s.state.watch(call) }
+func (s *Store) OnChange(call func(key string, value json.RawMessage)) { s.state.watch(call) }
 
 // Entry is a key with its revision, as this node knows it.
 func (s *Store) Entry(key string) (kv.Entry, bool) { return s.state.get(key) }
 
-// All is every key, and the revision at which they were so, as this node knows them.
-func (s *Store) All() (map[string]kv.Entry, uint64) { return s.state.all() }
+// Entries is every key, and the revision at which they were so, as this node knows them.
+func (s *Store) Entries() (map[string]kv.Entry, uint64) { return s.state.all() }
 
-// Follow gives the revisions from a position on, the position to go on from, and a
+// RevisionsSince gives the revisions from a position on, the position to go on from, and a
 // channel that is closed once there is more.
-func (s *Store) Follow(from uint64, prefix string, p watch.Page) (list []watch.Revision, next uint64, more <-chan struct{}, err error) {
+func (s *Store) RevisionsSince(from uint64, prefix string, p watch.Page) (list []watch.Revision, next uint64, more <-chan struct{}, err error) {
 	return s.state.follow(from, prefix, p)
 }
 
-// Progress is the last revision that this node knows.
-func (s *Store) Progress() uint64 {
+// AppliedRevision is the last revision that this node knows.
+func (s *Store) AppliedRevision() uint64 {
 	applied, _ := s.state.progress()
 	return applied
 }
@@ -350,11 +350,11 @@
 	return e.Value, ok
 }
 
-// Caught waits until this node knows all that was committed when it asked, and
+// WaitCaughtUp waits until this node knows all that was committed when it asked, and
 // reports whether it does.
-func (s *Store) Caught(ctx context.Context) bool {
+func (s *Store) WaitCaughtUp(ctx context.Context) bool {
 	for {
-		if _, err := s.Fresh(ctx, Freshness{}); err == nil {
+		if _, err := s.WaitFresh(ctx, Freshness{}); err == nil {
 			return true
 		}
 		select {
--- a/internal/cluster/store/wire.go
+++ b/internal/cluster/store/wire.go
@@ -31,7 +31,7 @@
 
 // peerOf reads an address; one of the version before is a plain one.
 func peerOf(id raft.ServerID, addr raft.ServerAddress) Peer {
-	p := Peer{Name: diskidentity.Name(string(id)), Raft: string(addr)}
+	p := Peer{Name: diskidentity.MemberName(string(id)), Raft: string(addr)}
 	if parts := strings.Split(string(addr), "|"); len(parts) == 4 {
 		p.Raft, p.Admin, p.Zone = parts[1], parts[2], parts[3]
 	}
@@ -108,7 +108,7 @@
 			return
 		}
 		c = &greetedConn{Conn: c}
-	} else if diskidentity.Disk(w.id) == "" { // both are of the version before, as the cluster knows them
+	} else if diskidentity.MemberDisk(w.id) == "" { // both are of the version before, as the cluster knows them
 		c = &greetedConn{Conn: c, first: first}
 	} else {
 		c.Close()
@@ -191,7 +191,7 @@
 		p.Raft = own.Raft
 	}
 	c, err := net.DialTimeout("tcp", p.Raft, timeout)
-	if err != nil || diskidentity.Disk(id) == "" {
+	if err != nil || diskidentity.MemberDisk(id) == "" {
 		return c, err
 	}
 	text, err := json.Marshal(greeting{From: w.id, To: id, Cluster: w.cluster()})
--- a/internal/cluster/store/write.go
+++ b/internal/cluster/store/write.go
@@ -17,13 +17,13 @@
 const (
 	proposedMost  = 512     // of the leader
 	proposedBytes = 8 << 20 // of them
-	// TotalBytes is what all keys and values may come to. The leader sees to it; the
+	// MaxTotalBytes is what all keys and values may come to. The leader sees to it; the
 	// state itself takes what is in the log.
-	TotalBytes = 32 << 20
+	MaxTotalBytes = 32 << 20
 )
 
-// ErrBusy means that too many writes are waiting; nothing was done.
-var ErrBusy = errors.New("too many writes are waiting")
+// ErrTooManyWrites means that too many writes are waiting; nothing was done.
+var ErrTooManyWrites = errors.New("too many writes are waiting")
 
 // writes counts what this node, as leader, has proposed and not heard of again.
 type writes struct {
@@ -37,9 +37,9 @@
 	defer w.mu.Unlock()
 	switch {
 	case w.count >= proposedMost || w.bytes+n > proposedBytes:
-		return fmt.Errorf("%w: %d of %d bytes", ErrBusy, w.count, w.bytes)
-	case n > 0 && stored+w.bytes+n > TotalBytes:
-		return fmt.Errorf("%w: %d bytes, at most %d", kv.ErrFull, stored, TotalBytes)
+		return fmt.Errorf("%w: %d of %d bytes", ErrTooManyWrites, w.count, w.bytes)
+	case n > 0 && stored+w.bytes+n > MaxTotalBytes:
+		return fmt.Errorf("%w: %d bytes, at most %d", kv.ErrFull, stored, MaxTotalBytes)
 	}
 	w.count++
 	w.bytes += n
@@ -55,7 +55,7 @@
 
 // Set writes a key; a nil value deletes it. It is done when most nodes have it.
 func (s *Store) Set(ctx context.Context, key string, value json.RawMessage) error {
-	if s.Leads() {
+	if s.IsLeader() {
 		return s.apply(ctx, command{Key: key, Value: value})
 	}
 	p, _, ok := s.Leader()
@@ -81,13 +81,13 @@
 	return err
 }
 
-// Do carries a request out; only the leader can. An error that is none of kv's leaves
+// Execute carries a request out; only the leader can. An error that is none of kv's leaves
 // open whether it was, or will be: repeated in its session, it takes effect once.
-func (s *Store) Do(r kv.Request) (kv.Answer, error) {
+func (s *Store) Execute(r kv.Request) (kv.Answer, error) {
 	if err := errors.Join(r.CheckLength(), r.Check()); err != nil {
 		return kv.Answer{}, err
 	}
-	if !s.Leads() {
+	if !s.IsLeader() {
 		return kv.Answer{}, ErrNoLeader
 	}
 	r.TimeMS = time.Now().UnixMilli()
@@ -98,10 +98,10 @@
 	return s.propose(s.ctx, text, sizeOf(&r))
 }
 
-// DoAnywhere is Do at any node: the leader is asked, once.
-func (s *Store) DoAnywhere(ctx context.Context, r kv.Request) error {
-	if s.Leads() {
-		_, err := s.Do(r)
+// ExecuteAnywhere is Do at any node: the leader is asked, once.
+func (s *Store) ExecuteAnywhere(ctx context.Context, r kv.Request) error {
+	if s.IsLeader() {
+		_, err := s.Execute(r)
 		return err
 	}
 	p, _, ok := s.Leader()
--- a/internal/cluster/store/write_test.go
+++ b/internal/cluster/store/write_test.go
@@ -15,13 +15,13 @@
 	for range proposedMost {
 		require.NoError(t, w.begin(1, 0))
 	}
-	require.ErrorIs(t, w.begin(1, 0), ErrBusy)
+	require.ErrorIs(t, w.begin(1, 0), ErrTooManyWrites)
 	w = writes{}
 	require.NoError(t, w.begin(proposedBytes, 0))
-	require.ErrorIs(t, w.begin(1, 0), ErrBusy)
+	require.ErrorIs(t, w.begin(1, 0), ErrTooManyWrites)
 	w.end(proposedBytes)
-	require.ErrorIs(t, w.begin(1, TotalBytes), kv.ErrFull)
-	require.NoError(t, w.begin(0, TotalBytes))
+	require.ErrorIs(t, w.begin(1, MaxTotalBytes), kv.ErrFull)
+	require.NoError(t, w.begin(0, MaxTotalBytes))
 	s := newState()
 	require.Zero(t, s.bytes())
 	_, _, err := s.kv.Apply(1, &kv.Request{Then: []kv.Op{{Do: "put", Key: "a", Value: []byte("123")}, {Do: "put", Key: "b", Value: []byte("1")}}})
--- a/internal/cluster/storeadmin/admin.go
+++ b/internal/cluster/storeadmin/admin.go
@@ -121,7 +121,7 @@
 // was meant for another.
 func (a *admin) sameCluster(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		own, theirs := a.store.Cluster(), r.Header.Get(storeapi.HeadCluster)
+		own, theirs := a.store.ClusterID(), r.Header.Get(storeapi.HeadCluster)
 		if own != "" {
 			w.Header().Set(storeapi.HeadCluster, own)
 		}
@@ -153,7 +153,7 @@
 	if !a.fresh(w, r) {
 		return
 	}
-	entries, revision := a.store.All()
+	entries, revision := a.store.Entries()
 	all := map[string]json.RawMessage{}
 	for key, e := range entries {
 		if !strings.HasPrefix(key, kv.Reserved) {
@@ -189,9 +189,9 @@
 			http.Error(w, "stale: want a duration above 0, such as 2s", http.StatusBadRequest)
 			return false
 		}
-		f.Stale = d
+		f.MaxStaleness = d
 	}
-	age, err := a.store.Fresh(r.Context(), f)
+	age, err := a.store.WaitFresh(r.Context(), f)
 	if err != nil {
 		unavailable(w, err)
 		return false
@@ -200,7 +200,7 @@
 		unavailable(w, kv.ErrRestoring)
 		return false
 	}
-	if f.Stale > 0 {
+	if f.MaxStaleness > 0 {
 		w.Header().Set("Age-Ms", strconv.FormatInt(age.Milliseconds(), 10))
 	}
 	return true
--- a/internal/cluster/storeadmin/backup.go
+++ b/internal/cluster/storeadmin/backup.go
@@ -21,11 +21,11 @@
 	if !a.fresh(w, r) {
 		return
 	}
-	if a.store.Cluster() == "" {
+	if a.store.ClusterID() == "" {
 		unavailable(w, errors.New("the cluster has no id yet"))
 		return
 	}
-	entries, revision := a.store.All()
+	entries, revision := a.store.Entries()
 	var keys []backup.Key
 	for key, e := range entries {
 		if !strings.HasPrefix(key, kv.Reserved) {
@@ -34,7 +34,7 @@
 	}
 	slices.SortFunc(keys, func(a, b backup.Key) int { return strings.Compare(a.Key, b.Key) })
 	var text bytes.Buffer
-	if _, err := backup.Write(&text, backup.Head{Cluster: a.store.Cluster(), Revision: revision, TimeMS: time.Now().UnixMilli(),
+	if _, err := backup.Write(&text, backup.Head{Cluster: a.store.ClusterID(), Revision: revision, TimeMS: time.Now().UnixMilli(),
 		Token: a.store.LastToken()}, keys); err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
--- a/internal/cluster/storeadmin/forward.go
+++ b/internal/cluster/storeadmin/forward.go
@@ -33,14 +33,14 @@
 
 // passOnFor is passOn with another time for all attempts.
 func (a *admin) passOnFor(w http.ResponseWriter, r *http.Request, body []byte, repeat bool, most time.Duration) bool {
-	if a.store.Leads() {
+	if a.store.IsLeader() {
 		return false
 	}
 	if r.Header.Get("Forwarded") != "" { // guards against two nodes that take each other for the leader
 		unavailable(w, store.ErrNoLeader)
 		return true
 	}
-	if why := a.store.Waits(); why != "" {
+	if why := a.store.WaitReason(); why != "" {
 		unavailable(w, fmt.Errorf("%w: it waits for %s", store.ErrNotServing, why))
 		return true
 	}
@@ -90,7 +90,7 @@
 			return true
 		case <-time.After(forwardLook):
 		}
-		if a.store.Leads() {
+		if a.store.IsLeader() {
 			return false
 		}
 	}
@@ -127,7 +127,7 @@
 	if err != nil {
 		return nil, false, err
 	}
-	if id := a.store.Cluster(); id != "" {
+	if id := a.store.ClusterID(); id != "" {
 		req.Header.Set(storeapi.HeadCluster, id)
 	}
 	copyFields(req.Header, r.Header, "If-Match", "If-None-Match", storeapi.HeadSession, storeapi.HeadNumber)
--- a/internal/cluster/storeadmin/golden_test.go
+++ b/internal/cluster/storeadmin/golden_test.go
@@ -30,10 +30,10 @@
 func TestGoldenErrors(t *testing.T) {
 	var lines strings.Builder
 	for _, err := range []error{
-		kv.ErrRequest, lease.ErrRequest, maintenance.ErrAsk, kv.ErrSession, lease.ErrGone, store.ErrRefused, store.ErrNoMember, controller.ErrNone,
+		kv.ErrRequest, lease.ErrRequest, maintenance.ErrAsk, kv.ErrSession, lease.ErrGone, store.ErrMemberRejected, store.ErrMemberNotFound, controller.ErrNone,
 		kv.ErrFenced, kv.ErrNumber, lease.ErrNoWaiter, controller.ErrBusy, kv.ErrFull,
-		controller.ErrRaced, kv.ErrRestoring, lease.ErrFull, lease.ErrHeld, store.ErrNoLeader, store.ErrNotServing, store.ErrNoLeases, store.ErrNotFresh,
-		store.ErrBusy, store.ErrNotEmpty, errForwards, errors.New("another"),
+		controller.ErrRaced, kv.ErrRestoring, lease.ErrFull, lease.ErrHeld, store.ErrNoLeader, store.ErrNotServing, store.ErrLeasesUnavailable, store.ErrNotFresh,
+		store.ErrTooManyWrites, store.ErrNotEmpty, errForwards, errors.New("another"),
 	} {
 		w := httptest.NewRecorder()
 		fail(w, fmt.Errorf("%w: detail", err))
@@ -197,7 +197,7 @@
 	require.NoError(t, err)
 	t.Cleanup(s.Close)
 	require.Eventually(t, func() bool {
-		if !s.Leads() || s.Cluster() == "" {
+		if !s.IsLeader() || s.ClusterID() == "" {
 			return false
 		}
 		_, there := s.Entry(kv.LeasesKey)
--- a/internal/cluster/storeadmin/leases.go
+++ b/internal/cluster/storeadmin/leases.go
@@ -53,8 +53,8 @@
 			return
 		}
 	}
-	l, err := a.store.AcquireLease(r.Context(), store.Wish{Name: r.PathValue("name"), Holder: q.Holder, TTLMS: q.TTLMS,
-		Priority: q.Priority, Wait: wait})
+	l, err := a.store.AcquireLease(r.Context(), store.LeaseRequest{Name: r.PathValue("name"), Holder: q.Holder, TTLMS: q.TTLMS,
+		Priority: q.Priority, MaxWait: wait})
 	switch {
 	case errors.Is(err, lease.ErrHeld):
 		w.Header().Set("Content-Type", "application/json")
--- a/internal/cluster/storeadmin/watch.go
+++ b/internal/cluster/storeadmin/watch.go
@@ -46,7 +46,7 @@
 		if !a.fresh(w, r) { // now is after all that was acknowledged
 			return
 		}
-		at := a.store.Progress()
+		at := a.store.AppliedRevision()
 		from = at + 1
 	}
 	s := &stream{w: w, out: http.NewResponseController(w)}
@@ -61,7 +61,7 @@
 	told := from // the position that the watcher knows of
 	s.progress(from)
 	for {
-		list, next, more, err := a.store.Follow(from, prefix, watchPage)
+		list, next, more, err := a.store.RevisionsSince(from, prefix, watchPage)
 		var gone *watch.CompactedError
 		if errors.As(err, &gone) {
 			s.compacted(gone.Oldest)
--- a/internal/cluster/storeadmin/write.go
+++ b/internal/cluster/storeadmin/write.go
@@ -28,9 +28,9 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 	case errors.Is(err, kv.ErrSession), errors.Is(err, lease.ErrGone):
 		http.Error(w, err.Error(), http.StatusGone)
-	case errors.Is(err, store.ErrRefused):
+	case errors.Is(err, store.ErrMemberRejected):
 		http.Error(w, err.Error(), http.StatusForbidden)
-	case errors.Is(err, store.ErrNoMember), errors.Is(err, controller.ErrNone):
+	case errors.Is(err, store.ErrMemberNotFound), errors.Is(err, controller.ErrNone):
 		http.Error(w, err.Error(), http.StatusNotFound)
 	case errors.Is(err, kv.ErrFenced):
 		http.Error(w, err.Error(), http.StatusPreconditionFailed)
@@ -103,7 +103,7 @@
 	if a.passOn(w, r, value, q.Session != 0) {
 		return
 	}
-	got, err := a.store.Do(q)
+	got, err := a.store.Execute(q)
 	switch {
 	case err != nil:
 		fail(w, err)
@@ -177,7 +177,7 @@
 }
 
 func (a *admin) do(w http.ResponseWriter, q kv.Request) {
-	got, err := a.store.Do(q)
+	got, err := a.store.Execute(q)
 	if err != nil {
 		fail(w, err)
 		return
--- a/internal/cluster/storeapi/storeapi.go
+++ b/internal/cluster/storeapi/storeapi.go
@@ -54,14 +54,14 @@
 // Self is what a node tells another one: of itself, and of what it has seen of the
 // asker's disk.
 type Self struct {
-	diskidentity.Word
-	State   string            `json:"state"` // serving, waiting, failed
-	Mark    diskidentity.Mark `json:"mark"`
-	Applied uint64            `json:"applied"`
-	Raft    string            `json:"raft"`
-	Admin   string            `json:"admin"`
-	Zone    string            `json:"zone,omitempty"`
-	Leases  bool              `json:"leases,omitempty"` // the node knows them
+	diskidentity.Attestation
+	State   string                 `json:"state"` // serving, waiting, failed
+	Mark    diskidentity.Watermark `json:"mark"`
+	Applied uint64                 `json:"applied"`
+	Raft    string                 `json:"raft"`
+	Admin   string                 `json:"admin"`
+	Zone    string                 `json:"zone,omitempty"`
+	Leases  bool                   `json:"leases,omitempty"` // the node knows them
 	// Checks are checksums of its state, to be compared.
 	Checks kv.Checks `json:"checks,omitempty"`
 	// Addresses of the members, for one that does not know of all of them.
--- a/internal/maintenance/controller/workorder.go
+++ b/internal/maintenance/controller/workorder.go
@@ -96,7 +96,7 @@
 		if len(o.beats()) == 0 {
 			continue // nobody takes part: nothing is asked of the others
 		}
-		if _, err := o.store.Fresh(ctx, store.Freshness{Stale: time.Second}); err == nil {
+		if _, err := o.store.WaitFresh(ctx, store.Freshness{MaxStaleness: time.Second}); err == nil {
 			o.machines(o.beats(), nil)
 		}
 	}
@@ -104,7 +104,7 @@
 
 // beats are the last words of all machines, as this node knows them.
 func (o *Order) beats() (list []maintenance.Beat) {
-	all, _ := o.store.All()
+	all, _ := o.store.Entries()
 	for key, e := range all {
 		var b maintenance.Beat
 		if strings.HasPrefix(key, keyMachine) && json.Unmarshal(e.Value, &b) == nil { // one that can't be read is none
@@ -122,12 +122,12 @@
 }
 
 func (o *Order) read(ctx context.Context) (r read, err error) {
-	if _, err := o.store.Fresh(ctx, store.Freshness{}); err != nil {
+	if _, err := o.store.WaitFresh(ctx, store.Freshness{}); err != nil {
 		return r, err
 	}
 	r.revisions = map[string]uint64{}
 	r.view = maintenance.View{NowMS: time.Now().UnixMilli(), Limits: maintenance.DefaultLimits()}
-	all, _ := o.store.All()
+	all, _ := o.store.Entries()
 	if e, ok := all[keyPause]; ok {
 		if r.pause = e.Index; json.Unmarshal(e.Value, &r.view.Pause) != nil {
 			return r, fmt.Errorf("%s: can't be read", keyPause)
@@ -211,7 +211,7 @@
 
 // idle tells whether nothing is asked for, as this node knows it.
 func (o *Order) idle() bool {
-	all, _ := o.store.All()
+	all, _ := o.store.Entries()
 	for key := range all {
 		if strings.HasPrefix(key, keyJob) {
 			return false
@@ -248,7 +248,7 @@
 		q.Then = append(q.Then, put(keyPause, maintenance.Pause{Paused: true, Why: d.Pause, Seen: r.view.Pause.Seen}))
 		o.log.Error("order of work is paused", zap.String("why", d.Pause))
 	}
-	return o.store.DoAnywhere(ctx, q)
+	return o.store.ExecuteAnywhere(ctx, q)
 }
 
 // Owns tells whether a key is one that whoever has the order's lease may write, and the
@@ -275,7 +275,7 @@
 			return nil, fmt.Errorf("%w: %s", ErrBusy, old.Phase)
 		}
 		j.AskedMS = time.Now().UnixMilli()
-		j.SinceMS, j.Ticket = j.AskedMS, o.store.Progress()
+		j.SinceMS, j.Ticket = j.AskedMS, o.store.AppliedRevision()
 		return &j, nil
 	})
 }
@@ -337,7 +337,7 @@
 
 // change turns a job into another one, or into none, if nobody else does at the same time.
 func (o *Order) change(ctx context.Context, node string, to func(*maintenance.Job) (*maintenance.Job, error), fence ...lease.Held) error {
-	if _, err := o.store.Fresh(ctx, store.Freshness{}); err != nil {
+	if _, err := o.store.WaitFresh(ctx, store.Freshness{}); err != nil {
 		return err
 	}
 	key := keyJob + node
@@ -363,7 +363,7 @@
 		}
 		q.Then[0] = putJob(*next)
 	}
-	a, err := o.store.Do(q)
+	a, err := o.store.Execute(q)
 	if err == nil && !a.Held {
 		err = ErrRaced
 	}
@@ -385,7 +385,7 @@
 	if paused {
 		p.Seen = r.view.Pause.Seen
 	}
-	a, err := o.store.Do(kv.Request{If: []kv.Compare{{Key: keyPause, Revision: r.pause}}, Then: []kv.Op{put(keyPause, p)}})
+	a, err := o.store.Execute(kv.Request{If: []kv.Compare{{Key: keyPause, Revision: r.pause}}, Then: []kv.Op{put(keyPause, p)}})
 	if err == nil && !a.Held {
 		err = ErrRaced
 	}
@@ -400,7 +400,7 @@
 	if b.EveryMS < 50 || b.EveryMS > 600_000 || b.Cores < 0 || b.Speed < 0 {
 		return nil, fmt.Errorf("%w: every_ms: want 50 to 600000; cores, speed: below 0", maintenance.ErrAsk)
 	}
-	if _, err := o.store.Do(kv.Request{Then: []kv.Op{put(keyMachine+b.Name, b)}}); err != nil {
+	if _, err := o.store.Execute(kv.Request{Then: []kv.Op{put(keyMachine+b.Name, b)}}); err != nil {
 		return nil, err
 	}
 	e, ok := o.store.Entry(keyJob + b.Name)
