--- a/internal/cluster/store/acks.go
+++ b/internal/cluster/store/acks.go
@@ -13,7 +13,7 @@
 
 const leadsLook = 50 * time.Millisecond // how soon a leader that waits for answers notices that it leads no more
 
-// acks is Raft's transport, which keeps when each peer last answered this node in a
+// ackTransport is Raft's transport, which keeps when each peer last answered this node in a
 // term. Raft takes any answer of a peer for a proof that it still follows, also one to what
 // was sent before somebody asked for the proof: a leader that stood still finds such ones
 // on waking up, while another leads already.
@@ -28,62 +28,62 @@
 // end of the follower's log, where entries of an earlier leader may stand that were never
 // committed. That happens if a new leader's first request to a peer is put together late: it
 // has no entries, and a commit index beyond what it compares.
-type acks struct {
+type ackTransport struct {
 	*raft.NetworkTransport
-	term atomic.Pointer[func() uint64] // this node's; nil before Raft runs
-	mu   sync.Mutex
-	last map[raft.ServerID]ack
-	more chan struct{} // closed at the next answer
+	currentTerm atomic.Pointer[func() uint64] // this node's; nil before Raft runs
+	mu          sync.Mutex
+	lastAcks    map[raft.ServerID]peerAck
+	updated     chan struct{} // closed at the next answer
 }
 
-// ack is an answer of a peer that is in a leader's term.
-type ack struct {
-	term uint64
-	sent time.Time // when that was sent which it answers
+// peerAck is an answer of a peer that is in a leader's term.
+type peerAck struct {
+	term   uint64
+	sentAt time.Time // when that was sent which it answers
 }
 
-func newAcks(t *raft.NetworkTransport) *acks {
-	return &acks{NetworkTransport: t, last: map[raft.ServerID]ack{}, more: make(chan struct{})}
+func newAckTransport(t *raft.NetworkTransport) *ackTransport {
+	return &ackTransport{NetworkTransport: t, lastAcks: map[raft.ServerID]peerAck{}, updated: make(chan struct{})}
 }
 
 // AppendEntries is Raft's, and its heartbeats.
-func (a *acks) AppendEntries(id raft.ServerID, to raft.ServerAddress, q *raft.AppendEntriesRequest, p *raft.AppendEntriesResponse) error {
-	if err := a.present(q.Term); err != nil {
+func (a *ackTransport) AppendEntries(id raft.ServerID, to raft.ServerAddress, q *raft.AppendEntriesRequest, p *raft.AppendEntriesResponse) error {
+	if err := a.checkTerm(q.Term); err != nil {
 		return err
 	}
 	sent := time.Now()
-	err := a.NetworkTransport.AppendEntries(id, to, shown(q), p)
+	err := a.NetworkTransport.AppendEntries(id, to, boundCommitIndex(q), p)
 	if err == nil && p.Term == q.Term {
-		a.note(id, ack{q.Term, sent})
+		a.record(id, peerAck{q.Term, sent})
 	}
 	return err
 }
 
 // AppendEntriesPipeline is Raft's.
-func (a *acks) AppendEntriesPipeline(id raft.ServerID, to raft.ServerAddress) (raft.AppendPipeline, error) {
+func (a *ackTransport) AppendEntriesPipeline(id raft.ServerID, to raft.ServerAddress) (raft.AppendPipeline, error) {
 	p, err := a.NetworkTransport.AppendEntriesPipeline(id, to)
 	if err != nil {
 		return nil, err
 	}
-	return &termPipeline{p, a}, nil
+	return &ackPipeline{p, a}, nil
 }
 
-// termPipeline is a pipeline that sends nothing of a term that is over.
-type termPipeline struct {
+// ackPipeline is a pipeline that sends nothing of a term that is over.
+type ackPipeline struct {
 	raft.AppendPipeline
-	acks *acks
+	transport *ackTransport
 }
 
 // AppendEntries sends entries without waiting for an answer.
-func (t *termPipeline) AppendEntries(q *raft.AppendEntriesRequest, p *raft.AppendEntriesResponse) (raft.AppendFuture, error) {
-	if err := t.acks.present(q.Term); err != nil {
+func (t *ackPipeline) AppendEntries(q *raft.AppendEntriesRequest, p *raft.AppendEntriesResponse) (raft.AppendFuture, error) {
+	if err := t.transport.checkTerm(q.Term); err != nil {
 		return nil, err
 	}
-	return t.AppendPipeline.AppendEntries(shown(q), p)
+	return t.AppendPipeline.AppendEntries(boundCommitIndex(q), p)
 }
 
-// shown is a request whose commit index is no further than what it compares and brings.
-func shown(q *raft.AppendEntriesRequest) *raft.AppendEntriesRequest {
+// boundCommitIndex is a request whose commit index is no further than what it compares and brings.
+func boundCommitIndex(q *raft.AppendEntriesRequest) *raft.AppendEntriesRequest {
 	last := q.PrevLogEntry + uint64(len(q.Entries))
 	if q.LeaderCommitIndex <= last {
 		return q
@@ -93,38 +93,38 @@
 	return &own
 }
 
-var errTermOver = errors.New("the term is over")
+var errStaleTerm = errors.New("the term is over")
 
-// present refuses what belongs to a term that this node has left.
-func (a *acks) present(term uint64) error {
-	if now := a.term.Load(); now != nil && (*now)() != term {
-		return fmt.Errorf("%w: %d", errTermOver, term)
+// checkTerm refuses what belongs to a term that this node has left.
+func (a *ackTransport) checkTerm(term uint64) error {
+	if now := a.currentTerm.Load(); now != nil && (*now)() != term {
+		return fmt.Errorf("%w: %d", errStaleTerm, term)
 	}
 	return nil
 }
 
-func (a *acks) note(id raft.ServerID, k ack) {
+func (a *ackTransport) record(id raft.ServerID, k peerAck) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.last[id] = k
-	close(a.more)
-	a.more = make(chan struct{})
+	a.lastAcks[id] = k
+	close(a.updated)
+	a.updated = make(chan struct{})
 }
 
-// majority waits until most voters, this one among them, have answered in a term to what
+// awaitMajority waits until most voters, this one among them, have answered in a term to what
 // was sent after a time: no other leader had been elected by then. It gives up once this
 // node leads no more.
-func (a *acks) majority(ctx context.Context, own raft.ServerID, conf raft.Configuration, term uint64, after time.Time, leads func() bool) error {
+func (a *ackTransport) awaitMajority(ctx context.Context, own raft.ServerID, conf raft.Configuration, term uint64, after time.Time, leads func() bool) error {
 	for leads() {
 		voters, follow := 0, 0
 		a.mu.Lock()
-		more := a.more
+		more := a.updated
 		for _, x := range conf.Servers {
 			if x.Suffrage != raft.Voter {
 				continue
 			}
 			voters++
-			if k := a.last[x.ID]; x.ID == own || k.term == term && !k.sent.Before(after) {
+			if k := a.lastAcks[x.ID]; x.ID == own || k.term == term && !k.sentAt.Before(after) {
 				follow++
 			}
 		}
--- a/internal/cluster/store/acks_test.go
+++ b/internal/cluster/store/acks_test.go
@@ -19,19 +19,19 @@
 func TestAcks(t *testing.T) {
 	conf := raft.Configuration{Servers: []raft.Server{{ID: "a"}, {ID: "b"}, {ID: "c"}, {ID: "d", Suffrage: raft.Nonvoter}}}
 	now := time.Now()
-	a := newAcks(nil)
+	a := newAckTransport(nil)
 	ask := func(leads bool) error {
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
 		defer cancel()
-		return a.majority(ctx, "a", conf, 7, now, func() bool { return leads })
+		return a.awaitMajority(ctx, "a", conf, 7, now, func() bool { return leads })
 	}
 	for _, k := range []struct {
 		id   raft.ServerID
-		ack  ack
+		ack  peerAck
 		want error
-	}{{"b", ack{7, now.Add(-1)}, context.DeadlineExceeded}, {"b", ack{6, now}, context.DeadlineExceeded},
-		{"d", ack{7, now}, context.DeadlineExceeded}, {"c", ack{7, now}, nil}} {
-		a.note(k.id, k.ack)
+	}{{"b", peerAck{7, now.Add(-1)}, context.DeadlineExceeded}, {"b", peerAck{6, now}, context.DeadlineExceeded},
+		{"d", peerAck{7, now}, context.DeadlineExceeded}, {"c", peerAck{7, now}, nil}} {
+		a.record(k.id, k.ack)
 		assert.True(t, errors.Is(ask(true), k.want), k)
 	}
 	assert.ErrorIs(t, ask(false), ErrNoLeader)
@@ -39,14 +39,14 @@
 
 // TestTermOver: a node that has left a term sends nothing more of it, whichever way.
 func TestTermOver(t *testing.T) {
-	a := newAcks(nil)
+	a := newAckTransport(nil)
 	term := func() uint64 { return 8 }
-	a.term.Store(&term)
+	a.currentTerm.Store(&term)
 	q, p := &raft.AppendEntriesRequest{Term: 7}, &raft.AppendEntriesResponse{}
-	assert.ErrorIs(t, a.AppendEntries("b", "", q, p), errTermOver)
-	_, err := (&termPipeline{nil, a}).AppendEntries(q, p)
-	assert.ErrorIs(t, err, errTermOver)
-	assert.NoError(t, a.present(8))
+	assert.ErrorIs(t, a.AppendEntries("b", "", q, p), errStaleTerm)
+	_, err := (&ackPipeline{nil, a}).AppendEntries(q, p)
+	assert.ErrorIs(t, err, errStaleTerm)
+	assert.NoError(t, a.checkTerm(8))
 }
 
 // applied is a raft.FSM that keeps what it was given.
@@ -82,7 +82,7 @@
 		t.Cleanup(func() { n.Close() })
 		return n
 	}
-	peer, leader := transport(), newAcks(transport())
+	peer, leader := transport(), newAckTransport(transport())
 	rc := raft.DefaultConfig()
 	rc.LocalID, rc.LogOutput = "peer", io.Discard
 	rc.HeartbeatTimeout, rc.ElectionTimeout, rc.LeaderLeaseTimeout = time.Hour, time.Hour, time.Hour // it is told all by the test
--- a/internal/cluster/store/backup.go
+++ b/internal/cluster/store/backup.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	restoreOps   = kv.Ops / 2 // keys that one entry of the log puts back
-	restoreBytes = 256 << 10  // of their values
+	maxRestoreOps   = kv.Ops / 2 // keys that one entry of the log puts back
+	maxRestoreBytes = 256 << 10  // of their values
 )
 
 // ErrNotEmpty refuses a restore into a store that is in use.
@@ -28,7 +28,7 @@
 	if _, err := s.WaitFresh(ctx, Freshness{}); err != nil {
 		return storeapi.Restored{}, err
 	}
-	own := s.cluster.id()
+	own := s.identity.get()
 	switch {
 	case own == "":
 		return storeapi.Restored{}, errors.New("the cluster has no id yet")
@@ -39,7 +39,7 @@
 	if e, ok := s.state.get(restoredKey); ok && json.Unmarshal(e.Value, &out) == nil && out.SHA256 == head.SHA256 {
 		return out, nil // asked for again, as the answer was lost
 	}
-	marker, err := s.markRestore(ctx, head.SHA256)
+	marker, err := s.beginRestore(ctx, head.SHA256)
 	if err != nil {
 		return storeapi.Restored{}, err
 	}
@@ -65,7 +65,7 @@
 		}
 		part.Then = append(part.Then, kv.Op{Do: "put", Key: k.Key, Value: k.Value})
 		size += len(k.Value)
-		if out.Keys++; len(part.Then) >= restoreOps || size >= restoreBytes {
+		if out.Keys++; len(part.Then) >= maxRestoreOps || size >= maxRestoreBytes {
 			if err := flush(false); err != nil {
 				return storeapi.Restored{}, err
 			}
@@ -82,7 +82,7 @@
 	if _, err := s.WaitFresh(ctx, Freshness{}); err != nil {
 		return err
 	}
-	entries, _ := s.state.all()
+	entries, _ := s.state.entries()
 	marker, ok := entries[kv.RestoreKey]
 	if !ok {
 		return fmt.Errorf("%w: no backup is being put back", kv.ErrRequest)
@@ -93,7 +93,7 @@
 		if marker.Version > 1 && kv.Users(key) {
 			part.Then = append(part.Then, kv.Op{Do: "delete", Key: key})
 		}
-		if len(part.Then) == restoreOps {
+		if len(part.Then) == maxRestoreOps {
 			if _, err := s.Execute(part); err != nil {
 				return err
 			}
@@ -105,9 +105,9 @@
 	return err
 }
 
-// markRestore shuts the store for all but one backup, if it is empty or was shut for
+// beginRestore shuts the store for all but one backup, if it is empty or was shut for
 // the same one.
-func (s *Store) markRestore(ctx context.Context, sum string) (revision uint64, err error) {
+func (s *Store) beginRestore(ctx context.Context, sum string) (revision uint64, err error) {
 	value, _ := json.Marshal(sum)
 	_, err = s.Execute(kv.Request{If: []kv.Compare{{Key: kv.RestoreKey}},
 		Then: []kv.Op{{Do: "put", Key: kv.RestoreKey, Value: value}}})
@@ -117,7 +117,7 @@
 	if err != nil {
 		return 0, err
 	}
-	entries, _ := s.state.all()
+	entries, _ := s.state.entries()
 	m, ok := entries[kv.RestoreKey]
 	if !ok || !bytes.Equal(m.Value, value) {
 		return 0, fmt.Errorf("%w: another backup is being put back", ErrNotEmpty)
--- a/internal/cluster/store/cluster.go
+++ b/internal/cluster/store/cluster.go
@@ -20,60 +20,60 @@
 
 const identityLook = 100 * time.Millisecond
 
-// cluster is which cluster this node is of, and which peers say that they are of
+// clusterIdentity is which cluster this node is of, and which peers say that they are of
 // another. A new node knows none until it has the key from the others, and is of that
 // one for good.
-type cluster struct {
-	mu     sync.Mutex
-	own    string
-	others map[string]string // by name
+type clusterIdentity struct {
+	mu           sync.Mutex
+	id           string
+	foreignPeers map[string]string // by name
 }
 
-func (c *cluster) id() string {
+func (c *clusterIdentity) get() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.own
+	return c.id
 }
 
-func (c *cluster) set(id string) {
+func (c *clusterIdentity) set(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.own = id
+	c.id = id
 }
 
-func (c *cluster) foreign() string {
+func (c *clusterIdentity) foreignNames() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return strings.Join(slices.Sorted(maps.Keys(c.others)), " ")
+	return strings.Join(slices.Sorted(maps.Keys(c.foreignPeers)), " ")
 }
 
-// found notes a peer of another cluster.
-func (c *cluster) found(name, theirs string, log *zap.Logger) {
+// addForeign notes a peer of another cluster.
+func (c *clusterIdentity) addForeign(name, theirs string, log *zap.Logger) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.others[name] != theirs {
-		log.Error("peer is of another cluster", zap.String("peer", name), zap.String("cluster", theirs), zap.String("own", c.own))
+	if c.foreignPeers[name] != theirs {
+		log.Error("peer is of another cluster", zap.String("peer", name), zap.String("cluster", theirs), zap.String("own", c.id))
 	}
-	if c.others == nil {
-		c.others = map[string]string{}
+	if c.foreignPeers == nil {
+		c.foreignPeers = map[string]string{}
 	}
-	c.others[name] = theirs
+	c.foreignPeers[name] = theirs
 }
 
-func (c *cluster) lost(name string) {
+func (c *clusterIdentity) removeForeign(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.others, name)
+	delete(c.foreignPeers, name)
 }
 
 // ClusterID is the id of the cluster, or "" while it is not known.
-func (s *Store) ClusterID() string { return s.cluster.id() }
+func (s *Store) ClusterID() string { return s.identity.get() }
 
-// keepCluster learns the cluster's id, or as the leader of a new cluster gives it one,
+// maintainClusterID learns the cluster's id, or as the leader of a new cluster gives it one,
 // and keeps it beside the log.
-func (s *Store) keepCluster(ctx context.Context, l *life) {
-	for s.cluster.id() == "" && ctx.Err() == nil {
-		if err := s.learnCluster(ctx, l); err != nil && ctx.Err() == nil {
+func (s *Store) maintainClusterID(ctx context.Context, l *incarnation) {
+	for s.identity.get() == "" && ctx.Err() == nil {
+		if err := s.learnClusterID(ctx, l); err != nil && ctx.Err() == nil {
 			s.log.Debug("cluster id not known yet", zap.Error(err))
 		}
 		select {
@@ -83,10 +83,10 @@
 	}
 }
 
-func (s *Store) learnCluster(ctx context.Context, l *life) error {
+func (s *Store) learnClusterID(ctx context.Context, l *incarnation) error {
 	e, ok := s.state.get(kv.ClusterKey)
 	if !ok {
-		if !l.leads() {
+		if !l.isLeader() {
 			return nil
 		}
 		// Not before all that was committed is known: the cluster may have one.
@@ -100,20 +100,20 @@
 			Then: []kv.Op{{Do: "put", Key: kv.ClusterKey, Value: id}}})
 		return err
 	}
-	id, err := clusterOf(e)
+	id, err := parseClusterID(e)
 	if err != nil {
 		return err
 	}
-	if err := l.disk.PutLocal(kv.ClusterKey, []byte(id)); err != nil {
+	if err := l.storage.PutLocal(kv.ClusterKey, []byte(id)); err != nil {
 		return fmt.Errorf("keep cluster id: %w", err)
 	}
-	s.cluster.set(id)
+	s.identity.set(id)
 	s.log.Info("cluster id", zap.String("cluster", id))
 	return nil
 }
 
-// clusterOf reads the key that names the cluster.
-func clusterOf(e kv.Entry) (id string, err error) {
+// parseClusterID reads the key that names the cluster.
+func parseClusterID(e kv.Entry) (id string, err error) {
 	if err := json.Unmarshal(e.Value, &id); err != nil || id == "" {
 		return "", fmt.Errorf("%s: %s is no id", kv.ClusterKey, e.Value)
 	}
--- a/internal/cluster/store/config.go
+++ b/internal/cluster/store/config.go
@@ -108,7 +108,7 @@
 	switch {
 	case !ok:
 		return fmt.Errorf("node: %q is not among the peers, and self does not say where it is", c.Node)
-	case c.Self != nil && c.founder():
+	case c.Self != nil && c.isFounder():
 		return errors.New("self: the node is among the peers")
 	case c.Voters < 0 || c.Voters > votersMost:
 		return fmt.Errorf("voters: want 0 to %d", votersMost)
@@ -160,7 +160,7 @@
 	return nil
 }
 
-func (c *Config) peer(name string) (Peer, bool) {
+func (c *Config) configuredPeer(name string) (Peer, bool) {
 	for _, p := range c.Peers {
 		if p.Name == name {
 			return p, true
@@ -169,11 +169,11 @@
 	return Peer{}, false
 }
 
-// founder tells whether the node is one of those that make the cluster.
-func (c *Config) founder() bool { _, ok := c.peer(c.Node); return ok }
+// isFounder tells whether the node is one of those that make the cluster.
+func (c *Config) isFounder() bool { _, ok := c.configuredPeer(c.Node); return ok }
 
 func (c *Config) self() (Peer, bool) {
-	if p, ok := c.peer(c.Node); ok || c.Self == nil {
+	if p, ok := c.configuredPeer(c.Node); ok || c.Self == nil {
 		return p, ok
 	}
 	p := *c.Self
--- a/internal/cluster/store/fresh.go
+++ b/internal/cluster/store/fresh.go
@@ -25,8 +25,8 @@
 
 const proveTimeout = 2 * time.Second
 
-// proof says that this node knew all that was committed at a time.
-type proof struct {
+// freshnessProof says that this node knew all that was committed at a time.
+type freshnessProof struct {
 	index uint64 // the last entry committed by then
 	at    time.Time
 }
@@ -36,24 +36,24 @@
 // ask while a round is on its way share the next one: only a round that began
 // after a reader came proves anything to it.
 type prover struct {
-	ask func(context.Context) (index uint64, err error)
+	readIndex func(context.Context) (index uint64, err error)
 
 	mu      sync.Mutex
 	running bool
-	next    *round
+	next    *proofRound
 }
 
-type round struct {
+type proofRound struct {
 	done  chan struct{}
-	proof proof
+	proof freshnessProof
 	err   error
 }
 
 // prove gives a proof that is younger than the call.
-func (p *prover) prove(ctx context.Context) (proof, error) {
+func (p *prover) prove(ctx context.Context) (freshnessProof, error) {
 	p.mu.Lock()
 	if p.next == nil {
-		p.next = &round{done: make(chan struct{})}
+		p.next = &proofRound{done: make(chan struct{})}
 	}
 	r := p.next
 	if !p.running {
@@ -65,7 +65,7 @@
 	case <-r.done:
 		return r.proof, r.err
 	case <-ctx.Done():
-		return proof{}, ctx.Err()
+		return freshnessProof{}, ctx.Err()
 	}
 }
 
@@ -83,7 +83,7 @@
 		p.mu.Unlock()
 		ctx, cancel := context.WithTimeout(context.Background(), proveTimeout)
 		r.proof.at = time.Now()
-		r.proof.index, r.err = p.ask(ctx)
+		r.proof.index, r.err = p.readIndex(ctx)
 		cancel()
 		close(r.done)
 	}
@@ -92,31 +92,31 @@
 // ReadIndex is the last entry that was committed when this was called, if a
 // majority still takes this node for the leader after it was read.
 func (s *Store) ReadIndex(ctx context.Context) (uint64, error) {
-	l, err := s.alive()
+	l, err := s.running()
 	if err != nil {
 		return 0, err
 	}
 	term := l.raft.CurrentTerm()
-	if !l.leads() {
+	if !l.isLeader() {
 		return 0, ErrNoLeader
 	}
 	// Guards against a leader that is new: until an entry of its own term is
 	// committed, it doesn't know how far its predecessors had come.
-	if l.barred.Load() != term {
-		if err := done(ctx, l.raft.Barrier(storeapi.ApplyTime)); err != nil {
+	if l.barrierTerm.Load() != term {
+		if err := awaitFuture(ctx, l.raft.Barrier(storeapi.ApplyTime)); err != nil {
 			return 0, fmt.Errorf("first entry of term %d: %w", term, err)
 		}
 		if l.raft.CurrentTerm() != term {
 			return 0, ErrNoLeader
 		}
-		l.barred.Store(term)
+		l.barrierTerm.Store(term)
 	}
 	index, asked := l.raft.CommitIndex(), time.Now()
-	if err := done(ctx, l.raft.VerifyLeader()); err != nil { // has its peers asked at once
+	if err := awaitFuture(ctx, l.raft.VerifyLeader()); err != nil { // has its peers asked at once
 		return 0, err
 	}
-	conf, _ := l.conf()
-	if err := l.acks.majority(ctx, raft.ServerID(l.id), conf, term, asked, l.leads); err != nil {
+	conf, _ := l.configuration()
+	if err := l.transport.awaitMajority(ctx, raft.ServerID(l.memberID), conf, term, asked, l.isLeader); err != nil {
 		return 0, fmt.Errorf("most voters' answers: %w", err)
 	}
 	if l.raft.CurrentTerm() != term {
@@ -125,9 +125,9 @@
 	return index, nil
 }
 
-// done waits for what Raft was asked to do. Raft never answers once its disk has failed
+// awaitFuture waits for what Raft was asked to do. Raft never answers once its disk has failed
 // under it.
-func done(ctx context.Context, f raft.Future) error {
+func awaitFuture(ctx context.Context, f raft.Future) error {
 	out := make(chan error, 1)
 	go func() { out <- f.Error() }()
 	select {
@@ -138,14 +138,14 @@
 	}
 }
 
-// committed asks whoever leads for its read index.
-func (s *Store) committed(ctx context.Context) (uint64, error) {
+// committedIndex asks whoever leads for its read index.
+func (s *Store) committedIndex(ctx context.Context) (uint64, error) {
 	if s.IsLeader() {
 		return s.ReadIndex(ctx)
 	}
 	p, _, ok := s.Leader()
 	if !ok || p.Name == s.self.Name {
-		if _, err := s.alive(); err != nil {
+		if _, err := s.running(); err != nil {
 			return 0, err
 		}
 		return 0, ErrNoLeader
@@ -164,43 +164,43 @@
 	ctx, cancel := context.WithTimeout(ctx, proveTimeout)
 	defer cancel()
 	if f.MaxStaleness > 0 {
-		if at := s.known(); !at.IsZero() && time.Since(at) <= f.MaxStaleness {
+		if at := s.lastFresh(); !at.IsZero() && time.Since(at) <= f.MaxStaleness {
 			return time.Since(at), nil
 		}
 	}
-	p, err := s.prover.prove(ctx)
+	p, err := s.readProver.prove(ctx)
 	if err == nil {
-		err = s.applied(ctx, p.index)
+		err = s.waitApplied(ctx, p.index)
 	}
 	if err != nil {
 		return 0, fmt.Errorf("%w: %w", ErrNotFresh, err)
 	}
-	s.knownMu.Lock()
-	if p.at.After(s.knownAt) {
-		s.knownAt = p.at
+	s.freshMu.Lock()
+	if p.at.After(s.freshAt) {
+		s.freshAt = p.at
 	}
-	s.knownMu.Unlock()
+	s.freshMu.Unlock()
 	return time.Since(p.at), nil
 }
 
-// known is a time at which this node knew all that was committed.
-func (s *Store) known() time.Time {
-	s.knownMu.Lock()
-	defer s.knownMu.Unlock()
-	return s.knownAt
+// lastFresh is a time at which this node knew all that was committed.
+func (s *Store) lastFresh() time.Time {
+	s.freshMu.Lock()
+	defer s.freshMu.Unlock()
+	return s.freshAt
 }
 
-// applied waits until the state holds all entries up to an index. Raft counts an
+// waitApplied waits until the state holds all entries up to an index. Raft counts an
 // entry as applied when it hands it on, and hands on commands only, so the state's
 // own count is what matters, up to the last command.
-func (s *Store) applied(ctx context.Context, index uint64) error {
+func (s *Store) waitApplied(ctx context.Context, index uint64) error {
 	for {
-		l, err := s.alive()
+		l, err := s.running()
 		if err != nil {
 			return err
 		}
 		done, moved := s.state.progress()
-		if done >= index || l.raft.AppliedIndex() >= index && !l.commandIn(done+1, index) {
+		if done >= index || l.raft.AppliedIndex() >= index && !l.hasCommand(done+1, index) {
 			return nil
 		}
 		select {
@@ -212,12 +212,12 @@
 	}
 }
 
-// commandIn tells whether the log has a command in a range that the state may not
+// hasCommand tells whether the log has a command in a range that the state may not
 // have yet. What the log has no more was in the state before it was cut off.
-func (l *life) commandIn(from, to uint64) bool {
+func (l *incarnation) hasCommand(from, to uint64) bool {
 	var e raft.Log
 	for i := to; i >= from; i-- {
-		switch err := l.disk.GetLog(i, &e); {
+		switch err := l.storage.GetLog(i, &e); {
 		case errors.Is(err, raft.ErrLogNotFound):
 			return false
 		case err != nil || e.Type == raft.LogCommand:
--- a/internal/cluster/store/golden_test.go
+++ b/internal/cluster/store/golden_test.go
@@ -34,10 +34,10 @@
 func TestGoldenLogEntries(t *testing.T) {
 	golden(t, []command{{Key: "a/b", Value: json.RawMessage(`{"n":1}`)}, {Key: "c", Value: json.RawMessage("null")}},
 		`[{"key":"a/b","value":{"n":1}},{"key":"c","value":null}]`)
-	r, err := requestOf([]byte(`[{"key":"a/b","value":{"n":1}},{"key":"c","value":null}]`))
+	r, err := decodeLogEntry([]byte(`[{"key":"a/b","value":{"n":1}},{"key":"c","value":null}]`))
 	require.NoError(t, err)
 	assert.Equal(t, &kv.Request{Then: []kv.Op{{Do: "put", Key: "a/b", Value: json.RawMessage(`{"n":1}`)}, {Do: "delete", Key: "c"}}}, r)
-	r, err = requestOf([]byte(`{"time_ms":5,"floor":6,"fence":[{"name":"l","token":7}],"session":8,"number":9,` +
+	r, err = decodeLogEntry([]byte(`{"time_ms":5,"floor":6,"fence":[{"name":"l","token":7}],"session":8,"number":9,` +
 		`"if":[{"key":"k","revision":10}],"then":[{"do":"put","key":"k","value":1}],"else":[{"do":"get","key":"k"}]}`))
 	require.NoError(t, err)
 	assert.Equal(t, &kv.Request{TimeMS: 5, Floor: 6, Fence: []lease.Held{{Name: "l", Token: 7}}, Session: 8, Number: 9,
@@ -52,9 +52,9 @@
 
 // TestGoldenSnapshot: a snapshot is the state as JSON, with a line feed; it is read as it was.
 func TestGoldenSnapshot(t *testing.T) {
-	s := newState()
+	s := newReplicatedState()
 	for i, text := range []string{`[{"key":"a","value":1},{"key":"b","value":2}]`, `[{"key":"b","value":null}]`, `{"time_ms":1000,"open":true,"then":null}`} {
-		require.NoError(t, s.Apply(&raft.Log{Index: uint64(i + 1), Data: []byte(text)}).(outcome).err)
+		require.NoError(t, s.Apply(&raft.Log{Index: uint64(i + 1), Data: []byte(text)}).(applyResult).err)
 	}
 	snap, err := s.Snapshot()
 	require.NoError(t, err)
@@ -63,7 +63,7 @@
 	text := sink.String()
 	assert.Equal(t, goldenState, text)
 
-	to := newState()
+	to := newReplicatedState()
 	require.NoError(t, to.Restore(io.NopCloser(strings.NewReader(text))))
 	sink2 := &bufSink{}
 	snap, err = to.Snapshot()
@@ -74,8 +74,8 @@
 
 // TestGoldenKept: what a node keeps beside its log.
 func TestGoldenKept(t *testing.T) {
-	assert.Equal(t, []string{"disk", "starts", "joiner", "seen", "apart"}, []string{keptDisk, keptStarts, keptJoiner, keptSeen, keptApart})
-	golden(t, ledger{"n1@5f": {Starts: 1, Term: 2, LastTerm: 3, LastIndex: 4}},
+	assert.Equal(t, []string{"disk", "starts", "joiner", "seen", "apart"}, []string{localDiskID, localStarts, localJoiner, localWatermarks, localDiverged})
+	golden(t, watermarks{"n1@5f": {Starts: 1, Term: 2, LastTerm: 3, LastIndex: 4}},
 		`{"n1@5f":{"starts":1,"term":2,"last_term":3,"last_index":4}}`)
 	golden(t, GoodVersion{Revision: 7, Value: json.RawMessage(`{"x":1}`)}, `{"revision":7,"value":{"x":1}}`)
 	assert.Equal(t, "_cluster/restored", restoredKey)
@@ -88,9 +88,9 @@
 // TestGoldenAddress: a member's address in the cluster's configuration.
 func TestGoldenAddress(t *testing.T) {
 	p := Peer{Name: "n1", Raft: "127.0.0.1:1", Admin: "127.0.0.1:2", Zone: "z"}
-	assert.EqualValues(t, "n1@5f|127.0.0.1:1|127.0.0.1:2|z", addressOf(p, "n1@5f"))
-	assert.Equal(t, p, peerOf("n1@5f", "n1@5f|127.0.0.1:1|127.0.0.1:2|z"))
-	assert.Equal(t, Peer{Name: "n1", Raft: "127.0.0.1:1"}, peerOf("n1", "127.0.0.1:1"))
+	assert.EqualValues(t, "n1@5f|127.0.0.1:1|127.0.0.1:2|z", encodeAddress(p, "n1@5f"))
+	assert.Equal(t, p, decodePeer("n1@5f", "n1@5f|127.0.0.1:1|127.0.0.1:2|z"))
+	assert.Equal(t, Peer{Name: "n1", Raft: "127.0.0.1:1"}, decodePeer("n1", "127.0.0.1:1"))
 }
 
 // TestGoldenGreeting: what two nodes say to each other before Raft's own.
@@ -98,7 +98,7 @@
 	golden(t, greeting{From: "n1@5f", To: "n2@6f", Cluster: "c"}, `{"from":"n1@5f","to":"n2@6f","cluster":"c"}`)
 	golden(t, greeting{From: "n1@5f", To: "n2@6f"}, `{"from":"n1@5f","to":"n2@6f"}`)
 	cluster := func() string { return "c" }
-	w, err := listenWire("127.0.0.1:0", "n2@6f", cluster, func(string) (Peer, bool) { return Peer{}, false })
+	w, err := listenPeers("127.0.0.1:0", "n2@6f", cluster, func(string) (Peer, bool) { return Peer{}, false })
 	require.NoError(t, err)
 	t.Cleanup(func() { w.Close() })
 	go func() {
@@ -171,12 +171,12 @@
 // TestGoldenSelf: what a node tells another one of itself.
 func TestGoldenSelf(t *testing.T) {
 	golden(t, storeapi.Self{Attestation: diskidentity.Attestation{ID: "n1@5f", Cluster: "c", PreviousClusters: []string{"b"}, Fresh: true, ConfigIndex: 1, Members: []string{"m"}, Voters: []string{"v"},
-		LastObserved: &diskidentity.Watermark{Starts: 1, Term: 2, LastTerm: 3, LastIndex: 4}}, State: stateServing, Mark: diskidentity.Watermark{Starts: 5}, Applied: 6,
+		LastObserved: &diskidentity.Watermark{Starts: 1, Term: 2, LastTerm: 3, LastIndex: 4}}, State: peerServing, Mark: diskidentity.Watermark{Starts: 5}, Applied: 6,
 		Raft: "r", Admin: "a", Zone: "z", Leases: true, Addresses: map[string]string{"m": "x"}},
 		`{"id":"n1@5f","cluster":"c","was":["b"],"fresh":true,"config":1,"members":["m"],"voters":["v"],`+
 			`"seen":{"starts":1,"term":2,"last_term":3,"last_index":4},"state":"serving","mark":{"starts":5,"term":0,"last_term":0,"last_index":0},"applied":6,`+
 			`"raft":"r","admin":"a","zone":"z","leases":true,"addresses":{"m":"x"}}`)
-	assert.Equal(t, "waiting", stateWaiting)
+	assert.Equal(t, "waiting", peerWaiting)
 	golden(t, storeapi.Join{ID: "n1@5f", Raft: "r", Admin: "a", Zone: "z", Leases: true}, `{"id":"n1@5f","raft":"r","admin":"a","zone":"z","leases":true}`)
 }
 
@@ -184,7 +184,7 @@
 func TestGoldenMemberStates(t *testing.T) {
 	for want, m := range map[string]membership.Member{"lost": {DiskLost: true, Leaving: true}, "leaving": {Leaving: true, ID: "l"}, "leader": {ID: "l", Up: true},
 		"up": {ID: "m", Up: true}, "down 2s": {ID: "m", DownFor: 2400 * time.Millisecond}} {
-		assert.Equal(t, want, stateOf(m, "l"))
+		assert.Equal(t, want, memberStateOf(m, "l"))
 	}
 	s, err := New(Config{Node: "a", Dir: t.TempDir(), Peers: []Peer{{Name: "a", Raft: "127.0.0.1:1", Admin: "127.0.0.1:2"}}}, nil)
 	require.NoError(t, err)
@@ -202,6 +202,6 @@
 		"INSERT INTO oxbowbridge_lease (name, token) VALUES ($1, $2)\n" +
 			`ON CONFLICT (name) DO UPDATE SET token = excluded.token WHERE oxbowbridge_lease.token <= excluded.token`,
 		`UPDATE oxbowbridge_store SET idx = 0`,
-	}, []string{createTable, upsertRow, selectRows, createFence, fenceRow, resetRows})
+	}, []string{createRecordTable, upsertRecord, selectRecords, createFenceTable, advanceFence, resetIndexes})
 	assert.Equal(t, map[string]string{"sqlite": "sqlite", "postgres": "pgx"}, drivers)
 }
--- a/internal/cluster/store/lease_state_test.go
+++ b/internal/cluster/store/lease_state_test.go
@@ -26,13 +26,13 @@
 func TestLeasesSurviveSnapshots(t *testing.T) {
 	for seed := range uint64(50) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		a := newState()
-		var copies []*state
+		a := newReplicatedState()
+		var copies []*replicatedState
 		var late []raft.FSMSnapshot
 		for i := uint64(1); i <= 400; i++ {
 			o := lease.Op{Do: []string{lease.Acquire, lease.Acquire, lease.Withdraw, lease.Release, lease.Expire, lease.Revoke, lease.HandOver}[rng.IntN(7)],
 				Name: fmt.Sprint("job", rng.IntN(3)), Holder: fmt.Sprint("h", rng.IntN(5)), TTLMS: 1000, Wait: rng.IntN(2) == 0, Priority: rng.IntN(2)}
-			o.Token = a.kv.Leases.Leases[o.Name].Token
+			o.Token = a.data.Leases.Leases[o.Name].Token
 			text, err := json.Marshal(kv.Request{Leases: []lease.Op{o}})
 			require.NoError(t, err)
 			for _, s := range append(copies, a) {
@@ -45,15 +45,15 @@
 				if rng.IntN(2) == 0 {
 					sink := &bufSink{}
 					require.NoError(t, snap.Persist(sink))
-					b := newState()
+					b := newReplicatedState()
 					require.NoError(t, b.Restore(io.NopCloser(&sink.Buffer)))
 					copies = append(copies, b)
 				}
 			}
 		}
-		want, _ := json.Marshal(a.kv)
+		want, _ := json.Marshal(a.data)
 		for _, c := range copies {
-			got, _ := json.Marshal(c.kv)
+			got, _ := json.Marshal(c.data)
 			require.Equal(t, string(want), string(got), "seed %d", seed)
 		}
 		for _, l := range late { // written late, it is what it was
--- a/internal/cluster/store/leases.go
+++ b/internal/cluster/store/leases.go
@@ -23,44 +23,44 @@
 // not understand them.
 var ErrLeasesUnavailable = errors.New("leases wait until all members know them")
 
-// leases is what a node does for leases while it leads: the timer of its term, and those
+// leaseService is what a node does for leases while it leads: the timer of its term, and those
 // who wait here for a lease.
-type leases struct {
-	born time.Time // times are since then, monotonic
-	own  *prover   // that this node leads
+type leaseService struct {
+	startedAt    time.Time // times are since then, monotonic
+	leaderProver *prover   // that this node leads
 
 	mu      sync.Mutex
 	timer   *lease.Timer
 	term    uint64
-	waiting map[[2]string]chan struct{} // by name and holder; closed once it has the lease
+	waiters map[[2]string]chan struct{} // by name and holder; closed once it has the lease
 }
 
-func newLeases(s *Store) *leases {
-	return &leases{born: time.Now(), own: &prover{ask: s.ReadIndex}, waiting: map[[2]string]chan struct{}{}}
+func newLeaseService(s *Store) *leaseService {
+	return &leaseService{startedAt: time.Now(), leaderProver: &prover{readIndex: s.ReadIndex}, waiters: map[[2]string]chan struct{}{}}
 }
 
-func (x *leases) now() time.Duration { return time.Since(x.born) }
+func (x *leaseService) now() time.Duration { return time.Since(x.startedAt) }
 
-// given wakes the one who waits for a lease, and nobody else.
-func (x *leases) given(name, holder string) {
+// granted wakes the one who waits for a lease, and nobody else.
+func (x *leaseService) granted(name, holder string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	place := [2]string{name, holder}
-	if c, ok := x.waiting[place]; ok {
+	if c, ok := x.waiters[place]; ok {
 		close(c)
-		delete(x.waiting, place)
+		delete(x.waiters, place)
 	}
 }
 
-// wait gives a channel that is closed once the holder has the lease.
-func (x *leases) wait(name, holder string) <-chan struct{} {
+// awaitGrant gives a channel that is closed once the holder has the lease.
+func (x *leaseService) awaitGrant(name, holder string) <-chan struct{} {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	place := [2]string{name, holder}
-	c, ok := x.waiting[place]
+	c, ok := x.waiters[place]
 	if !ok {
 		c = make(chan struct{})
-		x.waiting[place] = c
+		x.waiters[place] = c
 	}
 	return c
 }
@@ -75,68 +75,68 @@
 	}
 	s.state.mu.Lock()
 	defer s.state.mu.Unlock()
-	do(s.state.kv.Leases, x.now())
+	do(s.state.data.Leases, x.now())
 	return nil
 }
 
-// keepLeases begins to count when this node is elected, and ends the leases that are over.
-func (s *Store) keepLeases(ctx context.Context, l *life) {
+// manageLeases begins to count when this node is elected, and ends the leases that are over.
+func (s *Store) manageLeases(ctx context.Context, l *incarnation) {
 	tick := time.NewTicker(leaseLook)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			s.leases.begin(nil, 0)
+			s.leases.setTimer(nil, 0)
 			return
 		case <-tick.C:
 		}
-		if err := s.stepLeases(ctx, l); err != nil && ctx.Err() == nil {
+		if err := s.expireLeases(ctx, l); err != nil && ctx.Err() == nil {
 			s.log.Debug("leases", zap.Error(err))
 		}
 	}
 }
 
-func (x *leases) begin(t *lease.Timer, term uint64) {
+func (x *leaseService) setTimer(t *lease.Timer, term uint64) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.timer, x.term = t, term
 }
 
-// current is the timer of the present term.
-func (x *leases) current(l *life) (*lease.Timer, error) {
+// currentTimer is the timer of the present term.
+func (x *leaseService) currentTimer(l *incarnation) (*lease.Timer, error) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.timer == nil || !l.leads() || x.term != l.raft.CurrentTerm() {
+	if x.timer == nil || !l.isLeader() || x.term != l.raft.CurrentTerm() {
 		return nil, ErrNoLeader
 	}
 	return x.timer, nil
 }
 
-func (s *Store) stepLeases(ctx context.Context, l *life) error {
-	if !l.leads() {
-		s.leases.begin(nil, 0)
+func (s *Store) expireLeases(ctx context.Context, l *incarnation) error {
+	if !l.isLeader() {
+		s.leases.setTimer(nil, 0)
 		return nil
 	}
-	t, err := s.leases.current(l)
+	t, err := s.leases.currentTimer(l)
 	if err != nil {
 		term := l.raft.CurrentTerm()
 		ctx, cancel := context.WithTimeout(ctx, proveTimeout)
 		defer cancel()
 		index, err := s.ReadIndex(ctx)
 		if err == nil {
-			err = s.applied(ctx, index)
+			err = s.waitApplied(ctx, index)
 		}
 		if err != nil || l.raft.CurrentTerm() != term {
 			return errors.Join(ErrNoLeader, err)
 		}
 		t = lease.NewTimer(s.leases.now())
-		s.leases.begin(t, term)
+		s.leases.setTimer(t, term)
 	}
 	if _, ok := s.state.get(kv.ClusterKey); !ok {
 		return nil // tokens begin where the id does
 	}
 	if _, ok := s.state.get(kv.LeasesKey); !ok {
-		return s.allowLeases(l)
+		return s.enableLeases(l)
 	}
 	var due []lease.Op
 	if err := s.withLeases(t, func(st *lease.State, now time.Duration) { due = t.Due(st, now) }); err != nil {
@@ -152,12 +152,12 @@
 	return nil
 }
 
-// allowLeases opens the store for leases, for good, once all members know them.
-func (s *Store) allowLeases(l *life) error {
-	conf, _ := l.conf()
+// enableLeases opens the store for leases, for good, once all members know them.
+func (s *Store) enableLeases(l *incarnation) error {
+	conf, _ := l.configuration()
 	for _, x := range conf.Servers {
-		if id := string(x.ID); id != l.id {
-			if h, now := s.peers.last(diskidentity.MemberName(id)); !now || h.ID != id || !h.Leases {
+		if id := string(x.ID); id != l.memberID {
+			if h, now := s.peers.lastReport(diskidentity.MemberName(id)); !now || h.ID != id || !h.Leases {
 				return fmt.Errorf("%w: not known of %s", ErrLeasesUnavailable, id)
 			}
 		}
@@ -167,14 +167,14 @@
 	return err
 }
 
-// sure makes sure that this node has led since the call, and that it knows all that was
+// confirmLeadership makes sure that this node has led since the call, and that it knows all that was
 // committed by then. It gives the timer of its term.
-func (s *Store) sure(ctx context.Context) (*lease.Timer, error) {
-	l, err := s.alive()
+func (s *Store) confirmLeadership(ctx context.Context) (*lease.Timer, error) {
+	l, err := s.running()
 	if err != nil {
 		return nil, err
 	}
-	t, err := s.leases.current(l)
+	t, err := s.leases.currentTimer(l)
 	if err != nil {
 		return nil, err
 	}
@@ -183,15 +183,15 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, proveTimeout)
 	defer cancel()
-	p, err := s.leases.own.prove(ctx)
+	p, err := s.leases.leaderProver.prove(ctx)
 	if err == nil {
-		err = s.applied(ctx, p.index)
+		err = s.waitApplied(ctx, p.index)
 	}
 	if err != nil {
 		return nil, err
 	}
 	// The term never goes back: if it is the timer's now, it was all the time.
-	if now, err := s.leases.current(l); err != nil || now != t {
+	if now, err := s.leases.currentTimer(l); err != nil || now != t {
 		return nil, ErrNoLeader
 	}
 	return t, nil
@@ -213,21 +213,21 @@
 		return lease.Lease{}, err
 	}
 	came := s.leases.now()
-	t, err := s.sure(ctx)
+	t, err := s.confirmLeadership(ctx)
 	if err != nil {
 		return lease.Lease{}, err
 	}
 	if w.MaxWait <= 0 {
-		return s.ask(t, w, came)
+		return s.tryAcquire(t, w, came)
 	}
-	defer s.leases.given(w.Name, w.Holder)
+	defer s.leases.granted(w.Name, w.Holder)
 	end := time.NewTimer(w.MaxWait)
 	defer end.Stop()
 	tick := time.NewTicker(waiterLook)
 	defer tick.Stop()
 	for {
-		mine := s.leases.wait(w.Name, w.Holder) // before it is known whether it is given
-		l, err := s.ask(t, w, came)
+		mine := s.leases.awaitGrant(w.Name, w.Holder) // before it is known whether it is given
+		l, err := s.tryAcquire(t, w, came)
 		if !errors.Is(err, lease.ErrHeld) {
 			return l, err
 		}
@@ -243,13 +243,13 @@
 			return lease.Lease{}, err
 		}
 		w.MaxWait = 0 // it may have been given meanwhile
-		return s.ask(t, w, came)
+		return s.tryAcquire(t, w, came)
 	}
 }
 
-// ask gives a lease if it is free or the holder's already, and puts the holder into the
+// tryAcquire gives a lease if it is free or the holder's already, and puts the holder into the
 // queue if it waits. What changes nothing needs no entry of the log.
-func (s *Store) ask(t *lease.Timer, w LeaseRequest, came time.Duration) (l lease.Lease, err error) {
+func (s *Store) tryAcquire(t *lease.Timer, w LeaseRequest, came time.Duration) (l lease.Lease, err error) {
 	needed := true
 	look := func(st *lease.State, now time.Duration) {
 		l, needed, err = t.Ask(st, w.Name, w.Holder, w.MaxWait > 0, came, now)
@@ -276,7 +276,7 @@
 // the leader can.
 func (s *Store) RenewLeases(ctx context.Context, list []lease.Held) (kept map[string]lease.Lease, gone []string, err error) {
 	came := s.leases.now()
-	t, err := s.sure(ctx)
+	t, err := s.confirmLeadership(ctx)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -313,7 +313,7 @@
 // Leases are all that are held, or one, and for how long they go on if nobody keeps them
 // alive; only the leader knows.
 func (s *Store) Leases(ctx context.Context, only string) (all map[string]lease.Lease, left map[string]time.Duration, err error) {
-	t, err := s.sure(ctx)
+	t, err := s.confirmLeadership(ctx)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -332,5 +332,5 @@
 func (s *Store) LastToken() uint64 {
 	s.state.mu.Lock()
 	defer s.state.mu.Unlock()
-	return s.state.kv.Leases.Last
+	return s.state.data.Leases.Last
 }
--- a/internal/cluster/store/members.go
+++ b/internal/cluster/store/members.go
@@ -25,18 +25,18 @@
 // ErrMemberNotFound means that no such member is there.
 var ErrMemberNotFound = errors.New("no such member")
 
-// views is what the leader made of the members last.
-type views struct {
-	mu      sync.Mutex
-	led     time.Time            // since when this node leads, in one go
-	changed time.Time            // when the configuration was last seen to change
-	index   uint64               // of that configuration
-	down    map[string]time.Time // since when a member was not heard of
-	view    membership.View
+// leaderView is what the leader made of the members last.
+type leaderView struct {
+	mu          sync.Mutex
+	leaderSince time.Time            // since when this node leads, in one go
+	changedAt   time.Time            // when the configuration was last seen to change
+	configIndex uint64               // of that configuration
+	downSince   map[string]time.Time // since when a member was not heard of
+	view        membership.View
 }
 
-// lead looks at the members again and again, and takes the next step while this node leads.
-func (s *Store) lead(ctx context.Context, l *life) {
+// manageMembers looks at the members again and again, and takes the next step while this node leads.
+func (s *Store) manageMembers(ctx context.Context, l *incarnation) {
 	tick := time.NewTicker(askEvery)
 	defer tick.Stop()
 	for {
@@ -45,52 +45,52 @@
 			return
 		case <-tick.C:
 		}
-		if !l.leads() {
-			l.view.mu.Lock()
-			l.view.led = time.Time{}
-			l.view.mu.Unlock()
+		if !l.isLeader() {
+			l.members.mu.Lock()
+			l.members.leaderSince = time.Time{}
+			l.members.mu.Unlock()
 			continue
 		}
-		step, conf, index := s.look(l)
+		step, conf, index := s.observeMembers(l)
 		if step.Kind == membership.StepNone {
 			continue
 		}
 		s.log.Info("members change", zap.Stringer("step", step.Kind), zap.String("member", step.ID), zap.String("why", step.Reason))
-		if err := l.step(ctx, step, conf, index); err != nil && ctx.Err() == nil {
+		if err := l.applyStep(ctx, step, conf, index); err != nil && ctx.Err() == nil {
 			s.log.Warn("members did not change", zap.Stringer("step", step.Kind), zap.String("member", step.ID), zap.Error(err))
 		}
 	}
 }
 
-// look makes the leader's view, and gives the next step with the configuration that it
+// observeMembers makes the leader's view, and gives the next step with the configuration that it
 // rests on.
-func (s *Store) look(l *life) (membership.Step, raft.Configuration, uint64) {
-	conf, index := l.conf()
+func (s *Store) observeMembers(l *incarnation) (membership.Step, raft.Configuration, uint64) {
+	conf, index := l.configuration()
 	now := time.Now()
-	l.view.mu.Lock()
-	defer l.view.mu.Unlock()
-	v := &l.view
-	if v.led.IsZero() {
-		v.led, v.changed, v.index, v.down = now, now, index, map[string]time.Time{}
+	l.members.mu.Lock()
+	defer l.members.mu.Unlock()
+	v := &l.members
+	if v.leaderSince.IsZero() {
+		v.leaderSince, v.changedAt, v.configIndex, v.downSince = now, now, index, map[string]time.Time{}
 	}
-	if index != v.index {
-		v.index, v.changed = index, now
+	if index != v.configIndex {
+		v.configIndex, v.changedAt = index, now
 	}
 	// A change must be committed before the next one; Raft sees to that too.
-	v.view = membership.View{Leader: l.id, ChangePending: l.raft.CommitIndex() < index, SinceChange: now.Sub(v.changed)}
+	v.view = membership.View{Leader: l.memberID, ChangePending: l.raft.CommitIndex() < index, SinceChange: now.Sub(v.changedAt)}
 	for _, x := range conf.Servers {
-		v.view.Members = append(v.view.Members, s.seen(l, x, now))
+		v.view.Members = append(v.view.Members, s.observeMember(l, x, now))
 	}
-	s.convert(l, v.view.Members)
+	s.migrateLegacyMembers(l, v.view.Members)
 	return s.cfg.policy().Next(v.view), conf, index
 }
 
-// seen is one member as the leader sees it. The lock of the view is held.
-func (s *Store) seen(l *life, x raft.Server, now time.Time) membership.Member {
+// observeMember is one member as the leader sees it. The lock of the view is held.
+func (s *Store) observeMember(l *incarnation, x raft.Server, now time.Time) membership.Member {
 	id := string(x.ID)
-	p := peerOf(x.ID, x.Address)
+	p := decodePeer(x.ID, x.Address)
 	m := membership.Member{ID: id, Zone: p.Zone, Role: membership.Learner}
-	if own, ok := s.cfg.peer(p.Name); ok && own.Zone != "" && p.Zone == "" {
+	if own, ok := s.cfg.configuredPeer(p.Name); ok && own.Zone != "" && p.Zone == "" {
 		m.Zone = own.Zone
 	}
 	if x.Suffrage == raft.Voter {
@@ -99,38 +99,38 @@
 	_, m.Leaving = s.state.get(kv.GonePart + p.Name)
 	_, m.VotePreferred = s.state.get(kv.VotePart + p.Name)
 	if p.Name == s.self.Name { // nobody asks itself: what bears this node's name is its disk, or one that it had
-		m.Up, m.DiskLost = id == l.id, id != l.id
+		m.Up, m.DiskLost = id == l.memberID, id != l.memberID
 		return m
 	}
-	h, heard := s.peers.last(p.Name)
-	m.Up = heard && h.ID == id && h.State == stateServing
+	h, heard := s.peers.lastReport(p.Name)
+	m.Up = heard && h.ID == id && h.State == peerServing
 	m.DiskLost = heard && h.ID != id && (diskidentity.MemberDisk(h.ID) != "" || diskidentity.MemberDisk(id) != "") && diskidentity.MemberName(h.ID) == p.Name
 	if m.Up {
 		m.Lag = l.raft.LastIndex() - min(l.raft.LastIndex(), h.Mark.LastIndex)
-		delete(l.view.down, id)
+		delete(l.members.downSince, id)
 		return m
 	}
-	since, known := l.view.down[id]
+	since, known := l.members.downSince[id]
 	if !known {
 		since = now
-		l.view.down[id] = now
+		l.members.downSince[id] = now
 	}
 	m.DownFor = now.Sub(since)
 	return m
 }
 
-// convert has members of the version before, known by their names alone, leave one by
+// migrateLegacyMembers has members of the version before, known by their names alone, leave one by
 // one while all is well: each comes back by itself, under the identity of its disk.
-func (s *Store) convert(l *life, members []membership.Member) {
+func (s *Store) migrateLegacyMembers(l *incarnation, members []membership.Member) {
 	next, voters := -1, 0
 	for i, m := range members {
-		if h, _ := s.peers.last(diskidentity.MemberName(m.ID)); !m.Up || m.Lag > lagMost || m.ID != l.id && h.old {
+		if h, _ := s.peers.lastReport(diskidentity.MemberName(m.ID)); !m.Up || m.Lag > lagMost || m.ID != l.memberID && h.legacy {
 			return
 		}
 		if m.Role == membership.Voter {
 			voters++
 		}
-		if diskidentity.MemberDisk(m.ID) == "" && (next < 0 || members[next].ID == l.id) {
+		if diskidentity.MemberDisk(m.ID) == "" && (next < 0 || members[next].ID == l.memberID) {
 			next = i
 		}
 	}
@@ -139,10 +139,10 @@
 	}
 }
 
-// step carries one change out. It takes effect only on the configuration that it was
+// applyStep carries one change out. It takes effect only on the configuration that it was
 // decided on: another leader's change makes it fail.
-func (l *life) step(ctx context.Context, step membership.Step, conf raft.Configuration, index uint64) error {
-	x, ok := serverOf(conf, step.ID)
+func (l *incarnation) applyStep(ctx context.Context, step membership.Step, conf raft.Configuration, index uint64) error {
+	x, ok := findServer(conf, step.ID)
 	if !ok {
 		return fmt.Errorf("%w: %s", ErrMemberNotFound, step.ID)
 	}
@@ -150,13 +150,13 @@
 	defer cancel()
 	switch step.Kind {
 	case membership.StepPromote:
-		return done(ctx, l.raft.AddVoter(x.ID, x.Address, index, storeapi.ApplyTime))
+		return awaitFuture(ctx, l.raft.AddVoter(x.ID, x.Address, index, storeapi.ApplyTime))
 	case membership.StepDemote:
-		return done(ctx, l.raft.DemoteVoter(x.ID, index, storeapi.ApplyTime))
+		return awaitFuture(ctx, l.raft.DemoteVoter(x.ID, index, storeapi.ApplyTime))
 	case membership.StepRemove:
-		return done(ctx, l.raft.RemoveServer(x.ID, index, storeapi.ApplyTime))
+		return awaitFuture(ctx, l.raft.RemoveServer(x.ID, index, storeapi.ApplyTime))
 	case membership.StepTransfer:
-		return done(ctx, l.raft.LeadershipTransferToServer(x.ID, x.Address))
+		return awaitFuture(ctx, l.raft.LeadershipTransferToServer(x.ID, x.Address))
 	}
 	return nil
 }
@@ -170,11 +170,11 @@
 	if disk := diskidentity.MemberDisk(j.ID); disk == "" || strings.ContainsAny(disk+p.Zone, "@|#") || len(j.ID)+len(p.Zone) > kv.KeyBytes {
 		return fmt.Errorf("%w: id: want a name, @ and a disk; zone: no |", kv.ErrRequest)
 	}
-	l, err := s.alive()
+	l, err := s.running()
 	if err != nil {
 		return err
 	}
-	if !l.leads() {
+	if !l.isLeader() {
 		return ErrNoLeader
 	}
 	if _, err := s.WaitFresh(ctx, Freshness{}); err != nil { // who was removed is known
@@ -183,17 +183,17 @@
 	if _, ok := s.state.get(kv.LeasesKey); ok && !j.Leases {
 		return fmt.Errorf("%w: this cluster has leases, which %s does not know", ErrMemberRejected, j.ID)
 	}
-	conf, index := l.conf()
-	if _, ok := serverOf(conf, j.ID); ok {
+	conf, index := l.configuration()
+	if _, ok := findServer(conf, j.ID); ok {
 		return nil // asked again
 	}
 	if l.raft.CommitIndex() < index {
 		return errors.New("a change of the members is not committed yet")
 	}
-	members, _ := idsOf(conf)
+	members, _ := memberIDs(conf)
 	up := func(id string) bool {
-		h, now := s.peers.last(diskidentity.MemberName(id))
-		return id == l.id || now && h.ID == id
+		h, now := s.peers.lastReport(diskidentity.MemberName(id))
+		return id == l.memberID || now && h.ID == id
 	}
 	if why := diskidentity.CheckJoin(j.ID, members, s.removedNames(), up, membersMost); why != "" {
 		return fmt.Errorf("%w: %s", ErrMemberRejected, why)
@@ -201,11 +201,11 @@
 	s.log.Info("members change", zap.String("step", "learner"), zap.String("member", j.ID))
 	ctx, cancel := context.WithTimeout(ctx, storeapi.ApplyTime)
 	defer cancel()
-	return done(ctx, l.raft.AddNonvoter(raft.ServerID(j.ID), addressOf(p, j.ID), index, storeapi.ApplyTime))
+	return awaitFuture(ctx, l.raft.AddNonvoter(raft.ServerID(j.ID), encodeAddress(p, j.ID), index, storeapi.ApplyTime))
 }
 
 func (s *Store) removedNames() (names []string) {
-	all, _ := s.state.all()
+	all, _ := s.state.entries()
 	for key := range all {
 		if name, ok := strings.CutPrefix(key, kv.GonePart); ok {
 			names = append(names, name)
@@ -217,25 +217,25 @@
 
 // Members is the leader's view, and what it does next.
 func (s *Store) Members(ctx context.Context) (out storeapi.Members, err error) {
-	l, err := s.alive()
+	l, err := s.running()
 	if err != nil {
 		return out, err
 	}
-	if !l.leads() {
+	if !l.isLeader() {
 		return out, ErrNoLeader
 	}
 	if _, err := s.WaitFresh(ctx, Freshness{}); err != nil {
 		return out, err
 	}
-	step, conf, index := s.look(l)
-	l.view.mu.Lock()
-	view := l.view.view
-	l.view.mu.Unlock()
+	step, conf, index := s.observeMembers(l)
+	l.members.mu.Lock()
+	view := l.members.view
+	l.members.mu.Unlock()
 	out = storeapi.Members{Leader: s.self.Name, Index: index, Voters: s.cfg.policy().Voters, Removed: s.removedNames()}
 	for _, m := range view.Members {
-		x, _ := serverOf(conf, m.ID)
+		x, _ := findServer(conf, m.ID)
 		row := storeapi.Member{Name: diskidentity.MemberName(m.ID), ID: m.ID, Zone: m.Zone, Role: m.Role.String(), Behind: m.Lag,
-			State: stateOf(m, l.id), Admin: peerOf(x.ID, x.Address).Admin}
+			State: memberStateOf(m, l.memberID), Admin: decodePeer(x.ID, x.Address).Admin}
 		if step.ID == m.ID {
 			row.Next, row.Why = step.Kind.String(), step.Reason
 		}
@@ -245,7 +245,7 @@
 	return out, nil
 }
 
-func stateOf(m membership.Member, leader string) string {
+func memberStateOf(m membership.Member, leader string) string {
 	switch {
 	case m.DiskLost:
 		return "lost"
@@ -262,15 +262,15 @@
 // RemoveMember has a node lose its vote and its place, and not be taken in again. The
 // wish is in the log: a leader that dies over it leaves it to the next.
 func (s *Store) RemoveMember(name string) error {
-	l, err := s.alive()
+	l, err := s.running()
 	if err != nil {
 		return err
 	}
-	if !l.leads() {
+	if !l.isLeader() {
 		return ErrNoLeader
 	}
-	conf, _ := l.conf()
-	members, voters := idsOf(conf)
+	conf, _ := l.configuration()
+	members, voters := memberIDs(conf)
 	has := func(list []string) bool {
 		return slices.ContainsFunc(list, func(id string) bool { return diskidentity.MemberName(id) == name })
 	}
@@ -280,7 +280,7 @@
 	case has(voters) && len(voters) == 1:
 		return fmt.Errorf("%w: %s is the only voter", ErrMemberRejected, name)
 	}
-	return s.wish(kv.GonePart+name, kv.VotePart+name)
+	return s.recordIntent(kv.GonePart+name, kv.VotePart+name)
 }
 
 // AddMember lets a node that was removed ask for a place again.
@@ -288,22 +288,22 @@
 	if !nameForm.MatchString(name) {
 		return fmt.Errorf("%w: name: %q", kv.ErrRequest, name)
 	}
-	return s.wish("", kv.GonePart+name)
+	return s.recordIntent("", kv.GonePart+name)
 }
 
 // PromoteMember has a node have a vote rather than one that nobody asked for.
 func (s *Store) PromoteMember(name string) error {
-	l, err := s.alive()
+	l, err := s.running()
 	if err != nil {
 		return err
 	}
-	conf, _ := l.conf()
-	members, _ := idsOf(conf)
+	conf, _ := l.configuration()
+	members, _ := memberIDs(conf)
 	if !slices.ContainsFunc(members, func(id string) bool { return diskidentity.MemberName(id) == name }) {
 		return fmt.Errorf("%w: %s", ErrMemberNotFound, name)
 	}
 	wanted := 0
-	all, _ := s.state.all()
+	all, _ := s.state.entries()
 	for key := range all {
 		if strings.HasPrefix(key, kv.VotePart) && key != kv.VotePart+name {
 			wanted++
@@ -312,11 +312,11 @@
 	if most := s.cfg.policy().Voters; wanted >= most {
 		return fmt.Errorf("%w: %d others are wanted as voters already, of %d", ErrMemberRejected, wanted, most)
 	}
-	return s.wish(kv.VotePart+name, "")
+	return s.recordIntent(kv.VotePart+name, "")
 }
 
-// wish puts one key and deletes another.
-func (s *Store) wish(put, del string) error {
+// recordIntent puts one key and deletes another.
+func (s *Store) recordIntent(put, del string) error {
 	var r kv.Request
 	if put != "" {
 		text, _ := json.Marshal(time.Now().UTC().Format(time.RFC3339))
--- a/internal/cluster/store/members_test.go
+++ b/internal/cluster/store/members_test.go
@@ -22,21 +22,21 @@
 	addr, wire := raft.NewInmemTransport("")
 	require.NoError(t, raft.BootstrapCluster(rc, logs, logs, raft.NewInmemSnapshotStore(), wire,
 		raft.Configuration{Servers: []raft.Server{{ID: "a@1", Address: addr}}}))
-	r, err := raft.NewRaft(rc, newState(), logs, logs, raft.NewInmemSnapshotStore(), wire)
+	r, err := raft.NewRaft(rc, newReplicatedState(), logs, logs, raft.NewInmemSnapshotStore(), wire)
 	require.NoError(t, err)
 	t.Cleanup(func() { r.Shutdown().Error() })
 	require.Eventually(t, func() bool { return r.State() == raft.Leader }, 10*time.Second, 5*time.Millisecond)
-	l := &life{raft: r}
+	l := &incarnation{raft: r}
 	first := r.AddNonvoter("b@1", "b", 0, time.Second)
 	require.NoError(t, first.Error())
 	conf := r.GetConfiguration().Configuration()
 	second := r.AddNonvoter("c@1", "c", first.Index(), time.Second)
 	require.NoError(t, second.Error())
 	for _, s := range []membership.Step{{Kind: membership.StepRemove, ID: "b@1"}, {Kind: membership.StepPromote, ID: "b@1"}} {
-		require.ErrorContains(t, l.step(t.Context(), s, conf, first.Index()), "configuration changed")
+		require.ErrorContains(t, l.applyStep(t.Context(), s, conf, first.Index()), "configuration changed")
 	}
-	require.NoError(t, l.step(t.Context(), membership.Step{Kind: membership.StepRemove, ID: "b@1"}, conf, second.Index()))
-	require.ErrorIs(t, l.step(t.Context(), membership.Step{Kind: membership.StepRemove, ID: "x@1"}, conf, 0), ErrMemberNotFound)
+	require.NoError(t, l.applyStep(t.Context(), membership.Step{Kind: membership.StepRemove, ID: "b@1"}, conf, second.Index()))
+	require.ErrorIs(t, l.applyStep(t.Context(), membership.Step{Kind: membership.StepRemove, ID: "x@1"}, conf, 0), ErrMemberNotFound)
 }
 
 // TestOwnOldDisk: a leader knows that a disk that it had before is gone, though it asks
@@ -45,9 +45,9 @@
 	a := Peer{Name: "a", Raft: "127.0.0.1:1", Admin: "127.0.0.1:2"}
 	s, err := New(Config{Node: "a", Dir: t.TempDir(), Peers: []Peer{a}}, zap.NewNop())
 	require.NoError(t, err)
-	l := &life{s: s, id: "a@2"}
+	l := &incarnation{store: s, memberID: "a@2"}
 	for id, lost := range map[string]bool{"a@1": true, "a@2": false} {
-		m := s.seen(l, raft.Server{ID: raft.ServerID(id), Address: addressOf(a, id)}, time.Now())
+		m := s.observeMember(l, raft.Server{ID: raft.ServerID(id), Address: encodeAddress(a, id)}, time.Now())
 		require.Equal(t, lost, m.DiskLost, id)
 		require.Equal(t, !lost, m.Up, id)
 	}
--- a/internal/cluster/store/mirror.go
+++ b/internal/cluster/store/mirror.go
@@ -29,40 +29,40 @@
 var drivers = map[string]string{"sqlite": "sqlite", "postgres": "pgx"}
 
 const (
-	createTable = `CREATE TABLE IF NOT EXISTS oxbowbridge_store (name TEXT PRIMARY KEY, value TEXT, idx BIGINT NOT NULL)`
+	createRecordTable = `CREATE TABLE IF NOT EXISTS oxbowbridge_store (name TEXT PRIMARY KEY, value TEXT, idx BIGINT NOT NULL)`
 	// A row that an older leader writes late doesn't go back in time.
-	upsertRow = `INSERT INTO oxbowbridge_store (name, value, idx) VALUES ($1, $2, $3)
+	upsertRecord = `INSERT INTO oxbowbridge_store (name, value, idx) VALUES ($1, $2, $3)
 ON CONFLICT (name) DO UPDATE SET value = excluded.value, idx = excluded.idx WHERE oxbowbridge_store.idx <= excluded.idx`
-	selectRows  = `SELECT name, value, idx FROM oxbowbridge_store ORDER BY name`
-	createFence = `CREATE TABLE IF NOT EXISTS oxbowbridge_lease (name TEXT PRIMARY KEY, token BIGINT NOT NULL)`
+	selectRecords    = `SELECT name, value, idx FROM oxbowbridge_store ORDER BY name`
+	createFenceTable = `CREATE TABLE IF NOT EXISTS oxbowbridge_lease (name TEXT PRIMARY KEY, token BIGINT NOT NULL)`
 	// No row is affected if a higher token was here.
-	fenceRow = `INSERT INTO oxbowbridge_lease (name, token) VALUES ($1, $2)
+	advanceFence = `INSERT INTO oxbowbridge_lease (name, token) VALUES ($1, $2)
 ON CONFLICT (name) DO UPDATE SET token = excluded.token WHERE oxbowbridge_lease.token <= excluded.token`
 	// Rows of an earlier life of the store, whose log counted on from elsewhere.
-	resetRows = `UPDATE oxbowbridge_store SET idx = 0`
+	resetIndexes = `UPDATE oxbowbridge_store SET idx = 0`
 )
 
 // ErrStaleToken means that the store of record has seen a higher token of the lease under
 // which it is written: another one writes it now.
 var ErrStaleToken = errors.New("the store of record knows a higher token")
 
-// mirror keeps the store of record: whoever has its lease writes to it whatever it has not
+// sqlMirror keeps the store of record: whoever has its lease writes to it whatever it has not
 // got. While the database is away the store goes on, and catches up after.
-type mirror struct {
+type sqlMirror struct {
 	store *Store
 
-	mu     sync.Mutex
-	index  uint64 // all up to it is written
-	failed error
+	mu           sync.Mutex
+	writtenIndex uint64 // all up to it is written
+	lastError    error
 }
 
-func (m *mirror) progress() (uint64, string) {
+func (m *sqlMirror) progress() (uint64, string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.failed != nil {
-		return m.index, m.failed.Error()
+	if m.lastError != nil {
+		return m.writtenIndex, m.lastError.Error()
 	}
-	return m.index, ""
+	return m.writtenIndex, ""
 }
 
 // HasSQLRecord tells whether the node is set up to write to a store of record.
@@ -77,14 +77,14 @@
 	}
 	defer db.Close()
 	db.SetMaxOpenConns(1)
-	run := &mirrorRun{mirror: m, db: db, held: held}
+	run := &mirrorSession{sqlMirror: m, db: db, fence: held}
 	wait, since := mirrorEvery, time.Time{} // since when it fails
 	for first := true; ; {
-		err := run.step(ctx, first)
+		err := run.sync(ctx, first)
 		m.mu.Lock()
-		fails := err != nil && m.failed == nil
-		back := err == nil && m.failed != nil
-		m.failed = err
+		fails := err != nil && m.lastError == nil
+		back := err == nil && m.lastError != nil
+		m.lastError = err
 		m.mu.Unlock()
 		switch {
 		case ctx.Err() != nil:
@@ -101,7 +101,7 @@
 		} else if wait = min(2*wait, mirrorMost); errors.Is(err, ErrStaleToken) || time.Since(since) > mirrorGiveUp {
 			return err // another node may fare better
 		}
-		changed := s.state.changed
+		changed := s.state.dirty
 		if err != nil {
 			changed = nil
 		}
@@ -114,25 +114,25 @@
 	}
 }
 
-// mirrorRun is the time for which this node writes under one token.
-type mirrorRun struct {
-	*mirror
-	db   *sql.DB
-	held lease.Held
+// mirrorSession is the time for which this node writes under one token.
+type mirrorSession struct {
+	*sqlMirror
+	db    *sql.DB
+	fence lease.Held
 }
 
-// begin starts a transaction, unless the database knows a higher token. Until it ends, no
+// beginFenced starts a transaction, unless the database knows a higher token. Until it ends, no
 // other token gets in.
-func (m *mirrorRun) begin(ctx context.Context) (*sql.Tx, error) {
+func (m *mirrorSession) beginFenced(ctx context.Context) (*sql.Tx, error) {
 	tx, err := m.db.BeginTx(ctx, nil)
 	if err != nil {
 		return nil, fmt.Errorf("begin: %w", err)
 	}
-	res, err := tx.ExecContext(ctx, fenceRow, m.held.Name, int64(m.held.Token))
+	res, err := tx.ExecContext(ctx, advanceFence, m.fence.Name, int64(m.fence.Token))
 	if err == nil {
 		var n int64
 		if n, err = res.RowsAffected(); err == nil && n == 0 {
-			err = fmt.Errorf("%w than %d", ErrStaleToken, m.held.Token)
+			err = fmt.Errorf("%w than %d", ErrStaleToken, m.fence.Token)
 		}
 	}
 	if err != nil {
@@ -142,36 +142,36 @@
 	return tx, nil
 }
 
-// step writes what is missing. One that is new to it first takes over what only the
+// sync writes what is missing. One that is new to it first takes over what only the
 // database has, as when all nodes lost their disks, and then writes everything:
 // it can't know what the one before it wrote.
-func (m *mirrorRun) step(ctx context.Context, takeOver bool) error {
+func (m *mirrorSession) sync(ctx context.Context, takeOver bool) error {
 	ctx, cancel := context.WithTimeout(ctx, sqlTimeout)
 	defer cancel()
 	from, _ := m.progress()
 	if takeOver {
 		from = 0
-		for _, create := range []string{createTable, createFence} {
+		for _, create := range []string{createRecordTable, createFenceTable} {
 			if _, err := m.db.ExecContext(ctx, create); err != nil {
 				return fmt.Errorf("create table: %w", err)
 			}
 		}
-		if err := m.takeOver(ctx); err != nil {
+		if err := m.importMissing(ctx); err != nil {
 			return err
 		}
 	}
-	missing := m.store.state.since(from)
+	missing := m.store.state.entriesAfter(from)
 	if len(missing) == 0 {
 		return nil
 	}
-	tx, err := m.begin(ctx)
+	tx, err := m.beginFenced(ctx)
 	if err != nil {
 		return err
 	}
 	defer tx.Rollback()
 	for key, e := range missing {
 		value := sql.NullString{String: string(e.Value), Valid: !e.Gone}
-		if _, err := tx.ExecContext(ctx, upsertRow, key, value, int64(e.Index)); err != nil {
+		if _, err := tx.ExecContext(ctx, upsertRecord, key, value, int64(e.Index)); err != nil {
 			return fmt.Errorf("write %s: %w", key, err)
 		}
 		from = max(from, e.Index)
@@ -180,18 +180,18 @@
 		return fmt.Errorf("commit: %w", err)
 	}
 	m.mu.Lock()
-	m.index = from
+	m.writtenIndex = from
 	m.mu.Unlock()
 	return nil
 }
 
-// takeOver takes keys from the database that the store has never heard of.
-func (m *mirrorRun) takeOver(ctx context.Context) error {
+// importMissing takes keys from the database that the store has never heard of.
+func (m *mirrorSession) importMissing(ctx context.Context) error {
 	if _, err := m.store.WaitFresh(ctx, Freshness{}); err != nil {
 		return fmt.Errorf("wait for the log: %w", err)
 	}
-	known, last := m.store.state.since(0), m.store.AppliedRevision()
-	rows, err := m.db.QueryContext(ctx, selectRows)
+	known, last := m.store.state.entriesAfter(0), m.store.AppliedRevision()
+	rows, err := m.db.QueryContext(ctx, selectRecords)
 	if err != nil {
 		return fmt.Errorf("read rows: %w", err)
 	}
@@ -207,7 +207,7 @@
 		}
 		earlier = earlier || uint64(index) > last
 		if _, ok := known[key]; !ok && value.Valid && !strings.HasPrefix(key, kv.Reserved) {
-			missing = append(missing, kv.Request{Fence: []lease.Held{m.held}, If: []kv.Compare{{Key: key}},
+			missing = append(missing, kv.Request{Fence: []lease.Held{m.fence}, If: []kv.Compare{{Key: key}},
 				Then: []kv.Op{{Do: "put", Key: key, Value: json.RawMessage(value.String)}}})
 		}
 	}
@@ -216,12 +216,12 @@
 	}
 	rows.Close()
 	if earlier {
-		tx, err := m.begin(ctx)
+		tx, err := m.beginFenced(ctx)
 		if err != nil {
 			return err
 		}
 		defer tx.Rollback()
-		if _, err := tx.ExecContext(ctx, resetRows); err != nil {
+		if _, err := tx.ExecContext(ctx, resetIndexes); err != nil {
 			return fmt.Errorf("reset rows: %w", err)
 		}
 		if err := tx.Commit(); err != nil {
--- a/internal/cluster/store/peers.go
+++ b/internal/cluster/store/peers.go
@@ -28,79 +28,79 @@
 	ledgerMost = 256                     // disks in it
 )
 
-// heard is the last that a peer said.
-type heard struct {
+// peerReport is the last that a peer said.
+type peerReport struct {
 	storeapi.Self
-	at  time.Time // of the answer; zero if there was none
-	old bool      // of the version before, which says less
-	err error
+	receivedAt time.Time // of the answer; zero if there was none
+	legacy     bool      // of the version before, which says less
+	err        error
 }
 
 // peers asks the other nodes, again and again, what they are: the leader decides on
 // members by it, each node keeps how far it has seen the others' disks, and a node that
 // starts learns whether its own is behind.
 type peers struct {
-	s      *Store
-	client *storeclient.Client
-	ctx    context.Context
-	asked  sync.WaitGroup
+	store   *Store
+	client  *storeclient.Client
+	ctx     context.Context
+	pollers sync.WaitGroup
 
-	mu     sync.Mutex
-	asking map[string]Peer // by name; each has a goroutine
-	said   map[string]heard
-	seen   ledger
-	dirty  bool
-	news   chan struct{} // closed at the next answer
+	mu       sync.Mutex
+	targets  map[string]Peer // by name; each has a goroutine
+	reports  map[string]peerReport
+	observed watermarks
+	unsaved  bool
+	changed  chan struct{} // closed at the next answer
 }
 
 func newPeers(ctx context.Context, s *Store) *peers {
 	c := storeclient.New(nil)
 	c.HTTP = &http.Client{Timeout: askTime}
-	return &peers{s: s, client: c, ctx: ctx, asking: map[string]Peer{}, said: map[string]heard{}, seen: ledger{}, news: make(chan struct{})}
+	return &peers{store: s, client: c, ctx: ctx, targets: map[string]Peer{}, reports: map[string]peerReport{}, observed: watermarks{}, changed: make(chan struct{})}
 }
 
 // follow asks whom the file and the configuration name. What the file says goes first.
 func (p *peers) follow(list []Peer) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, x := range append(append([]Peer(nil), p.s.cfg.Peers...), list...) {
-		if x.Name == p.s.self.Name {
+	for _, x := range append(append([]Peer(nil), p.store.cfg.Peers...), list...) {
+		if x.Name == p.store.self.Name {
 			continue
 		}
-		if own, ok := p.s.cfg.peer(x.Name); ok {
+		if own, ok := p.store.cfg.configuredPeer(x.Name); ok {
 			x.Admin = own.Admin
 		}
-		was, known := p.asking[x.Name]
-		if x.Admin == "" || known && was.Admin == x.Admin || !known && len(p.asking) >= 2*membersMost {
+		was, known := p.targets[x.Name]
+		if x.Admin == "" || known && was.Admin == x.Admin || !known && len(p.targets) >= 2*membersMost {
 			continue
 		}
-		if p.asking[x.Name] = x; !known {
-			p.asked.Add(1)
-			go p.ask(x.Name)
+		if p.targets[x.Name] = x; !known {
+			p.pollers.Add(1)
+			go p.poll(x.Name)
 		}
 	}
 }
 
-// admin is where a node is asked.
-func (p *peers) admin(name string) (string, bool) {
+// adminAddress is where a node is asked.
+func (p *peers) adminAddress(name string) (string, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	x, ok := p.asking[name]
+	x, ok := p.targets[name]
 	return x.Admin, ok
 }
 
-func (p *peers) ask(name string) {
-	defer p.asked.Done()
+func (p *peers) poll(name string) {
+	defer p.pollers.Done()
 	tick := time.NewTicker(askEvery)
 	defer tick.Stop()
 	for {
-		addr, _ := p.admin(name)
-		id := p.s.id()
-		self, old, err := p.one(addr, id)
-		p.take(name, id, self, old, err)
+		addr, _ := p.adminAddress(name)
+		id := p.store.memberID()
+		self, old, err := p.fetch(addr, id)
+		p.record(name, id, self, old, err)
 		var others []Peer
 		for id, addr := range self.Addresses {
-			others = append(others, peerOf(raft.ServerID(id), raft.ServerAddress(addr)))
+			others = append(others, decodePeer(raft.ServerID(id), raft.ServerAddress(addr)))
 		}
 		p.follow(others)
 		select {
@@ -111,8 +111,8 @@
 	}
 }
 
-// one asks a node for itself. One of the version before only tells its status.
-func (p *peers) one(addr, id string) (self storeapi.Self, old bool, err error) {
+// fetch asks a node for itself. One of the version before only tells its status.
+func (p *peers) fetch(addr, id string) (self storeapi.Self, old bool, err error) {
 	ctx, cancel := context.WithTimeout(p.ctx, askTime)
 	defer cancel()
 	err = p.client.One(ctx, addr, http.MethodGet, "/self?from="+url.QueryEscape(id), nil, &self)
@@ -124,138 +124,138 @@
 	if err = p.client.One(ctx, addr, http.MethodGet, "/status", nil, &st); err != nil {
 		return self, true, err
 	}
-	self.ID, self.Cluster, self.State = st.Node, st.Cluster, stateServing
+	self.ID, self.Cluster, self.State = st.Node, st.Cluster, peerServing
 	self.Mark.LastIndex, self.Applied = st.Last, st.Applied
 	return self, true, nil
 }
 
-func (p *peers) take(name, asker string, self storeapi.Self, old bool, err error) {
+func (p *peers) record(name, asker string, self storeapi.Self, old bool, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if asker != p.s.id() {
+	if asker != p.store.memberID() {
 		return // it was said of another disk
 	}
 	defer func() {
-		close(p.news)
-		p.news = make(chan struct{})
+		close(p.changed)
+		p.changed = make(chan struct{})
 	}()
 	if err != nil {
-		h := p.said[name]
+		h := p.reports[name]
 		h.err = err
-		p.said[name] = h
+		p.reports[name] = h
 		return
 	}
-	if own := p.s.cluster.id(); own != "" && self.Cluster != "" && own != self.Cluster {
-		p.s.cluster.found(name, self.Cluster, p.s.log)
+	if own := p.store.identity.get(); own != "" && self.Cluster != "" && own != self.Cluster {
+		p.store.identity.addForeign(name, self.Cluster, p.store.log)
 	} else {
-		p.s.cluster.lost(name)
+		p.store.identity.removeForeign(name)
 		if disk := diskidentity.MemberDisk(self.ID); disk != "" {
-			was, known := p.seen[self.ID]
-			if now := was.Max(self.Mark); now != was && (known || len(p.seen) < ledgerMost) {
-				p.seen[self.ID], p.dirty = now, true
+			was, known := p.observed[self.ID]
+			if now := was.Max(self.Mark); now != was && (known || len(p.observed) < ledgerMost) {
+				p.observed[self.ID], p.unsaved = now, true
 			}
 		}
 	}
-	p.said[name] = heard{Self: self, at: time.Now(), old: old}
+	p.reports[name] = peerReport{Self: self, receivedAt: time.Now(), legacy: old}
 }
 
-// forget drops what was said of a disk that this node no longer has.
-func (p *peers) forget() {
+// forgetReports drops what was said of a disk that this node no longer has.
+func (p *peers) forgetReports() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	clear(p.said)
+	clear(p.reports)
 }
 
-// last is what a node said last, and whether that was just now.
-func (p *peers) last(name string) (h heard, now bool) {
+// lastReport is what a node said last, and whether that was just now.
+func (p *peers) lastReport(name string) (h peerReport, now bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	h = p.said[name]
-	return h, !h.at.IsZero() && time.Since(h.at) < heardTime
+	h = p.reports[name]
+	return h, !h.receivedAt.IsZero() && time.Since(h.receivedAt) < heardTime
 }
 
-// checks are what the other voters said of their states of late, and how many voters there are.
-func (p *peers) checks(conf raft.Configuration, own string) (list []kv.Checks, voters int) {
+// checksums are what the other voters said of their states of late, and how many voters there are.
+func (p *peers) checksums(conf raft.Configuration, own string) (list []kv.Checks, voters int) {
 	for _, x := range conf.Servers {
 		id := string(x.ID)
 		if x.Suffrage != raft.Voter {
 			continue
 		}
 		voters++
-		if h, now := p.last(diskidentity.MemberName(id)); id != own && now && h.ID == id {
+		if h, now := p.lastReport(diskidentity.MemberName(id)); id != own && now && h.ID == id {
 			list = append(list, h.Checks)
 		}
 	}
 	return list, voters
 }
 
-// words are the answers that count at a start; all tells whether each node was asked at
+// attestations are the answers that count at a start; all tells whether each node was asked at
 // least once, and answered or could not.
-func (p *peers) words() (words map[string]diskidentity.Attestation, all bool, news <-chan struct{}) {
+func (p *peers) attestations() (words map[string]diskidentity.Attestation, all bool, news <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	words, all = map[string]diskidentity.Attestation{}, true
-	for name := range p.asking {
-		if h := p.said[name]; h.at.IsZero() && h.err == nil {
+	for name := range p.targets {
+		if h := p.reports[name]; h.receivedAt.IsZero() && h.err == nil {
 			all = false
 		}
 	}
-	for name, h := range p.said {
-		if !h.at.IsZero() && !h.old && time.Since(h.at) < heardTime {
+	for name, h := range p.reports {
+		if !h.receivedAt.IsZero() && !h.legacy && time.Since(h.receivedAt) < heardTime {
 			words[name] = h.Attestation
 		}
 	}
-	return words, all, p.news
+	return words, all, p.changed
 }
 
-// of is the most that was seen of a disk.
-func (p *peers) of(id string) *diskidentity.Watermark {
+// observedWatermark is the most that was seen of a disk.
+func (p *peers) observedWatermark(id string) *diskidentity.Watermark {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if m, ok := p.seen[id]; ok {
+	if m, ok := p.observed[id]; ok {
 		return &m
 	}
 	return nil
 }
 
-// keep writes the ledger to this node's disk, if it changed.
-func (p *peers) keep(l *life) {
+// saveWatermarks writes the ledger to this node's disk, if it changed.
+func (p *peers) saveWatermarks(l *incarnation) {
 	p.mu.Lock()
 	var text []byte
-	if p.dirty {
-		text, _ = json.Marshal(p.seen) // numbers under names
-		p.dirty = false
+	if p.unsaved {
+		text, _ = json.Marshal(p.observed) // numbers under names
+		p.unsaved = false
 	}
 	p.mu.Unlock()
 	if text == nil {
 		return
 	}
-	if err := l.disk.PutLocalUnsynced(keptSeen, text); err != nil {
-		p.s.log.Warn("marks of other disks not kept", zap.Error(err))
+	if err := l.storage.PutLocalUnsynced(localWatermarks, text); err != nil {
+		p.store.log.Warn("marks of other disks not kept", zap.Error(err))
 	}
 }
 
-// load takes what this node's disk remembers of others.
-func (p *peers) load(l ledger) {
+// loadWatermarks takes what this node's disk remembers of others.
+func (p *peers) loadWatermarks(l watermarks) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id, m := range l {
-		p.seen[id] = p.seen[id].Max(m)
+		p.observed[id] = p.observed[id].Max(m)
 	}
 }
 
-// join asks the cluster for a place, at each node that serves until one says yes.
-func (p *peers) join(ctx context.Context, l *life) error {
-	ask := storeapi.Join{ID: l.id, Raft: p.s.self.Raft, Admin: p.s.self.Admin, Zone: p.s.self.Zone, Leases: true}
+// requestJoin asks the cluster for a place, at each node that serves until one says yes.
+func (p *peers) requestJoin(ctx context.Context, l *incarnation) error {
+	ask := storeapi.Join{ID: l.memberID, Raft: p.store.self.Raft, Admin: p.store.self.Admin, Zone: p.store.self.Zone, Leases: true}
 	text, err := json.Marshal(ask)
 	if err != nil {
 		return err
 	}
 	p.mu.Lock()
 	var addrs []string
-	for name, h := range p.said {
-		if h.State == stateServing && time.Since(h.at) < heardTime {
-			addrs = append(addrs, p.asking[name].Admin)
+	for name, h := range p.reports {
+		if h.State == peerServing && time.Since(h.receivedAt) < heardTime {
+			addrs = append(addrs, p.targets[name].Admin)
 		}
 	}
 	p.mu.Unlock()
--- a/internal/cluster/store/recover.go
+++ b/internal/cluster/store/recover.go
@@ -39,28 +39,28 @@
 
 // Inspect reads the folder of a stopped node.
 func Inspect(cfg Config) (left RecoveryReport, err error) {
-	r, err := openLeft(cfg)
+	r, err := openStopped(cfg)
 	if err != nil {
 		return left, err
 	}
-	return r.left, r.disk.Close()
+	return r.report, r.storage.Close()
 }
 
 // Recover makes a cluster of one of the folder of a stopped node, if the old cluster's id
 // is given as confirmation. It is another cluster with another id: members of the old one
 // can't come back into it. What is in this node's log counts as committed.
 func Recover(cfg Config, cluster string) (left RecoveryReport, err error) {
-	r, err := openLeft(cfg)
+	r, err := openStopped(cfg)
 	if err != nil {
 		return left, err
 	}
-	defer func() { err = errors.Join(err, r.disk.Close()) }()
-	left = r.left
+	defer func() { err = errors.Join(err, r.storage.Close()) }()
+	left = r.report
 	if cluster != left.Cluster || cluster == "" {
 		return left, fmt.Errorf("%w: this is of cluster %q", ErrNotConfirmed, left.Cluster)
 	}
 	self, _ := cfg.self()
-	id, err := renew(r.disk, self.Name)
+	id, err := renewIdentity(r.storage, self.Name)
 	if err != nil {
 		return left, err
 	}
@@ -71,75 +71,75 @@
 	rc.LocalID = raft.ServerID(id)
 	rc.Logger = hclog.New(&hclog.LoggerOptions{Output: io.Discard})
 	_, transport := raft.NewInmemTransport("")
-	conf := raft.Configuration{Servers: []raft.Server{{ID: raft.ServerID(id), Address: addressOf(self, id)}}}
-	as := &recovered{state: newState(), id: left.NewCluster, was: cluster}
-	if err := raft.RecoverCluster(rc, as, r.disk, r.disk, r.disk, transport, conf); err != nil {
+	conf := raft.Configuration{Servers: []raft.Server{{ID: raft.ServerID(id), Address: encodeAddress(self, id)}}}
+	as := &recoveredState{replicatedState: newReplicatedState(), clusterID: left.NewCluster, previousCluster: cluster}
+	if err := raft.RecoverCluster(rc, as, r.storage, r.storage, r.storage, transport, conf); err != nil {
 		return left, fmt.Errorf("recover: %w", err)
 	}
-	if err := r.disk.PutLocal(kv.ClusterKey, []byte(left.NewCluster)); err != nil {
+	if err := r.storage.PutLocal(kv.ClusterKey, []byte(left.NewCluster)); err != nil {
 		return left, fmt.Errorf("keep cluster id: %w", err)
 	}
 	return left, nil
 }
 
-type leftover struct {
-	disk *raftstorage.Storage
-	left RecoveryReport
+type stoppedNode struct {
+	storage *raftstorage.Storage
+	report  RecoveryReport
 }
 
-func openLeft(cfg Config) (r leftover, err error) {
+func openStopped(cfg Config) (r stoppedNode, err error) {
 	if err := cfg.Check(); err != nil {
 		return r, err
 	}
 	self, _ := cfg.self()
 	s := &Store{cfg: cfg, self: self, log: zap.NewNop()}
-	if r.disk, _, err = openFolder(cfg.Dir); err != nil {
+	if r.storage, _, err = openFolder(cfg.Dir); err != nil {
 		return r, fmt.Errorf("dir: %w", err)
 	}
 	defer func() {
 		if err != nil {
-			r.disk.Close()
+			r.storage.Close()
 		}
 	}()
-	cluster, err := readClusterID(r.disk)
+	cluster, err := readClusterID(r.storage)
 	if err != nil {
 		return r, err
 	}
-	s.cluster.set(cluster)
-	f, err := s.readFolder(r.disk)
+	s.identity.set(cluster)
+	f, err := s.readFolder(r.storage)
 	if err != nil {
 		return r, err
 	}
-	if f.own.Empty {
+	if f.local.Empty {
 		return r, errors.New("the folder holds nothing that could be recovered")
 	}
-	seen, err := readLedger(r.disk)
+	seen, err := readWatermarks(r.storage)
 	if err != nil {
 		return r, err
 	}
-	state := newState()
-	if err := replay(r.disk, state); err != nil {
+	state := newReplicatedState()
+	if err := replayLog(r.storage, state); err != nil {
 		return r, err
 	}
-	all, _ := state.all()
-	r.left = RecoveryReport{Node: self.Name, ID: f.own.ID, Cluster: cmp.Or(cluster, f.own.LoggedCluster), Watermark: f.own.Watermark, Keys: len(all), Members: f.own.Members,
-		Voters: f.own.Voters, LastObserved: map[string]diskidentity.Watermark{}}
+	all, _ := state.entries()
+	r.report = RecoveryReport{Node: self.Name, ID: f.local.ID, Cluster: cmp.Or(cluster, f.local.LoggedCluster), Watermark: f.local.Watermark, Keys: len(all), Members: f.local.Members,
+		Voters: f.local.Voters, LastObserved: map[string]diskidentity.Watermark{}}
 	for id, m := range seen {
-		if !slices.Contains(f.own.Members, id) {
+		if !slices.Contains(f.local.Members, id) {
 			continue
 		}
-		r.left.LastObserved[id] = m
-		if m.LastTerm > f.own.Watermark.LastTerm || m.LastTerm == f.own.Watermark.LastTerm && m.LastIndex > f.own.Watermark.LastIndex {
-			r.left.Missing = append(r.left.Missing, fmt.Sprintf("%s had entries up to %d of term %d, this node up to %d of term %d",
-				id, m.LastIndex, m.LastTerm, f.own.Watermark.LastIndex, f.own.Watermark.LastTerm))
+		r.report.LastObserved[id] = m
+		if m.LastTerm > f.local.Watermark.LastTerm || m.LastTerm == f.local.Watermark.LastTerm && m.LastIndex > f.local.Watermark.LastIndex {
+			r.report.Missing = append(r.report.Missing, fmt.Sprintf("%s had entries up to %d of term %d, this node up to %d of term %d",
+				id, m.LastIndex, m.LastTerm, f.local.Watermark.LastIndex, f.local.Watermark.LastTerm))
 		}
 	}
-	slices.Sort(r.left.Missing)
+	slices.Sort(r.report.Missing)
 	return r, nil
 }
 
-// replay reads the newest snapshot and the log above it.
-func replay(disk *raftstorage.Storage, to *state) error {
+// replayLog reads the newest snapshot and the log above it.
+func replayLog(disk *raftstorage.Storage, to *replicatedState) error {
 	from := uint64(1)
 	metas, err := disk.List()
 	if err != nil {
@@ -168,23 +168,23 @@
 	return nil
 }
 
-// recovered is a state that gets another cluster's id when it is written down.
-type recovered struct {
-	*state
-	id, was string
+// recoveredState is a state that gets another cluster's id when it is written down.
+type recoveredState struct {
+	*replicatedState
+	clusterID, previousCluster string
 }
 
 // Snapshot is the state under its new id.
-func (r *recovered) Snapshot() (raft.FSMSnapshot, error) {
+func (r *recoveredState) Snapshot() (raft.FSMSnapshot, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	k := r.kv.Clone()
+	k := r.data.Clone()
 	k.Leases.Floor(tokenFloor(0)) // what the others gave may be missing
 	var was []string
 	if e, ok := k.Entries[kv.WasKey]; ok {
 		json.Unmarshal(e.Value, &was) // this package wrote it
 	}
-	for key, v := range map[string]any{kv.ClusterKey: r.id, kv.WasKey: append(was, r.was)} {
+	for key, v := range map[string]any{kv.ClusterKey: r.clusterID, kv.WasKey: append(was, r.previousCluster)} {
 		text, err := json.Marshal(v)
 		if err != nil {
 			return nil, err
--- a/internal/cluster/store/state.go
+++ b/internal/cluster/store/state.go
@@ -29,8 +29,8 @@
 
 type entry = kv.Entry
 
-// requestOf reads an entry of the log.
-func requestOf(data []byte) (*kv.Request, error) {
+// decodeLogEntry reads an entry of the log.
+func decodeLogEntry(data []byte) (*kv.Request, error) {
 	if !bytes.HasPrefix(data, []byte("[")) {
 		r := &kv.Request{}
 		return r, json.Unmarshal(data, r)
@@ -39,11 +39,11 @@
 	if err := json.Unmarshal(data, &list); err != nil {
 		return nil, err
 	}
-	return requestFor(list), nil
+	return requestFromCommands(list), nil
 }
 
-// requestFor is what a list of commands asks for.
-func requestFor(list []command) *kv.Request {
+// requestFromCommands is what a list of commands asks for.
+func requestFromCommands(list []command) *kv.Request {
 	r := &kv.Request{}
 	for _, c := range list {
 		if c.Value == nil || string(c.Value) == "null" {
@@ -55,128 +55,128 @@
 	return r
 }
 
-// outcome is what Apply gives to whoever proposed the entry.
-type outcome struct {
+// applyResult is what Apply gives to whoever proposed the entry.
+type applyResult struct {
 	answer kv.Answer
 	err    error
 }
 
-// state is the replicated state with those who watch it; it is the raft.FSM.
-type state struct {
-	mu       sync.Mutex
-	kv       *kv.State
-	history  *watch.History
-	watchers []func(key string, value json.RawMessage)
-	changed  chan struct{}
-	moved    chan struct{}             // closed when a command was applied
-	given    func(name, holder string) // called for a lease that went to one who waited
-	checks   kv.Checks
+// replicatedState is the replicated state with those who watch it; it is the raft.FSM.
+type replicatedState struct {
+	mu             sync.Mutex
+	data           *kv.State
+	history        *watch.History
+	listeners      []func(key string, value json.RawMessage)
+	dirty          chan struct{}
+	advanced       chan struct{}             // closed when a command was applied
+	onLeaseGranted func(name, holder string) // called for a lease that went to one who waited
+	checksums      kv.Checks
 }
 
-func newState() *state {
-	return &state{kv: kv.New(), history: watch.New(historyLimits, 0), changed: make(chan struct{}, 1), moved: make(chan struct{}),
-		given: func(string, string) {}}
+func newReplicatedState() *replicatedState {
+	return &replicatedState{data: kv.New(), history: watch.New(historyLimits, 0), dirty: make(chan struct{}, 1), advanced: make(chan struct{}),
+		onLeaseGranted: func(string, string) {}}
 }
 
 // reset empties it: a log is about to be read again from its beginning.
-func (s *state) reset() {
+func (s *replicatedState) reset() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.kv, s.checks = kv.New(), nil
+	s.data, s.checksums = kv.New(), nil
 	s.history.Reset(0)
-	s.advance()
+	s.signalAdvanced()
 }
 
-// checked are the checksums of the state of late.
-func (s *state) checked() kv.Checks {
+// recentChecksums are the checksums of the state of late.
+func (s *replicatedState) recentChecksums() kv.Checks {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.checks)
+	return slices.Clone(s.checksums)
 }
 
 // progress is the last command that the state has, and a channel that is closed once
 // it has another.
-func (s *state) progress() (applied uint64, moved <-chan struct{}) {
+func (s *replicatedState) progress() (applied uint64, moved <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.kv.Applied, s.moved
+	return s.data.Applied, s.advanced
 }
 
-// advance is called with the lock held.
-func (s *state) advance() {
-	close(s.moved)
-	s.moved = make(chan struct{})
+// signalAdvanced is called with the lock held.
+func (s *replicatedState) signalAdvanced() {
+	close(s.advanced)
+	s.advanced = make(chan struct{})
 }
 
-func (s *state) watch(call func(string, json.RawMessage)) {
+func (s *replicatedState) listen(call func(string, json.RawMessage)) {
 	s.mu.Lock()
-	s.watchers = append(s.watchers, call)
+	s.listeners = append(s.listeners, call)
 	s.mu.Unlock()
 }
 
-// bytes of all values.
-func (s *state) bytes() int {
+// valueBytes of all values.
+func (s *replicatedState) valueBytes() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.kv.Bytes()
+	return s.data.Bytes()
 }
 
-func (s *state) get(key string) (entry, bool) {
+func (s *replicatedState) get(key string) (entry, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e, ok := s.kv.Entries[key]
+	e, ok := s.data.Entries[key]
 	return e, ok && !e.Gone
 }
 
-// since are the entries set after the index.
-func (s *state) since(index uint64) map[string]entry {
+// entriesAfter are the entries set after the index.
+func (s *replicatedState) entriesAfter(index uint64) map[string]entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := maps.Clone(s.kv.Entries)
+	out := maps.Clone(s.data.Entries)
 	maps.DeleteFunc(out, func(_ string, e entry) bool { return e.Index <= index })
 	return out
 }
 
 // Follow gives the revisions from a position on, the position to go on from, and a
 // channel that is closed once there is more.
-func (s *state) follow(from uint64, prefix string, p watch.Page) (list []watch.Revision, next uint64, more <-chan struct{}, err error) {
+func (s *replicatedState) revisionsSince(from uint64, prefix string, p watch.Page) (list []watch.Revision, next uint64, more <-chan struct{}, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	list, next, err = s.history.Since(from, prefix, p)
-	return list, next, s.moved, err
+	return list, next, s.advanced, err
 }
 
-// all is every key, and the revision at which they were so.
-func (s *state) all() (entries map[string]entry, revision uint64) {
+// entries is every key, and the revision at which they were so.
+func (s *replicatedState) entries() (entries map[string]entry, revision uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	entries = maps.Clone(s.kv.Entries)
+	entries = maps.Clone(s.data.Entries)
 	maps.DeleteFunc(entries, func(_ string, e entry) bool { return e.Gone })
-	return entries, s.kv.Applied
+	return entries, s.data.Applied
 }
 
 // Apply carries one entry of the log out, or nothing of it.
-func (s *state) Apply(l *raft.Log) any {
-	r, err := requestOf(l.Data)
-	var out outcome
+func (s *replicatedState) Apply(l *raft.Log) any {
+	r, err := decodeLogEntry(l.Data)
+	var out applyResult
 	var changed []string
 	s.mu.Lock()
 	if err != nil {
 		err = fmt.Errorf("log entry %d: %w", l.Index, err)
 	}
-	s.checks = s.checks.Before(l.Index, s.kv)
-	out.answer, changed, out.err = s.kv.Carry(l.Index, l.Data, r, err)
+	s.checksums = s.checksums.Before(l.Index, s.data)
+	out.answer, changed, out.err = s.data.Carry(l.Index, l.Data, r, err)
 	changes := make([]watch.Change, len(changed))
 	for i, key := range changed {
-		e := s.kv.Entries[key]
+		e := s.data.Entries[key]
 		changes[i] = watch.Change{Key: key, Value: e.Value, Gone: e.Gone}
 	}
 	s.history.Add(l.Index, changes)
-	s.advance()
-	watchers, given := s.watchers, s.given
+	s.signalAdvanced()
+	watchers, given := s.listeners, s.onLeaseGranted
 	var holders []string
 	for _, name := range out.answer.Given {
-		holders = append(holders, s.kv.Leases.Leases[name].Holder)
+		holders = append(holders, s.data.Leases.Leases[name].Holder)
 	}
 	s.mu.Unlock()
 	for i, name := range out.answer.Given {
@@ -187,27 +187,27 @@
 			w(c.Key, c.Value)
 		}
 	}
-	s.signal()
+	s.signalDirty()
 	return out
 }
 
-func (s *state) signal() {
+func (s *replicatedState) signalDirty() {
 	select {
-	case s.changed <- struct{}{}:
+	case s.dirty <- struct{}{}:
 	default:
 	}
 }
 
 // Snapshot returns the whole state.
-func (s *state) Snapshot() (raft.FSMSnapshot, error) {
+func (s *replicatedState) Snapshot() (raft.FSMSnapshot, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return &snapshot{s.kv.Clone()}, nil
+	return &snapshot{s.data.Clone()}, nil
 }
 
 // Restore replaces the whole state. A snapshot of the version before is a bare map
 // of entries.
-func (s *state) Restore(r io.ReadCloser) error {
+func (s *replicatedState) Restore(r io.ReadCloser) error {
 	defer r.Close()
 	text, err := io.ReadAll(r)
 	if err != nil {
@@ -235,18 +235,18 @@
 		from.Sum = kv.Sum{From: from.Applied}
 	}
 	s.mu.Lock()
-	s.kv, s.checks = from, nil
+	s.data, s.checksums = from, nil
 	s.history.Reset(from.Applied)
 	entries := maps.Clone(from.Entries)
-	s.advance()
-	watchers := s.watchers
+	s.signalAdvanced()
+	watchers := s.listeners
 	s.mu.Unlock()
 	for key, e := range entries {
 		for _, w := range watchers {
 			w(key, e.Value)
 		}
 	}
-	s.signal()
+	s.signalDirty()
 	return nil
 }
 
--- a/internal/cluster/store/state_test.go
+++ b/internal/cluster/store/state_test.go
@@ -13,11 +13,11 @@
 // TestSnapshot: a member that lags behind the kept log gets a snapshot, with
 // deleted keys in it, and its watchers hear of what it holds.
 func TestSnapshot(t *testing.T) {
-	from := newState()
+	from := newReplicatedState()
 	for i, c := range []string{`[{"key":"a","value":1},{"key":"b","value":{"x":2}}]`, `[{"key":"a","value":null}]`} {
-		require.NoError(t, from.Apply(&raft.Log{Index: uint64(i + 1), Data: []byte(c)}).(outcome).err)
+		require.NoError(t, from.Apply(&raft.Log{Index: uint64(i + 1), Data: []byte(c)}).(applyResult).err)
 	}
-	require.Error(t, from.Apply(&raft.Log{Index: 3, Data: []byte("{")}).(outcome).err)
+	require.Error(t, from.Apply(&raft.Log{Index: 3, Data: []byte("{")}).(applyResult).err)
 	snap, err := from.Snapshot()
 	require.NoError(t, err)
 	kept := raft.NewInmemSnapshotStore()
@@ -26,10 +26,10 @@
 	require.NoError(t, snap.Persist(sink))
 	_, r, err := kept.Open(sink.ID())
 	require.NoError(t, err)
-	to, heard := newState(), map[string]string{}
-	to.watch(func(key string, v json.RawMessage) { heard[key] = string(v) })
+	to, heard := newReplicatedState(), map[string]string{}
+	to.listen(func(key string, v json.RawMessage) { heard[key] = string(v) })
 	require.NoError(t, to.Restore(r))
-	require.Equal(t, from.since(0), to.since(0))
+	require.Equal(t, from.entriesAfter(0), to.entriesAfter(0))
 	require.Equal(t, map[string]string{"a": "", "b": `{"x":2}`}, heard)
 	_, ok := to.get("a")
 	require.False(t, ok)
@@ -37,7 +37,7 @@
 
 // TestOldSnapshot: one of the version before is a bare map of entries.
 func TestOldSnapshot(t *testing.T) {
-	s := newState()
+	s := newReplicatedState()
 	require.NoError(t, s.Restore(io.NopCloser(strings.NewReader(`{"applied":{"value":1,"index":7,"gone":false},"b":{"index":9,"gone":true}}`))))
 	e, ok := s.get("applied")
 	require.True(t, ok)
--- a/internal/cluster/store/store.go
+++ b/internal/cluster/store/store.go
@@ -32,8 +32,8 @@
 
 // What a node does, for Self.State.
 const (
-	stateServing = "serving" // Raft runs
-	stateWaiting = "waiting" // for others, or for the disk
+	peerServing = "serving" // Raft runs
+	peerWaiting = "waiting" // for others, or for the disk
 )
 
 // ErrNoLeader means that no leader is known, or that this node is none.
@@ -44,28 +44,28 @@
 
 // Store is one node.
 type Store struct {
-	cfg    Config
-	self   Peer
-	log    *zap.Logger
-	state  *state
-	mirror *mirror
-	peers  *peers
-	prover *prover
-	writes writes
-	leases *leases
-
-	ctx    context.Context
-	stop   context.CancelFunc
-	ended  chan struct{}
-	closed []func()
-
-	now     atomic.Pointer[life]
-	waits   atomic.Pointer[string] // for what, while there is no life
-	started atomic.Pointer[folder] // what it found on its disk at the start of this life
-
-	knownMu sync.Mutex
-	knownAt time.Time
-	cluster cluster
+	cfg        Config
+	self       Peer
+	log        *zap.Logger
+	state      *replicatedState
+	mirror     *sqlMirror
+	peers      *peers
+	readProver *prover
+	pending    pendingWrites
+	leases     *leaseService
+
+	ctx     context.Context
+	cancel  context.CancelFunc
+	done    chan struct{}
+	onClose []func()
+
+	current    atomic.Pointer[incarnation]
+	waitReason atomic.Pointer[string]     // for what, while there is no life
+	folder     atomic.Pointer[nodeFolder] // what it found on its disk at the start of this life
+
+	freshMu  sync.Mutex
+	freshAt  time.Time
+	identity clusterIdentity
 }
 
 // New makes a node that does nothing yet.
@@ -73,27 +73,27 @@
 	if err := cfg.Check(); err != nil {
 		return nil, err
 	}
-	s := &Store{cfg: cfg, log: log, state: newState(), ended: make(chan struct{})}
+	s := &Store{cfg: cfg, log: log, state: newReplicatedState(), done: make(chan struct{})}
 	s.self, _ = cfg.self()
-	s.ctx, s.stop = context.WithCancel(context.Background())
-	s.prover = &prover{ask: s.committed}
+	s.ctx, s.cancel = context.WithCancel(context.Background())
+	s.readProver = &prover{readIndex: s.committedIndex}
 	s.peers = newPeers(s.ctx, s)
-	s.leases = newLeases(s)
-	s.state.given = s.leases.given
+	s.leases = newLeaseService(s)
+	s.state.onLeaseGranted = s.leases.granted
 	first := "its disk to be opened"
-	s.waits.Store(&first)
+	s.waitReason.Store(&first)
 	return s, nil
 }
 
 // Start opens the folder, and has the node take part as soon as it may.
 func (s *Store) Start() error {
-	disk, err := s.openDisk()
+	disk, err := s.openStorage()
 	if err != nil {
-		close(s.ended)
+		close(s.done)
 		return err
 	}
 	if s.cfg.SQL.Driver != "" {
-		s.mirror = &mirror{store: s}
+		s.mirror = &sqlMirror{store: s}
 	}
 	go s.run(disk)
 	return nil
@@ -109,21 +109,21 @@
 func (s *Store) Log() *zap.Logger { return s.log }
 
 // OnClose has a function called, the last first, when the node ends.
-func (s *Store) OnClose(do func()) { s.closed = append(s.closed, do) }
+func (s *Store) OnClose(do func()) { s.onClose = append(s.onClose, do) }
 
 // run goes from life to life: one ends when the disk fails, or when this node is no
 // member any more.
 func (s *Store) run(disk *raftstorage.Storage) {
-	defer close(s.ended)
+	defer close(s.done)
 	for s.ctx.Err() == nil {
-		if err := s.live(disk); err != nil && s.ctx.Err() == nil {
+		if err := s.runIncarnation(disk); err != nil && s.ctx.Err() == nil {
 			s.log.Error("this node gave up its vote and what it led", zap.Error(err))
-			s.waiting(err.Error())
+			s.setWaitReason(err.Error())
 		}
 		for disk = nil; disk == nil && s.ctx.Err() == nil; {
 			var err error
-			if disk, err = s.openDisk(); err != nil {
-				s.waiting(fmt.Sprintf("its disk: %v", err))
+			if disk, err = s.openStorage(); err != nil {
+				s.setWaitReason(fmt.Sprintf("its disk: %v", err))
 				select {
 				case <-s.ctx.Done():
 				case <-time.After(reopenEvery):
@@ -136,19 +136,19 @@
 	}
 }
 
-// waiting says what a node without a life waits for, once.
-func (s *Store) waiting(why string) {
-	if old := s.waits.Swap(&why); old == nil || *old != why {
+// setWaitReason says what a node without a life waits for, once.
+func (s *Store) setWaitReason(why string) {
+	if old := s.waitReason.Swap(&why); old == nil || *old != why {
 		s.log.Warn("store waits", zap.String("for", why))
 	}
 }
 
 // WaitReason is what keeps this node from taking part, or "".
 func (s *Store) WaitReason() string {
-	if s.now.Load() != nil {
+	if s.current.Load() != nil {
 		return ""
 	}
-	return *s.waits.Load()
+	return *s.waitReason.Load()
 }
 
 // Close stops the node, waiting CloseTime at most: what is committed is on disk.
@@ -156,12 +156,12 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		for i := len(s.closed) - 1; i >= 0; i-- {
-			s.closed[i]()
+		for i := len(s.onClose) - 1; i >= 0; i-- {
+			s.onClose[i]()
 		}
-		s.stop()
-		<-s.ended
-		s.peers.asked.Wait()
+		s.cancel()
+		<-s.done
+		s.peers.pollers.Wait()
 	}()
 	select {
 	case <-done:
@@ -170,44 +170,44 @@
 	}
 }
 
-// alive is the node's life, if it takes part.
-func (s *Store) alive() (*life, error) {
-	if l := s.now.Load(); l != nil {
+// running is the node's life, if it takes part.
+func (s *Store) running() (*incarnation, error) {
+	if l := s.current.Load(); l != nil {
 		return l, nil
 	}
-	return nil, fmt.Errorf("%w: it waits for %s", ErrNotServing, *s.waits.Load())
+	return nil, fmt.Errorf("%w: it waits for %s", ErrNotServing, *s.waitReason.Load())
 }
 
-// id is this node's name and disk; only the name while it has none.
-func (s *Store) id() string {
-	if f := s.started.Load(); f != nil {
-		return f.own.ID
+// memberID is this node's name and disk; only the name while it has none.
+func (s *Store) memberID() string {
+	if f := s.folder.Load(); f != nil {
+		return f.local.ID
 	}
 	return s.self.Name
 }
 
 // StepDown has another node lead, if this one does: it is about to leave.
 func (s *Store) StepDown() {
-	l := s.now.Load()
-	if l == nil || !l.leads() {
+	l := s.current.Load()
+	if l == nil || !l.isLeader() {
 		return
 	}
 	ctx, cancel := context.WithTimeout(s.ctx, stepDownTime)
 	defer cancel()
-	if err := done(ctx, l.raft.LeadershipTransfer()); err != nil {
+	if err := awaitFuture(ctx, l.raft.LeadershipTransfer()); err != nil {
 		s.log.Warn("leadership not handed over", zap.Error(err))
 	}
 }
 
 // IsLeader tells whether this node takes itself for the leader.
 func (s *Store) IsLeader() bool {
-	l := s.now.Load()
-	return l != nil && l.leads()
+	l := s.current.Load()
+	return l != nil && l.isLeader()
 }
 
 // Leader is the leader as this node knows it, with its id.
 func (s *Store) Leader() (p Peer, id string, ok bool) {
-	l := s.now.Load()
+	l := s.current.Load()
 	if l == nil {
 		return Peer{}, "", false
 	}
@@ -215,21 +215,21 @@
 	if lead == "" {
 		return Peer{}, "", false
 	}
-	return s.where(l, string(lead)), string(lead), true
+	return s.locate(l, string(lead)), string(lead), true
 }
 
-// where is how this node reaches a member.
-func (s *Store) where(l *life, id string) Peer {
+// locate is how this node reaches a member.
+func (s *Store) locate(l *incarnation, id string) Peer {
 	name := diskidentity.MemberName(id)
 	if name == s.self.Name {
 		return s.self
 	}
 	p := Peer{Name: name}
-	conf, _ := l.conf()
-	if x, ok := serverOf(conf, id); ok {
-		p = peerOf(x.ID, x.Address)
+	conf, _ := l.configuration()
+	if x, ok := findServer(conf, id); ok {
+		p = decodePeer(x.ID, x.Address)
 	}
-	if own, ok := s.cfg.peer(name); ok { // the file goes first
+	if own, ok := s.cfg.configuredPeer(name); ok { // the file goes first
 		p.Raft, p.Admin = own.Raft, own.Admin
 	}
 	return p
@@ -237,11 +237,11 @@
 
 // Status is what the node tells of itself.
 func (s *Store) Status() storeapi.Status {
-	st := storeapi.Status{Node: s.self.Name, Cluster: s.cluster.id(), Foreign: s.cluster.foreign(), ID: s.id()}
-	if l := s.now.Load(); l != nil {
+	st := storeapi.Status{Node: s.self.Name, Cluster: s.identity.get(), Foreign: s.identity.foreignNames(), ID: s.memberID()}
+	if l := s.current.Load(); l != nil {
 		st.State, st.Applied, st.Last = l.raft.State().String(), l.raft.AppliedIndex(), l.raft.LastIndex()
-		if !l.member() {
-			st.State, st.Waits = "Joining", l.why()
+		if !l.isMember() {
+			st.State, st.Waits = "Joining", l.joinWaitReason()
 		}
 		if p, _, ok := s.Leader(); ok {
 			st.Leader = p.Name
@@ -258,30 +258,30 @@
 // Self is what the node tells another one, which has the id. It says nothing before it
 // knows its own disk.
 func (s *Store) Self(asker string) (storeapi.Self, error) {
-	f := s.started.Load()
+	f := s.folder.Load()
 	if f == nil {
-		return storeapi.Self{}, fmt.Errorf("%w: it waits for %s", ErrNotServing, *s.waits.Load())
+		return storeapi.Self{}, fmt.Errorf("%w: it waits for %s", ErrNotServing, *s.waitReason.Load())
 	}
-	own := f.own
-	out := storeapi.Self{State: stateWaiting, Raft: s.self.Raft, Admin: s.self.Admin, Zone: s.self.Zone}
-	out.ID, out.Cluster, out.Leases = own.ID, s.cluster.id(), true
+	own := f.local
+	out := storeapi.Self{State: peerWaiting, Raft: s.self.Raft, Admin: s.self.Admin, Zone: s.self.Zone}
+	out.ID, out.Cluster, out.Leases = own.ID, s.identity.get(), true
 	out.Mark, out.Fresh = own.Watermark, own.Fresh
 	out.ConfigIndex, out.Members, out.Voters, out.Addresses = own.ConfigIndex, own.Members, own.Voters, f.addresses
-	if l := s.now.Load(); l != nil {
-		out.State, out.Applied, out.Checks = stateServing, l.raft.AppliedIndex(), s.state.checked()
-		if m, err := l.disk.Watermark(); err == nil {
+	if l := s.current.Load(); l != nil {
+		out.State, out.Applied, out.Checks = peerServing, l.raft.AppliedIndex(), s.state.recentChecksums()
+		if m, err := l.storage.Watermark(); err == nil {
 			out.Mark = m.Max(own.Watermark)
 		}
-		conf, index := l.conf()
+		conf, index := l.configuration()
 		out.ConfigIndex = index
-		out.Members, out.Voters = idsOf(conf)
-		out.Addresses = addressesOf(conf)
+		out.Members, out.Voters = memberIDs(conf)
+		out.Addresses = memberAddresses(conf)
 		out.Fresh = own.Fresh && out.Mark.LastIndex == 0
 	}
 	if e, ok := s.state.get(kv.WasKey); ok {
 		json.Unmarshal(e.Value, &out.PreviousClusters) // this package wrote it
 	}
-	out.LastObserved = s.peers.of(asker)
+	out.LastObserved = s.peers.observedWatermark(asker)
 	return out, nil
 }
 
@@ -294,13 +294,13 @@
 // SaveLastGood remembers on this node's own disk which version of a key is good, for a start
 // at which the other nodes are away.
 func (s *Store) SaveLastGood(key string, g GoodVersion) error {
-	l, err := s.alive()
+	l, err := s.running()
 	if err != nil {
 		return err
 	}
 	text, err := json.Marshal(g)
 	if err == nil {
-		err = l.disk.PutLocal(key, text)
+		err = l.storage.PutLocal(key, text)
 	}
 	if err != nil {
 		return fmt.Errorf("keep %s: %w", key, err)
@@ -310,11 +310,11 @@
 
 // LastGood is what Keep was last given. It can be had before the node takes part.
 func (s *Store) LastGood(key string) (g GoodVersion, found bool, err error) {
-	f := s.started.Load()
+	f := s.folder.Load()
 	if f == nil {
 		return g, false, nil
 	}
-	text, err := f.disk.GetLocal(key)
+	text, err := f.storage.GetLocal(key)
 	if err != nil || text == nil {
 		return g, false, err
 	}
@@ -324,18 +324,18 @@
 
 // OnChange has call told of each change from now on, in order; value is nil for a
 // key that was deleted. It must not block.
-func (s *Store) OnChange(call func(key string, value json.RawMessage)) { s.state.watch(call) }
+func (s *Store) OnChange(call func(key string, value json.RawMessage)) { s.state.listen(call) }
 
 // Entry is a key with its revision, as this node knows it.
 func (s *Store) Entry(key string) (kv.Entry, bool) { return s.state.get(key) }
 
 // Entries is every key, and the revision at which they were so, as this node knows them.
-func (s *Store) Entries() (map[string]kv.Entry, uint64) { return s.state.all() }
+func (s *Store) Entries() (map[string]kv.Entry, uint64) { return s.state.entries() }
 
 // RevisionsSince gives the revisions from a position on, the position to go on from, and a
 // channel that is closed once there is more.
 func (s *Store) RevisionsSince(from uint64, prefix string, p watch.Page) (list []watch.Revision, next uint64, more <-chan struct{}, err error) {
-	return s.state.follow(from, prefix, p)
+	return s.state.revisionsSince(from, prefix, p)
 }
 
 // AppliedRevision is the last revision that this node knows.
@@ -365,4 +365,4 @@
 	}
 }
 
-var _ raft.StreamLayer = (*wire)(nil)
+var _ raft.StreamLayer = (*peerTransport)(nil)
--- a/internal/cluster/store/watch_test.go
+++ b/internal/cluster/store/watch_test.go
@@ -15,20 +15,20 @@
 // TestRestoreBeginsAnew: a state that was replaced by a snapshot does not pass over
 // what it never saw.
 func TestRestoreBeginsAnew(t *testing.T) {
-	from, to := newState(), newState()
+	from, to := newReplicatedState(), newReplicatedState()
 	for i := range uint64(5) {
 		from.Apply(&raft.Log{Index: i + 1, Data: []byte(`[{"key":"k","value":1}]`)})
 	}
-	text, err := json.Marshal(from.kv)
+	text, err := json.Marshal(from.data)
 	require.NoError(t, err)
 	to.Apply(&raft.Log{Index: 1, Data: []byte(`[{"key":"k","value":1}]`)})
 	require.NoError(t, to.Restore(io.NopCloser(bytes.NewReader(text))))
 	var gone *watch.CompactedError
-	_, _, _, err = to.follow(2, "", watch.Page{Revisions: 512, Bytes: 64 << 10})
+	_, _, _, err = to.revisionsSince(2, "", watch.Page{Revisions: 512, Bytes: 64 << 10})
 	require.ErrorAs(t, err, &gone)
 	require.EqualValues(t, 6, gone.Oldest)
 	to.Apply(&raft.Log{Index: 6, Data: []byte(`[{"key":"k","value":2}]`)})
-	list, next, _, err := to.follow(6, "", watch.Page{Revisions: 512, Bytes: 64 << 10})
+	list, next, _, err := to.revisionsSince(6, "", watch.Page{Revisions: 512, Bytes: 64 << 10})
 	require.NoError(t, err)
 	require.Len(t, list, 1)
 	require.EqualValues(t, 7, next)
--- a/internal/cluster/store/wire.go
+++ b/internal/cluster/store/wire.go
@@ -25,12 +25,12 @@
 
 // An address in the cluster's configuration holds all that others must know of a
 // member, so that it changes in one entry of the log with the members themselves.
-func addressOf(p Peer, id string) raft.ServerAddress {
+func encodeAddress(p Peer, id string) raft.ServerAddress {
 	return raft.ServerAddress(strings.Join([]string{id, p.Raft, p.Admin, p.Zone}, "|"))
 }
 
-// peerOf reads an address; one of the version before is a plain one.
-func peerOf(id raft.ServerID, addr raft.ServerAddress) Peer {
+// decodePeer reads an address; one of the version before is a plain one.
+func decodePeer(id raft.ServerID, addr raft.ServerAddress) Peer {
 	p := Peer{Name: diskidentity.MemberName(string(id)), Raft: string(addr)}
 	if parts := strings.Split(string(addr), "|"); len(parts) == 4 {
 		p.Raft, p.Admin, p.Zone = parts[1], parts[2], parts[3]
@@ -45,34 +45,34 @@
 	Cluster string `json:"cluster,omitempty"`
 }
 
-// wire is Raft's network. Whoever connects says which member it is, which one it wants,
+// peerTransport is Raft's network. Whoever connects says which member it is, which one it wants,
 // and of which cluster it is; a node whose folder is a new one, or of another cluster, is
 // not taken for the one that was meant.
-type wire struct {
-	ln      net.Listener
-	id      string
-	cluster func() string
-	file    func(name string) (Peer, bool) // where the file says that a node is
-	ready   chan net.Conn
-	done    chan struct{}
-	once    sync.Once
-	waiting chan struct{}
+type peerTransport struct {
+	listener       net.Listener
+	memberID       string
+	clusterID      func() string
+	configuredPeer func(name string) (Peer, bool) // where the file says that a node is
+	accepted       chan net.Conn
+	done           chan struct{}
+	once           sync.Once
+	handshakes     chan struct{}
 }
 
-func listenWire(addr, id string, cluster func() string, file func(string) (Peer, bool)) (*wire, error) {
+func listenPeers(addr, id string, cluster func() string, file func(string) (Peer, bool)) (*peerTransport, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("raft address: %w", err)
 	}
-	w := &wire{ln: ln, id: id, cluster: cluster, file: file, ready: make(chan net.Conn), done: make(chan struct{}),
-		waiting: make(chan struct{}, greetMost)}
-	go w.listen()
+	w := &peerTransport{listener: ln, memberID: id, clusterID: cluster, configuredPeer: file, accepted: make(chan net.Conn), done: make(chan struct{}),
+		handshakes: make(chan struct{}, greetMost)}
+	go w.acceptLoop()
 	return w, nil
 }
 
-func (w *wire) listen() {
+func (w *peerTransport) acceptLoop() {
 	for {
-		c, err := w.ln.Accept()
+		c, err := w.listener.Accept()
 		if err != nil {
 			select {
 			case <-w.done:
@@ -82,10 +82,10 @@
 			}
 		}
 		select {
-		case w.waiting <- struct{}{}:
+		case w.handshakes <- struct{}{}:
 			go func() {
-				defer func() { <-w.waiting }()
-				w.greeted(c)
+				defer func() { <-w.handshakes }()
+				w.handshake(c)
 			}()
 		default: // guards the descriptors against callers that say nothing
 			c.Close()
@@ -93,8 +93,8 @@
 	}
 }
 
-// greeted reads who is there, and hands the connection on.
-func (w *wire) greeted(c net.Conn) {
+// handshake reads who is there, and hands the connection on.
+func (w *peerTransport) handshake(c net.Conn) {
 	c.SetDeadline(time.Now().Add(greetTime))
 	first := make([]byte, 1)
 	if _, err := io.ReadFull(c, first); err != nil {
@@ -102,13 +102,13 @@
 		return
 	}
 	if first[0] == greetWord[0] {
-		if err := w.check(c); err != nil {
+		if err := w.checkGreeting(c); err != nil {
 			fmt.Fprintf(c, "no: %v\n", err)
 			c.Close()
 			return
 		}
 		c = &greetedConn{Conn: c}
-	} else if diskidentity.MemberDisk(w.id) == "" { // both are of the version before, as the cluster knows them
+	} else if diskidentity.MemberDisk(w.memberID) == "" { // both are of the version before, as the cluster knows them
 		c = &greetedConn{Conn: c, first: first}
 	} else {
 		c.Close()
@@ -116,15 +116,15 @@
 	}
 	c.SetDeadline(time.Time{})
 	select {
-	case w.ready <- c:
+	case w.accepted <- c:
 	case <-w.done:
 		c.Close()
 	}
 }
 
-var errAnother = errors.New("another is meant")
+var errWrongMember = errors.New("another is meant")
 
-func (w *wire) check(c net.Conn) error {
+func (w *peerTransport) checkGreeting(c net.Conn) error {
 	line, err := bufio.NewReaderSize(io.LimitReader(oneByte{c}, greetBytes), 16).ReadString('\n')
 	if err != nil {
 		return fmt.Errorf("greeting can't be read: %w", err)
@@ -134,11 +134,11 @@
 	if err := json.Unmarshal([]byte(text), &g); !ok || err != nil {
 		return errors.New("greeting can't be read")
 	}
-	switch own := w.cluster(); {
-	case g.To != w.id:
-		return fmt.Errorf("%w: this is %s, not %s", errAnother, w.id, g.To)
+	switch own := w.clusterID(); {
+	case g.To != w.memberID:
+		return fmt.Errorf("%w: this is %s, not %s", errWrongMember, w.memberID, g.To)
 	case own != "" && g.Cluster != "" && own != g.Cluster:
-		return fmt.Errorf("%w: this is of cluster %s, not of %s", errAnother, own, g.Cluster)
+		return fmt.Errorf("%w: this is of cluster %s, not of %s", errWrongMember, own, g.Cluster)
 	}
 	_, err = io.WriteString(c, "yes\n")
 	return err
@@ -165,9 +165,9 @@
 }
 
 // Accept gives connections that have said who they are.
-func (w *wire) Accept() (net.Conn, error) {
+func (w *peerTransport) Accept() (net.Conn, error) {
 	select {
-	case c := <-w.ready:
+	case c := <-w.accepted:
 		return c, nil
 	case <-w.done:
 		return nil, net.ErrClosed
@@ -175,26 +175,26 @@
 }
 
 // Addr is where it listens.
-func (w *wire) Addr() net.Addr { return w.ln.Addr() }
+func (w *peerTransport) Addr() net.Addr { return w.listener.Addr() }
 
 // Close stops listening.
-func (w *wire) Close() error {
-	w.once.Do(func() { close(w.done); w.ln.Close() })
+func (w *peerTransport) Close() error {
+	w.once.Do(func() { close(w.done); w.listener.Close() })
 	return nil
 }
 
 // Dial connects to the member that an address of the configuration names.
-func (w *wire) Dial(to raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+func (w *peerTransport) Dial(to raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	id, _, _ := strings.Cut(string(to), "|")
-	p := peerOf(raft.ServerID(id), to)
-	if own, ok := w.file(p.Name); ok { // goes first
+	p := decodePeer(raft.ServerID(id), to)
+	if own, ok := w.configuredPeer(p.Name); ok { // goes first
 		p.Raft = own.Raft
 	}
 	c, err := net.DialTimeout("tcp", p.Raft, timeout)
 	if err != nil || diskidentity.MemberDisk(id) == "" {
 		return c, err
 	}
-	text, err := json.Marshal(greeting{From: w.id, To: id, Cluster: w.cluster()})
+	text, err := json.Marshal(greeting{From: w.memberID, To: id, Cluster: w.clusterID()})
 	if err != nil {
 		c.Close()
 		return nil, err
--- a/internal/cluster/store/write.go
+++ b/internal/cluster/store/write.go
@@ -15,8 +15,8 @@
 
 // What a node holds of writes that are not committed yet.
 const (
-	proposedMost  = 512     // of the leader
-	proposedBytes = 8 << 20 // of them
+	maxPendingWrites = 512     // of the leader
+	maxPendingBytes  = 8 << 20 // of them
 	// MaxTotalBytes is what all keys and values may come to. The leader sees to it; the
 	// state itself takes what is in the log.
 	MaxTotalBytes = 32 << 20
@@ -25,18 +25,18 @@
 // ErrTooManyWrites means that too many writes are waiting; nothing was done.
 var ErrTooManyWrites = errors.New("too many writes are waiting")
 
-// writes counts what this node, as leader, has proposed and not heard of again.
-type writes struct {
+// pendingWrites counts what this node, as leader, has proposed and not heard of again.
+type pendingWrites struct {
 	mu    sync.Mutex
 	count int
 	bytes int
 }
 
-func (w *writes) begin(n, stored int) error {
+func (w *pendingWrites) reserve(n, stored int) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	switch {
-	case w.count >= proposedMost || w.bytes+n > proposedBytes:
+	case w.count >= maxPendingWrites || w.bytes+n > maxPendingBytes:
 		return fmt.Errorf("%w: %d of %d bytes", ErrTooManyWrites, w.count, w.bytes)
 	case n > 0 && stored+w.bytes+n > MaxTotalBytes:
 		return fmt.Errorf("%w: %d bytes, at most %d", kv.ErrFull, stored, MaxTotalBytes)
@@ -46,7 +46,7 @@
 	return nil
 }
 
-func (w *writes) end(n int) {
+func (w *pendingWrites) release(n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.count--
@@ -56,7 +56,7 @@
 // Set writes a key; a nil value deletes it. It is done when most nodes have it.
 func (s *Store) Set(ctx context.Context, key string, value json.RawMessage) error {
 	if s.IsLeader() {
-		return s.apply(ctx, command{Key: key, Value: value})
+		return s.applyCommands(ctx, command{Key: key, Value: value})
 	}
 	p, _, ok := s.Leader()
 	if !ok || p.Name == s.self.Name {
@@ -69,15 +69,15 @@
 	return s.peers.client.Patient().One(ctx, p.Admin, method, "/store/"+key, value, nil)
 }
 
-func (s *Store) apply(ctx context.Context, list ...command) error {
-	if err := requestFor(list).Check(); err != nil {
+func (s *Store) applyCommands(ctx context.Context, list ...command) error {
+	if err := requestFromCommands(list).Check(); err != nil {
 		return err
 	}
 	text, err := json.Marshal(list)
 	if err != nil {
 		return fmt.Errorf("encode commands: %w", err)
 	}
-	_, err = s.propose(ctx, text, sizeOf(requestFor(list)))
+	_, err = s.propose(ctx, text, addedBytes(requestFromCommands(list)))
 	return err
 }
 
@@ -95,7 +95,7 @@
 	if err != nil {
 		return kv.Answer{}, fmt.Errorf("encode request: %w", err)
 	}
-	return s.propose(s.ctx, text, sizeOf(&r))
+	return s.propose(s.ctx, text, addedBytes(&r))
 }
 
 // ExecuteAnywhere is Do at any node: the leader is asked, once.
@@ -119,11 +119,11 @@
 func (s *Store) Sessions() int {
 	s.state.mu.Lock()
 	defer s.state.mu.Unlock()
-	return len(s.state.kv.Sessions)
+	return len(s.state.data.Sessions)
 }
 
-// sizeOf is what a request may add to the store.
-func sizeOf(r *kv.Request) int {
+// addedBytes is what a request may add to the store.
+func addedBytes(r *kv.Request) int {
 	then, other := 0, 0
 	for _, o := range r.Then {
 		then += len(o.Value)
@@ -135,25 +135,25 @@
 }
 
 func (s *Store) propose(ctx context.Context, text []byte, size int) (kv.Answer, error) {
-	l, err := s.alive()
+	l, err := s.running()
 	if err != nil {
 		return kv.Answer{}, err
 	}
 	stored := 0
 	if size > 0 { // deletes make room
-		stored = s.state.bytes()
+		stored = s.state.valueBytes()
 	}
-	if err := s.writes.begin(size, stored); err != nil {
+	if err := s.pending.reserve(size, stored); err != nil {
 		return kv.Answer{}, err
 	}
-	defer s.writes.end(size)
+	defer s.pending.release(size)
 	ctx, cancel := context.WithTimeout(ctx, storeapi.ApplyTime+time.Second)
 	defer cancel()
 	f := l.raft.Apply(text, storeapi.ApplyTime)
-	if err := done(ctx, f); err != nil {
+	if err := awaitFuture(ctx, f); err != nil {
 		return kv.Answer{}, fmt.Errorf("commit: %w", err)
 	}
-	out, ok := f.Response().(outcome)
+	out, ok := f.Response().(applyResult)
 	if !ok {
 		return kv.Answer{}, errors.New("commit: no answer")
 	}
--- a/internal/cluster/store/write_test.go
+++ b/internal/cluster/store/write_test.go
@@ -11,24 +11,24 @@
 // TestWriteBounds: what waits is bounded in number and bytes, and so is what is kept; a
 // delete is taken by a full store.
 func TestWriteBounds(t *testing.T) {
-	var w writes
-	for range proposedMost {
-		require.NoError(t, w.begin(1, 0))
+	var w pendingWrites
+	for range maxPendingWrites {
+		require.NoError(t, w.reserve(1, 0))
 	}
-	require.ErrorIs(t, w.begin(1, 0), ErrTooManyWrites)
-	w = writes{}
-	require.NoError(t, w.begin(proposedBytes, 0))
-	require.ErrorIs(t, w.begin(1, 0), ErrTooManyWrites)
-	w.end(proposedBytes)
-	require.ErrorIs(t, w.begin(1, MaxTotalBytes), kv.ErrFull)
-	require.NoError(t, w.begin(0, MaxTotalBytes))
-	s := newState()
-	require.Zero(t, s.bytes())
-	_, _, err := s.kv.Apply(1, &kv.Request{Then: []kv.Op{{Do: "put", Key: "a", Value: []byte("123")}, {Do: "put", Key: "b", Value: []byte("1")}}})
+	require.ErrorIs(t, w.reserve(1, 0), ErrTooManyWrites)
+	w = pendingWrites{}
+	require.NoError(t, w.reserve(maxPendingBytes, 0))
+	require.ErrorIs(t, w.reserve(1, 0), ErrTooManyWrites)
+	w.release(maxPendingBytes)
+	require.ErrorIs(t, w.reserve(1, MaxTotalBytes), kv.ErrFull)
+	require.NoError(t, w.reserve(0, MaxTotalBytes))
+	s := newReplicatedState()
+	require.Zero(t, s.valueBytes())
+	_, _, err := s.data.Apply(1, &kv.Request{Then: []kv.Op{{Do: "put", Key: "a", Value: []byte("123")}, {Do: "put", Key: "b", Value: []byte("1")}}})
 	require.NoError(t, err)
-	require.Equal(t, 4, s.bytes())
-	_, _, err = s.kv.Apply(2, &kv.Request{Then: []kv.Op{{Do: "put", Key: "a", Value: []byte("12")}, {Do: "delete", Key: "b"}}})
+	require.Equal(t, 4, s.valueBytes())
+	_, _, err = s.data.Apply(2, &kv.Request{Then: []kv.Op{{Do: "put", Key: "a", Value: []byte("12")}, {Do: "delete", Key: "b"}}})
 	require.NoError(t, err)
-	require.Equal(t, 2, s.bytes())
-	require.Equal(t, 2, s.kv.Clone().Bytes())
+	require.Equal(t, 2, s.valueBytes())
+	require.Equal(t, 2, s.data.Clone().Bytes())
 }
