--- a/internal/maintenance/plan.go
+++ b/internal/maintenance/plan.go
@@ -12,14 +12,14 @@
 
 // Task is one machine's work in a plan.
 type Task struct {
-	Node     string
-	Zone     string
-	Capacity float64
-	Length   time.Duration
-	Priority int
-	Copies   []string
-	Fixed    bool          // it is out already
-	Left     time.Duration // of a fixed one
+	Node     string        `json:"Node"`
+	Zone     string        `json:"Zone"`
+	Capacity float64       `json:"Capacity"`
+	Length   time.Duration `json:"Length"`
+	Priority int           `json:"Priority"`
+	Copies   []string      `json:"Copies"`
+	Fixed    bool          `json:"Fixed"` // it is out already
+	Left     time.Duration `json:"Left"`  // of a fixed one
 }
 
 // Window is a time in which machines may begin to leave, from the plan's begin.
@@ -47,16 +47,17 @@
 // Placed is a task with its time.
 type Placed struct {
 	Task
-	From, To time.Duration
+	From time.Duration `json:"From"`
+	To   time.Duration `json:"To"`
 }
 
 // Plan is when each goes.
 type Plan struct {
-	Placed []Placed // in the order of going
-	Length time.Duration
-	Bound  time.Duration // no plan within the limits is shorter
-	Tried  int           // orders
-	Exact  bool          // all orders were tried
+	Placed []Placed      `json:"Placed"` // in the order of going
+	Length time.Duration `json:"Length"`
+	Bound  time.Duration `json:"Bound"` // no plan within the limits is shorter
+	Tried  int           `json:"Tried"` // orders
+	Exact  bool          `json:"Exact"` // all orders were tried
 }
 
 // ErrPlan: some task never fits.
