--- a/cmd/oxbowbridge/durable.go
+++ b/cmd/oxbowbridge/durable.go
@@ -150,7 +150,7 @@
 	lines := bufio.NewReaderSize(in, 64<<10)
 	for n := 1; ; n++ {
 		line, rerr := readLine(lines, 2*(limits.KeyBytes+limits.ValueBytes)+1)
-		if rerr == io.EOF {
+		if errors.Is(rerr, io.EOF) {
 			break
 		}
 		var key, value []byte
--- a/internal/maintenance/plan.go
+++ b/internal/maintenance/plan.go
@@ -59,7 +59,7 @@
 	Exact  bool          // all orders were tried
 }
 
-// ErrPlan: some task never fits.
+// ErrPlan says that a task fits at no time of the plan.
 var ErrPlan = errors.New("no plan")
 
 // MakePlan lays out a whole order: list scheduling of an order of tasks, which a local search
--- a/internal/storage/durable/faultfs/faultfs.go
+++ b/internal/storage/durable/faultfs/faultfs.go
@@ -4,6 +4,7 @@
 package faultfs
 
 import (
+	"errors"
 	"fmt"
 	"io"
 	"io/fs"
@@ -303,7 +304,7 @@
 	o.f.mu.Lock()
 	defer o.f.mu.Unlock()
 	err := o.f.step("write", o.name)
-	if err == errShort {
+	if errors.Is(err, errShort) {
 		p = p[:len(p)/2]
 	} else if err != nil {
 		return 0, err
--- a/internal/storage/durable/plan/plan.go
+++ b/internal/storage/durable/plan/plan.go
@@ -88,7 +88,7 @@
 	return s.Live + int64(float64(s.Live)*(l.GarbageShare+l.WaitingShare)) + 2*s.Checkpoint + 2*l.SealAt(s.Live) + l.CheckpointMin
 }
 
-// Rate is the budget in bytes a second: the base, and more the more the folder
+// RateOf is the budget in bytes per second: the base rate, raised as the folder
 // outgrows its target or nears its bound.
 func (l Limits) RateOf(s Space) float64 {
 	over := max(float64(s.Used)/float64(l.Target(s))-1, (float64(s.Used)/float64(l.MaxBytes)-0.75)*4, 0)
--- a/tests/guards_test.go
+++ b/tests/guards_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"io"
 	"net"
 	"strconv"
@@ -39,8 +40,8 @@
 // ended waits for the close of the connection.
 func ended(t *testing.T, c net.Conn, what string) {
 	_, err := io.Copy(io.Discard, c)
-	if e, ok := err.(net.Error); ok {
-		require.False(t, e.Timeout(), "still open: %s", what)
+	if networkError := net.Error(nil); errors.As(err, &networkError) {
+		require.False(t, networkError.Timeout(), "still open: %s", what)
 	}
 }
 
--- a/tests/linear_test.go
+++ b/tests/linear_test.go
@@ -216,8 +216,12 @@
 	}
 	try := func(i, attempt int) (sure bool) {
 		defer func() {
-			if r := recover(); r != nil && r != errUnsure {
-				panic(r)
+			recovered := recover()
+			if recovered == nil {
+				return
+			}
+			if err, ok := recovered.(error); !ok || !errors.Is(err, errUnsure) {
+				panic(recovered)
 			}
 		}()
 		with := func(method, path, body string, fields ...string) (int, string, string) {
