--- /dev/null
+++ b/admission/purity_test.go
@@ -0,0 +1,134 @@
+package admission
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"path/filepath"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+// allowedImports maps each package that the decision module may import to the
+// names that it may use of it; no names: all of them. None does I/O, and no
+// package of this program is among them.
+var allowedImports = map[string][]string{
+	"cmp":     nil,
+	"errors":  nil,
+	"fmt":     {"Errorf", "Sprintf", "Sprint", "Stringer"},
+	"math":    nil,
+	"slices":  nil,
+	"sort":    nil,
+	"strconv": nil,
+	"strings": nil,
+	"time":    {"Duration", "Nanosecond", "Microsecond", "Millisecond", "Second", "Minute", "Hour"},
+}
+
+// TestModuleIsPure: the decisions depend on the events alone. The files of the
+// module use no clock or timer, do no I/O, start no goroutine, use no channel and
+// import nothing of this program.
+func TestModuleIsPure(t *testing.T) {
+	fileSet := token.NewFileSet()
+	paths, err := filepath.Glob("*.go")
+	require.NoError(t, err)
+	checked := 0
+	for _, path := range paths {
+		if strings.HasSuffix(path, "_test.go") {
+			continue
+		}
+		file, err := parser.ParseFile(fileSet, path, nil, parser.SkipObjectResolution)
+		require.NoError(t, err)
+		for _, problem := range impurities(fileSet, file) {
+			t.Error(problem)
+		}
+		checked++
+	}
+	require.NotZero(t, checked)
+}
+
+// impurities lists what a file imports or uses and must not.
+func impurities(fileSet *token.FileSet, file *ast.File) (problems []string) {
+	report := func(node ast.Node, what string) {
+		problems = append(problems, fileSet.Position(node.Pos()).String()+": "+what)
+	}
+	imported := map[string]string{} // local name -> path
+	for _, spec := range file.Imports {
+		path, err := strconv.Unquote(spec.Path.Value)
+		if err != nil {
+			report(spec, err.Error())
+			continue
+		}
+		if _, ok := allowedImports[path]; !ok {
+			report(spec, "imports "+path)
+		}
+		if spec.Name != nil {
+			report(spec, "renames an import")
+		}
+		imported[path] = path
+	}
+	ast.Inspect(file, func(node ast.Node) bool {
+		switch node := node.(type) {
+		case *ast.SelectorExpr:
+			name, ok := node.X.(*ast.Ident)
+			if !ok {
+				return true
+			}
+			allowed := allowedImports[imported[name.Name]]
+			if len(allowed) > 0 && !slices.Contains(allowed, node.Sel.Name) {
+				report(node, "uses "+name.Name+"."+node.Sel.Name)
+			}
+		case *ast.GoStmt:
+			report(node, "starts a goroutine")
+		case *ast.ChanType:
+			report(node, "uses a channel")
+		case *ast.CallExpr:
+			if name, ok := node.Fun.(*ast.Ident); ok && (name.Name == "print" || name.Name == "println") {
+				report(node, "prints")
+			}
+		}
+		return true
+	})
+	return problems
+}
+
+// TestImpuritiesAreFound: the check finds what it is meant to.
+func TestImpuritiesAreFound(t *testing.T) {
+	for name, test := range map[string]struct {
+		source string
+		want   string
+	}{
+		"pure":            {`import "time"; const tick = 2 * time.Second; var d time.Duration`, ""},
+		"clock":           {`import "time"; var now = time.Now()`, "uses time.Now"},
+		"elapsed":         {`import "time"; func f(t0 time.Duration) { _ = time.Since }`, "uses time.Since"},
+		"timer":           {`import "time"; var c = time.After(1)`, "uses time.After"},
+		"timer type":      {`import "time"; var t *time.Timer`, "uses time.Timer"},
+		"files":           {`import "os"`, "imports os"},
+		"network":         {`import "net/http"`, "imports net/http"},
+		"log":             {`import "log"`, "imports log"},
+		"print":           {`import "fmt"; func f() { fmt.Println() }`, "uses fmt.Println"},
+		"builtin print":   {`func f() { println() }`, "prints"},
+		"random":          {`import "math/rand"`, "imports math/rand"},
+		"another package": {`import "oxbowbridge/internal/simproto"`, "imports oxbowbridge/internal/simproto"},
+		"dot import":      {`import . "time"; var now = Now()`, "renames an import"},
+		"alias":           {`import clock "time"; var now = clock.Now()`, "renames an import"},
+		"goroutine":       {`func f() { go f() }`, "starts a goroutine"},
+		"channel":         {`var c chan int`, "uses a channel"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			fileSet := token.NewFileSet()
+			file, err := parser.ParseFile(fileSet, "x.go", "package x; "+test.source, 0)
+			require.NoError(t, err)
+			found := impurities(fileSet, file)
+			if test.want == "" {
+				require.Empty(t, found)
+				return
+			}
+			require.Len(t, found, 1)
+			require.Contains(t, found[0], test.want)
+		})
+	}
+}
--- a/admission/rules.go
+++ b/admission/rules.go
@@ -269,12 +269,12 @@
 		return nil, err
 	}
 	c := &Controller{set: s, byID: map[uint32]*request{}, limit: s.Cores, healthy: true, said: -1,
-		calls: s.CallShare, est: estimator{counts: make([]float64, len(s.Classes))},
+		calls: s.CallQuota, est: estimator{counts: make([]float64, len(s.Classes))},
 		usage: make([]float64, len(s.Tenants)), service: make([]float64, len(s.Classes)),
 		success: make([]float64, len(s.Classes))}
 	for i, k := range s.Classes {
 		c.success[i] = 1
-		c.service[i] = k.Aim.Seconds() / aimsPerWork
+		c.service[i] = k.LatencyObjective.Seconds() / aimsPerWork
 		c.expose += c.service[i] * priorRuns / float64(len(s.Classes))
 	}
 	c.done = priorRuns
@@ -318,30 +318,30 @@
 	c.begun, c.birth, c.now = true, now, now
 	c.est.last = now
 	c.nextGauge = now + gaugeEvery
-	c.do(Status{Active: true, Light: true})
+	c.do(SetHealth{Healthy: true, Cached: true})
 	c.beginEpisode(firstEpisode)
 	c.replan(c.est.most)
 }
 
-func (c *Controller) arrive(e Arrive) {
+func (c *Controller) arrive(e Arrival) {
 	if c.byID[e.ID] != nil || e.Class >= len(c.set.Classes) {
 		return
 	}
 	k := &c.set.Classes[e.Class]
-	r := &request{id: e.ID, class: e.Class, share: c.inShare(e.Tenant), dupOf: e.DupOf, kb: e.HeldKB,
-		arrived: c.now - e.Waited}
-	r.due = c.now + e.TimeLeft
-	if e.TimeLeft == 0 {
+	r := &request{id: e.ID, class: e.Class, share: c.inShare(e.Tenant), dupOf: e.DuplicateOf, kb: e.MemoryKB,
+		arrived: c.now - e.Age}
+	r.due = c.now + e.Timeout
+	if e.Timeout == 0 {
 		r.due = max(c.now, r.arrived+k.Deadline)
 	}
-	aim := k.Aim + time.Duration(k.AimStretch*float64(e.Hint))
-	aim = min(aim, k.Deadline) - time.Duration(aimMargin*float64(k.Aim))
+	aim := k.LatencyObjective + time.Duration(k.ObjectiveStretch*float64(e.ExpectedWork))
+	aim = min(aim, k.Deadline) - time.Duration(aimMargin*float64(k.LatencyObjective))
 	r.aim = min(r.arrived+aim, r.due)
 	if c.draining {
 		r.due = min(r.due, max(c.now, c.stopAt-stopMargin))
 	}
-	c.intake += (math.Min(1, float64(e.Waited)/float64(k.Aim)) - c.intake) * requestMemory
-	c.heard(e.Repeat)
+	c.intake += (math.Min(1, float64(e.Age)/float64(k.LatencyObjective)) - c.intake) * requestMemory
+	c.heard(e.Retry)
 	c.reqs = append(c.reqs, r)
 	c.byID[r.id] = r
 	c.n[fresh]++
@@ -361,12 +361,12 @@
 	}
 	allowed := 1e-9
 	for i, t := range c.set.Tenants {
-		allowed += t.Allowance
+		allowed += t.QuotaPerSecond
 		c.usage[i] -= c.usage[i] * tenantMemory
 	}
 	c.usage[tenant] += tenantMemory
-	within := math.Min(1, c.set.Tenants[tenant].Allowance/allowed/c.usage[tenant])
-	return within + (1-within)*c.set.OverShareWorth
+	within := math.Min(1, c.set.Tenants[tenant].QuotaPerSecond/allowed/c.usage[tenant])
+	return within + (1-within)*c.set.OverQuotaFraction
 }
 
 func (c *Controller) completed(e Completed) {
@@ -374,7 +374,7 @@
 	if r == nil {
 		return
 	}
-	if r.yields && e.Outcome == Cancelled && !r.answered {
+	if r.yields && e.Outcome == OutcomeCanceled && !r.answered {
 		c.move(r, paused)
 		return
 	}
@@ -384,13 +384,13 @@
 	case calling:
 		c.linger()
 	}
-	if r.phase == running && (e.Outcome == OK || e.Outcome == Internal) {
+	if r.phase == running && (e.Outcome == OutcomeOK || e.Outcome == OutcomeInternal) {
 		c.done++
-		c.service[r.class] += (e.Took.Seconds() - c.service[r.class]) * requestMemory
+		c.service[r.class] += (e.Elapsed.Seconds() - c.service[r.class]) * requestMemory
 	}
-	if r.phase != sharing && e.Outcome != TooLate { // a class whose calls fail must not crowd out the others
+	if r.phase != sharing && e.Outcome != OutcomeNotStarted { // a class whose calls fail must not crowd out the others
 		useful := successFloor
-		if e.Outcome == OK && !r.answered {
+		if e.Outcome == OutcomeOK && !r.answered {
 			useful = 1
 		}
 		c.success[r.class] += (useful - c.success[r.class]) * requestMemory
@@ -413,8 +413,8 @@
 // stop frees the cores of answered work. Deduplicated work goes on: its next
 // try shares the result.
 func (c *Controller) stop(r *request) {
-	if c.set.Halt != HaltNone && c.set.Classes[r.class].Effect != Deduplicated {
-		c.do(Suspend{r.id})
+	if c.set.Preemption != PreemptionNone && c.set.Classes[r.class].Effect != Deduplicated {
+		c.do(Preempt{r.id})
 	}
 }
 
@@ -423,16 +423,16 @@
 	c.refused += requestMemory
 	c.forget(r)
 	r.answered = true
-	vain := c.set.Depth > 0 || c.refused > refusedLeast ||
+	vain := c.set.TiersAbove > 0 || c.refused > refusedLeast ||
 		c.refused > refusedVain && (c.repeats > repeatsVain || !c.set.RetriesMarked)
-	c.do(Refuse{ID: r.id, RetryIn: c.advice(r.class), Terminal: !c.draining && vain})
+	c.do(Reject{ID: r.id, RetryAfter: c.advice(r.class), DoNotRetry: !c.draining && vain})
 	c.move(r, over)
 }
 
 // abort answers a request that ran, or may have.
 func (c *Controller) abort(r *request) {
 	r.answered = true
-	c.do(Abort{r.id})
+	c.do(Fail{r.id})
 	switch r.phase {
 	case running:
 		c.stop(r)
@@ -454,13 +454,13 @@
 // advice is when to come back: once the runs that keep the class out have ended.
 func (c *Controller) advice(class int) time.Duration {
 	if c.draining {
-		return c.set.AdviceMax
+		return c.set.MaxRetryAfter
 	}
 	wait := (c.rate()/c.capacity() - 1) * advicePer.Seconds()
 	if c.est.episode > 1 { // before that μ is a guess
 		wait = math.Max(wait, float64(max(0, c.state()-c.plan.threshold(class))+1)/c.capacity())
 	}
-	return min(c.set.AdviceMax, time.Duration(math.Max(0, wait)*float64(time.Second)))
+	return min(c.set.MaxRetryAfter, time.Duration(math.Max(0, wait)*float64(time.Second)))
 }
 
 // forget drops the table entry of a request that never ran.
@@ -469,7 +469,7 @@
 		return
 	}
 	r.kept = false
-	c.do(Evict{r.id})
+	c.do(EvictKey{r.id})
 	c.keys = slices.DeleteFunc(c.keys, func(k keptKey) bool { return k.id == r.id })
 }
 
@@ -508,14 +508,14 @@
 		c.repeat(r)
 		return
 	}
-	if c.draining && r.arrived > c.drainedAt+c.set.DrainGrace {
+	if c.draining && r.arrived > c.drainedAt+c.set.DrainGracePeriod {
 		c.refuse(r)
 		return
 	}
 	room := c.room()
-	need := r.kb * (c.set.RunFactor - 1)
+	need := r.kb * (c.set.RunMemoryFactor - 1)
 	if k.Effect == Deduplicated {
-		need += c.set.KeyKB
+		need += c.set.KeyMemoryKB
 	}
 	if need > room {
 		c.refuse(r)
@@ -530,9 +530,9 @@
 		return
 	}
 	if k.Effect == Deduplicated {
-		c.keep(r, k.Window)
-	} else if c.set.ShareFor > 0 && k.Effect == Idempotent && room-need > c.set.MemoryKB*readKeyShare {
-		c.keep(r, r.due-c.now+c.set.ShareFor)
+		c.keep(r, k.DedupWindow)
+	} else if c.set.ResultReuseWindow > 0 && k.Effect == Idempotent && room-need > c.set.MemoryKB*readKeyShare {
+		c.keep(r, r.due-c.now+c.set.ResultReuseWindow)
 	}
 	c.move(r, held)
 	c.start()
@@ -552,19 +552,19 @@
 		c.abort(r)
 		return
 	}
-	c.do(Share{r.id})
+	c.do(ShareResult{r.id})
 	c.move(r, sharing)
 }
 
 func (c *Controller) keep(r *request, life time.Duration) {
 	r.kept = true
 	c.keys = append(c.keys, keptKey{r.id, c.now + life})
-	c.do(RecordKey{r.id, life})
+	c.do(StoreKey{r.id, life})
 }
 
 // room is the memory left to hand out.
 func (c *Controller) room() float64 {
-	return c.set.MemoryKB*memoryShare - c.mem - float64(len(c.keys))*c.set.KeyKB
+	return c.set.MemoryKB*memoryShare - c.mem - float64(len(c.keys))*c.set.KeyMemoryKB
 }
 
 // capacity is cμ, in runs per second.
@@ -573,11 +573,11 @@
 // crowd is the number of runs on the cores that the server survives now.
 func (c *Controller) crowd() float64 {
 	speed := 1.0
-	if c.set.Fresh && c.now < c.birth+c.set.ColdFor {
-		grown := float64(c.now-c.birth) / float64(c.set.ColdFor)
-		speed = c.set.ColdShare + (1-c.set.ColdShare)*grown
+	if c.set.SlowStart && c.now < c.birth+c.set.SlowStartDuration {
+		grown := float64(c.now-c.birth) / float64(c.set.SlowStartDuration)
+		speed = c.set.SlowStartMinSpeed + (1-c.set.SlowStartMinSpeed)*grown
 	}
-	return float64(c.set.Cores) * (1 + (c.set.CrowdFactor-1)*speed)
+	return float64(c.set.Cores) * (1 + (c.set.MaxRunsPerCore-1)*speed)
 }
 
 // canRun tells whether one more may go on the cores: c isn't full, with a part
@@ -597,14 +597,14 @@
 			if !c.canRun() {
 				return
 			}
-			if r.phase != from || from == held && r.kb*(c.set.RunFactor-1) > c.room() {
+			if r.phase != from || from == held && r.kb*(c.set.RunMemoryFactor-1) > c.room() {
 				continue
 			}
 			if c.n[running] == 0 {
 				c.quiet = 0
 			}
 			r.ran, r.yields = true, false
-			c.do(Take{r.id})
+			c.do(Run{r.id})
 			c.move(r, running)
 		}
 	}
@@ -616,10 +616,10 @@
 // are worth it.
 func (c *Controller) yield() bool {
 	for _, r := range c.reqs {
-		if r.phase == running && c.set.Halt == HaltPause && !c.set.PerWork && !r.answered && !r.yields &&
+		if r.phase == running && c.set.Preemption == PreemptionPause && !c.set.WeightPerWork && !r.answered && !r.yields &&
 			(r.spent+c.now-r.since).Seconds() > yieldAfter*c.service[r.class] {
 			r.yields = true
-			c.do(Suspend{r.id})
+			c.do(Preempt{r.id})
 			return true
 		}
 	}
@@ -643,7 +643,7 @@
 
 // expiry is when answerDue ends a request.
 func (c *Controller) expiry(r *request) time.Duration {
-	due := r.due - 2*c.set.Tick
+	due := r.due - 2*c.set.MinInterval
 	if r.phase == held {
 		due = min(due, r.aim-time.Duration(c.service[r.class]/2*float64(time.Second)))
 	}
@@ -654,11 +654,11 @@
 	if c.draining {
 		return
 	}
-	c.draining, c.drainedAt, c.stopAt = true, c.now-e.Waited, c.now+e.TimeLeft
+	c.draining, c.drainedAt, c.stopAt = true, c.now-e.Age, c.now+e.StopIn
 	for _, r := range c.reqs {
 		r.due = min(r.due, max(c.now, c.stopAt-stopMargin))
 	}
-	c.do(Status{Active: false, Light: true})
+	c.do(SetHealth{Healthy: false, Cached: true})
 }
 
 // makeCalls makes the calls that wait for room, oldest first.
@@ -668,13 +668,13 @@
 			continue
 		}
 		if !c.callRoom() {
-			if c.set.Classes[r.class].SkipWorth > 0 {
+			if c.set.Classes[r.class].DegradedFraction > 0 {
 				c.do(Degrade{r.id})
 				c.move(r, running)
 			}
 			continue
 		}
-		c.do(Call{ID: r.id, Expire: c.callEnd(r)})
+		c.do(StartCall{ID: r.id, Deadline: c.callEnd(r)})
 		c.move(r, calling)
 	}
 }
@@ -683,37 +683,37 @@
 // have there; abandoned calls that linger count too. Below one, the mean over the
 // window is kept instead: call time is saved up at half the share.
 func (c *Controller) callRoom() bool {
-	if c.set.Below != BelowShared {
+	if c.set.Dependency != DependencyShared {
 		return true
 	}
-	if c.set.CallShare >= 1 {
+	if c.set.CallQuota >= 1 {
 		return float64(c.n[calling]+len(c.lingering)+1) <= c.calls
 	}
-	return c.n[calling]+len(c.lingering) == 0 && c.callTime >= c.set.Linger.Seconds()+callLeast.Seconds()
+	return c.n[calling]+len(c.lingering) == 0 && c.callTime >= c.set.CallLinger.Seconds()+callLeast.Seconds()
 }
 
 // behind tells whether more wait for calls than are at them: cores may be free, the server isn't.
 func (c *Controller) behind() bool {
-	return c.set.Below == BelowShared && c.set.CallShare >= 1 && float64(c.n[standing]) > c.calls
+	return c.set.Dependency == DependencyShared && c.set.CallQuota >= 1 && float64(c.n[standing]) > c.calls
 }
 
 // callTook moves the bound on calls in hand, of which the share is a ceiling, not a target: what all
 // share slows down well before it dies. Calls that are turned away, or take long, lower it.
-func (c *Controller) callTook(e Replied, class int) {
-	if e.Outcome == Full || e.Took.Seconds() > callCrowd*c.set.Classes[class].Aim.Seconds() {
+func (c *Controller) callTook(e CallCompleted, class int) {
+	if e.Outcome == OutcomeResourceExhausted || e.Elapsed.Seconds() > callCrowd*c.set.Classes[class].LatencyObjective.Seconds() {
 		c.calls = math.Max(1, c.calls-callYield)
-	} else if e.Outcome != Unreachable {
-		c.calls = math.Max(1, math.Min(c.set.CallShare, c.calls+1/math.Max(1, c.calls)))
+	} else if e.Outcome != OutcomeUnavailable {
+		c.calls = math.Max(1, math.Min(c.set.CallQuota, c.calls+1/math.Max(1, c.calls)))
 	}
 }
 
-func (c *Controller) linger() { c.lingering = append(c.lingering, c.now+c.set.Linger) }
+func (c *Controller) linger() { c.lingering = append(c.lingering, c.now+c.set.CallLinger) }
 
 // callEnd is when a call that starts now is abandoned.
 func (c *Controller) callEnd(r *request) time.Duration {
-	end := r.due - 2*c.set.Tick
-	if c.set.Below == BelowShared && c.set.CallShare < 1 {
-		spare := c.callTime - c.set.Linger.Seconds()
+	end := r.due - 2*c.set.MinInterval
+	if c.set.Dependency == DependencyShared && c.set.CallQuota < 1 {
+		spare := c.callTime - c.set.CallLinger.Seconds()
 		end = min(end, c.now+time.Duration(spare*float64(time.Second)))
 	}
 	return end
@@ -723,29 +723,29 @@
 func (c *Controller) countCalls(now time.Duration) {
 	c.lingering = slices.DeleteFunc(c.lingering, func(until time.Duration) bool { return until <= now })
 	passed := (now - c.now).Seconds()
-	most := c.set.CallShare * c.set.CallWindow.Seconds() / 2
+	most := c.set.CallQuota * c.set.CallWindow.Seconds() / 2
 	inHand := float64(c.n[calling] + len(c.lingering))
-	c.callTime = math.Min(most, c.callTime+passed*(c.set.CallShare/2-inHand))
+	c.callTime = math.Min(most, c.callTime+passed*(c.set.CallQuota/2-inHand))
 }
 
-func (c *Controller) replied(e Replied) {
+func (c *Controller) replied(e CallCompleted) {
 	r := c.byID[e.ID]
 	if r == nil || r.phase != calling {
 		return
 	}
 	c.callTook(e, r.class)
-	if e.Outcome == OK {
+	if e.Outcome == OutcomeOK {
 		c.move(r, running)
 		return
 	}
 	c.move(r, standing)
-	if e.Outcome == DeadlineExceeded || e.Outcome == Broken {
+	if e.Outcome == OutcomeDeadlineExceeded || e.Outcome == OutcomeAborted {
 		c.linger()
 	}
 	if r.answered {
 		return
 	}
-	if c.set.Classes[r.class].SkipWorth > 0 {
+	if c.set.Classes[r.class].DegradedFraction > 0 {
 		c.do(Degrade{r.id})
 		c.move(r, running)
 	} else {
@@ -779,15 +779,15 @@
 // once it can't keep up all that is read is stale, whatever crowded it.
 func (c *Controller) adjustLimit(g Gauges) {
 	cores := c.set.Cores
-	free := int(float64(cores) - g.OnCores - callWeight*float64(c.n[calling]))
+	free := int(float64(cores) - g.RunQueue - callWeight*float64(c.n[calling]))
 	switch {
 	case c.intake > intakeShare:
 		c.limit = max(1, cores/3, c.limit-1)
 	case c.limit < cores:
 		c.limit++
-	case c.waited && g.CoreUse >= 0 && g.CoreUse < idleUse && free > 0:
+	case c.waited && g.CPUUtilization >= 0 && g.CPUUtilization < idleUse && free > 0:
 		c.limit = min(c.limit+free, max(cores, int(c.crowd()*crowdShare)))
-	case g.CoreUse > busyUse && c.limit > cores:
+	case g.CPUUtilization > busyUse && c.limit > cores:
 		c.limit--
 	}
 	c.waited = false
@@ -809,10 +809,10 @@
 	case c.refused < refusedLeast:
 		idle -= idle / 10
 	}
-	idle = min(max(idle, idleLeast), c.set.IdleMax)
+	idle = min(max(idle, idleLeast), c.set.MaxIdleTimeout)
 	if idle != c.idle {
 		c.idle = idle
-		c.do(Idle{idle})
+		c.do(SetIdleTimeout{idle})
 	}
 }
 
@@ -872,16 +872,16 @@
 	worth, gamma := make([]float64, len(shares)), make([]float64, len(shares))
 	for i := range shares {
 		k := &c.set.Classes[i]
-		worth[i] = k.Value * c.success[i]
-		if !c.set.PerWork { // the planner has one μ: a long class is worth less per run
+		worth[i] = k.PriorityWeight * c.success[i]
+		if !c.set.WeightPerWork { // the planner has one μ: a long class is worth less per run
 			worth[i] *= mean / c.service[i]
 		}
-		budget := k.Aim.Seconds()*(1-aimMargin) - c.service[i]
-		gamma[i] = worth[i] / math.Max(budget, k.Aim.Seconds()*aimMargin)
+		budget := k.LatencyObjective.Seconds()*(1-aimMargin) - c.service[i]
+		gamma[i] = worth[i] / math.Max(budget, k.LatencyObjective.Seconds()*aimMargin)
 	}
 	c.worth = worth
 	mu, limit := c.mu(), c.limit
-	states := max(limit+1, min(stateMost, int(crowds*float64(c.set.Cores)*c.set.CrowdFactor)))
+	states := max(limit+1, min(stateMost, int(crowds*float64(c.set.Cores)*c.set.MaxRunsPerCore)))
 	c.plan = solve(model{c: limit, S: states, mu: mu, lambda: lambda, shares: shares, eps: eps,
 		r: func(i, s int) float64 { return worth[i] - gamma[i]*erlangWait(s, limit, mu) }})
 }
@@ -892,7 +892,7 @@
 	healthy := !c.draining && c.silence() < stuckRuns && !starved
 	if healthy != c.healthy {
 		c.healthy = healthy
-		c.do(Status{Active: healthy, Light: true})
+		c.do(SetHealth{Healthy: healthy, Cached: true})
 	}
 	if c.set.Advert == AdvertNone {
 		return
@@ -900,7 +900,7 @@
 	amount := c.advert()
 	if math.Abs(amount-c.said) > sayChange*c.said {
 		c.said = amount
-		c.do(Publish{amount})
+		c.do(Advertise{amount})
 	}
 }
 
@@ -913,7 +913,7 @@
 		}
 	}
 	switch {
-	case c.set.Advert == AdvertLevel:
+	case c.set.Advert == AdvertMinRank:
 		return float64(refused) / float64(classes)
 	case c.set.Advert == AdvertWeight:
 		return math.Min(1, c.capacity()/c.plan.model.lambda)
@@ -931,10 +931,10 @@
 			next = min(next, c.expiry(r))
 		}
 	}
-	next = max(next, c.now+max(c.set.Tick, time.Microsecond))
+	next = max(next, c.now+max(c.set.MinInterval, time.Microsecond))
 	if c.timerAt == 0 || next < c.timerAt {
 		c.ref++
 		c.timerAt = next
-		c.do(Defer{Span: next - c.now, Ref: c.ref})
+		c.do(SetTimer{After: next - c.now, TimerID: c.ref})
 	}
 }
--- a/admission/state.go
+++ b/admission/state.go
@@ -122,37 +122,37 @@
 	case fresh, held, sharing:
 		return r.kb
 	}
-	return r.kb * c.set.RunFactor
+	return r.kb * c.set.RunMemoryFactor
 }
 
 // note books one event.
 func (c *Controller) note(e Event) {
 	switch e := e.(type) {
-	case Arrive:
+	case Arrival:
 		c.arrive(e)
 	case Completed:
-		if r := c.byID[e.ID]; r != nil && e.Outcome == TooLate {
+		if r := c.byID[e.ID]; r != nil && e.Outcome == OutcomeNotStarted {
 			c.withdraw(r)
 		}
 		c.completed(e)
-	case Lapsed:
+	case Canceled:
 		if r := c.byID[e.ID]; r != nil {
 			if !r.ran {
 				c.withdraw(r)
 			}
 			c.lapsed(r)
 		}
-	case Awaiting:
+	case CallNeeded:
 		if r := c.byID[e.ID]; r != nil && r.phase == running {
 			c.quiet = 0
 			c.move(r, standing)
 		}
-	case Replied:
+	case CallCompleted:
 		c.replied(e)
 	case Drain:
 		c.drain(e)
-	case Due:
-		if e.Ref == c.ref {
+	case TimerFired:
+		if e.TimerID == c.ref {
 			c.timerAt = 0
 		}
 		if c.now >= c.nextGauge {
@@ -187,6 +187,6 @@
 	}
 	if text != c.remarked {
 		c.remarked = text
-		c.do(Remark{text})
+		c.do(LogMessage{text})
 	}
 }
--- a/cmd/oxbowbridge/config.go
+++ b/cmd/oxbowbridge/config.go
@@ -65,7 +65,7 @@
 
 func parseConfig(text []byte, env func(string) string) (*config, error) {
 	var c config
-	if err := simproto.Decode(text, &c); err != nil {
+	if err := simproto.DecodeJSON(text, &c); err != nil {
 		return nil, err
 	}
 	if v := env("BALANCER_NAME"); v != "" {
--- a/cmd/oxbowbridge/keeper.go
+++ b/cmd/oxbowbridge/keeper.go
@@ -108,7 +108,7 @@
 // good.
 func (k *keeper) use(cfg *config, g store.Good, last bool) bool {
 	var w simproto.Settings
-	err := simproto.Decode(g.Value, &w)
+	err := simproto.DecodeJSON(g.Value, &w)
 	if err == nil {
 		_, err = dispatch.Check(&w)
 	}
--- a/cmd/oxbowbridge/serve.go
+++ b/cmd/oxbowbridge/serve.go
@@ -148,8 +148,8 @@
 	env := session.Env{Exchange: x, Loop: loop, Due: p.Deadlines, Now: p.Now, Log: log}
 	runner := runnerOf(cfg, env)
 	var lingers time.Duration
-	if cfg.Settings.Info.Below == "shared" {
-		lingers = cfg.Settings.Info.Linger
+	if cfg.Settings.Server.Dependency == "shared" {
+		lingers = cfg.Settings.Server.CallLinger
 	}
 	calls := records.New(cfg.Records, pool, lingers, env)
 	list := registry.New(cfg.Lookup, cfg.Name, env)
@@ -239,12 +239,12 @@
 
 func runnerOf(cfg *config, env session.Env) runner {
 	if len(cfg.AJP.Upstreams) > 0 {
-		info, safety := &cfg.Settings.Info, &cfg.Settings.Safety
-		limits := slowstart.Limits{Cores: info.Cores, Multiple: safety.FallMultiple, ColdShare: safety.ColdShare, Cold: safety.Cold,
-			Window: safety.Fall, Processes: cfg.Settings.Servers}
-		return upstreamRunner{ajp.NewUpstreams(cfg.AJP.Upstreams, cfg.AJP.UpstreamSecret, info.OwnStats, limits, upstreamSeed(cfg), env)}
+		info, safety := &cfg.Settings.Server, &cfg.Settings.Safety
+		limits := slowstart.Limits{Cores: info.Cores, Multiple: safety.MaxRunsPerCore, ColdShare: safety.SlowStartMinSpeed, Cold: safety.SlowStartDuration,
+			Window: safety.OverloadWindow, Processes: cfg.Settings.Servers}
+		return upstreamRunner{ajp.NewUpstreams(cfg.AJP.Upstreams, cfg.AJP.UpstreamSecret, info.GaugeNames, limits, upstreamSeed(cfg), env)}
 	}
-	return engineRunner{engine.New(cfg.Engine, cfg.Settings.Info.Halt == "pause", env)}
+	return engineRunner{engine.New(cfg.Engine, cfg.Settings.Server.Preemption == "pause", env)}
 }
 
 // upstreamSeed differs between the services of a fleet also where none is given a seed.
--- a/internal/proxy/dispatch/actions.go
+++ b/internal/proxy/dispatch/actions.go
@@ -13,56 +13,56 @@
 // carryOut does what the module decided.
 func (c *Core) carryOut(now time.Duration, a admission.Action) {
 	switch a := a.(type) {
-	case admission.Take:
+	case admission.Run:
 		if r := c.byID[a.ID]; r != nil {
 			c.start(now, r)
 		} else {
-			c.tellSoon(admission.Completed{ID: a.ID, Outcome: admission.TooLate})
+			c.tellSoon(admission.Completed{ID: a.ID, Outcome: admission.OutcomeNotStarted})
 		}
-	case admission.Suspend:
+	case admission.Preempt:
 		r := c.byID[a.ID]
 		atCall := r != nil && (r.phase == standing || r.phase == calling)
 		// A pause takes runs off the cores: one at its call goes on, unless it is over.
-		if r != nil && (r.phase == running || atCall && (c.set.Halt != admission.HaltPause || r.answered)) {
+		if r != nil && (r.phase == running || atCall && (c.set.Preemption != admission.PreemptionPause || r.answered)) {
 			r.suspended = true
 			c.end(r)
 		}
-	case admission.Refuse:
+	case admission.Reject:
 		if r := c.byID[a.ID]; r != nil {
 			c.refuse(r, a)
 		}
-	case admission.Abort:
+	case admission.Fail:
 		if r := c.byID[a.ID]; r != nil {
 			c.settle(r, exchange.Answer{Result: exchange.Failed})
 			if r.phase == standing || r.phase == calling {
 				c.end(r)
 			}
 		}
-	case admission.Call:
+	case admission.StartCall:
 		if r := c.byID[a.ID]; r != nil && r.phase == standing && !r.answered {
-			c.call(now, r, a.Expire)
+			c.call(now, r, a.Deadline)
 		}
-	case admission.Share:
+	case admission.ShareResult:
 		if r := c.byID[a.ID]; r != nil {
 			c.share(now, r)
 		}
-	case admission.RecordKey, admission.Evict:
+	case admission.StoreKey, admission.EvictKey:
 		// The table of replay keys knows when a key is first used, and when its request
 		// has ended unrun, without being told.
-	case admission.Publish:
-		c.Exchange.Publish(a.Amount)
-	case admission.Status:
-		c.active = a.Active
+	case admission.Advertise:
+		c.Exchange.Publish(a.Value)
+	case admission.SetHealth:
+		c.active = a.Healthy
 		c.health()
-		if c.Settings.Info.Readiness {
-			c.Directory.Serves(a.Active)
+		if c.Settings.Server.Readiness {
+			c.Directory.Serves(a.Healthy)
 		}
-		c.Log.Info("health", zap.Bool("good", a.Active))
-	case admission.Idle:
-		c.idle = a.Lifetime
-	case admission.Defer:
+		c.Log.Info("health", zap.Bool("good", a.Healthy))
+	case admission.SetIdleTimeout:
+		c.idle = a.Timeout
+	case admission.SetTimer:
 		c.after(now, a)
-	case admission.Remark:
+	case admission.LogMessage:
 		c.Log.Info("module", zap.String("says", a.Text))
 	default:
 		c.Log.Error("action is not for this site", zap.String("type", fmt.Sprintf("%T", a)))
@@ -71,8 +71,8 @@
 
 // refuse gives an answer that promises that nothing ran. Guards against one that
 // isn't true, whoever decided it.
-func (c *Core) refuse(r *request, a admission.Refuse) {
-	answer := exchange.Answer{Result: exchange.Refused, HoldOff: a.RetryIn, Stay: a.Terminal}
+func (c *Core) refuse(r *request, a admission.Reject) {
+	answer := exchange.Answer{Result: exchange.Refused, HoldOff: a.RetryAfter, Stay: a.DoNotRetry}
 	if c.set.Classes[r.Class].Effect != admission.Idempotent && (r.ran || r.other != nil && r.other.Ran) {
 		answer = exchange.Answer{Result: exchange.Failed}
 	}
@@ -83,14 +83,14 @@
 func (c *Core) health() { c.Exchange.SetHealthy(c.active && c.readyAt > 0) }
 
 // after sets a timer of the module, with gauges that are fresh when it is due.
-func (c *Core) after(now time.Duration, d admission.Defer) {
-	if d.Span > gaugeLead {
-		c.Deadlines.At(now+d.Span-gaugeLead, c.Runner.AskGauges)
+func (c *Core) after(now time.Duration, d admission.SetTimer) {
+	if d.After > gaugeLead {
+		c.Deadlines.At(now+d.After-gaugeLead, c.Runner.AskGauges)
 	}
-	c.Deadlines.At(now+d.Span, func() {
+	c.Deadlines.At(now+d.After, func() {
 		if c.Now()-c.gauged > gaugesMost { // guards against a link that is down, or an engine that hangs
 			c.gauges = c.Settings.Gauges(nil)
 		}
-		c.tell(admission.Due{Ref: d.Ref, Gauges: c.gauges})
+		c.tell(admission.TimerFired{TimerID: d.TimerID, Gauges: c.gauges})
 	})
 }
--- a/internal/proxy/dispatch/core.go
+++ b/internal/proxy/dispatch/core.go
@@ -106,9 +106,9 @@
 // Check tells what of the settings can't be served. What they allow and the protocol
 // has no word for is left unused: results of reads are not shared, calls not left out.
 func Check(w *simproto.Settings) (admission.Settings, error) {
-	set, err := w.Rules()
+	set, err := w.Admission()
 	if err == nil {
-		err = w.Check()
+		err = w.Validate()
 	}
 	if err != nil {
 		return set, err
@@ -125,9 +125,9 @@
 			return set, fmt.Errorf("classes.%d.name: %q is there twice", i, name)
 		}
 		seen[name] = true
-		set.Classes[i].SkipWorth = 0
+		set.Classes[i].DegradedFraction = 0
 	}
-	set.ShareFor = 0
+	set.ResultReuseWindow = 0
 	_, err = admission.New(set, 0)
 	return set, err
 }
@@ -140,15 +140,15 @@
 	}
 	for _, k := range set.Classes {
 		if k.Effect == admission.Deduplicated { // the module's memory is full when the table is
-			set.KeyKB = max(set.KeyKB, set.MemoryKB/float64(max(1, p.KeysMost/idempotency.EntryMost)))
+			set.KeyMemoryKB = max(set.KeyMemoryKB, set.MemoryKB/float64(max(1, p.KeysMost/idempotency.EntryMost)))
 		}
 	}
 	tenants := map[string]int{}
 	for i, t := range p.Settings.Tenants {
 		tenants[t.Name] = i
 	}
-	return &Core{Parts: p, set: set, fresh: set.Fresh, byID: map[uint32]*request{}, byTrace: map[string]*request{},
-		spent: map[string]struct{}{}, keys: idempotency.New(p.KeysMost), gauges: p.Settings.Gauges(nil), idle: set.IdleMax, tenants: tenants}, nil
+	return &Core{Parts: p, set: set, fresh: set.SlowStart, byID: map[uint32]*request{}, byTrace: map[string]*request{},
+		spent: map[string]struct{}{}, keys: idempotency.New(p.KeysMost), gauges: p.Settings.Gauges(nil), idle: set.MaxIdleTimeout, tenants: tenants}, nil
 }
 
 // Run turns until the service has drained.
@@ -159,7 +159,7 @@
 		now := c.Now()
 		// The module is promised a least time between two calls; what comes within
 		// it is one turn.
-		if wait := c.last + c.set.Tick - now; c.last > 0 && wait > 0 {
+		if wait := c.last + c.set.MinInterval - now; c.last > 0 && wait > 0 {
 			time.Sleep(wait)
 		}
 		c.turn()
@@ -206,7 +206,7 @@
 
 func (c *Core) decide() {
 	if c.control == nil {
-		c.set.Fresh = c.fresh
+		c.set.SlowStart = c.fresh
 		control, err := admission.New(c.set, c.Seed)
 		if err != nil {
 			panic(err) // New tried the same settings
@@ -215,10 +215,10 @@
 	}
 	now := c.Now()
 	for i, e := range c.events {
-		if a, ok := e.(admission.Arrive); ok {
-			a.Waited = max(0, now-a.Waited) // noted as the time of arrival
-			if a.TimeLeft != 0 {
-				a.TimeLeft = max(1, a.TimeLeft-now) // noted as the time at which it ends; 0 would be none
+		if a, ok := e.(admission.Arrival); ok {
+			a.Age = max(0, now-a.Age) // noted as the time of arrival
+			if a.Timeout != 0 {
+				a.Timeout = max(1, a.Timeout-now) // noted as the time at which it ends; 0 would be none
 			}
 			c.events[i] = a
 		}
@@ -237,7 +237,7 @@
 // is warm. It belongs into a step of the exchange.
 func (c *Core) Load() (busy float64, known, warm bool) {
 	c.Runner.AskGauges() // for the next time
-	return c.gauges.CoreUse, c.gauged > 0 && c.Now()-c.gauged <= gaugesOld, c.readyAt > 0 && c.Now() >= c.warmAt
+	return c.gauges.CPUUtilization, c.gauged > 0 && c.Now()-c.gauged <= gaugesOld, c.readyAt > 0 && c.Now() >= c.warmAt
 }
 
 // note books one event of the exchange.
@@ -254,11 +254,11 @@
 	case exchange.Ready:
 		c.fresh = e.Cold
 		if c.readyAt, c.warmAt = c.Now(), c.Now(); e.Cold {
-			c.warmAt += max(0, c.set.ColdFor-e.Since)
+			c.warmAt += max(0, c.set.SlowStartDuration-e.Since)
 		}
 		c.health()
 		c.Directory.Open()
-		c.tell(admission.Due{Gauges: c.gauges}) // a first event: the module starts
+		c.tell(admission.TimerFired{Gauges: c.gauges}) // a first event: the module starts
 	case exchange.Step:
 		e()
 	}
--- a/internal/proxy/dispatch/drain.go
+++ b/internal/proxy/dispatch/drain.go
@@ -17,15 +17,15 @@
 	}
 	noticed := c.Now() - waited
 	c.draining, c.stopAt = true, noticed+stop
-	c.closeAt = min(noticed+c.set.DrainGrace, c.stopAt-stopLead)
+	c.closeAt = min(noticed+c.set.DrainGracePeriod, c.stopAt-stopLead)
 	left := c.stopAt - c.Now()
 	c.Log.Info("drain", zap.Duration("stop_in", left), zap.Int("open", len(c.byID)))
-	if c.Settings.Info.Readiness {
+	if c.Settings.Server.Readiness {
 		c.Directory.Serves(false) // whatever its reports say now is listed at once
 	} else {
 		c.Directory.Shut()
 	}
-	c.tell(admission.Drain{TimeLeft: max(0, left-stopLead), Waited: waited})
+	c.tell(admission.Drain{StopIn: max(0, left-stopLead), Age: waited})
 	c.drainTick()
 }
 
--- a/internal/proxy/dispatch/keys.go
+++ b/internal/proxy/dispatch/keys.go
@@ -26,7 +26,7 @@
 		// Guards the memory, and every key that is inside its window.
 		c.Log.Warn("request turned down: no room for its replay key", zap.Int("keys", c.keys.Len()))
 		next, _ := c.keys.Next()
-		c.turnDown(r.Request, exchange.Answer{Result: exchange.Refused, HoldOff: min(max(0, next-now), c.set.AdviceMax)})
+		c.turnDown(r.Request, exchange.Answer{Result: exchange.Refused, HoldOff: min(max(0, next-now), c.set.MaxRetryAfter)})
 	}
 	return e != nil
 }
@@ -39,7 +39,7 @@
 		return
 	}
 	k := &c.set.Classes[r.Class]
-	for _, id := range c.keys.End(r.own, result, r.arrived+k.Window+k.Deadline) {
+	for _, id := range c.keys.End(r.own, result, r.arrived+k.DedupWindow+k.Deadline) {
 		c.shared(c.byID[id])
 	}
 }
@@ -62,10 +62,10 @@
 	if r == nil || r.phase != sharing {
 		return
 	}
-	a, out := exchange.Answer{Result: exchange.Failed}, admission.Internal
+	a, out := exchange.Answer{Result: exchange.Failed}, admission.OutcomeInternal
 	if r.other.Result != nil {
-		a, out = exchange.Answer{Result: exchange.Served, Body: r.other.Result}, admission.OK
+		a, out = exchange.Answer{Result: exchange.Served, Body: r.other.Result}, admission.OutcomeOK
 	}
-	c.tellSoon(admission.Completed{ID: r.id, Took: c.Now() - r.began, Outcome: out})
+	c.tellSoon(admission.Completed{ID: r.id, Elapsed: c.Now() - r.began, Outcome: out})
 	c.settle(r, a)
 }
--- a/internal/proxy/dispatch/request.go
+++ b/internal/proxy/dispatch/request.go
@@ -55,13 +55,13 @@
 		return
 	}
 	c.byID[r.id], c.byTrace[r.Trace] = r, r
-	a := admission.Arrive{ID: r.id, Class: q.Class, Tenant: c.tenants[q.Tenant], Hint: q.Hint, Waited: r.arrived, HeldKB: q.HeldKB,
-		Keyed: q.Keyed, Repeat: q.Repeat, Place: q.Place}
-	if c.Settings.Info.PassesDeadline && q.Wait > 0 { // else its class's deadline counts
-		a.TimeLeft = r.arrived + q.Wait
+	a := admission.Arrival{ID: r.id, Class: q.Class, Tenant: c.tenants[q.Tenant], ExpectedWork: q.Hint, Age: r.arrived, MemoryKB: q.HeldKB,
+		HasKey: q.Keyed, Retry: q.Repeat, Rank: q.Place}
+	if c.Settings.Server.PassesDeadline && q.Wait > 0 { // else its class's deadline counts
+		a.Timeout = r.arrived + q.Wait
 	}
 	if r.other != nil {
-		a.DupOf = r.other.Owner
+		a.DuplicateOf = r.other.Owner
 	}
 	c.tell(a)
 }
@@ -80,7 +80,7 @@
 		return
 	}
 	c.settle(r, exchange.Answer{Result: exchange.Failed})
-	c.tell(admission.Lapsed{ID: r.id})
+	c.tell(admission.Canceled{ID: r.id})
 	if r.phase == standing || r.phase == calling {
 		c.end(r)
 	}
--- a/internal/proxy/dispatch/runs.go
+++ b/internal/proxy/dispatch/runs.go
@@ -14,7 +14,7 @@
 	}
 	c.Deadlines.Cancel(r.expire)
 	r.phase = running
-	if c.set.Halt != admission.HaltNone { // else the engine ends it at its call, being told of the answer
+	if c.set.Preemption != admission.PreemptionNone { // else the engine ends it at its call, being told of the answer
 		c.Runner.Halt(r.Trace, r.answered)
 	}
 }
@@ -36,7 +36,7 @@
 			return
 		}
 		r.phase, r.need = standing, o.Body
-		c.tell(admission.Awaiting{ID: r.id})
+		c.tell(admission.CallNeeded{ID: r.id})
 	case exchange.Called:
 		if r.phase == calling {
 			c.replied(r, o)
@@ -51,13 +51,13 @@
 	if r.phase == calling {
 		c.Calls.GiveUp(r.Trace)
 	}
-	outcomes := map[exchange.End]admission.Outcome{exchange.OK: admission.OK, exchange.Stopped: admission.Cancelled,
-		exchange.Moot: admission.TooLate, exchange.NotBegun: admission.TooLate}
+	outcomes := map[exchange.End]admission.Outcome{exchange.OK: admission.OutcomeOK, exchange.Stopped: admission.OutcomeCanceled,
+		exchange.Moot: admission.OutcomeNotStarted, exchange.NotBegun: admission.OutcomeNotStarted}
 	out, ok := outcomes[o.End]
 	if !ok {
-		out = admission.Internal
+		out = admission.OutcomeInternal
 	}
-	c.tell(admission.Completed{ID: r.id, Took: c.Now() - r.began, Outcome: out})
+	c.tell(admission.Completed{ID: r.id, Elapsed: c.Now() - r.began, Outcome: out})
 	switch { // a run that the engine ended by itself is answered, not held for ever
 	case o.End == exchange.OK:
 		c.settle(r, exchange.Answer{Result: exchange.Served, Body: o.Body})
@@ -67,7 +67,7 @@
 		// a paused one goes on when it is taken.
 		c.Deadlines.Cancel(r.expire)
 		r.phase, r.suspended = held, false
-		if c.set.Halt == admission.HaltPause {
+		if c.set.Preemption == admission.PreemptionPause {
 			r.phase = paused
 		}
 		return
@@ -79,19 +79,19 @@
 
 func (c *Core) replied(r *request, o exchange.Outcome) {
 	c.Deadlines.Cancel(r.expire)
-	outcomes := map[exchange.End]admission.Outcome{exchange.OK: admission.OK, exchange.NotBegun: admission.Full,
-		exchange.Unreachable: admission.Unreachable, exchange.OutOfTime: admission.DeadlineExceeded, exchange.Broken: admission.Broken}
+	outcomes := map[exchange.End]admission.Outcome{exchange.OK: admission.OutcomeOK, exchange.NotBegun: admission.OutcomeResourceExhausted,
+		exchange.Unreachable: admission.OutcomeUnavailable, exchange.OutOfTime: admission.OutcomeDeadlineExceeded, exchange.Broken: admission.OutcomeAborted}
 	out, ok := outcomes[o.End]
 	if !ok {
-		out = admission.Internal
+		out = admission.OutcomeInternal
 	}
-	if out == admission.OK {
+	if out == admission.OutcomeOK {
 		r.phase = running
 		c.Runner.Feed(r.Trace, o.Body)
 	} else {
 		r.phase = standing
 	}
-	c.tell(admission.Replied{ID: r.id, Took: c.Now() - r.called, Outcome: out})
+	c.tell(admission.CallCompleted{ID: r.id, Elapsed: c.Now() - r.called, Outcome: out})
 }
 
 func (c *Core) start(now time.Duration, r *request) {
