--- /dev/null
+++ b/admission/advert.go
@@ -0,0 +1,60 @@
+package admission
+
+import "math"
+
+// The advertised value, set at each gauge tick: it keeps callers from sending
+// what would be rejected. Inputs: Settings.Advert, the policy, the occupancy.
+
+// minAdvertChange is the relative change of the value that is advertised anew.
+const minAdvertChange = 0.1
+
+// noAdvert stands for a value that was never advertised; any value differs from it.
+const noAdvert = -1
+
+// updateAdvert advertises a value that has changed.
+func (c *Controller) updateAdvert() {
+	if c.settings.Advert == AdvertNone {
+		return
+	}
+	value := c.advertValue()
+	if math.Abs(value-c.advertised) > minAdvertChange*c.advertised {
+		c.advertised = value
+		c.emit(Advertise{value})
+	}
+}
+
+func (c *Controller) advertValue() float64 {
+	switch c.settings.Advert {
+	case AdvertMinRank:
+		return c.rejectedClassFraction()
+	case AdvertWeight:
+		return math.Min(1, c.serviceCapacity()/c.policy.model.arrivalRate)
+	}
+	return c.creditPerCaller()
+}
+
+// rejectedClassFraction is the fraction of the classes that are rejected now.
+// Classes take equal bands of ranks, the least weight first.
+func (c *Controller) rejectedClassFraction() float64 {
+	classes := len(c.settings.Classes)
+	state := c.occupancy()
+	rejected := 0
+	for i := range classes {
+		if state >= c.concurrencyLimit && state >= c.policy.threshold(i) {
+			rejected++
+		}
+	}
+	return float64(rejected) / float64(classes)
+}
+
+// creditPerCaller lets in what may be queued before any class is rejected, at
+// least twice the concurrency limit, and what is at calls.
+func (c *Controller) creditPerCaller() float64 {
+	threshold := len(c.policy.bias)
+	for i := range c.settings.Classes {
+		threshold = min(threshold, c.policy.threshold(i))
+	}
+	atCalls := c.phaseCounts[phaseAwaitingCall] + c.phaseCounts[phaseInCall]
+	credit := max(threshold, 2*c.concurrencyLimit) + atCalls
+	return float64(credit) / float64(max(1, c.settings.Callers))
+}
--- a/admission/advice_test.go
+++ b/admission/advice_test.go
@@ -13,24 +13,24 @@
 func TestGivenUpIsAnsweredAtOnce(t *testing.T) {
 	r := newRig(t, nil)
 	r.fill()
-	r.c.est.episode = 2 // μ is measured
+	r.c.estimator.episode = 2 // μ is measured
 	got := r.at(ms, ask(1, 0))
 	require.Len(t, got, 1)
 	refused, ok := got[0].(Reject)
 	require.True(t, ok, "%#v", got)
 	require.Positive(t, refused.RetryAfter)
-	require.LessOrEqual(t, refused.RetryAfter, r.c.set.MaxRetryAfter)
+	require.LessOrEqual(t, refused.RetryAfter, r.c.settings.MaxRetryAfter)
 
 	r = newRig(t, nil)
-	for i := range uint32(r.c.limit + 1) { // one more than run
+	for i := range uint32(r.c.concurrencyLimit + 1) { // one more than run
 		r.at(0, ask(i+1, 1))
 	}
-	held := r.c.reqs[len(r.c.reqs)-1]
-	require.Equal(t, phase(1), held.phase) // held
-	r.c.est.episode = 2
+	held := r.c.requests[len(r.c.requests)-1]
+	require.Equal(t, phaseQueued, held.phase)
+	r.c.estimator.episode = 2
 	for at := time.Duration(0); r.c.byID[held.id] != nil; at += 4 * ms {
-		require.Less(t, at, held.aim-held.arrived, "held past its aim")
-		for _, a := range r.at(4*ms, TimerFired{TimerID: r.c.ref, Gauges: Gauges{CPUUtilization: 1}}) {
+		require.Less(t, at, held.objective-held.arrivedAt, "held past its aim")
+		for _, a := range r.at(4*ms, TimerFired{TimerID: r.c.timerID, Gauges: Gauges{CPUUtilization: 1}}) {
 			if a, ok := a.(Reject); ok && a.ID == held.id {
 				require.Positive(t, a.RetryAfter)
 				return
@@ -59,23 +59,23 @@
 		r.at(20*ms, ask(i+1, 0), Canceled{i + 1})
 		r.at(0, ask(i+101, 1), Canceled{i + 101})
 	}
-	require.Zero(t, r.c.rate())
-	require.Zero(t, r.c.est.total)
-	require.Equal(t, 1, r.c.est.tau, "the last gap is still open")
+	require.Zero(t, r.c.recentArrivalRate())
+	require.Zero(t, r.c.estimator.totalCount)
+	require.Equal(t, 1, r.c.estimator.arrivals, "the last gap is still open")
 
 	r = newRig(t, nil)
 	for i := range uint32(20) {
 		r.at(20*ms, ask(i+1, 0))
 		r.at(0, Completed{ID: i + 1, Outcome: OutcomeOK})
-		gap, done := r.c.est.gap, r.c.done
+		gap, done := r.c.estimator.meanGap, r.c.runTimes.completed
 		for j := range uint32(9) {
 			r.want(r.at(0, ask(1000, 1)), Run{1000})
 			r.at(0, Completed{ID: 1000, Outcome: OutcomeNotStarted})
-			require.InDelta(t, gap, r.c.est.gap, 1e-9, "%d", j)
-			require.Equal(t, done, r.c.done)
+			require.InDelta(t, gap, r.c.estimator.meanGap, 1e-9, "%d", j)
+			require.Equal(t, done, r.c.runTimes.completed)
 		}
 	}
-	require.Equal(t, 20.0, r.c.est.total)
+	require.Equal(t, 20.0, r.c.estimator.totalCount)
 }
 
 // TestLimitGrowsByTheCoresThatAreFree: a limit that grew by one a tick would turn
@@ -85,11 +85,11 @@
 	for i := range uint32(12) {
 		r.at(0, ask(i+1, 1))
 	}
-	r.at(gaugeEvery, TimerFired{TimerID: r.c.ref, Gauges: Gauges{CPUUtilization: 0.6, RunQueue: 3}})
-	require.Equal(t, 13, r.c.limit)
-	r.c.waited = true
-	r.at(gaugeEvery, TimerFired{TimerID: r.c.ref, Gauges: Gauges{CPUUtilization: 0.98, RunQueue: 8}})
-	require.Equal(t, 13, r.c.limit, "no one waits for what is nearly busy")
+	r.at(gaugeInterval, TimerFired{TimerID: r.c.timerID, Gauges: Gauges{CPUUtilization: 0.6, RunQueue: 3}})
+	require.Equal(t, 13, r.c.concurrencyLimit)
+	r.c.limitReached = true
+	r.at(gaugeInterval, TimerFired{TimerID: r.c.timerID, Gauges: Gauges{CPUUtilization: 0.98, RunQueue: 8}})
+	require.Equal(t, 13, r.c.concurrencyLimit, "no one waits for what is nearly busy")
 }
 
 // TestVainOnlyWhereOthersRefuse: a server that refuses a third of what it reads tells
@@ -117,7 +117,7 @@
 				r.at(ms, Completed{ID: a.ID, Outcome: OutcomeOK, Elapsed: ms})
 			}
 			r.fill()
-			r.c.refused = k.refused
+			r.c.rejectedFraction = k.refused
 			got := r.at(ms, ask(99, 0))
 			require.Len(t, got, 1)
 			require.IsType(t, Reject{}, got[0])
--- /dev/null
+++ b/admission/answers.go
@@ -0,0 +1,124 @@
+package admission
+
+import "time"
+
+// Answers: every request gets one answer by its deadline. One that never ran may
+// be rejected; one that ran, or may have, can only fail.
+
+// answerLeadTicks is how many calls of Handle before its deadline a request is
+// answered: the timer may be late by one.
+const answerLeadTicks = 2
+
+// answerLead is the time kept before a deadline for the answer.
+func (c *Controller) answerLead() time.Duration { return answerLeadTicks * c.settings.MinInterval }
+
+// expiry is the clock time at which a request is answered, whatever its phase. A
+// queued one is answered when half of a mean run no longer fits before its
+// objective.
+func (c *Controller) expiry(r *request) time.Duration {
+	expiry := r.deadline - c.answerLead()
+	if r.phase == phaseQueued {
+		halfRun := time.Duration(c.runTimes.meanSeconds[r.class] / 2 * float64(time.Second))
+		expiry = min(expiry, r.objective-halfRun)
+	}
+	return expiry
+}
+
+// answerExpired answers the requests whose time is over.
+func (c *Controller) answerExpired() {
+	for _, r := range c.requests {
+		if r.answered || r.phase == phaseFinished || r.phase == phaseUndecided {
+			continue
+		}
+		if c.now >= c.expiry(r) {
+			c.rejectOrFail(r)
+		}
+	}
+}
+
+// rejectOrFail gives the answer that its history allows.
+func (c *Controller) rejectOrFail(r *request) {
+	if r.ran || r.duplicateOf != 0 {
+		c.fail(r)
+	} else {
+		c.reject(r)
+	}
+}
+
+// reject answers a request that never ran.
+func (c *Controller) reject(r *request) {
+	c.countRejection()
+	c.evictUnrunKey(r)
+	r.answered = true
+	doNotRetry := !c.draining && c.retriesFutile()
+	c.emit(Reject{ID: r.id, RetryAfter: c.retryAfter(r.class), DoNotRetry: doNotRetry})
+	c.advance(r, stepFinish)
+}
+
+// fail answers a request that ran, or may have. One at a call ends with Completed.
+func (c *Controller) fail(r *request) {
+	r.answered = true
+	c.emit(Fail{r.id})
+	switch r.phase {
+	case phaseRunning:
+		c.stopRun(r)
+	case phaseAwaitingCall, phaseInCall:
+	default:
+		c.advance(r, stepFinish)
+	}
+}
+
+// canceled ends a request that no caller waits for, and stops its run where that
+// can be done. One at a call ends with Completed.
+func (c *Controller) canceled(e Canceled) {
+	r := c.byID[e.ID]
+	if r == nil {
+		return
+	}
+	if !r.ran {
+		c.withdraw(r)
+	}
+	r.answered = true
+	switch r.phase {
+	case phaseRunning:
+		c.stopRun(r)
+	case phaseAwaitingCall, phaseInCall:
+	default:
+		c.evictUnrunKey(r)
+		c.advance(r, stepFinish)
+	}
+}
+
+// completed ends a run or a shared result, or confirms a preemption.
+func (c *Controller) completed(e Completed) {
+	r := c.byID[e.ID]
+	if r == nil {
+		return
+	}
+	if e.Outcome == OutcomeNotStarted {
+		c.withdraw(r)
+	}
+	if r.preempted && e.Outcome == OutcomeCanceled && !r.answered {
+		c.advance(r, stepPreempted)
+		return
+	}
+	c.learnFrom(r, e)
+	r.answered = true
+	c.advance(r, stepFinish)
+}
+
+// learnFrom books what the end of a run tells about run times, success and calls.
+func (c *Controller) learnFrom(r *request, e Completed) {
+	switch r.phase {
+	case phaseRunning:
+		c.runTimes.exited()
+		if e.Outcome == OutcomeOK || e.Outcome == OutcomeInternal {
+			c.runTimes.observe(r.class, e.Elapsed.Seconds())
+		}
+	case phaseInCall:
+		c.calls.abandon(c.now)
+	}
+	if r.phase != phaseAwaitingResult && e.Outcome != OutcomeNotStarted {
+		c.runTimes.observeSuccess(r.class, e.Outcome == OutcomeOK && !r.answered)
+	}
+}
--- /dev/null
+++ b/admission/arrival.go
@@ -0,0 +1,66 @@
+package admission
+
+import (
+	"math"
+	"time"
+)
+
+// Arrivals: what is booked of a request when it is read, before it is decided.
+
+// arrive books a request. Events with a known id or an unknown class are ignored.
+func (c *Controller) arrive(e Arrival) {
+	if c.byID[e.ID] != nil || e.Class >= len(c.settings.Classes) {
+		return
+	}
+	class := &c.settings.Classes[e.Class]
+	r := &request{
+		id:             e.ID,
+		class:          e.Class,
+		weightFraction: c.tenantWeightFraction(e.Tenant),
+		duplicateOf:    e.DuplicateOf,
+		memoryKB:       e.MemoryKB,
+		arrivedAt:      c.now - e.Age,
+	}
+	r.deadline = c.deadlineOf(r, e.Timeout)
+	r.objective = min(r.arrivedAt+objectiveOf(class, e.ExpectedWork), r.deadline)
+	if c.draining {
+		r.deadline = min(r.deadline, c.lastAnswerTime())
+	}
+	smooth(&c.readDelay, math.Min(1, float64(e.Age)/float64(class.LatencyObjective)))
+	c.countRetry(e.Retry)
+	c.requests = append(c.requests, r)
+	c.byID[r.id] = r
+	c.phaseCounts[phaseUndecided]++
+	c.requestsKB += r.memoryKB
+	if r.duplicateOf == 0 {
+		c.estimator.observe(r.arrivedAt, r.class)
+		c.recentArrivals[0]++
+	}
+}
+
+// deadlineOf is the clock time until which an answer is needed: the caller's
+// timeout or, where that is not known, the deadline of the class.
+func (c *Controller) deadlineOf(r *request, timeout time.Duration) time.Duration {
+	if timeout != 0 {
+		return c.now + timeout
+	}
+	return max(c.now, r.arrivedAt+c.settings.Classes[r.class].Deadline)
+}
+
+// objectiveOf is the time from arrival within which an answer earns the full
+// weight, less the way to the client and back.
+func objectiveOf(class *Class, expectedWork time.Duration) time.Duration {
+	objective := class.LatencyObjective + time.Duration(class.ObjectiveStretch*float64(expectedWork))
+	return min(objective, class.Deadline) - time.Duration(objectiveMargin*float64(class.LatencyObjective))
+}
+
+// withdraw takes an arrival out of the estimates: its caller took it back unrun,
+// or it was none that could be run. It guards the policy against callers that
+// send requests by the hundred and cancel them.
+func (c *Controller) withdraw(r *request) {
+	if r.duplicateOf != 0 || r.answered {
+		return
+	}
+	c.recentArrivals[0]--
+	c.estimator.withdraw(r.arrivedAt, r.class)
+}
--- /dev/null
+++ b/admission/concurrency.go
@@ -0,0 +1,81 @@
+package admission
+
+// The concurrency limit c: how many requests run at once. It starts at the
+// number of cores, grows while cores are free and requests wait, and shrinks
+// while the cores are busy. Runs at calls are off the cores; a part of c is kept
+// for those that will be back.
+
+const (
+	// callCoreWeight, of a run, is what a request at a call will soon want of the cores.
+	callCoreWeight = 0.25
+	// usableRunsFraction is the fraction of the runs survived that may run or be at calls.
+	usableRunsFraction = 0.7
+	// growBelowUtilization is the CPU utilization below which more may run at once.
+	growBelowUtilization = 0.9
+	// shrinkAboveUtilization is the CPU utilization above which more runs can't help.
+	shrinkAboveUtilization = 0.985
+	// maxReadDelay, of the objective, is the time until a request is read beyond
+	// which reading is starved of the cores.
+	maxReadDelay = 0.22
+	// starvedCoresDivisor: the limit falls to a third of the cores while reading is starved.
+	starvedCoresDivisor = 3
+)
+
+// canRun tells whether one more may go on the cores: the limit isn't reached,
+// and all that could come back from calls at once stays within what the server
+// survives.
+func (c *Controller) canRun() bool {
+	running := c.phaseCounts[phaseRunning]
+	atCalls := c.phaseCounts[phaseAwaitingCall] + c.phaseCounts[phaseInCall]
+	started := running + c.phaseCounts[phasePaused] + atCalls
+	return float64(running)+callCoreWeight*float64(atCalls) < float64(c.concurrencyLimit) &&
+		float64(started) <= max(1, c.maxRuns()*usableRunsFraction)-1
+}
+
+// startRuns starts what is queued, oldest first, then resumes what is paused.
+func (c *Controller) startRuns() {
+	for _, from := range []phase{phaseQueued, phasePaused} {
+		for _, r := range c.requests {
+			if !c.canRun() {
+				return
+			}
+			if r.phase != from || from == phaseQueued && c.memoryToStart(r) > c.freeMemory() {
+				continue
+			}
+			c.run(r)
+		}
+	}
+}
+
+// run starts or resumes a request.
+func (c *Controller) run(r *request) {
+	if c.phaseCounts[phaseRunning] == 0 {
+		c.runTimes.exited()
+	}
+	r.ran = true
+	r.preempted = false
+	c.emit(Run{r.id})
+	c.advance(r, stepRun)
+}
+
+// adjustLimit moves c at a gauge tick. It grows by the cores that are free, less
+// what is at calls: a limit that grew by one a tick would reject requests for
+// seconds while cores idle. It shrinks to the cores while they are busy, and
+// below while requests wait long to be read: reading shares the cores, and once
+// it can't keep up all that is read is too late.
+func (c *Controller) adjustLimit(g Gauges) {
+	cores := c.settings.Cores
+	free := int(float64(cores) - g.RunQueue - callCoreWeight*float64(c.phaseCounts[phaseInCall]))
+	switch {
+	case c.readDelay > maxReadDelay:
+		c.concurrencyLimit = max(1, cores/starvedCoresDivisor, c.concurrencyLimit-1)
+	case c.concurrencyLimit < cores:
+		c.concurrencyLimit++
+	case c.limitReached && g.CPUUtilization >= 0 && g.CPUUtilization < growBelowUtilization && free > 0:
+		survived := int(c.maxRuns() * usableRunsFraction)
+		c.concurrencyLimit = min(c.concurrencyLimit+free, max(cores, survived))
+	case g.CPUUtilization > shrinkAboveUtilization && c.concurrencyLimit > cores:
+		c.concurrencyLimit--
+	}
+	c.limitReached = false
+}
--- /dev/null
+++ b/admission/drain.go
@@ -0,0 +1,34 @@
+package admission
+
+import "time"
+
+// Draining: after the notice that the server will be stopped, requests that
+// arrive within DrainGracePeriod still run, later ones are rejected, and all are
+// answered before the stop. Health turns bad at once.
+
+// answerBeforeStop is the time before the stop by which all is answered.
+const answerBeforeStop = 40 * time.Millisecond
+
+// drain begins to drain; a second notice is ignored.
+func (c *Controller) drain(e Drain) {
+	if c.draining {
+		return
+	}
+	c.draining = true
+	c.drainStartedAt = c.now - e.Age
+	c.stopAt = c.now + e.StopIn
+	for _, r := range c.requests {
+		r.deadline = min(r.deadline, c.lastAnswerTime())
+	}
+	c.emit(SetHealth{Healthy: false, Cached: true})
+}
+
+// lastAnswerTime is the clock time by which a draining server has answered all.
+func (c *Controller) lastAnswerTime() time.Duration {
+	return max(c.now, c.stopAt-answerBeforeStop)
+}
+
+// arrivedAfterDrainGrace tells whether a request arrived too late to run.
+func (c *Controller) arrivedAfterDrainGrace(r *request) bool {
+	return c.draining && r.arrivedAt > c.drainStartedAt+c.settings.DrainGracePeriod
+}
--- /dev/null
+++ b/admission/duplicates.go
@@ -0,0 +1,73 @@
+package admission
+
+import (
+	"slices"
+	"time"
+)
+
+// Duplicates and hedged requests: a request is found to repeat another by the
+// stored key of that one (DuplicateOf), and shares its result. It is never run.
+
+// minFreeForReadKeys is the fraction of the memory that must stay free for the
+// key of a plain read to be stored: sharing its result saves work, no more.
+const minFreeForReadKeys = 0.5
+
+// storedKey is the key of a request, by which its duplicates are found.
+type storedKey struct {
+	id    uint32
+	until time.Duration // clock time
+}
+
+// answerDuplicate answers a request that repeats a stored one: with the result
+// of that one, or as that one was answered if it was rejected unrun.
+func (c *Controller) answerDuplicate(r *request) {
+	original := c.byID[r.duplicateOf]
+	if original != nil && original.phase == phaseUndecided {
+		c.decide(original)
+	}
+	if original != nil && original.phase == phaseFinished && !original.ran && original.duplicateOf == 0 {
+		c.reject(r)
+		return
+	}
+	if c.freeMemory() < 0 || c.now >= c.expiry(r) {
+		c.fail(r)
+		return
+	}
+	c.emit(ShareResult{r.id})
+	c.advance(r, stepShareResult)
+}
+
+// storeKeyOf stores the key of an admitted request: for deduplicated classes
+// always, for reads whose results may be shared while memory is ample. free is
+// the memory left after the admission.
+func (c *Controller) storeKeyOf(r *request, free float64) {
+	class := &c.settings.Classes[r.class]
+	switch {
+	case class.Effect == Deduplicated:
+		c.storeKey(r, class.DedupWindow)
+	case c.settings.ResultReuseWindow > 0 && class.Effect == Idempotent &&
+		free > c.settings.MemoryKB*minFreeForReadKeys:
+		c.storeKey(r, r.deadline-c.now+c.settings.ResultReuseWindow)
+	}
+}
+
+func (c *Controller) storeKey(r *request, ttl time.Duration) {
+	r.keyStored = true
+	c.storedKeys = append(c.storedKeys, storedKey{r.id, c.now + ttl})
+	c.emit(StoreKey{r.id, ttl})
+}
+
+// evictUnrunKey drops the key of a request that never ran.
+func (c *Controller) evictUnrunKey(r *request) {
+	if !r.keyStored || r.ran {
+		return
+	}
+	r.keyStored = false
+	c.emit(EvictKey{r.id})
+	c.storedKeys = slices.DeleteFunc(c.storedKeys, func(k storedKey) bool { return k.id == r.id })
+}
+
+// expireKeys forgets the keys whose time is over; the server drops them by itself.
+func (c *Controller) expireKeys() {
+	c.storedKeys = slices.DeleteFunc(c.storedKeys, func(k storedKey) bool { return k.until <= c.now })
+}
--- /dev/null
+++ b/admission/episodes.go
@@ -0,0 +1,157 @@
+package admission
+
+import (
+	"fmt"
+	"math"
+	"time"
+)
+
+// Doubling episodes (section 4, algorithm 3): the policy is solved anew at the
+// end of each episode, whose length is twice that of the one before. An episode
+// ends early when what is observed has left the confidence set of its policy.
+
+const (
+	// firstEpisodeLength is t1: some tens of arrivals, and a policy soon after the start.
+	firstEpisodeLength = time.Second / 2
+	// minRateOfCapacity is Λmin as a multiple of cμ: a server below it has nothing to decide.
+	minRateOfCapacity = 0.1
+	// maxRateOfCapacity is Λmax as a multiple of cμ: beyond it thresholds hardly move.
+	maxRateOfCapacity = 2.5
+	// maxRateOfRecent is Λmax as a multiple of the recent arrival rate, if that is more (appendix H).
+	maxRateOfRecent = 2
+	// burstDeviations is by how many Poisson standard deviations the recent rate
+	// must exceed Λ̃ to end an episode.
+	burstDeviations = 3.5
+	// maxServiceRateDrift is the relative change of μ that calls for a new policy: beyond its error.
+	maxServiceRateDrift = 0.25
+	// arrivalWindowTicks is the number of gauge ticks over which recent arrivals are counted: 1 s.
+	arrivalWindowTicks = 4
+	// maxStateFactor is S as a multiple of the runs that the server survives: what
+	// is queued beyond is past its objective.
+	maxStateFactor = 4
+	// maxStates bounds S, and with it the time that a policy takes.
+	maxStates = 400
+)
+
+// arrivalWindow counts the arrivals of the latest gauge ticks, the current one
+// first. A count falls below 0 when an arrival of an earlier tick is withdrawn;
+// the sum is right.
+type arrivalWindow [arrivalWindowTicks]int
+
+// rate is the mean of the window in requests per second.
+func (w *arrivalWindow) rate() float64 {
+	recent := 0
+	for _, count := range w {
+		recent += count
+	}
+	return float64(recent) / (gaugeInterval.Seconds() * arrivalWindowTicks)
+}
+
+// nextTick begins a gauge tick.
+func (w *arrivalWindow) nextTick() {
+	copy(w[1:], w[:])
+	w[0] = 0
+}
+
+// recentArrivalRate is the arrival rate over the last second, in requests per second.
+func (c *Controller) recentArrivalRate() float64 { return c.recentArrivals.rate() }
+
+// serviceCapacity is cμ, in runs per second.
+func (c *Controller) serviceCapacity() float64 {
+	return float64(c.concurrencyLimit) * c.runTimes.serviceRate()
+}
+
+// beginEpisode learns Λmax too (appendix H): at least what was just observed.
+func (c *Controller) beginEpisode(length time.Duration) {
+	capacity := c.serviceCapacity()
+	maxRate := math.Max(capacity*maxRateOfCapacity, maxRateOfRecent*c.recentArrivalRate())
+	c.estimator.beginEpisode(c.now, length, c.runTimes.serviceRate(), capacity*minRateOfCapacity, maxRate)
+}
+
+// endEpisode solves the policy anew when the episode has run its time, or early
+// on a burst of arrivals or when μ or c has moved. A burst restarts the lengths;
+// when only μ or c has moved, the episode goes on with a new policy.
+func (c *Controller) endEpisode() {
+	recent := c.recentArrivalRate()
+	expired := c.now >= c.estimator.started+c.estimator.length
+	burst := c.isBurst(recent)
+	if !burst && !c.serviceDrifted() && !expired {
+		return
+	}
+	arrivalRate := c.policy.model.arrivalRate
+	if expired || burst {
+		arrivalRate = c.estimator.rateUpperBound()
+		if burst {
+			arrivalRate = math.Max(arrivalRate, recent)
+		}
+		c.beginEpisode(c.nextEpisodeLength(expired, burst))
+	}
+	c.solvePolicy(arrivalRate)
+	c.logPolicy()
+}
+
+// isBurst tells whether the recent rate is beyond what Λ̃ explains. In the first
+// episode Λ̃ is Λmax, and says nothing.
+func (c *Controller) isBurst(recent float64) bool {
+	planned := c.policy.model.arrivalRate
+	return c.estimator.episode > 1 && recent > planned+burstDeviations*math.Sqrt(planned)
+}
+
+// serviceDrifted tells whether μ or c differs from that of the policy.
+func (c *Controller) serviceDrifted() bool {
+	m := &c.policy.model
+	rate := c.runTimes.serviceRate()
+	return rate/m.serviceRate > 1+maxServiceRateDrift || m.serviceRate/rate > 1+maxServiceRateDrift ||
+		m.concurrency != c.concurrencyLimit
+}
+
+// nextEpisodeLength is the length of the episode that follows the current one.
+func (c *Controller) nextEpisodeLength(expired, burst bool) time.Duration {
+	switch {
+	case c.estimator.episode > 1 && expired:
+		return c.estimator.length * 2
+	case burst:
+		return firstEpisodeLength
+	}
+	return c.estimator.length
+}
+
+// solvePolicy solves the optimistic model (section 4.2) for the arrival rate Λ̃.
+func (c *Controller) solvePolicy(arrivalRate float64) {
+	shares, radius := c.estimator.classShares()
+	weights, costs := c.classRewards(shares)
+	c.classWeights = weights
+	serviceRate := c.runTimes.serviceRate()
+	concurrency := c.concurrencyLimit
+	c.policy = iteratePolicy(admissionModel{
+		concurrency: concurrency,
+		maxState:    c.maxState(),
+		serviceRate: serviceRate,
+		arrivalRate: arrivalRate,
+		classShares: shares,
+		shareRadius: radius,
+		reward: func(class, state int) float64 {
+			return weights[class] - costs[class]*expectedWait(state, concurrency, serviceRate)
+		},
+	})
+}
+
+// maxState is S: above c, within maxStates where c allows.
+func (c *Controller) maxState() int {
+	survived := int(maxStateFactor * float64(c.settings.Cores) * c.settings.MaxRunsPerCore)
+	return max(c.concurrencyLimit+1, min(maxStates, survived))
+}
+
+// logPolicy logs the policy if it differs from the last one logged.
+func (c *Controller) logPolicy() {
+	m := &c.policy.model
+	text := fmt.Sprintf("episode %d Λ̃ %.1f cμ %.1f c %d ρ %.2f thresholds", c.estimator.episode,
+		m.arrivalRate, float64(m.concurrency)*m.serviceRate, m.concurrency, c.policy.gain)
+	for i := range m.classShares {
+		text += fmt.Sprintf(" %d", c.policy.threshold(i))
+	}
+	if text != c.lastLogged {
+		c.lastLogged = text
+		c.emit(LogMessage{text})
+	}
+}
--- /dev/null
+++ b/admission/estimator.go
@@ -0,0 +1,95 @@
+package admission
+
+import (
+	"math"
+	"time"
+)
+
+// confidenceScale scales ε and the radius of the class shares. With the paper's
+// constant, 1, the intervals stay as wide as [Λmin, Λmax] for minutes.
+const confidenceScale = 1.0 / 64
+
+// arrivalEstimator estimates the arrival rate Λ and the class shares p̂ from the
+// arrivals of one episode (section 4). Rates are in requests per second.
+type arrivalEstimator struct {
+	episode         int           // k, from 1
+	started         time.Duration // clock time at which the episode began
+	length          time.Duration // tk
+	arrivals        int           // τ: arrivals in the episode
+	meanGap         float64       // 1/Λ̂ in seconds, the truncated mean of equation 10
+	lastArrival     time.Duration // clock time
+	classCounts     []float64     // arrivals by class, over all episodes
+	totalCount      float64       // sum of classCounts
+	minRate         float64       // Λmin
+	maxRate         float64       // Λmax
+	logInverseDelta float64       // log 1/δk
+}
+
+// beginEpisode resets the mean gap and sets δk = 1/(μ·tk) (algorithm 3).
+func (e *arrivalEstimator) beginEpisode(now, length time.Duration, serviceRate, minRate, maxRate float64) {
+	e.episode++
+	e.started = now
+	e.length = length
+	e.arrivals = 0
+	e.meanGap = 0
+	e.minRate = minRate
+	e.maxRate = maxRate
+	e.logInverseDelta = math.Max(1, math.Log(serviceRate*length.Seconds()))
+}
+
+// observe counts an arrival. Gaps beyond the bound of equation 10 count as 0.
+func (e *arrivalEstimator) observe(at time.Duration, class int) {
+	gap := math.Max(0, (at - e.lastArrival).Seconds())
+	e.lastArrival = max(e.lastArrival, at)
+	e.classCounts[class]++
+	e.totalCount++
+	e.arrivals++
+	if gap > math.Sqrt(2*float64(e.arrivals)/(e.minRate*e.minRate*e.logInverseDelta)) {
+		gap = 0
+	}
+	e.meanGap += (gap - e.meanGap) / float64(e.arrivals)
+}
+
+// withdraw undoes observe for an arrival that turned out to be no request to
+// run. The gaps before and after it become one gap.
+func (e *arrivalEstimator) withdraw(at time.Duration, class int) {
+	e.classCounts[class]--
+	e.totalCount--
+	if at >= e.started && e.arrivals > 1 {
+		e.arrivals--
+		e.meanGap *= float64(e.arrivals+1) / float64(e.arrivals)
+	}
+}
+
+// rateUpperBound is Λ̃, the upper bound of Λ by proposition 7.1, from the episode so far.
+func (e *arrivalEstimator) rateUpperBound() float64 {
+	if e.arrivals == 0 || e.meanGap <= 0 {
+		return e.maxRate
+	}
+	rate := 1 / e.meanGap
+	epsilon := confidenceScale * 4 / e.minRate * math.Sqrt(2/float64(e.arrivals)*e.logInverseDelta)
+	bound := math.Min(e.maxRate, rate+e.maxRate*e.maxRate*epsilon)
+	if rate*epsilon < 1 {
+		bound = math.Min(bound, rate/(1-rate*epsilon))
+	}
+	return math.Max(bound, e.minRate)
+}
+
+// classShares are p̂(i) and the L1 radius of their confidence set (equation 9).
+// Without arrivals the shares are equal and the set holds every distribution.
+func (e *arrivalEstimator) classShares() (shares []float64, radius float64) {
+	const wholeSimplex = 2 // the greatest L1 distance of two distributions
+	shares = make([]float64, len(e.classCounts))
+	if e.totalCount == 0 {
+		for i := range shares {
+			shares[i] = 1 / float64(len(shares))
+		}
+		return shares, wholeSimplex
+	}
+	for i, count := range e.classCounts {
+		shares[i] = count / e.totalCount
+	}
+	classes := float64(len(shares))
+	radius = confidenceScale * math.Sqrt(2*classes/e.totalCount*(e.logInverseDelta+math.Ln2))
+	return shares, math.Min(wholeSimplex, radius)
+}
--- /dev/null
+++ b/admission/health.go
@@ -0,0 +1,24 @@
+package admission
+
+// The answer to health checks, set at each gauge tick. Inputs: draining, runs
+// that should have ended and did not, and how long requests wait to be read.
+
+const (
+	// unhealthyAfterMissedRuns is how many expected completions may fail to come
+	// before the server calls itself unhealthy.
+	unhealthyAfterMissedRuns = 20.0
+	// unhealthyReadDelay, of the objective, is a wait to be read that leaves too
+	// little for use.
+	unhealthyReadDelay = 0.7
+)
+
+// updateHealth reports a change of health. A server whose reading is starved
+// turns unhealthy at unhealthyReadDelay, and healthy again below maxReadDelay.
+func (c *Controller) updateHealth() {
+	starved := c.readDelay > unhealthyReadDelay || !c.healthy && c.readDelay > maxReadDelay
+	healthy := !c.draining && c.runTimes.missedRuns() < unhealthyAfterMissedRuns && !starved
+	if healthy != c.healthy {
+		c.healthy = healthy
+		c.emit(SetHealth{Healthy: healthy, Cached: true})
+	}
+}
--- /dev/null
+++ b/admission/idletimeout.go
@@ -0,0 +1,42 @@
+package admission
+
+import "time"
+
+// The idle timeout of connections, set at each gauge tick. Where callers are many
+// each seldom comes again soon, and an idle connection costs core time and, once
+// the table is full, its place: it is closed at once. While nearly all requests
+// are rejected, opening connections is the greater cost: then they are kept, and
+// a full table turns callers away at no cost to the cores.
+
+const (
+	// maxCallersPerCore: with no more callers than this per core, connections stay open.
+	maxCallersPerCore = 16
+	// minIdleTimeout is the shortest timeout that may be set.
+	minIdleTimeout = 10 * time.Millisecond
+	// growIdleRejections is the fraction of rejected requests above which the timeout grows.
+	growIdleRejections = 0.85
+	// shrinkIdleRejections is the fraction below which it shrinks.
+	shrinkIdleRejections = 0.5
+	// idleGrowthFactor per tick, and idleShrinkDivisor: a tenth per tick.
+	idleGrowthFactor  = 4
+	idleShrinkDivisor = 10
+)
+
+// updateIdleTimeout sets an idle timeout that has changed.
+func (c *Controller) updateIdleTimeout() {
+	if c.settings.Callers <= maxCallersPerCore*c.settings.Cores {
+		return
+	}
+	timeout := c.idleTimeout
+	switch {
+	case c.rejectedFraction > growIdleRejections:
+		timeout *= idleGrowthFactor
+	case c.rejectedFraction < shrinkIdleRejections:
+		timeout -= timeout / idleShrinkDivisor
+	}
+	timeout = min(max(timeout, minIdleTimeout), c.settings.MaxIdleTimeout)
+	if timeout != c.idleTimeout {
+		c.idleTimeout = timeout
+		c.emit(SetIdleTimeout{timeout})
+	}
+}
--- a/admission/invariants_test.go
+++ b/admission/invariants_test.go
@@ -159,7 +159,7 @@
 	if memory > s.set.MemoryKB {
 		s.t.Fatalf("at %v: %v kB of %v", s.now, memory, s.set.MemoryKB)
 	}
-	if crowd := s.c.crowd(); float64(running) > crowd {
+	if crowd := s.c.maxRuns(); float64(running) > crowd {
 		s.t.Fatalf("at %v: %d running, %v survived", s.now, running, crowd)
 	}
 }
--- a/admission/planner_test.go
+++ b/admission/planner_test.go
@@ -8,16 +8,16 @@
 
 // bruteGain is the best gain over all policies of a small model, by the
 // stationary distribution of each.
-func bruteGain(m model) float64 {
+func bruteGain(m admissionModel) float64 {
 	m.prepare()
-	n := len(m.shares)
+	n := len(m.classShares)
 	best := math.Inf(-1)
-	policy := make([]int, m.S) // bit i: class i is accepted
+	policy := make([]int, m.maxState) // bit i: class i is accepted
 	for {
 		weight, sum, total := 1.0, 0.0, 0.0
-		for s := 0; s <= m.S; s++ {
+		for s := 0; s <= m.maxState; s++ {
 			rate, reward := 0.0, 0.0
-			if s < m.S {
+			if s < m.maxState {
 				for i := 0; i < n; i++ {
 					if policy[s]&(1<<i) != 0 {
 						rate += m.rates[s][i]
@@ -26,29 +26,29 @@
 				}
 			}
 			sum, total = sum+weight*reward, total+weight
-			weight *= rate / (float64(min(s+1, m.c)) * m.mu)
+			weight *= rate / (float64(min(s+1, m.concurrency)) * m.serviceRate)
 		}
 		best = math.Max(best, sum/total)
 		s := 0
-		for ; s < m.S; s++ {
+		for ; s < m.maxState; s++ {
 			if policy[s]++; policy[s] < 1<<n {
 				break
 			}
 			policy[s] = 0
 		}
-		if s == m.S {
+		if s == m.maxState {
 			return best
 		}
 	}
 }
 
-func smallModel(c, S int, mu, lambda, eps float64, worth, gamma, shares []float64) model {
-	return model{c: c, S: S, mu: mu, lambda: lambda, shares: shares, eps: eps,
-		r: func(i, s int) float64 { return worth[i] - gamma[i]*erlangWait(s, c, mu) }}
+func smallModel(c, S int, mu, lambda, eps float64, worth, gamma, shares []float64) admissionModel {
+	return admissionModel{concurrency: c, maxState: S, serviceRate: mu, arrivalRate: lambda, classShares: shares, shareRadius: eps,
+		reward: func(i, s int) float64 { return worth[i] - gamma[i]*expectedWait(s, c, mu) }}
 }
 
 func TestPlannerMatchesBruteForce(t *testing.T) {
-	tests := map[string]model{
+	tests := map[string]admissionModel{
 		"underload":      smallModel(2, 5, 1, 0.8, 0, []float64{3, 1}, []float64{0.5, 0.5}, []float64{0.5, 0.5}),
 		"overload":       smallModel(2, 5, 1, 9, 0, []float64{10, 1}, []float64{1, 0.2}, []float64{0.2, 0.8}),
 		"c is S":         smallModel(4, 4, 1, 6, 0, []float64{5, 1}, []float64{1, 1}, []float64{0.3, 0.7}),
@@ -67,13 +67,13 @@
 	}
 	for name, m := range tests {
 		t.Run(name, func(t *testing.T) {
-			p := solve(m)
+			p := iteratePolicy(m)
 			want := bruteGain(m)
 			if math.Abs(p.gain-want) > 1e-9*(1+math.Abs(want)) {
 				t.Errorf("gain %v, brute force %v", p.gain, want)
 			}
 			checkResiduals(t, p)
-			if p.rounds >= planRounds {
+			if p.rounds >= maxPolicyRounds {
 				t.Errorf("not settled in %d rounds", p.rounds)
 			}
 		})
@@ -81,20 +81,20 @@
 }
 
 // checkResiduals puts the solution into equation 3 for every state.
-func checkResiduals(t *testing.T, p plan) {
+func checkResiduals(t *testing.T, p policy) {
 	t.Helper()
 	m := p.model
-	for s := 0; s <= m.S; s++ {
+	for s := 0; s <= m.maxState; s++ {
 		right := 0.0
-		if s < m.S {
-			for i := range m.shares {
+		if s < m.maxState {
+			for i := range m.classShares {
 				if m.accepts(i, s, p.bias[s]) {
 					right += m.rates[s][i] * (m.rewards[s][i] - p.bias[s])
 				}
 			}
 		}
 		if s > 0 {
-			right += float64(min(s, m.c)) * m.mu * p.bias[s-1]
+			right += float64(min(s, m.concurrency)) * m.serviceRate * p.bias[s-1]
 		}
 		if math.Abs(p.gain-right) > 1e-6*(1+math.Abs(p.gain)) {
 			t.Errorf("equation 3 in state %d: %v, gain %v", s, right, p.gain)
@@ -104,8 +104,8 @@
 
 func TestPlannerLargeModelsStayFinite(t *testing.T) {
 	for _, load := range []float64{0.01, 0.5, 0.99, 1, 1.01, 3, 100} {
-		m := smallModel(8, stateMost, 3, load*24, 0.1, []float64{10, 1}, []float64{4, 0.4}, []float64{0.2, 0.8})
-		p := solve(m)
+		m := smallModel(8, maxStates, 3, load*24, 0.1, []float64{10, 1}, []float64{4, 0.4}, []float64{0.2, 0.8})
+		p := iteratePolicy(m)
 		if math.IsNaN(p.gain) || math.IsInf(p.gain, 0) {
 			t.Fatalf("load %v: gain %v", load, p.gain)
 		}
@@ -114,10 +114,10 @@
 }
 
 func TestPlannerRefusesCheapFirst(t *testing.T) {
-	p := solve(smallModel(4, 40, 1, 20, 0, []float64{10, 1}, []float64{1, 0.1}, []float64{0.2, 0.8}))
+	p := iteratePolicy(smallModel(4, 40, 1, 20, 0, []float64{10, 1}, []float64{1, 0.1}, []float64{0.2, 0.8}))
 	threshold := func(i int) int {
 		s := 0
-		for s < p.model.S && p.model.accepts(i, s, p.bias[s]) {
+		for s < p.model.maxState && p.model.accepts(i, s, p.bias[s]) {
 			s++
 		}
 		return s
@@ -132,7 +132,7 @@
 		s, c int
 		want float64
 	}{{0, 2, 0}, {1, 2, 0}, {2, 2, 0.25}, {5, 2, 1}} {
-		if got := erlangWait(tt.s, tt.c, 2); got != tt.want {
+		if got := expectedWait(tt.s, tt.c, 2); got != tt.want {
 			t.Errorf("s %d, c %d: %v, want %v", tt.s, tt.c, got, tt.want)
 		}
 	}
@@ -148,7 +148,7 @@
 		{1.2, []float64{0.1, 0.9, 0}},
 		{2, []float64{0, 1, 0}},
 	} {
-		got := tilt([]float64{0.2, 0.3, 0.5}, tt.eps, []int{1, 0, 2})
+		got := optimisticShares([]float64{0.2, 0.3, 0.5}, tt.eps, []int{1, 0, 2})
 		for i := range got {
 			if math.Abs(got[i]-tt.want[i]) > 1e-12 {
 				t.Errorf("eps %v: %v, want %v", tt.eps, got, tt.want)
--- /dev/null
+++ b/admission/policy.go
@@ -0,0 +1,205 @@
+package admission
+
+import (
+	"math"
+	"slices"
+	"sort"
+)
+
+// The admission MDP and its policy iteration PI-B (sections 2, 3 and 5).
+//
+// A server is an M/M/c/S queue with classes. Its state s is the number of
+// requests queued or running. The planner finds the policy with the greatest
+// mean reward per second; its inputs are the fields of admissionModel.
+
+const (
+	// maxPolicyRounds bounds the rounds of policy iteration.
+	maxPolicyRounds = 60
+	// tieTolerance is the relative difference below which a reward equals the bias.
+	tieTolerance = 1e-9
+	// rescaleWeight is the weight of a state beyond which the sums of equation 11
+	// are scaled down, before a product can overflow.
+	rescaleWeight = 1e100
+)
+
+// admissionModel is the MDP of one server.
+type admissionModel struct {
+	concurrency int       // c: requests that run at once
+	maxState    int       // S: requests queued or running, at most
+	serviceRate float64   // μ: completions per second of one run
+	arrivalRate float64   // Λ̃: requests per second
+	classShares []float64 // p̂(i): fraction of the arrivals, by class
+	shareRadius float64   // radius of the L1 ball around classShares (equation 9)
+	reward      func(class, state int) float64
+
+	rates   [][]float64 // λ̃(i)(s) in requests per second, by state and class
+	rewards [][]float64 // r(i)(s), by state and class
+}
+
+// policy is a solved model: class i is admitted in state s while r(i)(s) ≥ bias[s].
+type policy struct {
+	gain   float64   // ρ: mean reward per second
+	bias   []float64 // ∇h(s) for s = 0 … S-1
+	rounds int       // of policy iteration
+	model  admissionModel
+}
+
+// expectedWait is E[W(s)] in seconds: the mean of Erlang(s-c+1, cμ), the wait of
+// a request that is admitted in state s.
+func expectedWait(state, concurrency int, serviceRate float64) float64 {
+	if state < concurrency {
+		return 0
+	}
+	return float64(state-concurrency+1) / (float64(concurrency) * serviceRate)
+}
+
+// optimisticShares moves up to radius/2 of probability from the class of the
+// least reward to that of the greatest, which gives the greatest gain within
+// the confidence set (theorem 4.3). byReward orders the classes by reward,
+// greatest first.
+func optimisticShares(shares []float64, radius float64, byReward []int) []float64 {
+	tilted := slices.Clone(shares)
+	best := byReward[0]
+	move := math.Min(radius/2, 1-tilted[best])
+	tilted[best] += move
+	for k := len(byReward) - 1; k > 0 && move > 0; k-- {
+		worst := byReward[k]
+		taken := math.Min(move, tilted[worst])
+		tilted[worst] -= taken
+		move -= taken
+	}
+	return tilted
+}
+
+// prepare fills the rates and rewards of each state.
+func (m *admissionModel) prepare() {
+	classes := len(m.classShares)
+	byReward := make([]int, classes)
+	for i := range byReward {
+		byReward[i] = i
+	}
+	for s := range m.maxState {
+		rewards := make([]float64, classes)
+		for i := range rewards {
+			rewards[i] = m.reward(i, s)
+		}
+		sort.SliceStable(byReward, func(a, b int) bool { return rewards[byReward[a]] > rewards[byReward[b]] })
+		rates := optimisticShares(m.classShares, m.shareRadius, byReward)
+		for i := range rates {
+			rates[i] *= m.arrivalRate
+		}
+		m.rates = append(m.rates, rates)
+		m.rewards = append(m.rewards, rewards)
+	}
+}
+
+// iteratePolicy runs PI-B: evaluate the policy by equations 11 and 3, accept
+// every class with r(i)(s) ≥ ∇h(s), repeat until the policy is stable.
+func iteratePolicy(m admissionModel) policy {
+	m.prepare()
+	p := policy{bias: make([]float64, m.maxState), model: m}
+	for p.rounds = 1; ; p.rounds++ {
+		next := make([]float64, m.maxState)
+		p.gain = m.evaluate(p.bias, next)
+		stable := p.rounds > 1 && m.samePolicy(p.bias, next)
+		p.bias = next
+		if stable || p.rounds == maxPolicyRounds {
+			return p
+		}
+	}
+}
+
+// samePolicy tells whether both biases accept the same classes in every state.
+func (m *admissionModel) samePolicy(a, b []float64) bool {
+	for s := range m.maxState {
+		for i := range m.classShares {
+			if m.accepts(i, s, a[s]) != m.accepts(i, s, b[s]) {
+				return false
+			}
+		}
+	}
+	return true
+}
+
+// threshold is the first state in which the class is rejected.
+func (p *policy) threshold(class int) int {
+	s := 0
+	for s < p.model.maxState && p.model.accepts(class, s, p.bias[s]) {
+		s++
+	}
+	return s
+}
+
+// accepts breaks ties, and rounding errors, in favour of the class.
+func (m *admissionModel) accepts(class, state int, bias float64) bool {
+	return m.rewards[state][class] >= bias-tieTolerance*(1+math.Abs(bias))
+}
+
+// departureRate is μ(s) = min(s, c)·μ, in completions per second.
+func (m *admissionModel) departureRate(state int) float64 {
+	return float64(min(state, m.concurrency)) * m.serviceRate
+}
+
+// evaluate fills next with ∇h of the policy that accepts by prev, and returns its gain ρ.
+func (m *admissionModel) evaluate(prev, next []float64) (gain float64) {
+	rate, reward := m.underPolicy(prev)
+	gain = m.gain(rate, reward)
+	m.fillBias(next, rate, reward, gain)
+	return gain
+}
+
+// underPolicy returns Λπ(s), arrivals admitted per second, and Rπ(s), reward per
+// second, of the policy that accepts by bias (equation 1).
+func (m *admissionModel) underPolicy(bias []float64) (rate, reward []float64) {
+	rate = make([]float64, m.maxState+1)
+	reward = make([]float64, m.maxState+1)
+	for s := range m.maxState {
+		for i, classRate := range m.rates[s] {
+			if m.accepts(i, s, bias[s]) {
+				rate[s] += classRate
+				reward[s] += classRate * m.rewards[s][i]
+			}
+		}
+	}
+	return rate, reward
+}
+
+// gain is ρ by equation 11: the mean of Rπ(s) over the stationary distribution.
+func (m *admissionModel) gain(rate, reward []float64) float64 {
+	weight, sum, total := 1.0, 0.0, 0.0
+	for s := 0; s <= m.maxState; s++ {
+		if weight > rescaleWeight {
+			sum /= weight
+			total /= weight
+			weight = 1
+		}
+		sum += weight * reward[s]
+		total += weight
+		if s < m.maxState {
+			weight *= rate[s] / m.departureRate(s+1)
+		}
+	}
+	return sum / total
+}
+
+// fillBias solves equation 3 for ∇h(s). The recursion damps rounding errors
+// upward while the arrival rate exceeds the departure rate, and downward above
+// that state, so it runs from both ends.
+func (m *admissionModel) fillBias(bias, rate, reward []float64, gain float64) {
+	meet := 0
+	for meet < m.maxState && rate[meet] > m.departureRate(meet) {
+		below := 0.0
+		if meet > 0 {
+			below = m.departureRate(meet) * bias[meet-1]
+		}
+		bias[meet] = (reward[meet] + below - gain) / rate[meet]
+		meet++
+	}
+	for s := m.maxState; s > meet; s-- {
+		above := 0.0
+		if s < m.maxState {
+			above = rate[s] * bias[s]
+		}
+		bias[s-1] = (gain - reward[s] + above) / m.departureRate(s)
+	}
+}
--- /dev/null
+++ b/admission/retryadvice.go
@@ -0,0 +1,59 @@
+package admission
+
+import (
+	"math"
+	"time"
+)
+
+// Retry advice: what a rejection tells the caller. Inputs: the recent arrival
+// rate, cμ, the policy's thresholds, and the fractions of the requests read
+// lately that were rejected here or marked as retries.
+
+const (
+	// retryAfterPerExcess is how long to stay away for each capacity of excess arrivals.
+	retryAfterPerExcess = 100 * time.Millisecond
+	// minFutileRejections is the fraction of rejected requests from which retries
+	// elsewhere are futile, if retries come in too.
+	minFutileRejections = 0.2
+	// minFutileRetries is the fraction of retries that shows that others reject as much.
+	minFutileRetries = 0.1
+	// maxUsefulRejections is the fraction of rejected requests beyond which retries
+	// elsewhere are futile in any case.
+	maxUsefulRejections = 0.5
+)
+
+// retryAfter is when to come back: once the runs that keep the class out have
+// ended. A draining server asks callers to stay away as long as they would.
+func (c *Controller) retryAfter(class int) time.Duration {
+	if c.draining {
+		return c.settings.MaxRetryAfter
+	}
+	seconds := (c.recentArrivalRate()/c.serviceCapacity() - 1) * retryAfterPerExcess.Seconds()
+	if c.estimator.episode > 1 { // before that μ is a guess
+		excess := max(0, c.occupancy()-c.policy.threshold(class)) + 1
+		seconds = math.Max(seconds, float64(excess)/c.serviceCapacity())
+	}
+	return min(c.settings.MaxRetryAfter, time.Duration(math.Max(0, seconds)*float64(time.Second)))
+}
+
+// retriesFutile tells whether another server would reject the request too. In a
+// large fleet one server may be full while most have capacity: rejections here
+// alone don't show it unless they are most of what is read. Rejections below
+// the first tier waste the work of the tiers above, and are always final.
+func (c *Controller) retriesFutile() bool {
+	othersReject := c.retryFraction > minFutileRetries || !c.settings.RetriesMarked
+	return c.settings.TiersAbove > 0 || c.rejectedFraction > maxUsefulRejections ||
+		c.rejectedFraction > minFutileRejections && othersReject
+}
+
+// countRetry books an arrival in the fractions kept of them.
+func (c *Controller) countRetry(retry bool) {
+	c.rejectedFraction -= c.rejectedFraction * requestSmoothing
+	c.retryFraction -= c.retryFraction * requestSmoothing
+	if retry {
+		c.retryFraction += requestSmoothing
+	}
+}
+
+// countRejection books the rejection of an arrival.
+func (c *Controller) countRejection() { c.rejectedFraction += requestSmoothing }
--- a/admission/rules_test.go
+++ b/admission/rules_test.go
@@ -92,8 +92,8 @@
 	r := newRig(t, nil)
 	r.want(r.at(0, ask(1, 0)), Run{1})
 	r.want(r.at(ms, Completed{ID: 1, Elapsed: ms, Outcome: OutcomeOK}))
-	if len(r.c.reqs) != 0 || r.c.mem != 0 {
-		t.Errorf("%d requests and %v kB left", len(r.c.reqs), r.c.mem)
+	if len(r.c.requests) != 0 || r.c.requestsKB != 0 {
+		t.Errorf("%d requests and %v kB left", len(r.c.requests), r.c.requestsKB)
 	}
 }
 
@@ -105,8 +105,8 @@
 	if count[Reject](got) != 1 {
 		t.Errorf("cheap request with c full: %v, want a refusal", got)
 	}
-	s := r.c.state()
-	if r.c.plan.threshold(1) <= s {
+	s := r.c.occupancy()
+	if r.c.policy.threshold(1) <= s {
 		t.Fatalf("the plan refuses the dear class in state %d", s)
 	}
 	r.want(r.at(0, ask(2, 1)))
@@ -118,9 +118,9 @@
 	r := newRig(t, nil)
 	r.fill()
 	for i := uint32(0); i < 60; i++ {
-		s := r.c.state()
-		probe := &request{class: 1, share: 1, aim: r.now + 950*ms, due: r.now + 2*time.Second}
-		admit := s < len(r.c.plan.bias) && r.c.reward(probe, s) >= r.c.plan.bias[s] && r.c.reward(probe, s) >= 0
+		s := r.c.occupancy()
+		probe := &request{class: 1, weightFraction: 1, objective: r.now + 950*ms, deadline: r.now + 2*time.Second}
+		admit := s < len(r.c.policy.bias) && r.c.reward(probe, s) >= r.c.policy.bias[s] && r.c.reward(probe, s) >= 0
 		got := r.at(0, ask(10+i, 1))
 		if refused := count[Reject](got) == 1; refused == admit {
 			t.Fatalf("state %d: refused %v, r ≥ ∇h %v", s, refused, admit)
@@ -139,7 +139,7 @@
 	answered := map[uint32]time.Duration{}
 	start := r.now
 	for r.now < start+2*time.Second { // the work hangs: only timers come
-		for _, a := range r.at(2*ms, TimerFired{TimerID: r.c.ref, Gauges: Gauges{CPUUtilization: 1, RunQueue: 2}}) {
+		for _, a := range r.at(2*ms, TimerFired{TimerID: r.c.timerID, Gauges: Gauges{CPUUtilization: 1, RunQueue: 2}}) {
 			switch a := a.(type) {
 			case Fail:
 				answered[a.ID] = r.now - start
@@ -166,7 +166,7 @@
 	a := ask(1, 0)
 	a.Timeout, a.Age = 0, 500*ms
 	r.at(0, a)
-	if got, want := r.c.byID[1].due, r.now+1500*ms; got != want {
+	if got, want := r.c.byID[1].deadline, r.now+1500*ms; got != want {
 		t.Errorf("due at %v, want %v", got, want)
 	}
 }
@@ -178,23 +178,23 @@
 	if count[Run](got) != 2 || count[Reject](got) != 1 {
 		t.Errorf("actions %v, want two runs and a refusal", got)
 	}
-	if r.c.mem > 100 {
-		t.Errorf("%v kB in use", r.c.mem)
+	if r.c.requestsKB > 100 {
+		t.Errorf("%v kB in use", r.c.requestsKB)
 	}
 }
 
 func TestColdServerRunsFewer(t *testing.T) {
 	r := newRig(t, func(s *Settings) { s.SlowStart, s.MaxRunsPerCore, s.SlowStartMinSpeed = true, 2, 0 })
-	if cold := r.c.crowd(); cold != 2 {
+	if cold := r.c.maxRuns(); cold != 2 {
 		t.Errorf("cold crowd %v, want the cores", cold)
 	}
 	r.now += 5 * time.Second
 	r.c.now = r.now
-	if half := r.c.crowd(); half != 3 {
+	if half := r.c.maxRuns(); half != 3 {
 		t.Errorf("half warm crowd %v, want 3", half)
 	}
 	r.c.now += 5 * time.Second
-	if warm := r.c.crowd(); warm != 4 {
+	if warm := r.c.maxRuns(); warm != 4 {
 		t.Errorf("warm crowd %v, want 4", warm)
 	}
 }
@@ -210,7 +210,7 @@
 	again.DuplicateOf = 1
 	r.want(r.at(ms, again), ShareResult{2})
 	// The first try runs past its due time: it is failed, never refused.
-	got := r.at(1999*ms, TimerFired{TimerID: r.c.ref})
+	got := r.at(1999*ms, TimerFired{TimerID: r.c.timerID})
 	if count[Fail](got) == 0 || count[Reject](got) != 0 || count[EvictKey](got) != 0 {
 		t.Errorf("actions %v, want Abort alone for keyed work that ran", got)
 	}
@@ -221,8 +221,8 @@
 	r.at(0, ask(901, 1), ask(902, 1))
 	r.want(r.at(0, ask(1, 1)), StoreKey{1, 7 * time.Second})
 	r.want(r.at(ms, Canceled{1}), EvictKey{1})
-	if len(r.c.keys) != 2 {
-		t.Errorf("%d keys, want those of the two that run", len(r.c.keys))
+	if len(r.c.storedKeys) != 2 {
+		t.Errorf("%d keys, want those of the two that run", len(r.c.storedKeys))
 	}
 }
 
@@ -253,7 +253,7 @@
 	b.HasKey, b.DuplicateOf = true, 1
 	r.want(r.at(ms, b), ShareResult{2})
 	r.want(r.at(ms, Completed{ID: 1, Outcome: OutcomeOK}, Completed{ID: 2, Outcome: OutcomeOK}))
-	if len(r.c.reqs) != 0 {
+	if len(r.c.requests) != 0 {
 		t.Error("requests left")
 	}
 }
@@ -316,14 +316,14 @@
 				events = append(events, CallNeeded{id})
 			}
 			live = live[:0]
-			for _, q := range r.c.reqs { // calls are abandoned when they expire
-				if q.phase == calling && r.now >= called[q.id]+400*ms {
+			for _, q := range r.c.requests { // calls are abandoned when they expire
+				if q.phase == phaseInCall && r.now >= called[q.id]+400*ms {
 					events = append(events, CallCompleted{ID: q.id, Outcome: OutcomeDeadlineExceeded})
 					inHand--
 					lingers = append(lingers, r.now+200*ms)
 				}
 			}
-			events = append(events, TimerFired{TimerID: r.c.ref, Gauges: Gauges{CPUUtilization: 0.5}})
+			events = append(events, TimerFired{TimerID: r.c.timerID, Gauges: Gauges{CPUUtilization: 0.5}})
 			for _, a := range r.at(2*ms, events...) {
 				switch a := a.(type) {
 				case Run:
@@ -352,7 +352,7 @@
 	late.Age = 0
 	got := r.at(1100*ms, late)
 	r.want(got[len(got)-1:], Reject{ID: 1, RetryAfter: time.Second})
-	got = r.at(365*ms, TimerFired{TimerID: r.c.ref}) // 35 ms before the stop
+	got = r.at(365*ms, TimerFired{TimerID: r.c.timerID}) // 35 ms before the stop
 	if count[Fail](got) != 2 {
 		t.Errorf("before the stop: %v, want both runs failed", got)
 	}
@@ -366,7 +366,7 @@
 			t.Errorf("halt %v: %d suspends, want %d", halt, got, want)
 		}
 		r.want(r.at(ms, Completed{ID: 1, Outcome: OutcomeCanceled}))
-		if len(r.c.reqs) != 0 {
+		if len(r.c.requests) != 0 {
 			t.Errorf("halt %v: the request is still there", halt)
 		}
 	}
@@ -385,7 +385,7 @@
 	play := func(pattern ...int) {
 		for i := 0; i < 2000; i++ {
 			tenant := pattern[i%len(pattern)]
-			share[tenant] = r.c.inShare(tenant)
+			share[tenant] = r.c.tenantWeightFraction(tenant)
 		}
 	}
 	play(0, 1, 1, 1)
@@ -397,7 +397,7 @@
 		t.Errorf("the first sends twice its part and they keep %v, want half and a tenth of the rest, and all", share)
 	}
 	r = newRig(t, func(s *Settings) { s.Tenants = []Tenant{{}, {}} })
-	if got := r.c.inShare(0); got != 0 {
+	if got := r.c.tenantWeightFraction(0); got != 0 {
 		t.Errorf("a tenant with nothing allowed keeps %v", got)
 	}
 }
@@ -410,17 +410,17 @@
 		r.at(0, a)
 	}
 	for i := 0; i < 8; i++ {
-		r.at(gaugeEvery, TimerFired{TimerID: r.c.ref, Gauges: Gauges{CPUUtilization: 1, RunQueue: 12}})
+		r.at(gaugeInterval, TimerFired{TimerID: r.c.timerID, Gauges: Gauges{CPUUtilization: 1, RunQueue: 12}})
 	}
-	if r.c.limit != 2 {
-		t.Errorf("c %d while requests wait to be read, want a third of the cores", r.c.limit)
+	if r.c.concurrencyLimit != 2 {
+		t.Errorf("c %d while requests wait to be read, want a third of the cores", r.c.concurrencyLimit)
 	}
-	r.c.intake = 0
+	r.c.readDelay = 0
 	for i := 0; i < 8; i++ {
-		r.at(gaugeEvery, TimerFired{TimerID: r.c.ref, Gauges: Gauges{CPUUtilization: 1, RunQueue: 12}})
+		r.at(gaugeInterval, TimerFired{TimerID: r.c.timerID, Gauges: Gauges{CPUUtilization: 1, RunQueue: 12}})
 	}
-	if r.c.limit != 6 {
-		t.Errorf("c %d after the intake recovered, want the cores", r.c.limit)
+	if r.c.concurrencyLimit != 6 {
+		t.Errorf("c %d after the intake recovered, want the cores", r.c.concurrencyLimit)
 	}
 }
 
@@ -441,9 +441,9 @@
 			r.at(0, CallNeeded{i})
 		}
 		r.at(0, ask(11, 0), ask(12, 0), ask(13, 0))
-		r.at(gaugeEvery, TimerFired{TimerID: r.c.ref, Gauges: Gauges{CPUUtilization: 0.5, RunQueue: tt.onCores}})
-		if r.c.limit != tt.want {
-			t.Errorf("%s: c %d, want %d", name, r.c.limit, tt.want)
+		r.at(gaugeInterval, TimerFired{TimerID: r.c.timerID, Gauges: Gauges{CPUUtilization: 0.5, RunQueue: tt.onCores}})
+		if r.c.concurrencyLimit != tt.want {
+			t.Errorf("%s: c %d, want %d", name, r.c.concurrencyLimit, tt.want)
 		}
 	}
 }
@@ -457,7 +457,7 @@
 		a.Age = 100 * ms
 		events := []Event{a}
 		if i%125 == 0 {
-			events = append(events, TimerFired{TimerID: r.c.ref, Gauges: Gauges{CPUUtilization: 1, RunQueue: 2}})
+			events = append(events, TimerFired{TimerID: r.c.timerID, Gauges: Gauges{CPUUtilization: 1, RunQueue: 2}})
 		}
 		for _, a := range r.at(2*ms, events...) {
 			if a, ok := a.(Reject); ok {
@@ -474,7 +474,7 @@
 	r := newRig(t, nil)
 	r.fill()
 	r.want(r.at(ms, ask(1, 0)), Reject{ID: 1})
-	if lambda := r.c.plan.model.lambda; lambda <= r.c.capacity() {
+	if lambda := r.c.policy.model.arrivalRate; lambda <= r.c.serviceCapacity() {
 		t.Errorf("Λ̃ %v under cμ: the test shows nothing", lambda)
 	}
 }
@@ -496,7 +496,7 @@
 			if tt.busy {
 				r.want(r.at(0, ask(2, 1)), Run{2})
 			}
-			r.c.refused = tt.refused
+			r.c.rejectedFraction = tt.refused
 			r.want(r.at(0, late), tt.want)
 		})
 	}
@@ -549,8 +549,8 @@
 			}
 			r.want(got, Preempt{901})
 			r.want(r.at(2*ms, Completed{ID: 901, Outcome: OutcomeCanceled}), Run{1})
-			if want := 10 * 4 * 3.0; r.c.mem != want {
-				t.Errorf("%v kB booked, want %v: a paused run keeps its memory", r.c.mem, want)
+			if want := 10 * 4 * 3.0; r.c.requestsKB != want {
+				t.Errorf("%v kB booked, want %v: a paused run keeps its memory", r.c.requestsKB, want)
 			}
 			r.want(r.at(2*ms, Completed{ID: 1, Outcome: OutcomeOK}), Run{901})
 			r.want(r.at(2*ms, Completed{ID: 901, Outcome: OutcomeOK}))
@@ -568,9 +568,9 @@
 		var got []time.Duration
 		for i := 0; i < 80; i++ {
 			if i > 0 {
-				r.c.refused = refused
+				r.c.rejectedFraction = refused
 			}
-			for _, a := range r.at(gaugeEvery, TimerFired{TimerID: r.c.ref}) {
+			for _, a := range r.at(gaugeInterval, TimerFired{TimerID: r.c.timerID}) {
 				if a, ok := a.(SetIdleTimeout); ok {
 					got = append(got, a.Timeout)
 				}
@@ -581,7 +581,7 @@
 	if got := lifetimes(32, 1); got != nil {
 		t.Errorf("few callers: lifetimes %v, want none told", got)
 	}
-	if got := lifetimes(1000, 0); !reflect.DeepEqual(got, []time.Duration{idleLeast}) {
+	if got := lifetimes(1000, 0); !reflect.DeepEqual(got, []time.Duration{minIdleTimeout}) {
 		t.Errorf("many callers: lifetimes %v, want the least", got)
 	}
 	if got := lifetimes(1000, 1); got[len(got)-1] != 30*time.Second || len(got) > 10 {
@@ -597,7 +597,7 @@
 		r.at(ms, CallCompleted{ID: i, Outcome: OutcomeResourceExhausted})
 		r.at(ms, Completed{ID: i, Outcome: OutcomeCanceled})
 	}
-	if got := r.c.success[0]; got > 0.4 || got < successFloor {
+	if got := r.c.runTimes.success[0]; got > 0.4 || got < minSuccessFraction {
 		t.Errorf("success of a class that always fails %v", got)
 	}
 }
@@ -605,13 +605,13 @@
 func TestAdverts(t *testing.T) {
 	for _, kind := range []Advert{AdvertNone, AdvertMinRank, AdvertCredit, AdvertWeight} {
 		r := newRig(t, func(s *Settings) { s.Advert = kind })
-		got := r.at(gaugeEvery, TimerFired{TimerID: r.c.ref, Gauges: Gauges{CPUUtilization: 0}})
+		got := r.at(gaugeInterval, TimerFired{TimerID: r.c.timerID, Gauges: Gauges{CPUUtilization: 0}})
 		published := count[Advertise](got)
 		if kind == AdvertNone && published != 0 || kind != AdvertNone && published != 1 {
 			t.Errorf("advert %v: %v", kind, got)
 		}
 		if kind == AdvertWeight || kind == AdvertMinRank {
-			if x := r.c.advert(); x < 0 || x > 1 {
+			if x := r.c.advertValue(); x < 0 || x > 1 {
 				t.Errorf("advert %v: %v", kind, x)
 			}
 		}
@@ -652,7 +652,7 @@
 			now += time.Duration(i%7) * ms
 			a := ask(i, int(i%2))
 			a.Tenant = int(i % 2)
-			events := []Event{a, TimerFired{TimerID: c.ref, Gauges: Gauges{CPUUtilization: 1, RunQueue: 3}}}
+			events := []Event{a, TimerFired{TimerID: c.timerID, Gauges: Gauges{CPUUtilization: 1, RunQueue: 3}}}
 			if i > 20 {
 				events = append(events, Completed{ID: i - 20, Outcome: OutcomeOK})
 			}
@@ -672,16 +672,16 @@
 		a.Age = 900 * ms
 		r.at(ms, a)
 	}
-	r.at(gaugeEvery, TimerFired{TimerID: r.c.ref, Gauges: Gauges{CPUUtilization: 1, RunQueue: 4}})
+	r.at(gaugeInterval, TimerFired{TimerID: r.c.timerID, Gauges: Gauges{CPUUtilization: 1, RunQueue: 4}})
 	if r.c.healthy {
 		t.Error("healthy while requests wait 0.9 of their aim to be read")
 	}
 	for i := 0; i < 40; i++ {
 		var events []Event
-		for _, q := range r.c.reqs {
+		for _, q := range r.c.requests {
 			events = append(events, Completed{ID: q.id, Outcome: OutcomeOK})
 		}
-		r.at(gaugeEvery, append(events, TimerFired{TimerID: r.c.ref, Gauges: Gauges{CPUUtilization: 0}})...)
+		r.at(gaugeInterval, append(events, TimerFired{TimerID: r.c.timerID, Gauges: Gauges{CPUUtilization: 0}})...)
 	}
 	if !r.c.healthy {
 		t.Error("still unhealthy ten seconds after the last request")
@@ -761,8 +761,8 @@
 func TestLateIsRefusedWhileCallsQueue(t *testing.T) {
 	for _, share := range []float64{1, 6} {
 		r := newRig(t, func(s *Settings) { callSite(s); s.Dependency, s.CallQuota, s.Cores = DependencyShared, share, 8 })
-		for i := range r.c.service {
-			r.c.service[i] = 2 // what is begun now is late
+		for i := range r.c.runTimes.meanSeconds {
+			r.c.runTimes.meanSeconds[i] = 2 // what is begun now is late
 		}
 		var events []Event
 		for id := uint32(1); id <= 4; id++ {
--- /dev/null
+++ b/admission/runtimes.go
@@ -0,0 +1,94 @@
+package admission
+
+import "math"
+
+// Run time estimates: the service rate μ, and per class the mean run time and
+// the fraction of runs that answer their client.
+
+const (
+	// objectivesPerRun is the first guess: an objective is this many mean runs.
+	runsPerObjective = 6.0
+	// priorRuns is the number of completed runs that the first guess counts for.
+	priorRuns = 3.0
+	// maxRememberedRuns is how many completed runs μ remembers: an error of 1/√40.
+	maxRememberedRuns = 40.0
+	// doubtAfterMissedRuns is how many expected completions may fail to come
+	// before μ is lowered.
+	doubtAfterMissedRuns = 5.0
+	// minSuccessFraction is what a class counts for when all of its runs fail: it
+	// must be able to recover.
+	minSuccessFraction = 0.1
+	// minExposure in run-seconds avoids a division by 0.
+	minExposure = 1e-9
+)
+
+// runTimes holds the estimates. Run-seconds are seconds times runs on the cores.
+type runTimes struct {
+	completed   float64   // runs completed, fading
+	exposure    float64   // run-seconds on the cores, fading
+	sinceExit   float64   // run-seconds since a run last left the cores
+	meanSeconds []float64 // mean seconds on the cores, by class
+	success     []float64 // fraction of runs whose client got an answer, by class
+}
+
+func newRunTimes(classes []Class) runTimes {
+	t := runTimes{
+		completed:   priorRuns,
+		meanSeconds: make([]float64, len(classes)),
+		success:     make([]float64, len(classes)),
+	}
+	for i, class := range classes {
+		t.success[i] = 1
+		t.meanSeconds[i] = class.LatencyObjective.Seconds() / runsPerObjective
+		t.exposure += t.meanSeconds[i] * priorRuns / float64(len(classes))
+	}
+	return t
+}
+
+// expose adds time that runs spent on the cores.
+func (t *runTimes) expose(runSeconds float64) {
+	t.exposure += runSeconds
+	t.sinceExit += runSeconds
+}
+
+// exited notes that a run left the cores, or that the cores were empty.
+func (t *runTimes) exited() { t.sinceExit = 0 }
+
+// observe counts a run that ended by itself after the given seconds.
+func (t *runTimes) observe(class int, seconds float64) {
+	t.completed++
+	smooth(&t.meanSeconds[class], seconds)
+}
+
+// observeSuccess notes whether a run answered its client. A class whose calls
+// fail must not crowd out the others.
+func (t *runTimes) observeSuccess(class int, answered bool) {
+	success := minSuccessFraction
+	if answered {
+		success = 1
+	}
+	smooth(&t.success[class], success)
+}
+
+// forget limits the completed runs that are remembered.
+func (t *runTimes) forget() {
+	if t.completed > maxRememberedRuns {
+		t.exposure *= maxRememberedRuns / t.completed
+		t.completed = maxRememberedRuns
+	}
+}
+
+// serviceRate is μ, completions per run-second. It is lowered when nothing has
+// left the cores for much longer than it explains: a hang, a stall, sudden slowness.
+func (t *runTimes) serviceRate() float64 {
+	rate := t.completed / t.exposure
+	if t.missedRuns() > doubtAfterMissedRuns {
+		rate = math.Min(rate, doubtAfterMissedRuns/t.sinceExit)
+	}
+	return rate
+}
+
+// missedRuns is how many runs should have left the cores since the last one did.
+func (t *runTimes) missedRuns() float64 {
+	return t.sinceExit * t.completed / math.Max(t.exposure-t.sinceExit, minExposure)
+}
--- /dev/null
+++ b/admission/settings.go
@@ -0,0 +1,221 @@
+package admission
+
+import (
+	"fmt"
+	"time"
+)
+
+// Effect says how often a request of a class may be run.
+type Effect uint8
+
+// The effects of a class.
+const (
+	Idempotent   Effect = iota // may be run again
+	Deduplicated               // at most once on this server within its window
+	AtMostOnce                 // once, never again after it may have run
+)
+
+// Preemption says what Preempt does to a running request.
+type Preemption uint8
+
+// The kinds of preemption.
+const (
+	PreemptionNone  Preemption = iota // running work can't be stopped
+	PreemptionDrop                    // progress is lost, the request is queued again
+	PreemptionPause                   // progress and memory are kept until Run
+)
+
+// Advert says how callers read the value of Advertise.
+type Advert uint8
+
+// The kinds of advertised value.
+const (
+	AdvertNone    Advert = iota // no value may be advertised
+	AdvertMinRank               // callers withhold requests whose rank is below the value
+	AdvertCredit                // requests that each caller may have outstanding
+	AdvertWeight                // probability, 0 to 1, that a caller does not skip the server
+)
+
+// Dependency says what the calls of running requests go to.
+type Dependency uint8
+
+// The kinds of dependency.
+const (
+	DependencyNone     Dependency = iota // no calls
+	DependencyShared                     // one service that all servers share
+	DependencyNextTier                   // another tier of servers that run this code
+)
+
+// Class describes one class of requests.
+type Class struct {
+	// LatencyObjective is the time from a client's first attempt within which an
+	// answer earns the full priority weight. Above 0, at most Deadline.
+	LatencyObjective time.Duration
+	// ObjectiveStretch extends the objective by this multiple of the request's own work.
+	ObjectiveStretch float64
+	// Deadline is how long a client waits across all of its attempts.
+	Deadline time.Duration
+	// DedupWindow is, for Deduplicated, how long a duplicate may arrive.
+	DedupWindow time.Duration
+	Effect      Effect
+	// PriorityWeight is the value of one request, or of one unit of work with
+	// Settings.WeightPerWork. At least 0.
+	PriorityWeight float64
+	// LateFraction is the fraction of the weight that an answer after the objective earns.
+	LateFraction float64
+	// MakesCalls says that its requests may call the dependency.
+	MakesCalls bool
+	// DegradedFraction is the fraction of the weight that an answer without its
+	// call earns; 0 forbids Degrade.
+	DegradedFraction float64
+}
+
+// Tenant describes one tenant.
+type Tenant struct {
+	// QuotaPerSecond is the rate of requests within its quota, over all servers.
+	QuotaPerSecond float64
+}
+
+// Settings configures a controller. They don't change after New.
+type Settings struct {
+	// MinInterval is the least time between two calls of Handle.
+	MinInterval time.Duration
+	// TiersAbove is the number of tiers above this one, whose work a rejection here wastes.
+	TiersAbove int
+	// Cores of this server, at least 1.
+	Cores int
+	// Servers of this tier, at least 1.
+	Servers int
+	// Callers of this tier.
+	Callers int
+	Classes []Class
+	// Tenants may be empty.
+	Tenants []Tenant
+
+	// WeightPerWork says that Class.PriorityWeight counts per unit of work.
+	WeightPerWork bool
+	// OverQuotaFraction is the fraction of its weight that a request beyond its
+	// tenant's quota earns.
+	OverQuotaFraction float64
+
+	// SlowStart says that the process started cold.
+	SlowStart bool
+	// SlowStartMinSpeed is the least fraction of its speed that a cold server has.
+	SlowStartMinSpeed float64
+	// SlowStartDuration is the longest time until a cold server is warm.
+	SlowStartDuration time.Duration
+	// MaxRunsPerCore is the mean number of runs on the cores, per core, that a
+	// warm server survives. At least 1.
+	MaxRunsPerCore float64
+	// OverloadWindow is the time over which MaxRunsPerCore is averaged.
+	OverloadWindow time.Duration
+
+	// MemoryKB is the memory for requests and stored keys. Above 0.
+	MemoryKB float64
+	// RunMemoryFactor is the memory of a running request over that of a queued one. At least 1.
+	RunMemoryFactor float64
+	// KeyMemoryKB is the memory of one stored key.
+	KeyMemoryKB float64
+	// ResultReuseWindow is how long the result of a read may answer others; 0: never.
+	ResultReuseWindow time.Duration
+
+	Dependency Dependency
+	// CallQuota is, for DependencyShared, this server's quota of calls in flight.
+	// It may be below 1.
+	CallQuota float64
+	// CallWindow is the time over which calls in flight are averaged.
+	CallWindow time.Duration
+	// CallLinger is the longest time that an abandoned call still counts as in flight.
+	CallLinger time.Duration
+
+	Preemption Preemption
+	Advert     Advert
+	// NotifiesCanceled says that Canceled may come.
+	NotifiesCanceled bool
+	// DeepHealthChecks says that health checks do real work unless SetHealth.Cached.
+	DeepHealthChecks bool
+	// MaxIdleTimeout is the longest idle timeout of a connection.
+	MaxIdleTimeout time.Duration
+	// AdvertTTL is how long callers remember an advertised value.
+	AdvertTTL time.Duration
+	// MaxRetryAfter is the longest retry advice that callers follow; 0: none.
+	MaxRetryAfter time.Duration
+	// AnswerGracePeriod is how long after its deadline an answer still counts.
+	AnswerGracePeriod time.Duration
+	// DrainGracePeriod: requests that arrive later than this after Drain must not run.
+	DrainGracePeriod time.Duration
+	// RetriesMarked says that callers mark retries and hedged requests.
+	RetriesMarked bool
+}
+
+// SettingError names a setting whose value is out of range.
+type SettingError struct {
+	Name  string
+	Value float64
+	Min   float64 // the least value in range
+}
+
+// Error implements error.
+func (e *SettingError) Error() string {
+	return fmt.Sprintf("%s: %g is impossible, want at least %g", e.Name, e.Value, e.Min)
+}
+
+// minMemoryKB stands for "above 0".
+const minMemoryKB = 1e-9
+
+// validate refuses settings with which no server could work.
+func (s *Settings) validate() error {
+	if len(s.Classes) == 0 {
+		return fmt.Errorf("classes: at least one is needed")
+	}
+	for _, bound := range s.lowerBounds() {
+		if !(bound.Value >= bound.Min) { // also catches NaN
+			return &bound
+		}
+	}
+	for i, class := range s.Classes {
+		if !class.valid() {
+			return fmt.Errorf("class %d: impossible aim, deadline, window, value or late share", i)
+		}
+	}
+	for i, tenant := range s.Tenants {
+		if !(tenant.QuotaPerSecond >= 0) {
+			return fmt.Errorf("tenant %d: impossible allowance %g", i, tenant.QuotaPerSecond)
+		}
+	}
+	return nil
+}
+
+// lowerBounds lists the settings that have a least value, with the names that
+// their errors use.
+func (s *Settings) lowerBounds() []SettingError {
+	return []SettingError{
+		{"cores", float64(s.Cores), 1},
+		{"servers", float64(s.Servers), 1},
+		{"memory", s.MemoryKB, minMemoryKB},
+		{"run factor", s.RunMemoryFactor, 1},
+		{"crowd factor", s.MaxRunsPerCore, 1},
+		{"tick", float64(s.MinInterval), 0},
+		{"callers", float64(s.Callers), 0},
+		{"depth", float64(s.TiersAbove), 0},
+		{"cold share", s.SlowStartMinSpeed, 0},
+		{"key size", s.KeyMemoryKB, 0},
+		{"call share", s.CallQuota, 0},
+		{"over-share worth", s.OverQuotaFraction, 0},
+		{"cold time", float64(s.SlowStartDuration), 0},
+		{"answer slack", float64(s.AnswerGracePeriod), 0},
+		{"drain grace", float64(s.DrainGracePeriod), 0},
+		{"crowd time", float64(s.OverloadWindow), 0},
+		{"share time", float64(s.ResultReuseWindow), 0},
+		{"call window", float64(s.CallWindow), 0},
+		{"linger", float64(s.CallLinger), 0},
+		{"longest advice", float64(s.MaxRetryAfter), 0},
+		{"idle time", float64(s.MaxIdleTimeout), 0},
+		{"heard time", float64(s.AdvertTTL), 0},
+	}
+}
+
+func (c *Class) valid() bool {
+	return c.LatencyObjective > 0 && c.Deadline >= c.LatencyObjective && c.DedupWindow >= 0 &&
+		c.PriorityWeight >= 0 && c.LateFraction >= 0
+}
