--- a/cmd/oxbowbridge/config.go
+++ b/cmd/oxbowbridge/config.go
@@ -65,7 +65,7 @@
 
 func parseConfig(text []byte, env func(string) string) (*config, error) {
 	var c config
-	if err := simproto.Decode(text, &c); err != nil {
+	if err := simproto.DecodeJSON(text, &c); err != nil {
 		return nil, err
 	}
 	if v := env("BALANCER_NAME"); v != "" {
@@ -150,7 +150,7 @@
 		}
 	}
 	if c.Work != nil {
-		if err := c.Work.Check(); err != nil {
+		if err := c.Work.Validate(); err != nil {
 			return fmt.Errorf("work.%w", err)
 		}
 	}
--- a/cmd/oxbowbridge/keeper.go
+++ b/cmd/oxbowbridge/keeper.go
@@ -66,7 +66,7 @@
 	if s.WaitCaughtUp(first) {
 		k.caughtUp(level)
 		if e, ok := s.Entry(keySettings); ok {
-			if !k.use(cfg, store.GoodVersion{Revision: e.Index, Value: e.Value}, false) {
+			if !k.use(cfg, store.GoodVersion{Revision: e.ModRevision, Value: e.Value}, false) {
 				k.useLast(cfg)
 			}
 		}
@@ -108,7 +108,7 @@
 // good.
 func (k *keeper) use(cfg *config, g store.GoodVersion, last bool) bool {
 	var w simproto.Settings
-	err := simproto.Decode(g.Value, &w)
+	err := simproto.DecodeJSON(g.Value, &w)
 	if err == nil {
 		_, err = dispatch.Check(&w)
 	}
--- a/internal/cluster/store/life.go
+++ b/internal/cluster/store/life.go
@@ -245,7 +245,7 @@
 			if !now || !h.Fresh {
 				return conf, fmt.Errorf("%s is not new any more", p.Name)
 			}
-			if id, p.Raft, p.Admin, p.Zone = h.ID, h.Raft, h.Admin, h.Zone; diskidentity.MemberName(id) != p.Name {
+			if id, p.Raft, p.Admin, p.Zone = h.ID, h.RaftAddress, h.AdminAddress, h.Zone; diskidentity.MemberName(id) != p.Name {
 				return conf, fmt.Errorf("%s says that it is %s", p.Name, id)
 			}
 		}
@@ -283,7 +283,7 @@
 		}
 		conf, index := l.configuration()
 		s.followMembers(conf)
-		if at, apart := s.state.recentChecksums().Apart(s.peers.checksums(conf, l.memberID)); apart {
+		if at, apart := s.state.recentChecksums().Diverged(s.peers.checksums(conf, l.memberID)); apart {
 			return errors.Join(fmt.Errorf("%w: at entry %d of the log", errDiverged, at), l.storage.PutLocal(localDiverged, []byte("1")))
 		}
 		_, in := findServer(conf, l.memberID)
--- a/internal/cluster/store/members.go
+++ b/internal/cluster/store/members.go
@@ -96,8 +96,8 @@
 	if x.Suffrage == raft.Voter {
 		m.Role = membership.Voter
 	}
-	_, m.Leaving = s.state.get(kv.GonePart + p.Name)
-	_, m.VotePreferred = s.state.get(kv.VotePart + p.Name)
+	_, m.Leaving = s.state.get(kv.RemovedPrefix + p.Name)
+	_, m.VotePreferred = s.state.get(kv.PreferredVoterPrefix + p.Name)
 	if p.Name == s.self.Name { // nobody asks itself: what bears this node's name is its disk, or one that it had
 		m.Up, m.DiskLost = id == l.memberID, id != l.memberID
 		return m
@@ -146,15 +146,15 @@
 	if !ok {
 		return fmt.Errorf("%w: %s", ErrMemberNotFound, step.ID)
 	}
-	ctx, cancel := context.WithTimeout(ctx, storeapi.ApplyTime)
+	ctx, cancel := context.WithTimeout(ctx, storeapi.CommitTimeout)
 	defer cancel()
 	switch step.Kind {
 	case membership.StepPromote:
-		return awaitFuture(ctx, l.raft.AddVoter(x.ID, x.Address, index, storeapi.ApplyTime))
+		return awaitFuture(ctx, l.raft.AddVoter(x.ID, x.Address, index, storeapi.CommitTimeout))
 	case membership.StepDemote:
-		return awaitFuture(ctx, l.raft.DemoteVoter(x.ID, index, storeapi.ApplyTime))
+		return awaitFuture(ctx, l.raft.DemoteVoter(x.ID, index, storeapi.CommitTimeout))
 	case membership.StepRemove:
-		return awaitFuture(ctx, l.raft.RemoveServer(x.ID, index, storeapi.ApplyTime))
+		return awaitFuture(ctx, l.raft.RemoveServer(x.ID, index, storeapi.CommitTimeout))
 	case membership.StepTransfer:
 		return awaitFuture(ctx, l.raft.LeadershipTransferToServer(x.ID, x.Address))
 	}
@@ -162,13 +162,13 @@
 }
 
 // Join takes a node in as a learner; only the leader can.
-func (s *Store) Join(ctx context.Context, j storeapi.Join) error {
-	p := Peer{Name: diskidentity.MemberName(j.ID), Raft: j.Raft, Admin: j.Admin, Zone: j.Zone}
+func (s *Store) Join(ctx context.Context, j storeapi.JoinRequest) error {
+	p := Peer{Name: diskidentity.MemberName(j.ID), Raft: j.RaftAddress, Admin: j.AdminAddress, Zone: j.Zone}
 	if err := p.check(); err != nil {
-		return fmt.Errorf("%w: %w", kv.ErrRequest, err)
+		return fmt.Errorf("%w: %w", kv.ErrInvalidRequest, err)
 	}
-	if disk := diskidentity.MemberDisk(j.ID); disk == "" || strings.ContainsAny(disk+p.Zone, "@|#") || len(j.ID)+len(p.Zone) > kv.KeyBytes {
-		return fmt.Errorf("%w: id: want a name, @ and a disk; zone: no |", kv.ErrRequest)
+	if disk := diskidentity.MemberDisk(j.ID); disk == "" || strings.ContainsAny(disk+p.Zone, "@|#") || len(j.ID)+len(p.Zone) > kv.MaxKeyBytes {
+		return fmt.Errorf("%w: id: want a name, @ and a disk; zone: no |", kv.ErrInvalidRequest)
 	}
 	l, err := s.running()
 	if err != nil {
@@ -180,7 +180,7 @@
 	if _, err := s.WaitFresh(ctx, Freshness{}); err != nil { // who was removed is known
 		return err
 	}
-	if _, ok := s.state.get(kv.LeasesKey); ok && !j.Leases {
+	if _, ok := s.state.get(kv.LeasesEnabledKey); ok && !j.SupportsLeases {
 		return fmt.Errorf("%w: this cluster has leases, which %s does not know", ErrMemberRejected, j.ID)
 	}
 	conf, index := l.configuration()
@@ -199,15 +199,15 @@
 		return fmt.Errorf("%w: %s", ErrMemberRejected, why)
 	}
 	s.log.Info("members change", zap.String("step", "learner"), zap.String("member", j.ID))
-	ctx, cancel := context.WithTimeout(ctx, storeapi.ApplyTime)
+	ctx, cancel := context.WithTimeout(ctx, storeapi.CommitTimeout)
 	defer cancel()
-	return awaitFuture(ctx, l.raft.AddNonvoter(raft.ServerID(j.ID), encodeAddress(p, j.ID), index, storeapi.ApplyTime))
+	return awaitFuture(ctx, l.raft.AddNonvoter(raft.ServerID(j.ID), encodeAddress(p, j.ID), index, storeapi.CommitTimeout))
 }
 
 func (s *Store) removedNames() (names []string) {
 	all, _ := s.state.entries()
 	for key := range all {
-		if name, ok := strings.CutPrefix(key, kv.GonePart); ok {
+		if name, ok := strings.CutPrefix(key, kv.RemovedPrefix); ok {
 			names = append(names, name)
 		}
 	}
@@ -231,13 +231,13 @@
 	l.members.mu.Lock()
 	view := l.members.view
 	l.members.mu.Unlock()
-	out = storeapi.Members{Leader: s.self.Name, Index: index, Voters: s.cfg.policy().Voters, Removed: s.removedNames()}
+	out = storeapi.Members{Leader: s.self.Name, ConfigIndex: index, WantedVoters: s.cfg.policy().Voters, Removed: s.removedNames()}
 	for _, m := range view.Members {
 		x, _ := findServer(conf, m.ID)
-		row := storeapi.Member{Name: diskidentity.MemberName(m.ID), ID: m.ID, Zone: m.Zone, Role: m.Role.String(), Behind: m.Lag,
-			State: memberStateOf(m, l.memberID), Admin: decodePeer(x.ID, x.Address).Admin}
+		row := storeapi.Member{Name: diskidentity.MemberName(m.ID), ID: m.ID, Zone: m.Zone, Role: m.Role.String(), EntriesBehind: m.Lag,
+			State: memberStateOf(m, l.memberID), AdminAddress: decodePeer(x.ID, x.Address).Admin}
 		if step.ID == m.ID {
-			row.Next, row.Why = step.Kind.String(), step.Reason
+			row.NextStep, row.Reason = step.Kind.String(), step.Reason
 		}
 		out.Members = append(out.Members, row)
 	}
@@ -280,15 +280,15 @@
 	case has(voters) && len(voters) == 1:
 		return fmt.Errorf("%w: %s is the only voter", ErrMemberRejected, name)
 	}
-	return s.recordIntent(kv.GonePart+name, kv.VotePart+name)
+	return s.recordIntent(kv.RemovedPrefix+name, kv.PreferredVoterPrefix+name)
 }
 
 // AddMember lets a node that was removed ask for a place again.
 func (s *Store) AddMember(name string) error {
 	if !nameForm.MatchString(name) {
-		return fmt.Errorf("%w: name: %q", kv.ErrRequest, name)
+		return fmt.Errorf("%w: name: %q", kv.ErrInvalidRequest, name)
 	}
-	return s.recordIntent("", kv.GonePart+name)
+	return s.recordIntent("", kv.RemovedPrefix+name)
 }
 
 // PromoteMember has a node have a vote rather than one that nobody asked for.
@@ -305,14 +305,14 @@
 	wanted := 0
 	all, _ := s.state.entries()
 	for key := range all {
-		if strings.HasPrefix(key, kv.VotePart) && key != kv.VotePart+name {
+		if strings.HasPrefix(key, kv.PreferredVoterPrefix) && key != kv.PreferredVoterPrefix+name {
 			wanted++
 		}
 	}
 	if most := s.cfg.policy().Voters; wanted >= most {
 		return fmt.Errorf("%w: %d others are wanted as voters already, of %d", ErrMemberRejected, wanted, most)
 	}
-	return s.recordIntent(kv.VotePart+name, "")
+	return s.recordIntent(kv.PreferredVoterPrefix+name, "")
 }
 
 // recordIntent puts one key and deletes another.
@@ -320,10 +320,10 @@
 	var r kv.Request
 	if put != "" {
 		text, _ := json.Marshal(time.Now().UTC().Format(time.RFC3339))
-		r.Then = append(r.Then, kv.Op{Do: "put", Key: put, Value: text})
+		r.Then = append(r.Then, kv.Op{Kind: "put", Key: put, Value: text})
 	}
 	if del != "" {
-		r.Then = append(r.Then, kv.Op{Do: "delete", Key: del})
+		r.Then = append(r.Then, kv.Op{Kind: "delete", Key: del})
 	}
 	_, err := s.Execute(r)
 	return err
--- a/internal/cluster/store/peers.go
+++ b/internal/cluster/store/peers.go
@@ -30,7 +30,7 @@
 
 // peerReport is the last that a peer said.
 type peerReport struct {
-	storeapi.Self
+	storeapi.PeerStatus
 	receivedAt time.Time // of the answer; zero if there was none
 	legacy     bool      // of the version before, which says less
 	err        error
@@ -112,24 +112,24 @@
 }
 
 // fetch asks a node for itself. One of the version before only tells its status.
-func (p *peers) fetch(addr, id string) (self storeapi.Self, old bool, err error) {
+func (p *peers) fetch(addr, id string) (self storeapi.PeerStatus, old bool, err error) {
 	ctx, cancel := context.WithTimeout(p.ctx, askTime)
 	defer cancel()
-	err = p.client.One(ctx, addr, http.MethodGet, "/self?from="+url.QueryEscape(id), nil, &self)
+	err = p.client.CallNode(ctx, addr, http.MethodGet, "/self?from="+url.QueryEscape(id), nil, &self)
 	var said *storeapi.StatusError
-	if !errors.As(err, &said) || said.Code != http.StatusNotFound {
+	if !errors.As(err, &said) || said.StatusCode != http.StatusNotFound {
 		return self, false, err
 	}
 	var st storeapi.Status
-	if err = p.client.One(ctx, addr, http.MethodGet, "/status", nil, &st); err != nil {
+	if err = p.client.CallNode(ctx, addr, http.MethodGet, "/status", nil, &st); err != nil {
 		return self, true, err
 	}
 	self.ID, self.Cluster, self.State = st.Node, st.Cluster, peerServing
-	self.Mark.LastIndex, self.Applied = st.Last, st.Applied
+	self.Mark.LastIndex, self.AppliedIndex = st.LastIndex, st.AppliedIndex
 	return self, true, nil
 }
 
-func (p *peers) record(name, asker string, self storeapi.Self, old bool, err error) {
+func (p *peers) record(name, asker string, self storeapi.PeerStatus, old bool, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if asker != p.store.memberID() {
@@ -156,7 +156,7 @@
 			}
 		}
 	}
-	p.reports[name] = peerReport{Self: self, receivedAt: time.Now(), legacy: old}
+	p.reports[name] = peerReport{PeerStatus: self, receivedAt: time.Now(), legacy: old}
 }
 
 // forgetReports drops what was said of a disk that this node no longer has.
@@ -175,7 +175,7 @@
 }
 
 // checksums are what the other voters said of their states of late, and how many voters there are.
-func (p *peers) checksums(conf raft.Configuration, own string) (list []kv.Checks, voters int) {
+func (p *peers) checksums(conf raft.Configuration, own string) (list []kv.ChecksumHistory, voters int) {
 	for _, x := range conf.Servers {
 		id := string(x.ID)
 		if x.Suffrage != raft.Voter {
@@ -183,7 +183,7 @@
 		}
 		voters++
 		if h, now := p.lastReport(diskidentity.MemberName(id)); id != own && now && h.ID == id {
-			list = append(list, h.Checks)
+			list = append(list, h.Checksums)
 		}
 	}
 	return list, voters
@@ -246,7 +246,7 @@
 
 // requestJoin asks the cluster for a place, at each node that serves until one says yes.
 func (p *peers) requestJoin(ctx context.Context, l *incarnation) error {
-	ask := storeapi.Join{ID: l.memberID, Raft: p.store.self.Raft, Admin: p.store.self.Admin, Zone: p.store.self.Zone, Leases: true}
+	ask := storeapi.JoinRequest{ID: l.memberID, RaftAddress: p.store.self.Raft, AdminAddress: p.store.self.Admin, Zone: p.store.self.Zone, SupportsLeases: true}
 	text, err := json.Marshal(ask)
 	if err != nil {
 		return err
@@ -261,8 +261,8 @@
 	p.mu.Unlock()
 	var refused []string
 	for _, addr := range addrs {
-		one, cancel := context.WithTimeout(ctx, storeapi.ApplyTime)
-		err := p.client.Patient().One(one, addr, http.MethodPost, "/members", text, nil)
+		one, cancel := context.WithTimeout(ctx, storeapi.CommitTimeout)
+		err := p.client.WithLongTimeout().CallNode(one, addr, http.MethodPost, "/members", text, nil)
 		cancel()
 		if err == nil {
 			return nil
--- a/internal/cluster/store/store.go
+++ b/internal/cluster/store/store.go
@@ -237,38 +237,38 @@
 
 // Status is what the node tells of itself.
 func (s *Store) Status() storeapi.Status {
-	st := storeapi.Status{Node: s.self.Name, Cluster: s.identity.get(), Foreign: s.identity.foreignNames(), ID: s.memberID()}
+	st := storeapi.Status{Node: s.self.Name, Cluster: s.identity.get(), ForeignPeers: s.identity.foreignNames(), ID: s.memberID()}
 	if l := s.current.Load(); l != nil {
-		st.State, st.Applied, st.Last = l.raft.State().String(), l.raft.AppliedIndex(), l.raft.LastIndex()
+		st.State, st.AppliedIndex, st.LastIndex = l.raft.State().String(), l.raft.AppliedIndex(), l.raft.LastIndex()
 		if !l.isMember() {
-			st.State, st.Waits = "Joining", l.joinWaitReason()
+			st.State, st.WaitingFor = "Joining", l.joinWaitReason()
 		}
 		if p, _, ok := s.Leader(); ok {
 			st.Leader = p.Name
 		}
 	} else {
-		st.State, st.Waits = "Waiting", s.WaitReason()
+		st.State, st.WaitingFor = "Waiting", s.WaitReason()
 	}
 	if s.mirror != nil {
-		st.Mirrored, st.SQLError = s.mirror.progress()
+		st.MirroredIndex, st.SQLError = s.mirror.progress()
 	}
 	return st
 }
 
 // Self is what the node tells another one, which has the id. It says nothing before it
 // knows its own disk.
-func (s *Store) Self(asker string) (storeapi.Self, error) {
+func (s *Store) Self(asker string) (storeapi.PeerStatus, error) {
 	f := s.folder.Load()
 	if f == nil {
-		return storeapi.Self{}, fmt.Errorf("%w: it waits for %s", ErrNotServing, *s.waitReason.Load())
+		return storeapi.PeerStatus{}, fmt.Errorf("%w: it waits for %s", ErrNotServing, *s.waitReason.Load())
 	}
 	own := f.local
-	out := storeapi.Self{State: peerWaiting, Raft: s.self.Raft, Admin: s.self.Admin, Zone: s.self.Zone}
-	out.ID, out.Cluster, out.Leases = own.ID, s.identity.get(), true
+	out := storeapi.PeerStatus{State: peerWaiting, RaftAddress: s.self.Raft, AdminAddress: s.self.Admin, Zone: s.self.Zone}
+	out.ID, out.Cluster, out.SupportsLeases = own.ID, s.identity.get(), true
 	out.Mark, out.Fresh = own.Watermark, own.Fresh
 	out.ConfigIndex, out.Members, out.Voters, out.Addresses = own.ConfigIndex, own.Members, own.Voters, f.addresses
 	if l := s.current.Load(); l != nil {
-		out.State, out.Applied, out.Checks = peerServing, l.raft.AppliedIndex(), s.state.recentChecksums()
+		out.State, out.AppliedIndex, out.Checksums = peerServing, l.raft.AppliedIndex(), s.state.recentChecksums()
 		if m, err := l.storage.Watermark(); err == nil {
 			out.Mark = m.Max(own.Watermark)
 		}
@@ -278,7 +278,7 @@
 		out.Addresses = memberAddresses(conf)
 		out.Fresh = own.Fresh && out.Mark.LastIndex == 0
 	}
-	if e, ok := s.state.get(kv.WasKey); ok {
+	if e, ok := s.state.get(kv.PreviousClustersKey); ok {
 		json.Unmarshal(e.Value, &out.PreviousClusters) // this package wrote it
 	}
 	out.LastObserved = s.peers.observedWatermark(asker)
