--- a/internal/maintenance/plan.go
+++ b/internal/maintenance/plan.go
@@ -60,7 +60,7 @@
 	Exhaustive     bool            `json:"Exact"` // all orders were tried
 }
 
-// ErrNoPlan: says that a task fits at no time of the plan.
+// ErrNoPlan says that a task fits at no time of the plan.
 var ErrNoPlan = errors.New("no plan")
 
 // ComputePlan lays out a whole order: list scheduling of an order of tasks, which a local search
