--- /dev/null
+++ b/internal/cluster/diskidentity/join.go
@@ -0,0 +1,24 @@
+package diskidentity
+
+import (
+	"fmt"
+	"slices"
+)
+
+// CheckJoin decides on a request to become a member. refusal is "" if it is granted. removed are the
+// names that operators have removed; isUp tells of a member whether it has reported recently.
+func CheckJoin(id string, members, removed []string, isUp func(id string) bool, maxMembers int) (refusal string) {
+	name := MemberName(id)
+	if slices.Contains(removed, name) {
+		return fmt.Sprintf("%s was removed: 'store add %s' lets it in again", name, name)
+	}
+	for _, member := range members {
+		if member != id && MemberName(member) == name && isUp(member) {
+			return fmt.Sprintf("%s is there with another disk, %s", name, MemberDisk(member))
+		}
+	}
+	if len(members) >= maxMembers {
+		return fmt.Sprintf("there are %d members already", len(members))
+	}
+	return ""
+}
--- /dev/null
+++ b/internal/cluster/diskidentity/verdict.go
@@ -0,0 +1,196 @@
+package diskidentity
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+	"strings"
+)
+
+// Attestation is what a node says of its own disk, and of the disk of the node that asks.
+type Attestation struct {
+	ID               string     `json:"id"`
+	Cluster          string     `json:"cluster,omitempty"`
+	PreviousClusters []string   `json:"was,omitempty"`     // that this cluster was recovered from
+	Fresh            bool       `json:"fresh"`             // an empty folder that never replaced another
+	ConfigIndex      uint64     `json:"config"`            // of the latest configuration in its log
+	Members          []string   `json:"members,omitempty"` // in that configuration
+	Voters           []string   `json:"voters,omitempty"`  // of them
+	LastObserved     *Watermark `json:"seen,omitempty"`    // of the asker's disk; nil if it never was
+}
+
+// LocalDisk is what a node knows of its own disk when it starts.
+type LocalDisk struct {
+	ID            string
+	Cluster       string // "" if it is not known for sure
+	LoggedCluster string // the cluster in the log while Cluster is ""; it may not be committed
+	Fresh         bool   // an empty folder that never replaced another
+	Empty         bool   // nothing in the log
+	Watermark     Watermark
+	ConfigIndex   uint64   // of the latest configuration in the log
+	Members       []string // in that configuration
+	Voters        []string // of them
+	Founders      []string // names of those who make the cluster; nil on a node that is none of them
+	// Attesters is how many other voters must attest this disk: 0 is as many as make a majority
+	// with it, -1 is all of them.
+	Attesters int
+}
+
+// Verdict is what a node may do with its disk.
+//
+// VerdictWait is decided again at the next attestation. After VerdictRenew the disk is another
+// member's, and joins. The other verdicts are final for one run of Raft.
+type Verdict int
+
+const (
+	VerdictWait      Verdict = iota // for attestations
+	VerdictBootstrap                // make a cluster of all founders
+	VerdictJoin                     // replicate the log without a vote, and request to be a member
+	VerdictResume                   // go on as the member that it was
+	VerdictRenew                    // give the disk a new identity, and then join
+)
+
+func (v Verdict) String() string {
+	return [...]string{"wait", "found", "join", "resume", "renew"}[v]
+}
+
+// Decide is what a node may do, and the reason. attestations are by name; a node that is not among
+// them has not answered. The rules are checked in this order:
+//
+//  1. The cluster was recovered as another one: wait, until an operator moves the folder away.
+//  2. The log is empty: see decideEmpty.
+//  3. A peer has a later configuration without this disk, or has observed more of this disk than it
+//     holds: renew.
+//  4. The disk has no vote: join.
+//  5. Fewer voters than LocalDisk.Attesters have answered: wait.
+//  6. Otherwise: resume.
+func Decide(local LocalDisk, attestations map[string]Attestation) (verdict Verdict, reason string) {
+	if successor := Successor(cmp.Or(local.Cluster, local.LoggedCluster), attestations); successor != "" {
+		return VerdictWait, fmt.Sprintf("this folder to be moved away: its cluster was recovered as %s", successor)
+	}
+	if local.Empty {
+		return decideEmpty(local, attestations)
+	}
+	if reason := local.adoptConfiguration(attestations); reason != "" {
+		return VerdictRenew, reason
+	}
+	if reason := local.behindReason(attestations); reason != "" {
+		return VerdictRenew, reason
+	}
+	if !slices.Contains(local.Voters, local.ID) {
+		return VerdictJoin, "it has no vote"
+	}
+	attested, missing := local.countAttesters(attestations)
+	if need := local.attestersNeeded(); attested < need {
+		return VerdictWait, fmt.Sprintf("%d of %s must say that this disk is not older than what it acknowledged", need-attested, strings.Join(missing, ", "))
+	}
+	return VerdictResume, fmt.Sprintf("%d others have seen no more of this disk", attested)
+}
+
+// Successor is the ID of the cluster that was recovered from one, or "". Nodes of the old cluster
+// must not act as if it still existed.
+func Successor(cluster string, attestations map[string]Attestation) string {
+	for _, a := range attestations {
+		if cluster != "" && a.Cluster != cluster && slices.Contains(a.PreviousClusters, cluster) {
+			return a.Cluster
+		}
+	}
+	return ""
+}
+
+// foreign tells whether an attestation is known to be of another cluster.
+func (d *LocalDisk) foreign(a Attestation) bool {
+	return d.Cluster != "" && a.Cluster != "" && d.Cluster != a.Cluster
+}
+
+// adoptConfiguration takes over the latest configuration of any peer. It returns a reason if a later
+// one lacks this disk.
+func (d *LocalDisk) adoptConfiguration(attestations map[string]Attestation) (removed string) {
+	for _, a := range attestations {
+		if a.ConfigIndex <= d.ConfigIndex || d.foreign(a) {
+			continue
+		}
+		if !slices.Contains(a.Members, d.ID) {
+			return fmt.Sprintf("%s knows of a configuration without this disk", a.ID)
+		}
+		d.ConfigIndex = a.ConfigIndex
+		d.Members = a.Members
+		d.Voters = a.Voters
+	}
+	return ""
+}
+
+// behindReason is "" unless some peer, voter or not, has observed more of this disk than it holds.
+func (d *LocalDisk) behindReason(attestations map[string]Attestation) string {
+	for _, a := range attestations {
+		if a.LastObserved != nil && !d.foreign(a) && d.Watermark.Behind(*a.LastObserved) {
+			return fmt.Sprintf("%s has seen this disk at %+v, it is at %+v", a.ID, *a.LastObserved, d.Watermark)
+		}
+	}
+	return ""
+}
+
+// attestersNeeded is how many other voters must attest the disk.
+func (d *LocalDisk) attestersNeeded() int {
+	others := len(d.Voters) - 1
+	switch {
+	case d.Attesters == 0:
+		return len(d.Voters) / 2
+	case d.Attesters < 0 || d.Attesters > others:
+		return others
+	}
+	return d.Attesters
+}
+
+// countAttesters counts the other voters that have answered, and names those that have not. What
+// they say of this disk was checked before.
+func (d *LocalDisk) countAttesters(attestations map[string]Attestation) (attested int, missing []string) {
+	for _, id := range d.Voters {
+		if id == d.ID {
+			continue
+		}
+		a, ok := attestations[MemberName(id)]
+		if !ok || a.ID != id || d.foreign(a) {
+			missing = append(missing, id)
+			continue
+		}
+		attested++
+	}
+	slices.Sort(missing)
+	return attested, missing
+}
+
+// decideEmpty decides for an empty log. A cluster is made by the first of the founders by name
+// alone, and only once each founder attests that it is new: one that does not answer may hold what a
+// cluster has acknowledged.
+func decideEmpty(local LocalDisk, attestations map[string]Attestation) (Verdict, string) {
+	if !local.Fresh {
+		return VerdictJoin, "the folder took the place of one that can't be trusted"
+	}
+	for _, a := range attestations {
+		if !a.Fresh {
+			return VerdictJoin, fmt.Sprintf("%s is of a cluster", a.ID)
+		}
+	}
+	name := MemberName(local.ID)
+	if !slices.Contains(local.Founders, name) {
+		return VerdictJoin, "the configuration names others as those who make the cluster"
+	}
+	if missing := missingFounders(local, attestations); len(missing) > 0 {
+		return VerdictWait, fmt.Sprintf("%s must say whether there is a cluster yet", strings.Join(missing, ", "))
+	}
+	if first := slices.Min(local.Founders); first != name {
+		return VerdictJoin, fmt.Sprintf("%s makes the cluster", first)
+	}
+	return VerdictBootstrap, "all founders are new"
+}
+
+func missingFounders(local LocalDisk, attestations map[string]Attestation) (missing []string) {
+	for _, founder := range local.Founders {
+		if _, ok := attestations[founder]; !ok && founder != MemberName(local.ID) {
+			missing = append(missing, founder)
+		}
+	}
+	slices.Sort(missing)
+	return missing
+}
--- a/internal/cluster/store/acks_test.go
+++ b/internal/cluster/store/ack_transport_test.go
@@ -14,9 +14,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestAcks: only answers of voters in the term to what was sent since then make a
-// majority; one that leads no more does not wait for it.
-func TestAcks(t *testing.T) {
+// TestAwaitMajority: only voters' answers in the term, to requests sent since the time, make a
+// majority; a node that has lost the leadership does not wait for one.
+func TestAwaitMajority(t *testing.T) {
 	conf := raft.Configuration{Servers: []raft.Server{{ID: "a"}, {ID: "b"}, {ID: "c"}, {ID: "d", Suffrage: raft.Nonvoter}}}
 	now := time.Now()
 	a := newAckTransport(nil)
@@ -37,8 +37,8 @@
 	assert.ErrorIs(t, ask(false), ErrNoLeader)
 }
 
-// TestTermOver: a node that has left a term sends nothing more of it, whichever way.
-func TestTermOver(t *testing.T) {
+// TestStaleTerm: a node that has left a term sends nothing more of it, by either way.
+func TestStaleTerm(t *testing.T) {
 	a := newAckTransport(nil)
 	term := func() uint64 { return 8 }
 	a.currentTerm.Store(&term)
@@ -71,11 +71,11 @@
 func (a *applied) Snapshot() (raft.FSMSnapshot, error) { return nil, errors.New("none") }
 func (a *applied) Restore(io.ReadCloser) error         { return errors.New("none") }
 
-// TestCommitsWhatWasShown: a peer has an entry of an earlier leader that was never committed.
+// TestCommitIndexIsBounded: a peer has an entry of an earlier leader that was never committed.
 // The new leader's first request to it comes late: it compares the entry before that one,
-// brings none, and the leader has committed another in its place. The peer must not carry
-// the old entry out, as it would then have made something else of the same log for good.
-func TestCommitsWhatWasShown(t *testing.T) {
+// brings none, and the leader has committed another in its place. The peer must not apply
+// the old entry, or its state would differ from the others' for good.
+func TestCommitIndexIsBounded(t *testing.T) {
 	transport := func() *raft.NetworkTransport {
 		n, err := raft.NewTCPTransport("127.0.0.1:0", nil, 1, 10*time.Second, io.Discard)
 		require.NoError(t, err)
--- /dev/null
+++ b/internal/cluster/store/apply.go
@@ -0,0 +1,69 @@
+package store
+
+import (
+	"fmt"
+
+	"github.com/hashicorp/raft"
+
+	"oxbowbridge/internal/cluster/kv"
+	"oxbowbridge/internal/cluster/watch"
+)
+
+// applyResult is what Apply returns to whoever proposed the entry.
+type applyResult struct {
+	answer kv.Response
+	err    error
+}
+
+// leaseGrant is a lease that went to one who waited for it.
+type leaseGrant struct{ name, holder string }
+
+// Apply carries out one log entry, as a whole or not at all, and returns an applyResult. It is
+// Raft's to call.
+func (s *replicatedState) Apply(entry *raft.Log) any {
+	result, effects := s.applyEntry(entry)
+	for _, g := range effects.grants {
+		s.onLeaseGranted(g.name, g.holder)
+	}
+	effects.notify()
+	s.signalDirty()
+	return result
+}
+
+// effects are what listeners hear of once the state's lock is free.
+type effects struct {
+	changes   []watch.Change
+	grants    []leaseGrant
+	listeners []changeListener // as of the change
+}
+
+func (e effects) notify() {
+	for _, c := range e.changes {
+		for _, listener := range e.listeners {
+			listener(c.Key, c.Value)
+		}
+	}
+}
+
+func (s *replicatedState) applyEntry(entry *raft.Log) (result applyResult, out effects) {
+	request, err := decodeLogEntry(entry.Data)
+	if err != nil {
+		err = fmt.Errorf("log entry %d: %w", entry.Index, err)
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	var changed []string
+	s.checksums = s.checksums.RecordBefore(entry.Index, s.data)
+	result.answer, changed, result.err = s.data.ApplyEntry(entry.Index, entry.Data, request, err)
+	for _, key := range changed {
+		e := s.data.Entries[key]
+		out.changes = append(out.changes, watch.Change{Key: key, Value: e.Value, Deleted: e.Deleted})
+	}
+	s.history.Add(entry.Index, out.changes)
+	s.signalAdvanced()
+	for _, name := range result.answer.GrantedLeases {
+		out.grants = append(out.grants, leaseGrant{name: name, holder: s.data.Leases.Leases[name].Holder})
+	}
+	out.listeners = s.listeners
+	return result, out
+}
--- /dev/null
+++ b/internal/cluster/store/config_check.go
@@ -0,0 +1,131 @@
+package store
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"regexp"
+	"slices"
+	"time"
+)
+
+// namePattern leaves out "@" and "|", which part a member's ID and address.
+var namePattern = regexp.MustCompile(`^[A-Za-z0-9._-]{1,64}$`)
+
+// Check validates the configuration. Its error names the field at fault.
+func (c *Config) Check() error {
+	if err := c.checkNode(); err != nil {
+		return err
+	}
+	if err := c.checkLimits(); err != nil {
+		return err
+	}
+	if err := c.checkPeers(); err != nil {
+		return err
+	}
+	if err := c.Backup.check(); err != nil {
+		return err
+	}
+	if _, ok := drivers[c.SQL.Driver]; !ok && c.SQL.Driver != "" {
+		return fmt.Errorf("sql.driver: %q is neither sqlite nor postgres", c.SQL.Driver)
+	}
+	return nil
+}
+
+func (c *Config) checkNode() error {
+	_, ok := c.self()
+	switch {
+	case c.Dir == "":
+		return errors.New("dir: missing")
+	case !ok:
+		return fmt.Errorf("node: %q is not among the peers, and self does not say where it is", c.Node)
+	case c.Self != nil && c.isFounder():
+		return errors.New("self: the node is among the peers")
+	}
+	return nil
+}
+
+func (c *Config) checkLimits() error {
+	switch {
+	case c.Voters < 0 || c.Voters > maxVoters:
+		return fmt.Errorf("voters: want 0 to %d", maxVoters)
+	case c.Attesters < -1 || c.Attesters > maxVoters:
+		return fmt.Errorf("vouchers: want -1 to %d", maxVoters)
+	case c.ReplaceAfterMS < 0:
+		return errors.New("replace_after_ms: below 0")
+	case c.ForgetAfterMS < 0:
+		return errors.New("forget_after_ms: below 0")
+	case len(c.Peers) > maxMembers:
+		return fmt.Errorf("peers: more than %d", maxMembers)
+	}
+	return nil
+}
+
+func (c *Config) checkPeers() error {
+	for i, p := range c.Peers {
+		if err := p.check(); err != nil {
+			return fmt.Errorf("peers.%d.%w", i, err)
+		}
+		if slices.ContainsFunc(c.Peers[:i], func(other Peer) bool { return other.Name == p.Name }) {
+			return fmt.Errorf("peers.%d.name: %q is there twice", i, p.Name)
+		}
+	}
+	if c.Self == nil {
+		return nil
+	}
+	self, _ := c.self()
+	if err := self.check(); err != nil {
+		return fmt.Errorf("self.%w", err)
+	}
+	return nil
+}
+
+func (p Peer) check() error {
+	if !namePattern.MatchString(p.Name) {
+		return fmt.Errorf("name: %q: want 1 to 64 letters, digits, dots, dashes or underscores", p.Name)
+	}
+	for field, addr := range map[string]string{"raft": p.Raft, "admin": p.Admin} {
+		if err := checkLoopback(addr); err != nil {
+			return fmt.Errorf("%s: %w", field, err)
+		}
+	}
+	return nil
+}
+
+// checkLoopback rejects other addresses: neither port authenticates its callers.
+func checkLoopback(addr string) error {
+	host, _, err := net.SplitHostPort(addr)
+	if err != nil {
+		return err
+	}
+	if ip := net.ParseIP(host); ip == nil || !ip.IsLoopback() {
+		return fmt.Errorf("%s is not a loopback address", addr)
+	}
+	return nil
+}
+
+// Interval is the time between two backups.
+func (b BackupConfig) Interval() (time.Duration, error) {
+	if b.Every == "" {
+		return defaultBackupInterval, nil
+	}
+	d, err := time.ParseDuration(b.Every)
+	if err == nil && d < minBackupInterval {
+		err = fmt.Errorf("%q is below %v", b.Every, minBackupInterval)
+	}
+	if err != nil {
+		return 0, fmt.Errorf("backup.every: %w", err)
+	}
+	return d, nil
+}
+
+func (b BackupConfig) check() error {
+	switch {
+	case b.Dir == "" && (b.Every != "" || b.Keep != 0):
+		return errors.New("backup.dir: missing")
+	case b.Keep < 0 || b.Keep > maxBackupRetention:
+		return fmt.Errorf("backup.keep: want 1 to %d, or 0 for %d", maxBackupRetention, defaultBackupRetention)
+	}
+	_, err := b.Interval()
+	return err
+}
--- /dev/null
+++ b/internal/cluster/store/configuration.go
@@ -0,0 +1,33 @@
+package store
+
+import "github.com/hashicorp/raft"
+
+// memberIDs are the members of a configuration, and those of them that vote.
+func memberIDs(conf raft.Configuration) (members, voters []string) {
+	for _, server := range conf.Servers {
+		members = append(members, string(server.ID))
+		if server.Suffrage == raft.Voter {
+			voters = append(voters, string(server.ID))
+		}
+	}
+	return members, voters
+}
+
+// memberAddresses are the members' addresses by ID, as the configuration holds them.
+func memberAddresses(conf raft.Configuration) map[string]string {
+	out := map[string]string{}
+	for _, server := range conf.Servers {
+		out[string(server.ID)] = string(server.Address)
+	}
+	return out
+}
+
+// findServer is a member's entry in a configuration.
+func findServer(conf raft.Configuration, id string) (raft.Server, bool) {
+	for _, server := range conf.Servers {
+		if string(server.ID) == id {
+			return server, true
+		}
+	}
+	return raft.Server{}, false
+}
--- a/internal/cluster/store/folder_faults.go
+++ b/internal/cluster/store/folder_faults.go
@@ -12,15 +12,15 @@
 	"oxbowbridge/internal/storage/durable/vfs"
 )
 
-// openFolder of the test build opens a folder that fails as the file beside it, whose
-// name ends in ".fault", says: "full", "write" or "sync".
+// openFolder of the test build opens a folder that fails as told by the file DIR.fault beside it:
+// "full", "write" or "sync".
 func openFolder(dir string) (*raftstorage.Storage, *durable.Report, error) {
-	real, err := vfs.NewDir(dir)
+	folder, err := vfs.NewDir(dir)
 	if err != nil {
 		return nil, nil, err
 	}
-	return raftstorage.OpenFS(&faultfs.Over{FS: real, Cue: func() string {
-		text, _ := os.ReadFile(dir + ".fault") // none is none
+	return raftstorage.OpenFS(&faultfs.Over{FS: folder, Cue: func() string {
+		text, _ := os.ReadFile(dir + ".fault") // a missing file is no fault
 		return strings.TrimSpace(string(text))
 	}})
 }
--- a/internal/cluster/store/golden_test.go
+++ b/internal/cluster/store/golden_test.go
@@ -184,7 +184,7 @@
 func TestGoldenMemberStates(t *testing.T) {
 	for want, m := range map[string]membership.Member{"lost": {DiskLost: true, Leaving: true}, "leaving": {Leaving: true, ID: "l"}, "leader": {ID: "l", Up: true},
 		"up": {ID: "m", Up: true}, "down 2s": {ID: "m", DownFor: 2400 * time.Millisecond}} {
-		assert.Equal(t, want, memberStateOf(m, "l"))
+		assert.Equal(t, want, memberStateOf(m, "l").describe(m.DownFor))
 	}
 	s, err := New(Config{Node: "a", Dir: t.TempDir(), Peers: []Peer{{Name: "a", Raft: "127.0.0.1:1", Admin: "127.0.0.1:2"}}}, nil)
 	require.NoError(t, err)
--- /dev/null
+++ b/internal/cluster/store/incarnation.go
@@ -0,0 +1,138 @@
+package store
+
+import (
+	"errors"
+	"fmt"
+	"sync/atomic"
+
+	"github.com/hashicorp/raft"
+
+	"oxbowbridge/internal/cluster/diskidentity"
+	"oxbowbridge/internal/cluster/raftstorage"
+)
+
+// incarnation is one run of Raft over one storage folder, from the verdict on the disk to its end.
+type incarnation struct {
+	store       *Store
+	memberID    string
+	storage     *raftstorage.Storage
+	raft        *raft.Raft
+	transport   *ackTransport
+	members     leaderView
+	failure     chan error             // the first reason for which it has to end
+	wasMember   atomic.Bool            // the configuration had this disk once, in this incarnation
+	joinRefusal atomic.Pointer[string] // why the last request to join was not granted
+	barrierTerm atomic.Uint64          // the term in which this node, as leader, has committed an entry
+}
+
+// runIncarnation waits until the disk may take part, and runs Raft until the disk fails, this node
+// is removed, or the Store is closed. It closes the storage.
+func (s *Store) runIncarnation(storage *raftstorage.Storage) (err error) {
+	defer func() {
+		s.folder.Store(nil)
+		if cerr := storage.Close(); cerr != nil && err == nil && s.ctx.Err() == nil {
+			err = fmt.Errorf("close folder: %w", cerr)
+		}
+	}()
+	f, err := s.loadFolder(storage)
+	if err != nil {
+		return err
+	}
+	f, verdict, err := s.awaitVerdict(f)
+	if err != nil {
+		return err
+	}
+	return s.runRaft(f, verdict)
+}
+
+// loadFolder reads what the disk holds, and has the peers that it knows of polled.
+func (s *Store) loadFolder(storage *raftstorage.Storage) (*nodeFolder, error) {
+	id, err := readClusterID(storage)
+	if err != nil {
+		return nil, err
+	}
+	s.identity.set(id)
+	f, err := s.readFolder(storage)
+	if err != nil {
+		return nil, err
+	}
+	observed, err := readWatermarks(storage)
+	if err != nil {
+		return nil, err
+	}
+	s.peers.loadWatermarks(observed)
+	s.peers.forgetReports()
+	s.folder.Store(f)
+	conf, _, err := storage.Configuration()
+	if err != nil {
+		return nil, err
+	}
+	s.followMembers(conf)
+	return f, nil
+}
+
+// isLeader tells whether Raft takes this node for the leader.
+func (inc *incarnation) isLeader() bool { return inc.raft.State() == raft.Leader }
+
+// configuration is the latest one in the log, with its index, which Raft itself does not tell. It
+// may not be committed yet.
+func (inc *incarnation) configuration() (raft.Configuration, uint64) {
+	conf, index, err := inc.storage.Configuration()
+	if err != nil {
+		inc.reportFailure(err)
+	}
+	return conf, index
+}
+
+// isMember tells whether the latest configuration has this disk.
+func (inc *incarnation) isMember() bool {
+	conf, _ := inc.configuration()
+	_, ok := findServer(conf, inc.memberID)
+	return ok
+}
+
+// joinWaitReason is what a node that is no member yet waits for.
+func (inc *incarnation) joinWaitReason() string {
+	if refusal := inc.joinRefusal.Load(); refusal != nil {
+		return *refusal
+	}
+	return "to be taken in"
+}
+
+// reportFailure has the incarnation end. Only the first failure counts.
+func (inc *incarnation) reportFailure(err error) {
+	select {
+	case inc.failure <- err:
+	default:
+	}
+}
+
+// startFailure is a failure that was reported already, or nil.
+func (inc *incarnation) startFailure() error {
+	select {
+	case err := <-inc.failure:
+		return err
+	default:
+		return nil
+	}
+}
+
+// hasCommand tells whether the log has a command in a range that the state may not hold yet.
+// Entries that the log no longer has were in the state before they were cut off.
+func (inc *incarnation) hasCommand(from, to uint64) bool {
+	var entry raft.Log
+	for i := to; i >= from; i-- {
+		switch err := inc.storage.GetLog(i, &entry); {
+		case errors.Is(err, raft.ErrLogNotFound):
+			return false
+		case err != nil || entry.Type == raft.LogCommand:
+			return true
+		}
+	}
+	return false
+}
+
+// beginsAsMember tells whether a verdict lets the disk vote from the start.
+func beginsAsMember(v diskidentity.Verdict) bool {
+	return v == diskidentity.VerdictResume || v == diskidentity.VerdictBootstrap
+}
--- /dev/null
+++ b/internal/cluster/store/leader.go
@@ -0,0 +1,68 @@
+package store
+
+import (
+	"context"
+
+	"go.uber.org/zap"
+
+	"oxbowbridge/internal/cluster/diskidentity"
+)
+
+// IsLeader tells whether this node takes itself for the leader. A leader that was cut off may do
+// so for a while after another one was elected.
+func (s *Store) IsLeader() bool {
+	inc := s.current.Load()
+	return inc != nil && inc.isLeader()
+}
+
+// Leader is the leader as this node knows it, with its member ID.
+func (s *Store) Leader() (p Peer, id string, ok bool) {
+	inc := s.current.Load()
+	if inc == nil {
+		return Peer{}, "", false
+	}
+	_, leaderID := inc.raft.LeaderWithID()
+	if leaderID == "" {
+		return Peer{}, "", false
+	}
+	return s.locate(inc, string(leaderID)), string(leaderID), true
+}
+
+// remoteLeader is the leader if that is another node, or ErrNoLeader.
+func (s *Store) remoteLeader() (Peer, error) {
+	p, _, ok := s.Leader()
+	if !ok || p.Name == s.self.Name {
+		return Peer{}, ErrNoLeader
+	}
+	return p, nil
+}
+
+// StepDown transfers the leadership, if this node has it: it is about to stop.
+func (s *Store) StepDown() {
+	inc := s.current.Load()
+	if inc == nil || !inc.isLeader() {
+		return
+	}
+	ctx, cancel := context.WithTimeout(s.ctx, stepDownTimeout)
+	defer cancel()
+	if err := awaitFuture(ctx, inc.raft.LeadershipTransfer()); err != nil {
+		s.log.Warn("leadership transfer failed", zap.Error(err))
+	}
+}
+
+// locate is how this node reaches a member. Addresses in the configuration file take precedence.
+func (s *Store) locate(inc *incarnation, id string) Peer {
+	name := diskidentity.MemberName(id)
+	if name == s.self.Name {
+		return s.self
+	}
+	p := Peer{Name: name}
+	conf, _ := inc.configuration()
+	if server, ok := findServer(conf, id); ok {
+		p = decodePeer(server.ID, server.Address)
+	}
+	if configured, ok := s.cfg.configuredPeer(name); ok {
+		p.Raft, p.Admin = configured.Raft, configured.Admin
+	}
+	return p
+}
--- /dev/null
+++ b/internal/cluster/store/leader_view.go
@@ -0,0 +1,202 @@
+package store
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"github.com/hashicorp/raft"
+	"go.uber.org/zap"
+
+	"oxbowbridge/internal/cluster/diskidentity"
+	"oxbowbridge/internal/cluster/kv"
+	"oxbowbridge/internal/cluster/membership"
+	"oxbowbridge/internal/cluster/storeapi"
+)
+
+// leaderView is what the leader last observed of the members.
+type leaderView struct {
+	mu          sync.Mutex
+	leaderSince time.Time            // since when this node leads without a break; zero while it does not
+	configIndex uint64               // of the latest configuration
+	changedAt   time.Time            // when that one was first seen
+	downSince   map[string]time.Time // by ID, for members without a recent report
+	view        membership.View
+}
+
+// manageMembers observes the members again and again, and takes the next step while this node
+// leads.
+func (s *Store) manageMembers(ctx context.Context, inc *incarnation) {
+	ticker := time.NewTicker(pollInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+		}
+		if !inc.isLeader() {
+			inc.members.reset()
+			continue
+		}
+		step, conf, index := s.observeMembers(inc)
+		if step.Kind == membership.StepNone {
+			continue
+		}
+		s.log.Info("membership change", zap.Stringer("step", step.Kind), zap.String("member", step.ID), zap.String("reason", step.Reason))
+		if err := inc.applyStep(ctx, step, conf, index); err != nil && ctx.Err() == nil {
+			s.log.Warn("membership change failed", zap.Stringer("step", step.Kind), zap.String("member", step.ID), zap.Error(err))
+		}
+	}
+}
+
+// reset begins the view anew when this node leads next.
+func (v *leaderView) reset() {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	v.leaderSince = time.Time{}
+}
+
+// last is the view that was observed last.
+func (v *leaderView) last() membership.View {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	return v.view
+}
+
+// noteConfiguration is called with the lock held.
+func (v *leaderView) noteConfiguration(index uint64, now time.Time) {
+	if v.leaderSince.IsZero() {
+		v.leaderSince = now
+		v.changedAt = now
+		v.configIndex = index
+		v.downSince = map[string]time.Time{}
+	}
+	if index != v.configIndex {
+		v.configIndex = index
+		v.changedAt = now
+	}
+}
+
+// downFor is for how long a member has been down. It is called with the lock held.
+func (v *leaderView) downFor(id string, now time.Time) time.Duration {
+	since, known := v.downSince[id]
+	if !known {
+		since = now
+		v.downSince[id] = now
+	}
+	return now.Sub(since)
+}
+
+// observeMembers makes the leader's view, and returns the next step with the configuration that it
+// was decided on.
+func (s *Store) observeMembers(inc *incarnation) (membership.Step, raft.Configuration, uint64) {
+	conf, index := inc.configuration()
+	now := time.Now()
+	v := &inc.members
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	v.noteConfiguration(index, now)
+	v.view = membership.View{
+		Leader:        inc.memberID,
+		ChangePending: inc.raft.CommitIndex() < index,
+		SinceChange:   now.Sub(v.changedAt),
+	}
+	for _, server := range conf.Servers {
+		v.view.Members = append(v.view.Members, s.observeMember(inc, server, now))
+	}
+	s.migrateLegacyMembers(inc, v.view.Members)
+	return s.cfg.policy().Next(v.view), conf, index
+}
+
+// observeMember is one member as the leader sees it. The view's lock is held.
+func (s *Store) observeMember(inc *incarnation, server raft.Server, now time.Time) membership.Member {
+	id := string(server.ID)
+	p := decodePeer(server.ID, server.Address)
+	m := membership.Member{ID: id, Zone: p.Zone, Role: membership.Learner}
+	if configured, ok := s.cfg.configuredPeer(p.Name); ok && configured.Zone != "" && p.Zone == "" {
+		m.Zone = configured.Zone
+	}
+	if server.Suffrage == raft.Voter {
+		m.Role = membership.Voter
+	}
+	_, m.Leaving = s.state.get(kv.RemovedPrefix + p.Name)
+	_, m.VotePreferred = s.state.get(kv.PreferredVoterPrefix + p.Name)
+	if p.Name == s.self.Name { // no node polls itself: this is its disk, or one that it had before
+		m.Up = id == inc.memberID
+		m.DiskLost = !m.Up
+		return m
+	}
+	report, recent := s.peers.lastReport(p.Name)
+	m.Up = recent && report.ID == id && report.State == peerServing
+	m.DiskLost = recent && reportsOtherDisk(report.ID, id)
+	if m.Up {
+		last := inc.raft.LastIndex()
+		m.Lag = last - min(last, report.Mark.LastIndex)
+		delete(inc.members.downSince, id)
+		return m
+	}
+	m.DownFor = inc.members.downFor(id, now)
+	return m
+}
+
+// reportsOtherDisk tells whether a node reports an ID of the same name and another disk. A change
+// from a name alone to the name with a disk counts as one.
+func reportsOtherDisk(reported, id string) bool {
+	if reported == id || diskidentity.MemberName(reported) != diskidentity.MemberName(id) {
+		return false
+	}
+	return diskidentity.MemberDisk(reported) != "" || diskidentity.MemberDisk(id) != ""
+}
+
+// migrateLegacyMembers has members of an earlier version, known by their names alone, leave one by
+// one while all members are up to date. Each comes back by itself, under its disk's identity.
+func (s *Store) migrateLegacyMembers(inc *incarnation, members []membership.Member) {
+	next := -1
+	voters := 0
+	for i, m := range members {
+		if !m.Up || m.Lag > maxPromotionLag || m.ID != inc.memberID && s.reportsLegacy(m.ID) {
+			return
+		}
+		if m.Role == membership.Voter {
+			voters++
+		}
+		if diskidentity.MemberDisk(m.ID) == "" && (next < 0 || members[next].ID == inc.memberID) {
+			next = i
+		}
+	}
+	if next < 0 {
+		return
+	}
+	if voters >= s.cfg.policy().Voters || members[next].Role == membership.Learner {
+		members[next].Leaving = true
+	}
+}
+
+// reportsLegacy tells whether a member runs an earlier version.
+func (s *Store) reportsLegacy(id string) bool {
+	report, _ := s.peers.lastReport(diskidentity.MemberName(id))
+	return report.legacy
+}
+
+// applyStep carries one step out. It takes effect only on the configuration that it was decided on:
+// another change, by this leader or another one, makes it fail.
+func (inc *incarnation) applyStep(ctx context.Context, step membership.Step, conf raft.Configuration, index uint64) error {
+	server, ok := findServer(conf, step.ID)
+	if !ok {
+		return memberNotFound(step.ID)
+	}
+	ctx, cancel := context.WithTimeout(ctx, storeapi.CommitTimeout)
+	defer cancel()
+	switch step.Kind {
+	case membership.StepPromote:
+		return awaitFuture(ctx, inc.raft.AddVoter(server.ID, server.Address, index, storeapi.CommitTimeout))
+	case membership.StepDemote:
+		return awaitFuture(ctx, inc.raft.DemoteVoter(server.ID, index, storeapi.CommitTimeout))
+	case membership.StepRemove:
+		return awaitFuture(ctx, inc.raft.RemoveServer(server.ID, index, storeapi.CommitTimeout))
+	case membership.StepTransfer:
+		return awaitFuture(ctx, inc.raft.LeadershipTransferToServer(server.ID, server.Address))
+	}
+	return nil
+}
--- a/internal/cluster/store/members_test.go
+++ b/internal/cluster/store/leader_view_test.go
@@ -13,9 +13,9 @@
 	"oxbowbridge/internal/cluster/membership"
 )
 
-// TestStepOnItsConfiguration: a step that was decided on a configuration which has changed
-// since is not taken.
-func TestStepOnItsConfiguration(t *testing.T) {
+// TestStepNeedsItsConfiguration: a step that was decided on a configuration which has changed
+// since is not carried out.
+func TestStepNeedsItsConfiguration(t *testing.T) {
 	rc := raft.DefaultConfig()
 	rc.LocalID, rc.Logger = "a@1", hclog.New(&hclog.LoggerOptions{Output: io.Discard})
 	logs := raft.NewInmemStore()
@@ -39,9 +39,9 @@
 	require.ErrorIs(t, l.applyStep(t.Context(), membership.Step{Kind: membership.StepRemove, ID: "x@1"}, conf, 0), ErrMemberNotFound)
 }
 
-// TestOwnOldDisk: a leader knows that a disk that it had before is gone, though it asks
-// all nodes but itself.
-func TestOwnOldDisk(t *testing.T) {
+// TestLeadersOldDisk: a leader finds the disk that it had before lost, though it does not poll
+// itself.
+func TestLeadersOldDisk(t *testing.T) {
 	a := Peer{Name: "a", Raft: "127.0.0.1:1", Admin: "127.0.0.1:2"}
 	s, err := New(Config{Node: "a", Dir: t.TempDir(), Peers: []Peer{a}}, zap.NewNop())
 	require.NoError(t, err)
--- /dev/null
+++ b/internal/cluster/store/log_entry.go
@@ -0,0 +1,45 @@
+package store
+
+import (
+	"bytes"
+	"encoding/json"
+
+	"oxbowbridge/internal/cluster/kv"
+)
+
+// command sets or deletes one key. A log entry is a JSON list of commands, which take effect
+// together, or a kv.Request. Earlier versions know lists only; they stay in use where they are
+// enough, so that both versions can be in one cluster.
+type command struct {
+	Key   string          `json:"key"`
+	Value json.RawMessage `json:"value"` // null deletes
+}
+
+// deletes tells whether the command deletes its key.
+func (c command) deletes() bool { return c.Value == nil || string(c.Value) == "null" }
+
+// decodeLogEntry reads a log entry of either form.
+func decodeLogEntry(data []byte) (*kv.Request, error) {
+	if !bytes.HasPrefix(data, []byte("[")) {
+		r := &kv.Request{}
+		return r, json.Unmarshal(data, r)
+	}
+	var list []command
+	if err := json.Unmarshal(data, &list); err != nil {
+		return nil, err
+	}
+	return requestFromCommands(list), nil
+}
+
+// requestFromCommands is the request that a list of commands stands for.
+func requestFromCommands(list []command) *kv.Request {
+	r := &kv.Request{}
+	for _, c := range list {
+		if c.deletes() {
+			r.Then = append(r.Then, kv.Op{Kind: "delete", Key: c.Key})
+		} else {
+			r.Then = append(r.Then, kv.Op{Kind: "put", Key: c.Key, Value: c.Value})
+		}
+	}
+	return r
+}
--- a/internal/cluster/store/members.go
+++ b/internal/cluster/store/members.go
@@ -7,7 +7,6 @@
 	"fmt"
 	"slices"
 	"strings"
-	"sync"
 	"time"
 
 	"github.com/hashicorp/raft"
@@ -19,191 +18,78 @@
 	"oxbowbridge/internal/cluster/storeapi"
 )
 
-// ErrMemberRejected means that a member is not taken in; nothing was done.
-var ErrMemberRejected = errors.New("not taken in")
+// reservedIDChars part a member's ID and address, so that no part may contain them.
+const reservedIDChars = "@|#"
 
-// ErrMemberNotFound means that no such member is there.
-var ErrMemberNotFound = errors.New("no such member")
+var errChangePending = errors.New("a change of the members is not committed yet")
 
-// leaderView is what the leader made of the members last.
-type leaderView struct {
-	mu          sync.Mutex
-	leaderSince time.Time            // since when this node leads, in one go
-	changedAt   time.Time            // when the configuration was last seen to change
-	configIndex uint64               // of that configuration
-	downSince   map[string]time.Time // since when a member was not heard of
-	view        membership.View
-}
-
-// manageMembers looks at the members again and again, and takes the next step while this node leads.
-func (s *Store) manageMembers(ctx context.Context, l *incarnation) {
-	tick := time.NewTicker(askEvery)
-	defer tick.Stop()
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-tick.C:
-		}
-		if !l.isLeader() {
-			l.members.mu.Lock()
-			l.members.leaderSince = time.Time{}
-			l.members.mu.Unlock()
-			continue
-		}
-		step, conf, index := s.observeMembers(l)
-		if step.Kind == membership.StepNone {
-			continue
-		}
-		s.log.Info("members change", zap.Stringer("step", step.Kind), zap.String("member", step.ID), zap.String("why", step.Reason))
-		if err := l.applyStep(ctx, step, conf, index); err != nil && ctx.Err() == nil {
-			s.log.Warn("members did not change", zap.Stringer("step", step.Kind), zap.String("member", step.ID), zap.Error(err))
-		}
-	}
-}
+func memberNotFound(name string) error { return fmt.Errorf("%w: %s", ErrMemberNotFound, name) }
 
-// observeMembers makes the leader's view, and gives the next step with the configuration that it
-// rests on.
-func (s *Store) observeMembers(l *incarnation) (membership.Step, raft.Configuration, uint64) {
-	conf, index := l.configuration()
-	now := time.Now()
-	l.members.mu.Lock()
-	defer l.members.mu.Unlock()
-	v := &l.members
-	if v.leaderSince.IsZero() {
-		v.leaderSince, v.changedAt, v.configIndex, v.downSince = now, now, index, map[string]time.Time{}
-	}
-	if index != v.configIndex {
-		v.configIndex, v.changedAt = index, now
-	}
-	// A change must be committed before the next one; Raft sees to that too.
-	v.view = membership.View{Leader: l.memberID, ChangePending: l.raft.CommitIndex() < index, SinceChange: now.Sub(v.changedAt)}
-	for _, x := range conf.Servers {
-		v.view.Members = append(v.view.Members, s.observeMember(l, x, now))
-	}
-	s.migrateLegacyMembers(l, v.view.Members)
-	return s.cfg.policy().Next(v.view), conf, index
-}
-
-// observeMember is one member as the leader sees it. The lock of the view is held.
-func (s *Store) observeMember(l *incarnation, x raft.Server, now time.Time) membership.Member {
-	id := string(x.ID)
-	p := decodePeer(x.ID, x.Address)
-	m := membership.Member{ID: id, Zone: p.Zone, Role: membership.Learner}
-	if own, ok := s.cfg.configuredPeer(p.Name); ok && own.Zone != "" && p.Zone == "" {
-		m.Zone = own.Zone
+// Join adds a node as a learner; only the leader can. Its error is ErrMemberRejected if the node
+// may not join. A member's request is repeated without effect.
+func (s *Store) Join(ctx context.Context, request storeapi.JoinRequest) error {
+	p, err := peerOfJoin(request)
+	if err != nil {
+		return err
 	}
-	if x.Suffrage == raft.Voter {
-		m.Role = membership.Voter
+	inc, err := s.running()
+	if err != nil {
+		return err
 	}
-	_, m.Leaving = s.state.get(kv.RemovedPrefix + p.Name)
-	_, m.VotePreferred = s.state.get(kv.PreferredVoterPrefix + p.Name)
-	if p.Name == s.self.Name { // nobody asks itself: what bears this node's name is its disk, or one that it had
-		m.Up, m.DiskLost = id == l.memberID, id != l.memberID
-		return m
+	if !inc.isLeader() {
+		return ErrNoLeader
 	}
-	h, heard := s.peers.lastReport(p.Name)
-	m.Up = heard && h.ID == id && h.State == peerServing
-	m.DiskLost = heard && h.ID != id && (diskidentity.MemberDisk(h.ID) != "" || diskidentity.MemberDisk(id) != "") && diskidentity.MemberName(h.ID) == p.Name
-	if m.Up {
-		m.Lag = l.raft.LastIndex() - min(l.raft.LastIndex(), h.Mark.LastIndex)
-		delete(l.members.downSince, id)
-		return m
+	if _, err := s.WaitFresh(ctx, Freshness{}); err != nil { // who was removed must be known
+		return err
 	}
-	since, known := l.members.downSince[id]
-	if !known {
-		since = now
-		l.members.downSince[id] = now
+	if _, ok := s.state.get(kv.LeasesEnabledKey); ok && !request.SupportsLeases {
+		return fmt.Errorf("%w: this cluster has leases, which %s does not know", ErrMemberRejected, request.ID)
 	}
-	m.DownFor = now.Sub(since)
-	return m
-}
-
-// migrateLegacyMembers has members of the version before, known by their names alone, leave one by
-// one while all is well: each comes back by itself, under the identity of its disk.
-func (s *Store) migrateLegacyMembers(l *incarnation, members []membership.Member) {
-	next, voters := -1, 0
-	for i, m := range members {
-		if h, _ := s.peers.lastReport(diskidentity.MemberName(m.ID)); !m.Up || m.Lag > lagMost || m.ID != l.memberID && h.legacy {
-			return
-		}
-		if m.Role == membership.Voter {
-			voters++
-		}
-		if diskidentity.MemberDisk(m.ID) == "" && (next < 0 || members[next].ID == l.memberID) {
-			next = i
-		}
+	conf, index := inc.configuration()
+	if _, ok := findServer(conf, request.ID); ok {
+		return nil
 	}
-	if next >= 0 && (voters >= s.cfg.policy().Voters || members[next].Role == membership.Learner) {
-		members[next].Leaving = true
+	if inc.raft.CommitIndex() < index {
+		return errChangePending
 	}
-}
-
-// applyStep carries one change out. It takes effect only on the configuration that it was
-// decided on: another leader's change makes it fail.
-func (l *incarnation) applyStep(ctx context.Context, step membership.Step, conf raft.Configuration, index uint64) error {
-	x, ok := findServer(conf, step.ID)
-	if !ok {
-		return fmt.Errorf("%w: %s", ErrMemberNotFound, step.ID)
+	members, _ := memberIDs(conf)
+	if refusal := diskidentity.CheckJoin(request.ID, members, s.removedNames(), s.isUp(inc), maxMembers); refusal != "" {
+		return fmt.Errorf("%w: %s", ErrMemberRejected, refusal)
 	}
+	s.log.Info("membership change", zap.String("step", "learner"), zap.String("member", request.ID))
 	ctx, cancel := context.WithTimeout(ctx, storeapi.CommitTimeout)
 	defer cancel()
-	switch step.Kind {
-	case membership.StepPromote:
-		return awaitFuture(ctx, l.raft.AddVoter(x.ID, x.Address, index, storeapi.CommitTimeout))
-	case membership.StepDemote:
-		return awaitFuture(ctx, l.raft.DemoteVoter(x.ID, index, storeapi.CommitTimeout))
-	case membership.StepRemove:
-		return awaitFuture(ctx, l.raft.RemoveServer(x.ID, index, storeapi.CommitTimeout))
-	case membership.StepTransfer:
-		return awaitFuture(ctx, l.raft.LeadershipTransferToServer(x.ID, x.Address))
-	}
-	return nil
+	address := encodeAddress(p, request.ID)
+	return awaitFuture(ctx, inc.raft.AddNonvoter(raft.ServerID(request.ID), address, index, storeapi.CommitTimeout))
 }
 
-// Join takes a node in as a learner; only the leader can.
-func (s *Store) Join(ctx context.Context, j storeapi.JoinRequest) error {
-	p := Peer{Name: diskidentity.MemberName(j.ID), Raft: j.RaftAddress, Admin: j.AdminAddress, Zone: j.Zone}
-	if err := p.check(); err != nil {
-		return fmt.Errorf("%w: %w", kv.ErrInvalidRequest, err)
+// peerOfJoin checks a request to join. Its error is kv.ErrInvalidRequest.
+func peerOfJoin(request storeapi.JoinRequest) (Peer, error) {
+	p := Peer{
+		Name:  diskidentity.MemberName(request.ID),
+		Raft:  request.RaftAddress,
+		Admin: request.AdminAddress,
+		Zone:  request.Zone,
 	}
-	if disk := diskidentity.MemberDisk(j.ID); disk == "" || strings.ContainsAny(disk+p.Zone, "@|#") || len(j.ID)+len(p.Zone) > kv.MaxKeyBytes {
-		return fmt.Errorf("%w: id: want a name, @ and a disk; zone: no |", kv.ErrInvalidRequest)
-	}
-	l, err := s.running()
-	if err != nil {
-		return err
-	}
-	if !l.isLeader() {
-		return ErrNoLeader
-	}
-	if _, err := s.WaitFresh(ctx, Freshness{}); err != nil { // who was removed is known
-		return err
-	}
-	if _, ok := s.state.get(kv.LeasesEnabledKey); ok && !j.SupportsLeases {
-		return fmt.Errorf("%w: this cluster has leases, which %s does not know", ErrMemberRejected, j.ID)
-	}
-	conf, index := l.configuration()
-	if _, ok := findServer(conf, j.ID); ok {
-		return nil // asked again
-	}
-	if l.raft.CommitIndex() < index {
-		return errors.New("a change of the members is not committed yet")
+	if err := p.check(); err != nil {
+		return p, fmt.Errorf("%w: %w", kv.ErrInvalidRequest, err)
 	}
-	members, _ := memberIDs(conf)
-	up := func(id string) bool {
-		h, now := s.peers.lastReport(diskidentity.MemberName(id))
-		return id == l.memberID || now && h.ID == id
+	disk := diskidentity.MemberDisk(request.ID)
+	if disk == "" || strings.ContainsAny(disk+p.Zone, reservedIDChars) || len(request.ID)+len(p.Zone) > kv.MaxKeyBytes {
+		return p, fmt.Errorf("%w: id: want a name, @ and a disk; zone: no |", kv.ErrInvalidRequest)
 	}
-	if why := diskidentity.CheckJoin(j.ID, members, s.removedNames(), up, membersMost); why != "" {
-		return fmt.Errorf("%w: %s", ErrMemberRejected, why)
+	return p, nil
+}
+
+// isUp tells of a member whether it is this node, or has a recent report.
+func (s *Store) isUp(inc *incarnation) func(id string) bool {
+	return func(id string) bool {
+		report, recent := s.peers.lastReport(diskidentity.MemberName(id))
+		return id == inc.memberID || recent && report.ID == id
 	}
-	s.log.Info("members change", zap.String("step", "learner"), zap.String("member", j.ID))
-	ctx, cancel := context.WithTimeout(ctx, storeapi.CommitTimeout)
-	defer cancel()
-	return awaitFuture(ctx, l.raft.AddNonvoter(raft.ServerID(j.ID), encodeAddress(p, j.ID), index, storeapi.CommitTimeout))
 }
 
+// removedNames are the nodes that may not join, sorted.
 func (s *Store) removedNames() (names []string) {
 	all, _ := s.state.entries()
 	for key := range all {
@@ -215,115 +101,119 @@
 	return names
 }
 
-// Members is the leader's view, and what it does next.
+// Members is the leader's view, and its next step; only the leader can.
 func (s *Store) Members(ctx context.Context) (out storeapi.Members, err error) {
-	l, err := s.running()
+	inc, err := s.running()
 	if err != nil {
 		return out, err
 	}
-	if !l.isLeader() {
+	if !inc.isLeader() {
 		return out, ErrNoLeader
 	}
 	if _, err := s.WaitFresh(ctx, Freshness{}); err != nil {
 		return out, err
 	}
-	step, conf, index := s.observeMembers(l)
-	l.members.mu.Lock()
-	view := l.members.view
-	l.members.mu.Unlock()
+	step, conf, index := s.observeMembers(inc)
 	out = storeapi.Members{Leader: s.self.Name, ConfigIndex: index, WantedVoters: s.cfg.policy().Voters, Removed: s.removedNames()}
-	for _, m := range view.Members {
-		x, _ := findServer(conf, m.ID)
-		row := storeapi.Member{Name: diskidentity.MemberName(m.ID), ID: m.ID, Zone: m.Zone, Role: m.Role.String(), EntriesBehind: m.Lag,
-			State: memberStateOf(m, l.memberID), AdminAddress: decodePeer(x.ID, x.Address).Admin}
-		if step.ID == m.ID {
-			row.NextStep, row.Reason = step.Kind.String(), step.Reason
-		}
-		out.Members = append(out.Members, row)
+	for _, m := range inc.members.last().Members {
+		server, _ := findServer(conf, m.ID)
+		out.Members = append(out.Members, memberRow(m, step, server, inc.memberID))
 	}
 	slices.SortFunc(out.Members, func(a, b storeapi.Member) int { return strings.Compare(a.ID, b.ID) })
 	return out, nil
 }
 
-func memberStateOf(m membership.Member, leader string) string {
-	switch {
-	case m.DiskLost:
-		return "lost"
-	case m.Leaving:
-		return "leaving"
-	case m.ID == leader:
-		return "leader"
-	case m.Up:
-		return "up"
-	}
-	return fmt.Sprintf("down %s", m.DownFor.Round(time.Second))
+func memberRow(m membership.Member, step membership.Step, server raft.Server, leader string) storeapi.Member {
+	row := storeapi.Member{
+		Name:          diskidentity.MemberName(m.ID),
+		ID:            m.ID,
+		Zone:          m.Zone,
+		Role:          m.Role.String(),
+		EntriesBehind: m.Lag,
+		State:         memberStateOf(m, leader).describe(m.DownFor),
+		AdminAddress:  decodePeer(server.ID, server.Address).Admin,
+	}
+	if step.ID == m.ID {
+		row.NextStep = step.Kind.String()
+		row.Reason = step.Reason
+	}
+	return row
 }
 
-// RemoveMember has a node lose its vote and its place, and not be taken in again. The
-// wish is in the log: a leader that dies over it leaves it to the next.
+// RemoveMember has a node lose its vote and its place, and not join again until AddMember. The
+// intent is in the log, so that the next leader goes on with it.
 func (s *Store) RemoveMember(name string) error {
-	l, err := s.running()
+	inc, err := s.running()
 	if err != nil {
 		return err
 	}
-	if !l.isLeader() {
+	if !inc.isLeader() {
 		return ErrNoLeader
 	}
-	conf, _ := l.configuration()
+	conf, _ := inc.configuration()
 	members, voters := memberIDs(conf)
-	has := func(list []string) bool {
-		return slices.ContainsFunc(list, func(id string) bool { return diskidentity.MemberName(id) == name })
-	}
 	switch {
-	case !has(members):
-		return fmt.Errorf("%w: %s", ErrMemberNotFound, name)
-	case has(voters) && len(voters) == 1:
+	case !hasName(members, name):
+		return memberNotFound(name)
+	case hasName(voters, name) && len(voters) == 1:
 		return fmt.Errorf("%w: %s is the only voter", ErrMemberRejected, name)
 	}
 	return s.recordIntent(kv.RemovedPrefix+name, kv.PreferredVoterPrefix+name)
 }
 
-// AddMember lets a node that was removed ask for a place again.
+// AddMember lets a node that was removed join again.
 func (s *Store) AddMember(name string) error {
-	if !nameForm.MatchString(name) {
+	if !namePattern.MatchString(name) {
 		return fmt.Errorf("%w: name: %q", kv.ErrInvalidRequest, name)
 	}
 	return s.recordIntent("", kv.RemovedPrefix+name)
 }
 
-// PromoteMember has a node have a vote rather than one that nobody asked for.
+// PromoteMember has a node get a vote rather than one that no operator asked for.
 func (s *Store) PromoteMember(name string) error {
-	l, err := s.running()
+	inc, err := s.running()
 	if err != nil {
 		return err
 	}
-	conf, _ := l.configuration()
+	conf, _ := inc.configuration()
 	members, _ := memberIDs(conf)
-	if !slices.ContainsFunc(members, func(id string) bool { return diskidentity.MemberName(id) == name }) {
-		return fmt.Errorf("%w: %s", ErrMemberNotFound, name)
+	if !hasName(members, name) {
+		return memberNotFound(name)
+	}
+	preferred := s.preferredVoters(name)
+	if limit := s.cfg.policy().Voters; preferred >= limit {
+		return fmt.Errorf("%w: %d others are wanted as voters already, of %d", ErrMemberRejected, preferred, limit)
 	}
-	wanted := 0
+	return s.recordIntent(kv.PreferredVoterPrefix+name, "")
+}
+
+// preferredVoters counts the nodes other than one that operators want to have a vote.
+func (s *Store) preferredVoters(except string) (count int) {
 	all, _ := s.state.entries()
 	for key := range all {
-		if strings.HasPrefix(key, kv.PreferredVoterPrefix) && key != kv.PreferredVoterPrefix+name {
-			wanted++
+		if strings.HasPrefix(key, kv.PreferredVoterPrefix) && key != kv.PreferredVoterPrefix+except {
+			count++
 		}
 	}
-	if most := s.cfg.policy().Voters; wanted >= most {
-		return fmt.Errorf("%w: %d others are wanted as voters already, of %d", ErrMemberRejected, wanted, most)
-	}
-	return s.recordIntent(kv.PreferredVoterPrefix+name, "")
+	return count
 }
 
-// recordIntent puts one key and deletes another.
-func (s *Store) recordIntent(put, del string) error {
+func hasName(ids []string, name string) bool {
+	return slices.ContainsFunc(ids, func(id string) bool { return diskidentity.MemberName(id) == name })
+}
+
+// recordIntent puts one key, with the time as its value, and deletes another; "" is none.
+func (s *Store) recordIntent(putKey, deleteKey string) error {
 	var r kv.Request
-	if put != "" {
-		text, _ := json.Marshal(time.Now().UTC().Format(time.RFC3339))
-		r.Then = append(r.Then, kv.Op{Kind: "put", Key: put, Value: text})
+	if putKey != "" {
+		text, err := json.Marshal(time.Now().UTC().Format(time.RFC3339))
+		if err != nil {
+			return err
+		}
+		r.Then = append(r.Then, kv.Op{Kind: "put", Key: putKey, Value: text})
 	}
-	if del != "" {
-		r.Then = append(r.Then, kv.Op{Kind: "delete", Key: del})
+	if deleteKey != "" {
+		r.Then = append(r.Then, kv.Op{Kind: "delete", Key: deleteKey})
 	}
 	_, err := s.Execute(r)
 	return err
--- a/internal/cluster/store/mirror.go
+++ b/internal/cluster/store/mirror.go
@@ -3,10 +3,8 @@
 import (
 	"context"
 	"database/sql"
-	"encoding/json"
 	"errors"
 	"fmt"
-	"strings"
 	"sync"
 	"time"
 
@@ -14,48 +12,30 @@
 	"go.uber.org/zap"
 	_ "modernc.org/sqlite" // driver "sqlite"
 
-	"oxbowbridge/internal/cluster/kv"
 	"oxbowbridge/internal/cluster/lease"
 )
 
 const (
-	sqlTimeout   = 5 * time.Second
-	mirrorEvery  = time.Second      // also without a change
-	mirrorMost   = 5 * time.Second  // between two attempts while the database is away
-	mirrorGiveUp = 30 * time.Second // after which another node may try
+	mirrorInterval   = time.Second     // between two writes, also without a change
+	maxMirrorBackoff = 5 * time.Second // between two attempts while the database fails
+	// mirrorAbandonAfter is after which time without a success another node may try.
+	mirrorAbandonAfter = 30 * time.Second
 )
 
-// drivers are the names of database/sql.
+// drivers are the names in database/sql of the drivers that the configuration may name.
 var drivers = map[string]string{"sqlite": "sqlite", "postgres": "pgx"}
 
-const (
-	createRecordTable = `CREATE TABLE IF NOT EXISTS oxbowbridge_store (name TEXT PRIMARY KEY, value TEXT, idx BIGINT NOT NULL)`
-	// A row that an older leader writes late doesn't go back in time.
-	upsertRecord = `INSERT INTO oxbowbridge_store (name, value, idx) VALUES ($1, $2, $3)
-ON CONFLICT (name) DO UPDATE SET value = excluded.value, idx = excluded.idx WHERE oxbowbridge_store.idx <= excluded.idx`
-	selectRecords    = `SELECT name, value, idx FROM oxbowbridge_store ORDER BY name`
-	createFenceTable = `CREATE TABLE IF NOT EXISTS oxbowbridge_lease (name TEXT PRIMARY KEY, token BIGINT NOT NULL)`
-	// No row is affected if a higher token was here.
-	advanceFence = `INSERT INTO oxbowbridge_lease (name, token) VALUES ($1, $2)
-ON CONFLICT (name) DO UPDATE SET token = excluded.token WHERE oxbowbridge_lease.token <= excluded.token`
-	// Rows of an earlier life of the store, whose log counted on from elsewhere.
-	resetIndexes = `UPDATE oxbowbridge_store SET idx = 0`
-)
-
-// ErrStaleToken means that the store of record has seen a higher token of the lease under
-// which it is written: another one writes it now.
-var ErrStaleToken = errors.New("the store of record knows a higher token")
-
-// sqlMirror keeps the store of record: whoever has its lease writes to it whatever it has not
-// got. While the database is away the store goes on, and catches up after.
+// sqlMirror keeps the SQL record of the keys: the holder of its lease writes whatever the database
+// lacks. While the database fails the store goes on, and the mirror catches up later.
 type sqlMirror struct {
 	store *Store
 
 	mu           sync.Mutex
-	writtenIndex uint64 // all up to it is written
-	lastError    error
+	writtenIndex uint64 // the database has all entries up to it
+	lastError    error  // of the last attempt; nil if it succeeded
 }
 
+// progress is the index up to which all is written, and the last error's text or "".
 func (m *sqlMirror) progress() (uint64, string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -65,177 +45,85 @@
 	return m.writtenIndex, ""
 }
 
-// HasSQLRecord tells whether the node is set up to write to a store of record.
+func (m *sqlMirror) noteWritten(index uint64) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.writtenIndex = index
+}
+
+// noteResult keeps the result of an attempt, and returns the one before.
+func (m *sqlMirror) noteResult(err error) (previous error) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	previous = m.lastError
+	m.lastError = err
+	return previous
+}
+
+// HasSQLRecord tells whether the node is set up to write the SQL record.
 func (s *Store) HasSQLRecord() bool { return s.mirror != nil }
 
-// RunMirror writes to the store of record under a lease until ctx ends, or it fails.
-func (s *Store) RunMirror(ctx context.Context, held lease.FencingToken) error {
-	m := s.mirror
+// RunMirror writes the SQL record under a lease until ctx ends, another node has taken over, or the
+// database has failed for too long.
+func (s *Store) RunMirror(ctx context.Context, fence lease.FencingToken) error {
 	db, err := sql.Open(drivers[s.cfg.SQL.Driver], s.cfg.SQL.DSN)
 	if err != nil {
 		return fmt.Errorf("open store of record: %w", err)
 	}
 	defer db.Close()
 	db.SetMaxOpenConns(1)
-	run := &mirrorSession{sqlMirror: m, db: db, fence: held}
-	wait, since := mirrorEvery, time.Time{} // since when it fails
-	for first := true; ; {
-		err := run.sync(ctx, first)
-		m.mu.Lock()
-		fails := err != nil && m.lastError == nil
-		back := err == nil && m.lastError != nil
-		m.lastError = err
-		m.mu.Unlock()
-		switch {
-		case ctx.Err() != nil:
+	session := &mirrorSession{sqlMirror: s.mirror, db: db, fence: fence}
+	backoff := mirrorBackoff{wait: mirrorInterval}
+	for {
+		err := session.sync(ctx)
+		s.logMirrorResult(ctx, s.mirror.noteResult(err), err)
+		if ctx.Err() != nil {
 			return ctx.Err()
-		case fails:
-			s.log.Warn("store of record away", zap.Error(err))
-		case back:
-			s.log.Info("store of record back")
 		}
-		if err == nil {
-			first, wait, since = false, mirrorEvery, time.Time{}
-		} else if since.IsZero() {
-			since = time.Now()
-		} else if wait = min(2*wait, mirrorMost); errors.Is(err, ErrStaleToken) || time.Since(since) > mirrorGiveUp {
-			return err // another node may fare better
+		if backoff.next(err) {
+			return err
 		}
-		changed := s.state.dirty
+		dirty := s.state.dirty
 		if err != nil {
-			changed = nil
+			dirty = nil // a change does not end the backoff
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-changed:
-		case <-time.After(wait):
+		case <-dirty:
+		case <-time.After(backoff.wait):
 		}
 	}
 }
 
-// mirrorSession is the time for which this node writes under one token.
-type mirrorSession struct {
-	*sqlMirror
-	db    *sql.DB
-	fence lease.FencingToken
-}
-
-// beginFenced starts a transaction, unless the database knows a higher token. Until it ends, no
-// other token gets in.
-func (m *mirrorSession) beginFenced(ctx context.Context) (*sql.Tx, error) {
-	tx, err := m.db.BeginTx(ctx, nil)
-	if err != nil {
-		return nil, fmt.Errorf("begin: %w", err)
-	}
-	res, err := tx.ExecContext(ctx, advanceFence, m.fence.Name, int64(m.fence.Token))
-	if err == nil {
-		var n int64
-		if n, err = res.RowsAffected(); err == nil && n == 0 {
-			err = fmt.Errorf("%w than %d", ErrStaleToken, m.fence.Token)
-		}
+// logMirrorResult logs when the database begins to fail, and when it works again.
+func (s *Store) logMirrorResult(ctx context.Context, previous, err error) {
+	switch {
+	case ctx.Err() != nil:
+	case err != nil && previous == nil:
+		s.log.Warn("sql record unavailable", zap.Error(err))
+	case err == nil && previous != nil:
+		s.log.Info("sql record available again")
 	}
-	if err != nil {
-		tx.Rollback()
-		return nil, fmt.Errorf("fence: %w", err)
-	}
-	return tx, nil
 }
 
-// sync writes what is missing. One that is new to it first takes over what only the
-// database has, as when all nodes lost their disks, and then writes everything:
-// it can't know what the one before it wrote.
-func (m *mirrorSession) sync(ctx context.Context, takeOver bool) error {
-	ctx, cancel := context.WithTimeout(ctx, sqlTimeout)
-	defer cancel()
-	from, _ := m.progress()
-	if takeOver {
-		from = 0
-		for _, create := range []string{createRecordTable, createFenceTable} {
-			if _, err := m.db.ExecContext(ctx, create); err != nil {
-				return fmt.Errorf("create table: %w", err)
-			}
-		}
-		if err := m.importMissing(ctx); err != nil {
-			return err
-		}
-	}
-	missing := m.store.state.entriesAfter(from)
-	if len(missing) == 0 {
-		return nil
-	}
-	tx, err := m.beginFenced(ctx)
-	if err != nil {
-		return err
-	}
-	defer tx.Rollback()
-	for key, e := range missing {
-		value := sql.NullString{String: string(e.Value), Valid: !e.Deleted}
-		if _, err := tx.ExecContext(ctx, upsertRecord, key, value, int64(e.ModRevision)); err != nil {
-			return fmt.Errorf("write %s: %w", key, err)
-		}
-		from = max(from, e.ModRevision)
-	}
-	if err := tx.Commit(); err != nil {
-		return fmt.Errorf("commit: %w", err)
-	}
-	m.mu.Lock()
-	m.writtenIndex = from
-	m.mu.Unlock()
-	return nil
+// mirrorBackoff is the wait before the next attempt.
+type mirrorBackoff struct {
+	wait         time.Duration
+	failingSince time.Time // zero if the last attempt succeeded
 }
 
-// importMissing takes keys from the database that the store has never heard of.
-func (m *mirrorSession) importMissing(ctx context.Context) error {
-	if _, err := m.store.WaitFresh(ctx, Freshness{}); err != nil {
-		return fmt.Errorf("wait for the log: %w", err)
-	}
-	known, last := m.store.state.entriesAfter(0), m.store.AppliedRevision()
-	rows, err := m.db.QueryContext(ctx, selectRecords)
-	if err != nil {
-		return fmt.Errorf("read rows: %w", err)
-	}
-	defer rows.Close()
-	var missing []kv.Request
-	earlier := false
-	for rows.Next() {
-		var key string
-		var value sql.NullString
-		var index int64
-		if err := rows.Scan(&key, &value, &index); err != nil {
-			return fmt.Errorf("read row: %w", err)
-		}
-		earlier = earlier || uint64(index) > last
-		if _, ok := known[key]; !ok && value.Valid && !strings.HasPrefix(key, kv.ReservedPrefix) {
-			missing = append(missing, kv.Request{Fences: []lease.FencingToken{m.fence}, If: []kv.Compare{{Key: key}},
-				Then: []kv.Op{{Kind: "put", Key: key, Value: json.RawMessage(value.String)}}})
-		}
-	}
-	if err := rows.Err(); err != nil {
-		return fmt.Errorf("read rows: %w", err)
-	}
-	rows.Close()
-	if earlier {
-		tx, err := m.beginFenced(ctx)
-		if err != nil {
-			return err
-		}
-		defer tx.Rollback()
-		if _, err := tx.ExecContext(ctx, resetIndexes); err != nil {
-			return fmt.Errorf("reset rows: %w", err)
-		}
-		if err := tx.Commit(); err != nil {
-			return fmt.Errorf("reset rows: %w", err)
-		}
-	}
-	if len(missing) == 0 {
-		return nil
-	}
-	m.store.log.Info("keys taken over from the store of record", zap.Int("keys", len(missing)))
-	for _, r := range missing { // a key that somebody wrote meanwhile stays as it is
-		if err := m.store.ExecuteAnywhere(ctx, r); err != nil {
-			return fmt.Errorf("take over: %w", err)
-		}
-	}
-	return nil
+// next sets the wait after an attempt, and tells whether to abandon the mirror to another node.
+func (b *mirrorBackoff) next(err error) (abandon bool) {
+	switch {
+	case err == nil:
+		b.wait = mirrorInterval
+		b.failingSince = time.Time{}
+		return false
+	case b.failingSince.IsZero():
+		b.failingSince = time.Now()
+		return false
+	}
+	b.wait = min(2*b.wait, maxMirrorBackoff)
+	return errors.Is(err, ErrStaleToken) || time.Since(b.failingSince) > mirrorAbandonAfter
 }
--- /dev/null
+++ b/internal/cluster/store/mirror_session.go
@@ -0,0 +1,212 @@
+package store
+
+import (
+	"context"
+	"database/sql"
+	"encoding/json"
+	"fmt"
+	"strings"
+	"time"
+
+	"go.uber.org/zap"
+
+	"oxbowbridge/internal/cluster/kv"
+	"oxbowbridge/internal/cluster/lease"
+)
+
+// sqlTimeout bounds one round of the mirror.
+const sqlTimeout = 5 * time.Second
+
+// The statements of the SQL record.
+const (
+	createRecordTable = `CREATE TABLE IF NOT EXISTS oxbowbridge_store (name TEXT PRIMARY KEY, value TEXT, idx BIGINT NOT NULL)`
+	// A late write of an older leader does not replace a newer row.
+	upsertRecord = `INSERT INTO oxbowbridge_store (name, value, idx) VALUES ($1, $2, $3)
+ON CONFLICT (name) DO UPDATE SET value = excluded.value, idx = excluded.idx WHERE oxbowbridge_store.idx <= excluded.idx`
+	selectRecords    = `SELECT name, value, idx FROM oxbowbridge_store ORDER BY name`
+	createFenceTable = `CREATE TABLE IF NOT EXISTS oxbowbridge_lease (name TEXT PRIMARY KEY, token BIGINT NOT NULL)`
+	// No row is affected if the table has a higher token.
+	advanceFence = `INSERT INTO oxbowbridge_lease (name, token) VALUES ($1, $2)
+ON CONFLICT (name) DO UPDATE SET token = excluded.token WHERE oxbowbridge_lease.token <= excluded.token`
+	// For rows of an earlier cluster, whose log had other indexes.
+	resetIndexes = `UPDATE oxbowbridge_store SET idx = 0`
+)
+
+// mirrorSession is the time for which this node writes the SQL record under one token.
+type mirrorSession struct {
+	*sqlMirror
+	db       *sql.DB
+	fence    lease.FencingToken
+	imported bool // the first round has succeeded
+}
+
+// record is a row of the SQL record.
+type record struct {
+	key   string
+	value sql.NullString // NULL for a deleted key
+	index uint64
+}
+
+// sync writes what the database lacks. The first round imports what only the database has, as
+// after all nodes lost their disks, and then writes every entry, as it is not known what the
+// holder before has written.
+func (m *mirrorSession) sync(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, sqlTimeout)
+	defer cancel()
+	from, _ := m.progress()
+	if !m.imported {
+		from = 0
+		if err := m.createTables(ctx); err != nil {
+			return err
+		}
+		if err := m.importMissing(ctx); err != nil {
+			return err
+		}
+	}
+	if err := m.writeEntries(ctx, from); err != nil {
+		return err
+	}
+	m.imported = true
+	return nil
+}
+
+func (m *mirrorSession) createTables(ctx context.Context) error {
+	for _, create := range []string{createRecordTable, createFenceTable} {
+		if _, err := m.db.ExecContext(ctx, create); err != nil {
+			return fmt.Errorf("create table: %w", err)
+		}
+	}
+	return nil
+}
+
+// beginFenced starts a transaction, or is ErrStaleToken if the database has seen a higher token.
+// Until the transaction ends, no other token is admitted.
+func (m *mirrorSession) beginFenced(ctx context.Context) (*sql.Tx, error) {
+	tx, err := m.db.BeginTx(ctx, nil)
+	if err != nil {
+		return nil, fmt.Errorf("begin: %w", err)
+	}
+	if err := m.advanceFence(ctx, tx); err != nil {
+		tx.Rollback()
+		return nil, fmt.Errorf("fence: %w", err)
+	}
+	return tx, nil
+}
+
+func (m *mirrorSession) advanceFence(ctx context.Context, tx *sql.Tx) error {
+	result, err := tx.ExecContext(ctx, advanceFence, m.fence.Name, int64(m.fence.Token))
+	if err != nil {
+		return err
+	}
+	affected, err := result.RowsAffected()
+	if err == nil && affected == 0 {
+		err = fmt.Errorf("%w than %d", ErrStaleToken, m.fence.Token)
+	}
+	return err
+}
+
+// writeEntries writes the entries after an index in one transaction.
+func (m *mirrorSession) writeEntries(ctx context.Context, from uint64) error {
+	missing := m.store.state.entriesAfter(from)
+	if len(missing) == 0 {
+		return nil
+	}
+	tx, err := m.beginFenced(ctx)
+	if err != nil {
+		return err
+	}
+	defer tx.Rollback() // without effect after Commit
+	for key, e := range missing {
+		value := sql.NullString{String: string(e.Value), Valid: !e.Deleted}
+		if _, err := tx.ExecContext(ctx, upsertRecord, key, value, int64(e.ModRevision)); err != nil {
+			return fmt.Errorf("write %s: %w", key, err)
+		}
+		from = max(from, e.ModRevision)
+	}
+	if err := tx.Commit(); err != nil {
+		return fmt.Errorf("commit: %w", err)
+	}
+	m.noteWritten(from)
+	return nil
+}
+
+// importMissing writes keys to the store that only the database has.
+func (m *mirrorSession) importMissing(ctx context.Context) error {
+	if _, err := m.store.WaitFresh(ctx, Freshness{}); err != nil {
+		return fmt.Errorf("wait for the log: %w", err)
+	}
+	known := m.store.state.entriesAfter(0)
+	last := m.store.AppliedRevision()
+	rows, err := m.readRecords(ctx)
+	if err != nil {
+		return err
+	}
+	var missing []kv.Request
+	ofEarlierCluster := false
+	for _, row := range rows {
+		ofEarlierCluster = ofEarlierCluster || row.index > last
+		if _, ok := known[row.key]; !ok && row.value.Valid && !strings.HasPrefix(row.key, kv.ReservedPrefix) {
+			missing = append(missing, m.importRequest(row))
+		}
+	}
+	if ofEarlierCluster {
+		if err := m.resetIndexes(ctx); err != nil {
+			return err
+		}
+	}
+	if len(missing) == 0 {
+		return nil
+	}
+	m.store.log.Info("keys imported from the sql record", zap.Int("keys", len(missing)))
+	for _, r := range missing {
+		if err := m.store.ExecuteAnywhere(ctx, r); err != nil {
+			return fmt.Errorf("take over: %w", err)
+		}
+	}
+	return nil
+}
+
+// importRequest writes a key unless somebody has written it meanwhile.
+func (m *mirrorSession) importRequest(row record) kv.Request {
+	return kv.Request{
+		Fences: []lease.FencingToken{m.fence},
+		If:     []kv.Compare{{Key: row.key}},
+		Then:   []kv.Op{{Kind: "put", Key: row.key, Value: json.RawMessage(row.value.String)}},
+	}
+}
+
+func (m *mirrorSession) readRecords(ctx context.Context) (list []record, err error) {
+	rows, err := m.db.QueryContext(ctx, selectRecords)
+	if err != nil {
+		return nil, fmt.Errorf("read rows: %w", err)
+	}
+	defer rows.Close()
+	for rows.Next() {
+		var row record
+		var index int64
+		if err := rows.Scan(&row.key, &row.value, &index); err != nil {
+			return nil, fmt.Errorf("read row: %w", err)
+		}
+		row.index = uint64(index)
+		list = append(list, row)
+	}
+	if err := rows.Err(); err != nil {
+		return nil, fmt.Errorf("read rows: %w", err)
+	}
+	return list, nil
+}
+
+func (m *mirrorSession) resetIndexes(ctx context.Context) error {
+	tx, err := m.beginFenced(ctx)
+	if err != nil {
+		return err
+	}
+	defer tx.Rollback() // without effect after Commit
+	if _, err := tx.ExecContext(ctx, resetIndexes); err != nil {
+		return fmt.Errorf("reset rows: %w", err)
+	}
+	if err := tx.Commit(); err != nil {
+		return fmt.Errorf("reset rows: %w", err)
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/cluster/store/peer_reports.go
@@ -0,0 +1,110 @@
+package store
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net/http"
+	"strings"
+
+	"github.com/hashicorp/raft"
+
+	"oxbowbridge/internal/cluster/diskidentity"
+	"oxbowbridge/internal/cluster/kv"
+	"oxbowbridge/internal/cluster/storeapi"
+)
+
+var errNoServingPeer = errors.New("no node of the cluster serves")
+
+// forgetReports drops what was reported to a disk that this node no longer has.
+func (p *peers) forgetReports() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	clear(p.reports)
+}
+
+// lastReport is what a node reported last, and whether that is recent.
+func (p *peers) lastReport(name string) (report peerReport, recent bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	report = p.reports[name]
+	return report, report.recent()
+}
+
+// checksums are those that the other voters of a configuration reported of their states, and how
+// many voters there are.
+func (p *peers) checksums(conf raft.Configuration, self string) (list []kv.ChecksumHistory, voters int) {
+	for _, server := range conf.Servers {
+		id := string(server.ID)
+		if server.Suffrage != raft.Voter {
+			continue
+		}
+		voters++
+		report, recent := p.lastReport(diskidentity.MemberName(id))
+		if id != self && recent && report.ID == id {
+			list = append(list, report.Checksums)
+		}
+	}
+	return list, voters
+}
+
+// attestations are the recent reports on disks, by name, without those of earlier versions. allPolled
+// tells whether each node was polled at least once, with a report or an error; changed is closed at
+// the next report.
+func (p *peers) attestations() (recent map[string]diskidentity.Attestation, allPolled bool, changed <-chan struct{}) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	recent = map[string]diskidentity.Attestation{}
+	allPolled = true
+	for name := range p.targets {
+		if r := p.reports[name]; r.receivedAt.IsZero() && r.err == nil {
+			allPolled = false
+		}
+	}
+	for name, r := range p.reports {
+		if r.recent() && !r.legacy {
+			recent[name] = r.Attestation
+		}
+	}
+	return recent, allPolled, p.changed
+}
+
+// servingAddresses are the admin addresses of the peers that serve.
+func (p *peers) servingAddresses() (list []string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for name, r := range p.reports {
+		if r.State == peerServing && r.recent() {
+			list = append(list, p.targets[name].Admin)
+		}
+	}
+	return list
+}
+
+// requestJoin asks the serving peers, one after the other until one agrees, to add this member.
+func (p *peers) requestJoin(ctx context.Context, inc *incarnation) error {
+	self := p.store.self
+	text, err := json.Marshal(storeapi.JoinRequest{ID: inc.memberID, RaftAddress: self.Raft, AdminAddress: self.Admin, Zone: self.Zone, SupportsLeases: true})
+	if err != nil {
+		return err
+	}
+	var refusals []string
+	for _, addr := range p.servingAddresses() {
+		err := p.postJoin(ctx, addr, text)
+		if err == nil {
+			return nil
+		}
+		refusals = append(refusals, err.Error())
+	}
+	if len(refusals) == 0 {
+		return errNoServingPeer
+	}
+	return fmt.Errorf("not taken in: %s", strings.Join(refusals, "; "))
+}
+
+func (p *peers) postJoin(ctx context.Context, addr string, text []byte) error {
+	ctx, cancel := context.WithTimeout(ctx, storeapi.CommitTimeout)
+	defer cancel()
+	return p.client.WithLongTimeout().CallNode(ctx, addr, http.MethodPost, "/members", text, nil)
+}
--- /dev/null
+++ b/internal/cluster/store/peer_transport.go
@@ -0,0 +1,169 @@
+package store
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"sync"
+	"time"
+
+	"github.com/hashicorp/raft"
+
+	"oxbowbridge/internal/cluster/diskidentity"
+)
+
+const (
+	// maxHandshakes bounds the connections that have not sent their greeting yet, as each holds a
+	// descriptor.
+	maxHandshakes       = 64
+	acceptRetryInterval = 10 * time.Millisecond
+)
+
+// peerTransport is Raft's network. Whoever connects names itself, the member that it means and its
+// cluster: a node whose disk is another one, or of another cluster, is not taken for the member.
+type peerTransport struct {
+	listener       net.Listener
+	memberID       string
+	clusterID      func() string
+	configuredPeer func(name string) (Peer, bool) // by the configuration file
+	accepted       chan net.Conn                  // that have sent their greeting
+	handshakes     chan struct{}                  // one for each that has not
+	done           chan struct{}                  // closed by Close
+	once           sync.Once
+}
+
+var _ raft.StreamLayer = (*peerTransport)(nil)
+
+// listenPeers listens on addr as a member.
+func listenPeers(addr, memberID string, clusterID func() string, configuredPeer func(string) (Peer, bool)) (*peerTransport, error) {
+	listener, err := net.Listen("tcp", addr)
+	if err != nil {
+		return nil, fmt.Errorf("raft address: %w", err)
+	}
+	t := &peerTransport{
+		listener:       listener,
+		memberID:       memberID,
+		clusterID:      clusterID,
+		configuredPeer: configuredPeer,
+		accepted:       make(chan net.Conn),
+		handshakes:     make(chan struct{}, maxHandshakes),
+		done:           make(chan struct{}),
+	}
+	go t.acceptLoop()
+	return t, nil
+}
+
+func (t *peerTransport) acceptLoop() {
+	for {
+		conn, err := t.listener.Accept()
+		if err != nil {
+			select {
+			case <-t.done:
+				return
+			case <-time.After(acceptRetryInterval):
+				continue
+			}
+		}
+		select {
+		case t.handshakes <- struct{}{}:
+			go func() {
+				defer func() { <-t.handshakes }()
+				t.handshake(conn)
+			}()
+		default:
+			conn.Close()
+		}
+	}
+}
+
+// handshake hands a connection on to Accept if this member is meant.
+func (t *peerTransport) handshake(conn net.Conn) {
+	conn.SetDeadline(time.Now().Add(handshakeTimeout))
+	greeted, err := t.identify(conn)
+	if err != nil {
+		conn.Close()
+		return
+	}
+	conn.SetDeadline(time.Time{})
+	select {
+	case t.accepted <- greeted:
+	case <-t.done:
+		conn.Close()
+	}
+}
+
+// identify reads who connects. Members of an earlier version, known by their names alone, send no
+// greeting to each other.
+func (t *peerTransport) identify(conn net.Conn) (net.Conn, error) {
+	first := make([]byte, 1)
+	if _, err := io.ReadFull(conn, first); err != nil {
+		return nil, err
+	}
+	if first[0] != greetingPrefix[0] {
+		if diskidentity.MemberDisk(t.memberID) != "" {
+			return nil, errGreeting
+		}
+		return &replayConn{Conn: conn, unread: first}, nil
+	}
+	if err := t.checkGreeting(conn); err != nil {
+		fmt.Fprintf(conn, "%s%v\n", greetingRejected, err)
+		return nil, err
+	}
+	return &replayConn{Conn: conn}, nil
+}
+
+func (t *peerTransport) checkGreeting(conn net.Conn) error {
+	g, err := readGreeting(conn)
+	if err != nil {
+		return err
+	}
+	switch clusterID := t.clusterID(); {
+	case g.To != t.memberID:
+		return fmt.Errorf("%w: this is %s, not %s", errWrongMember, t.memberID, g.To)
+	case clusterID != "" && g.Cluster != "" && clusterID != g.Cluster:
+		return fmt.Errorf("%w: this is of cluster %s, not of %s", errWrongMember, clusterID, g.Cluster)
+	}
+	_, err = io.WriteString(conn, greetingAccepted)
+	return err
+}
+
+// Accept gives connections that have sent their greeting.
+func (t *peerTransport) Accept() (net.Conn, error) {
+	select {
+	case conn := <-t.accepted:
+		return conn, nil
+	case <-t.done:
+		return nil, net.ErrClosed
+	}
+}
+
+// Addr is where it listens.
+func (t *peerTransport) Addr() net.Addr { return t.listener.Addr() }
+
+// Close stops listening.
+func (t *peerTransport) Close() error {
+	t.once.Do(func() {
+		close(t.done)
+		t.listener.Close()
+	})
+	return nil
+}
+
+// Dial connects to the member that an address of the configuration names. An address in the
+// configuration file takes precedence.
+func (t *peerTransport) Dial(addr raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+	id := addressMemberID(addr)
+	peer := decodePeer(raft.ServerID(id), addr)
+	if configured, ok := t.configuredPeer(peer.Name); ok {
+		peer.Raft = configured.Raft
+	}
+	conn, err := net.DialTimeout("tcp", peer.Raft, timeout)
+	if err != nil || diskidentity.MemberDisk(id) == "" {
+		return conn, err
+	}
+	if err := sendGreeting(conn, greeting{From: t.memberID, To: id, Cluster: t.clusterID()}, timeout); err != nil {
+		conn.Close()
+		return nil, fmt.Errorf("greet %s: %w", id, err)
+	}
+	return conn, conn.SetDeadline(time.Time{})
+}
--- /dev/null
+++ b/internal/cluster/store/pending_writes.go
@@ -0,0 +1,62 @@
+package store
+
+import (
+	"fmt"
+	"sync"
+
+	"oxbowbridge/internal/cluster/kv"
+)
+
+// MaxTotalBytes bounds all values of the store together. The leader enforces it when it proposes
+// an entry; the state machine applies whatever is in the log.
+const MaxTotalBytes = 32 << 20
+
+// Bounds of what a leader has proposed and not seen committed.
+const (
+	maxPendingWrites = 512
+	maxPendingBytes  = 8 << 20 // of values
+)
+
+// pendingWrites counts the entries that this node, as leader, has proposed and that are not
+// applied yet.
+type pendingWrites struct {
+	mu    sync.Mutex
+	count int
+	bytes int
+}
+
+// reserve admits a write that adds size bytes to a state that holds stored bytes. Its error is
+// ErrTooManyWrites or kv.ErrFull.
+func (w *pendingWrites) reserve(size, stored int) error {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	switch {
+	case w.count >= maxPendingWrites || w.bytes+size > maxPendingBytes:
+		return fmt.Errorf("%w: %d of %d bytes", ErrTooManyWrites, w.count, w.bytes)
+	case size > 0 && stored+w.bytes+size > MaxTotalBytes:
+		return fmt.Errorf("%w: %d bytes, at most %d", kv.ErrFull, stored, MaxTotalBytes)
+	}
+	w.count++
+	w.bytes += size
+	return nil
+}
+
+// release ends a write that reserve admitted.
+func (w *pendingWrites) release(size int) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.count--
+	w.bytes -= size
+}
+
+// addedBytes is what a request may add to the state.
+func addedBytes(r *kv.Request) int {
+	return max(valueBytesOf(r.Then), valueBytesOf(r.Else))
+}
+
+func valueBytesOf(ops []kv.Op) (size int) {
+	for _, op := range ops {
+		size += len(op.Value)
+	}
+	return size
+}
--- a/internal/cluster/store/write_test.go
+++ b/internal/cluster/store/pending_writes_test.go
@@ -8,9 +8,9 @@
 	"oxbowbridge/internal/cluster/kv"
 )
 
-// TestWriteBounds: what waits is bounded in number and bytes, and so is what is kept; a
-// delete is taken by a full store.
-func TestWriteBounds(t *testing.T) {
+// TestPendingWriteBounds: pending writes are bounded in number and bytes, and so is the store; a
+// full store accepts a delete.
+func TestPendingWriteBounds(t *testing.T) {
 	var w pendingWrites
 	for range maxPendingWrites {
 		require.NoError(t, w.reserve(1, 0))
--- /dev/null
+++ b/internal/cluster/store/raft.go
@@ -0,0 +1,142 @@
+package store
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"sync"
+	"time"
+
+	"github.com/hashicorp/go-hclog"
+	"github.com/hashicorp/raft"
+	"go.uber.org/zap"
+	"go.uber.org/zap/zapio"
+
+	"oxbowbridge/internal/cluster/diskidentity"
+	"oxbowbridge/internal/cluster/raftstorage"
+)
+
+const (
+	// electionTimeout also serves as heartbeat timeout and leader lease. All links are local.
+	electionTimeout = 500 * time.Millisecond
+	// snapshotThreshold is after how many log entries a snapshot is taken.
+	snapshotThreshold = 1024
+	// maxAppendEntries is how many entries share one sync and one message.
+	maxAppendEntries = 512
+	// maxPooledConns is how many idle connections are kept to each peer.
+	maxPooledConns = 3
+	// transportTimeout bounds the I/O of one message between peers.
+	transportTimeout = 2 * time.Second
+)
+
+var errStartRaft = errors.New("start raft")
+
+// runRaft starts Raft under a verdict, and returns why the incarnation is over.
+func (s *Store) runRaft(f *nodeFolder, verdict diskidentity.Verdict) error {
+	inc := &incarnation{store: s, memberID: f.local.ID, storage: f.storage, failure: make(chan error, 1)}
+	listener, err := listenPeers(s.self.Raft, inc.memberID, s.identity.get, s.cfg.configuredPeer)
+	if err != nil {
+		return err
+	}
+	conf := s.raftConfig(inc.memberID)
+	inc.transport = newAckTransport(raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
+		Stream:  listener,
+		MaxPool: maxPooledConns,
+		Timeout: transportTimeout,
+		Logger:  conf.Logger,
+	}))
+	defer func() {
+		inc.transport.Close()
+		inc.transport.CloseStreams()
+	}()
+	if err := s.startRaft(inc, conf, verdict); err != nil {
+		return err
+	}
+	return s.runServices(inc, verdict)
+}
+
+func (s *Store) raftConfig(memberID string) *raft.Config {
+	conf := raft.DefaultConfig()
+	conf.LocalID = raft.ServerID(memberID)
+	conf.HeartbeatTimeout = electionTimeout
+	conf.ElectionTimeout = electionTimeout
+	conf.LeaderLeaseTimeout = electionTimeout
+	conf.SnapshotThreshold = snapshotThreshold
+	conf.BatchApplyCh = true
+	conf.MaxAppendEntries = maxAppendEntries
+	conf.ShutdownOnRemove = false // supervise ends the incarnation of a removed member
+	out := &zapio.Writer{Log: s.log.Named("raft"), Level: zap.InfoLevel}
+	conf.Logger = hclog.New(&hclog.LoggerOptions{Level: hclog.Error, Output: out, DisableTime: true})
+	return conf
+}
+
+// startRaft makes the cluster if that is the verdict, and begins to replay the log.
+func (s *Store) startRaft(inc *incarnation, conf *raft.Config, verdict diskidentity.Verdict) error {
+	storage := inc.storage.FailStop(inc.reportFailure)
+	if verdict == diskidentity.VerdictBootstrap {
+		if err := s.bootstrap(inc, conf, storage); err != nil {
+			return fmt.Errorf("make the cluster: %w", err)
+		}
+	}
+	s.state.reset()
+	started := make(chan error, 1)
+	go func() { // which a failing storage may end
+		defer close(started)
+		var err error
+		inc.raft, err = raft.NewRaft(conf, s.state, storage, storage, storage, inc.transport)
+		started <- err
+	}()
+	if err, ok := <-started; err != nil || !ok {
+		return errors.Join(errStartRaft, err, inc.startFailure())
+	}
+	term := inc.raft.CurrentTerm
+	inc.transport.currentTerm.Store(&term)
+	return nil
+}
+
+func (s *Store) bootstrap(inc *incarnation, conf *raft.Config, storage *raftstorage.FailStopStorage) error {
+	first, err := s.bootstrapConfiguration(inc)
+	if err != nil {
+		return err
+	}
+	return raft.BootstrapCluster(conf, storage, storage, storage, inc.transport, first)
+}
+
+// bootstrapConfiguration is a new cluster's first one: all founders with their disks.
+func (s *Store) bootstrapConfiguration(inc *incarnation) (conf raft.Configuration, err error) {
+	for _, p := range s.cfg.Peers {
+		id := inc.memberID
+		if p.Name != s.self.Name {
+			report, recent := s.peers.lastReport(p.Name)
+			if !recent || !report.Fresh {
+				return conf, fmt.Errorf("%s is not new any more", p.Name)
+			}
+			id = report.ID
+			p.Raft = report.RaftAddress
+			p.Admin = report.AdminAddress
+			p.Zone = report.Zone
+			if diskidentity.MemberName(id) != p.Name {
+				return conf, fmt.Errorf("%s says that it is %s", p.Name, id)
+			}
+		}
+		conf.Servers = append(conf.Servers, raft.Server{ID: raft.ServerID(id), Address: encodeAddress(p, id)})
+	}
+	return conf, nil
+}
+
+// runServices runs what goes on beside Raft, until the incarnation has to end.
+func (s *Store) runServices(inc *incarnation, verdict diskidentity.Verdict) error {
+	s.current.Store(inc)
+	ctx, cancel := context.WithCancel(s.ctx)
+	var services sync.WaitGroup
+	services.Go(func() { s.maintainClusterID(ctx, inc) })
+	services.Go(func() { s.manageMembers(ctx, inc) })
+	services.Go(func() { s.manageLeases(ctx, inc) })
+	err := s.supervise(ctx, inc, verdict)
+	s.current.CompareAndSwap(inc, nil)
+	cancel()
+	inc.raft.Shutdown().Error() // waits for Raft's goroutines
+	services.Wait()
+	s.peers.saveWatermarks(inc)
+	return err
+}
--- /dev/null
+++ b/internal/cluster/store/recovery_report.go
@@ -0,0 +1,153 @@
+package store
+
+import (
+	"cmp"
+	"errors"
+	"fmt"
+	"slices"
+
+	"github.com/hashicorp/raft"
+	"go.uber.org/zap"
+
+	"oxbowbridge/internal/cluster/diskidentity"
+	"oxbowbridge/internal/cluster/raftstorage"
+)
+
+var errNothingToRecover = errors.New("the folder holds nothing that could be recovered")
+
+// RecoveryReport is what a stopped node's folder holds of a cluster.
+type RecoveryReport struct {
+	Node      string                 `json:"node"`
+	ID        string                 `json:"id"`
+	Cluster   string                 `json:"cluster"`
+	Watermark diskidentity.Watermark `json:"mark"`
+	Keys      int                    `json:"keys"`
+	Members   []string               `json:"members"`
+	Voters    []string               `json:"voters"`
+	// LastObserved is how far this node has observed the other members' disks.
+	LastObserved map[string]diskidentity.Watermark `json:"seen"`
+	// Missing is, in words, what others had that this node lacks, as far as it knows.
+	Missing []string `json:"missing,omitempty"`
+	// NewCluster is the ID that Recover gave.
+	NewCluster string `json:"new_cluster,omitempty"`
+}
+
+// stoppedNode is the open folder of a node that does not run.
+type stoppedNode struct {
+	storage *raftstorage.Storage
+	report  RecoveryReport
+}
+
+// openStopped opens and reads a folder. It counts as a start of the disk.
+func openStopped(cfg Config) (*stoppedNode, error) {
+	if err := cfg.Check(); err != nil {
+		return nil, err
+	}
+	storage, _, err := openFolder(cfg.Dir)
+	if err != nil {
+		return nil, fmt.Errorf("dir: %w", err)
+	}
+	report, err := readReport(cfg, storage)
+	if err != nil {
+		storage.Close()
+		return nil, err
+	}
+	return &stoppedNode{storage: storage, report: report}, nil
+}
+
+func readReport(cfg Config, storage *raftstorage.Storage) (report RecoveryReport, err error) {
+	self, _ := cfg.self()
+	s := &Store{cfg: cfg, self: self, log: zap.NewNop()}
+	cluster, err := readClusterID(storage)
+	if err != nil {
+		return report, err
+	}
+	s.identity.set(cluster)
+	f, err := s.readFolder(storage)
+	if err != nil {
+		return report, err
+	}
+	if f.local.Empty {
+		return report, errNothingToRecover
+	}
+	observed, err := readWatermarks(storage)
+	if err != nil {
+		return report, err
+	}
+	state := newReplicatedState()
+	if err := replayLog(storage, state); err != nil {
+		return report, err
+	}
+	entries, _ := state.entries()
+	report = RecoveryReport{
+		Node:         self.Name,
+		ID:           f.local.ID,
+		Cluster:      cmp.Or(cluster, f.local.LoggedCluster),
+		Watermark:    f.local.Watermark,
+		Keys:         len(entries),
+		Members:      f.local.Members,
+		Voters:       f.local.Voters,
+		LastObserved: map[string]diskidentity.Watermark{},
+	}
+	report.compare(observed)
+	return report, nil
+}
+
+// compare notes how far the other members were, and what they had besides.
+func (r *RecoveryReport) compare(observed watermarks) {
+	own := r.Watermark
+	for id, mark := range observed {
+		if !slices.Contains(r.Members, id) {
+			continue
+		}
+		r.LastObserved[id] = mark
+		if mark.CompareLog(own) > 0 {
+			r.Missing = append(r.Missing, fmt.Sprintf("%s had entries up to %d of term %d, this node up to %d of term %d",
+				id, mark.LastIndex, mark.LastTerm, own.LastIndex, own.LastTerm))
+		}
+	}
+	slices.Sort(r.Missing)
+}
+
+// replayLog applies the newest snapshot and the log above it.
+func replayLog(storage *raftstorage.Storage, state *replicatedState) error {
+	first, err := restoreNewest(storage, state)
+	if err != nil {
+		return err
+	}
+	last, err := storage.LastIndex()
+	if err != nil {
+		return err
+	}
+	for i := first; i <= last; i++ {
+		var entry raft.Log
+		if err := storage.GetLog(i, &entry); err != nil {
+			return err
+		}
+		if entry.Type == raft.LogCommand {
+			state.Apply(&entry)
+		}
+	}
+	return nil
+}
+
+// restoreNewest restores the newest snapshot, if there is one. It returns the index of the first
+// entry above it.
+func restoreNewest(storage *raftstorage.Storage, state *replicatedState) (first uint64, err error) {
+	metas, err := storage.List()
+	if err != nil {
+		return 0, err
+	}
+	if len(metas) == 0 {
+		return 1, nil
+	}
+	newest := metas[0]
+	_, reader, err := storage.Open(newest.ID)
+	if err != nil {
+		return 0, err
+	}
+	if err := state.Restore(reader); err != nil {
+		return 0, err
+	}
+	return newest.Index + 1, nil
+}
--- a/internal/cluster/store/watch_test.go
+++ b/internal/cluster/store/restore_history_test.go
@@ -12,9 +12,9 @@
 	"oxbowbridge/internal/cluster/watch"
 )
 
-// TestRestoreBeginsAnew: a state that was replaced by a snapshot does not pass over
-// what it never saw.
-func TestRestoreBeginsAnew(t *testing.T) {
+// TestRestoreResetsHistory: a state that was replaced by a snapshot does not skip revisions that it
+// never had.
+func TestRestoreResetsHistory(t *testing.T) {
 	from, to := newReplicatedState(), newReplicatedState()
 	for i := range uint64(5) {
 		from.Apply(&raft.Log{Index: i + 1, Data: []byte(`[{"key":"k","value":1}]`)})
--- a/internal/cluster/store/lease_state_test.go
+++ b/internal/cluster/store/snapshot_leases_test.go
@@ -21,8 +21,8 @@
 func (*bufSink) Cancel() error { return nil }
 func (*bufSink) Close() error  { return nil }
 
-// TestLeasesSurviveSnapshots: one that goes on from a snapshot gives the same tokens as one
-// that has applied every entry, whenever the snapshot is taken and written.
+// TestLeasesSurviveSnapshots: a state that goes on from a snapshot gives the same tokens as one that
+// has applied every entry, whenever the snapshot is taken and written.
 func TestLeasesSurviveSnapshots(t *testing.T) {
 	for seed := range uint64(50) {
 		rng := rand.New(rand.NewPCG(seed, 1))
--- a/internal/cluster/store/state_test.go
+++ b/internal/cluster/store/snapshot_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestSnapshot: a member that lags behind the kept log gets a snapshot, with
-// deleted keys in it, and its watchers hear of what it holds.
+// TestSnapshot: a member that lags behind the log gets a snapshot, with deleted keys in it, and its
+// listeners hear of what it holds.
 func TestSnapshot(t *testing.T) {
 	from := newReplicatedState()
 	for i, c := range []string{`[{"key":"a","value":1},{"key":"b","value":{"x":2}}]`, `[{"key":"a","value":null}]`} {
@@ -35,8 +35,8 @@
 	require.False(t, ok)
 }
 
-// TestOldSnapshot: one of the version before is a bare map of entries.
-func TestOldSnapshot(t *testing.T) {
+// TestLegacySnapshot: a snapshot of an earlier version is a bare map of entries.
+func TestLegacySnapshot(t *testing.T) {
 	s := newReplicatedState()
 	require.NoError(t, s.Restore(io.NopCloser(strings.NewReader(`{"applied":{"value":1,"index":7,"gone":false},"b":{"index":9,"gone":true}}`))))
 	e, ok := s.get("applied")
--- /dev/null
+++ b/internal/cluster/store/supervise.go
@@ -0,0 +1,144 @@
+package store
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"slices"
+	"time"
+
+	"github.com/hashicorp/raft"
+	"go.uber.org/zap"
+
+	"oxbowbridge/internal/cluster/diskidentity"
+)
+
+const (
+	joinRetryInterval = 500 * time.Millisecond
+	// removedConfirmations is how many checks in a row must find that this disk is no member
+	// before the node believes it: a report may be older than the configuration.
+	removedConfirmations = 3
+)
+
+// supervisor watches over one incarnation until it has to end.
+type supervisor struct {
+	store        *Store
+	inc          *incarnation
+	savedAt      time.Time // when the watermarks were last saved
+	joinAskedAt  time.Time
+	removedCount int // checks in a row that found this disk removed
+}
+
+// supervise requests to join while this disk is no member, saves what was observed of others, and
+// returns why the incarnation has to end: a failed disk, a removed member, a diverged state, a
+// cluster that was recovered as another, or ctx.
+func (s *Store) supervise(ctx context.Context, inc *incarnation, verdict diskidentity.Verdict) error {
+	inc.wasMember.Store(beginsAsMember(verdict))
+	sup := &supervisor{store: s, inc: inc}
+	ticker := time.NewTicker(pollInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return ctx.Err()
+		case err := <-inc.failure:
+			return fmt.Errorf("disk: %w", err)
+		case <-ticker.C:
+		}
+		if err := sup.check(ctx); err != nil {
+			return err
+		}
+	}
+}
+
+// check is one round of supervise; its error ends the incarnation.
+func (sup *supervisor) check(ctx context.Context) error {
+	s, inc := sup.store, sup.inc
+	if err := inc.storage.Failed(); err != nil {
+		return fmt.Errorf("disk: %w", err)
+	}
+	if time.Since(sup.savedAt) >= watermarkSaveInterval {
+		sup.savedAt = time.Now()
+		s.peers.saveWatermarks(inc)
+	}
+	attestations, _, _ := s.peers.attestations()
+	if successor := diskidentity.Successor(s.identity.get(), attestations); successor != "" {
+		return fmt.Errorf("%w: it is %s now", errClusterReplaced, successor)
+	}
+	conf, index := inc.configuration()
+	s.followMembers(conf)
+	if err := sup.checkDivergence(conf); err != nil {
+		return err
+	}
+	_, isMember := findServer(conf, inc.memberID)
+	if isMember && !inc.wasMember.Swap(true) {
+		s.log.Info("joined the cluster", zap.String("member", inc.memberID))
+	}
+	if !inc.wasMember.Load() {
+		if time.Since(sup.joinAskedAt) >= joinRetryInterval {
+			sup.joinAskedAt = time.Now()
+			s.tryJoin(ctx, inc)
+		}
+		return nil
+	}
+	return sup.checkRemoved(conf, index)
+}
+
+// checkDivergence compares checksums of the state with those of the other voters.
+func (sup *supervisor) checkDivergence(conf raft.Configuration) error {
+	s, inc := sup.store, sup.inc
+	index, diverged := s.state.recentChecksums().Diverged(s.peers.checksums(conf, inc.memberID))
+	if !diverged {
+		return nil
+	}
+	// The mark has openStorage set the folder aside.
+	err := inc.storage.PutLocal(localDiverged, []byte("1"))
+	return errors.Join(fmt.Errorf("%w: at entry %d of the log", errDiverged, index), err)
+}
+
+// checkRemoved ends the incarnation of a removed member, and gives its disk a new identity.
+func (sup *supervisor) checkRemoved(conf raft.Configuration, index uint64) error {
+	if !sup.store.isRemoved(sup.inc, conf, index) {
+		sup.removedCount = 0
+		return nil
+	}
+	sup.removedCount++
+	if sup.removedCount < removedConfirmations {
+		return nil
+	}
+	_, err := renewIdentity(sup.inc.storage, sup.store.self.Name)
+	return errors.Join(errRemoved, err)
+}
+
+// isRemoved tells whether this log, or a peer with a later configuration, says that this disk is
+// no member.
+func (s *Store) isRemoved(inc *incarnation, conf raft.Configuration, index uint64) bool {
+	if inc.isLeader() {
+		return false
+	}
+	if _, isMember := findServer(conf, inc.memberID); !isMember {
+		return true
+	}
+	attestations, _, _ := s.peers.attestations()
+	for _, a := range attestations {
+		if own := s.identity.get(); own != "" && a.Cluster != own {
+			continue
+		}
+		if a.ConfigIndex > index && len(a.Members) > 0 && !slices.Contains(a.Members, inc.memberID) {
+			return true
+		}
+	}
+	return false
+}
+
+// tryJoin requests to be a member, and logs a new reason for which it is not.
+func (s *Store) tryJoin(ctx context.Context, inc *incarnation) {
+	err := s.peers.requestJoin(ctx, inc)
+	if err == nil || ctx.Err() != nil {
+		return
+	}
+	refusal := err.Error()
+	if old := inc.joinRefusal.Swap(&refusal); old == nil || *old != refusal {
+		s.log.Warn("store not serving", zap.String("reason", "a place among the members"), zap.Error(err))
+	}
+}
--- a/tests/backup_test.go
+++ b/tests/backup_test.go
@@ -191,7 +191,7 @@
 	c.Start(2)
 	lead := c.Leader()
 	await(t, "a line", func() bool {
-		return strings.Contains(c.nodes[2].log(), "peer is of another cluster") || strings.Contains(c.nodes[lead].log(), "peer is of another cluster")
+		return strings.Contains(c.nodes[2].log(), "peer belongs to another cluster") || strings.Contains(c.nodes[lead].log(), "peer belongs to another cluster")
 	})
 	c.Put(lead, "note/more", `3`)
 	time.Sleep(2 * time.Second) // four elections' worth
--- a/tests/disks_test.go
+++ b/tests/disks_test.go
@@ -61,7 +61,7 @@
 	c.Start(1)
 	c.Start(2)
 	await(t, "a line that says what is waited for", func() bool {
-		return strings.Contains(c.nodes[2].log(), `"msg":"store waits"`) && strings.Contains(c.nodes[2].log(), "must say that this disk is not older")
+		return strings.Contains(c.nodes[2].log(), `"msg":"store not serving"`) && strings.Contains(c.nodes[2].log(), "must say that this disk is not older")
 	})
 	await(t, "an answer of the wiped node", func() bool { code, _ := c.HTTP(1, "GET", "/status", ""); return code == 200 })
 	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); { // six elections' worth
@@ -478,7 +478,7 @@
 	}
 	require.NoError(t, os.WriteFile(logs[0], text, 0o600))
 	c.Start(1)
-	await(t, "a line", func() bool { return strings.Contains(c.nodes[1].log(), "it is set aside") })
+	await(t, "a line", func() bool { return strings.Contains(c.nodes[1].log(), "storage folder set aside") })
 	await(t, "the old disk to be forgotten", func() bool {
 		m := c.Members(0)
 		_, there := m[was]
