--- a/cmd/oxbowbridge/config.go
+++ b/cmd/oxbowbridge/config.go
@@ -141,7 +141,7 @@
 			return fault("ajp.secret", "needed unless ajp.listen is a loopback address")
 		}
 	}
-	if _, err := dispatch.Check(&c.Settings); err != nil {
+	if _, err := dispatch.ParseSettings(&c.Settings); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	if c.Store != nil {
--- a/cmd/oxbowbridge/keeper.go
+++ b/cmd/oxbowbridge/keeper.go
@@ -110,7 +110,7 @@
 	var w simproto.Settings
 	err := simproto.Decode(g.Value, &w)
 	if err == nil {
-		_, err = dispatch.Check(&w)
+		_, err = dispatch.ParseSettings(&w)
 	}
 	if err != nil {
 		k.log.Error("settings of the store are not usable", zap.Uint64("revision", g.Revision), zap.Error(err))
--- a/cmd/oxbowbridge/serve.go
+++ b/cmd/oxbowbridge/serve.go
@@ -106,7 +106,7 @@
 
 // service is the program's parts once they are connected.
 type service struct {
-	core  *dispatch.Core
+	core  *dispatch.Dispatcher
 	x     *exchange.Exchange
 	log   *zap.Logger
 	addrs []net.Addr    // of the fronts, in the order of the configuration
@@ -132,7 +132,7 @@
 func wireUp(notice context.Context, cfg *config, log *zap.Logger) (*service, error) {
 	shares := divideDescriptors(cfg, log)
 	pool := fdquota.NewPool(shares)
-	loop, err := eventloop.New(shares.Ended)
+	loop, err := eventloop.New(shares.Lingering)
 	if err != nil {
 		return nil, err
 	}
@@ -143,9 +143,9 @@
 	for i, k := range cfg.Settings.Classes {
 		classes[k.Name] = frontend.Class{Index: i, Keyed: k.Effect == "deduplicated"}
 	}
-	p := dispatch.Parts{Exchange: x, Endings: loop, KeysMost: int(cfg.Limits.MemoryMB) << 20 / keysShare, Deadlines: &timerqueue.Set{}, Log: log, Seed: seed, Settings: &cfg.Settings,
+	p := dispatch.Config{Exchange: x, Lingering: loop, MaxIdempotencyKeyBytes: int(cfg.Limits.MemoryMB) << 20 / keysShare, Timers: &timerqueue.Queue{}, Log: log, Seed: seed, Settings: &cfg.Settings,
 		Now: func() time.Duration { return time.Since(began) }}
-	env := session.Env{Exchange: x, Loop: loop, Due: p.Deadlines, Now: p.Now, Log: log}
+	env := session.Env{Exchange: x, Loop: loop, Due: p.Timers, Now: p.Now, Log: log}
 	runner := runnerOf(cfg, env)
 	var lingers time.Duration
 	if cfg.Settings.Info.Below == "shared" {
@@ -153,10 +153,10 @@
 	}
 	calls := records.New(cfg.Records, pool, lingers, env)
 	list := registry.New(cfg.Lookup, cfg.Name, env)
-	p.Runner, p.Calls, p.Directory = runner, calls, list
+	p.Runner, p.Dependency, p.Registry = runner, calls, list
 	fronts := frontsOf(cfg, x, classes, log)
 	for _, f := range fronts {
-		p.Fronts = append(p.Fronts, f.front)
+		p.Frontends = append(p.Frontends, f.front)
 	}
 	c, err := dispatch.New(p)
 	if err != nil {
@@ -164,7 +164,7 @@
 	}
 	for _, f := range fronts {
 		wait := time.Duration(cfg.StopMS)*time.Millisecond + predecessorSlack
-		if err := f.listen(notice, loop, pool.CallersMost()/len(fronts), pool, wait, log); err != nil {
+		if err := f.listen(notice, loop, pool.MaxCallers()/len(fronts), pool, wait, log); err != nil {
 			return nil, fmt.Errorf("%w: %s: %w", errConfig, f.field, err)
 		}
 		log.Info("listening", zap.String("front", f.field), zap.Stringer("address", f.front.Addr()))
@@ -183,8 +183,8 @@
 }
 
 // divideDescriptors divides what the configuration and the system allow.
-func divideDescriptors(cfg *config, log *zap.Logger) fdquota.Shares {
-	use := fdquota.Use{Limit: cfg.Limits.Sockets, Open: openDescriptors()}
+func divideDescriptors(cfg *config, log *zap.Logger) fdquota.Quotas {
+	use := fdquota.Usage{Limit: cfg.Limits.Sockets, AlreadyOpen: openDescriptors()}
 	var system syscall.Rlimit
 	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &system) == nil && system.Cur < uint64(use.Limit) {
 		use.Limit = int(system.Cur)
@@ -195,11 +195,11 @@
 		}
 	}
 	if cfg.Store != nil {
-		use.Others = use.Limit / storeShare
+		use.Reserved = use.Limit / storeShare
 	}
 	shares := fdquota.Divide(use)
-	if shares.Short {
-		log.Warn("few descriptors are left for connections", zap.Int("limit", use.Limit), zap.Int("open", use.Open))
+	if shares.BelowMinimum {
+		log.Warn("few descriptors are left for connections", zap.Int("limit", use.Limit), zap.Int("open", use.AlreadyOpen))
 	}
 	return shares
 }
@@ -240,8 +240,8 @@
 func runnerOf(cfg *config, env session.Env) runner {
 	if len(cfg.AJP.Upstreams) > 0 {
 		info, safety := &cfg.Settings.Info, &cfg.Settings.Safety
-		limits := slowstart.Limits{Cores: info.Cores, Multiple: safety.FallMultiple, ColdShare: safety.ColdShare, Cold: safety.Cold,
-			Window: safety.Fall, Processes: cfg.Settings.Servers}
+		limits := slowstart.Config{Cores: info.Cores, WarmRunsPerCore: safety.FallMultiple, MinSpeedFraction: safety.ColdShare, WarmUp: safety.Cold,
+			AveragingWindow: safety.Fall, Processes: cfg.Settings.Servers}
 		return upstreamRunner{ajp.NewUpstreams(cfg.AJP.Upstreams, cfg.AJP.UpstreamSecret, info.OwnStats, limits, upstreamSeed(cfg), env)}
 	}
 	return engineRunner{engine.New(cfg.Engine, cfg.Settings.Info.Halt == "pause", env)}
@@ -258,7 +258,7 @@
 // listener is a front before it listens.
 type listener struct {
 	front interface {
-		dispatch.Front
+		dispatch.Frontend
 		Listen(loop *eventloop.Loop, addr string, most int, pool *fdquota.Pool) error
 		Addr() net.Addr
 	}
--- a/internal/proxy/dispatch/actions.go
+++ b/internal/proxy/dispatch/actions.go
@@ -11,7 +11,7 @@
 )
 
 // carryOut does what the module decided.
-func (c *Core) carryOut(now time.Duration, a admission.Action) {
+func (c *Dispatcher) carryOut(now time.Duration, a admission.Action) {
 	switch a := a.(type) {
 	case admission.Take:
 		if r := c.byID[a.ID]; r != nil {
@@ -55,7 +55,7 @@
 		c.active = a.Active
 		c.health()
 		if c.Settings.Info.Readiness {
-			c.Directory.Serves(a.Active)
+			c.Registry.SetAvailable(a.Active)
 		}
 		c.Log.Info("health", zap.Bool("good", a.Active))
 	case admission.Idle:
@@ -71,23 +71,23 @@
 
 // refuse gives an answer that promises that nothing ran. Guards against one that
 // isn't true, whoever decided it.
-func (c *Core) refuse(r *request, a admission.Refuse) {
+func (c *Dispatcher) refuse(r *request, a admission.Refuse) {
 	answer := exchange.Response{Kind: exchange.Rejected, RetryAfter: a.RetryIn, NoRetryElsewhere: a.Terminal}
-	if c.set.Classes[r.Class].Effect != admission.Idempotent && (r.ran || r.other != nil && r.other.Ran) {
+	if c.set.Classes[r.Class].Effect != admission.Idempotent && (r.ran || r.other != nil && r.other.Started) {
 		answer = exchange.Response{Kind: exchange.Failed}
 	}
 	c.settle(r, answer)
 }
 
 // health sets the answer to health checks: bad until the engine is there.
-func (c *Core) health() { c.Exchange.SetHealthy(c.active && c.readyAt > 0) }
+func (c *Dispatcher) health() { c.Exchange.SetHealthy(c.active && c.readyAt > 0) }
 
 // after sets a timer of the module, with gauges that are fresh when it is due.
-func (c *Core) after(now time.Duration, d admission.Defer) {
+func (c *Dispatcher) after(now time.Duration, d admission.Defer) {
 	if d.Span > gaugeLead {
-		c.Deadlines.At(now+d.Span-gaugeLead, c.Runner.RequestGauges)
+		c.Timers.Schedule(now+d.Span-gaugeLead, c.Runner.RequestGauges)
 	}
-	c.Deadlines.At(now+d.Span, func() {
+	c.Timers.Schedule(now+d.Span, func() {
 		if c.Now()-c.gauged > gaugesMost { // guards against a link that is down, or an engine that hangs
 			c.gauges = c.Settings.Gauges(nil)
 		}
--- a/internal/proxy/dispatch/core.go
+++ b/internal/proxy/dispatch/core.go
@@ -31,51 +31,51 @@
 )
 
 // Front is the server side as the core sees it.
-type Front interface {
+type Frontend interface {
 	// StopListening takes no more connections.
 	StopListening()
 	// CloseIdle closes connections that have had no open request for so long, and
 	// tells how many are left and how many bytes wait to be sent.
 	CloseIdle(idle time.Duration) (left, unsent int)
 	// Sweep does so too, and ends what callers have left half done.
-	Sweep(idle time.Duration)
+	Reap(idle time.Duration)
 	// Finish ends all connections, once what was read on them is answered.
 	Finish()
 }
 
 // Endings are the connections, of fronts and links, that have ended on this side and
 // wait for their peers.
-type Endings interface {
+type LingeringConns interface {
 	// Sweep closes those whose peers have had their time, and tells how many are left.
-	Sweep(now time.Time) (left int)
+	Reap(now time.Time) (left int)
 }
 
 // Directory is where the service is listed.
-type Directory interface {
-	Open()
-	Serves(ok bool) // or is listed as taking no work
-	Shut()
+type Registry interface {
+	Register()
+	SetAvailable(ok bool) // or is listed as taking no work
+	Deregister()
 }
 
 // Parts are what the core is wired to.
-type Parts struct {
-	Exchange  *exchange.Exchange
-	Deadlines *timerqueue.Set
-	Runner    exchange.Runner
-	Calls     exchange.DependencyClient
-	Directory Directory
-	Fronts    []Front
-	Endings   Endings
-	KeysMost  int                  // bytes of the table of replay keys
-	Now       func() time.Duration // monotonic, since the start of the process
-	Log       *zap.Logger
-	Seed      uint64
-	Settings  *simproto.Settings
+type Config struct {
+	Exchange               *exchange.Exchange
+	Timers                 *timerqueue.Queue
+	Runner                 exchange.Runner
+	Dependency             exchange.DependencyClient
+	Registry               Registry
+	Frontends              []Frontend
+	Lingering              LingeringConns
+	MaxIdempotencyKeyBytes int                  // bytes of the table of replay keys
+	Now                    func() time.Duration // monotonic, since the start of the process
+	Log                    *zap.Logger
+	Seed                   uint64
+	Settings               *simproto.Settings
 }
 
 // Core is the service.
-type Core struct {
-	Parts
+type Dispatcher struct {
+	Config
 	set     admission.Settings
 	control *admission.Controller
 	fresh   bool
@@ -105,7 +105,7 @@
 
 // Check tells what of the settings can't be served. What they allow and the protocol
 // has no word for is left unused: results of reads are not shared, calls not left out.
-func Check(w *simproto.Settings) (admission.Settings, error) {
+func ParseSettings(w *simproto.Settings) (admission.Settings, error) {
 	set, err := w.Rules()
 	if err == nil {
 		err = w.Check()
@@ -133,26 +133,26 @@
 }
 
 // New checks the settings and returns a Core.
-func New(p Parts) (*Core, error) {
-	set, err := Check(p.Settings)
+func New(p Config) (*Dispatcher, error) {
+	set, err := ParseSettings(p.Settings)
 	if err != nil {
 		return nil, err
 	}
 	for _, k := range set.Classes {
 		if k.Effect == admission.Deduplicated { // the module's memory is full when the table is
-			set.KeyKB = max(set.KeyKB, set.MemoryKB/float64(max(1, p.KeysMost/idempotency.EntryMost)))
+			set.KeyKB = max(set.KeyKB, set.MemoryKB/float64(max(1, p.MaxIdempotencyKeyBytes/idempotency.MaxEntryBytes)))
 		}
 	}
 	tenants := map[string]int{}
 	for i, t := range p.Settings.Tenants {
 		tenants[t.Name] = i
 	}
-	return &Core{Parts: p, set: set, fresh: set.Fresh, byID: map[uint32]*request{}, byTrace: map[string]*request{},
-		spent: map[string]struct{}{}, keys: idempotency.New(p.KeysMost), gauges: p.Settings.Gauges(nil), idle: set.IdleMax, tenants: tenants}, nil
+	return &Dispatcher{Config: p, set: set, fresh: set.Fresh, byID: map[uint32]*request{}, byTrace: map[string]*request{},
+		spent: map[string]struct{}{}, keys: idempotency.New(p.MaxIdempotencyKeyBytes), gauges: p.Settings.Gauges(nil), idle: set.IdleMax, tenants: tenants}, nil
 }
 
 // Run turns until the service has drained.
-func (c *Core) Run() {
+func (c *Dispatcher) Run() {
 	c.sweepIdle()
 	timer := time.NewTimer(0)
 	for !c.done {
@@ -164,7 +164,7 @@
 		}
 		c.turn()
 		wait := time.Minute
-		if next, ok := c.Deadlines.Next(); ok {
+		if next, ok := c.Timers.NextDue(); ok {
 			wait = max(0, next-c.Now())
 		}
 		timer.Reset(wait)
@@ -177,12 +177,12 @@
 
 // turn takes what was posted, sweeps the deadlines, asks the module once and
 // carries its actions out in order.
-func (c *Core) turn() {
+func (c *Dispatcher) turn() {
 	c.take()
-	if next, ok := c.Deadlines.Next(); ok && c.Now()-next > gapMost {
+	if next, ok := c.Timers.NextDue(); ok && c.Now()-next > gapMost {
 		c.Log.Warn("turn is late", zap.Duration("by", c.Now()-next))
 	}
-	c.Deadlines.Sweep(c.Now())
+	c.Timers.RunDue(c.Now())
 	c.take()
 	if len(c.events) > 0 {
 		c.decide()
@@ -192,7 +192,7 @@
 	}
 }
 
-func (c *Core) take() {
+func (c *Dispatcher) take() {
 	for {
 		c.batch = c.Exchange.Dequeue(c.batch)
 		if len(c.batch) == 0 {
@@ -204,7 +204,7 @@
 	}
 }
 
-func (c *Core) decide() {
+func (c *Dispatcher) decide() {
 	if c.control == nil {
 		c.set.Fresh = c.fresh
 		control, err := admission.New(c.set, c.Seed)
@@ -231,17 +231,17 @@
 	}
 }
 
-func (c *Core) tell(e admission.Event) { c.events = append(c.events, e) }
+func (c *Dispatcher) tell(e admission.Event) { c.events = append(c.events, e) }
 
 // Load tells what share of the cores is in use, if that is known, and whether the service
 // is warm. It belongs into a step of the exchange.
-func (c *Core) Load() (busy float64, known, warm bool) {
+func (c *Dispatcher) Load() (busy float64, known, warm bool) {
 	c.Runner.RequestGauges() // for the next time
 	return c.gauges.CoreUse, c.gauged > 0 && c.Now()-c.gauged <= gaugesOld, c.readyAt > 0 && c.Now() >= c.warmAt
 }
 
 // note books one event of the exchange.
-func (c *Core) note(e exchange.Event) {
+func (c *Dispatcher) note(e exchange.Event) {
 	switch e := e.(type) {
 	case *exchange.Request:
 		c.arrive(e)
@@ -257,7 +257,7 @@
 			c.warmAt += max(0, c.set.ColdFor-e.Uptime)
 		}
 		c.health()
-		c.Directory.Open()
+		c.Registry.Register()
 		c.tell(admission.Due{Gauges: c.gauges}) // a first event: the module starts
 	case exchange.Callback:
 		e()
@@ -265,15 +265,15 @@
 }
 
 // tellSoon has the module told in a turn that surely comes.
-func (c *Core) tellSoon(e admission.Event) {
+func (c *Dispatcher) tellSoon(e admission.Event) {
 	c.tell(e)
 	c.Exchange.Post(exchange.Callback(func() {}))
 }
 
-func (c *Core) sweepIdle() {
-	c.Endings.Sweep(time.Now())
-	for _, f := range c.Fronts {
-		f.Sweep(c.idle)
+func (c *Dispatcher) sweepIdle() {
+	c.Lingering.Reap(time.Now())
+	for _, f := range c.Frontends {
+		f.Reap(c.idle)
 	}
-	c.Deadlines.At(c.Now()+sweepEvery, c.sweepIdle)
+	c.Timers.Schedule(c.Now()+sweepEvery, c.sweepIdle)
 }
--- a/internal/proxy/dispatch/core_test.go
+++ b/internal/proxy/dispatch/core_test.go
@@ -17,9 +17,9 @@
 // directory is a Directory that does nothing.
 type directory struct{}
 
-func (directory) Open()       {}
-func (directory) Serves(bool) {}
-func (directory) Shut()       {}
+func (directory) Register()         {}
+func (directory) SetAvailable(bool) {}
+func (directory) Deregister()       {}
 
 const smallSite = `{"tick_ns": 4000000, "servers": 1, "counted_by": "work",
 	"classes": [{"name": "balance-view", "effect": "idempotent", "value": 1, "aim_ns": 1000000000, "deadline_ns": 2000000000}],
@@ -33,7 +33,7 @@
 	var settings simproto.Settings
 	require.NoError(t, json.Unmarshal([]byte(smallSite), &settings))
 	now := 10 * time.Second
-	c, err := New(Parts{Exchange: exchange.New(10), Deadlines: &timerqueue.Set{}, Directory: directory{}, Log: zap.NewNop(),
+	c, err := New(Config{Exchange: exchange.New(10), Timers: &timerqueue.Queue{}, Registry: directory{}, Log: zap.NewNop(),
 		Settings: &settings, Now: func() time.Duration { return now }})
 	require.NoError(t, err)
 	const waited, stop = 300 * time.Millisecond, 4 * time.Second
--- a/internal/proxy/dispatch/drain.go
+++ b/internal/proxy/dispatch/drain.go
@@ -11,7 +11,7 @@
 // Drain takes the notice, which came so long ago, that the process will be stopped after
 // the given time. All is counted from when it came: a turn that was late must not have
 // later requests run. It is called in a Step.
-func (c *Core) Drain(waited, stop time.Duration) {
+func (c *Dispatcher) Drain(waited, stop time.Duration) {
 	if c.draining {
 		return
 	}
@@ -21,19 +21,19 @@
 	left := c.stopAt - c.Now()
 	c.Log.Info("drain", zap.Duration("stop_in", left), zap.Int("open", len(c.byID)))
 	if c.Settings.Info.Readiness {
-		c.Directory.Serves(false) // whatever its reports say now is listed at once
+		c.Registry.SetAvailable(false) // whatever its reports say now is listed at once
 	} else {
-		c.Directory.Shut()
+		c.Registry.Deregister()
 	}
 	c.tell(admission.Drain{TimeLeft: max(0, left-stopLead), Waited: waited})
 	c.drainTick()
 }
 
-func (c *Core) drainTick() { c.Deadlines.At(c.Now()+drainSweep, c.drainTick) }
+func (c *Dispatcher) drainTick() { c.Timers.Schedule(c.Now()+drainSweep, c.drainTick) }
 
 // finish closes what is idle once nothing new may run, and ends the process when
 // all connections are closed or the stop is near.
-func (c *Core) finish() {
+func (c *Dispatcher) finish() {
 	now := c.Now()
 	if now < c.closeAt {
 		return
@@ -55,12 +55,12 @@
 
 // stopListening closes the listeners, once. Balancers hear of a drain late: until its grace
 // is over what comes on new connections can still be served.
-func (c *Core) stopListening() {
+func (c *Dispatcher) stopListening() {
 	if c.listenersClosed {
 		return
 	}
 	c.listenersClosed = true
-	for _, f := range c.Fronts {
+	for _, f := range c.Frontends {
 		f.StopListening()
 	}
 }
@@ -68,9 +68,9 @@
 // closeConnections ends what is idle, and near the stop what is half done too, which will
 // not be a request any more. It tells how many connections are left, and how many bytes
 // wait to be sent.
-func (c *Core) closeConnections(now time.Duration) (left, unsent int) {
-	left = c.Endings.Sweep(time.Now())
-	for _, f := range c.Fronts {
+func (c *Dispatcher) closeConnections(now time.Duration) (left, unsent int) {
+	left = c.Lingering.Reap(time.Now())
+	for _, f := range c.Frontends {
 		if now >= c.stopAt-exitLead-closeCross {
 			f.Finish()
 		}
@@ -81,7 +81,7 @@
 }
 
 // unanswered counts the requests that are owed an answer.
-func (c *Core) unanswered() (open int) {
+func (c *Dispatcher) unanswered() (open int) {
 	for _, r := range c.byID {
 		if !r.answered {
 			open++
--- a/internal/proxy/dispatch/request.go
+++ b/internal/proxy/dispatch/request.go
@@ -36,10 +36,10 @@
 	began     time.Duration      // of the run, then of the call
 	called    time.Duration
 	need      []byte // the body of the call that it stands at
-	expire    *timerqueue.Entry
+	expire    *timerqueue.Timer
 }
 
-func (c *Core) arrive(q *exchange.Request) {
+func (c *Dispatcher) arrive(q *exchange.Request) {
 	_, ran := c.spent[q.TraceID]
 	if ran || c.byTrace[q.TraceID] != nil {
 		// A caller sends a try again when its connection was closed under it. The
@@ -67,14 +67,14 @@
 }
 
 // turnDown answers a request of which the module never hears.
-func (c *Core) turnDown(q *exchange.Request, a exchange.Response) {
+func (c *Dispatcher) turnDown(q *exchange.Request, a exchange.Response) {
 	c.Exchange.Release()
 	q.Responder.Respond(a)
 }
 
 // gone ends a request whose connection is lost, or that was taken back: no answer
 // can reach its caller, and what it holds is wanted by others.
-func (c *Core) gone(q *exchange.Request) {
+func (c *Dispatcher) gone(q *exchange.Request) {
 	r := c.byTrace[q.TraceID]
 	if r == nil || r.Request != q || r.answered {
 		return
@@ -87,7 +87,7 @@
 }
 
 // settle gives the final answer, once.
-func (c *Core) settle(r *request, a exchange.Response) {
+func (c *Dispatcher) settle(r *request, a exchange.Response) {
 	if r.answered {
 		return // a DONE after an ABORT, mostly
 	}
@@ -105,12 +105,12 @@
 
 // forget drops what is over. A trace that ran and must not run twice is kept as
 // long as its caller may send it again.
-func (c *Core) forget(r *request) {
-	c.Deadlines.Cancel(r.expire)
+func (c *Dispatcher) forget(r *request) {
+	c.Timers.Cancel(r.expire)
 	delete(c.byID, r.id)
 	delete(c.byTrace, r.TraceID)
 	if r.phase == sharing {
-		c.keys.Leave(r.other, r.id)
+		c.keys.RemoveWaiter(r.other, r.id)
 	}
 	c.keep(r, nil)
 	if !r.ran || c.set.Classes[r.Class].Effect == admission.Idempotent {
@@ -118,5 +118,5 @@
 	}
 	trace := r.TraceID
 	c.spent[trace] = struct{}{}
-	c.Deadlines.At(c.Now()+c.set.Classes[r.Class].Deadline, func() { delete(c.spent, trace) })
+	c.Timers.Schedule(c.Now()+c.set.Classes[r.Class].Deadline, func() { delete(c.spent, trace) })
 }
--- a/internal/proxy/dispatch/runs.go
+++ b/internal/proxy/dispatch/runs.go
@@ -8,18 +8,18 @@
 )
 
 // end stops a run that stands at a call and whose answer is given.
-func (c *Core) end(r *request) {
+func (c *Dispatcher) end(r *request) {
 	if r.phase == calling {
-		c.Calls.Cancel(r.TraceID)
+		c.Dependency.Cancel(r.TraceID)
 	}
-	c.Deadlines.Cancel(r.expire)
+	c.Timers.Cancel(r.expire)
 	r.phase = running
 	if c.set.Halt != admission.HaltNone { // else the engine ends it at its call, being told of the answer
 		c.Runner.Stop(r.TraceID, r.answered)
 	}
 }
 
-func (c *Core) outcome(o exchange.Outcome) {
+func (c *Dispatcher) outcome(o exchange.Outcome) {
 	r := c.byTrace[o.TraceID]
 	if r == nil {
 		return // over: its run was stopped or answered before
@@ -44,12 +44,12 @@
 	}
 }
 
-func (c *Core) ended(r *request, o exchange.Outcome) {
+func (c *Dispatcher) ended(r *request, o exchange.Outcome) {
 	if r.phase == held || r.phase == sharing {
 		return
 	}
 	if r.phase == calling {
-		c.Calls.Cancel(r.TraceID)
+		c.Dependency.Cancel(r.TraceID)
 	}
 	outcomes := map[exchange.Result]admission.Outcome{exchange.ResultOK: admission.OK, exchange.ResultStopped: admission.Cancelled,
 		exchange.ResultObsolete: admission.TooLate, exchange.ResultNotStarted: admission.TooLate}
@@ -65,7 +65,7 @@
 	case o.Result == exchange.ResultStopped && r.suspended && !r.answered:
 		// A stopped run is held again, and may be started again if its class allows;
 		// a paused one goes on when it is taken.
-		c.Deadlines.Cancel(r.expire)
+		c.Timers.Cancel(r.expire)
 		r.phase, r.suspended = held, false
 		if c.set.Halt == admission.HaltPause {
 			r.phase = paused
@@ -77,8 +77,8 @@
 	c.forget(r)
 }
 
-func (c *Core) replied(r *request, o exchange.Outcome) {
-	c.Deadlines.Cancel(r.expire)
+func (c *Dispatcher) replied(r *request, o exchange.Outcome) {
+	c.Timers.Cancel(r.expire)
 	outcomes := map[exchange.Result]admission.Outcome{exchange.ResultOK: admission.OK, exchange.ResultNotStarted: admission.Full,
 		exchange.ResultUnreachable: admission.Unreachable, exchange.ResultTimedOut: admission.DeadlineExceeded, exchange.ResultConnectionLost: admission.Broken}
 	out, ok := outcomes[o.Result]
@@ -94,7 +94,7 @@
 	c.tell(admission.Replied{ID: r.id, Took: c.Now() - r.called, Outcome: out})
 }
 
-func (c *Core) start(now time.Duration, r *request) {
+func (c *Dispatcher) start(now time.Duration, r *request) {
 	unsafe := c.set.Classes[r.Class].Effect != admission.Idempotent
 	if r.phase == paused {
 		r.phase = running
@@ -106,20 +106,20 @@
 	}
 	r.phase, r.ran, r.began = running, true, now
 	if r.own != nil {
-		r.own.Ran = true
+		r.own.Started = true
 	}
 	c.Runner.Run(exchange.Attempt{TraceID: r.TraceID, Class: c.Settings.Classes[r.Class].Name, Idempotent: !unsafe, Body: r.Body})
 }
 
-func (c *Core) call(now time.Duration, r *request, expire time.Duration) {
+func (c *Dispatcher) call(now time.Duration, r *request, expire time.Duration) {
 	if expire == 0 {
 		expire = now + c.set.Classes[r.Class].Deadline
 	}
 	r.phase, r.called = calling, now
 	safe := c.set.Classes[r.Class].Effect == admission.Idempotent
-	c.Calls.Call(exchange.Attempt{TraceID: r.TraceID, Idempotent: safe, Timeout: expire - now, Body: r.need})
-	r.expire = c.Deadlines.At(expire+callSlack, func() { // guards against a service below that says nothing
-		c.Calls.Cancel(r.TraceID)
+	c.Dependency.Call(exchange.Attempt{TraceID: r.TraceID, Idempotent: safe, Timeout: expire - now, Body: r.need})
+	r.expire = c.Timers.Schedule(expire+callSlack, func() { // guards against a service below that says nothing
+		c.Dependency.Cancel(r.TraceID)
 		c.replied(r, exchange.Outcome{Result: exchange.ResultTimedOut})
 	})
 }
--- a/internal/proxy/fdquota/descriptors.go
+++ b/internal/proxy/fdquota/descriptors.go
@@ -25,30 +25,30 @@
 )
 
 // Use is what a process knows of its descriptors when it starts to listen.
-type Use struct {
-	Limit     int // descriptors that the process may have
-	Open      int // that it has already, inherited ones included
-	Listeners int // that it is about to open
-	Others    int // to keep for other parts of the program, such as the replicated store
+type Usage struct {
+	Limit       int // descriptors that the process may have
+	AlreadyOpen int // that it has already, inherited ones included
+	Listeners   int // that it is about to open
+	Reserved    int // to keep for other parts of the program, such as the replicated store
 }
 
 // Shares is how many connections of each kind may be open at a time.
-type Shares struct {
-	Conns int  // of callers and of calls to the records service together
-	Calls int  // of these that are kept for calls
-	Ended int  // that have ended on this side and wait for their peers; twice as many for a moment
-	Short bool // the limit leaves less than these: descriptors may run out
+type Quotas struct {
+	Connections   int  // of callers and of calls to the records service together
+	ReservedCalls int  // of these that are kept for calls
+	Lingering     int  // that have ended on this side and wait for their peers; twice as many for a moment
+	BelowMinimum  bool // the limit leaves less than these: descriptors may run out
 }
 
 // Divide returns the shares. Where the limit leaves too few for the least that the service
 // can work with, it is given that, and told so: a service that may run out of descriptors
 // is of more use than one that does not start.
-func Divide(u Use) Shares {
-	left := u.Limit - u.Open - u.Listeners - u.Others - reserve
+func Divide(u Usage) Quotas {
+	left := u.Limit - u.AlreadyOpen - u.Listeners - u.Reserved - reserve
 	ended := max(left*endedParts/allParts, endedLeast)
 	conns := left - 2*ended
-	s := Shares{Conns: max(conns, connsLeast), Ended: ended, Short: conns < connsLeast}
-	s.Calls = max(s.Conns/callsShare, callsLeast)
+	s := Quotas{Connections: max(conns, connsLeast), Lingering: ended, BelowMinimum: conns < connsLeast}
+	s.ReservedCalls = max(s.Connections/callsShare, callsLeast)
 	return s
 }
 
@@ -56,38 +56,38 @@
 // what callers leave, and always find those that are kept for them. It is safe for
 // concurrent use.
 type Pool struct {
-	shares Shares
+	shares Quotas
 
 	mu             sync.Mutex
 	callers, calls int
 }
 
 // NewPool returns a Pool of which nothing is taken.
-func NewPool(s Shares) *Pool { return &Pool{shares: s} }
+func NewPool(s Quotas) *Pool { return &Pool{shares: s} }
 
 // CallersMost is how many callers there may be at most.
-func (p *Pool) CallersMost() int { return p.shares.Conns - p.shares.Calls }
+func (p *Pool) MaxCallers() int { return p.shares.Connections - p.shares.ReservedCalls }
 
 // CallerFits tells whether one more caller fits beside the calls.
-func (p *Pool) CallerFits() bool {
+func (p *Pool) HasCallerCapacity() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.callers+max(p.calls, p.shares.Calls) < p.shares.Conns
+	return p.callers+max(p.calls, p.shares.ReservedCalls) < p.shares.Connections
 }
 
 // Callers counts so many callers more, or less.
-func (p *Pool) Callers(n int) {
+func (p *Pool) AddCallers(n int) {
 	p.mu.Lock()
 	p.callers += n
 	p.mu.Unlock()
 }
 
 // TakeCall counts one more call, if it fits. Calls take half of what there is at most.
-func (p *Pool) TakeCall() bool {
+func (p *Pool) AcquireCall() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	kept := p.calls < p.shares.Calls
-	free := p.calls+p.callers < p.shares.Conns && p.calls < p.shares.Conns/2
+	kept := p.calls < p.shares.ReservedCalls
+	free := p.calls+p.callers < p.shares.Connections && p.calls < p.shares.Connections/2
 	if kept || free {
 		p.calls++
 		return true
@@ -103,7 +103,7 @@
 }
 
 // EndCall counts one call less.
-func (p *Pool) EndCall() {
+func (p *Pool) ReleaseCall() {
 	p.mu.Lock()
 	p.calls--
 	p.mu.Unlock()
--- a/internal/proxy/idempotency/dedup.go
+++ b/internal/proxy/idempotency/dedup.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	entryCost  = 512                          // bytes of an entry: its structure, its place in the map and in the order
-	ResultMost = 4 << 10                      // bytes of a result, kept free for each request that has none yet
-	EntryMost  = entryCost + 128 + ResultMost // bytes of an entry at the most, with a long key
+	entryCost           = 512                                   // bytes of an entry: its structure, its place in the map and in the order
+	ReservedResultBytes = 4 << 10                               // bytes of a result, kept free for each request that has none yet
+	MaxEntryBytes       = entryCost + 128 + ReservedResultBytes // bytes of an entry at the most, with a long key
 )
 
 // Verdict says what a try is.
-type Verdict uint8
+type ClaimResult uint8
 
 // The verdicts.
 const (
-	First   Verdict = iota // of its request: it owns the entry
-	Repeat                 // the request is known
-	Differs                // the key is another request's
-	Full                   // there is no room for another key
+	Claimed     ClaimResult = iota // of its request: it owns the entry
+	Duplicate                      // the request is known
+	KeyMismatch                    // the key is another request's
+	TableFull                      // there is no room for another key
 )
 
 // Request is what all tries of one request have in common.
@@ -38,16 +38,16 @@
 
 // Entry is a request's place in the table.
 type Entry struct {
-	Owner  uint32 // the try that runs, if one does
-	Ran    bool   // it was started
-	Ended  bool   // nothing more will come of it
-	Result []byte // of a run that went well, else nil
-	key    string
-	class  int
-	body   [sha256.Size]byte
-	cost   int
-	wait   []uint32 // tries that wait for its end
-	until  time.Duration
+	Owner   uint32 // the try that runs, if one does
+	Started bool   // it was started
+	Ended   bool   // nothing more will come of it
+	Result  []byte // of a run that went well, else nil
+	key     string
+	class   int
+	body    [sha256.Size]byte
+	cost    int
+	wait    []uint32 // tries that wait for its end
+	until   time.Duration
 }
 
 // Table holds the entries.
@@ -67,42 +67,42 @@
 func (t *Table) Used() int { return t.used }
 
 // Claim looks a try's request up, and makes the try its owner if it is the first.
-func (t *Table) Claim(now time.Duration, q Request, try uint32) (*Entry, Verdict) {
+func (t *Table) Claim(now time.Duration, q Request, try uint32) (*Entry, ClaimResult) {
 	t.expire(now)
 	body := sha256.Sum256(q.Body)
 	if e := t.byKey[q.Key]; e != nil {
 		if e.class != q.Class || e.body != body {
-			return nil, Differs
+			return nil, KeyMismatch
 		}
-		return e, Repeat
+		return e, Duplicate
 	}
-	e := &Entry{Owner: try, key: q.Key, class: q.Class, body: body, cost: entryCost + len(q.Key) + ResultMost}
+	e := &Entry{Owner: try, key: q.Key, class: q.Class, body: body, cost: entryCost + len(q.Key) + ReservedResultBytes}
 	if t.used+e.cost > t.most {
-		return nil, Full
+		return nil, TableFull
 	}
 	t.used += e.cost
 	t.byKey[q.Key] = e
-	return e, First
+	return e, Claimed
 }
 
 // Wait notes that a try waits for the end of the entry's request.
-func (t *Table) Wait(e *Entry, try uint32) { e.wait = append(e.wait, try) }
+func (t *Table) AddWaiter(e *Entry, try uint32) { e.wait = append(e.wait, try) }
 
 // Leave notes that a try waits no more.
-func (t *Table) Leave(e *Entry, try uint32) {
+func (t *Table) RemoveWaiter(e *Entry, try uint32) {
 	e.wait = slices.DeleteFunc(e.wait, func(w uint32) bool { return w == try })
 }
 
 // End notes what came of the entry's request, and returns the tries that waited for
 // it. If it ran the entry stays until the given time, else it is gone at once.
-func (t *Table) End(e *Entry, result []byte, until time.Duration) []uint32 {
+func (t *Table) Complete(e *Entry, result []byte, until time.Duration) []uint32 {
 	if e.Ended {
 		return nil
 	}
 	e.Ended = true
 	waiting := e.wait
 	e.wait = nil
-	if !e.Ran {
+	if !e.Started {
 		t.remove(e)
 		return waiting
 	}
@@ -116,7 +116,7 @@
 }
 
 // Next is when the next entry expires; false while none will by itself.
-func (t *Table) Next() (time.Duration, bool) {
+func (t *Table) NextExpiry() (time.Duration, bool) {
 	if len(t.expiry) == 0 {
 		return 0, false
 	}
--- a/internal/proxy/idempotency/dedup_test.go
+++ b/internal/proxy/idempotency/dedup_test.go
@@ -34,7 +34,7 @@
 // turned away only where there is no room.
 func TestTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const most = 4 * (entryCost + 2 + ResultMost)
+		const most = 4 * (entryCost + 2 + ReservedResultBytes)
 		table, now, try := New(most), time.Duration(0), uint32(0)
 		keys := map[string]*known{}
 		name := func(t *rapid.T) string { return fmt.Sprint("k", rapid.IntRange(0, 7).Draw(t, "key")) }
@@ -64,39 +64,39 @@
 				e, verdict := table.Claim(now, Request{Key: key, Class: 1, Body: []byte(body)}, try)
 				switch k := keys[key]; {
 				case k != nil && k.body == body:
-					require.Equal(t, Repeat, verdict)
+					require.Equal(t, Duplicate, verdict)
 					require.Same(t, k.entry, e)
 				case k != nil:
-					require.Equal(t, Differs, verdict)
-				case verdict == Full:
-					require.Greater(t, used+entryCost+len(key)+ResultMost, most)
+					require.Equal(t, KeyMismatch, verdict)
+				case verdict == TableFull:
+					require.Greater(t, used+entryCost+len(key)+ReservedResultBytes, most)
 				default:
-					require.Equal(t, First, verdict)
+					require.Equal(t, Claimed, verdict)
 					require.Equal(t, try, e.Owner)
 					keys[key] = &known{entry: e, body: body}
 				}
 			},
-			"run": func(t *rapid.T) { live(t).entry.Ran = true },
+			"run": func(t *rapid.T) { live(t).entry.Started = true },
 			"wait": func(t *rapid.T) {
 				k := live(t)
 				try++
-				table.Wait(k.entry, try)
+				table.AddWaiter(k.entry, try)
 				k.wait = append(k.wait, try)
 			},
 			"leave": func(t *rapid.T) {
 				if k := live(t); len(k.wait) > 0 {
-					table.Leave(k.entry, k.wait[0])
+					table.RemoveWaiter(k.entry, k.wait[0])
 					k.wait = k.wait[1:]
 				}
 			},
 			"end": func(t *rapid.T) {
 				k := live(t)
-				result := []byte(strings.Repeat("r", rapid.IntRange(0, ResultMost).Draw(t, "result")))
+				result := []byte(strings.Repeat("r", rapid.IntRange(0, ReservedResultBytes).Draw(t, "result")))
 				k.until = now + time.Duration(rapid.IntRange(0, 20).Draw(t, "window"))
-				require.Equal(t, len(k.wait), len(table.End(k.entry, result, k.until)))
-				require.Empty(t, table.End(k.entry, nil, 0), "told twice")
+				require.Equal(t, len(k.wait), len(table.Complete(k.entry, result, k.until)))
+				require.Empty(t, table.Complete(k.entry, nil, 0), "told twice")
 				k.wait = nil
-				if !k.entry.Ran {
+				if !k.entry.Started {
 					k.until = 0 // forgotten at once: it may be run yet
 				} else {
 					require.Equal(t, result, append([]byte{}, k.entry.Result...))
@@ -110,9 +110,9 @@
 					sum += e.cost
 				}
 				require.Equal(t, sum, table.Used())
-				if next, ok := table.Next(); ok {
+				if next, ok := table.NextExpiry(); ok {
 					for _, k := range keys {
-						require.True(t, !k.entry.Ended || !k.entry.Ran || k.until >= next || k.until <= now)
+						require.True(t, !k.entry.Ended || !k.entry.Started || k.until >= next || k.until <= now)
 					}
 				}
 			},
@@ -124,8 +124,8 @@
 func TestClassIsPartOfIt(t *testing.T) {
 	table := New(1 << 20)
 	_, verdict := table.Claim(0, Request{Key: "k", Class: 1}, 1)
-	require.Equal(t, First, verdict)
+	require.Equal(t, Claimed, verdict)
 	_, verdict = table.Claim(0, Request{Key: "k", Class: 2}, 2)
-	require.Equal(t, Differs, verdict)
+	require.Equal(t, KeyMismatch, verdict)
 	require.Equal(t, 1, table.Len())
 }
--- a/internal/proxy/timerqueue/deadline.go
+++ b/internal/proxy/timerqueue/deadline.go
@@ -9,7 +9,7 @@
 )
 
 // Entry is one deadline. It can be taken back until it is swept.
-type Entry struct {
+type Timer struct {
 	at   time.Duration
 	seq  uint64
 	do   func()
@@ -17,27 +17,27 @@
 }
 
 // Set is the sorted list, the earliest last so that sweeping is cheap.
-type Set struct {
-	list []*Entry
+type Queue struct {
+	list []*Timer
 	seq  uint64
 }
 
 // compare sorts the later before the earlier, and of one time the last first.
-func compare(a, b *Entry) int {
+func compare(a, b *Timer) int {
 	return cmp.Or(cmp.Compare(b.at, a.at), cmp.Compare(b.seq, a.seq))
 }
 
 // At has do called by the first Sweep at or after the time.
-func (s *Set) At(at time.Duration, do func()) *Entry {
+func (s *Queue) Schedule(at time.Duration, do func()) *Timer {
 	s.seq++
-	e := &Entry{at: at, seq: s.seq, do: do}
+	e := &Timer{at: at, seq: s.seq, do: do}
 	i, _ := slices.BinarySearchFunc(s.list, e, compare)
 	s.list = slices.Insert(s.list, i, e)
 	return e
 }
 
 // Cancel takes a deadline back; nil and swept entries are skipped.
-func (s *Set) Cancel(e *Entry) {
+func (s *Queue) Cancel(e *Timer) {
 	if e == nil || e.done {
 		return
 	}
@@ -48,7 +48,7 @@
 }
 
 // Next is the earliest deadline, if there is one.
-func (s *Set) Next() (time.Duration, bool) {
+func (s *Queue) NextDue() (time.Duration, bool) {
 	if len(s.list) == 0 {
 		return 0, false
 	}
@@ -57,7 +57,7 @@
 
 // Sweep calls all that is due, in order. What they add is left for the next
 // sweep unless it is due by now too.
-func (s *Set) Sweep(now time.Duration) {
+func (s *Queue) RunDue(now time.Duration) {
 	for len(s.list) > 0 {
 		e := s.list[len(s.list)-1]
 		if e.at > now {
--- a/internal/transport/ajp/golden_test.go
+++ b/internal/transport/ajp/golden_test.go
@@ -114,8 +114,8 @@
 	require.NoError(t, err)
 	defer loop.Stop()
 	x, began := exchange.New(10), time.Now()
-	u := NewUpstreams([]string{ln.Addr().String()}, "s3", []string{"core_use", "on_cores", "links"}, slowstart.Limits{Cores: 4}, 1,
-		session.Env{Exchange: x, Loop: loop, Due: &timerqueue.Set{}, Now: func() time.Duration { return time.Since(began) }, Log: zap.NewNop()})
+	u := NewUpstreams([]string{ln.Addr().String()}, "s3", []string{"core_use", "on_cores", "links"}, slowstart.Config{Cores: 4}, 1,
+		session.Env{Exchange: x, Loop: loop, Due: &timerqueue.Queue{}, Now: func() time.Duration { return time.Since(began) }, Log: zap.NewNop()})
 	var events []exchange.Event
 	turn := func() {
 		for _, e := range x.Dequeue(nil) {
--- a/internal/transport/ajp/upstream.go
+++ b/internal/transport/ajp/upstream.go
@@ -47,7 +47,7 @@
 	ready  bool
 
 	servers map[string]*upServer // by address
-	limits  slowstart.Limits     // of a server that has just started
+	limits  slowstart.Config     // of a server that has just started
 	seed    uint64
 	waiting []*upRun // for a slot at a server that is warming up, oldest first
 	looking bool     // a look at those that wait is due
@@ -56,10 +56,10 @@
 // upServer is what is known of the server at one address.
 type upServer struct {
 	addr    string
-	conns   int             // that are made or being made
-	running int             // runs on them
-	away    bool            // it refused the latest connection
-	ramp    *slowstart.Ramp // since its start was learned of, nil once it is warm
+	conns   int                  // that are made or being made
+	running int                  // runs on them
+	away    bool                 // it refused the latest connection
+	ramp    *slowstart.SlowStart // since its start was learned of, nil once it is warm
 }
 
 // upRun is a run that has not ended.
@@ -87,13 +87,13 @@
 	body   []byte // of the request, still to be sent
 	status int
 	result []byte
-	timer  *timerqueue.Entry
+	timer  *timerqueue.Timer
 	closed bool
 }
 
 // NewUpstreams returns a runner that isn't connected. The limits hold for each of the
 // servers; seed differs between processes.
-func NewUpstreams(addrs []string, secret string, gauges []string, limits slowstart.Limits, seed uint64, env session.Env) *Upstreams {
+func NewUpstreams(addrs []string, secret string, gauges []string, limits slowstart.Config, seed uint64, env session.Env) *Upstreams {
 	return &Upstreams{Env: env, addrs: addrs, secret: secret, cores: limits.Cores, gauges: gauges, runs: map[string]*upRun{},
 		servers: map[string]*upServer{}, limits: limits, seed: seed}
 }
@@ -104,7 +104,7 @@
 		return
 	}
 	u.connect(u.nextAddr(), nil)
-	u.Due.At(u.Now()+probeEvery, u.Open)
+	u.Due.Schedule(u.Now()+probeEvery, u.Open)
 }
 
 // Move has new runs go to other addresses. Those that are out stay where they are. A server
@@ -144,7 +144,7 @@
 	if s.ramp != nil && s.ramp.Warm(u.Now()) {
 		s.ramp = nil
 	}
-	return s.ramp == nil || s.running < s.ramp.Slots(u.Now())
+	return s.ramp == nil || s.running < s.ramp.Quota(u.Now())
 }
 
 // Run has a run done.
@@ -185,7 +185,7 @@
 		return
 	}
 	u.looking = true
-	u.Due.At(u.Now()+rampAgain, func() {
+	u.Due.Schedule(u.Now()+rampAgain, func() {
 		u.looking = false
 		waiting := u.waiting
 		u.waiting = nil
@@ -235,7 +235,7 @@
 		u.started(s)
 	case errors.Is(err, syscall.ECONNREFUSED) && !s.away:
 		s.away = true
-		u.Due.At(u.Now()+probeEvery, func() { u.probe(s) })
+		u.Due.Schedule(u.Now()+probeEvery, func() { u.probe(s) })
 	}
 }
 
@@ -245,7 +245,7 @@
 		return
 	}
 	u.connect(s.addr, nil)
-	u.Due.At(u.Now()+probeEvery, func() { u.probe(s) })
+	u.Due.Schedule(u.Now()+probeEvery, func() { u.probe(s) })
 }
 
 func (c *upConn) opened(addr string, sock *eventloop.Conn, err error) {
@@ -270,7 +270,7 @@
 	c.up.Due.Cancel(c.timer)
 	c.asked = true
 	c.sock.Write(packet(toServer, []byte{codeCPing}))
-	c.timer = c.up.Due.At(c.up.Now()+pongTimeout, func() { c.lost(errLost) })
+	c.timer = c.up.Due.Schedule(c.up.Now()+pongTimeout, func() { c.lost(errLost) })
 }
 
 func (c *upConn) send() {
@@ -447,7 +447,7 @@
 // rest keeps the connection for the next run.
 func (c *upConn) rest() {
 	c.up.free = append(c.up.free, c)
-	c.timer = c.up.Due.At(c.up.Now()+upIdleMost, func() { c.lost(nil) })
+	c.timer = c.up.Due.Schedule(c.up.Now()+upIdleMost, func() { c.lost(nil) })
 }
 
 func (c *upConn) finished(reuse bool) {
--- a/internal/transport/engine/engine.go
+++ b/internal/transport/engine/engine.go
@@ -52,7 +52,7 @@
 	conn    *eventloop.Conn
 	present int // number of conn, 0 without one
 	dialed  int // number of the latest attempt
-	again   *timerqueue.Entry
+	again   *timerqueue.Timer
 	up      bool
 	ready   bool // said so once
 	last    uint64
@@ -105,7 +105,7 @@
 	}
 	l.conn, l.present, l.up, l.gap, l.quiet = c, n, false, false, 0
 	l.write(fmt.Sprintf("ATTACH %d", l.last), nil, false)
-	l.Due.At(l.Now()+helloMost, func() { l.attachAgain(n) })
+	l.Due.Schedule(l.Now()+helloMost, func() { l.attachAgain(n) })
 }
 
 // attachAgain opens another link if the given one is the latest and had no HELLO so far.
@@ -127,7 +127,7 @@
 	}
 	l.dialed++ // what was attempted counts no more
 	l.Log.Warn("engine link lost", zap.Error(err), zap.Duration("again_in", l.retry))
-	l.again = l.Due.At(l.Now()+l.retry, l.Open)
+	l.again = l.Due.Schedule(l.Now()+l.retry, l.Open)
 	l.retry = min(2*l.retry, retryMost)
 }
 
--- a/internal/transport/engine/golden_test.go
+++ b/internal/transport/engine/golden_test.go
@@ -33,7 +33,7 @@
 	t.Cleanup(loop.Stop)
 	began, x := time.Now(), exchange.New(10)
 	return &fixture{t: t, exchange: x, listener: ln, link: New(ln.Addr().String(), pauses, session.Env{Exchange: x, Loop: loop,
-		Due: &timerqueue.Set{}, Now: func() time.Duration { return time.Since(began) }, Log: zap.NewNop()})}
+		Due: &timerqueue.Queue{}, Now: func() time.Duration { return time.Since(began) }, Log: zap.NewNop()})}
 }
 
 // turn carries out steps, and keeps other events.
--- a/internal/transport/eventloop/socket.go
+++ b/internal/transport/eventloop/socket.go
@@ -363,7 +363,7 @@
 
 // Sweep closes connections whose peers have had their time since the end, and tells
 // how many are left that have ended.
-func (l *Loop) Sweep(now time.Time) (left int) {
+func (l *Loop) Reap(now time.Time) (left int) {
 	var old []*Conn
 	l.mu.Lock()
 	l.lingering = slices.DeleteFunc(l.lingering, func(c *Conn) bool {
--- a/internal/transport/eventloop/socket_test.go
+++ b/internal/transport/eventloop/socket_test.go
@@ -233,13 +233,13 @@
 	require.Equal(t, len(answer), len(got))
 	_, err = c.Write([]byte("and after it"))
 	require.NoError(t, err)
-	require.Equal(t, 1, loop.Sweep(time.Now()), "still there for its peer")
+	require.Equal(t, 1, loop.Reap(time.Now()), "still there for its peer")
 	require.NoError(t, c.CloseWrite())
 	require.NoError(t, drop(<-p.closed))
 	require.Empty(t, p.data, "nothing is handled after the end")
 	_, err = c.Read(make([]byte, 1))
 	require.Equal(t, io.EOF, err, "no reset in the end either")
-	require.Zero(t, loop.Sweep(time.Now()))
+	require.Zero(t, loop.Reap(time.Now()))
 }
 
 // drop is an error that is not the peer's end.
@@ -257,8 +257,8 @@
 	p, _ := connect()
 	p.conn.End()
 	p.conn.End() // once is enough
-	require.Equal(t, 1, loop.Sweep(time.Now()))
-	require.Zero(t, loop.Sweep(time.Now().Add(lingerMost)), "its time is over")
+	require.Equal(t, 1, loop.Reap(time.Now()))
+	require.Zero(t, loop.Reap(time.Now().Add(lingerMost)), "its time is over")
 	<-p.closed
 
 	p, c := connect()
@@ -277,8 +277,8 @@
 		p, _ := connect()
 		p.conn.End()
 	}
-	require.Equal(t, lingerBound*2, loop.Sweep(time.Now()))
-	require.Zero(t, loop.Sweep(time.Now().Add(lingerMost)))
+	require.Equal(t, lingerBound*2, loop.Reap(time.Now()))
+	require.Zero(t, loop.Reap(time.Now().Add(lingerMost)))
 
 	var peers []*peer
 	for range 3 {
@@ -286,7 +286,7 @@
 		p.conn.End()
 		peers = append(peers, p)
 	}
-	require.Equal(t, 3, loop.Sweep(time.Now()), "what crosses an end has its time, whatever the bound")
+	require.Equal(t, 3, loop.Reap(time.Now()), "what crosses an end has its time, whatever the bound")
 	require.Eventually(t, func() bool { // the bound counts for those that have had it
 		p, c := connect()
 		p.conn.End()
@@ -319,7 +319,7 @@
 			read += n
 		}
 		began = began.Add(lingerMost * 9 / 10)
-		require.Equal(t, 1, loop.Sweep(began), "after %d bytes", read)
+		require.Equal(t, 1, loop.Reap(began), "after %d bytes", read)
 	}
 	_, err := io.Copy(io.Discard, c)
 	require.NoError(t, err)
@@ -330,7 +330,7 @@
 	at := time.Now()
 	require.Eventually(t, func() bool { // once the system's buffers are full
 		at = at.Add(lingerMost)
-		return loop.Sweep(at) == 0
+		return loop.Reap(at) == 0
 	}, 10*time.Second, time.Millisecond, "its time is over")
 	<-p.closed
 }
@@ -395,7 +395,7 @@
 		p.conn.End()
 		p.conn.Abandon()
 	}
-	require.Zero(t, loop.Sweep(time.Now()))
+	require.Zero(t, loop.Reap(time.Now()))
 	loop.mu.Lock()
 	defer loop.mu.Unlock()
 	require.Empty(t, loop.leaving)
--- a/internal/transport/frontend/front.go
+++ b/internal/transport/frontend/front.go
@@ -360,14 +360,14 @@
 		h := handle(c)
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		full := len(s.conns) >= s.most || !s.pool.CallerFits()
+		full := len(s.conns) >= s.most || !s.pool.HasCallerCapacity()
 		if full && !s.makeRoom() {
 			log.Warn("connection not taken", zap.Int("most", most))
 			c.End() // nothing runs, and a request that is on its way is sent again elsewhere
 			return h
 		}
 		s.conns[h] = struct{}{}
-		s.pool.Callers(1)
+		s.pool.AddCallers(1)
 		return h
 	}, func(err error) { log.Warn("connection not taken", zap.Error(err)) })
 	if err != nil {
@@ -462,7 +462,7 @@
 
 // Sweep ends the connections of callers that owe their next step for too long,
 // and closes those that have been idle for so long.
-func (s *Conns) Sweep(idle time.Duration) {
+func (s *Conns) Reap(idle time.Duration) {
 	s.mu.Lock()
 	late, now := 0, time.Now()
 	for c := range s.conns {
@@ -507,7 +507,7 @@
 func (s *Conns) forget(c Conn) {
 	if _, ok := s.conns[c]; ok {
 		delete(s.conns, c)
-		s.pool.Callers(-1)
+		s.pool.AddCallers(-1)
 	}
 }
 
--- a/internal/transport/records/golden_test.go
+++ b/internal/transport/records/golden_test.go
@@ -26,8 +26,8 @@
 	require.NoError(t, err)
 	defer loop.Stop()
 	r := &rig{t: t, exchange: exchange.New(10)}
-	pool := fdquota.NewPool(fdquota.Shares{Conns: 8, Calls: 4})
-	r.link = New(ln.Addr().String(), pool, 0, session.Env{Exchange: r.exchange, Loop: loop, Due: &timerqueue.Set{},
+	pool := fdquota.NewPool(fdquota.Quotas{Connections: 8, ReservedCalls: 4})
+	r.link = New(ln.Addr().String(), pool, 0, session.Env{Exchange: r.exchange, Loop: loop, Due: &timerqueue.Queue{},
 		Now: func() time.Duration { return time.Minute }, Log: zap.NewNop()}) // the clock stands still: so does the time in each line
 	accept := func() net.Conn {
 		c, err := ln.Accept()
--- a/internal/transport/records/records.go
+++ b/internal/transport/records/records.go
@@ -48,7 +48,7 @@
 	until  time.Duration // the service need not try longer
 	sends  int
 	dials  int               // that were refused
-	redial *timerqueue.Entry // the next one
+	redial *timerqueue.Timer // the next one
 }
 
 // conn is a connection. It carries one call at a time: after a spoilt reply a
@@ -62,7 +62,7 @@
 	gone  bool
 	stray int           // replies that belong to no call, since its latest
 	sent  time.Duration // when its call was
-	due   *timerqueue.Entry
+	due   *timerqueue.Timer
 }
 
 // Link is the exchange.Caller that speaks to the records service.
@@ -132,10 +132,10 @@
 		l.Exchange.Post(exchange.Outcome{TraceID: k.TraceID, Stage: exchange.CallEnded, Result: exchange.ResultUnreachable})
 		return true
 	}
-	room := l.pool.TakeCall()
+	room := l.pool.AcquireCall()
 	if !room && len(l.free) > 0 {
 		l.free[0].close() // its place is for this call, not for one that waits
-		room = l.pool.TakeCall()
+		room = l.pool.AcquireCall()
 	}
 	if room {
 		l.connect(k)
@@ -179,7 +179,7 @@
 		return
 	}
 	c.call, k.conn = nil, nil
-	k.redial = l.Due.At(l.Now()+dialAgain<<(k.dials-1), func() { l.place(k) })
+	k.redial = l.Due.Schedule(l.Now()+dialAgain<<(k.dials-1), func() { l.place(k) })
 	c.end(exchange.ResultUnreachable)
 }
 
@@ -191,7 +191,7 @@
 	c.sock.Write(lineproto.Append(nil, line, k.Body, true))
 	// Guards against replies that never come, or never end.
 	if k.again() {
-		c.due = l.Due.At(c.sent+l.patience(), func() { c.lost(errLate) })
+		c.due = l.Due.Schedule(c.sent+l.patience(), func() { c.lost(errLate) })
 	}
 }
 
@@ -233,7 +233,7 @@
 // close closes the connection and frees its place.
 func (c *conn) close() {
 	c.gone = true
-	c.link.pool.EndCall()
+	c.link.pool.ReleaseCall()
 	c.link.take(c)
 	if c.sock != nil {
 		c.sock.End()
@@ -251,7 +251,7 @@
 		if l.lingers == 0 {
 			l.place(k)
 		} else {
-			k.redial = l.Due.At(l.Now()+l.lingers, func() { l.place(k) })
+			k.redial = l.Due.Schedule(l.Now()+l.lingers, func() { l.place(k) })
 		}
 	default:
 		c.finish(end, nil)
@@ -329,7 +329,7 @@
 	}
 	l.free = append(l.free, c)
 	l.Due.Cancel(c.due)
-	c.due = l.Due.At(l.Now()+idleMost, func() { c.end(exchange.ResultUnreachable) })
+	c.due = l.Due.Schedule(l.Now()+idleMost, func() { c.end(exchange.ResultUnreachable) })
 	if len(l.free) > freeMost {
 		l.free[0].end(exchange.ResultUnreachable)
 	}
--- a/internal/transport/records/records_test.go
+++ b/internal/transport/records/records_test.go
@@ -37,7 +37,7 @@
 }
 
 func newRig(t *testing.T, most int) *rig {
-	pool := fdquota.NewPool(fdquota.Shares{Conns: 2 * most, Calls: most})
+	pool := fdquota.NewPool(fdquota.Quotas{Connections: 2 * most, ReservedCalls: most})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { ln.Close() })
@@ -56,7 +56,7 @@
 	require.NoError(t, err)
 	t.Cleanup(loop.Stop)
 	began := time.Now()
-	r.link = New(ln.Addr().String(), pool, 0, session.Env{Exchange: r.exchange, Loop: loop, Due: &timerqueue.Set{},
+	r.link = New(ln.Addr().String(), pool, 0, session.Env{Exchange: r.exchange, Loop: loop, Due: &timerqueue.Queue{},
 		Now: func() time.Duration { return time.Since(began) }, Log: zap.NewNop()})
 	return r
 }
--- a/internal/transport/registry/directory.go
+++ b/internal/transport/registry/directory.go
@@ -27,7 +27,7 @@
 	addr string
 	name string
 	sock *sock
-	next *timerqueue.Entry
+	next *timerqueue.Timer
 	open bool   // there are reports
 	shut bool   // for good
 	says string // what they say
@@ -44,12 +44,12 @@
 }
 
 // Open reports this service from now on, as open until it is told otherwise.
-func (l *Link) Open() {
+func (l *Link) Register() {
 	if l.shut {
 		return
 	}
 	l.open = true
-	l.next = l.Due.At(l.Now()+pulseEvery, l.Open)
+	l.next = l.Due.Schedule(l.Now()+pulseEvery, l.Register)
 	if l.addr == "" {
 		return
 	}
@@ -86,13 +86,13 @@
 	l.sock, l.away = nil, false
 	if l.open && !l.shut {
 		l.Due.Cancel(l.next)
-		l.Open()
+		l.Register()
 	}
 }
 
 // Serves reports this service as open, or as listed and taking no work, from now on.
 // Reports get lost: each that follows says the same.
-func (l *Link) Serves(ok bool) {
+func (l *Link) SetAvailable(ok bool) {
 	was := l.says
 	if l.says = open; !ok {
 		l.says = closed
@@ -103,7 +103,7 @@
 }
 
 // Shut reports this service as closed, and nothing after that: its entry lapses.
-func (l *Link) Shut() {
+func (l *Link) Deregister() {
 	l.shut = true
 	l.Due.Cancel(l.next)
 	l.pulse(closed)
--- a/internal/transport/registry/golden_test.go
+++ b/internal/transport/registry/golden_test.go
@@ -23,7 +23,7 @@
 		return list
 	}
 	first, second := listen(), listen()
-	x, due, now := exchange.New(10), &timerqueue.Set{}, time.Duration(0)
+	x, due, now := exchange.New(10), &timerqueue.Queue{}, time.Duration(0)
 	l := New(first.LocalAddr().String(), "n3", session.Env{Exchange: x, Due: due, Now: func() time.Duration { return now }, Log: zap.NewNop()})
 	hears := func(list net.PacketConn, want string) {
 		t.Helper()
@@ -41,27 +41,27 @@
 	}
 	advance := func(d time.Duration) {
 		now += d
-		due.Sweep(now)
+		due.RunDue(now)
 	}
-	l.Serves(false) // nothing is reported before Open
-	l.Serves(true)
-	l.Open()
+	l.SetAvailable(false) // nothing is reported before Open
+	l.SetAvailable(true)
+	l.Register()
 	hears(first, "PULSE n3 open")
 	advance(299 * time.Millisecond)
 	advance(time.Millisecond) // the period
 	hears(first, "PULSE n3 open")
-	l.Serves(false)
+	l.SetAvailable(false)
 	hears(first, "PULSE n3 closed")
-	l.Serves(false) // no change, no report
+	l.SetAvailable(false) // no change, no report
 	advance(300 * time.Millisecond)
 	hears(first, "PULSE n3 closed")
-	l.Serves(true)
+	l.SetAvailable(true)
 	hears(first, "PULSE n3 open")
 	l.Move(second.LocalAddr().String())
 	hears(second, "PULSE n3 open")
-	l.Shut()
+	l.Deregister()
 	hears(second, "PULSE n3 closed")
-	l.Serves(true)
+	l.SetAvailable(true)
 	advance(time.Second)
 	for _, list := range []net.PacketConn{first, second} {
 		require.NoError(t, list.SetReadDeadline(time.Now().Add(50*time.Millisecond)))
--- a/internal/transport/session/link.go
+++ b/internal/transport/session/link.go
@@ -19,7 +19,7 @@
 type Env struct {
 	Exchange *exchange.Exchange
 	Loop     *eventloop.Loop
-	Due      *timerqueue.Set
+	Due      *timerqueue.Queue
 	Now      func() time.Duration
 	Log      *zap.Logger
 }
