--- a/cmd/oxbowbridge/config.go
+++ b/cmd/oxbowbridge/config.go
@@ -16,35 +16,35 @@
 
 // config is the file that BALANCER_CONFIG names.
 type config struct {
-	Name    string `json:"name"`
-	Listen  string `json:"listen"`
-	Engine  string `json:"engine"`
-	Lookup  string `json:"lookup"`
-	Records string `json:"records"`
-	Seed    string `json:"seed"`
-	StopMS  int64  `json:"stop_ms"`
-	Limits  struct {
+	Name            string `json:"name"`
+	ListenAddress   string `json:"listen"`
+	EngineAddress   string `json:"engine"`
+	RegistryAddress string `json:"lookup"`
+	RecordsAddress  string `json:"records"`
+	Seed            string `json:"seed"`
+	DrainTimeoutMS  int64  `json:"stop_ms"`
+	Limits          struct {
 		Cores    float64 `json:"cores"`
 		MemoryMB int64   `json:"memory_mb"`
 		Sockets  int     `json:"sockets"`
 	} `json:"limits"`
-	Settings simproto.Settings `json:"settings"`
-	AJP      *ajpConfig        `json:"ajp"`   // absent on the platform
-	Store    *store.Config     `json:"store"` // absent on the platform
-	Work     *agent.Config     `json:"work"`  // absent on the platform
-	stored   bool              // the settings in force are those of the store
+	Settings          simproto.Settings `json:"settings"`
+	AJP               *ajpConfig        `json:"ajp"`   // absent on the platform
+	Store             *store.Config     `json:"store"` // absent on the platform
+	Maintenance       *agent.Config     `json:"work"`  // absent on the platform
+	settingsFromStore bool              // the settings in force are those of the store
 }
 
 // ajpConfig sets up callers and upstreams that speak AJP13.
 type ajpConfig struct {
-	Listen         string   `json:"listen"`
-	Secret         string   `json:"secret"`
-	Upstreams      []string `json:"upstreams"` // they do the work, in place of an engine
-	UpstreamSecret string   `json:"upstream_secret"`
+	ListenAddress     string   `json:"listen"`
+	Secret            string   `json:"secret"`
+	UpstreamAddresses []string `json:"upstreams"` // they do the work, in place of an engine
+	UpstreamSecret    string   `json:"upstream_secret"`
 }
 
 // fault is an error in one field of the configuration.
-func fault(field, format string, args ...any) error {
+func fieldError(field, format string, args ...any) error {
 	return fmt.Errorf("%s: %w", field, fmt.Errorf(format, args...))
 }
 
@@ -54,11 +54,11 @@
 func readConfig(env func(string) string) (*config, error) {
 	path := env("BALANCER_CONFIG")
 	if path == "" {
-		return nil, fault("BALANCER_CONFIG", "%w", errMissing)
+		return nil, fieldError("BALANCER_CONFIG", "%w", errMissing)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fault("BALANCER_CONFIG", "%w", err)
+		return nil, fieldError("BALANCER_CONFIG", "%w", err)
 	}
 	return parseConfig(text, env)
 }
@@ -72,30 +72,30 @@
 		c.Name = v
 	}
 	if v := env("BALANCER_LISTEN"); v != "" {
-		c.Listen = v
+		c.ListenAddress = v
 	}
-	return &c, c.check()
+	return &c, c.validate()
 }
 
 // changes names the fields that another file has changed: those that are followed
 // while the program runs, or those that wait for its next start.
-func (c *config) changes(to *config, followed bool) []string {
-	swapped := (c.Engine == "") != (to.Engine == "") // the engine for upstreams, or back
+func (c *config) changedFields(to *config, followed bool) []string {
+	swapped := (c.EngineAddress == "") != (to.EngineAddress == "") // the engine for upstreams, or back
 	names := []string{}
 	for _, f := range []struct {
 		name     string
 		old, new any
 		followed bool
 	}{
-		{"engine", c.Engine, to.Engine, !swapped}, {"records", c.Records, to.Records, true},
-		{"lookup", c.Lookup, to.Lookup, true}, {"stop_ms", c.StopMS, to.StopMS, true},
-		{"ajp.upstreams", c.AJP.Upstreams, to.AJP.Upstreams, !swapped},
+		{"engine", c.EngineAddress, to.EngineAddress, !swapped}, {"records", c.RecordsAddress, to.RecordsAddress, true},
+		{"lookup", c.RegistryAddress, to.RegistryAddress, true}, {"stop_ms", c.DrainTimeoutMS, to.DrainTimeoutMS, true},
+		{"ajp.upstreams", c.AJP.UpstreamAddresses, to.AJP.UpstreamAddresses, !swapped},
 		{"ajp.upstream_secret", c.AJP.UpstreamSecret, to.AJP.UpstreamSecret, !swapped},
-		{"name", c.Name, to.Name, false}, {"listen", c.Listen, to.Listen, false}, {"limits", c.Limits, to.Limits, false},
-		{"settings", c.Settings, to.Settings, false}, {"ajp.listen", c.AJP.Listen, to.AJP.Listen, false},
+		{"name", c.Name, to.Name, false}, {"listen", c.ListenAddress, to.ListenAddress, false}, {"limits", c.Limits, to.Limits, false},
+		{"settings", c.Settings, to.Settings, false}, {"ajp.listen", c.AJP.ListenAddress, to.AJP.ListenAddress, false},
 		{"ajp.secret", c.AJP.Secret, to.AJP.Secret, false}, {"store", c.Store, to.Store, false},
 	} {
-		if f.name == "settings" && c.stored {
+		if f.name == "settings" && c.settingsFromStore {
 			continue // the store's go before the file's
 		}
 		if f.followed == followed && !reflect.DeepEqual(f.old, f.new) {
@@ -105,9 +105,9 @@
 	return names
 }
 
-func (c *config) check() error {
+func (c *config) validate() error {
 	if c.Name == "" {
-		return fault("name", "%w", errMissing)
+		return fieldError("name", "%w", errMissing)
 	}
 	if c.AJP == nil {
 		c.AJP = &ajpConfig{}
@@ -116,9 +116,9 @@
 		field, addr string
 		needed      bool
 	}
-	addresses := []address{{"listen", c.Listen, c.AJP.Listen == ""}, {"engine", c.Engine, len(c.AJP.Upstreams) == 0},
-		{"lookup", c.Lookup, false}, {"records", c.Records, false}, {"ajp.listen", c.AJP.Listen, false}}
-	for _, a := range c.AJP.Upstreams {
+	addresses := []address{{"listen", c.ListenAddress, c.AJP.ListenAddress == ""}, {"engine", c.EngineAddress, len(c.AJP.UpstreamAddresses) == 0},
+		{"lookup", c.RegistryAddress, false}, {"records", c.RecordsAddress, false}, {"ajp.listen", c.AJP.ListenAddress, false}}
+	for _, a := range c.AJP.UpstreamAddresses {
 		addresses = append(addresses, address{"ajp.upstreams", a, true})
 	}
 	for _, a := range addresses {
@@ -126,19 +126,19 @@
 			continue
 		}
 		if a.addr == "" {
-			return fault(a.field, "%w", errMissing)
+			return fieldError(a.field, "%w", errMissing)
 		}
 		if _, _, err := net.SplitHostPort(a.addr); err != nil {
-			return fault(a.field, "%w", err)
+			return fieldError(a.field, "%w", err)
 		}
 	}
-	if _, err := c.seed(); err != nil {
+	if _, err := c.parsedSeed(); err != nil {
 		return err
 	}
 	// A stranger who reaches an AJP port can set any field of a request.
-	if host, _, _ := net.SplitHostPort(c.AJP.Listen); host != "" && c.AJP.Secret == "" {
+	if host, _, _ := net.SplitHostPort(c.AJP.ListenAddress); host != "" && c.AJP.Secret == "" {
 		if ip := net.ParseIP(host); ip == nil || !ip.IsLoopback() {
-			return fault("ajp.secret", "needed unless ajp.listen is a loopback address")
+			return fieldError("ajp.secret", "needed unless ajp.listen is a loopback address")
 		}
 	}
 	if _, err := dispatch.ParseSettings(&c.Settings); err != nil {
@@ -149,39 +149,39 @@
 			return fmt.Errorf("store.%w", err)
 		}
 	}
-	if c.Work != nil {
-		if err := c.Work.Check(); err != nil {
+	if c.Maintenance != nil {
+		if err := c.Maintenance.Check(); err != nil {
 			return fmt.Errorf("work.%w", err)
 		}
 	}
 	switch {
-	case c.Work != nil && c.Store == nil && len(c.Work.Nodes) == 0:
-		return fault("work.nodes", "%w, as this service has no store", errMissing)
-	case c.Work != nil && c.Limits.Cores == 0:
-		return fault("limits.cores", "needed with work")
-	case c.Engine != "" && len(c.AJP.Upstreams) > 0:
-		return fault("ajp.upstreams", "not together with engine")
-	case c.Store != nil && c.StopMS < 2000:
-		return fault("stop_ms", "%d is too short, want at least 2000 with a store", c.StopMS)
-	case c.StopMS < 500:
-		return fault("stop_ms", "%d is too short, want at least 500", c.StopMS)
+	case c.Maintenance != nil && c.Store == nil && len(c.Maintenance.Nodes) == 0:
+		return fieldError("work.nodes", "%w, as this service has no store", errMissing)
+	case c.Maintenance != nil && c.Limits.Cores == 0:
+		return fieldError("limits.cores", "needed with work")
+	case c.EngineAddress != "" && len(c.AJP.UpstreamAddresses) > 0:
+		return fieldError("ajp.upstreams", "not together with engine")
+	case c.Store != nil && c.DrainTimeoutMS < 2000:
+		return fieldError("stop_ms", "%d is too short, want at least 2000 with a store", c.DrainTimeoutMS)
+	case c.DrainTimeoutMS < 500:
+		return fieldError("stop_ms", "%d is too short, want at least 500", c.DrainTimeoutMS)
 	case c.Limits.MemoryMB < 32:
-		return fault("limits.memory_mb", "%d is too little, want at least 32", c.Limits.MemoryMB)
+		return fieldError("limits.memory_mb", "%d is too little, want at least 32", c.Limits.MemoryMB)
 	case c.Limits.Sockets < 64:
-		return fault("limits.sockets", "%d are too few, want at least 64", c.Limits.Sockets)
+		return fieldError("limits.sockets", "%d are too few, want at least 64", c.Limits.Sockets)
 	case c.Limits.Cores < 0:
-		return fault("limits.cores", "%g is impossible", c.Limits.Cores)
+		return fieldError("limits.cores", "%g is impossible", c.Limits.Cores)
 	}
 	return nil
 }
 
-func (c *config) seed() (uint64, error) {
+func (c *config) parsedSeed() (uint64, error) {
 	if c.Seed == "" {
 		return 0, nil
 	}
 	n, err := strconv.ParseUint(c.Seed, 16, 64)
 	if err != nil {
-		return 0, fault("seed", "want up to 16 hex digits, not %q", c.Seed)
+		return 0, fieldError("seed", "want up to 16 hex digits, not %q", c.Seed)
 	}
 	return n, nil
 }
--- a/cmd/oxbowbridge/durable.go
+++ b/cmd/oxbowbridge/durable.go
@@ -59,7 +59,7 @@
 			err = errors.Join(printJSON(c.OutOrStdout(), report), err)
 		}
 		if errors.Is(err, durable.ErrHopeless) {
-			return &exitError{codeDamaged, err}
+			return &exitError{exitCodeDamaged, err}
 		}
 		return err
 	})
@@ -82,7 +82,7 @@
 	if r.Loss != durable.AcknowledgedLoss {
 		return nil
 	}
-	return &exitError{codeDamaged, &durable.DamagedError{Report: r}}
+	return &exitError{exitCodeDamaged, &durable.DamagedError{Report: r}}
 }
 
 // withView reads a folder that nobody else may have open, and changes nothing in it.
@@ -111,7 +111,7 @@
 	}
 	s, r, err := durable.Open(fs, durable.Options{})
 	if errors.Is(err, durable.ErrDamaged) {
-		return nil, &exitError{codeDamaged, err}
+		return nil, &exitError{exitCodeDamaged, err}
 	}
 	if err != nil {
 		return nil, err
@@ -158,7 +158,7 @@
 			key, value, rerr = parseLine(line, asHex)
 		}
 		if rerr != nil {
-			err = badCall(fmt.Errorf("line %d: %w", n, rerr))
+			err = usageError(fmt.Errorf("line %d: %w", n, rerr))
 			break
 		}
 		ahead <- struct{}{}
--- a/cmd/oxbowbridge/golden_test.go
+++ b/cmd/oxbowbridge/golden_test.go
@@ -38,7 +38,7 @@
 		}
 	}
 	walk(rootCommand())
-	fmt.Fprintln(&lines, codeFailed, codeBadCall, codeDamaged, envToken, envName, keySettings, keyLevel, keyState)
+	fmt.Fprintln(&lines, exitCodeFailure, exitCodeUsage, exitCodeDamaged, envToken, envName, keySettings, keyLevel, keyState)
 	golden.Text(t, "testdata/commands.golden", lines.String())
 }
 
@@ -70,7 +70,7 @@
 		err := root.ExecuteContext(t.Context())
 		code := 0
 		if err != nil {
-			code = codeFailed
+			code = exitCodeFailure
 			var exit *exitError
 			if errors.As(err, &exit) {
 				code = exit.code
--- a/cmd/oxbowbridge/keeper.go
+++ b/cmd/oxbowbridge/keeper.go
@@ -116,7 +116,7 @@
 		k.log.Error("settings of the store are not usable", zap.Uint64("revision", g.Revision), zap.Error(err))
 		return false
 	}
-	cfg.Settings, cfg.stored = w, true
+	cfg.Settings, cfg.settingsFromStore = w, true
 	k.log.Info("settings taken from the store", zap.Uint64("revision", g.Revision), zap.Bool("last_good", last))
 	if last {
 		return true
--- a/cmd/oxbowbridge/lease.go
+++ b/cmd/oxbowbridge/lease.go
@@ -69,7 +69,7 @@
 
 // checked is a bad call for what no store would take.
 func (a *asking) checked(name string) error {
-	return badCall(lease.Check(name, a.named(), a.ttl.Milliseconds()))
+	return usageError(lease.Check(name, a.named(), a.ttl.Milliseconds()))
 }
 
 func (s *leaseCLI) print(c *cobra.Command, list ...storeapi.Lease) error {
@@ -122,7 +122,7 @@
 		return err
 	}
 	if s.once.wait < 0 || s.once.wait > storeapi.WaitMost {
-		return badCall(fmt.Errorf("--wait: want 0 to %v", storeapi.WaitMost))
+		return usageError(fmt.Errorf("--wait: want 0 to %v", storeapi.WaitMost))
 	}
 	l, err := s.client().Acquire(c.Context(), args[0], storeapi.Acquire{Holder: s.once.named(), TTLMS: s.once.ttl.Milliseconds(),
 		WaitMS: s.once.wait.Milliseconds(), Priority: s.once.priority})
@@ -131,7 +131,7 @@
 
 func (s *leaseCLI) release(c *cobra.Command, args []string) error {
 	if s.token == 0 {
-		return badCall(errors.New("--token: missing"))
+		return usageError(errors.New("--token: missing"))
 	}
 	return s.client().Release(c.Context(), args[0], s.token, s.to)
 }
--- a/cmd/oxbowbridge/leaserun.go
+++ b/cmd/oxbowbridge/leaserun.go
@@ -40,11 +40,11 @@
 	}
 	s.grace = cmp.Or(s.grace, s.runs.ttl/5)
 	if s.grace < 0 || s.grace > s.runs.ttl/4 {
-		return badCall(fmt.Errorf("--grace: want at most a quarter of --ttl, %v", s.runs.ttl/4))
+		return usageError(fmt.Errorf("--grace: want at most a quarter of --ttl, %v", s.runs.ttl/4))
 	}
 	path, err := exec.LookPath(args[1])
 	if err != nil {
-		return badCall(err)
+		return usageError(err)
 	}
 	// The command is killed with the thread that started it.
 	runtime.LockOSThread()
--- a/cmd/oxbowbridge/main.go
+++ b/cmd/oxbowbridge/main.go
@@ -19,13 +19,13 @@
 	if err == nil {
 		return
 	}
-	code := codeFailed
+	code := exitCodeFailure
 	var exit *exitError
 	switch {
 	case errors.As(err, &exit):
 		code = exit.code
 	case errors.Is(err, errConfig):
-		code = codeBadCall
+		code = exitCodeUsage
 	}
 	printError(err)
 	os.Exit(code)
@@ -48,9 +48,9 @@
 }
 
 const (
-	codeFailed  = 1
-	codeBadCall = 2
-	codeDamaged = 3
+	exitCodeFailure = 1
+	exitCodeUsage   = 2
+	exitCodeDamaged = 3
 )
 
 // exitError is a failure with an exit code of its own.
@@ -66,7 +66,7 @@
 	root := &cobra.Command{Use: "oxbowbridge", Short: "Admission for nomination requests: runs, queues or turns away",
 		Long: "Without a sub-command the service runs, with the configuration that BALANCER_CONFIG names.",
 		Args: cobra.NoArgs, RunE: serveCommand, SilenceUsage: true, SilenceErrors: true}
-	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return &exitError{codeBadCall, err} })
+	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return &exitError{exitCodeUsage, err} })
 	root.AddCommand(&cobra.Command{Use: "serve", Short: "Run the service (the default)", Args: noArgs, RunE: serveCommand},
 		configCommand(), versionCommand(), tryCommand(), durableCommand(), storeCommand(), leaseCommand(), workCommand())
 	root.Args = noArgs
@@ -74,17 +74,17 @@
 }
 
 // noArgs and oneArg are cobra's checks with the exit code of a bad call.
-func noArgs(c *cobra.Command, args []string) error { return badCall(cobra.NoArgs(c, args)) }
-func oneArg(c *cobra.Command, args []string) error { return badCall(cobra.ExactArgs(1)(c, args)) }
+func noArgs(c *cobra.Command, args []string) error { return usageError(cobra.NoArgs(c, args)) }
+func oneArg(c *cobra.Command, args []string) error { return usageError(cobra.ExactArgs(1)(c, args)) }
 
-func badCall(err error) error {
+func usageError(err error) error {
 	if err == nil {
 		return nil
 	}
-	return &exitError{codeBadCall, err}
+	return &exitError{exitCodeUsage, err}
 }
 
-func serveCommand(*cobra.Command, []string) error { return run(os.Getenv) }
+func serveCommand(*cobra.Command, []string) error { return serve(os.Getenv) }
 
 func configCommand() *cobra.Command {
 	c := &cobra.Command{Use: "config", Short: "Work with configuration files"}
--- a/cmd/oxbowbridge/members.go
+++ b/cmd/oxbowbridge/members.go
@@ -65,10 +65,10 @@
 		return ""
 	})
 	if err != nil {
-		return badCall(err)
+		return usageError(err)
 	}
 	if cfg.Store == nil {
-		return badCall(fmt.Errorf("%s has no store", path))
+		return usageError(fmt.Errorf("%s has no store", path))
 	}
 	left, err := store.Look(*cfg.Store)
 	if err != nil {
--- a/cmd/oxbowbridge/serve.go
+++ b/cmd/oxbowbridge/serve.go
@@ -49,7 +49,7 @@
 var errConfig = errors.New("configuration")
 
 // run serves, until a drain is over.
-func run(env func(string) string) error {
+func serve(env func(string) string) error {
 	// From the first moment to the last no signal ends the program in its own way: a
 	// SIGHUP may come before the file is read or during a drain, a SIGTERM before
 	// anything listens, and one more at any time.
@@ -65,14 +65,14 @@
 	debug.SetMemoryLimit(int64(float64(cfg.Limits.MemoryMB) * memoryShare * (1 << 20)))
 	runtime.GOMAXPROCS(2) // the core's goroutine and the event loop
 	level := zap.NewAtomicLevel()
-	log := logger(level).With(zap.String("name", cfg.Name))
+	log := newLogger(level).With(zap.String("name", cfg.Name))
 	defer log.Sync()
 	kept, err := openKeeper(notice, cfg, level, log)
 	if err != nil {
 		return err
 	}
 	defer kept.close()
-	s, err := wireUp(notice, cfg, log)
+	s, err := newService(notice, cfg, log)
 	if notice.Err() != nil && errors.Is(err, syscall.EADDRINUSE) {
 		return nil // nothing was ever taken
 	}
@@ -97,20 +97,20 @@
 		}
 		noticed := time.Now()
 		kept.say("draining")
-		stop := time.Duration(current.Load().StopMS)*time.Millisecond - kept.closing()
-		s.x.Post(exchange.Callback(func() { s.core.Drain(time.Since(noticed), stop) }))
+		stop := time.Duration(current.Load().DrainTimeoutMS)*time.Millisecond - kept.closing()
+		s.exchange.Post(exchange.Callback(func() { s.dispatcher.Drain(time.Since(noticed), stop) }))
 	}()
-	s.core.Run()
+	s.dispatcher.Run()
 	return worker.out(notice)
 }
 
 // service is the program's parts once they are connected.
 type service struct {
-	core  *dispatch.Dispatcher
-	x     *exchange.Exchange
-	log   *zap.Logger
-	addrs []net.Addr    // of the fronts, in the order of the configuration
-	moves func(*config) // to other addresses, in the core's goroutine
+	dispatcher    *dispatch.Dispatcher
+	exchange      *exchange.Exchange
+	log           *zap.Logger
+	frontendAddrs []net.Addr    // of the fronts, in the order of the configuration
+	moveTo        func(*config) // to other addresses, in the core's goroutine
 }
 
 // reload reads the file again, and returns the configuration that is in force.
@@ -121,15 +121,15 @@
 		s.log.Error("configuration not taken", zap.Error(err))
 		return old
 	}
-	s.x.Post(exchange.Callback(func() { s.moves(cfg) }))
-	s.log.Info("configuration taken", zap.Strings("changed", old.changes(cfg, true)),
-		zap.Strings("at_next_start", old.changes(cfg, false)))
-	cfg.stored = old.stored
+	s.exchange.Post(exchange.Callback(func() { s.moveTo(cfg) }))
+	s.log.Info("configuration taken", zap.Strings("changed", old.changedFields(cfg, true)),
+		zap.Strings("at_next_start", old.changedFields(cfg, false)))
+	cfg.settingsFromStore = old.settingsFromStore
 	return cfg
 }
 
 // wireUp makes the parts and connects them. A notice ends its wait for an address.
-func wireUp(notice context.Context, cfg *config, log *zap.Logger) (*service, error) {
+func newService(notice context.Context, cfg *config, log *zap.Logger) (*service, error) {
 	shares := divideDescriptors(cfg, log)
 	pool := fdquota.NewPool(shares)
 	loop, err := eventloop.New(shares.Lingering)
@@ -137,7 +137,7 @@
 		return nil, err
 	}
 	began := time.Now()
-	seed, _ := cfg.seed() // readConfig tried it
+	seed, _ := cfg.parsedSeed() // readConfig tried it
 	x := exchange.New(int(cfg.Limits.MemoryMB) << 10 / requestKB / requestShare)
 	classes := map[string]frontend.Class{}
 	for i, k := range cfg.Settings.Classes {
@@ -151,8 +151,8 @@
 	if cfg.Settings.Info.Below == "shared" {
 		lingers = cfg.Settings.Info.Linger
 	}
-	calls := records.New(cfg.Records, pool, lingers, env)
-	list := registry.New(cfg.Lookup, cfg.Name, env)
+	calls := records.New(cfg.RecordsAddress, pool, lingers, env)
+	list := registry.New(cfg.RegistryAddress, cfg.Name, env)
 	p.Runner, p.Dependency, p.Registry = runner, calls, list
 	fronts := frontsOf(cfg, x, classes, log)
 	for _, f := range fronts {
@@ -163,21 +163,21 @@
 		return nil, fmt.Errorf("%w: settings: %w", errConfig, err)
 	}
 	for _, f := range fronts {
-		wait := time.Duration(cfg.StopMS)*time.Millisecond + predecessorSlack
+		wait := time.Duration(cfg.DrainTimeoutMS)*time.Millisecond + predecessorSlack
 		if err := f.listen(notice, loop, pool.MaxCallers()/len(fronts), pool, wait, log); err != nil {
 			return nil, fmt.Errorf("%w: %s: %w", errConfig, f.field, err)
 		}
 		log.Info("listening", zap.String("front", f.field), zap.Stringer("address", f.front.Addr()))
 	}
 	runner.Open()
-	s := &service{core: c, x: x, log: log}
+	s := &service{dispatcher: c, exchange: x, log: log}
 	for _, f := range fronts {
-		s.addrs = append(s.addrs, f.front.Addr())
+		s.frontendAddrs = append(s.frontendAddrs, f.front.Addr())
 	}
-	s.moves = func(now *config) {
+	s.moveTo = func(now *config) {
 		runner.moveTo(now)
-		calls.Move(now.Records)
-		list.Move(now.Lookup)
+		calls.Move(now.RecordsAddress)
+		list.Move(now.RegistryAddress)
 	}
 	return s, nil
 }
@@ -189,7 +189,7 @@
 	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &system) == nil && system.Cur < uint64(use.Limit) {
 		use.Limit = int(system.Cur)
 	}
-	for _, addr := range []string{cfg.Listen, cfg.AJP.Listen} {
+	for _, addr := range []string{cfg.ListenAddress, cfg.AJP.ListenAddress} {
 		if addr != "" {
 			use.Listeners++
 		}
@@ -224,32 +224,32 @@
 type engineRunner struct{ *engine.Link }
 
 func (r engineRunner) moveTo(cfg *config) {
-	if cfg.Engine != "" { // to upstreams, at the next start
-		r.Move(cfg.Engine)
+	if cfg.EngineAddress != "" { // to upstreams, at the next start
+		r.Move(cfg.EngineAddress)
 	}
 }
 
 type upstreamRunner struct{ *ajp.Upstreams }
 
 func (r upstreamRunner) moveTo(cfg *config) {
-	if len(cfg.AJP.Upstreams) > 0 { // to an engine, at the next start
-		r.Move(cfg.AJP.Upstreams, cfg.AJP.UpstreamSecret)
+	if len(cfg.AJP.UpstreamAddresses) > 0 { // to an engine, at the next start
+		r.Move(cfg.AJP.UpstreamAddresses, cfg.AJP.UpstreamSecret)
 	}
 }
 
 func runnerOf(cfg *config, env session.Env) runner {
-	if len(cfg.AJP.Upstreams) > 0 {
+	if len(cfg.AJP.UpstreamAddresses) > 0 {
 		info, safety := &cfg.Settings.Info, &cfg.Settings.Safety
 		limits := slowstart.Config{Cores: info.Cores, WarmRunsPerCore: safety.FallMultiple, MinSpeedFraction: safety.ColdShare, WarmUp: safety.Cold,
 			AveragingWindow: safety.Fall, Processes: cfg.Settings.Servers}
-		return upstreamRunner{ajp.NewUpstreams(cfg.AJP.Upstreams, cfg.AJP.UpstreamSecret, info.OwnStats, limits, upstreamSeed(cfg), env)}
+		return upstreamRunner{ajp.NewUpstreams(cfg.AJP.UpstreamAddresses, cfg.AJP.UpstreamSecret, info.OwnStats, limits, upstreamSeed(cfg), env)}
 	}
-	return engineRunner{engine.New(cfg.Engine, cfg.Settings.Info.Halt == "pause", env)}
+	return engineRunner{engine.New(cfg.EngineAddress, cfg.Settings.Info.Halt == "pause", env)}
 }
 
 // upstreamSeed differs between the services of a fleet also where none is given a seed.
 func upstreamSeed(cfg *config) uint64 {
-	seed, _ := cfg.seed() // readConfig tried it
+	seed, _ := cfg.parsedSeed() // readConfig tried it
 	name := fnv.New64a()
 	name.Write([]byte(cfg.Name))
 	return seed ^ name.Sum64()
@@ -288,16 +288,16 @@
 
 func frontsOf(cfg *config, x *exchange.Exchange, classes map[string]frontend.Class, log *zap.Logger) []listener {
 	var fronts []listener
-	if cfg.Listen != "" {
-		fronts = append(fronts, listener{fastcgi.New(x, classes, log), "listen", cfg.Listen})
+	if cfg.ListenAddress != "" {
+		fronts = append(fronts, listener{fastcgi.New(x, classes, log), "listen", cfg.ListenAddress})
 	}
-	if cfg.AJP.Listen != "" {
-		fronts = append(fronts, listener{ajp.NewFront(x, classes, cfg.AJP.Secret, log), "ajp.listen", cfg.AJP.Listen})
+	if cfg.AJP.ListenAddress != "" {
+		fronts = append(fronts, listener{ajp.NewFront(x, classes, cfg.AJP.Secret, log), "ajp.listen", cfg.AJP.ListenAddress})
 	}
 	return fronts
 }
 
-func logger(level zap.AtomicLevel) *zap.Logger {
+func newLogger(level zap.AtomicLevel) *zap.Logger {
 	enc := zap.NewProductionEncoderConfig()
 	enc.EncodeTime = zapcore.ISO8601TimeEncoder
 	enc.EncodeDuration = zapcore.StringDurationEncoder
--- a/cmd/oxbowbridge/store.go
+++ b/cmd/oxbowbridge/store.go
@@ -43,7 +43,7 @@
 	c.PersistentFlags().StringSliceVar(nodes, "nodes", []string{"127.0.0.1:7201"}, "admin addresses, any or all of them")
 	c.PersistentFlags().BoolVar(asJSON, "json", false, "print JSON in place of tables")
 	return c, func(use, short string, args cobra.PositionalArgs, run func(*cobra.Command, []string) error) *cobra.Command {
-		sub := &cobra.Command{Use: use, Short: short, RunE: run, Args: func(c *cobra.Command, a []string) error { return badCall(args(c, a)) }}
+		sub := &cobra.Command{Use: use, Short: short, RunE: run, Args: func(c *cobra.Command, a []string) error { return usageError(args(c, a)) }}
 		c.AddCommand(sub)
 		return sub
 	}
@@ -162,7 +162,7 @@
 // watch prints one line for each key that changes, or with --json for each revision.
 func (s *storeCLI) watch(c *cobra.Command, client *storeclient.Client, args []string) error {
 	if s.list && s.from != 0 {
-		return badCall(errors.New("--list and --from exclude each other"))
+		return usageError(errors.New("--list and --from exclude each other"))
 	}
 	ctx, stop := signal.NotifyContext(c.Context(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -230,7 +230,7 @@
 
 func (s *storeCLI) restore(c *cobra.Command, client *storeclient.Client, args []string) error {
 	if s.undo != (len(args) == 0) {
-		return badCall(errors.New("want FILE, or --undo"))
+		return usageError(errors.New("want FILE, or --undo"))
 	}
 	if s.undo {
 		return client.UndoRestore(c.Context())
@@ -259,7 +259,7 @@
 
 func (s *storeCLI) put(c *cobra.Command, client *storeclient.Client, args []string) error {
 	if !json.Valid([]byte(args[1])) {
-		return badCall(fmt.Errorf("%q is not JSON; a text needs its quotes", args[1]))
+		return usageError(fmt.Errorf("%q is not JSON; a text needs its quotes", args[1]))
 	}
 	a, err := client.Put(c.Context(), args[0], json.RawMessage(args[1]), s.condition(c))
 	return s.told(c, a, err)
@@ -275,7 +275,7 @@
 	d.DisallowUnknownFields()
 	var r kv.Request
 	if err := d.Decode(&r); err != nil {
-		return badCall(fmt.Errorf("standard input: %w", err))
+		return usageError(fmt.Errorf("standard input: %w", err))
 	}
 	a, err := client.Txn(c.Context(), r)
 	return s.told(c, a, err)
--- a/cmd/oxbowbridge/try.go
+++ b/cmd/oxbowbridge/try.go
@@ -32,7 +32,7 @@
 	c.Flags().DurationVar(&t.within, "within", 3*time.Second, "over how long")
 	c.PreRunE = func(*cobra.Command, []string) error {
 		if t.requests < 1 || t.requests > 5000 || t.within < 0 || t.within > time.Minute {
-			return badCall(fmt.Errorf("want 1 to 5000 requests within a minute"))
+			return usageError(fmt.Errorf("want 1 to 5000 requests within a minute"))
 		}
 		return nil
 	}
@@ -68,21 +68,21 @@
 	defer records.Close()
 	go (&standin.Engine{Cores: tryCores, Work: tryWork, Calls: []string{"nom-submit"}}).Serve(engine)
 	go (&standin.Records{Work: tryCall}).Serve(records)
-	cfg.Engine, cfg.Records = engine.Addr().String(), records.Addr().String()
-	s, err := wireUp(ctx, cfg, zap.NewNop())
+	cfg.EngineAddress, cfg.RecordsAddress = engine.Addr().String(), records.Addr().String()
+	s, err := newService(ctx, cfg, zap.NewNop())
 	if err != nil {
 		return err
 	}
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		s.core.Run()
+		s.dispatcher.Run()
 	}()
-	addr := s.addrs[0].String()
+	addr := s.frontendAddrs[0].String()
 	fmt.Fprintf(out, "service on %s, engine with %d cores and %v a request; %d requests within %v\n\n",
 		addr, tryCores, tryWork, t.requests, t.within)
 	tallies := t.load(ctx, cfg, addr)
-	s.x.Post(exchange.Callback(func() { s.core.Drain(0, time.Duration(cfg.StopMS)*time.Millisecond) }))
+	s.exchange.Post(exchange.Callback(func() { s.dispatcher.Drain(0, time.Duration(cfg.DrainTimeoutMS)*time.Millisecond) }))
 	<-ended
 	return print(out, tallies)
 }
--- a/cmd/oxbowbridge/work.go
+++ b/cmd/oxbowbridge/work.go
@@ -83,7 +83,7 @@
 	for _, n := range nodes {
 		j.Node = n
 		if err := j.Check(); err != nil {
-			return badCall(err)
+			return usageError(err)
 		}
 	}
 	return s.each(func(client *storeclient.Client, ctx context.Context, node string) error {
@@ -162,10 +162,10 @@
 func (s *workCLI) plan(c *cobra.Command, _ []string) error {
 	windows, err := parseWindows(s.windows)
 	if err != nil {
-		return badCall(err)
+		return usageError(err)
 	}
 	if s.chart != "" && !strings.HasSuffix(s.chart, ".svg") && !strings.HasSuffix(s.chart, ".png") {
-		return badCall(errors.New("--chart: want a file that ends in .svg or .png"))
+		return usageError(errors.New("--chart: want a file that ends in .svg or .png"))
 	}
 	st, err := s.client().Work(c.Context())
 	if err != nil {
--- a/cmd/oxbowbridge/worker.go
+++ b/cmd/oxbowbridge/worker.go
@@ -29,7 +29,7 @@
 
 func openWorker(ctx context.Context, cfg *config, kept *keeper, s *service, log *zap.Logger) *worker {
 	w := &worker{s: s, kept: kept, leaves: make(chan struct{}), ended: make(chan struct{})}
-	if cfg.Work == nil {
+	if cfg.Maintenance == nil {
 		close(w.ended)
 		return w
 	}
@@ -37,7 +37,7 @@
 	if kept.store != nil {
 		own = kept.store.AdminAddress()
 	}
-	w.agent = agent.New(*cfg.Work, cfg.Name, cfg.Limits.Cores, own, w, log)
+	w.agent = agent.New(*cfg.Maintenance, cfg.Name, cfg.Limits.Cores, own, w, log)
 	go func() {
 		defer close(w.ended)
 		w.left = w.agent.Run(ctx)
@@ -48,8 +48,8 @@
 // Gauge asks the core.
 func (w *worker) Gauge() (busy float64, known, warm bool) {
 	said := make(chan func() (float64, bool, bool), 1)
-	w.s.x.Post(exchange.Callback(func() {
-		b, k, i := w.s.core.Load()
+	w.s.exchange.Post(exchange.Callback(func() {
+		b, k, i := w.s.dispatcher.Load()
 		said <- func() (float64, bool, bool) { return b, k, i }
 	}))
 	select {
