--- a/internal/transport/ajp/upstream.go
+++ b/internal/transport/ajp/upstream.go
@@ -47,7 +47,7 @@
 	ready  bool
 
 	servers map[string]*upServer // by address
-	limits  slowstart.Limits     // of a server that has just started
+	limits  slowstart.Config     // of a server that has just started
 	seed    uint64
 	waiting []*upRun // for a slot at a server that is warming up, oldest first
 	looking bool     // a look at those that wait is due
@@ -56,10 +56,10 @@
 // upServer is what is known of the server at one address.
 type upServer struct {
 	addr    string
-	conns   int             // that are made or being made
-	running int             // runs on them
-	away    bool            // it refused the latest connection
-	ramp    *slowstart.Ramp // since its start was learned of, nil once it is warm
+	conns   int                  // that are made or being made
+	running int                  // runs on them
+	away    bool                 // it refused the latest connection
+	ramp    *slowstart.SlowStart // since its start was learned of, nil once it is warm
 }
 
 // upRun is a run that has not ended.
@@ -87,13 +87,13 @@
 	body   []byte // of the request, still to be sent
 	status int
 	result []byte
-	timer  *timerqueue.Entry
+	timer  *timerqueue.Timer
 	closed bool
 }
 
 // NewUpstreamPool returns a runner that isn't connected. The limits hold for each of the
 // servers; seed differs between processes.
-func NewUpstreamPool(addrs []string, secret string, gauges []string, limits slowstart.Limits, seed uint64, env session.Dependencies) *UpstreamPool {
+func NewUpstreamPool(addrs []string, secret string, gauges []string, limits slowstart.Config, seed uint64, env session.Dependencies) *UpstreamPool {
 	return &UpstreamPool{Dependencies: env, addrs: addrs, secret: secret, cores: limits.Cores, gauges: gauges, runs: map[string]*upRun{},
 		servers: map[string]*upServer{}, limits: limits, seed: seed}
 }
@@ -104,7 +104,7 @@
 		return
 	}
 	u.connect(u.nextAddr(), nil)
-	u.Timers.At(u.Now()+probeEvery, u.Open)
+	u.Timers.Schedule(u.Now()+probeEvery, u.Open)
 }
 
 // SetAddresses has new runs go to other addresses. Those that are out stay where they are. A server
@@ -144,13 +144,13 @@
 	if s.ramp != nil && s.ramp.Warm(u.Now()) {
 		s.ramp = nil
 	}
-	return s.ramp == nil || s.running < s.ramp.Slots(u.Now())
+	return s.ramp == nil || s.running < s.ramp.Quota(u.Now())
 }
 
 // Run has a run done.
 func (u *UpstreamPool) Run(a exchange.Attempt) {
 	r := &upRun{Attempt: a, began: u.Now()}
-	u.runs[a.Trace] = r
+	u.runs[a.TraceID] = r
 	u.place(r)
 }
 
@@ -185,7 +185,7 @@
 		return
 	}
 	u.looking = true
-	u.Timers.At(u.Now()+rampAgain, func() {
+	u.Timers.Schedule(u.Now()+rampAgain, func() {
 		u.looking = false
 		waiting := u.waiting
 		u.waiting = nil
@@ -235,7 +235,7 @@
 		u.started(s)
 	case errors.Is(err, syscall.ECONNREFUSED) && !s.away:
 		s.away = true
-		u.Timers.At(u.Now()+probeEvery, func() { u.probe(s) })
+		u.Timers.Schedule(u.Now()+probeEvery, func() { u.probe(s) })
 	}
 }
 
@@ -245,7 +245,7 @@
 		return
 	}
 	u.connect(s.addr, nil)
-	u.Timers.At(u.Now()+probeEvery, func() { u.probe(s) })
+	u.Timers.Schedule(u.Now()+probeEvery, func() { u.probe(s) })
 }
 
 func (c *upConn) opened(addr string, sock *eventloop.Conn, err error) {
@@ -270,14 +270,14 @@
 	c.up.Timers.Cancel(c.timer)
 	c.asked = true
 	c.sock.Write(packet(toServer, []byte{codeCPing}))
-	c.timer = c.up.Timers.At(c.up.Now()+pongTimeout, func() { c.lost(errLost) })
+	c.timer = c.up.Timers.Schedule(c.up.Now()+pongTimeout, func() { c.lost(errLost) })
 }
 
 func (c *upConn) send() {
 	r := c.run
 	c.sent, c.used, c.body = true, true, r.Body
 	r.sends++
-	headers := [][2]string{{"trace-id", r.Trace}, {"content-length", strconv.Itoa(len(r.Body))}}
+	headers := [][2]string{{"trace-id", r.TraceID}, {"content-length", strconv.Itoa(len(r.Body))}}
 	c.sock.Write(appendForward("/call/"+r.Class, c.up.secret, headers))
 	if len(r.Body) > 0 {
 		c.piece(chunkMost)
@@ -292,7 +292,7 @@
 }
 
 // Halt stops a run by closing its connection.
-func (u *UpstreamPool) Halt(trace string, _ bool) {
+func (u *UpstreamPool) Stop(trace string, _ bool) {
 	r := u.runs[trace]
 	if r == nil {
 		return
@@ -303,20 +303,20 @@
 	} else {
 		u.waiting = slices.DeleteFunc(u.waiting, func(w *upRun) bool { return w == r })
 	}
-	u.end(r, exchange.Stopped, nil)
+	u.end(r, exchange.ResultStopped, nil)
 }
 
 // Resume does nothing: what was stopped is gone.
 func (u *UpstreamPool) Resume(string) {}
 
 // Drop does nothing, for the same reason.
-func (u *UpstreamPool) Drop(string) {}
+func (u *UpstreamPool) Discard(string) {}
 
 // Feed does nothing: an upstream makes its calls itself.
-func (u *UpstreamPool) Feed(string, []byte) {}
+func (u *UpstreamPool) DeliverReply(string, []byte) {}
 
 // AskGauges reports what can be told from outside: each run holds a core.
-func (u *UpstreamPool) AskGauges() {
+func (u *UpstreamPool) RequestGauges() {
 	busy := float64(len(u.runs))
 	values := map[string]float64{"core_use": min(1, busy/float64(u.cores)), "on_cores": busy}
 	var g exchange.Gauges
@@ -330,9 +330,9 @@
 	u.Exchange.Post(g)
 }
 
-func (u *UpstreamPool) end(r *upRun, end exchange.End, result []byte) {
-	delete(u.runs, r.Trace)
-	u.Exchange.Post(exchange.Outcome{Trace: r.Trace, Stage: exchange.Ran, End: end, Took: u.Now() - r.began, Body: result})
+func (u *UpstreamPool) end(r *upRun, end exchange.Result, result []byte) {
+	delete(u.runs, r.TraceID)
+	u.Exchange.Post(exchange.Outcome{TraceID: r.TraceID, Stage: exchange.RunEnded, Result: end, Duration: u.Now() - r.began, Body: result})
 }
 
 // lost ends a connection, and what ran on it unless it may be tried once more.
@@ -364,13 +364,13 @@
 		r.refuse++ // a new connection failed: proof that nothing ran, any run may go elsewhere
 	}
 	// Guards nom-submit against a second run: what was sent may have run.
-	again := !c.sent && r.refuse <= len(u.addrs) || c.sent && r.Safe && r.sends < sendsMost
+	again := !c.sent && r.refuse <= len(u.addrs) || c.sent && r.Idempotent && r.sends < sendsMost
 	if again {
 		u.place(r)
 		return
 	}
-	u.Log.Warn("run failed", zap.String("trace", r.Trace), zap.Error(err))
-	u.end(r, exchange.Error, nil)
+	u.Log.Warn("run failed", zap.String("trace", r.TraceID), zap.Error(err))
+	u.end(r, exchange.ResultError, nil)
 }
 
 // OnData parses what came and hands it to the core's goroutine.
@@ -380,7 +380,7 @@
 	}
 	err := c.parser.feed(b, func(content []byte) error {
 		own := append([]byte(nil), content...)
-		c.up.Exchange.Post(exchange.Step(func() {
+		c.up.Exchange.Post(exchange.Callback(func() {
 			if err := c.packet(own); err != nil && !c.closed {
 				c.up.Log.Warn("malformed AJP of an upstream", zap.Error(err))
 				c.lost(err)
@@ -396,7 +396,7 @@
 
 // OnClose is called when the connection is lost.
 func (c *upConn) OnClose(err error) {
-	c.up.Exchange.Post(exchange.Step(func() { c.lost(errors.Join(errLost, err)) }))
+	c.up.Exchange.Post(exchange.Callback(func() { c.lost(errors.Join(errLost, err)) }))
 }
 
 func (c *upConn) packet(content []byte) error {
@@ -435,7 +435,7 @@
 	if !c.up.ready {
 		c.up.ready = true
 		c.up.Log.Info("upstream up")
-		c.up.Exchange.Post(exchange.Ready{})
+		c.up.Exchange.Post(exchange.RunnerReady{})
 	}
 	if c.run != nil {
 		c.send()
@@ -447,16 +447,16 @@
 // rest keeps the connection for the next run.
 func (c *upConn) rest() {
 	c.up.free = append(c.up.free, c)
-	c.timer = c.up.Timers.At(c.up.Now()+upIdleMost, func() { c.lost(nil) })
+	c.timer = c.up.Timers.Schedule(c.up.Now()+upIdleMost, func() { c.lost(nil) })
 }
 
 func (c *upConn) finished(reuse bool) {
 	r, status, result := c.leave(), c.status, c.result
 	c.sent, c.body, c.status, c.result = false, nil, 0, nil
-	end := exchange.OK
+	end := exchange.ResultOK
 	if status != 200 {
-		end = exchange.Error
-		c.up.Log.Warn("upstream failed a run", zap.String("trace", r.Trace), zap.Int("status", status))
+		end = exchange.ResultError
+		c.up.Log.Warn("upstream failed a run", zap.String("trace", r.TraceID), zap.Int("status", status))
 	}
 	c.up.end(r, end, result)
 	if reuse && slices.Contains(c.up.addrs, c.addr) {
--- a/internal/transport/eventloop/socket.go
+++ b/internal/transport/eventloop/socket.go
@@ -361,7 +361,7 @@
 	l.mu.Unlock()
 }
 
-// Reap closes connections whose peers have had their time since the end, and tells
+// Sweep closes connections whose peers have had their time since the end, and tells
 // how many are left that have ended.
 func (l *Loop) Reap(now time.Time) (left int) {
 	var old []*Conn
--- a/internal/transport/frontend/front.go
+++ b/internal/transport/frontend/front.go
@@ -78,15 +78,15 @@
 	case f.Method != "POST":
 		return nil, fmt.Errorf("method %q: want POST", f.Method)
 	}
-	r := &exchange.Request{Trace: f.Header("Trace-Id"), Class: class.Index, Arrived: now,
-		Tenant: f.Header("Project"), Keyed: f.Header("Lookup-Key") != "", Repeat: f.Header("Is-Retry") == "1"}
-	if !exchange.IsTrace(r.Trace) {
-		return nil, fmt.Errorf("Trace-Id %q: want 16 hex digits", r.Trace)
+	r := &exchange.Request{TraceID: f.Header("Trace-Id"), Class: class.Index, Arrived: now,
+		Tenant: f.Header("Project"), HasSubject: f.Header("Lookup-Key") != "", IsRetry: f.Header("Is-Retry") == "1"}
+	if !exchange.IsTraceID(r.TraceID) {
+		return nil, fmt.Errorf("Trace-Id %q: want 16 hex digits", r.TraceID)
 	}
 	if class.NeedsIdempotencyKey {
-		r.Replay = f.Header("Replay-Key")
-		if r.Replay == "" || len(r.Replay) > replayMost || strings.ContainsFunc(r.Replay, func(c rune) bool { return c <= ' ' || c > '~' || c == ',' }) {
-			return nil, fmt.Errorf("Replay-Key %.80q: want 1 to %d plain characters", r.Replay, replayMost)
+		r.IdempotencyKey = f.Header("Replay-Key")
+		if r.IdempotencyKey == "" || len(r.IdempotencyKey) > replayMost || strings.ContainsFunc(r.IdempotencyKey, func(c rune) bool { return c <= ' ' || c > '~' || c == ',' }) {
+			return nil, fmt.Errorf("Replay-Key %.80q: want 1 to %d plain characters", r.IdempotencyKey, replayMost)
 		}
 	}
 	if t := f.Header("Is-Retry"); t != "" && t != "1" {
@@ -115,10 +115,10 @@
 		needed bool
 		set    func(float64)
 	}{
-		{"Expected-Ms", func(x float64) bool { return x <= 1e6 }, false, func(x float64) { r.Hint = ofMs(x) }},
-		{"Max-Wait-Ms", func(x float64) bool { return x <= 1e9 }, false, func(x float64) { r.Wait = ofMs(x) }},
-		{"Reserve-Kb", func(x float64) bool { return x > 0 && x < 2000 }, true, func(x float64) { r.HeldKB = x }},
-		{"Standing", func(x float64) bool { return x < 1 }, false, func(x float64) { r.Place = x }},
+		{"Expected-Ms", func(x float64) bool { return x <= 1e6 }, false, func(x float64) { r.ExpectedWork = ofMs(x) }},
+		{"Max-Wait-Ms", func(x float64) bool { return x <= 1e9 }, false, func(x float64) { r.Timeout = ofMs(x) }},
+		{"Reserve-Kb", func(x float64) bool { return x > 0 && x < 2000 }, true, func(x float64) { r.ReservedKB = x }},
+		{"Standing", func(x float64) bool { return x < 1 }, false, func(x float64) { r.Rank = x }},
 	} {
 		t := f.Header(n.name)
 		if t == "" && !n.needed {
@@ -144,19 +144,19 @@
 }
 
 // ResponseTo puts an answer into words.
-func ResponseTo(a exchange.Answer) Response {
-	switch a.Result {
-	case exchange.Served:
+func ResponseTo(a exchange.Response) Response {
+	switch a.Kind {
+	case exchange.Succeeded:
 		return Response{Status: 200, Body: a.Body}
 	case exchange.Failed:
 		return Response{Status: 500}
 	}
 	r := Response{Status: 503}
-	if a.HoldOff > 0 {
-		ms := (a.HoldOff + time.Millisecond - 1) / time.Millisecond
+	if a.RetryAfter > 0 {
+		ms := (a.RetryAfter + time.Millisecond - 1) / time.Millisecond
 		r.Headers = append(r.Headers, [2]string{"Hold-Off-Ms", strconv.FormatInt(int64(ms), 10)})
 	}
-	if a.Stay {
+	if a.NoRetryElsewhere {
 		r.Headers = append(r.Headers, [2]string{"No-Other-Server", "1"})
 	}
 	return r
@@ -164,7 +164,7 @@
 
 // CommonHeaders are the headers of any answer: the free value, where the settings have one.
 func CommonHeaders(x *exchange.Exchange) [][2]string {
-	if v, ok := x.Published(); ok {
+	if v, ok := x.Feedback(); ok {
 		return [][2]string{{"Feedback", strconv.FormatFloat(v, 'f', -1, 64)}}
 	}
 	return nil
@@ -259,8 +259,8 @@
 
 // Answered notes how a request ended, and has nothing begin on the connection any more if
 // it sends too many faults. A request that could be what it says pays for those before it.
-func (b *Base) Answered(a exchange.Answer) {
-	if !a.Fault {
+func (b *Base) Answered(a exchange.Response) {
+	if !a.InvalidRequest {
 		b.faults.Store(0)
 		return
 	}
@@ -360,14 +360,14 @@
 		h := handle(c)
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		full := len(s.conns) >= s.most || !s.pool.CallerFits()
+		full := len(s.conns) >= s.most || !s.pool.HasCallerCapacity()
 		if full && !s.makeRoom() {
 			log.Warn("connection not taken", zap.Int("most", most))
 			c.CloseGracefully() // nothing runs, and a request that is on its way is sent again elsewhere
 			return h
 		}
 		s.conns[h] = struct{}{}
-		s.pool.Callers(1)
+		s.pool.AddCallers(1)
 		return h
 	}, func(err error) { log.Warn("connection not taken", zap.Error(err)) })
 	if err != nil {
@@ -460,7 +460,7 @@
 	return silent, rest
 }
 
-// Reap ends the connections of callers that owe their next step for too long,
+// Sweep ends the connections of callers that owe their next step for too long,
 // and closes those that have been idle for so long.
 func (s *Server) Reap(idle time.Duration) {
 	s.mu.Lock()
@@ -507,7 +507,7 @@
 func (s *Server) forget(c Conn) {
 	if _, ok := s.conns[c]; ok {
 		delete(s.conns, c)
-		s.pool.Callers(-1)
+		s.pool.AddCallers(-1)
 	}
 }
 
--- a/internal/transport/registry/directory.go
+++ b/internal/transport/registry/directory.go
@@ -27,7 +27,7 @@
 	addr string
 	name string
 	sock *sock
-	next *timerqueue.Entry
+	next *timerqueue.Timer
 	open bool   // there are reports
 	shut bool   // for good
 	says string // what they say
@@ -43,13 +43,13 @@
 	return &Reporter{Dependencies: env, addr: addr, name: name, says: open}
 }
 
-// Start reports this service from now on, as open until it is told otherwise.
-func (l *Reporter) Start() {
+// Open reports this service from now on, as open until it is told otherwise.
+func (l *Reporter) Register() {
 	if l.shut {
 		return
 	}
 	l.open = true
-	l.next = l.Timers.At(l.Now()+pulseEvery, l.Start)
+	l.next = l.Timers.Schedule(l.Now()+pulseEvery, l.Register)
 	if l.addr == "" {
 		return
 	}
@@ -86,13 +86,13 @@
 	l.sock, l.away = nil, false
 	if l.open && !l.shut {
 		l.Timers.Cancel(l.next)
-		l.Start()
+		l.Register()
 	}
 }
 
-// SetServing reports this service as open, or as listed and taking no work, from now on.
+// Serves reports this service as open, or as listed and taking no work, from now on.
 // Reports get lost: each that follows says the same.
-func (l *Reporter) SetServing(ok bool) {
+func (l *Reporter) SetAvailable(ok bool) {
 	was := l.says
 	if l.says = open; !ok {
 		l.says = closed
@@ -102,8 +102,8 @@
 	}
 }
 
-// Stop reports this service as closed, and nothing after that: its entry lapses.
-func (l *Reporter) Stop() {
+// Shut reports this service as closed, and nothing after that: its entry lapses.
+func (l *Reporter) Deregister() {
 	l.shut = true
 	l.Timers.Cancel(l.next)
 	l.pulse(closed)
--- a/internal/transport/session/link.go
+++ b/internal/transport/session/link.go
@@ -19,7 +19,7 @@
 type Dependencies struct {
 	Exchange *exchange.Exchange
 	Loop     *eventloop.Loop
-	Timers   *timerqueue.Set
+	Timers   *timerqueue.Queue
 	Now      func() time.Duration
 	Log      *zap.Logger
 }
@@ -27,7 +27,7 @@
 // Dial connects and has opened called in the core's goroutine.
 func (e Dependencies) Dial(addr string, h eventloop.Handler, opened func(*eventloop.Conn, error)) {
 	e.Loop.Dial(addr, dialTimeout, func(*eventloop.Conn) eventloop.Handler { return h }, func(c *eventloop.Conn, err error) {
-		e.Exchange.Post(exchange.Step(func() { opened(c, err) }))
+		e.Exchange.Post(exchange.Callback(func() { opened(c, err) }))
 	})
 }
 
@@ -35,7 +35,7 @@
 // goroutine.
 func (e Dependencies) DialDatagram(addr string, opened func(*eventloop.DatagramConn, error)) {
 	eventloop.DialDatagram(addr, dialTimeout, func(d *eventloop.DatagramConn, err error) {
-		e.Exchange.Post(exchange.Step(func() { opened(d, err) }))
+		e.Exchange.Post(exchange.Callback(func() { opened(d, err) }))
 	})
 }
 
@@ -52,7 +52,7 @@
 }
 
 func (l *LineHandler) step(do func()) {
-	l.Dependencies.Exchange.Post(exchange.Step(func() {
+	l.Dependencies.Exchange.Post(exchange.Callback(func() {
 		if l.Current() {
 			do()
 		}
