--- a/internal/proxy/dispatch/actions.go
+++ b/internal/proxy/dispatch/actions.go
@@ -11,7 +11,7 @@
 )
 
 // carryOut does what the module decided.
-func (c *Core) carryOut(now time.Duration, a admission.Action) {
+func (c *Dispatcher) carryOut(now time.Duration, a admission.Action) {
 	switch a := a.(type) {
 	case admission.Run:
 		if r := c.byID[a.ID]; r != nil {
@@ -33,7 +33,7 @@
 		}
 	case admission.Fail:
 		if r := c.byID[a.ID]; r != nil {
-			c.settle(r, exchange.Answer{Result: exchange.Failed})
+			c.settle(r, exchange.Response{Kind: exchange.Failed})
 			if r.phase == standing || r.phase == calling {
 				c.end(r)
 			}
@@ -47,15 +47,15 @@
 			c.share(now, r)
 		}
 	case admission.StoreKey, admission.EvictKey:
-		// The table of replay keys knows when a key is first used, and when its request
-		// has ended unrun, without being told.
+	// The table of replay keys knows when a key is first used, and when its request
+	// has ended unrun, without being told.
 	case admission.Advertise:
-		c.Exchange.Publish(a.Value)
+		c.Exchange.SetFeedback(a.Value)
 	case admission.SetHealth:
 		c.active = a.Healthy
 		c.health()
 		if c.Settings.Server.Readiness {
-			c.Directory.Serves(a.Healthy)
+			c.Registry.SetAvailable(a.Healthy)
 		}
 		c.Log.Info("health", zap.Bool("good", a.Healthy))
 	case admission.SetIdleTimeout:
@@ -71,23 +71,23 @@
 
 // refuse gives an answer that promises that nothing ran. Guards against one that
 // isn't true, whoever decided it.
-func (c *Core) refuse(r *request, a admission.Reject) {
-	answer := exchange.Answer{Result: exchange.Refused, HoldOff: a.RetryAfter, Stay: a.DoNotRetry}
-	if c.set.Classes[r.Class].Effect != admission.Idempotent && (r.ran || r.other != nil && r.other.Ran) {
-		answer = exchange.Answer{Result: exchange.Failed}
+func (c *Dispatcher) refuse(r *request, a admission.Reject) {
+	answer := exchange.Response{Kind: exchange.Rejected, RetryAfter: a.RetryAfter, NoRetryElsewhere: a.DoNotRetry}
+	if c.set.Classes[r.Class].Effect != admission.Idempotent && (r.ran || r.other != nil && r.other.Started) {
+		answer = exchange.Response{Kind: exchange.Failed}
 	}
 	c.settle(r, answer)
 }
 
 // health sets the answer to health checks: bad until the engine is there.
-func (c *Core) health() { c.Exchange.SetHealthy(c.active && c.readyAt > 0) }
+func (c *Dispatcher) health() { c.Exchange.SetHealthy(c.active && c.readyAt > 0) }
 
 // after sets a timer of the module, with gauges that are fresh when it is due.
-func (c *Core) after(now time.Duration, d admission.SetTimer) {
+func (c *Dispatcher) after(now time.Duration, d admission.SetTimer) {
 	if d.After > gaugeLead {
-		c.Deadlines.At(now+d.After-gaugeLead, c.Runner.AskGauges)
+		c.Timers.Schedule(now+d.After-gaugeLead, c.Runner.RequestGauges)
 	}
-	c.Deadlines.At(now+d.After, func() {
+	c.Timers.Schedule(now+d.After, func() {
 		if c.Now()-c.gauged > gaugesMost { // guards against a link that is down, or an engine that hangs
 			c.gauges = c.Settings.Gauges(nil)
 		}
--- a/internal/proxy/dispatch/runs.go
+++ b/internal/proxy/dispatch/runs.go
@@ -8,26 +8,26 @@
 )
 
 // end stops a run that stands at a call and whose answer is given.
-func (c *Core) end(r *request) {
+func (c *Dispatcher) end(r *request) {
 	if r.phase == calling {
-		c.Calls.GiveUp(r.Trace)
+		c.Dependency.Cancel(r.TraceID)
 	}
-	c.Deadlines.Cancel(r.expire)
+	c.Timers.Cancel(r.expire)
 	r.phase = running
 	if c.set.Preemption != admission.PreemptionNone { // else the engine ends it at its call, being told of the answer
-		c.Runner.Halt(r.Trace, r.answered)
+		c.Runner.Stop(r.TraceID, r.answered)
 	}
 }
 
-func (c *Core) outcome(o exchange.Outcome) {
-	r := c.byTrace[o.Trace]
+func (c *Dispatcher) outcome(o exchange.Outcome) {
+	r := c.byTrace[o.TraceID]
 	if r == nil {
 		return // over: its run was stopped or answered before
 	}
 	switch o.Stage {
-	case exchange.Ran:
+	case exchange.RunEnded:
 		c.ended(r, o)
-	case exchange.Needs:
+	case exchange.CallNeeded:
 		if r.phase != running {
 			return
 		}
@@ -37,68 +37,68 @@
 		}
 		r.phase, r.need = standing, o.Body
 		c.tell(admission.CallNeeded{ID: r.id})
-	case exchange.Called:
+	case exchange.CallEnded:
 		if r.phase == calling {
 			c.replied(r, o)
 		}
 	}
 }
 
-func (c *Core) ended(r *request, o exchange.Outcome) {
+func (c *Dispatcher) ended(r *request, o exchange.Outcome) {
 	if r.phase == held || r.phase == sharing {
 		return
 	}
 	if r.phase == calling {
-		c.Calls.GiveUp(r.Trace)
+		c.Dependency.Cancel(r.TraceID)
 	}
-	outcomes := map[exchange.End]admission.Outcome{exchange.OK: admission.OutcomeOK, exchange.Stopped: admission.OutcomeCanceled,
-		exchange.Moot: admission.OutcomeNotStarted, exchange.NotBegun: admission.OutcomeNotStarted}
-	out, ok := outcomes[o.End]
+	outcomes := map[exchange.Result]admission.Outcome{exchange.ResultOK: admission.OutcomeOK, exchange.ResultStopped: admission.OutcomeCanceled,
+		exchange.ResultObsolete: admission.OutcomeNotStarted, exchange.ResultNotStarted: admission.OutcomeNotStarted}
+	out, ok := outcomes[o.Result]
 	if !ok {
 		out = admission.OutcomeInternal
 	}
 	c.tell(admission.Completed{ID: r.id, Elapsed: c.Now() - r.began, Outcome: out})
 	switch { // a run that the engine ended by itself is answered, not held for ever
-	case o.End == exchange.OK:
-		c.settle(r, exchange.Answer{Result: exchange.Served, Body: o.Body})
+	case o.Result == exchange.ResultOK:
+		c.settle(r, exchange.Response{Kind: exchange.Succeeded, Body: o.Body})
 		c.keep(r, append([]byte{}, o.Body...)) // not nil, were it empty
-	case o.End == exchange.Stopped && r.suspended && !r.answered:
+	case o.Result == exchange.ResultStopped && r.suspended && !r.answered:
 		// A stopped run is held again, and may be started again if its class allows;
 		// a paused one goes on when it is taken.
-		c.Deadlines.Cancel(r.expire)
+		c.Timers.Cancel(r.expire)
 		r.phase, r.suspended = held, false
 		if c.set.Preemption == admission.PreemptionPause {
 			r.phase = paused
 		}
 		return
 	default:
-		c.settle(r, exchange.Answer{Result: exchange.Failed, Fault: o.End == exchange.NotBegun})
+		c.settle(r, exchange.Response{Kind: exchange.Failed, InvalidRequest: o.Result == exchange.ResultNotStarted})
 	}
 	c.forget(r)
 }
 
-func (c *Core) replied(r *request, o exchange.Outcome) {
-	c.Deadlines.Cancel(r.expire)
-	outcomes := map[exchange.End]admission.Outcome{exchange.OK: admission.OutcomeOK, exchange.NotBegun: admission.OutcomeResourceExhausted,
-		exchange.Unreachable: admission.OutcomeUnavailable, exchange.OutOfTime: admission.OutcomeDeadlineExceeded, exchange.Broken: admission.OutcomeAborted}
-	out, ok := outcomes[o.End]
+func (c *Dispatcher) replied(r *request, o exchange.Outcome) {
+	c.Timers.Cancel(r.expire)
+	outcomes := map[exchange.Result]admission.Outcome{exchange.ResultOK: admission.OutcomeOK, exchange.ResultNotStarted: admission.OutcomeResourceExhausted,
+		exchange.ResultUnreachable: admission.OutcomeUnavailable, exchange.ResultTimedOut: admission.OutcomeDeadlineExceeded, exchange.ResultConnectionLost: admission.OutcomeAborted}
+	out, ok := outcomes[o.Result]
 	if !ok {
 		out = admission.OutcomeInternal
 	}
 	if out == admission.OutcomeOK {
 		r.phase = running
-		c.Runner.Feed(r.Trace, o.Body)
+		c.Runner.DeliverReply(r.TraceID, o.Body)
 	} else {
 		r.phase = standing
 	}
 	c.tell(admission.CallCompleted{ID: r.id, Elapsed: c.Now() - r.called, Outcome: out})
 }
 
-func (c *Core) start(now time.Duration, r *request) {
+func (c *Dispatcher) start(now time.Duration, r *request) {
 	unsafe := c.set.Classes[r.Class].Effect != admission.Idempotent
 	if r.phase == paused {
 		r.phase = running
-		c.Runner.Resume(r.Trace)
+		c.Runner.Resume(r.TraceID)
 		return
 	}
 	if r.phase != held || r.answered || unsafe && (r.ran || r.other != nil) {
@@ -106,20 +106,20 @@
 	}
 	r.phase, r.ran, r.began = running, true, now
 	if r.own != nil {
-		r.own.Ran = true
+		r.own.Started = true
 	}
-	c.Runner.Run(exchange.Attempt{Trace: r.Trace, Class: c.Settings.Classes[r.Class].Name, Safe: !unsafe, Body: r.Body})
+	c.Runner.Run(exchange.Attempt{TraceID: r.TraceID, Class: c.Settings.Classes[r.Class].Name, Idempotent: !unsafe, Body: r.Body})
 }
 
-func (c *Core) call(now time.Duration, r *request, expire time.Duration) {
+func (c *Dispatcher) call(now time.Duration, r *request, expire time.Duration) {
 	if expire == 0 {
 		expire = now + c.set.Classes[r.Class].Deadline
 	}
 	r.phase, r.called = calling, now
 	safe := c.set.Classes[r.Class].Effect == admission.Idempotent
-	c.Calls.Call(exchange.Attempt{Trace: r.Trace, Safe: safe, Wait: expire - now, Body: r.need})
-	r.expire = c.Deadlines.At(expire+callSlack, func() { // guards against a service below that says nothing
-		c.Calls.GiveUp(r.Trace)
-		c.replied(r, exchange.Outcome{End: exchange.OutOfTime})
+	c.Dependency.Call(exchange.Attempt{TraceID: r.TraceID, Idempotent: safe, Timeout: expire - now, Body: r.need})
+	r.expire = c.Timers.Schedule(expire+callSlack, func() { // guards against a service below that says nothing
+		c.Dependency.Cancel(r.TraceID)
+		c.replied(r, exchange.Outcome{Result: exchange.ResultTimedOut})
 	})
 }
