--- /dev/null
+++ b/internal/proxy/dispatch/arrival.go
@@ -0,0 +1,109 @@
+package dispatch
+
+import (
+	"time"
+
+	"go.uber.org/zap"
+
+	"oxbowbridge/admission"
+	"oxbowbridge/internal/proxy/exchange"
+	"oxbowbridge/internal/proxy/idempotency"
+	"oxbowbridge/internal/proxy/timerqueue"
+)
+
+// request is one that has no final response, or whose run goes on after its response.
+type request struct {
+	*exchange.Request
+	id        uint32 // names the request for the controller
+	state     state
+	answered  bool          // the final response was given
+	started   bool          // a run was started, whether or not it still goes on
+	suspended bool          // by the controller: the end of its run puts it back into the queue
+	arrivedAt time.Duration // at the machine
+	startedAt time.Duration // when the run, or the wait for the original, began
+	calledAt  time.Duration // when the call in flight was made
+	callBody  []byte        // of the call that the run needs
+	callTimer *timerqueue.Timer
+	ownEntry  *idempotency.Entry // of the idempotency table, if this attempt may run
+	original  *idempotency.Entry // of the idempotency table, if this attempt duplicates another
+}
+
+// arrive records a request and reports it to the controller.
+func (d *Dispatcher) arrive(q *exchange.Request) {
+	if d.isDuplicateTrace(q.TraceID) {
+		d.Log.Warn("duplicate trace id, request failed", zap.String("trace_id", q.TraceID))
+		d.respondUnrecorded(q, exchange.Response{Kind: exchange.Failed, InvalidRequest: true})
+		return
+	}
+	r := &request{
+		Request:   q,
+		id:        d.nextID(),
+		state:     queued,
+		arrivedAt: d.Now() - time.Since(q.Arrived),
+	}
+	if d.effect(r) == admission.Deduplicated && !d.claimKey(r) {
+		return
+	}
+	d.byID[r.id] = r
+	d.byTraceID[r.TraceID] = r
+	d.report(d.arrivalOf(r))
+}
+
+// nextID returns an identifier that no recorded request has. 0 is none.
+func (d *Dispatcher) nextID() uint32 {
+	for {
+		d.lastID++
+		if d.lastID != 0 && d.byID[d.lastID] == nil {
+			return d.lastID
+		}
+	}
+}
+
+// arrivalOf is the controller's event of a request. Waited and TimeLeft are points in time
+// until arrivalAt turns them into spans.
+func (d *Dispatcher) arrivalOf(r *request) admission.Arrive {
+	a := admission.Arrive{
+		ID:     r.id,
+		Class:  r.Class,
+		Tenant: d.tenants[r.Tenant],
+		Hint:   r.ExpectedWork,
+		Waited: r.arrivedAt,
+		HeldKB: r.ReservedKB,
+		Keyed:  r.HasSubject,
+		Repeat: r.IsRetry,
+		Place:  r.Rank,
+	}
+	if d.Settings.Info.PassesDeadline && r.Timeout > 0 { // else the deadline of its class counts
+		a.TimeLeft = r.arrivedAt + r.Timeout
+	}
+	if r.original != nil {
+		a.DupOf = r.original.Owner
+	}
+	return a
+}
+
+// arrivalAt completes the event when the controller is called.
+func arrivalAt(a admission.Arrive, now time.Duration) admission.Arrive {
+	a.Waited = max(0, now-a.Waited)
+	if a.TimeLeft != 0 {
+		a.TimeLeft = max(1, a.TimeLeft-now) // 0 would mean that it is not known
+	}
+	return a
+}
+
+// clientGone ends a request whose connection is lost, or that its caller cancelled: no
+// response can reach the caller, and its resources go to others.
+func (d *Dispatcher) clientGone(q *exchange.Request) {
+	r := d.byTraceID[q.TraceID]
+	if r == nil || r.Request != q || r.answered {
+		return
+	}
+	d.respond(r, exchange.Response{Kind: exchange.Failed})
+	d.report(admission.Lapsed{ID: r.id})
+	if r.state.atCall() {
+		d.stop(r)
+	}
+}
+
+// effect says how often requests of r's class may run.
+func (d *Dispatcher) effect(r *request) admission.Effect { return d.settings.Classes[r.Class].Effect }
--- a/internal/proxy/dispatch/drain.go
+++ b/internal/proxy/dispatch/drain.go
@@ -8,84 +8,124 @@
 	"oxbowbridge/admission"
 )
 
-// Drain takes the notice, which came so long ago, that the process will be stopped after
-// the given time. All is counted from when it came: a turn that was late must not have
-// later requests run. It is called in a Step.
-func (c *Dispatcher) Drain(waited, stop time.Duration) {
-	if c.draining {
+// The drain, from the notice (SIGTERM) to the end of the process. All times count from the
+// notice, also where it is handled late.
+//
+//   - At once: the registry lists the service as unavailable, and the controller gets
+//     drainTimeout - shutdownReserve for the requests in hand. Requests are still taken, as
+//     balancers hear of a drain late.
+//   - After DrainGrace (settings), at the latest shutdownReserve before the stop: listeners
+//     close, and connections close once they are idle.
+//   - finishBefore before the stop: all connections are told to finish.
+//   - The process ends when no connection, unsent byte or unanswered request has been left
+//     for closeRaceWindow, and exitBefore before the stop in any case.
+const (
+	// shutdownReserve is kept of the drain timeout for the last responses and closes.
+	shutdownReserve = 250 * time.Millisecond
+	// exitBefore is how long before the stop the process ends, whatever is left.
+	exitBefore = 100 * time.Millisecond
+	// closeRaceWindow is how long a request that was sent while its connection closed may
+	// take to come again on another one.
+	closeRaceWindow = 100 * time.Millisecond
+	// finishBefore is how long before the stop connections with incomplete messages end.
+	finishBefore = exitBefore + closeRaceWindow
+	// drainPollInterval is the time between two looks at what is left.
+	drainPollInterval = 20 * time.Millisecond
+)
+
+// drainState is how far a drain has come.
+type drainState struct {
+	started         bool
+	stopAt          time.Duration // when the process will be stopped from outside
+	closeAt         time.Duration // when listeners and idle connections close
+	emptySince      time.Duration // when nothing was left to do; 0: something is
+	listenersClosed bool          // or closing
+	finished        bool
+}
+
+// Drain starts the drain. The notice came `waited` ago, and the process will be stopped
+// `timeout` after it. Further notices are ignored. It must be called in the
+// dispatcher's goroutine.
+func (d *Dispatcher) Drain(waited, timeout time.Duration) {
+	if d.drain.started {
 		return
 	}
-	noticed := c.Now() - waited
-	c.draining, c.stopAt = true, noticed+stop
-	c.closeAt = min(noticed+c.set.DrainGrace, c.stopAt-stopLead)
-	left := c.stopAt - c.Now()
-	c.Log.Info("drain", zap.Duration("stop_in", left), zap.Int("open", len(c.byID)))
-	if c.Settings.Info.Readiness {
-		c.Registry.SetAvailable(false) // whatever its reports say now is listed at once
+	noticedAt := d.Now() - waited
+	stopAt := noticedAt + timeout
+	d.drain.started = true
+	d.drain.stopAt = stopAt
+	d.drain.closeAt = min(noticedAt+d.settings.DrainGrace, stopAt-shutdownReserve)
+	remaining := stopAt - d.Now()
+	d.Log.Info("drain started", zap.Int64("stop_in_ms", remaining.Milliseconds()), zap.Int("open_requests", len(d.byID)))
+	if d.Settings.Info.Readiness {
+		d.Registry.SetAvailable(false)
 	} else {
-		c.Registry.Deregister()
+		d.Registry.Deregister()
 	}
-	c.tell(admission.Drain{TimeLeft: max(0, left-stopLead), Waited: waited})
-	c.drainTick()
+	d.report(admission.Drain{TimeLeft: max(0, remaining-shutdownReserve), Waited: waited})
+	d.pollDrain()
 }
 
-func (c *Dispatcher) drainTick() { c.Timers.Schedule(c.Now()+drainSweep, c.drainTick) }
+// pollDrain has a turn, and with it advanceDrain, follow each interval.
+func (d *Dispatcher) pollDrain() { d.Timers.Schedule(d.Now()+drainPollInterval, d.pollDrain) }
 
-// finish closes what is idle once nothing new may run, and ends the process when
-// all connections are closed or the stop is near.
-func (c *Dispatcher) finish() {
-	now := c.Now()
-	if now < c.closeAt {
+// advanceDrain closes what is idle once the grace is over, and finishes the drain when
+// nothing is left or the stop is near.
+func (d *Dispatcher) advanceDrain() {
+	now := d.Now()
+	if now < d.drain.closeAt {
 		return
 	}
-	c.stopListening()
-	left, unsent := c.closeConnections(now)
-	open := c.unanswered()
-	if left > 0 || unsent > 0 || open > 0 {
-		c.emptyAt = 0
-	} else if c.emptyAt == 0 {
-		c.emptyAt = now
+	d.closeListeners()
+	connections, unsentBytes := d.closeIdle(now)
+	unanswered := d.unanswered()
+	if connections > 0 || unsentBytes > 0 || unanswered > 0 {
+		d.drain.emptySince = 0
+	} else if d.drain.emptySince == 0 {
+		d.drain.emptySince = now
 	}
-	empty := c.emptyAt > 0 && now >= c.emptyAt+closeCross
-	if empty || now >= c.stopAt-exitLead {
-		c.Log.Info("drained", zap.Int("open", open), zap.Duration("before_stop", c.stopAt-now))
-		c.done = true
+	empty := d.drain.emptySince > 0 && now >= d.drain.emptySince+closeRaceWindow
+	if empty || now >= d.drain.stopAt-exitBefore {
+		beforeStop := d.drain.stopAt - now
+		d.Log.Info("drain finished", zap.Int("open_requests", unanswered), zap.Int64("before_stop_ms", beforeStop.Milliseconds()))
+		d.drain.finished = true
 	}
 }
 
-// stopListening closes the listeners, once. Balancers hear of a drain late: until its grace
-// is over what comes on new connections can still be served.
-func (c *Dispatcher) stopListening() {
-	if c.listenersClosed {
+// closeListeners closes the listeners, once.
+func (d *Dispatcher) closeListeners() {
+	if d.drain.listenersClosed {
 		return
 	}
-	c.listenersClosed = true
-	for _, f := range c.Frontends {
+	d.drain.listenersClosed = true
+	for _, f := range d.Frontends {
 		f.StopListening()
 	}
 }
 
-// closeConnections ends what is idle, and near the stop what is half done too, which will
-// not be a request any more. It tells how many connections are left, and how many bytes
-// wait to be sent.
-func (c *Dispatcher) closeConnections(now time.Duration) (left, unsent int) {
-	left = c.Lingering.Reap(time.Now())
-	for _, f := range c.Frontends {
-		if now >= c.stopAt-exitLead-closeCross {
+// closeIdle closes idle connections, and near the stop also those with incomplete messages,
+// which will not be requests any more. It returns how many remain, and how many bytes are
+// not sent yet.
+func (d *Dispatcher) closeIdle(now time.Duration) (remaining, unsentBytes int) {
+	remaining = d.Lingering.Reap(time.Now())
+	for _, f := range d.Frontends {
+		if now >= d.drain.stopAt-finishBefore {
 			f.Finish()
 		}
-		frontLeft, frontUnsent := f.CloseIdle(0)
-		left, unsent = left+frontLeft, unsent+frontUnsent
+		frontendRemaining, frontendUnsent := f.CloseIdle(0)
+		remaining += frontendRemaining
+		unsentBytes += frontendUnsent
 	}
-	return left, unsent
+	return remaining, unsentBytes
 }
 
-// unanswered counts the requests that are owed an answer.
-func (c *Dispatcher) unanswered() (open int) {
-	for _, r := range c.byID {
+// unanswered counts the requests without a final response.
+func (d *Dispatcher) unanswered() int {
+	count := 0
+	for _, r := range d.byID {
 		if !r.answered {
-			open++
+			count++
 		}
 	}
-	return open
+	return count
 }
--- a/internal/proxy/dispatch/core_test.go
+++ b/internal/proxy/dispatch/drain_test.go
@@ -14,12 +14,12 @@
 	"oxbowbridge/internal/simproto"
 )
 
-// directory is a Directory that does nothing.
-type directory struct{}
+// idleRegistry is a Registry that does nothing.
+type idleRegistry struct{}
 
-func (directory) Register()         {}
-func (directory) SetAvailable(bool) {}
-func (directory) Deregister()       {}
+func (idleRegistry) Register()         {}
+func (idleRegistry) SetAvailable(bool) {}
+func (idleRegistry) Deregister()       {}
 
 const smallSite = `{"tick_ns": 4000000, "servers": 1, "counted_by": "work",
 	"classes": [{"name": "balance-view", "effect": "idempotent", "value": 1, "aim_ns": 1000000000, "deadline_ns": 2000000000}],
@@ -28,17 +28,17 @@
 	"safety": {"answer_slack_ns": 80000000, "cold_ns": 16000000000, "cold_share": 0.2, "drain_grace_ns": 2500000000, "fall_multiple": 8, "fall_ns": 3000000000}}`
 
 // TestDrainCountsFromTheNotice: a notice that a late turn comes to counts from when it came,
-// for the core and for the module.
+// for the dispatcher and for the controller.
 func TestDrainCountsFromTheNotice(t *testing.T) {
 	var settings simproto.Settings
 	require.NoError(t, json.Unmarshal([]byte(smallSite), &settings))
 	now := 10 * time.Second
-	c, err := New(Config{Exchange: exchange.New(10), Timers: &timerqueue.Queue{}, Registry: directory{}, Log: zap.NewNop(),
+	d, err := New(Config{Exchange: exchange.New(10), Timers: &timerqueue.Queue{}, Registry: idleRegistry{}, Log: zap.NewNop(),
 		Settings: &settings, Now: func() time.Duration { return now }})
 	require.NoError(t, err)
 	const waited, stop = 300 * time.Millisecond, 4 * time.Second
-	c.Drain(waited, stop)
-	require.Equal(t, now-waited+stop, c.stopAt)
-	require.Equal(t, now-waited+2500*time.Millisecond, c.closeAt)
-	require.Equal(t, []admission.Event{admission.Drain{TimeLeft: stop - waited - stopLead, Waited: waited}}, c.events)
+	d.Drain(waited, stop)
+	require.Equal(t, now-waited+stop, d.drain.stopAt)
+	require.Equal(t, now-waited+2500*time.Millisecond, d.drain.closeAt)
+	require.Equal(t, []admission.Event{admission.Drain{TimeLeft: stop - waited - shutdownReserve, Waited: waited}}, d.pendingEvents)
 }
--- a/internal/proxy/dispatch/runs.go
+++ b/internal/proxy/dispatch/runs.go
@@ -7,119 +7,113 @@
 	"oxbowbridge/internal/proxy/exchange"
 )
 
-// end stops a run that stands at a call and whose answer is given.
-func (c *Dispatcher) end(r *request) {
-	if r.phase == calling {
-		c.Dependency.Cancel(r.TraceID)
+// start begins a run, or resumes the paused one, as far as that is allowed.
+func (d *Dispatcher) start(now time.Duration, r *request) {
+	if r.state.advance(resumeRun) {
+		d.Runner.Resume(r.TraceID)
+		return
+	}
+	if !d.mayStart(r) {
+		return
+	}
+	r.state.advance(startRun)
+	r.started = true
+	r.startedAt = now
+	if r.ownEntry != nil {
+		r.ownEntry.Started = true
 	}
-	c.Timers.Cancel(r.expire)
-	r.phase = running
-	if c.set.Halt != admission.HaltNone { // else the engine ends it at its call, being told of the answer
-		c.Runner.Stop(r.TraceID, r.answered)
+	d.Runner.Run(exchange.Attempt{
+		TraceID:    r.TraceID,
+		Class:      d.Settings.Classes[r.Class].Name,
+		Idempotent: d.effect(r) == admission.Idempotent,
+		Body:       r.Body,
+	})
+}
+
+// suspend takes a run off the cores. With HaltPause a run at its call uses none: it goes
+// on, unless its request is answered.
+func (d *Dispatcher) suspend(r *request) {
+	keepsWaiting := d.settings.Halt == admission.HaltPause && !r.answered
+	if r.state == running || r.state.atCall() && !keepsWaiting {
+		r.suspended = true
+		d.stop(r)
 	}
 }
 
-func (c *Dispatcher) outcome(o exchange.Outcome) {
-	r := c.byTrace[o.TraceID]
+// stop has the runner end a run. The runner reports the end.
+func (d *Dispatcher) stop(r *request) {
+	if r.state == calling {
+		d.Dependency.Cancel(r.TraceID)
+	}
+	d.Timers.Cancel(r.callTimer)
+	r.state.advance(stopRun)
+	if d.settings.Halt != admission.HaltNone { // else the runner ends it at its call, when it learns of the response
+		d.Runner.Stop(r.TraceID, r.answered)
+	}
+}
+
+// outcome handles a report of the runner or the dependency.
+func (d *Dispatcher) outcome(o exchange.Outcome) {
+	r := d.byTraceID[o.TraceID]
 	if r == nil {
-		return // over: its run was stopped or answered before
+		return // stopped or answered before
 	}
 	switch o.Stage {
 	case exchange.RunEnded:
-		c.ended(r, o)
-	case exchange.CallNeeded:
-		if r.phase != running {
-			return
-		}
-		if r.answered {
-			c.end(r)
-			return
+		if r.state.hasRun() {
+			d.runEnded(r, o)
 		}
-		r.phase, r.need = standing, o.Body
-		c.tell(admission.Awaiting{ID: r.id})
+	case exchange.CallNeeded:
+		d.callNeeded(r, o.Body)
 	case exchange.CallEnded:
-		if r.phase == calling {
-			c.replied(r, o)
+		if r.state == calling {
+			d.callEnded(r, o)
 		}
 	}
 }
 
-func (c *Dispatcher) ended(r *request, o exchange.Outcome) {
-	if r.phase == held || r.phase == sharing {
-		return
-	}
-	if r.phase == calling {
-		c.Dependency.Cancel(r.TraceID)
-	}
-	outcomes := map[exchange.Result]admission.Outcome{exchange.ResultOK: admission.OK, exchange.ResultStopped: admission.Cancelled,
-		exchange.ResultObsolete: admission.TooLate, exchange.ResultNotStarted: admission.TooLate}
-	out, ok := outcomes[o.Result]
-	if !ok {
-		out = admission.Internal
+// runEnded reports the end to the controller. A run that ended by itself gives its request
+// the final response; a suspended one puts its request back into the queue.
+func (d *Dispatcher) runEnded(r *request, o exchange.Outcome) {
+	if r.state == calling {
+		d.Dependency.Cancel(r.TraceID)
 	}
-	c.tell(admission.Completed{ID: r.id, Took: c.Now() - r.began, Outcome: out})
-	switch { // a run that the engine ended by itself is answered, not held for ever
+	d.report(admission.Completed{ID: r.id, Took: d.Now() - r.startedAt, Outcome: runOutcome(o.Result)})
+	switch {
 	case o.Result == exchange.ResultOK:
-		c.settle(r, exchange.Response{Kind: exchange.Succeeded, Body: o.Body})
-		c.keep(r, append([]byte{}, o.Body...)) // not nil, were it empty
+		d.respond(r, exchange.Response{Kind: exchange.Succeeded, Body: o.Body})
+		d.completeKey(r, append([]byte{}, o.Body...)) // not nil, even if empty
 	case o.Result == exchange.ResultStopped && r.suspended && !r.answered:
-		// A stopped run is held again, and may be started again if its class allows;
-		// a paused one goes on when it is taken.
-		c.Timers.Cancel(r.expire)
-		r.phase, r.suspended = held, false
-		if c.set.Halt == admission.HaltPause {
-			r.phase = paused
-		}
+		d.requeue(r)
 		return
 	default:
-		c.settle(r, exchange.Response{Kind: exchange.Failed, InvalidRequest: o.Result == exchange.ResultNotStarted})
+		unknown := o.Result == exchange.ResultNotStarted // to the runner
+		d.respond(r, exchange.Response{Kind: exchange.Failed, InvalidRequest: unknown})
 	}
-	c.forget(r)
+	d.forget(r)
 }
 
-func (c *Dispatcher) replied(r *request, o exchange.Outcome) {
-	c.Timers.Cancel(r.expire)
-	outcomes := map[exchange.Result]admission.Outcome{exchange.ResultOK: admission.OK, exchange.ResultNotStarted: admission.Full,
-		exchange.ResultUnreachable: admission.Unreachable, exchange.ResultTimedOut: admission.DeadlineExceeded, exchange.ResultConnectionLost: admission.Broken}
-	out, ok := outcomes[o.Result]
-	if !ok {
-		out = admission.Internal
-	}
-	if out == admission.OK {
-		r.phase = running
-		c.Runner.DeliverReply(r.TraceID, o.Body)
+// requeue keeps a request whose run was suspended. It may be started again if its class
+// allows that, or resumed if its progress was kept.
+func (d *Dispatcher) requeue(r *request) {
+	d.Timers.Cancel(r.callTimer)
+	r.suspended = false
+	if d.settings.Halt == admission.HaltPause {
+		r.state.advance(pauseRun)
 	} else {
-		r.phase = standing
+		r.state.advance(requeueRun)
 	}
-	c.tell(admission.Replied{ID: r.id, Took: c.Now() - r.called, Outcome: out})
 }
 
-func (c *Dispatcher) start(now time.Duration, r *request) {
-	unsafe := c.set.Classes[r.Class].Effect != admission.Idempotent
-	if r.phase == paused {
-		r.phase = running
-		c.Runner.Resume(r.TraceID)
-		return
+// runOutcome maps the end of a run to the controller's outcomes.
+func runOutcome(result exchange.Result) admission.Outcome {
+	switch result {
+	case exchange.ResultOK:
+		return admission.OK
+	case exchange.ResultStopped:
+		return admission.Cancelled
+	case exchange.ResultObsolete, exchange.ResultNotStarted:
+		return admission.TooLate
 	}
-	if r.phase != held || r.answered || unsafe && (r.ran || r.other != nil) {
-		return // guards against a second run of what must run once
-	}
-	r.phase, r.ran, r.began = running, true, now
-	if r.own != nil {
-		r.own.Started = true
-	}
-	c.Runner.Run(exchange.Attempt{TraceID: r.TraceID, Class: c.Settings.Classes[r.Class].Name, Idempotent: !unsafe, Body: r.Body})
-}
-
-func (c *Dispatcher) call(now time.Duration, r *request, expire time.Duration) {
-	if expire == 0 {
-		expire = now + c.set.Classes[r.Class].Deadline
-	}
-	r.phase, r.called = calling, now
-	safe := c.set.Classes[r.Class].Effect == admission.Idempotent
-	c.Dependency.Call(exchange.Attempt{TraceID: r.TraceID, Idempotent: safe, Timeout: expire - now, Body: r.need})
-	r.expire = c.Timers.Schedule(expire+callSlack, func() { // guards against a service below that says nothing
-		c.Dependency.Cancel(r.TraceID)
-		c.replied(r, exchange.Outcome{Result: exchange.ResultTimedOut})
-	})
+	return admission.Internal
 }
--- /dev/null
+++ b/internal/proxy/idempotency/table_test.go
@@ -0,0 +1,137 @@
+package idempotency
+
+import (
+	"errors"
+	"flag"
+	"fmt"
+	"os"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+	"pgregory.net/rapid"
+
+	"oxbowbridge/internal/testrig/rapidseed"
+)
+
+func TestMain(m *testing.M) {
+	flag.Parse()
+	rapidseed.Fix()
+	os.Exit(m.Run())
+}
+
+// known is the expected state of one key.
+type known struct {
+	entry   *Entry
+	body    string
+	expiry  time.Duration // once it has ended
+	waiters []uint32
+}
+
+// TestTable: after any sequence of operations a key is found until its owner has ended and
+// its expiry has passed, and never after; the bound holds; and a new key is rejected only
+// if there is no room for it.
+func TestTable(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		const maxBytes = 4 * (entryOverhead + 2 + ReservedResultBytes)
+		table, now, attempt := New(maxBytes), time.Duration(0), uint32(0)
+		keys := map[string]*known{}
+		name := func(t *rapid.T) string { return fmt.Sprint("k", rapid.IntRange(0, 7).Draw(t, "key")) }
+		inFlight := func(t *rapid.T) *known {
+			var all []string
+			for key, k := range keys {
+				if !k.entry.Ended {
+					all = append(all, key)
+				}
+			}
+			if len(all) == 0 {
+				t.Skip("nothing is in flight")
+			}
+			slices.Sort(all)
+			return keys[rapid.SampledFrom(all).Draw(t, "of those in flight")]
+		}
+		t.Repeat(map[string]func(*rapid.T){
+			"claim": func(t *rapid.T) {
+				key, body := name(t), rapid.SampledFrom([]string{"a", "b"}).Draw(t, "body")
+				for n, k := range keys {
+					if k.entry.Ended && k.expiry <= now {
+						delete(keys, n)
+					}
+				}
+				attempt++
+				used := table.UsedBytes()
+				e, owner, err := table.Claim(now, Request{Key: key, Class: 1, Body: []byte(body)}, attempt)
+				switch k := keys[key]; {
+				case k != nil && k.body == body:
+					require.NoError(t, err)
+					require.False(t, owner)
+					require.Same(t, k.entry, e)
+				case k != nil:
+					require.ErrorIs(t, err, ErrKeyReused)
+					require.Nil(t, e)
+				case errors.Is(err, ErrTableFull):
+					require.Nil(t, e)
+					require.Greater(t, used+entryOverhead+len(key)+ReservedResultBytes, maxBytes)
+				default:
+					require.NoError(t, err)
+					require.True(t, owner)
+					require.Equal(t, attempt, e.Owner)
+					keys[key] = &known{entry: e, body: body}
+				}
+			},
+			"run": func(t *rapid.T) { inFlight(t).entry.Started = true },
+			"wait": func(t *rapid.T) {
+				k := inFlight(t)
+				attempt++
+				table.AddWaiter(k.entry, attempt)
+				k.waiters = append(k.waiters, attempt)
+			},
+			"leave": func(t *rapid.T) {
+				if k := inFlight(t); len(k.waiters) > 0 {
+					table.RemoveWaiter(k.entry, k.waiters[0])
+					k.waiters = k.waiters[1:]
+				}
+			},
+			"end": func(t *rapid.T) {
+				k := inFlight(t)
+				result := []byte(strings.Repeat("r", rapid.IntRange(0, ReservedResultBytes).Draw(t, "result")))
+				k.expiry = now + time.Duration(rapid.IntRange(0, 20).Draw(t, "window"))
+				require.Equal(t, len(k.waiters), len(table.Complete(k.entry, result, k.expiry)))
+				require.Empty(t, table.Complete(k.entry, nil, 0), "completed twice")
+				k.waiters = nil
+				if !k.entry.Started {
+					k.expiry = 0 // removed at once, as another attempt may run
+				} else {
+					require.Equal(t, result, append([]byte{}, k.entry.Result...))
+				}
+			},
+			"time": func(t *rapid.T) { now += time.Duration(rapid.IntRange(1, 10).Draw(t, "passes")) },
+			"": func(t *rapid.T) {
+				require.LessOrEqual(t, table.UsedBytes(), maxBytes)
+				sum := 0
+				for _, e := range table.byKey {
+					sum += e.bytes
+				}
+				require.Equal(t, sum, table.UsedBytes())
+				if next, ok := table.NextExpiry(); ok {
+					for _, k := range keys {
+						require.True(t, !k.entry.Ended || !k.entry.Started || k.expiry >= next || k.expiry <= now)
+					}
+				}
+			},
+		})
+	})
+}
+
+// TestClassIsPartOfRequest: the same key and body in another class is another request.
+func TestClassIsPartOfRequest(t *testing.T) {
+	table := New(1 << 20)
+	_, owner, err := table.Claim(0, Request{Key: "k", Class: 1}, 1)
+	require.NoError(t, err)
+	require.True(t, owner)
+	_, _, err = table.Claim(0, Request{Key: "k", Class: 2}, 2)
+	require.ErrorIs(t, err, ErrKeyReused)
+	require.Equal(t, 1, table.Len())
+}
--- a/tests/endings_test.go
+++ b/tests/endings_test.go
@@ -265,7 +265,7 @@
 	got := w.later("nom-submit", trace, "hold")
 	await(t, "a run", func() bool { return w.engine.held() == 1 })
 	require.NoError(t, w.Signal(syscall.SIGTERM))
-	await(t, "the notice", func() bool { return strings.Contains(w.log(), `"msg":"drain"`) })
+	await(t, "the notice", func() bool { return strings.Contains(w.log(), `"msg":"drain started"`) })
 	w.records = newRecords(t)
 	w.reload(func(cfg object) { cfg["records"] = w.records.addr })
 	w.engine.mu.Lock()
@@ -296,7 +296,7 @@
 	defer file.Close()
 	require.NoError(t, w.Signal(syscall.SIGTERM))
 	w.ended()
-	assert.Contains(t, w.log(), `"msg":"drained"`)
+	assert.Contains(t, w.log(), `"msg":"drain finished"`)
 }
 
 // TestReadyOnceItServes: health checks are bad until the engine is there, whatever comes.
@@ -397,7 +397,7 @@
 	require.NoError(t, err)
 	assert.Equal(t, 200, w.ping(), "all before it is read")
 	require.NoError(t, w.Signal(syscall.SIGTERM))
-	await(t, "the notice", func() bool { return strings.Contains(w.log(), `"msg":"drain"`) })
+	await(t, "the notice", func() bool { return strings.Contains(w.log(), `"msg":"drain started"`) })
 	_, err = half.Write(request[len(request)/2:])
 	require.NoError(t, err)
 	w.records.answer("reply")
--- a/tests/replay_test.go
+++ b/tests/replay_test.go
@@ -211,7 +211,7 @@
 			if holdOff != "" {
 				assert.Equal(t, holdOff, refused[0].headers["Hold-Off-Ms"])
 			}
-			assert.Equal(t, holdOff != "", strings.Contains(w.log(), "no room for its replay key"), "by the table")
+			assert.Equal(t, holdOff != "", strings.Contains(w.log(), "idempotency table full"), "by the table")
 			break
 		}
 	}
