--- /dev/null
+++ b/internal/proxy/exchange/event.go
@@ -0,0 +1,45 @@
+package exchange
+
+import "time"
+
+// Event is what the dispatcher dequeues: one of *Request, ClientGone, Outcome, Gauges,
+// RunnerReady and Callback.
+type Event interface{ event() }
+
+// ClientGone reports that nobody waits for a request any more.
+type ClientGone struct{ Request *Request }
+
+// Outcome reports on an attempt.
+type Outcome struct {
+	// TraceID is that of the attempt.
+	TraceID string
+	// Stage says what is reported.
+	Stage Stage
+	// Result is how the attempt ended; of RunEnded and CallEnded.
+	Result Result
+	// Duration is how long a run took, if the runner says; 0 if not.
+	Duration time.Duration
+	// Body is the result of the run, the request of the call, or the reply.
+	Body []byte
+}
+
+// Gauges are the runner's measurements, in the order of the settings (family_info.own_stats).
+type Gauges []float64
+
+// RunnerReady reports that the runner takes runs.
+type RunnerReady struct {
+	// ColdStart says that the runner is warming up.
+	ColdStart bool
+	// Uptime is how long it has been up.
+	Uptime time.Duration
+}
+
+// Callback is code that must run in the dispatcher's goroutine. It must not block.
+type Callback func()
+
+func (*Request) event()    {}
+func (ClientGone) event()  {}
+func (Outcome) event()     {}
+func (Gauges) event()      {}
+func (RunnerReady) event() {}
+func (Callback) event()    {}
