--- a/internal/proxy/fdquota/fdquota_test.go
+++ b/internal/proxy/fdquota/fdquota_test.go
@@ -17,8 +17,8 @@
 	os.Exit(m.Run())
 }
 
-// TestDivide: whatever the limit, all shares and what is kept fit into it together, with
-// twice the wanted number of ended connections, unless it is said to be short.
+// TestDivide: the quotas, with twice the lingering connections, and the other descriptors
+// fit into any limit together, unless BelowMinimum is set.
 func TestDivide(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		u := Usage{
@@ -27,26 +27,26 @@
 			Listeners:   rapid.IntRange(1, 3).Draw(t, "listeners"),
 			Reserved:    rapid.IntRange(0, 200).Draw(t, "others"),
 		}
-		kept := u.AlreadyOpen + u.Listeners + u.Reserved + reserve
-		s := Divide(u)
-		if s.BelowMinimum {
-			require.Less(t, u.Limit-kept, connsLeast+2*endedLeast+allParts, "short though there is room")
+		others := u.AlreadyOpen + u.Listeners + u.Reserved + ownDescriptors
+		q := Divide(u)
+		if q.BelowMinimum {
+			require.Less(t, u.Limit-others, minConnections+2*minLingering+lingeringDivisor, "below the minimum though there is room")
 		} else {
-			require.LessOrEqual(t, s.Connections+2*s.Lingering+kept, u.Limit)
+			require.LessOrEqual(t, q.Connections+2*q.Lingering+others, u.Limit)
 		}
-		require.GreaterOrEqual(t, s.Connections, connsLeast)
-		require.GreaterOrEqual(t, s.ReservedCalls, callsLeast)
-		require.GreaterOrEqual(t, s.Lingering, endedLeast)
-		require.Less(t, s.ReservedCalls, s.Connections)
+		require.GreaterOrEqual(t, q.Connections, minConnections)
+		require.GreaterOrEqual(t, q.ReservedCalls, minReservedCalls)
+		require.GreaterOrEqual(t, q.Lingering, minLingering)
+		require.Less(t, q.ReservedCalls, q.Connections)
 	})
 }
 
-// TestPool: in any order of callers and calls that come and go, both together never take
-// more than there is, and a call always finds what is kept for calls.
+// TestPool: after any sequence of opened and closed connections, callers and calls together
+// stay within their quota, and a call always finds the reserved ones.
 func TestPool(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		shares := Divide(Usage{Limit: rapid.IntRange(30, 600).Draw(t, "limit"), AlreadyOpen: 10, Listeners: 1})
-		p := NewPool(shares)
+		quotas := Divide(Usage{Limit: rapid.IntRange(30, 600).Draw(t, "limit"), AlreadyOpen: 10, Listeners: 1})
+		p := NewPool(quotas)
 		callers, calls := 0, 0
 		for range rapid.IntRange(1, 500).Draw(t, "steps") {
 			switch rapid.SampledFrom([]string{"caller", "caller", "caller leaves", "call", "call", "call ends"}).Draw(t, "step") {
@@ -61,9 +61,9 @@
 					callers--
 				}
 			case "call":
-				taken := p.AcquireCall()
-				require.True(t, taken || calls >= shares.ReservedCalls, "%d calls, %d are kept", calls, shares.ReservedCalls)
-				if taken {
+				acquired := p.AcquireCall()
+				require.True(t, acquired || calls >= quotas.ReservedCalls, "%d calls, %d are reserved", calls, quotas.ReservedCalls)
+				if acquired {
 					calls++
 				}
 			case "call ends":
@@ -72,7 +72,7 @@
 					calls--
 				}
 			}
-			require.LessOrEqual(t, callers+calls, shares.Connections)
+			require.LessOrEqual(t, callers+calls, quotas.Connections)
 			require.LessOrEqual(t, callers, p.MaxCallers())
 		}
 	})
--- a/internal/proxy/slowstart/slowstart.go
+++ b/internal/proxy/slowstart/slowstart.go
@@ -1,7 +1,8 @@
-// Package slowstart decides how many runs one process may have at a server that has just
-// started, so that the sum over all processes stays within what such a server survives. It
-// does no I/O and reads no clock. The processes don't talk to each other: each knows the
-// settings, how many processes there are, and when it learned of the start.
+// Package slowstart bounds the runs that one process has in flight at a server that has just
+// started, so that all processes together stay within what such a server survives.
+//
+// The processes do not communicate. Each knows the settings, how many processes there are,
+// and when it learned of the start. The package does no I/O and has no clock.
 package slowstart
 
 import (
@@ -10,76 +11,94 @@
 	"time"
 )
 
-// Limits are what the settings say of a server and of those that send to it.
+// Config describes a server and the processes that send to it. All fields are from the
+// service's settings, and none has a default.
 type Config struct {
-	Cores            int
-	WarmRunsPerCore  float64       // runs a core on the cores that a warm server survives (fall_multiple)
-	MinSpeedFraction float64       // of its speed that a server has at its start, at least (cold_share)
-	WarmUp           time.Duration // after which it is warm, at the latest (cold_ns)
-	AveragingWindow  time.Duration // over which runs on the cores are averaged (fall_ns)
-	Processes        int           // that send to it
+	// Cores is the server's number of cores, at least 1 (family_info.cores).
+	Cores int
+	// WarmRunsPerCore is how many runs per core a warm server survives, averaged over
+	// AveragingWindow (safety.fall_multiple).
+	WarmRunsPerCore float64
+	// MinSpeedFraction is the speed of a server at its start, as a fraction of its speed
+	// when warm: 0 to 1 (safety.cold_share).
+	MinSpeedFraction float64
+	// WarmUp is the time after which a server is warm; 0: at once (safety.cold_ns).
+	WarmUp time.Duration
+	// AveragingWindow is the time over which runs are averaged; 0: none (safety.fall_ns).
+	AveragingWindow time.Duration
+	// Processes is how many send to the server, this one included (servers).
+	Processes int
 }
 
-// Allowed is how many runs a server survives on its cores, of all processes together and in
-// the mean of the window, so long after its start.
-func (l Config) TotalQuota(age time.Duration) float64 {
-	speed := 1.0
-	if l.WarmUp > 0 && age < l.WarmUp {
-		speed = l.MinSpeedFraction + (1-l.MinSpeedFraction)*float64(max(age, 0))/float64(l.WarmUp)
+// TotalQuota is how many runs a server of the given age survives, of all processes together
+// and averaged over the window: one per core, and those that it can work off beyond that at
+// its present speed. The speed is taken to grow linearly while the server warms up.
+func (c Config) TotalQuota(age time.Duration) float64 {
+	return float64(c.Cores) * (1 + (c.WarmRunsPerCore-1)*c.speedFraction(age))
+}
+
+// speedFraction is the speed at an age, as a fraction of the speed when warm.
+func (c Config) speedFraction(age time.Duration) float64 {
+	if c.WarmUp <= 0 || age >= c.WarmUp {
+		return 1
 	}
-	return float64(l.Cores) * (1 + (l.WarmRunsPerCore-1)*speed)
+	return c.MinSpeedFraction + (1-c.MinSpeedFraction)*float64(max(age, 0))/float64(c.WarmUp)
 }
 
-// Warm tells whether a server is warm so long after its start.
-func (l Config) IsWarm(age time.Duration) bool { return age >= l.WarmUp }
+// IsWarm tells whether a server of the given age is warm.
+func (c Config) IsWarm(age time.Duration) bool { return age >= c.WarmUp }
 
-// Ramp is the part of one process in the start of one server.
+// SlowStart is the part of one process in the slow start of one server. It belongs to one
+// goroutine.
 type SlowStart struct {
-	limits  Config
-	rng     *rand.Rand
-	started time.Duration // when the process learned of the start
-	turn    int           // of the draw below, 0 before the first
-	phase   time.Duration // by which this process's windows are shifted against others'
-	draw    float64
+	config     Config
+	random     *rand.Rand
+	learnedAt  time.Duration // when the process learned of the start
+	phaseShift time.Duration // of this process's windows against those of others
+	drawWindow int           // the window of draw; 0 before the first
+	draw       float64       // 0 to 1, drawn once for each window
 }
 
-// New returns the ramp of a server whose start the process has just learned of. Processes
-// have different seeds.
-func New(l Config, seed uint64, now time.Duration) *SlowStart {
-	rng := rand.New(rand.NewPCG(seed, uint64(now)))
-	r := &SlowStart{limits: l, rng: rng, started: now}
-	if l.AveragingWindow > 0 {
-		r.phase = time.Duration(rng.Int64N(int64(l.AveragingWindow)))
+// New returns the slow start of a server of whose start the process has just learned.
+// Processes must have different seeds.
+func New(c Config, seed uint64, now time.Duration) *SlowStart {
+	random := rand.New(rand.NewPCG(seed, uint64(now)))
+	s := &SlowStart{config: c, random: random, learnedAt: now}
+	if c.AveragingWindow > 0 {
+		s.phaseShift = time.Duration(random.Int64N(int64(c.AveragingWindow)))
 	}
-	return r
+	return s
 }
 
-// Warm tells whether the server needs no ramp any more.
-func (r *SlowStart) Warm(now time.Duration) bool { return r.limits.IsWarm(now - r.started) }
+// Warm tells whether the server needs no slow start any more.
+func (s *SlowStart) Warm(now time.Duration) bool { return s.config.IsWarm(now - s.learnedAt) }
 
-// Slots is how many runs this process may have at the server now. Where its share is no
-// whole number, the rest is drawn anew in each window: as the processes draw independently,
-// their sum differs from what is allowed by chance alone, some roots of it.
-func (r *SlowStart) Quota(now time.Duration) int {
-	age := now - r.started
-	if r.limits.IsWarm(age) {
+// Quota is how many runs this process may have in flight at the server now; math.MaxInt
+// once the server is warm. Where the process's part of the total is no whole number, the
+// fraction is the chance of one run more, drawn anew in each window. As the processes draw
+// independently, the sum of their quotas differs from the total by chance alone, which
+// grows with its square root.
+func (s *SlowStart) Quota(now time.Duration) int {
+	age := now - s.learnedAt
+	if s.config.IsWarm(age) {
 		return math.MaxInt
 	}
-	if turn := r.windowOf(age); turn != r.turn {
-		r.turn, r.draw = turn, r.rng.Float64()
+	if window := s.windowAt(age); window != s.drawWindow {
+		s.drawWindow = window
+		s.draw = s.random.Float64()
 	}
-	share := r.limits.TotalQuota(age) / float64(max(1, r.limits.Processes))
-	whole := math.Floor(share)
-	if r.draw < share-whole {
+	quota := s.config.TotalQuota(age) / float64(max(1, s.config.Processes))
+	whole := math.Floor(quota)
+	if s.draw < quota-whole {
 		whole++
 	}
 	return int(whole)
 }
 
-// windowOf numbers the windows of this process, from 1.
-func (r *SlowStart) windowOf(age time.Duration) int {
-	if r.limits.AveragingWindow <= 0 {
+// windowAt numbers the windows of this process, from 1.
+func (s *SlowStart) windowAt(age time.Duration) int {
+	if s.config.AveragingWindow <= 0 {
 		return 1
 	}
-	return int((age+r.phase)/r.limits.AveragingWindow) + 1
+	return int((age+s.phaseShift)/s.config.AveragingWindow) + 1
 }
--- a/internal/proxy/slowstart/slowstart_test.go
+++ b/internal/proxy/slowstart/slowstart_test.go
@@ -19,46 +19,46 @@
 	os.Exit(m.Run())
 }
 
-func limits(processes int) Config {
+func config(processes int) Config {
 	return Config{Cores: 4, WarmRunsPerCore: 8, MinSpeedFraction: 0.2, WarmUp: 16 * time.Second, AveragingWindow: 3 * time.Second, Processes: processes}
 }
 
-// TestAllowed: the settings' figures at the start, half way and warm.
-func TestAllowed(t *testing.T) {
-	l := limits(1)
-	require.InDelta(t, 4*(1+7*0.2), l.TotalQuota(0), 1e-9)
-	require.InDelta(t, 4*(1+7*0.6), l.TotalQuota(8*time.Second), 1e-9)
-	require.InDelta(t, 4*8, l.TotalQuota(16*time.Second), 1e-9)
-	require.False(t, l.IsWarm(16*time.Second-1))
-	require.True(t, l.IsWarm(16*time.Second))
-	l.WarmUp = 0
-	require.InDelta(t, 4*8, l.TotalQuota(0), 1e-9)
+// TestTotalQuota: the quota at the start, half way through the warm-up, and warm.
+func TestTotalQuota(t *testing.T) {
+	c := config(1)
+	require.InDelta(t, 4*(1+7*0.2), c.TotalQuota(0), 1e-9)
+	require.InDelta(t, 4*(1+7*0.6), c.TotalQuota(8*time.Second), 1e-9)
+	require.InDelta(t, 4*8, c.TotalQuota(16*time.Second), 1e-9)
+	require.False(t, c.IsWarm(16*time.Second-1))
+	require.True(t, c.IsWarm(16*time.Second))
+	c.WarmUp = 0
+	require.InDelta(t, 4*8, c.TotalQuota(0), 1e-9)
 }
 
-// TestSumOfProcesses: any number of processes that use all their slots send what is allowed
-// in the mean, and never more than 2 x its root + 2 beyond it in a window, but for one
-// window in a hundred.
+// TestSumOfProcesses: the quotas of any number of processes have the total quota as their
+// mean sum, and exceed it by more than twice its square root + 2 in at most one window.
 func TestSumOfProcesses(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := limits(rapid.IntRange(1, 200).Draw(t, "processes"))
-		l.Cores = rapid.IntRange(1, 40).Draw(t, "cores")
-		l.MinSpeedFraction = rapid.Float64Range(0.05, 0.9).Draw(t, "cold share")
+		c := config(rapid.IntRange(1, 200).Draw(t, "processes"))
+		c.Cores = rapid.IntRange(1, 40).Draw(t, "cores")
+		c.MinSpeedFraction = rapid.Float64Range(0.05, 0.9).Draw(t, "minimum speed")
 		seed := rapid.Uint64().Draw(t, "seed")
-		var ramps []*SlowStart
-		for i := range l.Processes {
-			ramps = append(ramps, New(l, seed+uint64(i), time.Duration(i)))
+		var starts []*SlowStart
+		for i := range c.Processes {
+			starts = append(starts, New(c, seed+uint64(i), time.Duration(i)))
 		}
 		over, windows := 0, 0
 		var sum, allowed float64
-		for age := l.AveragingWindow; age < l.WarmUp; age += l.AveragingWindow {
+		for age := c.AveragingWindow; age < c.WarmUp; age += c.AveragingWindow {
 			n := 0
-			for _, r := range ramps {
-				n += r.Quota(age)
+			for _, s := range starts {
+				n += s.Quota(age)
 			}
-			most := l.TotalQuota(age)
+			total := c.TotalQuota(age)
 			windows++
-			sum, allowed = sum+float64(n), allowed+most
-			if float64(n) > most+2*math.Sqrt(most)+2 {
+			sum += float64(n)
+			allowed += total
+			if float64(n) > total+2*math.Sqrt(total)+2 {
 				over++
 			}
 		}
@@ -67,20 +67,21 @@
 	})
 }
 
-// TestSlotsStayForAWindow: the drawn slot neither comes nor goes within a window, and a warm
-// server has no bound.
-func TestSlotsStayForAWindow(t *testing.T) {
-	l := limits(30)
-	l.WarmUp = time.Hour // its share hardly grows meanwhile
-	r := New(l, 7, 0)
-	changes, last := 0, r.Quota(0)
-	for now := time.Duration(0); now < 100*l.AveragingWindow; now += l.AveragingWindow / 10 {
-		if n := r.Quota(now); n != last {
-			changes, last = changes+1, n
+// TestQuotaStaysForAWindow: the quota changes at most once in a window, and a warm server
+// has no bound.
+func TestQuotaStaysForAWindow(t *testing.T) {
+	c := config(30)
+	c.WarmUp = time.Hour // the total quota hardly grows meanwhile
+	s := New(c, 7, 0)
+	changes, last := 0, s.Quota(0)
+	for now := time.Duration(0); now < 100*c.AveragingWindow; now += c.AveragingWindow / 10 {
+		if n := s.Quota(now); n != last {
+			changes++
+			last = n
 		}
 	}
 	require.Positive(t, changes)
 	require.LessOrEqual(t, changes, 100)
-	require.Equal(t, math.MaxInt, r.Quota(time.Hour))
-	require.True(t, r.Warm(time.Hour))
+	require.Equal(t, math.MaxInt, s.Quota(time.Hour))
+	require.True(t, s.Warm(time.Hour))
 }
--- a/internal/proxy/timerqueue/queue.go
+++ b/internal/proxy/timerqueue/queue.go
@@ -1,5 +1,5 @@
-// Package timerqueue holds everything that is due at some time in one sorted
-// list. It belongs to one goroutine, which sweeps it each turn.
+// Package timerqueue holds functions that are due at some time in one sorted list. It has
+// no clock and no goroutine: its owner runs what is due. A Queue belongs to one goroutine.
 package timerqueue
 
 import (
@@ -8,63 +8,68 @@
 	"time"
 )
 
-// Entry is one deadline. It can be taken back until it is swept.
+// Timer is one scheduled function.
 type Timer struct {
-	at   time.Duration
-	seq  uint64
-	do   func()
-	done bool
+	due      time.Duration
+	sequence uint64 // in the order of scheduling
+	run      func()
+	done     bool // run or cancelled
 }
 
-// Set is the sorted list, the earliest last so that sweeping is cheap.
+// Queue is a list of timers. Its zero value is empty. Times are the owner's: spans since a
+// fixed start.
 type Queue struct {
-	list []*Timer
-	seq  uint64
+	timers       []*Timer // the next one due is last, so that it is cheap to remove
+	lastSequence uint64
 }
 
-// compare sorts the later before the earlier, and of one time the last first.
-func compare(a, b *Timer) int {
-	return cmp.Or(cmp.Compare(b.at, a.at), cmp.Compare(b.seq, a.seq))
+// compareTimers orders the later timer first, and of one time the one scheduled last.
+func compareTimers(a, b *Timer) int {
+	return cmp.Or(cmp.Compare(b.due, a.due), cmp.Compare(b.sequence, a.sequence))
 }
 
-// At has do called by the first Sweep at or after the time.
-func (s *Queue) Schedule(at time.Duration, do func()) *Timer {
-	s.seq++
-	e := &Timer{at: at, seq: s.seq, do: do}
-	i, _ := slices.BinarySearchFunc(s.list, e, compare)
-	s.list = slices.Insert(s.list, i, e)
-	return e
+// Schedule has run called by the first RunDue at or after due. Timers of one time run in
+// the order in which they were scheduled.
+func (q *Queue) Schedule(due time.Duration, run func()) *Timer {
+	q.lastSequence++
+	t := &Timer{due: due, sequence: q.lastSequence, run: run}
+	i, _ := slices.BinarySearchFunc(q.timers, t, compareTimers)
+	q.timers = slices.Insert(q.timers, i, t)
+	return t
 }
 
-// Cancel takes a deadline back; nil and swept entries are skipped.
-func (s *Queue) Cancel(e *Timer) {
-	if e == nil || e.done {
+// Cancel keeps a timer from running. A nil timer, and one that has run or was cancelled, is
+// skipped.
+func (q *Queue) Cancel(t *Timer) {
+	if t == nil || t.done {
 		return
 	}
-	e.done = true
-	if i, ok := slices.BinarySearchFunc(s.list, e, compare); ok {
-		s.list = slices.Delete(s.list, i, i+1)
+	t.done = true
+	i, found := slices.BinarySearchFunc(q.timers, t, compareTimers)
+	if found {
+		q.timers = slices.Delete(q.timers, i, i+1)
 	}
 }
 
-// Next is the earliest deadline, if there is one.
-func (s *Queue) NextDue() (time.Duration, bool) {
-	if len(s.list) == 0 {
+// NextDue is when the next timer is due, if there is one.
+func (q *Queue) NextDue() (due time.Duration, ok bool) {
+	if len(q.timers) == 0 {
 		return 0, false
 	}
-	return s.list[len(s.list)-1].at, true
+	return q.timers[len(q.timers)-1].due, true
 }
 
-// Sweep calls all that is due, in order. What they add is left for the next
-// sweep unless it is due by now too.
-func (s *Queue) RunDue(now time.Duration) {
-	for len(s.list) > 0 {
-		e := s.list[len(s.list)-1]
-		if e.at > now {
+// RunDue runs the timers that are due by now, in order. That includes timers which these
+// schedule for now or earlier.
+func (q *Queue) RunDue(now time.Duration) {
+	for len(q.timers) > 0 {
+		last := len(q.timers) - 1
+		t := q.timers[last]
+		if t.due > now {
 			return
 		}
-		s.list = s.list[:len(s.list)-1]
-		e.done = true
-		e.do()
+		q.timers = q.timers[:last]
+		t.done = true
+		t.run()
 	}
 }
--- a/internal/proxy/timerqueue/queue_test.go
+++ b/internal/proxy/timerqueue/queue_test.go
@@ -7,24 +7,24 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestSweep: in order of time, then of setting; what was taken back stays out,
-// and what is added for the past is swept with the rest.
-func TestSweep(t *testing.T) {
-	var s Queue
+// TestRunDue: timers run in the order of their times, then of their scheduling; cancelled
+// ones don't; and a timer that is scheduled for the past runs with the rest.
+func TestRunDue(t *testing.T) {
+	var q Queue
 	var got []int
-	put := func(at time.Duration, n int) *Timer { return s.Schedule(at, func() { got = append(got, n) }) }
-	put(5, 4)
-	put(1, 1)
-	gone := put(2, 0)
-	put(2, 2)
-	s.Schedule(2, func() { put(1, 3) })
-	put(9, 5)
-	s.Cancel(gone)
-	s.Cancel(gone)
-	s.Cancel(nil)
-	s.RunDue(5)
+	schedule := func(due time.Duration, n int) *Timer { return q.Schedule(due, func() { got = append(got, n) }) }
+	schedule(5, 4)
+	schedule(1, 1)
+	cancelled := schedule(2, 0)
+	schedule(2, 2)
+	q.Schedule(2, func() { schedule(1, 3) })
+	schedule(9, 5)
+	q.Cancel(cancelled)
+	q.Cancel(cancelled)
+	q.Cancel(nil)
+	q.RunDue(5)
 	require.Equal(t, []int{1, 2, 3, 4}, got)
-	next, ok := s.NextDue()
+	next, ok := q.NextDue()
 	require.True(t, ok)
 	require.EqualValues(t, 9, next)
 }
