--- a/cmd/oxbowbridge/serve.go
+++ b/cmd/oxbowbridge/serve.go
@@ -148,8 +148,8 @@
 	env := session.Env{Exchange: x, Loop: loop, Due: p.Timers, Now: p.Now, Log: log}
 	runner := runnerOf(cfg, env)
 	var lingers time.Duration
-	if cfg.Settings.Info.Below == "shared" {
-		lingers = cfg.Settings.Info.Linger
+	if cfg.Settings.Server.Dependency == "shared" {
+		lingers = cfg.Settings.Server.CallLinger
 	}
 	calls := records.New(cfg.RecordsAddress, pool, lingers, env)
 	list := registry.New(cfg.RegistryAddress, cfg.Name, env)
@@ -239,12 +239,12 @@
 
 func runnerOf(cfg *config, env session.Env) runner {
 	if len(cfg.AJP.UpstreamAddresses) > 0 {
-		info, safety := &cfg.Settings.Info, &cfg.Settings.Safety
-		limits := slowstart.Config{Cores: info.Cores, WarmRunsPerCore: safety.FallMultiple, MinSpeedFraction: safety.ColdShare, WarmUp: safety.Cold,
-			AveragingWindow: safety.Fall, Processes: cfg.Settings.Servers}
-		return upstreamRunner{ajp.NewUpstreams(cfg.AJP.UpstreamAddresses, cfg.AJP.UpstreamSecret, info.OwnStats, limits, upstreamSeed(cfg), env)}
+		info, safety := &cfg.Settings.Server, &cfg.Settings.Safety
+		limits := slowstart.Config{Cores: info.Cores, WarmRunsPerCore: safety.MaxRunsPerCore, MinSpeedFraction: safety.SlowStartMinSpeed, WarmUp: safety.SlowStartDuration,
+			AveragingWindow: safety.OverloadWindow, Processes: cfg.Settings.Servers}
+		return upstreamRunner{ajp.NewUpstreams(cfg.AJP.UpstreamAddresses, cfg.AJP.UpstreamSecret, info.GaugeNames, limits, upstreamSeed(cfg), env)}
 	}
-	return engineRunner{engine.New(cfg.EngineAddress, cfg.Settings.Info.Halt == "pause", env)}
+	return engineRunner{engine.New(cfg.EngineAddress, cfg.Settings.Server.Preemption == "pause", env)}
 }
 
 // upstreamSeed differs between the services of a fleet also where none is given a seed.
--- a/internal/proxy/dispatch/actions.go
+++ b/internal/proxy/dispatch/actions.go
@@ -13,30 +13,30 @@
 // forgotten are skipped.
 func (d *Dispatcher) execute(now time.Duration, a admission.Action) {
 	switch a := a.(type) {
-	case admission.Take:
+	case admission.Run:
 		d.executeStart(now, a.ID)
-	case admission.Suspend:
-		d.withRequest(a.ID, d.suspend)
-	case admission.Refuse:
+	case admission.Preempt:
+		d.withRequest(a.ID, d.preempt)
+	case admission.Reject:
 		d.withRequest(a.ID, func(r *request) { d.reject(r, a) })
-	case admission.Abort:
-		d.withRequest(a.ID, d.abort)
-	case admission.Call:
-		d.withRequest(a.ID, func(r *request) { d.call(now, r, a.Expire) })
-	case admission.Share:
+	case admission.Fail:
+		d.withRequest(a.ID, d.fail)
+	case admission.StartCall:
+		d.withRequest(a.ID, func(r *request) { d.call(now, r, a.Deadline) })
+	case admission.ShareResult:
 		d.withRequest(a.ID, func(r *request) { d.joinOriginal(now, r) })
-	case admission.RecordKey, admission.Evict:
+	case admission.StoreKey, admission.EvictKey:
 		// The idempotency table learns from the requests when a key is first used, and when
 		// it is free again.
-	case admission.Publish:
-		d.Exchange.SetFeedback(a.Amount)
-	case admission.Status:
-		d.setActive(a.Active)
-	case admission.Idle:
-		d.idleTimeout = a.Lifetime
-	case admission.Defer:
+	case admission.Advertise:
+		d.Exchange.SetFeedback(a.Value)
+	case admission.SetHealth:
+		d.setActive(a.Healthy)
+	case admission.SetIdleTimeout:
+		d.idleTimeout = a.Timeout
+	case admission.SetTimer:
 		d.deferDue(now, a)
-	case admission.Remark:
+	case admission.LogMessage:
 		d.Log.Info("admission controller remark", zap.String("text", a.Text))
 	default:
 		d.Log.Error("unsupported admission action", zap.String("type", fmt.Sprintf("%T", a)))
@@ -54,7 +54,7 @@
 func (d *Dispatcher) executeStart(now time.Duration, id uint32) {
 	r := d.byID[id]
 	if r == nil {
-		d.reportNextTurn(admission.Completed{ID: id, Outcome: admission.TooLate})
+		d.reportNextTurn(admission.Completed{ID: id, Outcome: admission.OutcomeNotStarted})
 		return
 	}
 	d.start(now, r)
@@ -64,7 +64,7 @@
 func (d *Dispatcher) setActive(active bool) {
 	d.active = active
 	d.updateHealth()
-	if d.Settings.Info.Readiness {
+	if d.Settings.Server.Readiness {
 		d.Registry.SetAvailable(active)
 	}
 	d.Log.Info("health check status set", zap.Bool("healthy", active))
--- a/internal/proxy/dispatch/arrival.go
+++ b/internal/proxy/dispatch/arrival.go
@@ -18,7 +18,7 @@
 	state     state
 	answered  bool          // the final response was given
 	started   bool          // a run was started, whether or not it still goes on
-	suspended bool          // by the controller: the end of its run puts it back into the queue
+	preempted bool          // by the controller: the end of its run puts it back into the queue
 	arrivedAt time.Duration // at the machine
 	startedAt time.Duration // when the run, or the wait for the original, began
 	calledAt  time.Duration // when the call in flight was made
@@ -59,34 +59,34 @@
 	}
 }
 
-// arrivalOf is the controller's event of a request. Waited and TimeLeft are points in time
+// arrivalOf is the controller's event of a request. Age and Timeout are points in time
 // until arrivalAt turns them into spans.
-func (d *Dispatcher) arrivalOf(r *request) admission.Arrive {
-	a := admission.Arrive{
-		ID:     r.id,
-		Class:  r.Class,
-		Tenant: d.tenants[r.Tenant],
-		Hint:   r.ExpectedWork,
-		Waited: r.arrivedAt,
-		HeldKB: r.ReservedKB,
-		Keyed:  r.HasSubject,
-		Repeat: r.IsRetry,
-		Place:  r.Rank,
+func (d *Dispatcher) arrivalOf(r *request) admission.Arrival {
+	a := admission.Arrival{
+		ID:           r.id,
+		Class:        r.Class,
+		Tenant:       d.tenants[r.Tenant],
+		ExpectedWork: r.ExpectedWork,
+		Age:          r.arrivedAt,
+		MemoryKB:     r.ReservedKB,
+		HasKey:       r.HasSubject,
+		Retry:        r.IsRetry,
+		Rank:         r.Rank,
 	}
-	if d.Settings.Info.PassesDeadline && r.Timeout > 0 { // else the deadline of its class counts
-		a.TimeLeft = r.arrivedAt + r.Timeout
+	if d.Settings.Server.PassesDeadline && r.Timeout > 0 { // else the deadline of its class counts
+		a.Timeout = r.arrivedAt + r.Timeout
 	}
 	if r.original != nil {
-		a.DupOf = r.original.Owner
+		a.DuplicateOf = r.original.Owner
 	}
 	return a
 }
 
 // arrivalAt completes the event when the controller is called.
-func arrivalAt(a admission.Arrive, now time.Duration) admission.Arrive {
-	a.Waited = max(0, now-a.Waited)
-	if a.TimeLeft != 0 {
-		a.TimeLeft = max(1, a.TimeLeft-now) // 0 would mean that it is not known
+func arrivalAt(a admission.Arrival, now time.Duration) admission.Arrival {
+	a.Age = max(0, now-a.Age)
+	if a.Timeout != 0 {
+		a.Timeout = max(1, a.Timeout-now) // 0 would mean that it is not known
 	}
 	return a
 }
@@ -99,7 +99,7 @@
 		return
 	}
 	d.respond(r, exchange.Response{Kind: exchange.Failed})
-	d.report(admission.Lapsed{ID: r.id})
+	d.report(admission.Canceled{ID: r.id})
 	if r.state.atCall() {
 		d.stop(r)
 	}
--- a/internal/proxy/dispatch/calls.go
+++ b/internal/proxy/dispatch/calls.go
@@ -23,7 +23,7 @@
 	}
 	r.state.advance(needCall)
 	r.callBody = body
-	d.report(admission.Awaiting{ID: r.id})
+	d.report(admission.CallNeeded{ID: r.id})
 }
 
 // call makes the call that a run needs. It expires at the given time, or after the deadline
@@ -53,28 +53,28 @@
 func (d *Dispatcher) callEnded(r *request, o exchange.Outcome) {
 	d.Timers.Cancel(r.callTimer)
 	outcome := callOutcome(o.Result)
-	if outcome == admission.OK {
+	if outcome == admission.OutcomeOK {
 		r.state.advance(callSucceeded)
 		d.Runner.DeliverReply(r.TraceID, o.Body)
 	} else {
 		r.state.advance(callFailed)
 	}
-	d.report(admission.Replied{ID: r.id, Took: d.Now() - r.calledAt, Outcome: outcome})
+	d.report(admission.CallCompleted{ID: r.id, Elapsed: d.Now() - r.calledAt, Outcome: outcome})
 }
 
 // callOutcome maps the end of a call to the controller's outcomes.
 func callOutcome(result exchange.Result) admission.Outcome {
 	switch result {
 	case exchange.ResultOK:
-		return admission.OK
+		return admission.OutcomeOK
 	case exchange.ResultNotStarted:
-		return admission.Full
+		return admission.OutcomeResourceExhausted
 	case exchange.ResultUnreachable:
-		return admission.Unreachable
+		return admission.OutcomeUnavailable
 	case exchange.ResultTimedOut:
-		return admission.DeadlineExceeded
+		return admission.OutcomeDeadlineExceeded
 	case exchange.ResultConnectionLost:
-		return admission.Broken
+		return admission.OutcomeAborted
 	}
-	return admission.Internal
+	return admission.OutcomeInternal
 }
--- a/internal/proxy/dispatch/dispatcher.go
+++ b/internal/proxy/dispatch/dispatcher.go
@@ -65,8 +65,8 @@
 		byID:        map[uint32]*request{},
 		byTraceID:   map[string]*request{},
 		spentTraces: map[string]struct{}{},
-		coldStart:   settings.Fresh,
-		idleTimeout: settings.IdleMax,
+		coldStart:   settings.SlowStart,
+		idleTimeout: settings.MaxIdleTimeout,
 		gauges:      gaugeReading{values: c.Settings.Gauges(nil)},
 	}, nil
 }
@@ -87,9 +87,9 @@
 }
 
 // awaitMinInterval keeps two calls of the controller apart by the time that its settings
-// promise it (Tick). Events that come meanwhile belong to one turn.
+// promise it (MinInterval). Events that come meanwhile belong to one turn.
 func (d *Dispatcher) awaitMinInterval() {
-	remaining := d.lastDecision + d.settings.Tick - d.Now()
+	remaining := d.lastDecision + d.settings.MinInterval - d.Now()
 	if d.lastDecision > 0 && remaining > 0 {
 		time.Sleep(remaining)
 	}
@@ -156,11 +156,11 @@
 	d.readyAt = d.Now()
 	d.warmAt = d.readyAt
 	if e.ColdStart {
-		d.warmAt += max(0, d.settings.ColdFor-e.Uptime)
+		d.warmAt += max(0, d.settings.SlowStartDuration-e.Uptime)
 	}
 	d.updateHealth()
 	d.Registry.Register()
-	d.report(admission.Due{Gauges: d.gauges.values})
+	d.report(admission.TimerFired{Gauges: d.gauges.values})
 }
 
 // updateHealth sets the answer to health checks: failing until the runner is ready.
@@ -184,7 +184,7 @@
 	}
 	now := d.Now()
 	for i, e := range d.pendingEvents {
-		if a, ok := e.(admission.Arrive); ok {
+		if a, ok := e.(admission.Arrival); ok {
 			d.pendingEvents[i] = arrivalAt(a, now)
 		}
 	}
@@ -198,7 +198,7 @@
 
 // startController waits for the first event, as only then is known whether the runner is cold.
 func (d *Dispatcher) startController() {
-	d.settings.Fresh = d.coldStart
+	d.settings.SlowStart = d.coldStart
 	controller, err := admission.New(d.settings, d.Seed)
 	if err != nil {
 		panic(err) // ParseSettings checked the same settings
--- a/internal/proxy/dispatch/drain.go
+++ b/internal/proxy/dispatch/drain.go
@@ -14,7 +14,7 @@
 //   - At once: the registry lists the service as unavailable, and the controller gets
 //     drainTimeout - shutdownReserve for the requests in hand. Requests are still taken, as
 //     balancers hear of a drain late.
-//   - After DrainGrace (settings), at the latest shutdownReserve before the stop: listeners
+//   - After DrainGracePeriod (settings), at the latest shutdownReserve before the stop: listeners
 //     close, and connections close once they are idle.
 //   - finishBefore before the stop: all connections are told to finish.
 //   - The process ends when no connection, unsent byte or unanswered request has been left
@@ -54,15 +54,15 @@
 	stopAt := noticedAt + timeout
 	d.drain.started = true
 	d.drain.stopAt = stopAt
-	d.drain.closeAt = min(noticedAt+d.settings.DrainGrace, stopAt-shutdownReserve)
+	d.drain.closeAt = min(noticedAt+d.settings.DrainGracePeriod, stopAt-shutdownReserve)
 	remaining := stopAt - d.Now()
 	d.Log.Info("drain started", zap.Int64("stop_in_ms", remaining.Milliseconds()), zap.Int("open_requests", len(d.byID)))
-	if d.Settings.Info.Readiness {
+	if d.Settings.Server.Readiness {
 		d.Registry.SetAvailable(false)
 	} else {
 		d.Registry.Deregister()
 	}
-	d.report(admission.Drain{TimeLeft: max(0, remaining-shutdownReserve), Waited: waited})
+	d.report(admission.Drain{StopIn: max(0, remaining-shutdownReserve), Age: waited})
 	d.pollDrain()
 }
 
--- a/internal/proxy/dispatch/gauges.go
+++ b/internal/proxy/dispatch/gauges.go
@@ -30,19 +30,19 @@
 	now := d.Now()
 	known = d.gauges.readAt > 0 && now-d.gauges.readAt <= maxLoadGaugeAge
 	warm = d.readyAt > 0 && now >= d.warmAt
-	return d.gauges.values.CoreUse, known, warm
+	return d.gauges.values.CPUUtilization, known, warm
 }
 
 // deferDue sets a timer for the controller, which gets the gauges when it is due.
-func (d *Dispatcher) deferDue(now time.Duration, a admission.Defer) {
-	if a.Span > gaugePollInterval {
-		d.Timers.Schedule(now+a.Span-gaugePollInterval, d.Runner.RequestGauges)
+func (d *Dispatcher) deferDue(now time.Duration, a admission.SetTimer) {
+	if a.After > gaugePollInterval {
+		d.Timers.Schedule(now+a.After-gaugePollInterval, d.Runner.RequestGauges)
 	}
-	d.Timers.Schedule(now+a.Span, func() {
+	d.Timers.Schedule(now+a.After, func() {
 		// Guards against a connection that is down, or a runner that does not respond.
 		if d.Now()-d.gauges.readAt > maxDecisionGaugeAge {
 			d.gauges.values = d.Settings.Gauges(nil)
 		}
-		d.report(admission.Due{Ref: a.Ref, Gauges: d.gauges.values})
+		d.report(admission.TimerFired{TimerID: a.TimerID, Gauges: d.gauges.values})
 	})
 }
--- a/internal/proxy/dispatch/idempotency.go
+++ b/internal/proxy/dispatch/idempotency.go
@@ -28,7 +28,7 @@
 	for _, class := range settings.Classes {
 		if class.Effect == admission.Deduplicated {
 			maxKeys := max(1, maxTableBytes/idempotency.MaxEntryBytes)
-			settings.KeyKB = max(settings.KeyKB, settings.MemoryKB/float64(maxKeys))
+			settings.KeyMemoryKB = max(settings.KeyMemoryKB, settings.MemoryKB/float64(maxKeys))
 		}
 	}
 }
@@ -60,7 +60,7 @@
 // 0 if none will expire by itself.
 func (d *Dispatcher) untilKeyExpires(now time.Duration) time.Duration {
 	next, _ := d.idempotency.NextExpiry()
-	return min(max(0, next-now), d.settings.AdviceMax)
+	return min(max(0, next-now), d.settings.MaxRetryAfter)
 }
 
 // completeKey records the result of the attempt that owns a key, nil if it has none, and
@@ -71,7 +71,7 @@
 		return
 	}
 	class := &d.settings.Classes[r.Class]
-	expiry := r.arrivedAt + class.Window + class.Deadline
+	expiry := r.arrivedAt + class.DedupWindow + class.Deadline
 	for _, id := range d.idempotency.Complete(r.ownEntry, result, expiry) {
 		d.answerDuplicate(d.byID[id])
 	}
@@ -96,11 +96,11 @@
 		return
 	}
 	response := exchange.Response{Kind: exchange.Failed}
-	outcome := admission.Internal
+	outcome := admission.OutcomeInternal
 	if r.original.Result != nil {
 		response = exchange.Response{Kind: exchange.Succeeded, Body: r.original.Result}
-		outcome = admission.OK
+		outcome = admission.OutcomeOK
 	}
-	d.reportNextTurn(admission.Completed{ID: r.id, Took: d.Now() - r.startedAt, Outcome: outcome})
+	d.reportNextTurn(admission.Completed{ID: r.id, Elapsed: d.Now() - r.startedAt, Outcome: outcome})
 	d.respond(r, response)
 }
--- a/internal/proxy/dispatch/response.go
+++ b/internal/proxy/dispatch/response.go
@@ -16,7 +16,7 @@
 // respond gives the final response, unless there was one.
 func (d *Dispatcher) respond(r *request, response exchange.Response) {
 	if r.answered {
-		return // mostly a run that ends after its request was aborted
+		return // mostly a run that ends after its request was failed
 	}
 	r.answered = true
 	d.respondUnrecorded(r.Request, response)
@@ -37,16 +37,16 @@
 }
 
 // reject carries out a rejection by the controller.
-func (d *Dispatcher) reject(r *request, a admission.Refuse) {
+func (d *Dispatcher) reject(r *request, a admission.Reject) {
 	if !d.mayRejectSafely(r) {
 		d.respond(r, exchange.Response{Kind: exchange.Failed})
 		return
 	}
-	d.respond(r, exchange.Response{Kind: exchange.Rejected, RetryAfter: a.RetryIn, NoRetryElsewhere: a.Terminal})
+	d.respond(r, exchange.Response{Kind: exchange.Rejected, RetryAfter: a.RetryAfter, NoRetryElsewhere: a.DoNotRetry})
 }
 
-// abort carries out a failure that the controller decided.
-func (d *Dispatcher) abort(r *request) {
+// fail carries out a failure that the controller decided.
+func (d *Dispatcher) fail(r *request) {
 	d.respond(r, exchange.Response{Kind: exchange.Failed})
 	if r.state.atCall() {
 		d.stop(r)
--- a/internal/proxy/dispatch/runs.go
+++ b/internal/proxy/dispatch/runs.go
@@ -30,12 +30,12 @@
 	})
 }
 
-// suspend takes a run off the cores. With HaltPause a run at its call uses none: it goes
+// preempt takes a run off the cores. With PreemptionPause a run at its call uses none: it goes
 // on, unless its request is answered.
-func (d *Dispatcher) suspend(r *request) {
-	keepsWaiting := d.settings.Halt == admission.HaltPause && !r.answered
+func (d *Dispatcher) preempt(r *request) {
+	keepsWaiting := d.settings.Preemption == admission.PreemptionPause && !r.answered
 	if r.state == running || r.state.atCall() && !keepsWaiting {
-		r.suspended = true
+		r.preempted = true
 		d.stop(r)
 	}
 }
@@ -47,7 +47,7 @@
 	}
 	d.Timers.Cancel(r.callTimer)
 	r.state.advance(stopRun)
-	if d.settings.Halt != admission.HaltNone { // else the runner ends it at its call, when it learns of the response
+	if d.settings.Preemption != admission.PreemptionNone { // else the runner ends it at its call, when it learns of the response
 		d.Runner.Stop(r.TraceID, r.answered)
 	}
 }
@@ -73,17 +73,17 @@
 }
 
 // runEnded reports the end to the controller. A run that ended by itself gives its request
-// the final response; a suspended one puts its request back into the queue.
+// the final response; a preempted one puts its request back into the queue.
 func (d *Dispatcher) runEnded(r *request, o exchange.Outcome) {
 	if r.state == calling {
 		d.Dependency.Cancel(r.TraceID)
 	}
-	d.report(admission.Completed{ID: r.id, Took: d.Now() - r.startedAt, Outcome: runOutcome(o.Result)})
+	d.report(admission.Completed{ID: r.id, Elapsed: d.Now() - r.startedAt, Outcome: runOutcome(o.Result)})
 	switch {
 	case o.Result == exchange.ResultOK:
 		d.respond(r, exchange.Response{Kind: exchange.Succeeded, Body: o.Body})
 		d.completeKey(r, append([]byte{}, o.Body...)) // not nil, even if empty
-	case o.Result == exchange.ResultStopped && r.suspended && !r.answered:
+	case o.Result == exchange.ResultStopped && r.preempted && !r.answered:
 		d.requeue(r)
 		return
 	default:
@@ -93,12 +93,12 @@
 	d.forget(r)
 }
 
-// requeue keeps a request whose run was suspended. It may be started again if its class
+// requeue keeps a request whose run was preempted. It may be started again if its class
 // allows that, or resumed if its progress was kept.
 func (d *Dispatcher) requeue(r *request) {
 	d.Timers.Cancel(r.callTimer)
-	r.suspended = false
-	if d.settings.Halt == admission.HaltPause {
+	r.preempted = false
+	if d.settings.Preemption == admission.PreemptionPause {
 		r.state.advance(pauseRun)
 	} else {
 		r.state.advance(requeueRun)
@@ -109,11 +109,11 @@
 func runOutcome(result exchange.Result) admission.Outcome {
 	switch result {
 	case exchange.ResultOK:
-		return admission.OK
+		return admission.OutcomeOK
 	case exchange.ResultStopped:
-		return admission.Cancelled
+		return admission.OutcomeCanceled
 	case exchange.ResultObsolete, exchange.ResultNotStarted:
-		return admission.TooLate
+		return admission.OutcomeNotStarted
 	}
-	return admission.Internal
+	return admission.OutcomeInternal
 }
--- a/internal/proxy/dispatch/settings.go
+++ b/internal/proxy/dispatch/settings.go
@@ -19,11 +19,11 @@
 // can't be served. What the protocols have no field for stays unused: results of reads are
 // not shared, and calls are not skipped.
 func ParseSettings(w *simproto.Settings) (admission.Settings, error) {
-	settings, err := w.Rules()
+	settings, err := w.Admission()
 	if err != nil {
 		return settings, err
 	}
-	if err := w.Check(); err != nil {
+	if err := w.Validate(); err != nil {
 		return settings, err
 	}
 	names := map[string]bool{}
@@ -33,9 +33,9 @@
 			return settings, fmt.Errorf("classes.%d.name: %w", i, err)
 		}
 		names[name] = true
-		settings.Classes[i].SkipWorth = 0
+		settings.Classes[i].DegradedFraction = 0
 	}
-	settings.ShareFor = 0
+	settings.ResultReuseWindow = 0
 	_, err = admission.New(settings, 0)
 	return settings, err
 }
--- a/internal/proxy/dispatch/state.go
+++ b/internal/proxy/dispatch/state.go
@@ -43,8 +43,8 @@
 	callSucceeded                     // the reply goes to the runner
 	callFailed                        // the controller decides whether to call again
 	stopRun                           // the runner is told to stop the run, and reports its end later
-	requeueRun                        // a suspended run has ended without its progress
-	pauseRun                          // a suspended run has ended, and its progress is kept
+	requeueRun                        // a preempted run has ended without its progress
+	pauseRun                          // a preempted run has ended, and its progress is kept
 	joinOriginalRun                   // the controller has the request answered with the original's result
 	numTransitions
 )
