--- /dev/null
+++ b/admission/admit_test.go
@@ -0,0 +1,64 @@
+package admission
+
+import (
+	"testing"
+	"time"
+)
+
+func TestAdmissionFollowsPolicy(t *testing.T) {
+	r := newDriver(t, nil)
+	r.fillCores()
+	// The first episode takes Λmax and all arrivals to be of the high weight: the low one is rejected.
+	got := r.at(0, arrival(1, 0))
+	if count[Reject](got) != 1 {
+		t.Errorf("request of low weight with c reached: %v, want a rejection", got)
+	}
+	s := r.controller.occupancy()
+	if r.controller.policy.threshold(1) <= s {
+		t.Fatalf("the policy rejects the class of high weight in state %d", s)
+	}
+	r.want(r.at(0, arrival(2, 1)))
+	// Held work starts, oldest first, once a core is free.
+	r.want(r.at(ms, Completed{ID: 901, Elapsed: ms, Outcome: OutcomeOK}), Run{2})
+}
+
+func TestAdmissionMatchesRewardAndBias(t *testing.T) {
+	r := newDriver(t, nil)
+	r.fillCores()
+	for i := uint32(0); i < 60; i++ {
+		s := r.controller.occupancy()
+		probe := &request{class: 1, weightFraction: 1, objective: r.now + 950*ms, deadline: r.now + 2*time.Second}
+		admit := s < len(r.controller.policy.bias) && r.controller.reward(probe, s) >= r.controller.policy.bias[s] && r.controller.reward(probe, s) >= 0
+		got := r.at(0, arrival(10+i, 1))
+		if rejected := count[Reject](got) == 1; rejected == admit {
+			t.Fatalf("state %d: rejected %v, r ≥ ∇h %v", s, rejected, admit)
+		}
+		if !admit {
+			return
+		}
+	}
+	t.Error("the class of high weight was never rejected")
+}
+
+func TestLateRequestIsRejectedOnFreeCores(t *testing.T) {
+	late := arrival(1, 1)
+	late.Age = 900 * ms // of an objective of a second
+	for name, tt := range map[string]struct {
+		rejected float64 // fraction of what was read
+		busy     bool
+		want     Action
+	}{
+		"while a fifth is rejected":                 {0.3, true, Reject{ID: 1, DoNotRetry: true}},
+		"not where nothing is rejected":             {0, true, Run{1}},
+		"not by an idle server, which has to learn": {0.3, false, Run{1}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			r := newDriver(t, nil)
+			if tt.busy {
+				r.want(r.at(0, arrival(2, 1)), Run{2})
+			}
+			r.controller.rejectedFraction = tt.rejected
+			r.want(r.at(0, late), tt.want)
+		})
+	}
+}
--- /dev/null
+++ b/admission/concurrency_test.go
@@ -0,0 +1,88 @@
+package admission
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+func TestFreeCoresRunAtOnce(t *testing.T) {
+	r := newDriver(t, nil)
+	r.want(r.at(0, arrival(1, 0)), Run{1})
+	r.want(r.at(ms, Completed{ID: 1, Elapsed: ms, Outcome: OutcomeOK}))
+	if len(r.controller.requests) != 0 || r.controller.requestsKB != 0 {
+		t.Errorf("%d requests and %v kB remain", len(r.controller.requests), r.controller.requestsKB)
+	}
+}
+
+func TestReadDelayLowersLimit(t *testing.T) {
+	r := newDriver(t, func(s *Settings) { s.Cores = 6 })
+	for i := uint32(1); i < 40; i++ {
+		a := arrival(i, 0)
+		a.Age = 600 * ms
+		r.at(0, a)
+	}
+	for i := 0; i < 8; i++ {
+		r.at(gaugeInterval, TimerFired{TimerID: r.controller.timerID, Gauges: Gauges{CPUUtilization: 1, RunQueue: 12}})
+	}
+	if r.controller.concurrencyLimit != 2 {
+		t.Errorf("c %d while requests wait to be read, want a third of the cores", r.controller.concurrencyLimit)
+	}
+	r.controller.readDelay = 0
+	for i := 0; i < 8; i++ {
+		r.at(gaugeInterval, TimerFired{TimerID: r.controller.timerID, Gauges: Gauges{CPUUtilization: 1, RunQueue: 12}})
+	}
+	if r.controller.concurrencyLimit != 6 {
+		t.Errorf("c %d after the read delay recovered, want the cores", r.controller.concurrencyLimit)
+	}
+}
+
+func TestLimitGrowsOnlyWhileCoresWouldIdle(t *testing.T) {
+	for name, tt := range map[string]struct {
+		onCores float64
+		calls   uint32
+		want    int
+	}{
+		"idle":              {1, 0, 3},
+		"cores just full":   {2, 0, 2},
+		"calls come back":   {1, 1, 2},
+		"idle but for them": {0, 1, 3},
+	} {
+		r := newDriver(t, func(s *Settings) { callSettings(s); s.Dependency = DependencyNextTier })
+		for i := uint32(1); i <= tt.calls; i++ {
+			r.at(0, arrival(i, 0))
+			r.at(0, CallNeeded{i})
+		}
+		r.at(0, arrival(11, 0), arrival(12, 0), arrival(13, 0))
+		r.at(gaugeInterval, TimerFired{TimerID: r.controller.timerID, Gauges: Gauges{CPUUtilization: 0.5, RunQueue: tt.onCores}})
+		if r.controller.concurrencyLimit != tt.want {
+			t.Errorf("%s: c %d, want %d", name, r.controller.concurrencyLimit, tt.want)
+		}
+	}
+}
+
+func TestCallsReserveCores(t *testing.T) {
+	r := newDriver(t, func(s *Settings) { callSettings(s); s.Dependency = DependencyNextTier })
+	for i := uint32(1); i <= 4; i++ { // four calls in flight weigh one run of the two
+		r.at(0, arrival(i, 0))
+		r.at(0, CallNeeded{i})
+	}
+	r.want(r.at(0, arrival(5, 0)), Run{5})
+	if got := r.at(0, arrival(6, 1)); count[Run](got) != 0 {
+		t.Errorf("%v with one run and four calls in flight on two cores", got)
+	}
+}
+
+// TestLimitGrowsByFreeCores: a limit that grew by one a tick would turn
+// requests away for seconds while cores idle.
+func TestLimitGrowsByFreeCores(t *testing.T) {
+	r := newDriver(t, func(s *Settings) { s.Cores = 8 })
+	for i := range uint32(12) {
+		r.at(0, arrival(i+1, 1))
+	}
+	r.at(gaugeInterval, TimerFired{TimerID: r.controller.timerID, Gauges: Gauges{CPUUtilization: 0.6, RunQueue: 3}})
+	require.Equal(t, 13, r.controller.concurrencyLimit)
+	r.controller.limitReached = true
+	r.at(gaugeInterval, TimerFired{TimerID: r.controller.timerID, Gauges: Gauges{CPUUtilization: 0.98, RunQueue: 8}})
+	require.Equal(t, 13, r.controller.concurrencyLimit, "no one waits for what is nearly busy")
+}
--- /dev/null
+++ b/admission/controller_test.go
@@ -0,0 +1,72 @@
+package admission
+
+import (
+	"reflect"
+	"testing"
+	"time"
+)
+
+func TestUnexpectedEventsAreIgnored(t *testing.T) {
+	r := newDriver(t, nil)
+	r.want(r.at(0, Completed{ID: 7}, Canceled{7}, CallNeeded{7}, CallCompleted{ID: 7}, TimerFired{TimerID: 99}))
+	r.want(r.at(0))
+}
+
+func TestEqualEventsGiveEqualActions(t *testing.T) {
+	play := func() (all []Action) {
+		s := testSettings()
+		dedupSettings(&s)
+		s.Tenants = []Tenant{{QuotaPerSecond: 10}, {QuotaPerSecond: 5}}
+		c, err := New(s, 7)
+		if err != nil {
+			t.Fatal(err)
+		}
+		now := time.Second
+		for i := uint32(1); i < 3000; i++ {
+			now += time.Duration(i%7) * ms
+			a := arrival(i, int(i%2))
+			a.Tenant = int(i % 2)
+			events := []Event{a, TimerFired{TimerID: c.timerID, Gauges: Gauges{CPUUtilization: 1, RunQueue: 3}}}
+			if i > 20 {
+				events = append(events, Completed{ID: i - 20, Outcome: OutcomeOK})
+			}
+			all = append(all, c.Handle(now, events)...)
+		}
+		return all
+	}
+	if a, b := play(), play(); !reflect.DeepEqual(a, b) {
+		t.Error("two runs of the same events differ")
+	}
+}
+
+func TestSmallestServers(t *testing.T) {
+	for name, change := range map[string]func(*Settings){
+		"one core and class":        func(s *Settings) { s.Cores, s.Classes = 1, s.Classes[:1] },
+		"survives one run per core": func(s *Settings) { s.Cores, s.MaxRunsPerCore = 1, 1 },
+		"cold to a stop":            func(s *Settings) { s.Cores, s.SlowStart, s.SlowStartMinSpeed = 1, true, 0 },
+		"deep checks":               func(s *Settings) { s.Cores, s.DeepHealthChecks = 1, true },
+	} {
+		t.Run(name, func(t *testing.T) {
+			s := testSettings()
+			change(&s)
+			c, err := New(s, 1)
+			if err != nil {
+				t.Fatal(err)
+			}
+			first := c.Handle(time.Second, nil)
+			if !reflect.DeepEqual(first[0], SetHealth{Healthy: true, Cached: true}) {
+				t.Errorf("first action %#v, want health answered cheaply", first[0])
+			}
+			got := c.Handle(time.Second, []Event{arrival(1, 0), arrival(2, 0)})
+			if count[Run](got) != 1 {
+				t.Errorf("%v, want one run on the one core", got)
+			}
+			got = c.Handle(time.Second+ms, []Event{Completed{ID: 1, Outcome: OutcomeOK}, arrival(3, 0)})
+			if count[Run](got) != 1 {
+				t.Errorf("%v, want the next run", got)
+			}
+		})
+	}
+	r := newDriver(t, func(s *Settings) { s.MemoryKB = 11 }) // enough to queue a request, never to run it
+	r.want(r.at(0, arrival(1, 0)), Reject{ID: 1})
+}
--- /dev/null
+++ b/admission/driver_test.go
@@ -0,0 +1,90 @@
+package admission
+
+import (
+	"reflect"
+	"testing"
+	"time"
+)
+
+const ms = time.Millisecond
+
+// testSettings are those of a small server: two cores, a class of low and one of high weight.
+func testSettings() Settings {
+	return Settings{
+		MinInterval: 2 * ms, Cores: 2, Servers: 4, Callers: 3,
+		Classes: []Class{
+			{LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1},
+			{LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 10},
+		},
+		MaxRunsPerCore: 8, OverloadWindow: 2 * time.Second, SlowStartMinSpeed: 0.2, SlowStartDuration: 10 * time.Second,
+		MemoryKB: 10000, RunMemoryFactor: 4, KeyMemoryKB: 10, AnswerGracePeriod: 60 * ms,
+		DrainGracePeriod: time.Second, MaxRetryAfter: time.Second,
+		Dependency: DependencyNone, CallWindow: 5 * time.Second, CallLinger: 200 * ms,
+	}
+}
+
+// driver drives a controller by script.
+type driver struct {
+	t          *testing.T
+	controller *Controller
+	now        time.Duration
+}
+
+func newDriver(t *testing.T, change func(*Settings)) *driver {
+	t.Helper()
+	s := testSettings()
+	if change != nil {
+		change(&s)
+	}
+	c, err := New(s, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	r := &driver{t: t, controller: c, now: 100 * time.Second}
+	r.controller.Handle(r.now, nil)
+	return r
+}
+
+// at moves the clock, hands over the events and returns the actions that
+// concern requests and signals, without timers and log messages.
+func (r *driver) at(after time.Duration, events ...Event) []Action {
+	r.now += after
+	var out []Action
+	for _, a := range r.controller.Handle(r.now, events) {
+		switch a.(type) {
+		case SetTimer, LogMessage:
+		default:
+			out = append(out, a)
+		}
+	}
+	return out
+}
+
+func (r *driver) want(got []Action, want ...Action) {
+	r.t.Helper()
+	if len(got) == 0 && len(want) == 0 {
+		return
+	}
+	if !reflect.DeepEqual(got, want) {
+		r.t.Errorf("at %v: actions %#v, want %#v", r.now, got, want)
+	}
+}
+
+func arrival(id uint32, class int) Arrival {
+	return Arrival{ID: id, Class: class, Timeout: 2 * time.Second, MemoryKB: 10}
+}
+
+func (r *driver) fillCores() {
+	r.t.Helper()
+	r.want(r.at(0, arrival(901, 1), arrival(902, 1)), Run{901}, Run{902})
+}
+
+func count[T Action](actions []Action) int {
+	n := 0
+	for _, a := range actions {
+		if _, ok := a.(T); ok {
+			n++
+		}
+	}
+	return n
+}
--- a/admission/estimator_test.go
+++ b/admission/estimator_test.go
@@ -6,8 +6,6 @@
 	"time"
 )
 
-const ms = time.Millisecond
-
 // newEstimator has Λmin 2, Λmax 100 and log 1/δ = 2.
 func newEstimator() *arrivalEstimator {
 	e := &arrivalEstimator{classCounts: make([]float64, 2)}
@@ -25,16 +23,16 @@
 	}
 }
 
-func TestEstimatorTruncates(t *testing.T) {
+func TestEstimatorTruncatesLongGaps(t *testing.T) {
 	e := newEstimator()
-	e.observe(400*ms, 0)  // kept: √(2·1/(4·2)) = 0.5
+	e.observe(400*ms, 0)  // counts: √(2·1/(4·2)) = 0.5
 	e.observe(1500*ms, 0) // 1.1 s is over √(2·2/(4·2)) = 0.707: counts as 0
 	if want := 0.2; math.Abs(e.meanGap-want) > 1e-12 {
 		t.Errorf("mean gap %v, want %v", e.meanGap, want)
 	}
 }
 
-func TestEstimatorUpper(t *testing.T) {
+func TestEstimatorRateUpperBound(t *testing.T) {
 	e := newEstimator()
 	if got := e.rateUpperBound(); got != 100 {
 		t.Errorf("without arrivals %v, want Λmax", got)
@@ -55,7 +53,7 @@
 	}
 }
 
-func TestEstimatorSharesStayAcrossEpisodes(t *testing.T) {
+func TestClassSharesSpanEpisodes(t *testing.T) {
 	e := newEstimator()
 	e.observe(ms, 0)
 	e.observe(2*ms, 1)
--- a/admission/example_test.go
+++ b/admission/example_test.go
@@ -31,7 +31,7 @@
 			case admission.Run:
 				fmt.Println("run", a.ID) // on the cores; a Completed follows
 			case admission.Reject:
-				fmt.Println("refuse", a.ID)
+				fmt.Println("reject", a.ID)
 			case admission.Fail:
 				fmt.Println("fail", a.ID)
 			case admission.SetTimer:
--- /dev/null
+++ b/admission/health_test.go
@@ -0,0 +1,28 @@
+package admission
+
+import (
+	"testing"
+)
+
+func TestStarvedServerIsUnhealthyUntilReadDelayFades(t *testing.T) {
+	r := newDriver(t, nil)
+	for i := uint32(1); i < 60; i++ {
+		a := arrival(i, 0)
+		a.Age = 900 * ms
+		r.at(ms, a)
+	}
+	r.at(gaugeInterval, TimerFired{TimerID: r.controller.timerID, Gauges: Gauges{CPUUtilization: 1, RunQueue: 4}})
+	if r.controller.healthy {
+		t.Error("healthy while requests wait 0.9 of their objective to be read")
+	}
+	for i := 0; i < 40; i++ {
+		var events []Event
+		for _, q := range r.controller.requests {
+			events = append(events, Completed{ID: q.id, Outcome: OutcomeOK})
+		}
+		r.at(gaugeInterval, append(events, TimerFired{TimerID: r.controller.timerID, Gauges: Gauges{CPUUtilization: 0}})...)
+	}
+	if !r.controller.healthy {
+		t.Error("still unhealthy ten seconds after the last request")
+	}
+}
--- /dev/null
+++ b/admission/idletimeout_test.go
@@ -0,0 +1,34 @@
+package admission
+
+import (
+	"reflect"
+	"testing"
+	"time"
+)
+
+func TestIdleTimeout(t *testing.T) {
+	timeouts := func(callers int, rejected float64) []time.Duration {
+		r := newDriver(t, func(s *Settings) { s.Callers, s.MaxIdleTimeout = callers, 30*time.Second })
+		var got []time.Duration
+		for i := 0; i < 80; i++ {
+			if i > 0 {
+				r.controller.rejectedFraction = rejected
+			}
+			for _, a := range r.at(gaugeInterval, TimerFired{TimerID: r.controller.timerID}) {
+				if a, ok := a.(SetIdleTimeout); ok {
+					got = append(got, a.Timeout)
+				}
+			}
+		}
+		return got
+	}
+	if got := timeouts(32, 1); got != nil {
+		t.Errorf("few callers: timeouts %v, want none set", got)
+	}
+	if got := timeouts(1000, 0); !reflect.DeepEqual(got, []time.Duration{minIdleTimeout}) {
+		t.Errorf("many callers: timeouts %v, want the least", got)
+	}
+	if got := timeouts(1000, 1); got[len(got)-1] != 30*time.Second || len(got) > 10 {
+		t.Errorf("all rejected: timeouts %v, want the longest within seconds", got)
+	}
+}
--- a/admission/planner_test.go
+++ b/admission/policy_test.go
@@ -8,7 +8,7 @@
 
 // bruteGain is the best gain over all policies of a small model, by the
 // stationary distribution of each.
-func bruteGain(m admissionModel) float64 {
+func bruteForceGain(m admissionModel) float64 {
 	m.prepare()
 	n := len(m.classShares)
 	best := math.Inf(-1)
@@ -42,12 +42,21 @@
 	}
 }
 
-func smallModel(c, S int, mu, lambda, eps float64, worth, gamma, shares []float64) admissionModel {
-	return admissionModel{concurrency: c, maxState: S, serviceRate: mu, arrivalRate: lambda, classShares: shares, shareRadius: eps,
-		reward: func(i, s int) float64 { return worth[i] - gamma[i]*expectedWait(s, c, mu) }}
+func smallModel(concurrency, maxState int, serviceRate, arrivalRate, radius float64, weights, costs, shares []float64) admissionModel {
+	return admissionModel{
+		concurrency: concurrency,
+		maxState:    maxState,
+		serviceRate: serviceRate,
+		arrivalRate: arrivalRate,
+		classShares: shares,
+		shareRadius: radius,
+		reward: func(class, state int) float64 {
+			return weights[class] - costs[class]*expectedWait(state, concurrency, serviceRate)
+		},
+	}
 }
 
-func TestPlannerMatchesBruteForce(t *testing.T) {
+func TestPolicyIterationMatchesBruteForce(t *testing.T) {
 	tests := map[string]admissionModel{
 		"underload":      smallModel(2, 5, 1, 0.8, 0, []float64{3, 1}, []float64{0.5, 0.5}, []float64{0.5, 0.5}),
 		"overload":       smallModel(2, 5, 1, 9, 0, []float64{10, 1}, []float64{1, 0.2}, []float64{0.2, 0.8}),
@@ -68,7 +77,7 @@
 	for name, m := range tests {
 		t.Run(name, func(t *testing.T) {
 			p := iteratePolicy(m)
-			want := bruteGain(m)
+			want := bruteForceGain(m)
 			if math.Abs(p.gain-want) > 1e-9*(1+math.Abs(want)) {
 				t.Errorf("gain %v, brute force %v", p.gain, want)
 			}
@@ -102,7 +111,7 @@
 	}
 }
 
-func TestPlannerLargeModelsStayFinite(t *testing.T) {
+func TestPolicyOfLargeModelIsFinite(t *testing.T) {
 	for _, load := range []float64{0.01, 0.5, 0.99, 1, 1.01, 3, 100} {
 		m := smallModel(8, maxStates, 3, load*24, 0.1, []float64{10, 1}, []float64{4, 0.4}, []float64{0.2, 0.8})
 		p := iteratePolicy(m)
@@ -113,7 +122,7 @@
 	}
 }
 
-func TestPlannerRefusesCheapFirst(t *testing.T) {
+func TestPolicyRejectsLowWeightFirst(t *testing.T) {
 	p := iteratePolicy(smallModel(4, 40, 1, 20, 0, []float64{10, 1}, []float64{1, 0.1}, []float64{0.2, 0.8}))
 	threshold := func(i int) int {
 		s := 0
@@ -122,12 +131,12 @@
 		}
 		return s
 	}
-	if dear, cheap := threshold(0), threshold(1); cheap >= dear {
-		t.Errorf("thresholds %d for the dear class, %d for the cheap one", dear, cheap)
+	if high, low := threshold(0), threshold(1); low >= high {
+		t.Errorf("thresholds %d for the class of high weight, %d for that of low weight", high, low)
 	}
 }
 
-func TestErlangWait(t *testing.T) {
+func TestExpectedWait(t *testing.T) {
 	for _, tt := range []struct {
 		s, c int
 		want float64
@@ -138,7 +147,7 @@
 	}
 }
 
-func TestTilt(t *testing.T) {
+func TestOptimisticShares(t *testing.T) {
 	for _, tt := range []struct {
 		eps  float64
 		want []float64
--- /dev/null
+++ b/admission/preempt_test.go
@@ -0,0 +1,57 @@
+package admission
+
+import (
+	"testing"
+	"time"
+)
+
+func TestCanceledRunIsStoppedWherePossible(t *testing.T) {
+	for halt, want := range map[Preemption]int{PreemptionNone: 0, PreemptionDrop: 1, PreemptionPause: 1} {
+		r := newDriver(t, func(s *Settings) { s.Preemption = halt })
+		r.at(0, arrival(1, 0))
+		if got := count[Preempt](r.at(ms, Canceled{1})); got != want {
+			t.Errorf("halt %v: %d suspends, want %d", halt, got, want)
+		}
+		r.want(r.at(ms, Completed{ID: 1, Outcome: OutcomeCanceled}))
+		if len(r.controller.requests) != 0 {
+			t.Errorf("halt %v: the request is still there", halt)
+		}
+	}
+}
+
+func TestLongRunIsPreempted(t *testing.T) {
+	for name, tt := range map[string]struct {
+		change func(*Settings)
+		ran    time.Duration
+		yields bool
+	}{
+		"long":             {func(s *Settings) {}, 1500 * ms, true},
+		"not so long":      {func(s *Settings) {}, 200 * ms, false},
+		"weight per work":  {func(s *Settings) { s.WeightPerWork = true }, 1500 * ms, false},
+		"can't be paused":  {func(s *Settings) { s.Preemption = PreemptionDrop }, 1500 * ms, false},
+		"can't be stopped": {func(s *Settings) { s.Preemption = PreemptionNone }, 1500 * ms, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			r := newDriver(t, func(s *Settings) { s.Preemption = PreemptionPause; tt.change(s) })
+			r.fillCores()
+			got := r.at(tt.ran, arrival(1, 0))
+			if !tt.yields {
+				if count[Preempt](got) != 0 {
+					t.Fatalf("%v, want no run to give way", got)
+				}
+				return
+			}
+			r.want(got, Preempt{901})
+			r.want(r.at(2*ms, Completed{ID: 901, Outcome: OutcomeCanceled}), Run{1})
+			if want := 10 * 4 * 3.0; r.controller.requestsKB != want {
+				t.Errorf("%v kB booked, want %v: a paused run keeps its memory", r.controller.requestsKB, want)
+			}
+			r.want(r.at(2*ms, Completed{ID: 1, Outcome: OutcomeOK}), Run{901})
+			r.want(r.at(2*ms, Completed{ID: 901, Outcome: OutcomeOK}))
+		})
+	}
+	r := newDriver(t, func(s *Settings) { s.Preemption = PreemptionPause }) // the work had ended before it could be paused
+	r.fillCores()
+	r.want(r.at(1500*ms, arrival(1, 0)), Preempt{901})
+	r.want(r.at(0, Completed{ID: 901, Outcome: OutcomeOK}), Run{1})
+}
--- a/admission/purity_test.go
+++ b/admission/purity_test.go
@@ -4,6 +4,7 @@
 	"go/ast"
 	"go/parser"
 	"go/token"
+	"os"
 	"path/filepath"
 	"slices"
 	"strconv"
@@ -95,6 +96,21 @@
 	return problems
 }
 
+// TestDeployFileNamesAllFiles: the key policy of the deploy file lists the files of the module.
+func TestDeployFileNamesAllFiles(t *testing.T) {
+	paths, err := filepath.Glob("*.go")
+	require.NoError(t, err)
+	var quoted []string
+	for _, path := range paths {
+		if !strings.HasSuffix(path, "_test.go") {
+			quoted = append(quoted, strconv.Quote("admission/"+path))
+		}
+	}
+	deploy, err := os.ReadFile("../deploy/balancer.toml")
+	require.NoError(t, err)
+	require.Contains(t, string(deploy), "\npolicy = ["+strings.Join(quoted, ", ")+"]\n")
+}
+
 // TestImpuritiesAreFound: the check finds what it is meant to.
 func TestImpuritiesAreFound(t *testing.T) {
 	for name, test := range map[string]struct {
--- /dev/null
+++ b/admission/request_test.go
@@ -0,0 +1,41 @@
+package admission
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+// TestSteps: no step leaves the final phase for another or leads back to the
+// first one, and every other phase can be reached and left.
+func TestSteps(t *testing.T) {
+	var reached, left phaseSet
+	for s := range transitions {
+		step := step(s)
+		to := transitions[step].to
+		require.NotEqual(t, phaseUndecided, to)
+		reached |= phases(to)
+		for p := range phaseCount {
+			if !step.allows(p) {
+				continue
+			}
+			if p == phaseFinished {
+				require.Equal(t, phaseFinished, to)
+			}
+			if p != to {
+				left |= phases(p)
+			}
+		}
+	}
+	for p := range phaseCount {
+		require.Equal(t, p != phaseUndecided, reached&phases(p) != 0, "%v reached", p)
+		require.Equal(t, p != phaseFinished, left&phases(p) != 0, "%v left", p)
+	}
+}
+
+func TestPhaseString(t *testing.T) {
+	require.Equal(t, "undecided", phaseUndecided.String())
+	require.Equal(t, "awaiting result", phaseAwaitingResult.String())
+	require.Equal(t, "finished", phaseFinished.String())
+	require.Equal(t, "phase(8)", phaseCount.String())
+}
--- /dev/null
+++ b/admission/simulated_server_test.go
@@ -0,0 +1,328 @@
+package admission
+
+import (
+	"math/rand"
+	"slices"
+	"testing"
+	"time"
+)
+
+// simulatedServer plays the server's part for one controller: it carries out
+// actions, invents legal events, and fails the test when an action breaks a rule.
+type simulatedServer struct {
+	t              *testing.T
+	settings       Settings
+	controller     *Controller
+	random         *rand.Rand
+	now            time.Duration
+	requests       map[uint32]*simulatedRequest
+	order          []uint32                 // ids of all requests, in the order of arrival
+	keys           map[uint32]time.Duration // stored keys, and when they expire
+	drainNoticedAt time.Duration            // clock time of the notice, 0 without one
+	timers         []pendingTimer
+	lastID         uint32
+}
+
+type pendingTimer struct {
+	at time.Duration
+	id uint64
+}
+
+// serverPhase is the phase of a request as the server sees it.
+type serverPhase string
+
+const (
+	serverQueued         serverPhase = "queued"
+	serverRunning        serverPhase = "running"
+	serverStopping       serverPhase = "stopping" // preempted, not yet off the cores
+	serverPaused         serverPhase = "paused"
+	serverAwaitingCall   serverPhase = "awaiting call"
+	serverInCall         serverPhase = "in call"
+	serverAwaitingResult serverPhase = "awaiting result"
+)
+
+// simulatedRequest is a request as the server sees it.
+type simulatedRequest struct {
+	id          uint32
+	arrivedAt   time.Duration
+	deadline    time.Duration
+	class       int
+	memoryKB    float64
+	phase       serverPhase
+	ran         bool
+	answered    bool
+	duplicateOf uint32
+}
+
+func randomSettings(random *rand.Rand) Settings {
+	s := testSettings()
+	s.Cores = 1 + random.Intn(8)
+	s.Servers, s.Callers = 1+random.Intn(400), random.Intn(1200)
+	s.Preemption, s.Advert, s.Dependency = Preemption(random.Intn(3)), Advert(random.Intn(4)), Dependency(random.Intn(3))
+	s.SlowStart, s.WeightPerWork, s.NotifiesCanceled = random.Intn(2) == 0, random.Intn(2) == 0, random.Intn(2) == 0
+	s.RunMemoryFactor, s.MaxIdleTimeout, s.CallQuota = 1+random.Float64()*15, 30*time.Second, 0.2+random.Float64()*3
+	s.MemoryKB = float64(s.Cores) * 10 * s.RunMemoryFactor * (2 + random.Float64()*20)
+	s.TiersAbove = random.Intn(2)
+	if random.Intn(2) == 0 {
+		s.ResultReuseWindow = time.Second
+	}
+	if random.Intn(2) == 0 {
+		s.Tenants, s.OverQuotaFraction = []Tenant{{QuotaPerSecond: random.Float64()}, {QuotaPerSecond: 40}}, 0.1
+	}
+	s.Classes = append(s.Classes, Class{LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 5})
+	for i := range s.Classes {
+		class := &s.Classes[i]
+		class.Effect = Effect(i)
+		class.DedupWindow = 3 * time.Second
+		class.MakesCalls = random.Intn(2) == 0
+		class.DegradedFraction = float64(random.Intn(2)) / 2
+	}
+	return s
+}
+
+// carryOut applies the actions of one batch and checks each, then the limits of the server.
+func (s *simulatedServer) carryOut(actions []Action) {
+	for _, a := range actions {
+		s.carryOutOne(a)
+	}
+	s.checkDeadlines()
+	s.checkMemory()
+	s.checkRuns()
+}
+
+func (s *simulatedServer) carryOutOne(a Action) {
+	switch a := a.(type) {
+	case Run:
+		s.run(s.find(a.ID))
+	case Preempt:
+		if r := s.requests[a.ID]; r != nil && r.phase == serverRunning {
+			r.phase = serverStopping
+		}
+	case Reject:
+		r := s.find(a.ID)
+		if r.ran {
+			s.t.Fatalf("at %v: request %d rejected after it ran", s.now, a.ID)
+		}
+		s.answer(r)
+	case Fail:
+		s.answer(s.find(a.ID))
+	case StartCall:
+		if r := s.find(a.ID); r.phase == serverAwaitingCall {
+			r.phase = serverInCall
+		}
+	case Degrade:
+		r := s.find(a.ID)
+		if s.settings.Classes[r.class].DegradedFraction == 0 {
+			s.t.Fatalf("at %v: call of request %d skipped", s.now, a.ID)
+		}
+		r.phase = serverRunning
+	case StoreKey:
+		s.find(a.ID)
+		s.keys[a.ID] = s.now + a.TTL
+	case EvictKey:
+		delete(s.keys, a.ID)
+	case ShareResult:
+		s.find(a.ID).phase = serverAwaitingResult
+	case Advertise:
+		if s.settings.Advert == AdvertNone || a.Value < 0 {
+			s.t.Fatalf("at %v: advertised %v", s.now, a.Value)
+		}
+	case SetIdleTimeout:
+		if a.Timeout < 10*ms || a.Timeout > s.settings.MaxIdleTimeout {
+			s.t.Fatalf("at %v: idle timeout %v", s.now, a.Timeout)
+		}
+	case SetTimer:
+		s.timers = append(s.timers, pendingTimer{s.now + a.After, a.TimerID})
+	}
+}
+
+func (s *simulatedServer) find(id uint32) *simulatedRequest {
+	r := s.requests[id]
+	if r == nil {
+		s.t.Fatalf("at %v: action for request %d, which is not here", s.now, id)
+	}
+	return r
+}
+
+func (s *simulatedServer) run(r *simulatedRequest) {
+	if r.phase != serverQueued && r.phase != serverPaused {
+		s.t.Fatalf("at %v: run of request %d, which is %s", s.now, r.id, r.phase)
+	}
+	if r.phase == serverQueued && (r.ran || r.duplicateOf != 0) && s.settings.Classes[r.class].Effect != Idempotent {
+		s.t.Fatalf("at %v: effect of request %d a second time", s.now, r.id)
+	}
+	if s.drainNoticedAt > 0 && r.arrivedAt > s.drainNoticedAt+s.settings.DrainGracePeriod {
+		s.t.Fatalf("at %v: request %d run after the grace period", s.now, r.id)
+	}
+	r.phase = serverRunning
+	r.ran = true
+}
+
+func (s *simulatedServer) answer(r *simulatedRequest) {
+	if r.answered {
+		s.t.Fatalf("at %v: second answer for request %d", s.now, r.id)
+	}
+	r.answered = true
+	if r.phase == serverQueued || r.phase == serverPaused || r.phase == serverAwaitingResult {
+		delete(s.requests, r.id)
+	}
+}
+
+func (s *simulatedServer) checkDeadlines() {
+	for id, r := range s.requests {
+		if !r.answered && s.now > r.deadline+s.settings.AnswerGracePeriod {
+			s.t.Fatalf("at %v: request %d, with deadline %v, has no answer", s.now, id, r.deadline)
+		}
+	}
+}
+
+func (s *simulatedServer) checkMemory() {
+	usedKB := 0.0
+	for _, until := range s.keys {
+		if until > s.now {
+			usedKB += s.settings.KeyMemoryKB
+		}
+	}
+	for _, r := range s.requests {
+		switch r.phase {
+		case serverQueued, serverAwaitingResult:
+			usedKB += r.memoryKB
+		default:
+			usedKB += r.memoryKB * s.settings.RunMemoryFactor
+		}
+	}
+	if usedKB > s.settings.MemoryKB {
+		s.t.Fatalf("at %v: %v kB of %v", s.now, usedKB, s.settings.MemoryKB)
+	}
+}
+
+func (s *simulatedServer) checkRuns() {
+	running := 0
+	for _, r := range s.requests {
+		if r.phase == serverRunning || r.phase == serverStopping {
+			running++
+		}
+	}
+	if survived := s.controller.maxRuns(); float64(running) > survived {
+		s.t.Fatalf("at %v: %d running, %v survived", s.now, running, survived)
+	}
+}
+
+// events invents what happens next: to the requests in the order of their
+// arrival, then arrivals, then timers.
+func (s *simulatedServer) events() []Event {
+	var out []Event
+	for _, id := range s.order {
+		if r := s.requests[id]; r != nil {
+			out = s.progress(out, r)
+		}
+	}
+	for n := s.random.Intn(3); n > 0 && s.random.Intn(12) == 0; n-- {
+		out = append(out, s.arrive())
+	}
+	s.timers = slices.DeleteFunc(s.timers, func(timer pendingTimer) bool {
+		if timer.at > s.now {
+			return false
+		}
+		gauges := Gauges{CPUUtilization: s.random.Float64(), RunQueue: float64(s.random.Intn(6))}
+		out = append(out, TimerFired{timer.id, gauges})
+		return true
+	})
+	return out
+}
+
+// progress lets one request go on, by chance.
+func (s *simulatedServer) progress(out []Event, r *simulatedRequest) []Event {
+	switch luck := s.random.Intn(100); {
+	case r.phase == serverStopping && r.answered:
+		return s.end(out, r, OutcomeCanceled)
+	case r.phase == serverStopping:
+		stopped := map[Preemption]serverPhase{PreemptionPause: serverPaused, PreemptionDrop: serverQueued}
+		r.phase = stopped[s.settings.Preemption]
+		return append(out, Completed{ID: r.id, Outcome: OutcomeCanceled})
+	case r.phase == serverRunning && luck < 1 && s.settings.Dependency != DependencyNone:
+		r.phase = serverAwaitingCall
+		if r.answered {
+			return s.end(out, r, OutcomeCanceled)
+		}
+		return append(out, CallNeeded{r.id})
+	case r.phase == serverRunning && luck < 3 && r.answered:
+		return s.end(out, r, OutcomeCanceled)
+	case r.phase == serverRunning && luck < 3:
+		return s.end(out, r, s.pick(OutcomeOK, OutcomeOK, OutcomeOK, OutcomeInternal))
+	case (r.phase == serverAwaitingCall || r.phase == serverInCall) && r.answered && luck < 50:
+		return s.end(out, r, OutcomeCanceled)
+	case r.phase == serverInCall && luck < 5:
+		return append(out, s.endCall(r))
+	case r.phase == serverAwaitingResult && luck < 5:
+		return s.end(out, r, OutcomeOK)
+	case s.settings.NotifiesCanceled && !r.answered && s.random.Intn(3000) == 0:
+		return append(out, s.cancel(r))
+	}
+	return out
+}
+
+func (s *simulatedServer) pick(outcomes ...Outcome) Outcome {
+	return outcomes[s.random.Intn(len(outcomes))]
+}
+
+func (s *simulatedServer) end(out []Event, r *simulatedRequest, outcome Outcome) []Event {
+	r.answered = true
+	delete(s.requests, r.id)
+	return append(out, Completed{ID: r.id, Elapsed: s.now - r.arrivedAt, Outcome: outcome})
+}
+
+func (s *simulatedServer) endCall(r *simulatedRequest) Event {
+	outcome := s.pick(OutcomeOK, OutcomeOK, OutcomeResourceExhausted, OutcomeDeadlineExceeded,
+		OutcomeUnavailable, OutcomeAborted)
+	r.phase = serverAwaitingCall
+	if outcome == OutcomeOK {
+		r.phase = serverRunning
+	}
+	return CallCompleted{ID: r.id, Outcome: outcome}
+}
+
+func (s *simulatedServer) cancel(r *simulatedRequest) Event {
+	r.answered = true
+	if r.phase != serverRunning && r.phase != serverAwaitingCall && r.phase != serverInCall {
+		delete(s.requests, r.id)
+	}
+	return Canceled{r.id}
+}
+
+// arrive invents a request, at times the duplicate of a stored one.
+func (s *simulatedServer) arrive() Event {
+	s.lastID++
+	r := &simulatedRequest{
+		id:        s.lastID,
+		arrivedAt: s.now - time.Duration(s.random.Intn(300))*ms,
+		class:     s.random.Intn(3),
+		memoryKB:  5 + s.random.Float64()*20,
+		phase:     serverQueued,
+		deadline:  s.now + time.Duration(s.random.Intn(2000))*ms,
+	}
+	a := Arrival{
+		ID:       r.id,
+		Class:    r.class,
+		Tenant:   s.random.Intn(2),
+		Timeout:  r.deadline - s.now,
+		Age:      s.now - r.arrivedAt,
+		MemoryKB: r.memoryKB,
+		Retry:    s.random.Intn(3) == 0,
+	}
+	if a.Timeout == 0 {
+		r.deadline = max(s.now, r.arrivedAt+s.settings.Classes[r.class].Deadline)
+	}
+	for _, id := range s.order {
+		stored := s.requests[id]
+		if stored != nil && stored.class == r.class && s.keys[id] > s.now && stored.duplicateOf == 0 &&
+			s.random.Intn(4) == 0 {
+			a.DuplicateOf = id
+			r.duplicateOf = id
+			break
+		}
+	}
+	s.requests[r.id] = r
+	s.order = append(s.order, r.id)
+	return a
+}
