--- /dev/null
+++ b/internal/cluster/kv/checksum.go
@@ -0,0 +1,106 @@
+package kv
+
+import (
+	"encoding/binary"
+	"hash/crc64"
+)
+
+const (
+	checksumInterval  = 16   // log entries between two points of a ChecksumHistory
+	maxChecksumPoints = 64   // points that a ChecksumHistory keeps
+	checksumPeriod    = 4096 // log entries after which the running checksum starts anew
+)
+
+var checksumTable = crc64.MakeTable(crc64.ECMA)
+
+// Checksum is a running CRC-64 over the log entries and their outcomes. States that made the same
+// of the same log have the same checksum. It starts anew every checksumPeriod entries, so that
+// states that started at different entries, as from a snapshot of a version without checksums,
+// can be compared again.
+type Checksum struct {
+	StartIndex uint64 `json:"from"` // log index after which it started
+	Sum        uint64 `json:"sum"`
+}
+
+// extendChecksum adds a log entry, as it was read, and its outcome.
+func (s *State) extendChecksum(index uint64, data []byte, response *Response, err error) {
+	if index/checksumPeriod > s.Checksum.StartIndex/checksumPeriod {
+		s.Checksum = Checksum{StartIndex: index / checksumPeriod * checksumPeriod}
+	}
+	outcome := make([]byte, 0, 64)
+	outcome = binary.BigEndian.AppendUint64(outcome, index)
+	outcome = binary.BigEndian.AppendUint64(outcome, s.Leases.LastToken)
+	outcome = binary.BigEndian.AppendUint64(outcome, uint64(s.TimeMS))
+	outcome = binary.BigEndian.AppendUint64(outcome, uint64(len(s.Entries)))
+	outcome = binary.BigEndian.AppendUint64(outcome, uint64(len(s.Leases.Leases)))
+	outcome = append(outcome, boolByte(response.Succeeded), boolByte(err != nil))
+	s.Checksum.add(data)
+	s.Checksum.add(outcome)
+	for _, r := range response.LeaseResults {
+		s.Checksum.add(binary.BigEndian.AppendUint64(outcome[:0], r.Lease.Token))
+		s.Checksum.add([]byte(r.Lease.Holder))
+	}
+}
+
+func (c *Checksum) add(data []byte) { c.Sum = crc64.Update(c.Sum, checksumTable, data) }
+
+func boolByte(b bool) byte {
+	if b {
+		return 1
+	}
+	return 0
+}
+
+// ChecksumPoint is the running checksum of a state after all log entries up to an index. Two
+// points can be compared if they have the same Index and StartIndex.
+type ChecksumPoint struct {
+	Index      uint64 `json:"index"`
+	StartIndex uint64 `json:"from,omitempty"`
+	Sum        uint64 `json:"sum"`
+}
+
+// ChecksumHistory is the last points of a node, at most maxChecksumPoints, the newest last. Nodes
+// exchange them to notice a state that differs from the others.
+type ChecksumHistory []ChecksumPoint
+
+// RecordBefore adds a point if one is due, of a state that is about to apply the log entry at an
+// index.
+func (c ChecksumHistory) RecordBefore(index uint64, s *State) ChecksumHistory {
+	at := (index - 1) / checksumInterval * checksumInterval
+	if at == 0 || at < s.Applied || len(c) > 0 && c[len(c)-1].Index >= at {
+		return c // the state is beyond it, or it is recorded
+	}
+	c = append(c, ChecksumPoint{at, s.Checksum.StartIndex, s.Checksum.Sum})
+	return c[max(0, len(c)-maxChecksumPoints):]
+}
+
+// Diverged compares a node's points with those of the other voters. It tells whether a majority
+// of all voters agrees on another checksum, and at which log index. Only the newest index on which
+// a majority is known to agree counts.
+func (c ChecksumHistory) Diverged(others []ChecksumHistory, voters int) (index uint64, diverged bool) {
+	for i := len(c) - 1; i >= 0; i-- {
+		local := c[i]
+		for sum, votes := range countSums(others, local) {
+			if sum == local.Sum {
+				votes++
+			}
+			if 2*votes > voters {
+				return local.Index, sum != local.Sum
+			}
+		}
+	}
+	return 0, false
+}
+
+// countSums counts the other nodes' checksums at a point that can be compared with a local one.
+func countSums(others []ChecksumHistory, local ChecksumPoint) map[uint64]int {
+	votes := map[uint64]int{}
+	for _, history := range others {
+		for _, point := range history {
+			if point.Index == local.Index && point.StartIndex == local.StartIndex {
+				votes[point.Sum]++
+			}
+		}
+	}
+	return votes
+}
--- a/internal/cluster/kv/golden_test.go
+++ b/internal/cluster/kv/golden_test.go
@@ -34,7 +34,7 @@
 func TestGoldenKeys(t *testing.T) {
 	golden.Text(t, "testdata/keys.golden", fmt.Sprintln(
 		ReservedPrefix, ClusterKey, RestoreKey, PreviousClustersKey, RemovedPrefix, PreferredVoterPrefix, LeasesEnabledKey, StatePrefix,
-		MaxKeyBytes, MaxValueBytes, MaxKeys, MaxOps, MaxSessions, SessionWindow, MaxCachedResponseBytes, SessionTimeoutMS, leapMS, checkStep, checkMost, sumOver))
+		MaxKeyBytes, MaxValueBytes, MaxKeys, MaxOps, MaxSessions, SessionWindow, MaxCachedResponseBytes, SessionTimeoutMS, maxClockAdvanceMS, checksumInterval, maxChecksumPoints, checksumPeriod))
 }
 
 // TestGoldenErrors: texts of errors, which answers over HTTP contain.
--- a/internal/cluster/kv/kv_test.go
+++ b/internal/cluster/kv/kv_test.go
@@ -114,8 +114,8 @@
 	apply(t, s, Request{Then: []Op{put("x", "1")}, TimeMS: 5}) // another leader's clock is behind
 	assert.EqualValues(t, 1000+SessionTimeoutMS, s.TimeMS)
 	apply(t, s, Request{Then: []Op{put("x", "2")}, TimeMS: 1 << 50}) // or far ahead
-	assert.EqualValues(t, 1000+SessionTimeoutMS+leapMS, s.TimeMS)
-	for range SessionTimeoutMS / leapMS {
+	assert.EqualValues(t, 1000+SessionTimeoutMS+maxClockAdvanceMS, s.TimeMS)
+	for range SessionTimeoutMS / maxClockAdvanceMS {
 		apply(t, s, Request{Then: []Op{put("x", "2")}, TimeMS: 1 << 50})
 	}
 	_, _, err := s.Apply(99, &put1)
@@ -155,7 +155,7 @@
 	assert.ErrorIs(t, err, ErrFenced)
 	assert.EqualValues(t, 3, s.Revision("k"))
 	for i := range uint64(11) {
-		_, _, err = s.Apply(7+i, &Request{TimeMS: int64(i+1) * leapMS})
+		_, _, err = s.Apply(7+i, &Request{TimeMS: int64(i+1) * maxClockAdvanceMS})
 		require.NoError(t, err)
 	}
 	assert.Empty(t, s.Sessions)
--- a/internal/cluster/kv/sum_test.go
+++ b/internal/cluster/kv/sum_test.go
@@ -89,12 +89,12 @@
 	carry(a, 1, 100)
 	carry(b, 1, 100)
 	b.Checksum = Checksum{StartIndex: 100}
-	one, two := carry(a, 101, sumOver-1), carry(b, 101, sumOver-1)
+	one, two := carry(a, 101, checksumPeriod-1), carry(b, 101, checksumPeriod-1)
 	_, apart := one.Diverged([]ChecksumHistory{two, two}, 3)
 	require.False(t, apart)
 	require.NotEqual(t, a.Checksum, b.Checksum)
-	one, two = carry(a, sumOver, sumOver+100), carry(b, sumOver, sumOver+100)
+	one, two = carry(a, checksumPeriod, checksumPeriod+100), carry(b, checksumPeriod, checksumPeriod+100)
 	require.Equal(t, a.Checksum, b.Checksum)
 	require.Equal(t, one[len(one)-1], two[len(two)-1])
-	require.LessOrEqual(t, len(one), checkMost)
+	require.LessOrEqual(t, len(one), maxChecksumPoints)
 }
--- /dev/null
+++ b/internal/cluster/kv/txn.go
@@ -0,0 +1,113 @@
+package kv
+
+import (
+	"fmt"
+	"slices"
+)
+
+// applyTxn carries out a transaction. All changes are worked out beside the state first, so that
+// nothing is done if a limit is exceeded.
+func (s *State) applyTxn(index uint64, r *Request) (Response, []string, error) {
+	if s.isBlockedByRestore(r) {
+		return Response{}, nil, ErrRestoring
+	}
+	if err := s.checkFences(r.Fences); err != nil {
+		return Response{}, nil, err
+	}
+	response := Response{Succeeded: s.holdAll(r.If), Revision: index}
+	ops := r.Then
+	if !response.Succeeded {
+		ops = r.Else
+	}
+	t := &txn{state: s, revision: index, pending: map[string]Entry{}}
+	for _, op := range ops {
+		response.Results = append(response.Results, t.apply(op))
+	}
+	if err := t.checkLimits(r.Session != 0); err != nil {
+		return Response{}, nil, err
+	}
+	return response, t.commit(), nil
+}
+
+func (s *State) holdAll(compares []Compare) bool {
+	for _, c := range compares {
+		if s.Revision(c.Key) != c.Revision {
+			return false
+		}
+	}
+	return true
+}
+
+// txn is the pending outcome of a transaction. Its operations see each other's changes.
+type txn struct {
+	state     *State
+	revision  uint64
+	pending   map[string]Entry // by key
+	newKeys   int              // keys that the state does not have, not even as deleted
+	readBytes int              // of values that were read
+}
+
+func (t *txn) apply(op Op) Result {
+	entry, known := t.lookup(op.Key)
+	exists := known && !entry.Deleted
+	switch op.Kind {
+	case OpPut:
+		if !known {
+			t.newKeys++
+		}
+		t.pending[op.Key] = t.put(op, entry, exists)
+		return Result{Key: op.Key, Revision: t.revision}
+	case OpDelete:
+		if exists {
+			t.pending[op.Key] = Entry{ModRevision: t.revision, Deleted: true}
+		}
+	case OpGet:
+		if exists {
+			t.readBytes += len(entry.Value)
+			return Result{Key: op.Key, Revision: entry.ModRevision, Value: entry.Value}
+		}
+	}
+	return Result{Key: op.Key}
+}
+
+// lookup is a key as the transaction has left it so far.
+func (t *txn) lookup(key string) (entry Entry, known bool) {
+	if entry, known = t.pending[key]; known {
+		return entry, true
+	}
+	entry, known = t.state.Entries[key]
+	return entry, known
+}
+
+func (t *txn) put(op Op, old Entry, exists bool) Entry {
+	if exists {
+		return Entry{Value: op.Value, ModRevision: t.revision, CreateRevision: old.CreateRevision, Version: old.Version + 1}
+	}
+	return Entry{Value: op.Value, ModRevision: t.revision, CreateRevision: t.revision, Version: 1}
+}
+
+// checkLimits makes sure that the state has capacity for the new keys, and that the response can
+// be cached if it is part of a session.
+func (t *txn) checkLimits(inSession bool) error {
+	if len(t.state.Entries)+t.newKeys > MaxKeys {
+		return fmt.Errorf("%w: %d keys", ErrFull, len(t.state.Entries))
+	}
+	if inSession && t.readBytes > MaxCachedResponseBytes {
+		return fmt.Errorf("%w: %d bytes are read, a session keeps answers of at most %d", ErrInvalidRequest, t.readBytes, MaxCachedResponseBytes)
+	}
+	return nil
+}
+
+// commit puts the pending changes into the state, and returns the changed keys, sorted.
+func (t *txn) commit() (changed []string) {
+	s := t.state
+	for key, entry := range t.pending {
+		if s.valueBytes != bytesUnknown {
+			s.valueBytes += len(entry.Value) - len(s.Entries[key].Value)
+		}
+		s.Entries[key] = entry
+		changed = append(changed, key)
+	}
+	slices.Sort(changed)
+	return changed
+}
--- /dev/null
+++ b/internal/cluster/lease/expiry.go
@@ -0,0 +1,157 @@
+package lease
+
+import (
+	"maps"
+	"slices"
+	"strings"
+	"time"
+)
+
+// WaiterTimeout is how long a waiter stays in a queue without asking again.
+const WaiterTimeout = 3 * time.Second
+
+// idleInterval is when DueOps looks at all leases again if nothing is due before.
+const idleInterval = time.Hour
+
+// ExpiryTimer is the leader's record of when leases end, for one term of its leadership. All
+// times are the leader's own, monotonic. It is not safe for concurrent use.
+type ExpiryTimer struct {
+	expiries  map[string]expiry           // by the lease's name
+	lastHeard map[waiterKey]time.Duration // when each waiter last asked
+	electedAt time.Duration
+	seenToken uint64        // State.LastToken when DueOps last looked at all leases
+	nextDue   time.Duration // nothing is due earlier, unless a token or ticket was given since
+}
+
+type waiterKey struct{ name, holder string }
+
+type expiry struct {
+	token    uint64
+	deadline time.Duration
+	proposed bool // OpExpire may be in the log already: no keep-alive revives the lease
+}
+
+// NewExpiryTimer is the timer of a leader elected at a time. Each lease that it inherits has
+// its full TTL from then on, as the predecessor may have answered a keep-alive until then.
+func NewExpiryTimer(electedAt time.Duration) *ExpiryTimer {
+	return &ExpiryTimer{
+		expiries:  map[string]expiry{},
+		lastHeard: map[waiterKey]time.Duration{},
+		electedAt: electedAt,
+		nextDue:   electedAt,
+	}
+}
+
+func (l Lease) ttl() time.Duration { return time.Duration(l.TTLMS) * time.Millisecond }
+
+// expiryOf is the expiry of a lease. One that the timer does not know has its full TTL from
+// now on, which is never too early.
+func (t *ExpiryTimer) expiryOf(name string, l Lease, now time.Duration) expiry {
+	e, ok := t.expiries[name]
+	if !ok || e.token != l.Token {
+		e = expiry{token: l.Token, deadline: max(now, t.electedAt) + l.ttl()}
+		t.expiries[name] = e
+		t.nextDue = min(t.nextDue, e.deadline)
+	}
+	return e
+}
+
+// Renew extends a lease by a keep-alive. arrivedAt is when that arrived, before this node made
+// sure that it still leads. The error is ErrNotHolder if the lease does not go on.
+func (t *ExpiryTimer) Renew(s *State, name string, token uint64, arrivedAt time.Duration) error {
+	l, ok := s.Leases[name]
+	if !ok || l.Token != token {
+		return ErrNotHolder
+	}
+	e := t.expiryOf(name, l, arrivedAt)
+	if e.proposed || l.Revoked {
+		return ErrNotHolder
+	}
+	e.deadline = max(e.deadline, arrivedAt+l.ttl())
+	t.expiries[name] = e
+	return nil
+}
+
+// TryAcquire answers a request for a lease without an entry of the log, if that is possible:
+// the holder's own lease is renewed, and a lease that another one holds stays as it is, with
+// ErrHeld. Otherwise needsLog is true: the request has to go through the log as OpAcquire.
+// wait tells whether the caller wants a place in the queue.
+func (t *ExpiryTimer) TryAcquire(s *State, name, holder string, wait bool, arrivedAt, now time.Duration) (l Lease, needsLog bool, err error) {
+	l, held := s.Leases[name]
+	queued := l.isQueued(holder)
+	if queued {
+		t.TouchWaiter(name, holder, now)
+	}
+	mine := held && l.Holder == holder && !l.Revoked
+	switch {
+	case mine && t.Renew(s, name, l.Token, arrivedAt) == nil:
+		return l, false, nil
+	case mine: // its OpExpire may be in the log already
+		return l, false, ErrHeld
+	case held && (queued || !wait):
+		return l, false, ErrHeld
+	}
+	return l, true, nil
+}
+
+// TouchWaiter notes that a waiter has asked again.
+func (t *ExpiryTimer) TouchWaiter(name, holder string, now time.Duration) {
+	t.lastHeard[waiterKey{name, holder}] = now
+}
+
+// Remaining is how long a lease goes on without a keep-alive, as far as this leader knows.
+func (t *ExpiryTimer) Remaining(name string, l Lease, now time.Duration) time.Duration {
+	return t.expiryOf(name, l, now).deadline - now
+}
+
+// DueOps are the operations that are due, for the log: OpExpire for leases whose TTL is over,
+// and OpWithdraw for waiters that did not ask for WaiterTimeout. From then on such a lease can't
+// be renewed any more, as its end may be in the log.
+func (t *ExpiryTimer) DueOps(s *State, now time.Duration) []Op {
+	if now < t.nextDue && s.LastToken == t.seenToken {
+		return nil
+	}
+	t.seenToken = s.LastToken
+	t.nextDue = now + idleInterval
+	var due []Op
+	waiting := map[waiterKey]bool{}
+	for name, l := range s.Leases {
+		due = t.appendExpiry(due, name, l, now)
+		for _, w := range l.Waiters {
+			key := waiterKey{name, w.Holder}
+			waiting[key] = true
+			due = t.appendWithdrawal(due, key, now)
+		}
+	}
+	maps.DeleteFunc(t.expiries, func(name string, _ expiry) bool {
+		_, held := s.Leases[name]
+		return !held
+	})
+	maps.DeleteFunc(t.lastHeard, func(key waiterKey, _ time.Duration) bool { return !waiting[key] })
+	slices.SortFunc(due, func(a, b Op) int { return strings.Compare(a.Name+" "+a.Holder, b.Name+" "+b.Holder) })
+	return due
+}
+
+func (t *ExpiryTimer) appendExpiry(due []Op, name string, l Lease, now time.Duration) []Op {
+	e := t.expiryOf(name, l, now)
+	if e.proposed || now >= e.deadline {
+		e.proposed = true
+		t.expiries[name] = e
+		due = append(due, Op{Kind: OpExpire, Name: name, Token: l.Token})
+	}
+	t.nextDue = min(t.nextDue, e.deadline)
+	return due
+}
+
+func (t *ExpiryTimer) appendWithdrawal(due []Op, key waiterKey, now time.Duration) []Op {
+	heardAt, known := t.lastHeard[key]
+	if !known {
+		heardAt = now
+		t.lastHeard[key] = heardAt
+	}
+	if now >= heardAt+WaiterTimeout {
+		due = append(due, Op{Kind: OpWithdraw, Name: key.name, Holder: key.holder})
+	}
+	t.nextDue = min(t.nextDue, heardAt+WaiterTimeout)
+	return due
+}
--- a/internal/cluster/lease/golden_test.go
+++ b/internal/cluster/lease/golden_test.go
@@ -31,7 +31,7 @@
 	fmt.Fprintln(&lines, OpAcquire, OpWithdraw, OpRelease, OpExpire, OpHandOver, OpRevoke)
 	fmt.Fprintln(&lines, MaxLeases, MaxWaitersPerLease, MaxWaiters, MinTTLMS, MaxTTLMS, MaxOpsPerEntry, TokensPerMS, SafetyMargin, WaiterTimeout)
 	var known []string
-	for code, err := range codes {
+	for code, err := range errorsByCode {
 		known = append(known, fmt.Sprint(code, " = ", err))
 	}
 	slices.Sort(known)
--- a/internal/cluster/lease/holder.go
+++ b/internal/cluster/lease/holder.go
@@ -2,63 +2,66 @@
 
 import "time"
 
-// HolderState is the holder's side of one lease. Times are its own, monotonic.
+// HolderState is the holder's side of one lease. All times are the holder's own, monotonic. It
+// is not safe for concurrent use.
 type HolderState struct {
-	Token uint64
-	TTL   time.Duration
-	until time.Duration
-	given uint64 // the last token that it gave back
+	Token uint64        // 0 if the lease is not held
+	TTL   time.Duration // as it was asked for
+
+	deadline      time.Duration
+	releasedToken uint64 // the last token that was given back
 }
 
-// RecordGrant notes an answer to a request that was sent at a time: the lease counts from
-// then on. A token that it gave back doesn't count any more: its release may still be on
-// its way, and overtaken by a request that was given the same token again.
-func (h *HolderState) RecordGrant(token uint64, sent time.Duration) {
-	if token <= h.given {
+// renewalsPerTTL is how many keep-alives are due in one TTL.
+const renewalsPerTTL = 3
+
+// usableTTL is the part of the TTL in which the holder may act.
+func (h *HolderState) usableTTL() time.Duration {
+	return time.Duration(float64(h.TTL) * (1 - SafetyMargin))
+}
+
+// RecordGrant notes an answer to a request or keep-alive. The lease counts from sentAt, when
+// that was sent. A token that was released, or an older one, is ignored: its release may still
+// be on its way, and overtaken by a request that was granted the same token again.
+func (h *HolderState) RecordGrant(token uint64, sentAt time.Duration) {
+	if token <= h.releasedToken {
 		return
 	}
 	if token != h.Token {
-		h.Token, h.until = token, 0
+		h.Token = token
+		h.deadline = 0
 	}
-	h.until = max(h.until, sent+time.Duration(float64(h.TTL)*(1-SafetyMargin)))
+	h.deadline = max(h.deadline, sentAt+h.usableTTL())
 }
 
-// Release gives the lease back: what is to be told to the store is the token.
+// Release gives the lease up, and returns the token to release at the store.
 func (h *HolderState) Release() (token uint64) {
-	h.given = max(h.given, h.Token)
-	token, h.Token, h.until = h.Token, 0, 0
+	token = h.Token
+	h.releasedToken = max(h.releasedToken, token)
+	h.MarkLost()
 	return token
 }
 
-// MarkLost notes that the lease is not its any more.
-func (h *HolderState) MarkLost() { h.Token, h.until = 0, 0 }
+// MarkLost notes that the lease is not held any more.
+func (h *HolderState) MarkLost() {
+	h.Token = 0
+	h.deadline = 0
+}
 
-// Deadline is when it must have stopped acting, if no answer comes before.
-func (h *HolderState) Deadline() time.Duration { return h.until }
+// Deadline is when the holder must have stopped acting, unless a keep-alive is answered before.
+func (h *HolderState) Deadline() time.Duration { return h.deadline }
 
-// MayAct tells whether it may act at a time. Between this and the act it may stand still for
-// any time: what matters goes through a fence.
-func (h *HolderState) MayAct(now time.Duration) bool { return h.Token != 0 && now < h.until }
+// MayAct tells whether the holder may act now. The process may be suspended between this and
+// the act; what matters needs the fencing token as well.
+func (h *HolderState) MayAct(now time.Duration) bool { return h.Token != 0 && now < h.deadline }
 
-// RenewalDue is when a keep-alive is due: a third of its time after the last.
+// RenewalDue is when the next keep-alive is due: a third of the TTL after the last one that was
+// answered.
 func (h *HolderState) RenewalDue() time.Duration {
-	return h.until - time.Duration(float64(h.TTL)*(1-SafetyMargin)) + h.TTL/3
+	return h.deadline - h.usableTTL() + h.TTL/renewalsPerTTL
 }
 
-// ShouldRenew tells whether it is time for a keep-alive.
+// ShouldRenew tells whether a keep-alive is due.
 func (h *HolderState) ShouldRenew(now time.Duration) bool {
 	return h.Token != 0 && now >= h.RenewalDue()
 }
-
-// FencedResource is what an outside resource does with tokens: it keeps the highest that it has
-// seen, and refuses lower ones.
-type FencedResource struct{ HighestToken uint64 }
-
-// Admit tells whether an act under a token may take effect.
-func (f *FencedResource) Admit(token uint64) bool {
-	if token < f.HighestToken {
-		return false
-	}
-	f.HighestToken = token
-	return true
-}
--- a/internal/cluster/lease/model_test.go
+++ b/internal/cluster/lease/model_test.go
@@ -70,11 +70,11 @@
 }
 
 func (h holder) is() *HolderState {
-	return &HolderState{Token: uint64(h.token), TTL: ttl, until: h.left.is(), given: uint64(h.given)}
+	return &HolderState{Token: uint64(h.token), TTL: ttl, deadline: h.left.is(), releasedToken: uint64(h.given)}
 }
 
 func heldAs(h *HolderState) holder {
-	return holder{uint16(h.Token), uint16(h.given), ms(max(h.until, -1).Milliseconds())}
+	return holder{uint16(h.Token), uint16(h.releasedToken), ms(max(h.deadline, -1).Milliseconds())}
 }
 
 // world is a state of the model.
@@ -108,6 +108,19 @@
 	return rules{n: 2, tokens: 5, flight: 1, slow: tick * 9 / 10, fast: tick * 11 / 10}
 }
 
+// fencedResource is what an outside resource does with tokens: it keeps the highest one that it
+// has seen, and refuses lower ones.
+type fencedResource struct{ highestToken uint64 }
+
+// Admit tells whether an act under a token may take effect.
+func (f *fencedResource) Admit(token uint64) bool {
+	if token < f.highestToken {
+		return false
+	}
+	f.highestToken = token
+	return true
+}
+
 func who(i int) string { return fmt.Sprint("h", i+1) }
 
 // real makes the decision parts of a world; times count from 0, which is now.
@@ -122,7 +135,7 @@
 	}
 	t := NewExpiryTimer(0)
 	if w.timed > 0 {
-		t.ends[name] = ending{uint64(w.timed), w.left.is(), w.over}
+		t.expiries[name] = expiry{uint64(w.timed), w.left.is(), w.over}
 	}
 	return s, t
 }
@@ -136,8 +149,8 @@
 		if len(l.Waiters) > 0 {
 			w.waits = number(l.Waiters[0].Holder)
 		}
-		if e, ok := t.ends[name]; ok && e.token == l.Token {
-			w.timed, w.left, w.over = uint16(e.token), ms(max(e.at, -1).Milliseconds()), e.over
+		if e, ok := t.expiries[name]; ok && e.token == l.Token {
+			w.timed, w.left, w.over = uint16(e.token), ms(max(e.deadline, -1).Milliseconds()), e.proposed
 		}
 	}
 }
@@ -191,7 +204,7 @@
 	case m.token != 0 && uint64(m.token) >= h.Token: // an answer that was overtaken says nothing
 		h.RecordGrant(uint64(m.token), -m.ago.is())
 		if r.noMargin {
-			h.until = max(h.until, -m.ago.is()+ttl)
+			h.deadline = max(h.deadline, -m.ago.is()+ttl)
 		}
 	case m.token == 0 && m.kind == renew:
 		h.MarkLost()
@@ -229,7 +242,7 @@
 		s, _ := x.real()
 		t := NewExpiryTimer(0)
 		if r.noGrace {
-			t.ends[name] = ending{token: uint64(x.token)}
+			t.expiries[name] = expiry{token: uint64(x.token)}
 		} else {
 			t.DueOps(s, 0)
 		}
@@ -269,7 +282,7 @@
 		}
 		if w.about[i] != 0 {
 			add(who(i)+" acts", func(x *world) {
-				f := FencedResource{HighestToken: uint64(x.top)}
+				f := fencedResource{highestToken: uint64(x.top)}
 				if f.Admit(uint64(x.about[i])) || r.noFence {
 					x.late = x.about[i] < x.top
 					x.top = max(x.top, x.about[i])
@@ -425,7 +438,7 @@
 // TestFence: one that checked, stood still and acts late is refused by a resource that
 // keeps the highest token, and not by one that doesn't.
 func TestFence(t *testing.T) {
-	s, f := NewState(0), &FencedResource{}
+	s, f := NewState(0), &fencedResource{}
 	first, err := s.Acquire(name, "h1", 500, false, 0)
 	assert.NoError(t, err)
 	h := &HolderState{TTL: ttl}
--- a/internal/cluster/watch/watch_test.go
+++ b/internal/cluster/watch/watch_test.go
@@ -34,7 +34,7 @@
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 9).Draw(t, "step") {
 			case 0:
-				reset = h.at + uint64(rapid.IntRange(0, 3).Draw(t, "ahead"))
+				reset = h.latest + uint64(rapid.IntRange(0, 3).Draw(t, "ahead"))
 				h.Reset(reset)
 			case 1, 2: // the follower takes a page
 				got, to, err := h.Since(next, prefix, page)
@@ -48,16 +48,16 @@
 				require.GreaterOrEqual(t, next, reset, "not across a reset")
 				var want []Revision
 				for _, r := range all {
-					if part := r.under(prefix); r.Number >= next && r.Number < to && len(part.Changes) > 0 {
+					if part := r.filter(prefix); r.Number >= next && r.Number < to && len(part.Changes) > 0 {
 						want = append(want, part)
 					}
 				}
 				require.Equal(t, want, got)
 				require.GreaterOrEqual(t, to, next)
-				require.LessOrEqual(t, to, max(next, h.at+1))
+				require.LessOrEqual(t, to, max(next, h.latest+1))
 				next = to
 			default:
-				r := Revision{Number: h.at + uint64(rapid.IntRange(1, 3).Draw(t, "gap"))}
+				r := Revision{Number: h.latest + uint64(rapid.IntRange(1, 3).Draw(t, "gap"))}
 				for i := range rapid.IntRange(0, 3).Draw(t, "changes") {
 					key := rapid.SampledFrom([]string{"a/", "b/"}).Draw(t, "of") + fmt.Sprint(i)
 					r.Changes = append(r.Changes, Change{Key: key, Value: json.RawMessage(strings.Repeat("7", i+1))})
@@ -66,10 +66,10 @@
 				h.Add(r.Number, r.Changes) // read again
 				all = append(all, r)
 			}
-			require.LessOrEqual(t, len(h.list), limits.MaxRevisions)
+			require.LessOrEqual(t, len(h.revisions), limits.MaxRevisions)
 			require.LessOrEqual(t, h.bytes, limits.MaxBytes)
 		}
-		for i := 0; next <= h.at; i++ { // the rest, in so many pages at most
+		for i := 0; next <= h.latest; i++ { // the rest, in so many pages at most
 			_, to, err := h.Since(next, prefix, page)
 			if err != nil {
 				break
@@ -86,10 +86,10 @@
 	h := NewHistory(Limits{MaxRevisions: 2, MaxBytes: 1 << 20}, 0)
 	for n := range uint64(100) {
 		h.Add(n+1, []Change{{Key: "k", Value: json.RawMessage("1")}})
-		for _, r := range h.list[:cap(h.list)][len(h.list):] {
+		for _, r := range h.revisions[:cap(h.revisions)][len(h.revisions):] {
 			require.Empty(t, r.Changes)
 		}
 	}
-	require.Len(t, h.list, 2)
-	require.LessOrEqual(t, cap(h.list), 8)
+	require.Len(t, h.revisions, 2)
+	require.LessOrEqual(t, cap(h.revisions), 8)
 }
