--- a/internal/cluster/storeapi/node.go
+++ b/internal/cluster/storeapi/node.go
@@ -24,14 +24,14 @@
 // PeerStatus is the answer to GET /self: what a node says to another node, of itself and of what
 // it has observed of the other one's disk.
 type PeerStatus struct {
-	diskidentity.Word
-	State          string            `json:"state"` // serving, waiting or failed
-	Mark           diskidentity.Mark `json:"mark"`
-	AppliedIndex   uint64            `json:"applied"`
-	RaftAddress    string            `json:"raft"`
-	AdminAddress   string            `json:"admin"`
-	Zone           string            `json:"zone,omitempty"`
-	SupportsLeases bool              `json:"leases,omitempty"`
+	diskidentity.Attestation
+	State          string                 `json:"state"` // serving, waiting or failed
+	Mark           diskidentity.Watermark `json:"mark"`
+	AppliedIndex   uint64                 `json:"applied"`
+	RaftAddress    string                 `json:"raft"`
+	AdminAddress   string                 `json:"admin"`
+	Zone           string                 `json:"zone,omitempty"`
+	SupportsLeases bool                   `json:"leases,omitempty"`
 	// Checksums of the node's state, by which nodes notice one that differs.
 	Checksums kv.ChecksumHistory `json:"checks,omitempty"`
 	// Addresses of the members, for a node that does not know all of them.
--- a/internal/maintenance/controller/workorder.go
+++ b/internal/maintenance/controller/workorder.go
@@ -96,7 +96,7 @@
 		if len(o.beats()) == 0 {
 			continue // nobody takes part: nothing is asked of the others
 		}
-		if _, err := o.store.Fresh(ctx, store.Freshness{Stale: time.Second}); err == nil {
+		if _, err := o.store.WaitFresh(ctx, store.Freshness{MaxStaleness: time.Second}); err == nil {
 			o.machines(o.beats(), nil)
 		}
 	}
@@ -104,7 +104,7 @@
 
 // beats are the last words of all machines, as this node knows them.
 func (o *Controller) beats() (list []maintenance.Heartbeat) {
-	all, _ := o.store.All()
+	all, _ := o.store.Entries()
 	for key, e := range all {
 		var b maintenance.Heartbeat
 		if strings.HasPrefix(key, keyMachine) && json.Unmarshal(e.Value, &b) == nil { // one that can't be read is none
@@ -122,12 +122,12 @@
 }
 
 func (o *Controller) read(ctx context.Context) (r read, err error) {
-	if _, err := o.store.Fresh(ctx, store.Freshness{}); err != nil {
+	if _, err := o.store.WaitFresh(ctx, store.Freshness{}); err != nil {
 		return r, err
 	}
 	r.revisions = map[string]uint64{}
 	r.view = maintenance.Observation{NowMS: time.Now().UnixMilli(), Budget: maintenance.DefaultDisruptionBudget()}
-	all, _ := o.store.All()
+	all, _ := o.store.Entries()
 	if e, ok := all[keyPause]; ok {
 		if r.pause = e.ModRevision; json.Unmarshal(e.Value, &r.view.Pause) != nil {
 			return r, fmt.Errorf("%s: can't be read", keyPause)
@@ -211,7 +211,7 @@
 
 // idle tells whether nothing is asked for, as this node knows it.
 func (o *Controller) idle() bool {
-	all, _ := o.store.All()
+	all, _ := o.store.Entries()
 	for key := range all {
 		if strings.HasPrefix(key, keyJob) {
 			return false
@@ -248,7 +248,7 @@
 		q.Then = append(q.Then, put(keyPause, maintenance.Pause{Paused: true, Reason: d.PauseReason, AcknowledgedFailures: r.view.Pause.AcknowledgedFailures}))
 		o.log.Error("order of work is paused", zap.String("why", d.PauseReason))
 	}
-	return o.store.DoAnywhere(ctx, q)
+	return o.store.ExecuteAnywhere(ctx, q)
 }
 
 // MayWrite tells whether a key is one that whoever has the order's lease may write, and the
@@ -275,7 +275,7 @@
 			return nil, fmt.Errorf("%w: %s", ErrWrongPhase, old.Phase)
 		}
 		j.RequestedMS = time.Now().UnixMilli()
-		j.PhaseSinceMS, j.Ticket = j.RequestedMS, o.store.Progress()
+		j.PhaseSinceMS, j.Ticket = j.RequestedMS, o.store.AppliedRevision()
 		return &j, nil
 	})
 }
@@ -337,7 +337,7 @@
 
 // change turns a job into another one, or into none, if nobody else does at the same time.
 func (o *Controller) change(ctx context.Context, node string, to func(*maintenance.Order) (*maintenance.Order, error), fence ...lease.FencingToken) error {
-	if _, err := o.store.Fresh(ctx, store.Freshness{}); err != nil {
+	if _, err := o.store.WaitFresh(ctx, store.Freshness{}); err != nil {
 		return err
 	}
 	key := keyJob + node
@@ -363,7 +363,7 @@
 		}
 		q.Then[0] = putJob(*next)
 	}
-	a, err := o.store.Do(q)
+	a, err := o.store.Execute(q)
 	if err == nil && !a.Succeeded {
 		err = ErrConflict
 	}
@@ -385,7 +385,7 @@
 	if paused {
 		p.AcknowledgedFailures = r.view.Pause.AcknowledgedFailures
 	}
-	a, err := o.store.Do(kv.Request{If: []kv.Compare{{Key: keyPause, Revision: r.pause}}, Then: []kv.Op{put(keyPause, p)}})
+	a, err := o.store.Execute(kv.Request{If: []kv.Compare{{Key: keyPause, Revision: r.pause}}, Then: []kv.Op{put(keyPause, p)}})
 	if err == nil && !a.Succeeded {
 		err = ErrConflict
 	}
@@ -400,7 +400,7 @@
 	if b.IntervalMS < 50 || b.IntervalMS > 600_000 || b.Cores < 0 || b.Speed < 0 {
 		return nil, fmt.Errorf("%w: every_ms: want 50 to 600000; cores, speed: below 0", maintenance.ErrInvalidOrder)
 	}
-	if _, err := o.store.Do(kv.Request{Then: []kv.Op{put(keyMachine+b.Name, b)}}); err != nil {
+	if _, err := o.store.Execute(kv.Request{Then: []kv.Op{put(keyMachine+b.Name, b)}}); err != nil {
 		return nil, err
 	}
 	e, ok := o.store.Entry(keyJob + b.Name)
