--- /dev/null
+++ b/internal/cluster/leaseclient/acquire.go
@@ -0,0 +1,100 @@
+package leaseclient
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"time"
+
+	"oxbowbridge/internal/cluster/lease"
+	"oxbowbridge/internal/cluster/storeapi"
+	"oxbowbridge/internal/cluster/storeclient"
+)
+
+// AcquireOptions is what a lease is asked for with.
+type AcquireOptions struct {
+	Name     string
+	TTL      time.Duration // lease.MinTTLMS to lease.MaxTTLMS
+	Priority int           // among waiters, higher goes first
+	Wait     bool          // for a lease that another process holds, until the context ends
+}
+
+// Acquire retries until it holds the lease, the store rejects the request, or ctx ends. Without
+// Wait, a lease that another process holds is lease.ErrHeld.
+func (m *Manager) Acquire(ctx context.Context, options AcquireOptions) (*Lease, error) {
+	l := &Lease{Name: options.Name, manager: m, ttl: options.TTL, state: lease.HolderState{TTL: options.TTL}}
+	if !m.reserve(l) {
+		return nil, fmt.Errorf("%w: %s", ErrAlreadyHeld, options.Name)
+	}
+	if err := m.obtain(ctx, l, options); err != nil {
+		m.forget(l)
+		return nil, err
+	}
+	return l, nil
+}
+
+// reserve enters a lease under its name, unless this process has one of that name.
+func (m *Manager) reserve(l *Lease) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if _, taken := m.leases[l.Name]; taken {
+		return false
+	}
+	m.leases[l.Name] = l
+	return true
+}
+
+func (m *Manager) obtain(ctx context.Context, l *Lease, options AcquireOptions) error {
+	request := storeapi.AcquireRequest{Holder: m.holder, TTLMS: options.TTL.Milliseconds(), Priority: options.Priority}
+	if options.Wait {
+		request.WaitMS = maxRequestWait.Milliseconds()
+	}
+	for failed := 0; ; failed++ {
+		node := m.node(failed > 0)
+		sentAt := m.now()
+		granted, err := node.AcquireLease(ctx, l.Name, request)
+		switch {
+		case err == nil:
+			if m.activate(l, granted.Token, sentAt) || m.confirm(ctx, node, l, granted.Token) {
+				return nil
+			}
+		case errors.Is(err, lease.ErrHeld) && !options.Wait, isRejected(err):
+			return err
+		}
+		select {
+		case <-ctx.Done():
+			return errors.Join(ctx.Err(), err)
+		case <-m.ctx.Done():
+			return errors.Join(ErrReleased, err)
+		case <-time.After(m.retryPause(failed + 1)):
+		}
+	}
+}
+
+// confirm renews a lease whose grant came after a long wait: its time is counted from the
+// renewal. It tells whether the holder may act.
+func (m *Manager) confirm(ctx context.Context, node *storeclient.Client, l *Lease, token uint64) bool {
+	sentAt := m.now()
+	lost, err := node.RenewLeases(ctx, []lease.FencingToken{{Name: l.Name, Token: token}})
+	return err == nil && len(lost) == 0 && m.activate(l, token, sentAt)
+}
+
+// activate records a grant. If the holder may still act under it, the lease is kept alive from
+// now on.
+func (m *Manager) activate(l *Lease, token uint64, sentAt time.Duration) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	l.state.RecordGrant(token, sentAt)
+	now := m.now()
+	if !l.state.MayAct(now) {
+		return false
+	}
+	l.Token = token
+	l.ctx, l.cancel = context.WithCancelCause(context.Background())
+	l.timer = time.AfterFunc(l.state.Deadline()-now, l.onDeadline)
+	select {
+	case m.newLease <- struct{}{}:
+	default: // the loop is woken already
+	}
+	return true
+}
--- /dev/null
+++ b/internal/cluster/leaseclient/lease.go
@@ -0,0 +1,93 @@
+package leaseclient
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"time"
+
+	"oxbowbridge/internal/cluster/lease"
+)
+
+// Lease is a lease that this process holds.
+type Lease struct {
+	Name  string
+	Token uint64 // the fencing token's number
+
+	manager *Manager
+	ttl     time.Duration
+	state   lease.HolderState // guarded by the manager's lock
+	ctx     context.Context
+	cancel  context.CancelCauseFunc
+	timer   *time.Timer // calls onDeadline
+}
+
+// Context ends when the holder must have stopped acting, whether or not any node answers. Its
+// cause wraps ErrExpired, ErrLost or ErrReleased. A process may be suspended between looking at it
+// and acting; what matters needs the fencing token as well.
+func (l *Lease) Context() context.Context { return l.ctx }
+
+// FencingToken is what a write to the store that depends on the lease names.
+func (l *Lease) FencingToken() lease.FencingToken {
+	return lease.FencingToken{Name: l.Name, Token: l.Token}
+}
+
+// Deadline is when the holder must have stopped acting, unless a keep-alive is answered before.
+func (l *Lease) Deadline() time.Time {
+	l.manager.mu.Lock()
+	defer l.manager.mu.Unlock()
+	return l.manager.startedAt.Add(l.state.Deadline())
+}
+
+// onDeadline runs when the deadline may have come. A keep-alive may have moved it.
+func (l *Lease) onDeadline() {
+	l.manager.mu.Lock()
+	defer l.manager.mu.Unlock()
+	now := l.manager.now()
+	if l.state.MayAct(now) {
+		l.timer.Reset(l.state.Deadline() - now)
+		return
+	}
+	l.endLocked(ErrExpired)
+}
+
+// endLocked ends a lease that was not released. The manager's lock is held.
+func (l *Lease) endLocked(cause error) {
+	l.state.MarkLost()
+	l.cancelContext(cause)
+	l.manager.forgetLocked(l)
+}
+
+func (l *Lease) cancelContext(cause error) {
+	l.timer.Stop()
+	l.cancel(fmt.Errorf("%w: %s", cause, l.Name))
+}
+
+// Release gives the lease back; if to is not empty, to that waiter. All that was done under the
+// lease must have ended. It retries until the store answers or ctx ends.
+func (l *Lease) Release(ctx context.Context, to string) error {
+	m := l.manager
+	m.mu.Lock()
+	if l.state.Token == 0 {
+		m.mu.Unlock()
+		return nil
+	}
+	token := l.state.Release()
+	l.cancelContext(ErrReleased)
+	m.mu.Unlock()
+	defer m.forget(l) // it is not acquired again before the store has released it, or ctx has ended
+	for failed := 0; ; failed++ {
+		err := m.node(failed > 0).ReleaseLease(ctx, l.Name, token, to)
+		switch {
+		case err == nil, isNotHeld(err): // released by an attempt whose answer was lost, or expired
+			return nil
+		case isRejected(err):
+			return err
+		}
+		select {
+		case <-ctx.Done():
+			return errors.Join(ctx.Err(), err)
+		case <-time.After(m.retryPause(failed + 1)):
+		}
+	}
+}
--- /dev/null
+++ b/internal/cluster/leaseclient/renew.go
@@ -0,0 +1,107 @@
+package leaseclient
+
+import (
+	"context"
+	"slices"
+	"time"
+
+	"oxbowbridge/internal/cluster/lease"
+	"oxbowbridge/internal/cluster/storeapi"
+)
+
+const (
+	maxRenewalTimeout  = 2 * time.Second        // for the answer to a keep-alive
+	maxRenewalIdle     = time.Second            // between two looks at what is due
+	maxRenewalRetry    = 125 * time.Millisecond // pause after a keep-alive that failed
+	renewalAttempts    = 4                      // that fit between when a keep-alive is due and the lease's end
+	renewalBatchWindow = 0.1                    // of the TTL by which a keep-alive may be early, to go with others
+)
+
+// renewalLoop keeps all leases alive until the manager is closed.
+func (m *Manager) renewalLoop() {
+	failed := false
+	for {
+		batch := m.dueRenewals()
+		if len(batch.leases) == 0 {
+			select {
+			case <-m.ctx.Done():
+				return
+			case <-m.newLease:
+			case <-time.After(batch.idle):
+			}
+			continue
+		}
+		for chunk := range slices.Chunk(batch.leases, storeapi.MaxRenewals) {
+			failed = !m.renew(chunk, batch.timeout, failed)
+		}
+		if failed {
+			select {
+			case <-m.ctx.Done():
+				return
+			case <-time.After(min(batch.timeout/2, maxRenewalRetry)):
+			}
+		}
+	}
+}
+
+// renewalBatch is the leases to renew now.
+type renewalBatch struct {
+	leases  []lease.FencingToken
+	timeout time.Duration // for the answer
+	idle    time.Duration // until the next look, if there are no leases to renew
+}
+
+// dueRenewals are the leases whose keep-alive is due, with those whose keep-alive is due so soon
+// that it may go with them.
+func (m *Manager) dueRenewals() renewalBatch {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	now := m.now()
+	batch := renewalBatch{timeout: maxRenewalTimeout, idle: maxRenewalIdle}
+	anyDue := false
+	for _, l := range m.leases {
+		if l.state.Token == 0 {
+			continue
+		}
+		if dueAt := l.state.RenewalDue(); dueAt <= now {
+			anyDue = true
+		} else {
+			batch.idle = min(batch.idle, dueAt-now)
+		}
+		early := time.Duration(float64(l.ttl) * renewalBatchWindow)
+		if l.state.ShouldRenew(now + early) {
+			batch.leases = append(batch.leases, l.FencingToken())
+			batch.timeout = min(batch.timeout, l.ttl/(2*renewalAttempts))
+		}
+	}
+	if !anyDue {
+		batch.leases = nil
+	}
+	return batch
+}
+
+// renew sends one keep-alive, and tells whether it was answered. After a failure the next node is
+// asked.
+func (m *Manager) renew(leases []lease.FencingToken, timeout time.Duration, nextNode bool) bool {
+	ctx, cancel := context.WithTimeout(m.ctx, timeout)
+	defer cancel()
+	sentAt := m.now()
+	lost, err := m.node(nextNode).RenewLeases(ctx, leases)
+	if err != nil {
+		return false
+	}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for _, renewed := range leases {
+		l := m.leases[renewed.Name]
+		if l == nil || l.state.Token != renewed.Token {
+			continue // released or granted anew meanwhile
+		}
+		if slices.Contains(lost, renewed.Name) {
+			l.endLocked(ErrLost)
+		} else {
+			l.state.RecordGrant(renewed.Token, sentAt)
+		}
+	}
+	return true
+}
--- a/internal/cluster/leaseclient/task.go
+++ b/internal/cluster/leaseclient/task.go
@@ -8,55 +8,63 @@
 )
 
 const (
-	againLeast = time.Second // before a task that failed is tried again
-	againMost  = 10 * time.Second
+	minTaskPause = time.Second // before a task is started again; doubles after each run
+	maxTaskPause = 10 * time.Second
 )
 
-// Task is one that a single process of many does.
+// Task is work that one process of many does at a time.
 type Task struct {
 	Name string // of its lease
 	TTL  time.Duration
-	// Do goes on until ctx ends, which it does when the lease can't be kept, or returns
-	// earlier: the lease is given back then, and after a failure another one may have it.
-	Run func(ctx context.Context, h *Lease) error
+	// Run works until ctx ends, which it does when the lease can't be kept, or returns earlier. The
+	// lease is then released, and another process may run the task.
+	Run func(ctx context.Context, l *Lease) error
 }
 
-// RunTask does a task whenever this process has its lease, until ctx ends.
-func (k *Manager) RunTask(ctx context.Context, t Task, log *zap.Logger) {
-	log = log.With(zap.String("lease", t.Name))
-	pause := againLeast
+// RunTask runs a task whenever this process has its lease, until ctx ends.
+func (m *Manager) RunTask(ctx context.Context, task Task, log *zap.Logger) {
+	log = log.With(zap.String("lease", task.Name))
+	pause := minTaskPause
 	for ctx.Err() == nil {
-		h, err := k.Acquire(ctx, AcquireOptions{Name: t.Name, TTL: t.TTL, Wait: true})
-		if err == nil {
-			log.Info("lease taken", zap.Uint64("token", h.Token))
-			began := time.Now()
-			err = k.do(ctx, t, h)
-			log.Info("lease left", zap.Uint64("token", h.Token), zap.NamedError("why", err))
-			if time.Since(began) > againMost {
-				pause = againLeast
+		l, err := m.Acquire(ctx, AcquireOptions{Name: task.Name, TTL: task.TTL, Wait: true})
+		switch {
+		case err == nil:
+			if m.runOnce(ctx, task, l, log) > maxTaskPause {
+				pause = minTaskPause
 			}
-		} else if ctx.Err() == nil {
-			log.Warn("lease can't be had", zap.Error(err))
+		case ctx.Err() == nil:
+			log.Warn("lease not acquired", zap.Int64("retry_in_ms", pause.Milliseconds()), zap.Error(err))
 		}
 		select {
 		case <-ctx.Done():
 		case <-time.After(pause):
 		}
-		pause = min(2*pause, againMost)
+		pause = min(2*pause, maxTaskPause)
 	}
 }
 
-func (k *Manager) do(ctx context.Context, t Task, h *Lease) error {
-	both, cancel := context.WithCancelCause(h.Context())
-	stop := context.AfterFunc(ctx, func() { cancel(ctx.Err()) })
-	err := t.Run(both, h)
-	stop()
-	if both.Err() != nil {
-		err = context.Cause(both)
+// runOnce runs a task under its lease, and returns how long that took.
+func (m *Manager) runOnce(ctx context.Context, task Task, l *Lease, log *zap.Logger) time.Duration {
+	log.Info("lease acquired", zap.Uint64("token", l.Token))
+	started := time.Now()
+	err := m.runUnderLease(ctx, task, l)
+	log.Info("lease released", zap.Uint64("token", l.Token), zap.NamedError("reason", err))
+	return time.Since(started)
+}
+
+// runUnderLease runs a task until it returns, ctx ends or the lease is lost, and releases the
+// lease.
+func (m *Manager) runUnderLease(ctx context.Context, task Task, l *Lease) error {
+	taskCtx, cancel := context.WithCancelCause(l.Context())
+	stopFollowing := context.AfterFunc(ctx, func() { cancel(ctx.Err()) })
+	err := task.Run(taskCtx, l)
+	stopFollowing()
+	if taskCtx.Err() != nil {
+		err = context.Cause(taskCtx)
 	}
 	cancel(nil)
-	give, done := context.WithTimeout(context.WithoutCancel(ctx), pauseMost)
+	releaseCtx, done := context.WithTimeout(context.WithoutCancel(ctx), releaseTimeout)
 	defer done()
-	h.Release(give, "") // else its time has to pass
+	l.Release(releaseCtx, "") // if this fails, others wait until it expires
 	return err
 }
