--- a/tests/stored_test.go
+++ b/tests/stored_test.go
@@ -366,12 +366,12 @@
 		}
 	}
 	site.Members = c.Members(leader)
-	jobs, err := client.MaintenanceStatus(t.Context())
+	maintenanceStatus, err := client.MaintenanceStatus(t.Context())
 	require.NoError(t, err)
-	for _, j := range jobs.Orders {
-		site.Jobs = append(site.Jobs, j.Order)
+	for _, order := range maintenanceStatus.Orders {
+		site.Jobs = append(site.Jobs, order.Order)
 	}
-	site.Pause = jobs.Pause.Reason
+	site.Pause = maintenanceStatus.Pause.Reason
 	return site
 }
 
