--- /dev/null
+++ b/internal/cluster/backup/write.go
@@ -0,0 +1,44 @@
+package backup
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"io"
+)
+
+// Write writes a backup. It fills in the header's fields that describe the entries, and returns
+// the header that it has written.
+func Write(w io.Writer, header Header, entries []Entry) (Header, error) {
+	lines, err := encodeEntries(entries)
+	if err != nil {
+		return header, err
+	}
+	header.Format = format
+	header.Keys = len(entries)
+	header.Bytes = len(lines)
+	header.SHA256 = header.checksum(lines)
+	first, err := json.Marshal(header)
+	if err == nil {
+		_, err = w.Write(append(first, '\n'))
+	}
+	if err == nil {
+		_, err = w.Write(lines)
+	}
+	if err != nil {
+		return header, fmt.Errorf("write backup: %w", err)
+	}
+	return header, nil
+}
+
+func encodeEntries(entries []Entry) ([]byte, error) {
+	var lines bytes.Buffer
+	encoder := json.NewEncoder(&lines)
+	encoder.SetEscapeHTML(false)
+	for _, e := range entries {
+		if err := encoder.Encode(e); err != nil {
+			return nil, fmt.Errorf("key %s: %w", e.Key, err)
+		}
+	}
+	return lines.Bytes(), nil
+}
--- a/internal/cluster/storeapi/store.go
+++ b/internal/cluster/storeapi/store.go
@@ -19,6 +19,16 @@
 	SHA256        string `json:"sha256"` // of the backup
 }
 
+// EventType is the type of a server-sent event of GET /watch.
+type EventType string
+
+// Types of events of a watch.
+const (
+	EventChange    EventType = "change"    // a watch.Revision; the event's id is its number
+	EventProgress  EventType = "progress"  // the revision up to which nothing more is to come
+	EventCompacted EventType = "compacted" // a CompactedResponse, after which the stream ends
+)
+
 // CompactedCode is the error code of a CompactedResponse.
 const CompactedCode = "compacted"
 
--- a/internal/cluster/storeclient/backup.go
+++ b/internal/cluster/storeclient/backup.go
@@ -10,38 +10,33 @@
 	"oxbowbridge/internal/cluster/storeapi"
 )
 
-// Backup reads a backup, and gives it only if it is whole.
+// Backup takes a backup, and returns its header and its bytes if it is complete.
 func (c *Client) Backup(ctx context.Context) (backup.Header, []byte, error) {
-	res, text, err := c.do(ctx, http.MethodGet, "/backup", nil)
+	res, err := c.do(ctx, http.MethodGet, "/backup", nil)
 	if err != nil {
 		return backup.Header{}, nil, err
 	}
-	if res.StatusCode != http.StatusOK {
-		return backup.Header{}, nil, storeapi.NewStatusError(res.StatusCode, text)
+	if res.statusCode != http.StatusOK {
+		return backup.Header{}, nil, res.statusError()
 	}
-	head, _, err := backup.Read(bytes.NewReader(text))
-	return head, text, err
+	header, _, err := backup.Read(bytes.NewReader(res.body))
+	return header, res.body, err
 }
 
-// Restore puts a backup back. It may be asked for again until it is done.
-func (c *Client) Restore(ctx context.Context, r io.Reader) (out storeapi.RestoreResponse, err error) {
+// Restore restores a backup, unless it is damaged. It may be repeated until it succeeds.
+func (c *Client) Restore(ctx context.Context, r io.Reader) (restored storeapi.RestoreResponse, err error) {
 	text, err := io.ReadAll(r)
 	if err != nil {
-		return out, err
+		return restored, err
 	}
 	if _, _, err := backup.Read(bytes.NewReader(text)); err != nil {
-		return out, err // without a word to anybody
+		return restored, err
 	}
-	slow := *c
-	slow.HTTP = &http.Client{Transport: c.HTTP.Transport, Timeout: storeapi.RestoreTimeout}
-	return out, slow.ask(ctx, http.MethodPost, "/restore", text, &out)
+	err = c.withTimeout(storeapi.RestoreTimeout).call(ctx, http.MethodPost, "/restore", text, &restored)
+	return restored, err
 }
 
-// UndoRestore empties a store in which a restore was cut off.
+// UndoRestore empties a store in which a restore was interrupted.
 func (c *Client) UndoRestore(ctx context.Context) error {
-	res, text, err := c.do(ctx, http.MethodDelete, "/restore", nil)
-	if err == nil && res.StatusCode >= 300 {
-		err = storeapi.NewStatusError(res.StatusCode, text)
-	}
-	return err
+	return c.call(ctx, http.MethodDelete, "/restore", nil, nil)
 }
--- a/internal/cluster/storeclient/watch_test.go
+++ b/internal/cluster/storeclient/events_test.go
@@ -17,7 +17,7 @@
 	f.Add(":\n\nevent: compacted\ndata: a\ndata: b\n\nid", 1)
 	f.Fuzz(func(t *testing.T, in string, cut int) {
 		read := func(r io.Reader) (out []event) {
-			err := events(r, func(e event) error { out = append(out, e); return nil })
+			err := readEvents(r, func(e event) error { out = append(out, e); return nil })
 			require.Error(t, err)
 			return out
 		}
@@ -30,7 +30,7 @@
 func TestEventTooLong(t *testing.T) {
 	line := "data: " + strings.Repeat("x", 1<<20) + "\n"
 	sent := 0
-	err := events(readerFunc(func(b []byte) (int, error) {
+	err := readEvents(readerFunc(func(b []byte) (int, error) {
 		sent += len(line)
 		return copy(b, line[:min(len(b), len(line))]), nil
 	}), func(event) error { return errors.New("no event ends") })
--- /dev/null
+++ b/internal/cluster/storeclient/kv.go
@@ -0,0 +1,96 @@
+package storeclient
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"strconv"
+
+	"oxbowbridge/internal/cluster/kv"
+	"oxbowbridge/internal/cluster/storeapi"
+)
+
+// Get reads a key and its revision. query is "", or that of a weaker read: "?local=1" or
+// "?stale=DURATION".
+func (c *Client) Get(ctx context.Context, key, query string) (value json.RawMessage, revision uint64, err error) {
+	res, err := c.do(ctx, http.MethodGet, "/store/"+key+query, nil)
+	switch {
+	case err != nil:
+		return nil, 0, err
+	case res.statusCode == http.StatusNotFound:
+		return nil, 0, fmt.Errorf("%w: %s", ErrKeyNotFound, key)
+	case res.statusCode != http.StatusOK:
+		return nil, 0, res.statusError()
+	}
+	revision, err = storeapi.ParseETag(res.header.Get("ETag"))
+	return bytes.TrimSpace(res.body), revision, err
+}
+
+// List reads all keys, and the store's revision at that time: a Watch from the next revision on
+// misses nothing. Nodes of the previous version do not tell it: it is 0 then.
+func (c *Client) List(ctx context.Context, query string) (values map[string]json.RawMessage, revision uint64, err error) {
+	res, err := c.do(ctx, http.MethodGet, "/store"+query, nil)
+	switch {
+	case err != nil:
+		return nil, 0, err
+	case res.statusCode != http.StatusOK:
+		return nil, 0, res.statusError()
+	}
+	if err := json.Unmarshal(res.body, &values); err != nil {
+		return nil, 0, undecodable(err)
+	}
+	revision, _ = strconv.ParseUint(res.header.Get(storeapi.HeaderRevision), 10, 64)
+	return values, revision, nil
+}
+
+// Txn carries out a transaction once, however often it must be sent.
+func (c *Client) Txn(ctx context.Context, request kv.Request) (kv.Response, error) {
+	if err := c.openSession(ctx); err != nil {
+		return kv.Response{}, err
+	}
+	c.requestNumber++
+	request.Session = c.Session
+	request.RequestNumber = c.requestNumber
+	var response kv.Response
+	err := c.callJSON(ctx, http.MethodPost, "/txn", request, &response)
+	return response, err
+}
+
+// openSession opens the client's session, unless it has one. One that was opened twice, as an
+// answer was lost, ends by itself.
+func (c *Client) openSession(ctx context.Context) error {
+	if c.Session != 0 {
+		return nil
+	}
+	var opened kv.Response
+	if err := c.call(ctx, http.MethodPost, "/session", nil, &opened); err != nil {
+		return fmt.Errorf("open session: %w", err)
+	}
+	c.Session = opened.Session
+	return nil
+}
+
+// Put writes a key; unless ifRevision is nil, only if the key has that revision.
+func (c *Client) Put(ctx context.Context, key string, value json.RawMessage, ifRevision *uint64) (kv.Response, error) {
+	return c.write(ctx, kv.Put(key, value), ifRevision)
+}
+
+// Delete deletes a key, on the same condition as Put.
+func (c *Client) Delete(ctx context.Context, key string, ifRevision *uint64) (kv.Response, error) {
+	return c.write(ctx, kv.Delete(key), ifRevision)
+}
+
+func (c *Client) write(ctx context.Context, op kv.Op, ifRevision *uint64) (kv.Response, error) {
+	request := kv.Request{Then: []kv.Op{op}, Else: []kv.Op{kv.Get(op.Key)}}
+	if ifRevision != nil {
+		request.If = []kv.Compare{{Key: op.Key, Revision: *ifRevision}}
+	}
+	response, err := c.Txn(ctx, request)
+	if err == nil && !response.Succeeded {
+		present := strconv.FormatUint(response.Results[0].Revision, 10)
+		err = &storeapi.StatusError{StatusCode: http.StatusPreconditionFailed, Text: "the key has revision " + present}
+	}
+	return response, err
+}
--- a/internal/cluster/storeclient/lease.go
+++ b/internal/cluster/storeclient/lease.go
@@ -15,66 +15,65 @@
 
 func leasePath(name string) string { return "/lease/" + (&url.URL{Path: name}).EscapedPath() }
 
-// AcquireLease asks for a lease. What comes with lease.ErrHeld says who has it.
-func (c *Client) AcquireLease(ctx context.Context, name string, q storeapi.AcquireRequest) (l storeapi.LeaseStatus, err error) {
-	body, err := json.Marshal(q)
+// AcquireLease asks for a lease. If another holder has it, the error is lease.ErrHeld and the
+// status says who.
+func (c *Client) AcquireLease(ctx context.Context, name string, request storeapi.AcquireRequest) (status storeapi.LeaseStatus, err error) {
+	body, err := json.Marshal(request)
 	if err != nil {
-		return l, err
+		return status, err
 	}
-	slow := *c
-	slow.HTTP = &http.Client{Transport: c.HTTP.Transport, Timeout: c.HTTP.Timeout + time.Duration(q.WaitMS)*time.Millisecond}
-	res, text, err := slow.do(ctx, http.MethodPost, leasePath(name), body)
+	waiting := c.withTimeout(c.HTTP.Timeout + time.Duration(request.WaitMS)*time.Millisecond)
+	res, err := waiting.do(ctx, http.MethodPost, leasePath(name), body)
 	if err != nil {
-		return l, err
+		return status, err
 	}
-	if res.StatusCode != http.StatusOK && res.StatusCode != http.StatusConflict {
-		return l, storeapi.NewStatusError(res.StatusCode, text)
+	if res.statusCode != http.StatusOK && res.statusCode != http.StatusConflict {
+		return status, res.statusError()
 	}
-	if err := json.Unmarshal(text, &l); err != nil {
-		return l, fmt.Errorf("answer can't be read: %w", err)
+	if err := json.Unmarshal(res.body, &status); err != nil {
+		return status, undecodable(err)
 	}
-	if res.StatusCode == http.StatusConflict {
-		return l, fmt.Errorf("%w by %s", lease.ErrHeld, l.Holder)
+	if res.statusCode == http.StatusConflict {
+		return status, fmt.Errorf("%w by %s", lease.ErrHeld, status.Holder)
 	}
-	return l, nil
+	return status, nil
 }
 
-// RenewLeases keeps leases alive, and names those that are lost.
-func (c *Client) RenewLeases(ctx context.Context, list []lease.FencingToken) (gone []string, err error) {
-	body, err := json.Marshal(storeapi.RenewRequest{Leases: list})
-	if err != nil {
-		return nil, err
-	}
-	var g storeapi.RenewResponse
-	err = c.ask(ctx, http.MethodPut, "/lease", body, &g)
-	return g.Lost, err
+// RenewLeases keeps leases alive, at most storeapi.MaxRenewals. It returns the names of those that
+// are not held under their tokens any more.
+func (c *Client) RenewLeases(ctx context.Context, tokens []lease.FencingToken) (lost []string, err error) {
+	var response storeapi.RenewResponse
+	err = c.callJSON(ctx, http.MethodPut, "/lease", storeapi.RenewRequest{Leases: tokens}, &response)
+	return response.Lost, err
 }
 
-// ReleaseLease gives a lease back, to one that waits for it unless to is "". One that is not
-// held under the token any more is given back already.
+// ReleaseLease gives a lease back; if to is not empty, to that waiter. A lease that is not held
+// under the token any more is answered with 410.
 func (c *Client) ReleaseLease(ctx context.Context, name string, token uint64, to string) error {
-	q := url.Values{"token": {strconv.FormatUint(token, 10)}}
+	query := url.Values{"token": {strconv.FormatUint(token, 10)}}
 	if to != "" {
-		q.Set("to", to)
+		query.Set("to", to)
 	}
-	return c.end(ctx, name, q)
+	return c.endLease(ctx, name, query)
 }
 
-// RevokeLease has a lease end when its time is over, whatever its holder does.
+// RevokeLease has a lease end when its TTL is over, whatever its holder does.
 func (c *Client) RevokeLease(ctx context.Context, name string) error {
-	return c.end(ctx, name, url.Values{"revoke": {"1"}})
+	return c.endLease(ctx, name, url.Values{"revoke": {"1"}})
 }
 
-func (c *Client) end(ctx context.Context, name string, q url.Values) error {
-	return c.ask(ctx, http.MethodDelete, leasePath(name)+"?"+q.Encode(), nil, nil)
+func (c *Client) endLease(ctx context.Context, name string, query url.Values) error {
+	return c.call(ctx, http.MethodDelete, leasePath(name)+"?"+query.Encode(), nil, nil)
 }
 
-// ListLeases are all that are held.
-func (c *Client) ListLeases(ctx context.Context) (list []storeapi.LeaseStatus, err error) {
-	return list, c.ask(ctx, http.MethodGet, "/lease", nil, &list)
+// ListLeases returns all leases that are held.
+func (c *Client) ListLeases(ctx context.Context) (leases []storeapi.LeaseStatus, err error) {
+	err = c.call(ctx, http.MethodGet, "/lease", nil, &leases)
+	return leases, err
 }
 
-// GetLease is one of them.
-func (c *Client) GetLease(ctx context.Context, name string) (l storeapi.LeaseStatus, err error) {
-	return l, c.ask(ctx, http.MethodGet, leasePath(name), nil, &l)
+// GetLease returns one lease. One that is free is answered with 404.
+func (c *Client) GetLease(ctx context.Context, name string) (status storeapi.LeaseStatus, err error) {
+	err = c.call(ctx, http.MethodGet, leasePath(name), nil, &status)
+	return status, err
 }
--- /dev/null
+++ b/internal/cluster/storeclient/transport.go
@@ -0,0 +1,104 @@
+package storeclient
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"net/http"
+
+	"oxbowbridge/internal/cluster/backup"
+	"oxbowbridge/internal/cluster/storeapi"
+)
+
+// maxAnswerBytes is above the largest answer, a backup.
+const maxAnswerBytes = backup.MaxBytes + 1<<20
+
+// response is an answer that has been read.
+type response struct {
+	statusCode int
+	header     http.Header
+	body       []byte
+}
+
+// statusError is the answer as an error.
+func (r *response) statusError() error { return storeapi.NewStatusError(r.statusCode, r.body) }
+
+// do sends a request to one node after the other until one gives a final answer, that is any but
+// 503. The request must be safe to repeat: a read, or a write in a session.
+func (c *Client) do(ctx context.Context, method, path string, body []byte) (*response, error) {
+	if len(c.Nodes) == 0 {
+		return nil, errNoNode
+	}
+	var lastErr error
+	first := rand.IntN(len(c.Nodes))
+	for attempt := range c.Retry.MaxRetries + 1 {
+		if attempt > 0 {
+			if err := c.Retry.wait(ctx, attempt); err != nil {
+				return nil, errors.Join(err, lastErr)
+			}
+		}
+		node := c.Nodes[(first+attempt)%len(c.Nodes)]
+		req, err := http.NewRequestWithContext(ctx, method, "http://"+node+path, bytes.NewReader(body))
+		if err != nil {
+			return nil, err
+		}
+		res, err := c.send(req)
+		if err == nil {
+			return res, nil
+		}
+		lastErr = err
+	}
+	return nil, fmt.Errorf("no node answered in %d attempts: %w", c.Retry.MaxRetries+1, lastErr)
+}
+
+// send sends a request once. An answer of 503 is an error.
+func (c *Client) send(req *http.Request) (*response, error) {
+	c.cluster.setHeader(req)
+	res, err := c.HTTP.Do(req)
+	if err != nil {
+		return nil, err
+	}
+	defer res.Body.Close()
+	c.cluster.pin(res.Header.Get(storeapi.HeaderCluster))
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxAnswerBytes))
+	if err != nil {
+		return nil, err
+	}
+	answer := &response{statusCode: res.StatusCode, header: res.Header, body: body}
+	if res.StatusCode == http.StatusServiceUnavailable {
+		return nil, answer.statusError()
+	}
+	return answer, nil
+}
+
+// call is do with an answer that is decoded into out, unless that is nil. An answer that is no
+// success is a *storeapi.StatusError.
+func (c *Client) call(ctx context.Context, method, path string, body []byte, out any) error {
+	res, err := c.do(ctx, method, path, body)
+	if err != nil {
+		return err
+	}
+	if res.statusCode >= http.StatusMultipleChoices {
+		return res.statusError()
+	}
+	if out == nil {
+		return nil
+	}
+	if err := json.Unmarshal(res.body, out); err != nil {
+		return undecodable(err)
+	}
+	return nil
+}
+
+// callJSON is call with a body as JSON.
+func (c *Client) callJSON(ctx context.Context, method, path string, in, out any) error {
+	body, err := json.Marshal(in)
+	if err != nil {
+		return err
+	}
+	return c.call(ctx, method, path, body, out)
+}
--- a/internal/cluster/storeclient/watch.go
+++ b/internal/cluster/storeclient/watch.go
@@ -1,8 +1,6 @@
 package storeclient
 
 import (
-	"bufio"
-	"bytes"
 	"context"
 	"encoding/json"
 	"errors"
@@ -18,155 +16,138 @@
 	"oxbowbridge/internal/cluster/watch"
 )
 
-const watchSilence = 3 * storeapi.WatchProgressInterval // after which a client takes its node for lost
+// watchTimeout is how long a watch waits for the next byte before it goes to another node.
+const watchTimeout = 3 * storeapi.WatchProgressInterval
 
-// event is one server-sent event.
-type event struct {
-	id, kind string
-	data     []byte
-}
-
-// events reads server-sent events until one is refused or the stream ends.
-func events(r io.Reader, each func(event) error) error {
-	lines := bufio.NewScanner(r)
-	lines.Buffer(nil, storeapi.MaxEventBytes)
-	var e event
-	for lines.Scan() {
-		line := lines.Bytes()
-		if len(line) == 0 {
-			if e.kind != "" {
-				if err := each(e); err != nil {
-					return err
-				}
-			}
-			e = event{}
-			continue
-		}
-		name, value, _ := bytes.Cut(line, []byte(":"))
-		value = bytes.TrimPrefix(value, []byte(" "))
-		switch string(name) {
-		case "id":
-			e.id = string(value)
-		case "event":
-			e.kind = string(value)
-		case "data":
-			if len(e.data)+len(value) > storeapi.MaxEventBytes {
-				return fmt.Errorf("event of more than %d bytes", storeapi.MaxEventBytes)
-			}
-			if e.data != nil {
-				e.data = append(e.data, '\n')
-			}
-			e.data = append(e.data, value...)
-		}
-	}
-	if err := lines.Err(); err != nil {
-		return err
-	}
-	return io.ErrUnexpectedEOF // a stream has no end of its own
-}
+// maxErrorBytes is what is read of an answer that is no stream.
+const maxErrorBytes = 1 << 10
 
-// Watch calls out for each revision that changes keys with a prefix, in order and
-// once, from a position on (0 is now). It goes on at another node when one is lost,
-// until ctx ends, the caller's error, or a *watch.CompactedError. All nodes away for
-// the budget's attempts end it too.
-func (c *Client) Watch(ctx context.Context, prefix string, from uint64, each func(watch.Revision) error) error {
+// Watch calls handle for each revision that changes keys with a prefix, in order and once, from a
+// position on (0 is now). If a node is lost it continues at another one. It ends with ctx, with an
+// error of handle, with a *watch.CompactedError, with an answer that a retry does not change, or
+// after Retry.MaxRetries failed attempts in a row.
+func (c *Client) Watch(ctx context.Context, prefix string, from uint64, handle func(watch.Revision) error) error {
 	if len(c.Nodes) == 0 {
 		return errNoNode
 	}
-	var stop *stopError
+	w := &watcher{client: c, prefix: prefix, next: from, handle: handle}
 	failed := 0
-	for at := rand.IntN(len(c.Nodes)); ; at++ {
-		got, err := c.watchOne(ctx, c.Nodes[at%len(c.Nodes)], prefix, &from, each)
+	for index := rand.IntN(len(c.Nodes)); ; index++ {
+		received, err := w.follow(ctx, c.Nodes[index%len(c.Nodes)])
+		var final *finalError
 		switch {
-		case errors.As(err, &stop):
-			return stop.error
+		case errors.As(err, &final):
+			return final.error
 		case ctx.Err() != nil:
 			return ctx.Err()
-		case got:
+		case received:
 			failed = 0
 		}
-		if failed++; failed > c.Retry.MaxRetries {
+		failed++
+		if failed > c.Retry.MaxRetries {
 			return fmt.Errorf("no node to watch in %d attempts: %w", failed, err)
 		}
-		select {
-		case <-ctx.Done():
-			return ctx.Err()
-		case <-time.After(c.Retry.Backoff(failed, rand.Float64())):
+		if err := c.Retry.wait(ctx, failed); err != nil {
+			return err
 		}
 	}
 }
 
-// stopError ends a watch; any other has it go on elsewhere.
-type stopError struct{ error }
+// finalError ends a watch; after any other error it continues at another node.
+type finalError struct{ error }
+
+// watcher is a watch and its position.
+type watcher struct {
+	client *Client
+	prefix string
+	next   uint64 // the revision to continue from
+	handle func(watch.Revision) error
+}
 
-// watchOne follows at one node, moves the position on, and tells whether anything came.
-func (c *Client) watchOne(ctx context.Context, node, prefix string, from *uint64, each func(watch.Revision) error) (got bool, err error) {
+// follow watches at one node, and tells whether any event was received.
+func (w *watcher) follow(ctx context.Context, node string) (received bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	lost := time.AfterFunc(watchSilence, cancel) // guards against a node that hangs
-	defer lost.Stop()
-	q := url.Values{"prefix": {prefix}}
-	if *from > 0 {
-		q.Set("from", strconv.FormatUint(*from, 10))
-	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+node+"/watch?"+q.Encode(), nil)
+	timeout := time.AfterFunc(watchTimeout, cancel)
+	defer timeout.Stop()
+	req, err := w.request(ctx, node)
 	if err != nil {
-		return false, &stopError{err}
+		return false, &finalError{err}
 	}
-	c.ofCluster(req)
-	res, err := (&http.Client{Transport: c.HTTP.Transport}).Do(req) // without a limit on the whole
+	stream := &http.Client{Transport: w.client.HTTP.Transport} // without a timeout for the whole answer
+	res, err := stream.Do(req)
 	if err != nil {
 		return false, err
 	}
 	defer res.Body.Close()
 	if res.StatusCode != http.StatusOK {
-		text, _ := io.ReadAll(io.LimitReader(res.Body, 1<<10))
-		return false, refusedWatch(res.StatusCode, text)
+		body, _ := io.ReadAll(io.LimitReader(res.Body, maxErrorBytes))
+		return false, watchError(res.StatusCode, body)
 	}
-	return got, events(&alive{res.Body, lost}, func(e event) error {
-		got = true
-		if e.kind == "compacted" {
-			return refusedWatch(http.StatusGone, e.data)
-		}
-		id, err := strconv.ParseUint(e.id, 10, 63)
-		if err != nil {
-			return fmt.Errorf("event %q: id %q is no revision", e.kind, e.id)
+	err = readEvents(&timeoutReader{res.Body, timeout}, func(e event) error {
+		received = true
+		return w.accept(e)
+	})
+	return received, err
+}
+
+func (w *watcher) request(ctx context.Context, node string) (*http.Request, error) {
+	query := url.Values{"prefix": {w.prefix}}
+	if w.next > 0 {
+		query.Set("from", strconv.FormatUint(w.next, 10))
+	}
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+node+"/watch?"+query.Encode(), nil)
+	if err != nil {
+		return nil, err
+	}
+	w.client.cluster.setHeader(req)
+	return req, nil
+}
+
+// accept handles one event and moves the position on.
+func (w *watcher) accept(e event) error {
+	if e.eventType == storeapi.EventCompacted {
+		return watchError(http.StatusGone, e.data)
+	}
+	id, err := strconv.ParseUint(e.id, 10, 63)
+	if err != nil {
+		return fmt.Errorf("event %q: id %q is no revision", e.eventType, e.id)
+	}
+	if e.eventType == storeapi.EventChange && id >= w.next {
+		var revision watch.Revision
+		if err := json.Unmarshal(e.data, &revision); err != nil || revision.Number != id {
+			return fmt.Errorf("event %d can't be read: %w", id, err)
 		}
-		if e.kind == "change" && id >= *from {
-			var rev watch.Revision
-			if err := json.Unmarshal(e.data, &rev); err != nil || rev.Number != id {
-				return fmt.Errorf("event %d can't be read: %w", id, err)
-			}
-			if err := each(rev); err != nil {
-				return &stopError{err}
-			}
+		if err := w.handle(revision); err != nil {
+			return &finalError{err}
 		}
-		*from = max(*from, id+1)
-		return nil
-	})
+	}
+	w.next = max(w.next, id+1)
+	return nil
 }
 
-func refusedWatch(code int, text []byte) error {
-	var gone storeapi.CompactedResponse
+// watchError is the error of an answer that is no stream. Only 503 is worth another attempt.
+func watchError(statusCode int, body []byte) error {
+	var compacted storeapi.CompactedResponse
 	switch {
-	case code == http.StatusGone && json.Unmarshal(text, &gone) == nil && gone.Error == "compacted":
-		return &stopError{&watch.CompactedError{OldestRevision: gone.OldestRevision}}
-	case code == http.StatusServiceUnavailable:
-		return storeapi.NewStatusError(code, text)
+	case statusCode == http.StatusGone && json.Unmarshal(body, &compacted) == nil && compacted.Error == storeapi.CompactedCode:
+		return &finalError{&watch.CompactedError{OldestRevision: compacted.OldestRevision}}
+	case statusCode == http.StatusServiceUnavailable:
+		return storeapi.NewStatusError(statusCode, body)
 	}
-	return &stopError{storeapi.NewStatusError(code, text)}
+	return &finalError{storeapi.NewStatusError(statusCode, body)}
 }
 
-// alive puts a client's patience back whenever something comes.
-type alive struct {
+// timeoutReader starts a timer anew whenever something is read.
+type timeoutReader struct {
 	io.Reader
-	lost *time.Timer
+	timeout *time.Timer
 }
 
-func (a *alive) Read(b []byte) (int, error) {
-	n, err := a.Reader.Read(b)
+func (t *timeoutReader) Read(b []byte) (int, error) {
+	n, err := t.Reader.Read(b)
 	if n > 0 {
-		a.lost.Reset(watchSilence)
+		t.timeout.Reset(watchTimeout)
 	}
 	return n, err
 }
