--- a/cmd/oxbowbridge/members.go
+++ b/cmd/oxbowbridge/members.go
@@ -24,7 +24,7 @@
 	}
 	rows := [][]any{{"NAME", "ID", "ZONE", "ROLE", "BEHIND", "STATE", "ADMIN", "NEXT", "WHY"}}
 	for _, x := range m.Members {
-		rows = append(rows, []any{x.Name, x.ID, x.Zone, x.Role, x.Behind, x.State, x.Admin, x.Next, x.Why})
+		rows = append(rows, []any{x.Name, x.ID, x.Zone, x.Role, x.EntriesBehind, x.State, x.AdminAddress, x.NextStep, x.Reason})
 	}
 	for _, name := range m.Removed {
 		rows = append(rows, []any{name, "", "", "", "", "removed", "", "", "'store add " + name + "' lets it in again"})
@@ -70,7 +70,7 @@
 	if cfg.Store == nil {
 		return usageError(fmt.Errorf("%s has no store", path))
 	}
-	left, err := store.Look(*cfg.Store)
+	left, err := store.Inspect(*cfg.Store)
 	if err != nil {
 		return err
 	}
@@ -83,18 +83,18 @@
 		return printJSON(c.OutOrStdout(), left)
 	}
 	rows := [][]any{{"NODE", left.Node}, {"ID", left.ID}, {"CLUSTER", left.Cluster}, {"KEYS", left.Keys},
-		{"LAST ENTRY", fmt.Sprintf("%d of term %d", left.Mark.LastIndex, left.Mark.LastTerm)}, {"TERM", left.Mark.Term},
+		{"LAST ENTRY", fmt.Sprintf("%d of term %d", left.Watermark.LastIndex, left.Watermark.LastTerm)}, {"TERM", left.Watermark.Term},
 		{"VOTERS", strings.Join(left.Voters, " ")}}
-	for _, id := range slices.Sorted(maps.Keys(left.Seen)) {
-		m := left.Seen[id]
+	for _, id := range slices.Sorted(maps.Keys(left.LastObserved)) {
+		m := left.LastObserved[id]
 		rows = append(rows, []any{"SEEN OF " + id, fmt.Sprintf("%d of term %d", m.LastIndex, m.LastTerm)})
 	}
 	for _, what := range left.Missing {
 		rows = append(rows, []any{"MISSING", what})
 	}
 	rows = append(rows, []any{"MAY BE MISSING", "whatever the others acknowledged after this node last heard of them"})
-	if left.New != "" {
-		rows = append(rows, []any{"NEW CLUSTER", left.New})
+	if left.NewCluster != "" {
+		rows = append(rows, []any{"NEW CLUSTER", left.NewCluster})
 	} else {
 		rows = append(rows, []any{"TO GO ON", "only if a majority of the voters is lost for good: --cluster " + left.Cluster})
 	}
--- a/internal/cluster/store/cluster.go
+++ b/internal/cluster/store/cluster.go
@@ -66,8 +66,8 @@
 	delete(c.others, name)
 }
 
-// Cluster is the id of the cluster, or "" while it is not known.
-func (s *Store) Cluster() string { return s.cluster.id() }
+// ClusterID is the id of the cluster, or "" while it is not known.
+func (s *Store) ClusterID() string { return s.cluster.id() }
 
 // keepCluster learns the cluster's id, or as the leader of a new cluster gives it one,
 // and keeps it beside the log.
@@ -90,21 +90,21 @@
 			return nil
 		}
 		// Not before all that was committed is known: the cluster may have one.
-		if _, err := s.Fresh(ctx, Freshness{}); err != nil {
+		if _, err := s.WaitFresh(ctx, Freshness{}); err != nil {
 			return err
 		}
 		b := make([]byte, 16)
 		rand.Read(b)
 		id, _ := json.Marshal(hex.EncodeToString(b))
-		_, err := s.Do(kv.Request{Floor: tokenFloor(0), If: []kv.Compare{{Key: kv.ClusterKey}},
-			Then: []kv.Op{{Do: "put", Key: kv.ClusterKey, Value: id}}})
+		_, err := s.Execute(kv.Request{TokenFloor: tokenFloor(0), If: []kv.Compare{{Key: kv.ClusterKey}},
+			Then: []kv.Op{{Kind: "put", Key: kv.ClusterKey, Value: id}}})
 		return err
 	}
 	id, err := clusterOf(e)
 	if err != nil {
 		return err
 	}
-	if err := l.disk.Keep(kv.ClusterKey, []byte(id)); err != nil {
+	if err := l.disk.PutLocal(kv.ClusterKey, []byte(id)); err != nil {
 		return fmt.Errorf("keep cluster id: %w", err)
 	}
 	s.cluster.set(id)
@@ -123,5 +123,5 @@
 // tokenFloor is what fencing tokens of a cluster that begins anew are above: what the old
 // one gave for certain, and what it can have given by now, as it began by this rule too.
 func tokenFloor(known uint64) uint64 {
-	return max(known, uint64(time.Now().UnixMilli())*lease.PerMS)
+	return max(known, uint64(time.Now().UnixMilli())*lease.TokensPerMS)
 }
--- a/internal/cluster/store/peers.go
+++ b/internal/cluster/store/peers.go
@@ -30,7 +30,7 @@
 
 // heard is the last that a peer said.
 type heard struct {
-	storeapi.Self
+	storeapi.PeerStatus
 	at  time.Time // of the answer; zero if there was none
 	old bool      // of the version before, which says less
 	err error
@@ -112,24 +112,24 @@
 }
 
 // one asks a node for itself. One of the version before only tells its status.
-func (p *peers) one(addr, id string) (self storeapi.Self, old bool, err error) {
+func (p *peers) one(addr, id string) (self storeapi.PeerStatus, old bool, err error) {
 	ctx, cancel := context.WithTimeout(p.ctx, askTime)
 	defer cancel()
-	err = p.client.One(ctx, addr, http.MethodGet, "/self?from="+url.QueryEscape(id), nil, &self)
+	err = p.client.CallNode(ctx, addr, http.MethodGet, "/self?from="+url.QueryEscape(id), nil, &self)
 	var said *storeapi.StatusError
-	if !errors.As(err, &said) || said.Code != http.StatusNotFound {
+	if !errors.As(err, &said) || said.StatusCode != http.StatusNotFound {
 		return self, false, err
 	}
 	var st storeapi.Status
-	if err = p.client.One(ctx, addr, http.MethodGet, "/status", nil, &st); err != nil {
+	if err = p.client.CallNode(ctx, addr, http.MethodGet, "/status", nil, &st); err != nil {
 		return self, true, err
 	}
 	self.ID, self.Cluster, self.State = st.Node, st.Cluster, stateServing
-	self.Mark.LastIndex, self.Applied = st.Last, st.Applied
+	self.Mark.LastIndex, self.AppliedIndex = st.LastIndex, st.AppliedIndex
 	return self, true, nil
 }
 
-func (p *peers) take(name, asker string, self storeapi.Self, old bool, err error) {
+func (p *peers) take(name, asker string, self storeapi.PeerStatus, old bool, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if asker != p.s.id() {
@@ -149,14 +149,14 @@
 		p.s.cluster.found(name, self.Cluster, p.s.log)
 	} else {
 		p.s.cluster.lost(name)
-		if disk := diskidentity.Disk(self.ID); disk != "" {
+		if disk := diskidentity.MemberDisk(self.ID); disk != "" {
 			was, known := p.seen[self.ID]
 			if now := was.Max(self.Mark); now != was && (known || len(p.seen) < ledgerMost) {
 				p.seen[self.ID], p.dirty = now, true
 			}
 		}
 	}
-	p.said[name] = heard{Self: self, at: time.Now(), old: old}
+	p.said[name] = heard{PeerStatus: self, at: time.Now(), old: old}
 }
 
 // forget drops what was said of a disk that this node no longer has.
@@ -175,15 +175,15 @@
 }
 
 // checks are what the other voters said of their states of late, and how many voters there are.
-func (p *peers) checks(conf raft.Configuration, own string) (list []kv.Checks, voters int) {
+func (p *peers) checks(conf raft.Configuration, own string) (list []kv.ChecksumHistory, voters int) {
 	for _, x := range conf.Servers {
 		id := string(x.ID)
 		if x.Suffrage != raft.Voter {
 			continue
 		}
 		voters++
-		if h, now := p.last(diskidentity.Name(id)); id != own && now && h.ID == id {
-			list = append(list, h.Checks)
+		if h, now := p.last(diskidentity.MemberName(id)); id != own && now && h.ID == id {
+			list = append(list, h.Checksums)
 		}
 	}
 	return list, voters
@@ -191,10 +191,10 @@
 
 // words are the answers that count at a start; all tells whether each node was asked at
 // least once, and answered or could not.
-func (p *peers) words() (words map[string]diskidentity.Word, all bool, news <-chan struct{}) {
+func (p *peers) words() (words map[string]diskidentity.Attestation, all bool, news <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	words, all = map[string]diskidentity.Word{}, true
+	words, all = map[string]diskidentity.Attestation{}, true
 	for name := range p.asking {
 		if h := p.said[name]; h.at.IsZero() && h.err == nil {
 			all = false
@@ -202,14 +202,14 @@
 	}
 	for name, h := range p.said {
 		if !h.at.IsZero() && !h.old && time.Since(h.at) < heardTime {
-			words[name] = h.Word
+			words[name] = h.Attestation
 		}
 	}
 	return words, all, p.news
 }
 
 // of is the most that was seen of a disk.
-func (p *peers) of(id string) *diskidentity.Mark {
+func (p *peers) of(id string) *diskidentity.Watermark {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if m, ok := p.seen[id]; ok {
@@ -230,7 +230,7 @@
 	if text == nil {
 		return
 	}
-	if err := l.disk.KeepSoon(keptSeen, text); err != nil {
+	if err := l.disk.PutLocalUnsynced(keptSeen, text); err != nil {
 		p.s.log.Warn("marks of other disks not kept", zap.Error(err))
 	}
 }
@@ -246,7 +246,7 @@
 
 // join asks the cluster for a place, at each node that serves until one says yes.
 func (p *peers) join(ctx context.Context, l *life) error {
-	ask := storeapi.Join{ID: l.id, Raft: p.s.self.Raft, Admin: p.s.self.Admin, Zone: p.s.self.Zone, Leases: true}
+	ask := storeapi.JoinRequest{ID: l.id, RaftAddress: p.s.self.Raft, AdminAddress: p.s.self.Admin, Zone: p.s.self.Zone, SupportsLeases: true}
 	text, err := json.Marshal(ask)
 	if err != nil {
 		return err
@@ -261,8 +261,8 @@
 	p.mu.Unlock()
 	var refused []string
 	for _, addr := range addrs {
-		one, cancel := context.WithTimeout(ctx, storeapi.ApplyTime)
-		err := p.client.Patient().One(one, addr, http.MethodPost, "/members", text, nil)
+		one, cancel := context.WithTimeout(ctx, storeapi.CommitTimeout)
+		err := p.client.WithLongTimeout().CallNode(one, addr, http.MethodPost, "/members", text, nil)
 		cancel()
 		if err == nil {
 			return nil
--- a/internal/cluster/store/write.go
+++ b/internal/cluster/store/write.go
@@ -17,13 +17,13 @@
 const (
 	proposedMost  = 512     // of the leader
 	proposedBytes = 8 << 20 // of them
-	// TotalBytes is what all keys and values may come to. The leader sees to it; the
+	// MaxTotalBytes is what all keys and values may come to. The leader sees to it; the
 	// state itself takes what is in the log.
-	TotalBytes = 32 << 20
+	MaxTotalBytes = 32 << 20
 )
 
-// ErrBusy means that too many writes are waiting; nothing was done.
-var ErrBusy = errors.New("too many writes are waiting")
+// ErrTooManyWrites means that too many writes are waiting; nothing was done.
+var ErrTooManyWrites = errors.New("too many writes are waiting")
 
 // writes counts what this node, as leader, has proposed and not heard of again.
 type writes struct {
@@ -37,9 +37,9 @@
 	defer w.mu.Unlock()
 	switch {
 	case w.count >= proposedMost || w.bytes+n > proposedBytes:
-		return fmt.Errorf("%w: %d of %d bytes", ErrBusy, w.count, w.bytes)
-	case n > 0 && stored+w.bytes+n > TotalBytes:
-		return fmt.Errorf("%w: %d bytes, at most %d", kv.ErrFull, stored, TotalBytes)
+		return fmt.Errorf("%w: %d of %d bytes", ErrTooManyWrites, w.count, w.bytes)
+	case n > 0 && stored+w.bytes+n > MaxTotalBytes:
+		return fmt.Errorf("%w: %d bytes, at most %d", kv.ErrFull, stored, MaxTotalBytes)
 	}
 	w.count++
 	w.bytes += n
@@ -55,7 +55,7 @@
 
 // Set writes a key; a nil value deletes it. It is done when most nodes have it.
 func (s *Store) Set(ctx context.Context, key string, value json.RawMessage) error {
-	if s.Leads() {
+	if s.IsLeader() {
 		return s.apply(ctx, command{Key: key, Value: value})
 	}
 	p, _, ok := s.Leader()
@@ -66,11 +66,11 @@
 	if value == nil {
 		method = http.MethodDelete
 	}
-	return s.peers.client.Patient().One(ctx, p.Admin, method, "/store/"+key, value, nil)
+	return s.peers.client.WithLongTimeout().CallNode(ctx, p.Admin, method, "/store/"+key, value, nil)
 }
 
 func (s *Store) apply(ctx context.Context, list ...command) error {
-	if err := requestFor(list).Check(); err != nil {
+	if err := requestFor(list).Validate(); err != nil {
 		return err
 	}
 	text, err := json.Marshal(list)
@@ -81,27 +81,27 @@
 	return err
 }
 
-// Do carries a request out; only the leader can. An error that is none of kv's leaves
+// Execute carries a request out; only the leader can. An error that is none of kv's leaves
 // open whether it was, or will be: repeated in its session, it takes effect once.
-func (s *Store) Do(r kv.Request) (kv.Answer, error) {
-	if err := errors.Join(r.CheckLength(), r.Check()); err != nil {
-		return kv.Answer{}, err
+func (s *Store) Execute(r kv.Request) (kv.Response, error) {
+	if err := errors.Join(r.ValidateSize(), r.Validate()); err != nil {
+		return kv.Response{}, err
 	}
-	if !s.Leads() {
-		return kv.Answer{}, ErrNoLeader
+	if !s.IsLeader() {
+		return kv.Response{}, ErrNoLeader
 	}
 	r.TimeMS = time.Now().UnixMilli()
 	text, err := json.Marshal(r)
 	if err != nil {
-		return kv.Answer{}, fmt.Errorf("encode request: %w", err)
+		return kv.Response{}, fmt.Errorf("encode request: %w", err)
 	}
 	return s.propose(s.ctx, text, sizeOf(&r))
 }
 
-// DoAnywhere is Do at any node: the leader is asked, once.
-func (s *Store) DoAnywhere(ctx context.Context, r kv.Request) error {
-	if s.Leads() {
-		_, err := s.Do(r)
+// ExecuteAnywhere is Do at any node: the leader is asked, once.
+func (s *Store) ExecuteAnywhere(ctx context.Context, r kv.Request) error {
+	if s.IsLeader() {
+		_, err := s.Execute(r)
 		return err
 	}
 	p, _, ok := s.Leader()
@@ -112,7 +112,7 @@
 	if err != nil {
 		return fmt.Errorf("encode request: %w", err)
 	}
-	return s.peers.client.Patient().One(ctx, p.Admin, http.MethodPost, "/txn", text, nil)
+	return s.peers.client.WithLongTimeout().CallNode(ctx, p.Admin, http.MethodPost, "/txn", text, nil)
 }
 
 // Sessions is how many are open, as this node knows it.
@@ -134,28 +134,28 @@
 	return max(then, other)
 }
 
-func (s *Store) propose(ctx context.Context, text []byte, size int) (kv.Answer, error) {
+func (s *Store) propose(ctx context.Context, text []byte, size int) (kv.Response, error) {
 	l, err := s.alive()
 	if err != nil {
-		return kv.Answer{}, err
+		return kv.Response{}, err
 	}
 	stored := 0
 	if size > 0 { // deletes make room
 		stored = s.state.bytes()
 	}
 	if err := s.writes.begin(size, stored); err != nil {
-		return kv.Answer{}, err
+		return kv.Response{}, err
 	}
 	defer s.writes.end(size)
-	ctx, cancel := context.WithTimeout(ctx, storeapi.ApplyTime+time.Second)
+	ctx, cancel := context.WithTimeout(ctx, storeapi.CommitTimeout+time.Second)
 	defer cancel()
-	f := l.raft.Apply(text, storeapi.ApplyTime)
+	f := l.raft.Apply(text, storeapi.CommitTimeout)
 	if err := done(ctx, f); err != nil {
-		return kv.Answer{}, fmt.Errorf("commit: %w", err)
+		return kv.Response{}, fmt.Errorf("commit: %w", err)
 	}
 	out, ok := f.Response().(outcome)
 	if !ok {
-		return kv.Answer{}, errors.New("commit: no answer")
+		return kv.Response{}, errors.New("commit: no answer")
 	}
 	return out.answer, out.err
 }
--- a/internal/proxy/dispatch/request.go
+++ b/internal/proxy/dispatch/request.go
@@ -55,13 +55,13 @@
 		return
 	}
 	c.byID[r.id], c.byTrace[r.TraceID] = r, r
-	a := admission.Arrive{ID: r.id, Class: q.Class, Tenant: c.tenants[q.Tenant], Hint: q.ExpectedWork, Waited: r.arrived, HeldKB: q.ReservedKB,
-		Keyed: q.HasSubject, Repeat: q.IsRetry, Place: q.Rank}
-	if c.Settings.Info.PassesDeadline && q.Timeout > 0 { // else its class's deadline counts
-		a.TimeLeft = r.arrived + q.Timeout
+	a := admission.Arrival{ID: r.id, Class: q.Class, Tenant: c.tenants[q.Tenant], ExpectedWork: q.ExpectedWork, Age: r.arrived, MemoryKB: q.ReservedKB,
+		HasKey: q.HasSubject, Retry: q.IsRetry, Rank: q.Rank}
+	if c.Settings.Server.PassesDeadline && q.Timeout > 0 { // else its class's deadline counts
+		a.Timeout = r.arrived + q.Timeout
 	}
 	if r.other != nil {
-		a.DupOf = r.other.Owner
+		a.DuplicateOf = r.other.Owner
 	}
 	c.tell(a)
 }
@@ -80,7 +80,7 @@
 		return
 	}
 	c.settle(r, exchange.Response{Kind: exchange.Failed})
-	c.tell(admission.Lapsed{ID: r.id})
+	c.tell(admission.Canceled{ID: r.id})
 	if r.phase == standing || r.phase == calling {
 		c.end(r)
 	}
--- a/internal/proxy/dispatch/runs.go
+++ b/internal/proxy/dispatch/runs.go
@@ -14,7 +14,7 @@
 	}
 	c.Timers.Cancel(r.expire)
 	r.phase = running
-	if c.set.Halt != admission.HaltNone { // else the engine ends it at its call, being told of the answer
+	if c.set.Preemption != admission.PreemptionNone { // else the engine ends it at its call, being told of the answer
 		c.Runner.Stop(r.TraceID, r.answered)
 	}
 }
@@ -36,7 +36,7 @@
 			return
 		}
 		r.phase, r.need = standing, o.Body
-		c.tell(admission.Awaiting{ID: r.id})
+		c.tell(admission.CallNeeded{ID: r.id})
 	case exchange.CallEnded:
 		if r.phase == calling {
 			c.replied(r, o)
@@ -51,13 +51,13 @@
 	if r.phase == calling {
 		c.Dependency.Cancel(r.TraceID)
 	}
-	outcomes := map[exchange.Result]admission.Outcome{exchange.ResultOK: admission.OK, exchange.ResultStopped: admission.Cancelled,
-		exchange.ResultObsolete: admission.TooLate, exchange.ResultNotStarted: admission.TooLate}
+	outcomes := map[exchange.Result]admission.Outcome{exchange.ResultOK: admission.OutcomeOK, exchange.ResultStopped: admission.OutcomeCanceled,
+		exchange.ResultObsolete: admission.OutcomeNotStarted, exchange.ResultNotStarted: admission.OutcomeNotStarted}
 	out, ok := outcomes[o.Result]
 	if !ok {
-		out = admission.Internal
+		out = admission.OutcomeInternal
 	}
-	c.tell(admission.Completed{ID: r.id, Took: c.Now() - r.began, Outcome: out})
+	c.tell(admission.Completed{ID: r.id, Elapsed: c.Now() - r.began, Outcome: out})
 	switch { // a run that the engine ended by itself is answered, not held for ever
 	case o.Result == exchange.ResultOK:
 		c.settle(r, exchange.Response{Kind: exchange.Succeeded, Body: o.Body})
@@ -67,7 +67,7 @@
 		// a paused one goes on when it is taken.
 		c.Timers.Cancel(r.expire)
 		r.phase, r.suspended = held, false
-		if c.set.Halt == admission.HaltPause {
+		if c.set.Preemption == admission.PreemptionPause {
 			r.phase = paused
 		}
 		return
@@ -79,19 +79,19 @@
 
 func (c *Dispatcher) replied(r *request, o exchange.Outcome) {
 	c.Timers.Cancel(r.expire)
-	outcomes := map[exchange.Result]admission.Outcome{exchange.ResultOK: admission.OK, exchange.ResultNotStarted: admission.Full,
-		exchange.ResultUnreachable: admission.Unreachable, exchange.ResultTimedOut: admission.DeadlineExceeded, exchange.ResultConnectionLost: admission.Broken}
+	outcomes := map[exchange.Result]admission.Outcome{exchange.ResultOK: admission.OutcomeOK, exchange.ResultNotStarted: admission.OutcomeResourceExhausted,
+		exchange.ResultUnreachable: admission.OutcomeUnavailable, exchange.ResultTimedOut: admission.OutcomeDeadlineExceeded, exchange.ResultConnectionLost: admission.OutcomeAborted}
 	out, ok := outcomes[o.Result]
 	if !ok {
-		out = admission.Internal
+		out = admission.OutcomeInternal
 	}
-	if out == admission.OK {
+	if out == admission.OutcomeOK {
 		r.phase = running
 		c.Runner.DeliverReply(r.TraceID, o.Body)
 	} else {
 		r.phase = standing
 	}
-	c.tell(admission.Replied{ID: r.id, Took: c.Now() - r.called, Outcome: out})
+	c.tell(admission.CallCompleted{ID: r.id, Elapsed: c.Now() - r.called, Outcome: out})
 }
 
 func (c *Dispatcher) start(now time.Duration, r *request) {
