--- a/tests/fronts_test.go
+++ b/tests/fronts_test.go
@@ -115,7 +115,9 @@
 	require.NoError(t, err)
 	_, _, _, err = c.read()
 	assert.Error(t, err, "closed")
-	await(t, "a line", func() bool { return strings.Count(w.log(), `"malformed input, connection closed","name":"n3","protocol":"FastCGI"`) == 1 })
+	await(t, "a line", func() bool {
+		return strings.Count(w.log(), `"malformed input, connection closed","name":"n3","protocol":"FastCGI"`) == 1
+	})
 	assert.Equal(t, 200, w.status("nom-submit", "ok"))
 }
 
@@ -210,7 +212,9 @@
 	c.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
 	_, err = c.packet()
 	assert.Error(t, err, "closed")
-	await(t, "a line", func() bool { return strings.Count(w.log(), `"malformed input, connection closed","name":"n3","protocol":"AJP"`) == 1 })
+	await(t, "a line", func() bool {
+		return strings.Count(w.log(), `"malformed input, connection closed","name":"n3","protocol":"AJP"`) == 1
+	})
 	w.drain()
 	assert.Zero(t, w.engine.heardOf("RUN "+lost))
 }
