--- a/cmd/oxbowbridge/keeper.go
+++ b/cmd/oxbowbridge/keeper.go
@@ -110,13 +110,13 @@
 	var w simproto.Settings
 	err := simproto.DecodeJSON(g.Value, &w)
 	if err == nil {
-		_, err = dispatch.Check(&w)
+		_, err = dispatch.ParseSettings(&w)
 	}
 	if err != nil {
 		k.log.Error("settings of the store are not usable", zap.Uint64("revision", g.Revision), zap.Error(err))
 		return false
 	}
-	cfg.Settings, cfg.stored = w, true
+	cfg.Settings, cfg.settingsFromStore = w, true
 	k.log.Info("settings taken from the store", zap.Uint64("revision", g.Revision), zap.Bool("last_good", last))
 	if last {
 		return true
--- a/internal/proxy/dispatch/actions.go
+++ b/internal/proxy/dispatch/actions.go
@@ -7,90 +7,65 @@
 	"go.uber.org/zap"
 
 	"oxbowbridge/admission"
-	"oxbowbridge/internal/proxy/exchange"
 )
 
-// carryOut does what the module decided.
-func (c *Core) carryOut(now time.Duration, a admission.Action) {
+// execute carries out one action of the controller. Actions on requests that are already
+// forgotten are skipped.
+func (d *Dispatcher) execute(now time.Duration, a admission.Action) {
 	switch a := a.(type) {
 	case admission.Run:
-		if r := c.byID[a.ID]; r != nil {
-			c.start(now, r)
-		} else {
-			c.tellSoon(admission.Completed{ID: a.ID, Outcome: admission.OutcomeNotStarted})
-		}
+		d.executeStart(now, a.ID)
 	case admission.Preempt:
-		r := c.byID[a.ID]
-		atCall := r != nil && (r.phase == standing || r.phase == calling)
-		// A pause takes runs off the cores: one at its call goes on, unless it is over.
-		if r != nil && (r.phase == running || atCall && (c.set.Preemption != admission.PreemptionPause || r.answered)) {
-			r.suspended = true
-			c.end(r)
-		}
+		d.withRequest(a.ID, d.preempt)
 	case admission.Reject:
-		if r := c.byID[a.ID]; r != nil {
-			c.refuse(r, a)
-		}
+		d.withRequest(a.ID, func(r *request) { d.reject(r, a) })
 	case admission.Fail:
-		if r := c.byID[a.ID]; r != nil {
-			c.settle(r, exchange.Answer{Result: exchange.Failed})
-			if r.phase == standing || r.phase == calling {
-				c.end(r)
-			}
-		}
+		d.withRequest(a.ID, d.fail)
 	case admission.StartCall:
-		if r := c.byID[a.ID]; r != nil && r.phase == standing && !r.answered {
-			c.call(now, r, a.Deadline)
-		}
+		d.withRequest(a.ID, func(r *request) { d.call(now, r, a.Deadline) })
 	case admission.ShareResult:
-		if r := c.byID[a.ID]; r != nil {
-			c.share(now, r)
-		}
+		d.withRequest(a.ID, func(r *request) { d.joinOriginal(now, r) })
 	case admission.StoreKey, admission.EvictKey:
-		// The table of replay keys knows when a key is first used, and when its request
-		// has ended unrun, without being told.
+		// The idempotency table learns from the requests when a key is first used, and when
+		// it is free again.
 	case admission.Advertise:
-		c.Exchange.Publish(a.Value)
+		d.Exchange.SetFeedback(a.Value)
 	case admission.SetHealth:
-		c.active = a.Healthy
-		c.health()
-		if c.Settings.Server.Readiness {
-			c.Directory.Serves(a.Healthy)
-		}
-		c.Log.Info("health", zap.Bool("good", a.Healthy))
+		d.setActive(a.Healthy)
 	case admission.SetIdleTimeout:
-		c.idle = a.Timeout
+		d.idleTimeout = a.Timeout
 	case admission.SetTimer:
-		c.after(now, a)
+		d.deferDue(now, a)
 	case admission.LogMessage:
-		c.Log.Info("module", zap.String("says", a.Text))
+		d.Log.Info("admission controller remark", zap.String("text", a.Text))
 	default:
-		c.Log.Error("action is not for this site", zap.String("type", fmt.Sprintf("%T", a)))
+		d.Log.Error("unsupported admission action", zap.String("type", fmt.Sprintf("%T", a)))
 	}
 }
 
-// refuse gives an answer that promises that nothing ran. Guards against one that
-// isn't true, whoever decided it.
-func (c *Core) refuse(r *request, a admission.Reject) {
-	answer := exchange.Answer{Result: exchange.Refused, HoldOff: a.RetryAfter, Stay: a.DoNotRetry}
-	if c.set.Classes[r.Class].Effect != admission.Idempotent && (r.ran || r.other != nil && r.other.Ran) {
-		answer = exchange.Answer{Result: exchange.Failed}
+func (d *Dispatcher) withRequest(id uint32, do func(*request)) {
+	if r := d.byID[id]; r != nil {
+		do(r)
 	}
-	c.settle(r, answer)
 }
 
-// health sets the answer to health checks: bad until the engine is there.
-func (c *Core) health() { c.Exchange.SetHealthy(c.active && c.readyAt > 0) }
+// executeStart starts a request. The controller expects an end for each start, also of a
+// request that is forgotten.
+func (d *Dispatcher) executeStart(now time.Duration, id uint32) {
+	r := d.byID[id]
+	if r == nil {
+		d.reportNextTurn(admission.Completed{ID: id, Outcome: admission.OutcomeNotStarted})
+		return
+	}
+	d.start(now, r)
+}
 
-// after sets a timer of the module, with gauges that are fresh when it is due.
-func (c *Core) after(now time.Duration, d admission.SetTimer) {
-	if d.After > gaugeLead {
-		c.Deadlines.At(now+d.After-gaugeLead, c.Runner.AskGauges)
+// setActive sets the answer to health checks, and the listing where the settings have one.
+func (d *Dispatcher) setActive(active bool) {
+	d.active = active
+	d.updateHealth()
+	if d.Settings.Server.Readiness {
+		d.Registry.SetAvailable(active)
 	}
-	c.Deadlines.At(now+d.After, func() {
-		if c.Now()-c.gauged > gaugesMost { // guards against a link that is down, or an engine that hangs
-			c.gauges = c.Settings.Gauges(nil)
-		}
-		c.tell(admission.TimerFired{TimerID: d.TimerID, Gauges: c.gauges})
-	})
+	d.Log.Info("health check status set", zap.Bool("healthy", active))
 }
--- /dev/null
+++ b/internal/proxy/fdquota/fdquota_test.go
@@ -0,0 +1,86 @@
+package fdquota
+
+import (
+	"flag"
+	"os"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+	"pgregory.net/rapid"
+
+	"oxbowbridge/internal/testrig/rapidseed"
+)
+
+func TestMain(m *testing.M) {
+	flag.Parse()
+	rapidseed.Fix()
+	os.Exit(m.Run())
+}
+
+// TestDivide: the quotas, with twice the lingering connections, and the other descriptors
+// fit into any limit together, unless BelowMinimum is set.
+func TestDivide(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		u := Usage{
+			Limit:       rapid.IntRange(1, 1<<20).Draw(t, "limit"),
+			AlreadyOpen: rapid.IntRange(3, 200).Draw(t, "open"),
+			Listeners:   rapid.IntRange(1, 3).Draw(t, "listeners"),
+			Reserved:    rapid.IntRange(0, 200).Draw(t, "others"),
+		}
+		others := u.AlreadyOpen + u.Listeners + u.Reserved + ownDescriptors
+		q := Divide(u)
+		if q.BelowMinimum {
+			require.Less(t, u.Limit-others, minConnections+2*minLingering+lingeringDivisor, "below the minimum though there is room")
+		} else {
+			require.LessOrEqual(t, q.Connections+2*q.Lingering+others, u.Limit)
+		}
+		require.GreaterOrEqual(t, q.Connections, minConnections)
+		require.GreaterOrEqual(t, q.ReservedCalls, minReservedCalls)
+		require.GreaterOrEqual(t, q.Lingering, minLingering)
+		require.Less(t, q.ReservedCalls, q.Connections)
+	})
+}
+
+// TestPool: after any sequence of opened and closed connections, callers and calls together
+// stay within their quota, and a call always finds the reserved ones.
+func TestPool(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		quotas := Divide(Usage{Limit: rapid.IntRange(30, 600).Draw(t, "limit"), AlreadyOpen: 10, Listeners: 1})
+		p := NewPool(quotas)
+		callers, calls := 0, 0
+		for range rapid.IntRange(1, 500).Draw(t, "steps") {
+			switch rapid.SampledFrom([]string{"caller", "caller", "caller leaves", "call", "call", "call ends"}).Draw(t, "step") {
+			case "caller":
+				if p.HasCallerCapacity() {
+					p.AddCallers(1)
+					callers++
+				}
+			case "caller leaves":
+				if callers > 0 {
+					p.AddCallers(-1)
+					callers--
+				}
+			case "call":
+				acquired := p.AcquireCall()
+				require.True(t, acquired || calls >= quotas.ReservedCalls, "%d calls, %d are reserved", calls, quotas.ReservedCalls)
+				if acquired {
+					calls++
+				}
+			case "call ends":
+				if calls > 0 {
+					p.ReleaseCall()
+					calls--
+				}
+			}
+			require.LessOrEqual(t, callers+calls, quotas.Connections)
+			require.LessOrEqual(t, callers, p.MaxCallers())
+		}
+	})
+}
+
+// TestDivideSmallest: the smallest limit that a configuration may give is enough for a
+// process that was started with a few descriptors open.
+func TestDivideSmallest(t *testing.T) {
+	require.Equal(t, Quotas{Connections: 37, ReservedCalls: 4, Lingering: 2}, Divide(Usage{Limit: 64, AlreadyOpen: 10, Listeners: 1}))
+	require.Equal(t, Quotas{Connections: 10, ReservedCalls: 2, Lingering: 1, BelowMinimum: true}, Divide(Usage{Limit: 30, AlreadyOpen: 10, Listeners: 1}))
+}
--- a/internal/transport/records/records_test.go
+++ b/internal/transport/records/records_test.go
@@ -24,7 +24,7 @@
 type rig struct {
 	t        *testing.T
 	pool     *fdquota.Pool
-	link     *Link
+	link     *Client
 	exchange *exchange.Exchange
 	calls    chan received // that have reached the service
 	outcomes []exchange.Outcome
@@ -37,7 +37,7 @@
 }
 
 func newRig(t *testing.T, most int) *rig {
-	pool := fdquota.NewPool(fdquota.Shares{Conns: 2 * most, Calls: most})
+	pool := fdquota.NewPool(fdquota.Quotas{Connections: 2 * most, ReservedCalls: most})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { ln.Close() })
@@ -56,7 +56,7 @@
 	require.NoError(t, err)
 	t.Cleanup(loop.Stop)
 	began := time.Now()
-	r.link = New(ln.Addr().String(), pool, 0, session.Env{Exchange: r.exchange, Loop: loop, Due: &timerqueue.Set{},
+	r.link = New(ln.Addr().String(), pool, 0, session.Dependencies{Exchange: r.exchange, Loop: loop, Timers: &timerqueue.Queue{},
 		Now: func() time.Duration { return time.Since(began) }, Log: zap.NewNop()})
 	return r
 }
@@ -82,9 +82,9 @@
 
 // turn does what the core does: it carries out steps, and keeps outcomes.
 func (r *rig) turn() {
-	for _, e := range r.exchange.Take(nil) {
+	for _, e := range r.exchange.Dequeue(nil) {
 		switch e := e.(type) {
-		case exchange.Step:
+		case exchange.Callback:
 			e()
 		case exchange.Outcome:
 			r.outcomes = append(r.outcomes, e)
@@ -126,7 +126,7 @@
 		r := newRig(t, most)
 		const calls = 9
 		for n := range calls {
-			r.link.Call(exchange.Attempt{Trace: trace(n), Wait: time.Minute, Body: []byte("x")})
+			r.link.Call(exchange.Attempt{TraceID: trace(n), Timeout: time.Minute, Body: []byte("x")})
 		}
 		for n := range calls {
 			c := r.arrived()
@@ -138,7 +138,7 @@
 			})
 		}
 		for _, o := range r.outcomes {
-			require.Equal(t, exchange.OK, o.End, o.Trace)
+			require.Equal(t, exchange.ResultOK, o.Result, o.TraceID)
 		}
 		require.Empty(t, r.link.calls)
 		require.Empty(t, r.link.waiting)
--- a/tests/endings_test.go
+++ b/tests/endings_test.go
@@ -64,7 +64,7 @@
 	} {
 		t.Run(what, func(t *testing.T) {
 			trace := newTrace()
-			held, given := w.engine.held(), strings.Count(w.log(), "nothing came")
+			held, given := w.engine.held(), strings.Count(w.log(), "callers stalled")
 			c, err := dialFCGI(w.fcgi)
 			require.NoError(t, err)
 			defer c.Close()
@@ -77,7 +77,7 @@
 				require.NotEqual(t, uint16(1), id)
 			}
 			if strings.HasPrefix(what, "half") {
-				await(t, "the half to be given up", func() bool { return strings.Count(w.log(), "nothing came") > given })
+				await(t, "the half to be given up", func() bool { return strings.Count(w.log(), "callers stalled") > given })
 			}
 			refused := newTrace() // on a connection that is about to end nothing begins
 			_, err = c.Write(fcgiRequest(5, "/call/nom-submit", fieldsOf(refused), []byte("ok")))
@@ -265,7 +265,7 @@
 	got := w.later("nom-submit", trace, "hold")
 	await(t, "a run", func() bool { return w.engine.held() == 1 })
 	require.NoError(t, w.Signal(syscall.SIGTERM))
-	await(t, "the notice", func() bool { return strings.Contains(w.log(), `"msg":"drain"`) })
+	await(t, "the notice", func() bool { return strings.Contains(w.log(), `"msg":"drain started"`) })
 	w.records = newRecords(t)
 	w.reload(func(cfg object) { cfg["records"] = w.records.addr })
 	w.engine.mu.Lock()
@@ -296,7 +296,7 @@
 	defer file.Close()
 	require.NoError(t, w.Signal(syscall.SIGTERM))
 	w.ended()
-	assert.Contains(t, w.log(), `"msg":"drained"`)
+	assert.Contains(t, w.log(), `"msg":"drain finished"`)
 }
 
 // TestReadyOnceItServes: health checks are bad until the engine is there, whatever comes.
@@ -397,7 +397,7 @@
 	require.NoError(t, err)
 	assert.Equal(t, 200, w.ping(), "all before it is read")
 	require.NoError(t, w.Signal(syscall.SIGTERM))
-	await(t, "the notice", func() bool { return strings.Contains(w.log(), `"msg":"drain"`) })
+	await(t, "the notice", func() bool { return strings.Contains(w.log(), `"msg":"drain started"`) })
 	_, err = half.Write(request[len(request)/2:])
 	require.NoError(t, err)
 	w.records.answer("reply")
