--- a/internal/cluster/membership/model_test.go
+++ b/internal/cluster/membership/model_test.go
@@ -13,14 +13,14 @@
 
 // node is a node in the checked model.
 type node struct {
-	in, voter, up, long, caught, leaving bool
+	member, voter, up, downLong, caughtUp, leaving bool
 }
 
-// world is a state of the model: what there is, the leader, and a change that is not
+// clusterModel is a state of the model: what there is, the leader, and a change that is not
 // committed yet.
-type world struct {
+type clusterModel struct {
 	nodes   [5]node
-	n       int
+	size    int
 	leader  int  // -1 if there is none
 	pending Step // appended by the leader
 }
@@ -31,20 +31,20 @@
 
 func id(i int) string { return fmt.Sprint(i) }
 
-func (w *world) view() View {
+func (w *clusterModel) view() View {
 	v := View{Leader: id(w.leader), ChangePending: w.pending.Kind != StepNone, SinceChange: time.Hour}
-	for i, n := range w.nodes[:w.n] {
-		if !n.in {
+	for i, n := range w.nodes[:w.size] {
+		if !n.member {
 			continue
 		}
 		m := Member{ID: id(i), Zone: zones[i], Up: n.up, Leaving: n.leaving}
 		if n.voter {
 			m.Role = Voter
 		}
-		if !n.caught {
+		if !n.caughtUp {
 			m.Lag = 1
 		}
-		if n.long {
+		if n.downLong {
 			m.DownFor = time.Hour
 		}
 		v.Members = append(v.Members, m)
@@ -53,13 +53,13 @@
 }
 
 // voters counts all, those that are up, and those of them that have the log.
-func (w *world) voters() (all, up, sound int) {
+func (w *clusterModel) voters() (all, up, sound int) {
 	for _, n := range w.nodes {
-		if n.in && n.voter {
+		if n.member && n.voter {
 			all++
 			if n.up {
 				up++
-				if n.caught {
+				if n.caughtUp {
 					sound++
 				}
 			}
@@ -68,14 +68,14 @@
 	return
 }
 
-func (w *world) alive() bool {
+func (w *clusterModel) alive() bool {
 	all, up, sound := w.voters()
 	return up >= Quorum(all) && sound > 0
 }
 
 // settle elects a leader if one can be, and lets the cluster write: who is not up
 // then misses something.
-func (w *world) settle() {
+func (w *clusterModel) settle() {
 	if w.leader >= 0 && !(w.nodes[w.leader].up && w.nodes[w.leader].voter) {
 		w.leader, w.pending = -1, Step{} // lost before it was committed
 	}
@@ -83,20 +83,20 @@
 		return
 	}
 	for i, n := range w.nodes {
-		if w.leader < 0 && n.in && n.voter && n.up && n.caught {
+		if w.leader < 0 && n.member && n.voter && n.up && n.caughtUp {
 			w.leader = i
 		}
 	}
 	if _, _, sound := w.voters(); w.leader >= 0 && sound >= Quorum(func() int { a, _, _ := w.voters(); return a }()) {
 		for i := range w.nodes {
 			if !w.nodes[i].up {
-				w.nodes[i].caught = false
+				w.nodes[i].caughtUp = false
 			}
 		}
 	}
 }
 
-func (w *world) do(s Step) {
+func (w *clusterModel) do(s Step) {
 	for i := range w.nodes {
 		if id(i) != s.ID {
 			continue
@@ -115,8 +115,8 @@
 }
 
 // events are all that may happen next.
-func (w world) events() (next []world) {
-	add := func(change func(*world)) {
+func (w clusterModel) events() (next []clusterModel) {
+	add := func(change func(*clusterModel)) {
 		x := w
 		change(&x)
 		x.settle()
@@ -124,28 +124,28 @@
 			next = append(next, x)
 		}
 	}
-	for i := range w.n {
+	for i := range w.size {
 		n := w.nodes[i]
 		switch {
-		case !n.in && n.up:
-			add(func(x *world) { x.nodes[i].in = true }) // joins, with an empty log
-		case n.in && n.up:
-			add(func(x *world) { x.nodes[i].up = false })
-			add(func(x *world) { x.nodes[i].caught = true })
+		case !n.member && n.up:
+			add(func(x *clusterModel) { x.nodes[i].member = true }) // joins, with an empty log
+		case n.member && n.up:
+			add(func(x *clusterModel) { x.nodes[i].up = false })
+			add(func(x *clusterModel) { x.nodes[i].caughtUp = true })
 			if !n.leaving {
-				add(func(x *world) { x.nodes[i].leaving = true })
+				add(func(x *clusterModel) { x.nodes[i].leaving = true })
 			}
-		case n.in:
-			add(func(x *world) { x.nodes[i].up, x.nodes[i].long = true, false })
-			add(func(x *world) { x.nodes[i].long = true })
+		case n.member:
+			add(func(x *clusterModel) { x.nodes[i].up, x.nodes[i].downLong = true, false })
+			add(func(x *clusterModel) { x.nodes[i].downLong = true })
 		}
 	}
 	if w.pending.Kind != StepNone {
-		add(func(x *world) { x.pending = Step{} }) // the message is lost
-		add(func(x *world) { s := x.pending; x.pending = Step{}; x.do(s) })
+		add(func(x *clusterModel) { x.pending = Step{} }) // the message is lost
+		add(func(x *clusterModel) { s := x.pending; x.pending = Step{}; x.do(s) })
 	} else if w.leader >= 0 {
 		if s := policy().Next(w.view()); s.Kind != StepNone {
-			add(func(x *world) { x.pending = s })
+			add(func(x *clusterModel) { x.pending = s })
 		}
 	}
 	return next
@@ -156,14 +156,14 @@
 // costs a majority or the last copy, and left alone, decisions come to an end.
 func TestEveryOrder(t *testing.T) {
 	for n := 3; n <= 5; n++ {
-		start := world{n: n}
+		start := clusterModel{size: n}
 		for i := range n {
-			start.nodes[i] = node{in: i < 3, voter: i < 3, up: true, caught: i < 3}
+			start.nodes[i] = node{member: i < 3, voter: i < 3, up: true, caughtUp: i < 3}
 		}
 		start.settle()
-		seen, layer, decisions := map[world]bool{start: true}, []world{start}, 0
+		seen, layer, decisions := map[clusterModel]bool{start: true}, []clusterModel{start}, 0
 		for range *depth {
-			var next []world
+			var next []clusterModel
 			for _, w := range layer {
 				if w.leader >= 0 && w.pending.Kind == StepNone {
 					if s := policy().Next(w.view()); s.Kind != StepNone {
@@ -189,7 +189,7 @@
 }
 
 // checkStep: one decision costs neither the majority nor the last copy.
-func checkStep(t *testing.T, w world, s Step) {
+func checkStep(t *testing.T, w clusterModel, s Step) {
 	all, _, sound := w.voters()
 	x := w
 	x.do(s)
@@ -206,8 +206,8 @@
 }
 
 // checkEnds: with nothing else happening, decisions end, and never undo each other.
-func checkEnds(t *testing.T, w world) {
-	x, was := w, map[world]bool{}
+func checkEnds(t *testing.T, w clusterModel) {
+	x, was := w, map[clusterModel]bool{}
 	for {
 		s := policy().Next(x.view())
 		if s.Kind == StepNone {
@@ -224,10 +224,10 @@
 	all, _, sound := x.voters()
 	standby, outgoing := 0, 0
 	for i, n := range x.nodes {
-		if n.in && !n.voter && n.up && n.caught && !n.leaving {
+		if n.member && !n.voter && n.up && n.caughtUp && !n.leaving {
 			standby++
 		}
-		if n.in && n.voter && (n.leaving || !n.up && n.long) && i != x.leader {
+		if n.member && n.voter && (n.leaving || !n.up && n.downLong) && i != x.leader {
 			outgoing++
 		}
 	}
--- /dev/null
+++ b/internal/cluster/membership/view.go
@@ -0,0 +1,111 @@
+package membership
+
+import "time"
+
+// Role is what a member is in the committed configuration.
+type Role int
+
+// The roles.
+const (
+	Learner Role = iota // replicates the log and has no vote
+	Voter
+)
+
+func (r Role) String() string { return [...]string{"learner", "voter"}[r] }
+
+// Member is one member as the leader sees it.
+type Member struct {
+	ID            string
+	Zone          string // failure domain; "" is one too
+	Role          Role
+	Up            bool
+	DownFor       time.Duration // 0 if it is up
+	Lag           uint64        // log entries that it misses
+	Leaving       bool          // an operator wants it removed
+	DiskLost      bool          // the node of this name has another disk
+	VotePreferred bool          // an operator wants it to have a vote
+}
+
+// View is all that a decision rests on.
+type View struct {
+	Leader        string // member ID
+	Members       []Member
+	ChangePending bool          // the change before is not committed
+	SinceChange   time.Duration // since the change before, or since this leader was elected
+}
+
+// Policy is what operators set. Its methods decide.
+type Policy struct {
+	Voters       int           // wanted number, odd
+	ReplaceAfter time.Duration // a voter that is down for so long gives its vote to a learner
+	ForgetAfter  time.Duration // a learner that is down for so long is removed; 0 is never
+	SettleTime   time.Duration // least time between two changes
+	MaxLag       uint64        // log entries that a healthy member may miss
+}
+
+// Quorum is the majority of a number of voters.
+func Quorum(voters int) int { return voters/2 + 1 }
+
+// healthy tells whether a member counts for the majority: up, with its disk, and with the log.
+func (p Policy) healthy(m Member) bool {
+	return m.Up && !m.DiskLost && m.Lag <= p.MaxLag
+}
+
+// outgoing tells whether a voter's vote is to go to another member.
+func (p Policy) outgoing(m Member) bool {
+	return m.Leaving || m.DiskLost || !m.Up && m.DownFor >= p.ReplaceAfter
+}
+
+// forgotten tells whether a learner is to be removed.
+func (p Policy) forgotten(m Member) bool {
+	return m.Leaving || m.DiskLost || !m.Up && p.ForgetAfter > 0 && m.DownFor >= p.ForgetAfter
+}
+
+// outgoingReason is why a member loses its vote or its place.
+func outgoingReason(m Member) string {
+	switch {
+	case m.DiskLost:
+		return "its disk is gone"
+	case m.Leaving:
+		return "it leaves"
+	}
+	return "it was down for too long"
+}
+
+// census counts the voters of a view.
+type census struct {
+	voters  int
+	healthy int            // of the voters
+	staying int            // voters that are not outgoing
+	zones   map[string]int // staying voters, also of zones that have none and could have one
+}
+
+func (p Policy) count(v View) census {
+	c := census{zones: map[string]int{}}
+	for _, m := range v.Members {
+		if p.healthy(m) && !m.Leaving {
+			c.zones[m.Zone] += 0
+		}
+		if m.Role != Voter {
+			continue
+		}
+		c.voters++
+		if p.healthy(m) {
+			c.healthy++
+		}
+		if !p.outgoing(m) {
+			c.staying++
+			c.zones[m.Zone]++
+		}
+	}
+	return c
+}
+
+// keepsQuorumWithout tells whether the voters but for one still have a healthy majority.
+func (p Policy) keepsQuorumWithout(c census, m Member) bool {
+	healthy := c.healthy
+	if p.healthy(m) {
+		healthy--
+	}
+	return c.voters > 1 && healthy >= Quorum(c.voters-1)
+}
