--- a/cmd/oxbowbridge/store.go
+++ b/cmd/oxbowbridge/store.go
@@ -43,7 +43,7 @@
 	c.PersistentFlags().StringSliceVar(nodes, "nodes", []string{"127.0.0.1:7201"}, "admin addresses, any or all of them")
 	c.PersistentFlags().BoolVar(asJSON, "json", false, "print JSON in place of tables")
 	return c, func(use, short string, args cobra.PositionalArgs, run func(*cobra.Command, []string) error) *cobra.Command {
-		sub := &cobra.Command{Use: use, Short: short, RunE: run, Args: func(c *cobra.Command, a []string) error { return badCall(args(c, a)) }}
+		sub := &cobra.Command{Use: use, Short: short, RunE: run, Args: func(c *cobra.Command, a []string) error { return usageError(args(c, a)) }}
 		c.AddCommand(sub)
 		return sub
 	}
@@ -108,11 +108,11 @@
 			up++
 		}
 		lines = append(lines, l)
-		wrong := l.Away + st.Waits + st.SQLError
-		if st.Foreign != "" {
-			wrong = strings.TrimSpace(wrong + " of another cluster: " + st.Foreign)
+		wrong := l.Away + st.WaitingFor + st.SQLError
+		if st.ForeignPeers != "" {
+			wrong = strings.TrimSpace(wrong + " of another cluster: " + st.ForeignPeers)
 		}
-		rows = append(rows, []any{addr, st.Node, st.State, st.Leader, st.Applied, st.Last, st.Cluster, wrong})
+		rows = append(rows, []any{addr, st.Node, st.State, st.Leader, st.AppliedIndex, st.LastIndex, st.Cluster, wrong})
 	}
 	err := error(nil)
 	if s.asJSON {
@@ -162,7 +162,7 @@
 // watch prints one line for each key that changes, or with --json for each revision.
 func (s *storeCLI) watch(c *cobra.Command, client *storeclient.Client, args []string) error {
 	if s.list && s.from != 0 {
-		return badCall(errors.New("--list and --from exclude each other"))
+		return usageError(errors.New("--list and --from exclude each other"))
 	}
 	ctx, stop := signal.NotifyContext(c.Context(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -176,7 +176,7 @@
 		}
 		for _, k := range r.Changes {
 			value := string(k.Value)
-			if k.Gone {
+			if k.Deleted {
 				value = "(deleted)"
 			}
 			if _, err := fmt.Fprintf(out, "%d\t%s\t%s\n", r.Number, k.Key, value); err != nil {
@@ -230,7 +230,7 @@
 
 func (s *storeCLI) restore(c *cobra.Command, client *storeclient.Client, args []string) error {
 	if s.undo != (len(args) == 0) {
-		return badCall(errors.New("want FILE, or --undo"))
+		return usageError(errors.New("want FILE, or --undo"))
 	}
 	if s.undo {
 		return client.UndoRestore(c.Context())
@@ -247,7 +247,7 @@
 	if s.asJSON {
 		return printJSON(c.OutOrStdout(), out)
 	}
-	return table(c.OutOrStdout(), []any{"CLUSTER", "KEYS", "TAKEN FROM"}, []any{out.Cluster, out.Keys, out.From})
+	return table(c.OutOrStdout(), []any{"CLUSTER", "KEYS", "TAKEN FROM"}, []any{out.Cluster, out.Keys, out.SourceCluster})
 }
 
 func (s *storeCLI) condition(c *cobra.Command) *uint64 {
@@ -259,7 +259,7 @@
 
 func (s *storeCLI) put(c *cobra.Command, client *storeclient.Client, args []string) error {
 	if !json.Valid([]byte(args[1])) {
-		return badCall(fmt.Errorf("%q is not JSON; a text needs its quotes", args[1]))
+		return usageError(fmt.Errorf("%q is not JSON; a text needs its quotes", args[1]))
 	}
 	a, err := client.Put(c.Context(), args[0], json.RawMessage(args[1]), s.condition(c))
 	return s.told(c, a, err)
@@ -275,14 +275,14 @@
 	d.DisallowUnknownFields()
 	var r kv.Request
 	if err := d.Decode(&r); err != nil {
-		return badCall(fmt.Errorf("standard input: %w", err))
+		return usageError(fmt.Errorf("standard input: %w", err))
 	}
 	a, err := client.Txn(c.Context(), r)
 	return s.told(c, a, err)
 }
 
 // told prints what a write came to.
-func (s *storeCLI) told(c *cobra.Command, a kv.Answer, err error) error {
+func (s *storeCLI) told(c *cobra.Command, a kv.Response, err error) error {
 	if err != nil {
 		return err
 	}
@@ -291,7 +291,7 @@
 	}
 	rows := [][]any{{"HELD", "REVISION", "KEY", "KEY REVISION", "VALUE"}}
 	for _, r := range a.Results {
-		rows = append(rows, []any{a.Held, a.Revision, r.Key, r.Revision, string(r.Value)})
+		rows = append(rows, []any{a.Succeeded, a.Revision, r.Key, r.Revision, string(r.Value)})
 	}
 	return table(c.OutOrStdout(), rows...)
 }
--- a/cmd/oxbowbridge/worker.go
+++ b/cmd/oxbowbridge/worker.go
@@ -29,7 +29,7 @@
 
 func openWorker(ctx context.Context, cfg *config, kept *keeper, s *service, log *zap.Logger) *worker {
 	w := &worker{s: s, kept: kept, leaves: make(chan struct{}), ended: make(chan struct{})}
-	if cfg.Work == nil {
+	if cfg.Maintenance == nil {
 		close(w.ended)
 		return w
 	}
@@ -37,7 +37,7 @@
 	if kept.store != nil {
 		own = kept.store.AdminAddress()
 	}
-	w.agent = agent.New(*cfg.Work, cfg.Name, cfg.Limits.Cores, own, w, log)
+	w.agent = agent.New(*cfg.Maintenance, cfg.Name, cfg.Limits.Cores, own, w, log)
 	go func() {
 		defer close(w.ended)
 		w.left = w.agent.Run(ctx)
@@ -45,11 +45,11 @@
 	return w
 }
 
-// Gauge asks the core.
-func (w *worker) Gauge() (busy float64, known, warm bool) {
+// Utilization asks the core.
+func (w *worker) Utilization() (busy float64, known, warm bool) {
 	said := make(chan func() (float64, bool, bool), 1)
-	w.s.x.Post(exchange.Step(func() {
-		b, k, i := w.s.core.Load()
+	w.s.exchange.Post(exchange.Callback(func() {
+		b, k, i := w.s.dispatcher.Load()
 		said <- func() (float64, bool, bool) { return b, k, i }
 	}))
 	select {
@@ -60,8 +60,8 @@
 	}
 }
 
-// Leave has the service drain, as on SIGTERM, and another node lead the store.
-func (w *worker) Leave() {
+// StartDrain has the service drain, as on SIGTERM, and another node lead the store.
+func (w *worker) StartDrain() {
 	if w.kept.store != nil {
 		w.kept.store.StepDown()
 	}
@@ -82,7 +82,7 @@
 		return nil
 	}
 	<-w.ended
-	again, err := w.agent.Out()
+	again, err := w.agent.PerformMaintenance()
 	w.agent.Close()
 	if err != nil || !again || ctx.Err() != nil {
 		return err
--- a/internal/transport/records/records.go
+++ b/internal/transport/records/records.go
@@ -48,13 +48,13 @@
 	until  time.Duration // the service need not try longer
 	sends  int
 	dials  int               // that were refused
-	redial *timerqueue.Entry // the next one
+	redial *timerqueue.Timer // the next one
 }
 
 // conn is a connection. It carries one call at a time: after a spoilt reply a
 // connection is of no use, and must not take other calls with it.
 type conn struct {
-	link  *Link
+	link  *Client
 	addr  string
 	sock  *eventloop.Conn // nil until it is open
 	call  *call           // nil while it is free
@@ -62,12 +62,12 @@
 	gone  bool
 	stray int           // replies that belong to no call, since its latest
 	sent  time.Duration // when its call was
-	due   *timerqueue.Entry
+	due   *timerqueue.Timer
 }
 
-// Link is the exchange.Caller that speaks to the records service.
-type Link struct {
-	session.Env
+// Client is the exchange.Caller that speaks to the records service.
+type Client struct {
+	session.Dependencies
 	addr    string
 	pool    *fdquota.Pool // of connections, as many as calls in hand; further ones wait
 	lingers time.Duration
@@ -82,43 +82,43 @@
 // them. Without an address no call is made. What is given up may stay in the hands of
 // a service that all share for as long as lingers says, and counts there: a call is
 // made again only after that, so that each request has one at a time.
-func New(addr string, pool *fdquota.Pool, lingers time.Duration, env session.Env) *Link {
-	return &Link{Env: env, addr: addr, pool: pool, lingers: lingers, calls: map[string]*call{}, mean: firstGuess, dev: firstGuess / 2}
+func New(addr string, pool *fdquota.Pool, lingers time.Duration, env session.Dependencies) *Client {
+	return &Client{Dependencies: env, addr: addr, pool: pool, lingers: lingers, calls: map[string]*call{}, mean: firstGuess, dev: firstGuess / 2}
 }
 
-// Move has new calls go to another address. Those in hand stay where they are.
-func (l *Link) Move(addr string) {
+// SetAddress has new calls go to another address. Those in hand stay where they are.
+func (l *Client) SetAddress(addr string) {
 	if addr == l.addr {
 		return
 	}
 	l.addr = addr
 	for len(l.free) > 0 {
-		l.free[0].end(exchange.Unreachable)
+		l.free[0].end(exchange.ResultUnreachable)
 	}
 }
 
 // Call makes a call; the Outcome comes from the exchange.
-func (l *Link) Call(a exchange.Attempt) {
-	l.GiveUp(a.Trace)
-	k := &call{Attempt: a, until: l.Now() + a.Wait}
-	l.calls[a.Trace] = k
+func (l *Client) Call(a exchange.Attempt) {
+	l.Cancel(a.TraceID)
+	k := &call{Attempt: a, until: l.Now() + a.Timeout}
+	l.calls[a.TraceID] = k
 	l.place(k)
 }
 
 // place gives a call a connection, or has it wait for one.
-func (l *Link) place(k *call) {
+func (l *Client) place(k *call) {
 	if !l.placed(k) {
 		l.waiting = append(l.waiting, k)
 	}
 }
 
 // placed tells whether a call found a connection, or can't have one at all.
-func (l *Link) placed(k *call) bool {
+func (l *Client) placed(k *call) bool {
 	// Guards against connections that were forgotten while they were free: the
 	// call that finds out may not be made again unless it is safe. Copies of an
 	// earlier reply under the same trace must not pass for this call's.
 	i := len(l.free) - 1
-	for i >= 0 && (!k.Safe || l.free[i].last == k.Trace) {
+	for i >= 0 && (!k.Idempotent || l.free[i].last == k.TraceID) {
 		i--
 	}
 	if i >= 0 {
@@ -128,14 +128,14 @@
 		return true
 	}
 	if l.addr == "" {
-		delete(l.calls, k.Trace)
-		l.Exchange.Post(exchange.Outcome{Trace: k.Trace, Stage: exchange.Called, End: exchange.Unreachable})
+		delete(l.calls, k.TraceID)
+		l.Exchange.Post(exchange.Outcome{TraceID: k.TraceID, Stage: exchange.CallEnded, Result: exchange.ResultUnreachable})
 		return true
 	}
-	room := l.pool.TakeCall()
+	room := l.pool.AcquireCall()
 	if !room && len(l.free) > 0 {
 		l.free[0].close() // its place is for this call, not for one that waits
-		room = l.pool.TakeCall()
+		room = l.pool.AcquireCall()
 	}
 	if room {
 		l.connect(k)
@@ -144,17 +144,17 @@
 }
 
 // take takes a connection from the free ones.
-func (l *Link) take(c *conn) {
-	l.Due.Cancel(c.due)
+func (l *Client) take(c *conn) {
+	l.Timers.Cancel(c.due)
 	l.free = slices.DeleteFunc(l.free, func(f *conn) bool { return f == c })
 }
 
 // connect connects for a call, whose place in the pool is taken.
-func (l *Link) connect(k *call) {
+func (l *Client) connect(k *call) {
 	c := &conn{link: l, addr: l.addr, call: k}
 	k.conn = c
-	l.Dial(c.addr, &session.Lines{Env: l.Env, Parser: lineproto.Parser{Long: long}, Read: c.read, Lost: c.lost,
-		Live: func() bool { return !c.gone }}, c.opened)
+	l.Dial(c.addr, &session.LineHandler{Dependencies: l.Dependencies, Parser: lineproto.Parser{HasPayload: long}, OnMessage: c.read, OnLost: c.lost,
+		Current: func() bool { return !c.gone }}, c.opened)
 }
 
 func (c *conn) opened(s *eventloop.Conn, err error) {
@@ -162,7 +162,7 @@
 	case err != nil && !c.gone:
 		c.refused(err)
 	case err == nil && c.gone:
-		s.Abandon()
+		s.Abort()
 	case err == nil:
 		c.sock = s
 		c.begin(c.call)
@@ -175,83 +175,83 @@
 	l, k := c.link, c.call
 	if k.dials++; k.dials >= dialsMost || l.Now() >= k.until || l.addr == "" {
 		l.Log.Warn("records service not reached", zap.Error(err))
-		c.end(exchange.Unreachable) // nothing was ever sent
+		c.end(exchange.ResultUnreachable) // nothing was ever sent
 		return
 	}
 	c.call, k.conn = nil, nil
-	k.redial = l.Due.At(l.Now()+dialAgain<<(k.dials-1), func() { l.place(k) })
-	c.end(exchange.Unreachable)
+	k.redial = l.Timers.Schedule(l.Now()+dialAgain<<(k.dials-1), func() { l.place(k) })
+	c.end(exchange.ResultUnreachable)
 }
 
 func (c *conn) begin(k *call) {
 	l := c.link
-	c.call, c.last, c.stray, c.sent, k.conn = k, k.Trace, 0, l.Now(), c
+	c.call, c.last, c.stray, c.sent, k.conn = k, k.TraceID, 0, l.Now(), c
 	k.sends++
-	line := fmt.Sprintf("OP %s %d %d", k.Trace, max(1, (k.until-c.sent).Milliseconds()), len(k.Body))
-	c.sock.Write(lineproto.Append(nil, line, k.Body, true))
+	line := fmt.Sprintf("OP %s %d %d", k.TraceID, max(1, (k.until-c.sent).Milliseconds()), len(k.Body))
+	c.sock.Write(lineproto.AppendMessage(nil, line, k.Body, true))
 	// Guards against replies that never come, or never end.
 	if k.again() {
-		c.due = l.Due.At(c.sent+l.patience(), func() { c.lost(errLate) })
+		c.due = l.Timers.Schedule(c.sent+l.patience(), func() { c.lost(errLate) })
 	}
 }
 
 // again tells whether the call may be sent once more.
-func (k *call) again() bool { return k.Safe && k.sends < sendsMost }
+func (k *call) again() bool { return k.Idempotent && k.sends < sendsMost }
 
 // patience is how long a call that may be sent again waits for its reply.
-func (l *Link) patience() time.Duration {
+func (l *Client) patience() time.Duration {
 	return max(patienceLeast, time.Duration(patience*float64(l.mean+deviations*l.dev)))
 }
 
 // took learns how long replies take; a lost one took at least so long.
-func (l *Link) took(d time.Duration) {
+func (l *Client) took(d time.Duration) {
 	l.dev += time.Duration(memory * float64((d-l.mean).Abs()-l.dev))
 	l.mean += time.Duration(memory * float64(d-l.mean))
 }
 
 // GiveUp ends a call that nobody waits for. No outcome follows. Its connection
 // is not used again: the reply that did not come may come spoilt.
-func (l *Link) GiveUp(trace string) {
+func (l *Client) Cancel(trace string) {
 	k := l.calls[trace]
 	if k == nil {
 		return
 	}
 	delete(l.calls, trace)
 	if k.conn == nil {
-		l.Due.Cancel(k.redial)
+		l.Timers.Cancel(k.redial)
 		l.waiting = slices.DeleteFunc(l.waiting, func(w *call) bool { return w == k })
 		return
 	}
 	c := k.conn
 	c.call = nil
 	if c.sock != nil {
-		c.sock.Write(lineproto.Append(nil, "UNOP "+trace, nil, false))
+		c.sock.Write(lineproto.AppendMessage(nil, "UNOP "+trace, nil, false))
 	}
-	c.end(exchange.Unreachable)
+	c.end(exchange.ResultUnreachable)
 }
 
 // close closes the connection and frees its place.
 func (c *conn) close() {
 	c.gone = true
-	c.link.pool.EndCall()
+	c.link.pool.ReleaseCall()
 	c.link.take(c)
 	if c.sock != nil {
-		c.sock.End()
+		c.sock.CloseGracefully()
 	}
 }
 
 // end closes the connection, ends the call on it and lets the next one connect.
-func (c *conn) end(end exchange.End) {
+func (c *conn) end(end exchange.Result) {
 	l := c.link
 	c.close()
 	switch k := c.call; {
 	case k == nil:
-	case end == exchange.Broken && k.again() && l.Now()+l.lingers < k.until:
+	case end == exchange.ResultConnectionLost && k.again() && l.Now()+l.lingers < k.until:
 		c.call, k.conn = nil, nil
 		if l.lingers == 0 {
 			l.place(k)
 		} else {
-			k.redial = l.Due.At(l.Now()+l.lingers, func() { l.place(k) })
+			k.redial = l.Timers.Schedule(l.Now()+l.lingers, func() { l.place(k) })
 		}
 	default:
 		c.finish(end, nil)
@@ -260,24 +260,24 @@
 }
 
 // next places the call that waits for longest, if there is room.
-func (l *Link) next() {
+func (l *Client) next() {
 	if len(l.waiting) > 0 && l.placed(l.waiting[0]) {
 		l.waiting = l.waiting[1:]
 	}
 }
 
 // finish reports how the connection's call ended.
-func (c *conn) finish(end exchange.End, reply []byte) {
+func (c *conn) finish(end exchange.Result, reply []byte) {
 	k := c.call
 	c.call = nil
-	delete(c.link.calls, k.Trace)
-	c.link.Exchange.Post(exchange.Outcome{Trace: k.Trace, Stage: exchange.Called, End: end, Body: reply})
+	delete(c.link.calls, k.TraceID)
+	c.link.Exchange.Post(exchange.Outcome{TraceID: k.TraceID, Stage: exchange.CallEnded, Result: end, Body: reply})
 }
 
 func (c *conn) lost(err error) {
-	end := exchange.Unreachable // closed before a call was sent
+	end := exchange.ResultUnreachable // closed before a call was sent
 	if c.sock != nil {
-		end = exchange.Broken
+		end = exchange.ResultConnectionLost
 	} else if c.call != nil {
 		c.refused(err)
 		return
@@ -286,7 +286,7 @@
 		if errors.Is(err, errLate) {
 			c.link.took(c.link.Now() - c.sent)
 		}
-		c.link.Log.Warn("records link lost", zap.String("trace", c.call.Trace), zap.Error(err))
+		c.link.Log.Warn("records link lost", zap.String("trace", c.call.TraceID), zap.Error(err))
 	}
 	c.end(end)
 }
@@ -294,10 +294,10 @@
 func long(words []string) bool { return len(words) == 3 && words[1] == "DONE" }
 
 func (c *conn) read(m lineproto.Message) {
-	ends := map[string]exchange.End{"DONE": exchange.OK, "WAIT": exchange.NotBegun, "ERROR": exchange.Error,
-		"PAST": exchange.OutOfTime, "EMPTY": exchange.NotBegun}
+	ends := map[string]exchange.Result{"DONE": exchange.ResultOK, "WAIT": exchange.ResultNotStarted, "ERROR": exchange.ResultError,
+		"PAST": exchange.ResultTimedOut, "EMPTY": exchange.ResultNotStarted}
 	w := m.Words
-	if len(w) < 2 || !exchange.IsTrace(w[0]) || long(w) != (w[1] == "DONE") || !long(w) && len(w) != 2 {
+	if len(w) < 2 || !exchange.IsTraceID(w[0]) || long(w) != (w[1] == "DONE") || !long(w) && len(w) != 2 {
 		c.lost(fmt.Errorf("%w: %q", errSpoilt, w)) // nothing after it can be trusted
 		return
 	}
@@ -305,14 +305,14 @@
 	switch {
 	case !ok:
 		c.lost(fmt.Errorf("%w: %q", errSpoilt, w))
-	case c.call == nil || c.call.Trace != w[0]:
+	case c.call == nil || c.call.TraceID != w[0]:
 		// A copy, or the reply to what was never asked: it belongs to no call. Guards
 		// against a service that has no end of them.
 		if c.stray++; c.stray > strayMost {
 			c.lost(fmt.Errorf("%w: %d that belong to no call", errSpoilt, c.stray))
 		}
 	default:
-		if end == exchange.OK { // a refusal comes sooner
+		if end == exchange.ResultOK { // a refusal comes sooner
 			c.link.took(c.link.Now() - c.sent)
 		}
 		c.finish(end, m.Payload)
@@ -324,14 +324,14 @@
 func (c *conn) rest() {
 	l := c.link
 	if c.addr != l.addr {
-		c.end(exchange.Unreachable)
+		c.end(exchange.ResultUnreachable)
 		return
 	}
 	l.free = append(l.free, c)
-	l.Due.Cancel(c.due)
-	c.due = l.Due.At(l.Now()+idleMost, func() { c.end(exchange.Unreachable) })
+	l.Timers.Cancel(c.due)
+	c.due = l.Timers.Schedule(l.Now()+idleMost, func() { c.end(exchange.ResultUnreachable) })
 	if len(l.free) > freeMost {
-		l.free[0].end(exchange.Unreachable)
+		l.free[0].end(exchange.ResultUnreachable)
 	}
 	l.next()
 }
