--- /dev/null
+++ b/cmd/oxbowbridge/config_validate.go
@@ -0,0 +1,129 @@
+package main
+
+import (
+	"fmt"
+	"net"
+
+	"oxbowbridge/internal/proxy/dispatch"
+)
+
+// The least values of the configuration's limits.
+const (
+	minDrainTimeoutMS          = 500
+	minDrainTimeoutWithStoreMS = 2000
+	minMemoryMB                = 32
+	minSockets                 = 64
+)
+
+// validate returns an error that names the first field which is wrong.
+func (c *config) validate() error {
+	if c.Name == "" {
+		return fieldError("name", "%w", errMissing)
+	}
+	if err := c.validateAddresses(); err != nil {
+		return err
+	}
+	if _, err := c.parsedSeed(); err != nil {
+		return err
+	}
+	if err := c.validateAJPSecret(); err != nil {
+		return err
+	}
+	if err := c.validateSections(); err != nil {
+		return err
+	}
+	if err := c.validateCombinations(); err != nil {
+		return err
+	}
+	return c.validateLimits()
+}
+
+func (c *config) validateAddresses() error {
+	type address struct {
+		field    string
+		value    string
+		required bool
+	}
+	addresses := []address{
+		{"listen", c.ListenAddress, c.AJP.ListenAddress == ""},
+		{"engine", c.EngineAddress, len(c.AJP.UpstreamAddresses) == 0},
+		{"lookup", c.RegistryAddress, false},
+		{"records", c.RecordsAddress, false},
+		{"ajp.listen", c.AJP.ListenAddress, false},
+	}
+	for _, upstream := range c.AJP.UpstreamAddresses {
+		addresses = append(addresses, address{"ajp.upstreams", upstream, true})
+	}
+	for _, a := range addresses {
+		if a.value == "" && !a.required {
+			continue
+		}
+		if a.value == "" {
+			return fieldError(a.field, "%w", errMissing)
+		}
+		if _, _, err := net.SplitHostPort(a.value); err != nil {
+			return fieldError(a.field, "%w", err)
+		}
+	}
+	return nil
+}
+
+// validateAJPSecret wants a secret for AJP ports that other hosts reach: a stranger there
+// could set any field of a request.
+func (c *config) validateAJPSecret() error {
+	host, _, _ := net.SplitHostPort(c.AJP.ListenAddress)
+	if host == "" || c.AJP.Secret != "" {
+		return nil
+	}
+	if ip := net.ParseIP(host); ip == nil || !ip.IsLoopback() {
+		return fieldError("ajp.secret", "needed unless ajp.listen is a loopback address")
+	}
+	return nil
+}
+
+// validateSections has each section checked by the package that uses it.
+func (c *config) validateSections() error {
+	if _, err := dispatch.ParseSettings(&c.Settings); err != nil {
+		return fmt.Errorf("settings: %w", err)
+	}
+	if c.Store != nil {
+		if err := c.Store.Check(); err != nil {
+			return fmt.Errorf("store.%w", err)
+		}
+	}
+	if c.Maintenance != nil {
+		if err := c.Maintenance.Check(); err != nil {
+			return fmt.Errorf("work.%w", err)
+		}
+	}
+	return nil
+}
+
+// validateCombinations checks fields that require or exclude others.
+func (c *config) validateCombinations() error {
+	switch {
+	case c.Maintenance != nil && c.Store == nil && len(c.Maintenance.Nodes) == 0:
+		return fieldError("work.nodes", "%w, as this service has no store", errMissing)
+	case c.Maintenance != nil && c.Limits.Cores == 0:
+		return fieldError("limits.cores", "needed with work")
+	case c.EngineAddress != "" && len(c.AJP.UpstreamAddresses) > 0:
+		return fieldError("ajp.upstreams", "not together with engine")
+	}
+	return nil
+}
+
+func (c *config) validateLimits() error {
+	switch {
+	case c.Store != nil && c.DrainTimeoutMS < minDrainTimeoutWithStoreMS:
+		return fieldError("stop_ms", "%d is too short, want at least %d with a store", c.DrainTimeoutMS, minDrainTimeoutWithStoreMS)
+	case c.DrainTimeoutMS < minDrainTimeoutMS:
+		return fieldError("stop_ms", "%d is too short, want at least %d", c.DrainTimeoutMS, minDrainTimeoutMS)
+	case c.Limits.MemoryMB < minMemoryMB:
+		return fieldError("limits.memory_mb", "%d is too little, want at least %d", c.Limits.MemoryMB, minMemoryMB)
+	case c.Limits.Sockets < minSockets:
+		return fieldError("limits.sockets", "%d are too few, want at least %d", c.Limits.Sockets, minSockets)
+	case c.Limits.Cores < 0:
+		return fieldError("limits.cores", "%g is impossible", c.Limits.Cores)
+	}
+	return nil
+}
--- /dev/null
+++ b/cmd/oxbowbridge/runner.go
@@ -0,0 +1,68 @@
+package main
+
+import (
+	"hash/fnv"
+
+	"oxbowbridge/internal/proxy/exchange"
+	"oxbowbridge/internal/proxy/slowstart"
+	"oxbowbridge/internal/transport/ajp"
+	"oxbowbridge/internal/transport/engine"
+	"oxbowbridge/internal/transport/session"
+)
+
+// runner is an exchange.Runner of this program.
+type runner interface {
+	exchange.Runner
+	// Open connects.
+	Open()
+	// moveTo connects to the addresses of another configuration. It is called in the
+	// dispatcher's goroutine.
+	moveTo(*config)
+}
+
+type engineRunner struct{ *engine.Link }
+
+func (r engineRunner) moveTo(cfg *config) {
+	if cfg.EngineAddress != "" { // else upstreams are used from the next start
+		r.Move(cfg.EngineAddress)
+	}
+}
+
+type upstreamRunner struct{ *ajp.Upstreams }
+
+func (r upstreamRunner) moveTo(cfg *config) {
+	if len(cfg.AJP.UpstreamAddresses) > 0 { // else an engine is used from the next start
+		r.Move(cfg.AJP.UpstreamAddresses, cfg.AJP.UpstreamSecret)
+	}
+}
+
+// newRunner returns the engine, or the AJP upstreams if there are any.
+func newRunner(cfg *config, env session.Env) runner {
+	info := &cfg.Settings.Server
+	if len(cfg.AJP.UpstreamAddresses) == 0 {
+		return engineRunner{engine.New(cfg.EngineAddress, info.Preemption == "pause", env)}
+	}
+	return upstreamRunner{ajp.NewUpstreams(cfg.AJP.UpstreamAddresses, cfg.AJP.UpstreamSecret, info.GaugeNames,
+		slowStartConfig(cfg), upstreamSeed(cfg), env)}
+}
+
+func slowStartConfig(cfg *config) slowstart.Config {
+	safety := &cfg.Settings.Safety
+	return slowstart.Config{
+		Cores:            cfg.Settings.Server.Cores,
+		WarmRunsPerCore:  safety.MaxRunsPerCore,
+		MinSpeedFraction: safety.SlowStartMinSpeed,
+		WarmUp:           safety.SlowStartDuration,
+		AveragingWindow:  safety.OverloadWindow,
+		Processes:        cfg.Settings.Servers,
+	}
+}
+
+// upstreamSeed differs between services, also where none has a seed of its own: their slow
+// starts must draw independently.
+func upstreamSeed(cfg *config) uint64 {
+	seed, _ := cfg.parsedSeed() // valid, as validate parsed it
+	name := fnv.New64a()
+	name.Write([]byte(cfg.Name))
+	return seed ^ name.Sum64()
+}
--- /dev/null
+++ b/cmd/oxbowbridge/service.go
@@ -0,0 +1,140 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"time"
+
+	"go.uber.org/zap"
+
+	"oxbowbridge/internal/proxy/dispatch"
+	"oxbowbridge/internal/proxy/exchange"
+	"oxbowbridge/internal/proxy/fdquota"
+	"oxbowbridge/internal/proxy/timerqueue"
+	"oxbowbridge/internal/transport/eventloop"
+	"oxbowbridge/internal/transport/records"
+	"oxbowbridge/internal/transport/registry"
+	"oxbowbridge/internal/transport/session"
+)
+
+const (
+	// openRequestKB is the memory of an open request in this process, in KiB: body, result
+	// and bookkeeping.
+	openRequestKB = 8
+	// openRequestsDivisor: open requests may take one part in so many of limits.memory_mb.
+	openRequestsDivisor = 3
+	// idempotencyKeysDivisor: idempotency keys with their results may take one part in so
+	// many of limits.memory_mb. Together with the open requests that is less than
+	// heapLimitFraction.
+	idempotencyKeysDivisor = 5
+)
+
+// service is the connected parts of the program that serve requests.
+type service struct {
+	dispatcher    *dispatch.Dispatcher
+	exchange      *exchange.Exchange
+	log           *zap.Logger
+	frontendAddrs []net.Addr    // in the order of the configuration
+	moveTo        func(*config) // has the client side use other addresses; in the dispatcher's goroutine
+}
+
+// newService makes the parts, connects them and listens. A notice of the end stops its wait
+// for an address in use.
+func newService(notice context.Context, cfg *config, log *zap.Logger) (*service, error) {
+	quotas := divideDescriptors(cfg, log)
+	pool := fdquota.NewPool(quotas)
+	loop, err := eventloop.New(quotas.Lingering)
+	if err != nil {
+		return nil, err
+	}
+	started := time.Now()
+	env := session.Env{
+		Exchange: exchange.New(maxOpenRequests(cfg)),
+		Loop:     loop,
+		Due:      &timerqueue.Queue{},
+		Now:      func() time.Duration { return time.Since(started) },
+		Log:      log,
+	}
+	runner := newRunner(cfg, env)
+	calls := records.New(cfg.RecordsAddress, pool, callLinger(cfg), env)
+	listing := registry.New(cfg.RegistryAddress, cfg.Name, env)
+	frontends := newFrontends(cfg, env.Exchange, log)
+	seed, _ := cfg.parsedSeed() // valid, as validate parsed it
+	d := dispatch.Config{
+		Exchange:               env.Exchange,
+		Timers:                 env.Due,
+		Runner:                 runner,
+		Dependency:             calls,
+		Registry:               listing,
+		Lingering:              loop,
+		MaxIdempotencyKeyBytes: maxIdempotencyKeyBytes(cfg),
+		Now:                    env.Now,
+		Log:                    log,
+		Seed:                   seed,
+		Settings:               &cfg.Settings,
+	}
+	for _, f := range frontends {
+		d.Frontends = append(d.Frontends, f.listener)
+	}
+	dispatcher, err := dispatch.New(d)
+	if err != nil {
+		return nil, fmt.Errorf("%w: settings: %w", errConfig, err)
+	}
+	if err := listenAll(notice, cfg, frontends, loop, pool, log); err != nil {
+		return nil, err
+	}
+	runner.Open()
+	s := &service{dispatcher: dispatcher, exchange: env.Exchange, log: log}
+	for _, f := range frontends {
+		s.frontendAddrs = append(s.frontendAddrs, f.listener.Addr())
+	}
+	s.moveTo = func(to *config) {
+		runner.moveTo(to)
+		calls.Move(to.RecordsAddress)
+		listing.Move(to.RegistryAddress)
+	}
+	return s, nil
+}
+
+// reload reads the file again and returns the configuration that is in force then. A file
+// that is not valid changes nothing.
+func (s *service) reload(old *config, env func(string) string) *config {
+	cfg, err := readConfig(env)
+	if err != nil {
+		s.log.Error("configuration rejected", zap.Error(err))
+		return old
+	}
+	s.exchange.Post(exchange.Callback(func() { s.moveTo(cfg) }))
+	s.log.Info("configuration reloaded", zap.Strings("changed", old.changedFields(cfg, true)),
+		zap.Strings("at_next_start", old.changedFields(cfg, false)))
+	cfg.settingsFromStore = old.settingsFromStore
+	return cfg
+}
+
+// drain starts the drain in the dispatcher's goroutine. The process will be stopped from
+// outside at the timeout after the notice.
+func (s *service) drain(noticedAt time.Time, timeout time.Duration) {
+	s.exchange.Post(exchange.Callback(func() { s.dispatcher.Drain(time.Since(noticedAt), timeout) }))
+}
+
+// maxOpenRequests is how many requests may be open at a time, in the memory for them.
+func maxOpenRequests(cfg *config) int {
+	memoryKB := int(cfg.Limits.MemoryMB) << 10
+	return memoryKB / openRequestKB / openRequestsDivisor
+}
+
+// maxIdempotencyKeyBytes is the memory of the idempotency table, in bytes.
+func maxIdempotencyKeyBytes(cfg *config) int {
+	memoryBytes := int(cfg.Limits.MemoryMB) << 20
+	return memoryBytes / idempotencyKeysDivisor
+}
+
+// callLinger is how long an abandoned call stays in flight at a dependency that all
+// services share.
+func callLinger(cfg *config) time.Duration {
+	if cfg.Settings.Server.Dependency != "shared" {
+		return 0
+	}
+	return cfg.Settings.Server.CallLinger
+}
--- a/tests/reload_test.go
+++ b/tests/reload_test.go
@@ -84,7 +84,7 @@
 		good := w.cfg[tt.field]
 		line := w.reload(func(cfg object) { cfg[tt.field] = tt.value })
 		assert.Contains(t, line, `"level":"error"`)
-		assert.Contains(t, line, `"msg":"configuration not taken","name":"n3","error":"`+tt.want)
+		assert.Contains(t, line, `"msg":"configuration rejected","name":"n3","error":"`+tt.want)
 		w.cfg[tt.field] = good
 		assert.Equal(t, 200, w.status("nom-submit", "ok"), tt.want)
 	}
