--- a/cmd/oxbowbridge/config_validate.go
+++ b/cmd/oxbowbridge/config_validate.go
@@ -92,7 +92,7 @@
 		}
 	}
 	if c.Maintenance != nil {
-		if err := c.Maintenance.Check(); err != nil {
+		if err := c.Maintenance.Validate(); err != nil {
 			return fmt.Errorf("work.%w", err)
 		}
 	}
--- a/cmd/oxbowbridge/frontends.go
+++ b/cmd/oxbowbridge/frontends.go
@@ -46,7 +46,7 @@
 		frontends = append(frontends, configuredFrontend{fastcgi.New(x, classes, log), "listen", cfg.ListenAddress})
 	}
 	if cfg.AJP.ListenAddress != "" {
-		frontends = append(frontends, configuredFrontend{ajp.NewFront(x, classes, cfg.AJP.Secret, log), "ajp.listen", cfg.AJP.ListenAddress})
+		frontends = append(frontends, configuredFrontend{ajp.NewFrontend(x, classes, cfg.AJP.Secret, log), "ajp.listen", cfg.AJP.ListenAddress})
 	}
 	return frontends
 }
@@ -55,7 +55,7 @@
 func frontendClasses(cfg *config) map[string]frontend.Class {
 	classes := map[string]frontend.Class{}
 	for i, class := range cfg.Settings.Classes {
-		classes[class.Name] = frontend.Class{Index: i, Keyed: class.Effect == "deduplicated"}
+		classes[class.Name] = frontend.Class{Index: i, NeedsIdempotencyKey: class.Effect == "deduplicated"}
 	}
 	return classes
 }
--- a/cmd/oxbowbridge/runner.go
+++ b/cmd/oxbowbridge/runner.go
@@ -20,29 +20,29 @@
 	moveTo(*config)
 }
 
-type engineRunner struct{ *engine.Link }
+type engineRunner struct{ *engine.Session }
 
 func (r engineRunner) moveTo(cfg *config) {
 	if cfg.EngineAddress != "" { // else upstreams are used from the next start
-		r.Move(cfg.EngineAddress)
+		r.SetAddress(cfg.EngineAddress)
 	}
 }
 
-type upstreamRunner struct{ *ajp.Upstreams }
+type upstreamRunner struct{ *ajp.UpstreamPool }
 
 func (r upstreamRunner) moveTo(cfg *config) {
 	if len(cfg.AJP.UpstreamAddresses) > 0 { // else an engine is used from the next start
-		r.Move(cfg.AJP.UpstreamAddresses, cfg.AJP.UpstreamSecret)
+		r.SetAddresses(cfg.AJP.UpstreamAddresses, cfg.AJP.UpstreamSecret)
 	}
 }
 
 // newRunner returns the engine, or the AJP upstreams if there are any.
-func newRunner(cfg *config, env session.Env) runner {
+func newRunner(cfg *config, env session.Dependencies) runner {
 	info := &cfg.Settings.Server
 	if len(cfg.AJP.UpstreamAddresses) == 0 {
 		return engineRunner{engine.New(cfg.EngineAddress, info.Preemption == "pause", env)}
 	}
-	return upstreamRunner{ajp.NewUpstreams(cfg.AJP.UpstreamAddresses, cfg.AJP.UpstreamSecret, info.GaugeNames,
+	return upstreamRunner{ajp.NewUpstreamPool(cfg.AJP.UpstreamAddresses, cfg.AJP.UpstreamSecret, info.GaugeNames,
 		slowStartConfig(cfg), upstreamSeed(cfg), env)}
 }
 
--- a/cmd/oxbowbridge/service.go
+++ b/cmd/oxbowbridge/service.go
@@ -49,10 +49,10 @@
 		return nil, err
 	}
 	started := time.Now()
-	env := session.Env{
+	env := session.Dependencies{
 		Exchange: exchange.New(maxOpenRequests(cfg)),
 		Loop:     loop,
-		Due:      &timerqueue.Queue{},
+		Timers:   &timerqueue.Queue{},
 		Now:      func() time.Duration { return time.Since(started) },
 		Log:      log,
 	}
@@ -63,7 +63,7 @@
 	seed, _ := cfg.parsedSeed() // valid, as validate parsed it
 	d := dispatch.Config{
 		Exchange:               env.Exchange,
-		Timers:                 env.Due,
+		Timers:                 env.Timers,
 		Runner:                 runner,
 		Dependency:             calls,
 		Registry:               listing,
@@ -91,8 +91,8 @@
 	}
 	s.moveTo = func(to *config) {
 		runner.moveTo(to)
-		calls.Move(to.RecordsAddress)
-		listing.Move(to.RegistryAddress)
+		calls.SetAddress(to.RecordsAddress)
+		listing.SetAddress(to.RegistryAddress)
 	}
 	return s, nil
 }
--- a/internal/proxy/dispatch/config.go
+++ b/internal/proxy/dispatch/config.go
@@ -20,8 +20,8 @@
 	// Reap does what CloseIdle does, and ends connections whose callers leave a message
 	// incomplete or do not read.
 	Reap(idle time.Duration)
-	// Finish ends all connections, each once the requests read on it are answered.
-	Finish()
+	// DrainConnections ends all connections, each once the requests read on it are answered.
+	DrainConnections()
 }
 
 // LingeringConns are the connections, of frontends and clients, that this side has shut
--- a/internal/proxy/dispatch/drain.go
+++ b/internal/proxy/dispatch/drain.go
@@ -110,7 +110,7 @@
 	remaining = d.Lingering.Reap(time.Now())
 	for _, f := range d.Frontends {
 		if now >= d.drain.stopAt-finishBefore {
-			f.Finish()
+			f.DrainConnections()
 		}
 		frontendRemaining, frontendUnsent := f.CloseIdle(0)
 		remaining += frontendRemaining
--- a/internal/transport/eventloop/socket_test.go
+++ b/internal/transport/eventloop/socket_test.go
@@ -104,7 +104,7 @@
 	closed := make(chan error, 1)
 	descriptor := make(chan int, 1)
 	ln, err := loop.Listen("127.0.0.1:0", func(c *Conn) Handler {
-		c.Abandon()
+		c.Abort()
 		_, err := unix.FcntlInt(uintptr(c.nb.Hash()), unix.F_GETFD, 0)
 		if err != nil {
 			descriptor <- -1
@@ -172,14 +172,14 @@
 	closed chan error
 }
 
-func (p *peer) Data(b []byte) {
+func (p *peer) OnData(b []byte) {
 	if p.data != nil {
 		p.data <- string(b)
 		<-p.goOn
 	}
 }
 
-func (p *peer) Closed(err error) {
+func (p *peer) OnClose(err error) {
 	if p.closed != nil {
 		p.closed <- err
 	}
@@ -225,7 +225,7 @@
 	require.NoError(t, err)
 	answer := strings.Repeat("x", 700<<10) // more than the system takes at once
 	p.conn.Write([]byte(answer))
-	p.conn.End()
+	p.conn.CloseGracefully()
 	p.conn.Write([]byte("after the end"))
 	close(p.goOn)
 	got, err := io.ReadAll(c)
@@ -255,14 +255,14 @@
 func TestEndIsBounded(t *testing.T) {
 	loop, connect := pair(t, 2)
 	p, _ := connect()
-	p.conn.End()
-	p.conn.End() // once is enough
+	p.conn.CloseGracefully()
+	p.conn.CloseGracefully() // once is enough
 	require.Equal(t, 1, loop.Reap(time.Now()))
 	require.Zero(t, loop.Reap(time.Now().Add(lingerMost)), "its time is over")
 	<-p.closed
 
 	p, c := connect()
-	p.conn.End()
+	p.conn.CloseGracefully()
 	go func() {
 		for b := make([]byte, 64<<10); ; {
 			if _, err := c.Write(b); err != nil {
@@ -275,7 +275,7 @@
 
 	for range lingerBound*2 + 1 { // however short the time since their ends
 		p, _ := connect()
-		p.conn.End()
+		p.conn.CloseGracefully()
 	}
 	require.Equal(t, lingerBound*2, loop.Reap(time.Now()))
 	require.Zero(t, loop.Reap(time.Now().Add(lingerMost)))
@@ -283,13 +283,13 @@
 	var peers []*peer
 	for range 3 {
 		p, _ := connect()
-		p.conn.End()
+		p.conn.CloseGracefully()
 		peers = append(peers, p)
 	}
 	require.Equal(t, 3, loop.Reap(time.Now()), "what crosses an end has its time, whatever the bound")
 	require.Eventually(t, func() bool { // the bound counts for those that have had it
 		p, c := connect()
-		p.conn.End()
+		p.conn.CloseGracefully()
 		c.Close()
 		return len(peers[0].closed) == 1
 	}, 10*time.Second, time.Millisecond)
@@ -305,15 +305,15 @@
 		require.NoError(t, c.SetReadBuffer(32<<10))
 		require.NoError(t, p.conn.nb.SetWriteBuffer(32<<10))
 		p.conn.Write(make([]byte, whole))
-		require.Positive(t, p.conn.Pending())
-		p.conn.End()
+		require.Positive(t, p.conn.PendingBytes())
+		p.conn.CloseGracefully()
 		return p, c
 	}
 	p, c := owes()
 	began := time.Now()
 	for read := 0; read < whole/2; {
-		waits := p.conn.Pending()
-		for p.conn.Pending() == waits {
+		waits := p.conn.PendingBytes()
+		for p.conn.PendingBytes() == waits {
 			n, err := c.Read(make([]byte, 32<<10))
 			require.NoError(t, err)
 			read += n
@@ -367,7 +367,7 @@
 		return stat.Ino
 	}
 	before := []uint64{inode(given), inode(failing)}
-	given.conn.Abandon()
+	given.conn.Abort()
 	require.NoError(t, reset.SetLinger(0))
 	require.NoError(t, reset.Close())
 	require.Eventually(t, func() bool { // until the reset has come
@@ -392,8 +392,8 @@
 		require.NoError(t, c.Close())
 		<-p.closed
 		p.conn.Write([]byte("x"))
-		p.conn.End()
-		p.conn.Abandon()
+		p.conn.CloseGracefully()
+		p.conn.Abort()
 	}
 	require.Zero(t, loop.Reap(time.Now()))
 	loop.mu.Lock()
--- a/tests/stored_test.go
+++ b/tests/stored_test.go
@@ -63,7 +63,7 @@
 	Keys    map[string]storedKey       `json:"keys"`
 	Leases  map[string]storedLease     `json:"leases,omitempty"`
 	Members map[string]testrig.Member  `json:"members"`
-	Jobs    []maintenance.Job          `json:"jobs,omitempty"`
+	Jobs    []maintenance.Order        `json:"jobs,omitempty"`
 	Pause   string                     `json:"pause,omitempty"`
 	Backups []string                   `json:"backups,omitempty"`
 	Write   *storedWrite               `json:"write,omitempty"`
@@ -192,13 +192,13 @@
 		code, text := c.sure(leader, "PUT", "/lease/"+name, fmt.Sprintf(`{"token":%d}`, want.Token))
 		assert.Equal(t, 200, code, "its token counts: %s", text)
 	}
-	st, err := c.client().Work(t.Context())
+	st, err := c.client().MaintenanceStatus(t.Context())
 	require.NoError(t, err)
-	require.Len(t, st.Jobs, len(site.Jobs))
+	require.Len(t, st.Orders, len(site.Jobs))
 	for i, want := range site.Jobs {
-		assert.Equal(t, want, st.Jobs[i].Job)
+		assert.Equal(t, want, st.Orders[i].Order)
 	}
-	assert.Equal(t, site.Pause, st.Pause.Why)
+	assert.Equal(t, site.Pause, st.Pause.Reason)
 	for i := range 3 {
 		assert.Equal(t, 200, (&world{service: c.nodes[i]}).status("stored-class", "ok"))
 	}
@@ -243,7 +243,7 @@
 }
 
 // leaseOf reads a lease at the leader.
-func (c *cluster) leaseOf(name string) (code int, l storeapi.Lease) {
+func (c *cluster) leaseOf(name string) (code int, l storeapi.LeaseStatus) {
 	code, text := c.sure(c.Leader(), "GET", "/lease/"+name, "")
 	json.Unmarshal([]byte(text), &l) // or it is the zero one
 	return code, l
@@ -358,7 +358,7 @@
 		require.NoError(t, err)
 		site.Keys[key] = storedKey{value, revision}
 	}
-	leases, err := client.Leases(t.Context())
+	leases, err := client.ListLeases(t.Context())
 	require.NoError(t, err)
 	for _, l := range leases {
 		if strings.HasPrefix(l.Name, "job/") { // others are held by processes
@@ -366,12 +366,12 @@
 		}
 	}
 	site.Members = c.Members(leader)
-	jobs, err := client.Work(t.Context())
+	maintenanceStatus, err := client.MaintenanceStatus(t.Context())
 	require.NoError(t, err)
-	for _, j := range jobs.Jobs {
-		site.Jobs = append(site.Jobs, j.Job)
+	for _, order := range maintenanceStatus.Orders {
+		site.Jobs = append(site.Jobs, order.Order)
 	}
-	site.Pause = jobs.Pause.Why
+	site.Pause = maintenanceStatus.Pause.Reason
 	return site
 }
 
@@ -423,10 +423,10 @@
 	for i := range 3 {
 		await(t, "settings of the store", func() bool { return strings.Contains(c.nodes[i].log(), `"last_good":false`) })
 	}
-	require.NoError(t, c.client().PauseWork(t.Context(), true, "stored"))
-	_, err = c.client().AskWork(t.Context(), maintenance.Job{Node: "s1", Reason: "kernel", ForMS: 60000, Priority: 2})
+	require.NoError(t, c.client().PauseMaintenance(t.Context(), true, "stored"))
+	_, err = c.client().SubmitOrder(t.Context(), maintenance.Order{Node: "s1", Reason: "kernel", DurationMS: 60000, Priority: 2})
 	require.NoError(t, err)
-	_, err = c.client().AskWork(t.Context(), maintenance.Job{Node: "s2", Reason: "disk", ForMS: 30000})
+	_, err = c.client().SubmitOrder(t.Context(), maintenance.Order{Node: "s2", Reason: "disk", DurationMS: 30000})
 	require.NoError(t, err)
 	for i := range 3 {
 		code, _ := c.grant(i, fmt.Sprint("job/", i), fmt.Sprintf(`{"holder":"h%d","ttl_ms":600000}`, i))
