--- /dev/null
+++ b/internal/transport/eventloop/close.go
@@ -0,0 +1,96 @@
+package eventloop
+
+import (
+	"syscall"
+	"time"
+)
+
+// CloseGracefully ends the connection in order: all that was written is sent, then the peer is
+// told that nothing more comes. What the peer still sends is dropped. The descriptor is closed
+// once the peer has ended its side too, or a bound of the lingering close is reached. It may be
+// called at any time, also again.
+func (c *Conn) CloseGracefully() {
+	c.mu.Lock()
+	first := c.state == connOpen
+	c.state = c.state.next(closeRequested)
+	c.mu.Unlock()
+	if first {
+		c.loop.linger(c)
+		c.sendFIN()
+	}
+}
+
+// CloseIfQuiet does what CloseGracefully does, unless bytes have arrived that are not handled
+// to their end, or some wait to be sent, and reports whether the connection is closing. Between
+// the check and the FIN no lock is waited for: a process whose share of the processor is used up
+// could stand still there for longer than a request may take to cross the close.
+func (c *Conn) CloseIfQuiet() bool {
+	first, closing := c.closeIfQuiet()
+	if first {
+		c.loop.linger(c)
+	}
+	return closing
+}
+
+func (c *Conn) closeIfQuiet() (first, closing bool) {
+	c.nb.Lock() // the loop reads nothing meanwhile
+	defer c.nb.Unlock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.state != connOpen {
+		return false, true
+	}
+	if closed, _ := c.nb.IsClosed(); !closed {
+		if !c.registered || c.pendingBytes > 0 || c.beingRead() || c.socketHasUnread() {
+			return false, false
+		}
+		syscall.Shutdown(c.nb.Hash(), syscall.SHUT_WR)
+	}
+	c.state = c.state.next(closeRequested).next(flushed)
+	return true, true
+}
+
+// sendFIN tells the peer that nothing more comes, once all that was written before the close was
+// requested has been sent.
+func (c *Conn) sendFIN() {
+	c.mu.Lock()
+	due := c.registered && c.state == connFlushing && c.pendingBytes <= 0
+	if due {
+		c.state = c.state.next(flushed)
+		c.closeAt = time.Now().Add(maxLinger)
+	}
+	c.mu.Unlock()
+	if due {
+		c.shutdown(syscall.SHUT_WR)
+	}
+}
+
+// shutdown ends the given directions. The lock of nbio is held meanwhile, so that the descriptor
+// is not closed, and another connection's by then.
+func (c *Conn) shutdown(how int) {
+	c.nb.Lock()
+	defer c.nb.Unlock()
+	if closed, _ := c.nb.IsClosed(); !closed {
+		syscall.Shutdown(c.nb.Hash(), how)
+	}
+}
+
+// Abort ends both directions at once, for a peer that is owed nothing; the loop closes the
+// descriptor by the event that this causes. Before the loop has the connection it is only
+// marked, and Loop.register goes on from there: nbio would register a descriptor that is closed
+// already, and by then perhaps another connection's.
+func (c *Conn) Abort() {
+	c.mu.Lock()
+	first := !c.aborted()
+	if first {
+		c.abortedAt = time.Now()
+	}
+	registered := c.registered
+	c.mu.Unlock()
+	if first {
+		c.loop.noteAborted(c)
+	}
+	if registered {
+		c.shutdown(syscall.SHUT_RDWR)
+	}
+}
--- a/internal/transport/eventloop/datagram.go
+++ b/internal/transport/eventloop/datagram.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// DatagramConn sends datagrams to one address and reads none. The event loop has no
-// part in it: nbio asks a UDP socket for its own address, and panics where the
-// system does not tell it.
+// DatagramConn sends datagrams to one address and reads none. The event loop has no part in it:
+// nbio asks a UDP socket for its own address, and panics where the system does not tell it. It
+// belongs to one goroutine.
 type DatagramConn struct {
 	conn net.Conn
 	raw  syscall.RawConn
 }
 
-// DialDatagram opens a socket beside the caller and reports to done.
+// DialDatagram opens a socket on a goroutine of its own and reports to done there.
 func DialDatagram(addr string, timeout time.Duration, done func(*DatagramConn, error)) {
 	go func() {
 		conn, err := net.DialTimeout("udp", addr, timeout)
@@ -24,11 +24,11 @@
 			done(nil, err)
 			return
 		}
-		done(newDatagrams(conn))
+		done(newDatagramConn(conn))
 	}()
 }
 
-func newDatagrams(conn net.Conn) (*DatagramConn, error) {
+func newDatagramConn(conn net.Conn) (*DatagramConn, error) {
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
 		return nil, errors.New("socket without a descriptor")
@@ -40,18 +40,19 @@
 	return &DatagramConn{conn: conn, raw: raw}, nil
 }
 
-// Send sends b, or gives it up rather than wait for room. If nobody took the
-// datagram before, which the system tells now, b leaves all the same and the error
-// says so. The socket stays of use after any error.
+// Send sends b, or drops it rather than wait for room in the socket. Where the system reports
+// now that nobody received an earlier datagram, b is sent all the same and the error says so. The
+// socket can be used after any error.
 func (d *DatagramConn) Send(b []byte) error {
-	var failed error
+	var sendErr error
 	err := d.raw.Write(func(fd uintptr) bool {
-		if _, failed = syscall.Write(int(fd), b); failed == syscall.ECONNREFUSED {
+		_, sendErr = syscall.Write(int(fd), b)
+		if sendErr == syscall.ECONNREFUSED {
 			syscall.Write(int(fd), b)
 		}
 		return true
 	})
-	return errors.Join(err, failed)
+	return errors.Join(err, sendErr)
 }
 
 // Close closes the socket.
--- a/internal/transport/eventloop/datagram_test.go
+++ b/internal/transport/eventloop/datagram_test.go
@@ -20,15 +20,15 @@
 	return nil
 }
 
-// TestDatagramsNeedNoName: reports leave a socket that can't tell its own address,
-// and go on after one that nobody took.
-func TestDatagramsNeedNoName(t *testing.T) {
+// TestDatagramConnNeedsNoLocalAddress: datagrams are sent by a socket that can't tell its own
+// address, also after one that nobody received.
+func TestDatagramConnNeedsNoLocalAddress(t *testing.T) {
 	list, err := net.ListenPacket("udp", "127.0.0.1:0")
 	require.NoError(t, err)
 	addr := list.LocalAddr().String()
 	conn, err := net.Dial("udp", addr)
 	require.NoError(t, err)
-	d, err := newDatagrams(nameless{conn.(*net.UDPConn), t})
+	d, err := newDatagramConn(nameless{conn.(*net.UDPConn), t})
 	require.NoError(t, err)
 	defer d.Close()
 	heard := func(want string) {
--- /dev/null
+++ b/internal/transport/eventloop/listener.go
@@ -0,0 +1,119 @@
+package eventloop
+
+import (
+	"errors"
+	"net"
+	"os"
+	"syscall"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+const (
+	// maxAcceptRounds is how often a closing listener looks whether more connections have come
+	// while it accepted what it had: where nobody floods it, its queue is empty after one or two.
+	maxAcceptRounds = 16
+	// unknownQueueLength is how many connections a closing listener tries to accept where the
+	// system does not tell how many wait.
+	unknownQueueLength = 128
+	// acceptRetryDelay is the pause after a failed accept, mostly for want of descriptors.
+	acceptRetryDelay = 20 * time.Millisecond
+)
+
+// Listener accepts connections until it is closed.
+type Listener struct {
+	net.Listener
+	accept func(net.Conn)
+	done   chan struct{} // closed once nothing is accepted any more
+}
+
+// Listen accepts connections on the address until the listener is closed. Connections that can't
+// be accepted are reported to failed.
+func (l *Loop) Listen(addr string, newHandler func(*Conn) Handler, failed func(error)) (*Listener, error) {
+	raw, err := net.Listen("tcp", addr)
+	if err != nil {
+		return nil, err
+	}
+	listener := &Listener{Listener: raw, done: make(chan struct{}), accept: func(conn net.Conn) {
+		if _, err := l.register(conn, newHandler); err != nil {
+			failed(err)
+		}
+	}}
+	go func() {
+		defer close(listener.done)
+		for {
+			l.awaitCloseBacklog()
+			conn, err := raw.Accept()
+			switch {
+			case err == nil:
+				listener.accept(conn)
+			case errors.Is(err, net.ErrClosed):
+				return
+			default:
+				failed(err)
+				time.Sleep(acceptRetryDelay)
+			}
+		}
+	}()
+	return listener, nil
+}
+
+// Close accepts the connections that wait in the system's queue, which would be reset under the
+// requests on them, and closes the listener. It comes to an end however fast callers go on
+// connecting.
+func (l *Listener) Close() error {
+	if tcp, ok := l.Listener.(*net.TCPListener); ok {
+		if raw, err := tcp.SyscallConn(); err == nil {
+			raw.Control(func(fd uintptr) { acceptQueued(int(fd), l.accept) })
+		}
+	}
+	err := l.Listener.Close()
+	<-l.done // what was accepted meanwhile is handed over too
+	return err
+}
+
+// acceptQueued accepts what waits in a listener's queue, and what comes meanwhile, as far as
+// callers give the queue a chance to empty.
+func acceptQueued(listener int, accept func(net.Conn)) {
+	for range maxAcceptRounds {
+		n := queueLength(listener)
+		if n == 0 || !acceptSome(listener, n, accept) {
+			return
+		}
+	}
+}
+
+// acceptSome accepts at most n connections, and reports whether there may be more.
+func acceptSome(listener, n int, accept func(net.Conn)) bool {
+	for range n {
+		fd, _, err := syscall.Accept4(listener, syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
+		switch err {
+		case nil:
+			if c, err := connOfDescriptor(fd); err == nil {
+				accept(c)
+			}
+		case syscall.EINTR, syscall.ECONNABORTED: // says nothing of those behind it
+		default:
+			return false // the queue is empty, or descriptors have run out
+		}
+	}
+	return true
+}
+
+// queueLength is how many connections wait in a listener's queue: for a socket that listens the
+// kernel reports them as unacknowledged (tcp_info in tcp(7)).
+func queueLength(listener int) int {
+	info, err := unix.GetsockoptTCPInfo(listener, unix.IPPROTO_TCP, unix.TCP_INFO)
+	if err != nil {
+		return unknownQueueLength
+	}
+	return int(info.Unacked)
+}
+
+// connOfDescriptor makes a net.Conn of a descriptor, which it takes over.
+func connOfDescriptor(fd int) (net.Conn, error) {
+	f := os.NewFile(uintptr(fd), "accepted")
+	defer f.Close()
+	return net.FileConn(f)
+}
