--- /dev/null
+++ b/internal/cluster/raftstorage/fail_stop.go
@@ -0,0 +1,69 @@
+package raftstorage
+
+import (
+	"errors"
+	"runtime"
+	"sync"
+
+	"github.com/hashicorp/raft"
+)
+
+// FailStopStorage is a Storage as Raft is given it. Its first failure is reported to the node, which
+// then ends Raft. Where Raft would end the whole process, as it can't store its term or read its log,
+// the calling goroutine is ended instead.
+type FailStopStorage struct {
+	*Storage
+	once     sync.Once
+	onFailed func(error)
+}
+
+// FailStop has onFailed called once, on the first failure.
+func (s *Storage) FailStop(onFailed func(error)) *FailStopStorage {
+	return &FailStopStorage{Storage: s, onFailed: onFailed}
+}
+
+// report reports the first failure, and returns err.
+func (f *FailStopStorage) report(err error) error {
+	if err != nil {
+		f.once.Do(func() { f.onFailed(err) })
+	}
+	return err
+}
+
+// exitOn ends the goroutine on a failure.
+func (f *FailStopStorage) exitOn(err error) error {
+	if f.report(err) != nil {
+		runtime.Goexit()
+	}
+	return nil
+}
+
+// Set writes a stable key, or ends the goroutine.
+func (f *FailStopStorage) Set(key, value []byte) error { return f.exitOn(f.Storage.Set(key, value)) }
+
+// SetUint64 writes a number under a stable key, or ends the goroutine.
+func (f *FailStopStorage) SetUint64(key []byte, n uint64) error {
+	return f.exitOn(f.Storage.SetUint64(key, n))
+}
+
+// GetLog reads an entry, or ends the goroutine if that fails. raft.ErrLogNotFound is no failure.
+func (f *FailStopStorage) GetLog(index uint64, to *raft.Log) error {
+	err := f.Storage.GetLog(index, to)
+	if err == nil || errors.Is(err, raft.ErrLogNotFound) {
+		return err
+	}
+	return f.exitOn(err)
+}
+
+// StoreLog appends one entry. Raft steps down if that fails.
+func (f *FailStopStorage) StoreLog(entry *raft.Log) error { return f.report(f.Storage.StoreLog(entry)) }
+
+// StoreLogs appends entries. Raft steps down if that fails.
+func (f *FailStopStorage) StoreLogs(entries []*raft.Log) error {
+	return f.report(f.Storage.StoreLogs(entries))
+}
+
+// DeleteRange cuts entries off.
+func (f *FailStopStorage) DeleteRange(from, to uint64) error {
+	return f.report(f.Storage.DeleteRange(from, to))
+}
--- a/internal/cluster/raftstorage/guard_test.go
+++ b/internal/cluster/raftstorage/fail_stop_test.go
@@ -9,9 +9,9 @@
 	"oxbowbridge/internal/storage/durable/faultfs"
 )
 
-// TestGuard: where Raft would end the process, as it can't keep a term, the goroutine
+// TestFailStop: where Raft would end the process, as it can't keep a term, the goroutine
 // ends, and the node is told once; an append that fails comes back as an error.
-func TestGuard(t *testing.T) {
+func TestFailStop(t *testing.T) {
 	f := &faultfs.FS{}
 	d, _, err := OpenFS(f)
 	require.NoError(t, err)
--- /dev/null
+++ b/internal/cluster/raftstorage/log_entry.go
@@ -0,0 +1,70 @@
+package raftstorage
+
+import (
+	"encoding/binary"
+	"errors"
+	"time"
+
+	"github.com/hashicorp/raft"
+)
+
+const (
+	// entryForm is the first byte of an encoded entry.
+	entryForm = 1
+	// entryHeaderBytes is enough for what goes before the extensions.
+	entryHeaderBytes = 32
+)
+
+var errMalformedEntry = errors.New("can't be read")
+
+// encodeEntry is a byte for the form, a byte for the type, the term, the time in Unix nanoseconds (0
+// is none) and the length of the extensions as varints, the extensions, and the data. The index is
+// in the key.
+func encodeEntry(l *raft.Log) []byte {
+	b := make([]byte, 0, entryHeaderBytes+len(l.Extensions)+len(l.Data))
+	b = append(b, entryForm, byte(l.Type))
+	b = binary.AppendUvarint(b, l.Term)
+	appendedAt := int64(0)
+	if !l.AppendedAt.IsZero() {
+		appendedAt = l.AppendedAt.UnixNano()
+	}
+	b = binary.AppendVarint(b, appendedAt)
+	b = binary.AppendUvarint(b, uint64(len(l.Extensions)))
+	b = append(b, l.Extensions...)
+	return append(b, l.Data...)
+}
+
+// decodeEntry reads what encodeEntry wrote. to is changed only without an error; it shares b.
+func decodeEntry(b []byte, to *raft.Log) error {
+	if len(b) < 2 || b[0] != entryForm {
+		return errMalformedEntry
+	}
+	l := raft.Log{Type: raft.LogType(b[1])}
+	b = b[2:]
+	var n int
+	if l.Term, n = binary.Uvarint(b); n <= 0 {
+		return errMalformedEntry
+	}
+	b = b[n:]
+	appendedAt, n := binary.Varint(b)
+	if n <= 0 {
+		return errMalformedEntry
+	}
+	b = b[n:]
+	extensions, n := binary.Uvarint(b)
+	if n <= 0 || extensions > uint64(len(b)-n) {
+		return errMalformedEntry
+	}
+	b = b[n:]
+	if appendedAt != 0 {
+		l.AppendedAt = time.Unix(0, appendedAt)
+	}
+	if extensions > 0 {
+		l.Extensions = b[:extensions:extensions]
+	}
+	if len(b) > int(extensions) {
+		l.Data = b[extensions:]
+	}
+	*to = l
+	return nil
+}
--- /dev/null
+++ b/internal/cluster/raftstorage/snapshot_reader.go
@@ -0,0 +1,51 @@
+package raftstorage
+
+import (
+	"fmt"
+	"io"
+
+	"oxbowbridge/internal/storage/durable"
+)
+
+// snapshotReader reads a snapshot, chunk by chunk. It is an error if one is missing or too long.
+type snapshotReader struct {
+	view        *durable.Snapshot
+	id          string
+	nextChunk   uint64
+	unreadBytes int64  // beyond buffer
+	buffer      []byte // the rest of the last chunk
+}
+
+func (r *snapshotReader) Read(p []byte) (int, error) {
+	if len(r.buffer) == 0 {
+		if r.unreadBytes == 0 {
+			return 0, io.EOF
+		}
+		if err := r.readChunk(); err != nil {
+			return 0, err
+		}
+	}
+	n := copy(p, r.buffer)
+	r.buffer = r.buffer[n:]
+	return n, nil
+}
+
+func (r *snapshotReader) readChunk() error {
+	chunk, err := r.view.Get(chunkKey(r.id, r.nextChunk), 0)
+	if err != nil {
+		return fmt.Errorf("snapshot %s, chunk %d: %w", r.id, r.nextChunk, err)
+	}
+	if len(chunk) == 0 || int64(len(chunk)) > r.unreadBytes {
+		return fmt.Errorf("snapshot %s, chunk %d: %d bytes, %d are left", r.id, r.nextChunk, len(chunk), r.unreadBytes)
+	}
+	r.nextChunk++
+	r.unreadBytes -= int64(len(chunk))
+	r.buffer = chunk
+	return nil
+}
+
+// Close lets go of the view.
+func (r *snapshotReader) Close() error {
+	r.view.Close()
+	return nil
+}
--- /dev/null
+++ b/internal/cluster/raftstorage/storage.go
@@ -0,0 +1,86 @@
+package raftstorage
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+
+	"oxbowbridge/internal/storage/durable"
+	"oxbowbridge/internal/storage/durable/stream"
+	"oxbowbridge/internal/storage/durable/vfs"
+)
+
+// The prefixes of keys in the durable store.
+const (
+	prefixLog      = "l/" // and the index, of 8 bytes
+	prefixStable   = "c/" // and Raft's key
+	prefixLocal    = "k/" // and the node's key
+	prefixMeta     = "m/" // and the snapshot's ID
+	prefixSnapshot = "s/" // and the snapshot's ID, "/" and the chunk's number, of 8 bytes
+)
+
+const (
+	// maxEntryBytes is of one log entry: all keys of a store, imported at once.
+	maxEntryBytes = 80 << 20
+	// appendBatchBytes is after which size of encoded entries a batch is appended.
+	appendBatchBytes = 4 << 20
+	// batchOverheadBytes is for what a batch holds beside its entries.
+	batchOverheadBytes = 1 << 20
+	// legacyFile is the log of a version that used bbolt.
+	legacyFile = "log.db"
+)
+
+// ErrLegacyFormat means that the folder was written by a version that kept its log with bbolt.
+var ErrLegacyFormat = errors.New("folder holds a log of the old kind (" + legacyFile +
+	"): move the folder away with this node stopped, and the node gets everything from the others")
+
+// Storage is a node's folder.
+type Storage struct {
+	store     *durable.Store
+	log       *stream.Stream
+	snapshots snapshots
+	conf      configurationCache
+}
+
+// Open opens a node's folder, or makes it. A folder that misses what was acknowledged is not opened
+// (durable.ErrDamaged): a node that forgot its vote or its log must not go on as if it had not.
+func Open(dir string) (*Storage, *durable.Report, error) {
+	if _, err := os.Stat(filepath.Join(dir, legacyFile)); err == nil {
+		return nil, nil, fmt.Errorf("%s: %w", dir, ErrLegacyFormat)
+	}
+	fs, err := vfs.NewDir(dir)
+	if err != nil {
+		return nil, nil, err
+	}
+	return OpenFS(fs)
+}
+
+// OpenFS is Open on any folder.
+func OpenFS(fs vfs.FS) (*Storage, *durable.Report, error) {
+	store, report, err := durable.Open(fs, durable.Options{
+		ValueBytes: maxEntryBytes,
+		BatchBytes: maxEntryBytes + appendBatchBytes + batchOverheadBytes,
+	})
+	if err != nil {
+		return nil, report, err
+	}
+	s := &Storage{store: store, snapshots: snapshots{store: store}}
+	if s.log, err = stream.Open(store, prefixLog); err == nil {
+		err = s.snapshots.removeUnfinished()
+	}
+	if err != nil {
+		store.Close()
+		return nil, report, err
+	}
+	return s, report, nil
+}
+
+// Close syncs, and lets go of the folder.
+func (s *Storage) Close() error { return s.store.Close() }
+
+// Stat is the durable store's figures.
+func (s *Storage) Stat() durable.Stat { return s.store.Stat() }
+
+// Failed is why nothing can be written any more, or nil.
+func (s *Storage) Failed() error { return s.store.Failed() }
--- a/internal/cluster/raftstorage/disk_test.go
+++ b/internal/cluster/raftstorage/storage_test.go
@@ -77,7 +77,7 @@
 	assert.True(t, bytes.Equal(long[:len(long)-3], got))
 	require.NoError(t, r.Close())
 	_, _, err = d.Open(half.ID())
-	assert.ErrorIs(t, err, errNoSnapshot)
+	assert.ErrorIs(t, err, errSnapshotNotFound)
 	n := 0
 	view, err := d.store.Snapshot()
 	require.NoError(t, err)
@@ -91,9 +91,9 @@
 	require.NoError(t, d.Close())
 }
 
-func TestOldFolder(t *testing.T) {
+func TestLegacyFolder(t *testing.T) {
 	dir := t.TempDir()
-	require.NoError(t, os.WriteFile(filepath.Join(dir, oldFile), nil, 0o600))
+	require.NoError(t, os.WriteFile(filepath.Join(dir, legacyFile), nil, 0o600))
 	_, _, err := Open(dir)
 	assert.True(t, errors.Is(err, ErrLegacyFormat))
 }
