--- /dev/null
+++ b/internal/cluster/singleton/backup_file.go
@@ -0,0 +1,45 @@
+package singleton
+
+import (
+	"cmp"
+	"fmt"
+	"regexp"
+	"slices"
+	"strconv"
+	"time"
+)
+
+// dueIn is how long until the next backup; 0 is now. A last backup that lies in the future was dated
+// by a clock that is ahead, and counts as taken now.
+func dueIn(last, now time.Time, interval time.Duration) time.Duration {
+	if last.IsZero() {
+		return 0
+	}
+	age := max(0, now.Sub(last))
+	return max(0, interval-age)
+}
+
+// backupNamePattern matches the names of scheduled backups: Unix milliseconds and revision.
+var backupNamePattern = regexp.MustCompile(`^oxbowbridge-([0-9]{13,16})-([0-9]+)\.backup$`)
+
+// fileName is a backup's name. Names of later backups sort later.
+func fileName(at time.Time, revision uint64) string {
+	return fmt.Sprintf("oxbowbridge-%013d-%d.backup", at.UnixMilli(), revision)
+}
+
+// surplus are the files to be removed so that the newest ones are kept. Files with other names are
+// never among them.
+func surplus(names []string, keep int) (old []string) {
+	timesMS := map[string]int64{}
+	var backups []string
+	for _, name := range names {
+		if match := backupNamePattern.FindStringSubmatch(name); match != nil {
+			timesMS[name], _ = strconv.ParseInt(match[1], 10, 64) // 16 digits at most
+			backups = append(backups, name)
+		}
+	}
+	slices.SortFunc(backups, func(a, b string) int {
+		return cmp.Or(cmp.Compare(timesMS[b], timesMS[a]), cmp.Compare(b, a))
+	})
+	return backups[min(keep, len(backups)):]
+}
