--- a/admission/admit.go
+++ b/admission/admit.go
@@ -39,12 +39,12 @@
 	return !full || c.preemptLongRun() || c.policyAdmits(r, state)
 }
 
-// policyAdmits tells whether r(i)(s) ≥ ∇h(s).
+// policyAdmits reports whether r(i)(s) ≥ ∇h(s).
 func (c *Controller) policyAdmits(r *request, state int) bool {
 	return state < len(c.policy.bias) && c.reward(r, state) >= c.policy.bias[state]
 }
 
-// isTooLate tells whether a request can't be answered within its objective. An
+// isTooLate reports whether a request can't be answered within its objective. An
 // idle server admits such requests all the same, to learn how long runs take.
 func (c *Controller) isTooLate(r *request, state int) bool {
 	if c.reward(r, state) >= 0 {
--- a/admission/advert.go
+++ b/admission/advert.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// The advertised value, set at each gauge tick: it keeps callers from sending
-// what would be rejected. Inputs: Settings.Advert, the policy, the occupancy.
+// The advertised value, set at each gauge tick: callers use it to withhold
+// requests that would be rejected. Inputs: Settings.Advert, the policy, the occupancy.
 
 // minAdvertChange is the relative change of the value that is advertised anew.
 const minAdvertChange = 0.1
@@ -47,8 +47,8 @@
 	return float64(rejected) / float64(classes)
 }
 
-// creditPerCaller lets in what may be queued before any class is rejected, at
-// least twice the concurrency limit, and what is at calls.
+// creditPerCaller divides among the callers the requests that may be queued before any class is rejected, at
+// least twice the concurrency limit, plus the requests at calls.
 func (c *Controller) creditPerCaller() float64 {
 	threshold := len(c.policy.bias)
 	for i := range c.settings.Classes {
--- a/admission/answers.go
+++ b/admission/answers.go
@@ -9,7 +9,7 @@
 // answered: the timer may be late by one.
 const answerLeadTicks = 2
 
-// answerLead is the time kept before a deadline for the answer.
+// answerLead is how long before its deadline a request is answered.
 func (c *Controller) answerLead() time.Duration { return answerLeadTicks * c.settings.MinInterval }
 
 // expiry is the clock time at which a request is answered, whatever its phase. A
@@ -24,7 +24,7 @@
 	return expiry
 }
 
-// answerExpired answers the requests whose time is over.
+// answerExpired answers the requests that have reached their expiry.
 func (c *Controller) answerExpired() {
 	for _, r := range c.requests {
 		if r.answered || r.phase == phaseFinished || r.phase == phaseUndecided {
@@ -36,7 +36,8 @@
 	}
 }
 
-// rejectOrFail gives the answer that its history allows.
+// rejectOrFail rejects a request that never ran, and fails others. A duplicate can
+// only fail: its original may have run.
 func (c *Controller) rejectOrFail(r *request) {
 	if r.ran || r.duplicateOf != 0 {
 		c.fail(r)
@@ -107,7 +108,7 @@
 	c.advance(r, stepFinish)
 }
 
-// learnFrom books what the end of a run tells about run times, success and calls.
+// learnFrom updates the estimates of run times, success and calls at the end of a run.
 func (c *Controller) learnFrom(r *request, e Completed) {
 	switch r.phase {
 	case phaseRunning:
--- a/admission/arrival.go
+++ b/admission/arrival.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Arrivals: what is booked of a request when it is read, before it is decided.
+// Arrivals: what is recorded of a request when it is read, before the decision on it.
 
-// arrive books a request. Events with a known id or an unknown class are ignored.
+// arrive records a request. Events with a known id or an unknown class are ignored.
 func (c *Controller) arrive(e Arrival) {
 	if c.byID[e.ID] != nil || e.Class >= len(c.settings.Classes) {
 		return
--- a/admission/calls.go
+++ b/admission/calls.go
@@ -17,15 +17,15 @@
 	slowCallFraction = 0.1
 	// callLimitDecrease is how many calls in flight are given up for each slow or rejected call.
 	callLimitDecrease = 0.25
-	// minCallTime is the least time that a call must be given to be worth making.
+	// minCallTime is the shortest timeout with which a call is made.
 	minCallTime = 20 * time.Millisecond
-	// callTimeDivisor: half of a quota below 1 is saved up as call time, at most half of the window.
+	// callTimeDivisor: half of a quota below 1 accrues as call time, up to half of the window.
 	callTimeDivisor = 2
 )
 
-// callLimiter bounds the calls in flight. With a quota of 1 and more it keeps
-// their number under a limit; below 1 it saves up call time, in call-seconds at
-// half the quota, and spends it on one call at a time.
+// callLimiter bounds the calls in flight. With a quota of at least 1 their
+// number stays below a limit. With a smaller quota call time accrues, in
+// call-seconds at half the quota, and one call at a time spends it.
 type callLimiter struct {
 	quota  float64 // calls in flight
 	window time.Duration
@@ -40,7 +40,7 @@
 	return callLimiter{quota: s.CallQuota, window: s.CallWindow, linger: s.CallLinger, limit: s.CallQuota}
 }
 
-// pass books the time from one clock time to the next with the given calls in flight.
+// pass accounts for the time from one clock time to the next with the given calls in flight.
 func (l *callLimiter) pass(from, to time.Duration, inFlight int) {
 	l.lingerUntil = slices.DeleteFunc(l.lingerUntil, func(until time.Duration) bool { return until <= to })
 	seconds := (to - from).Seconds()
@@ -54,7 +54,7 @@
 	l.lingerUntil = append(l.lingerUntil, now+l.linger)
 }
 
-// allows tells whether one more call may be made.
+// allows reports whether one more call may be made.
 func (l *callLimiter) allows(inFlight int) bool {
 	if l.quota >= 1 {
 		return float64(inFlight+len(l.lingerUntil)+1) <= l.limit
@@ -62,7 +62,7 @@
 	return inFlight+len(l.lingerUntil) == 0 && l.savedTime >= l.linger.Seconds()+minCallTime.Seconds()
 }
 
-// spendable is how long a call may take with the call time saved up, if it may linger.
+// spendable is the longest call that the accrued call time allows, if it lingers after that.
 func (l *callLimiter) spendable() time.Duration {
 	seconds := l.savedTime - l.linger.Seconds()
 	return time.Duration(seconds * float64(time.Second))
@@ -79,9 +79,8 @@
 	}
 }
 
-// startCalls makes the calls that the limit allows, oldest request first. Those
-// that it doesn't are skipped where an answer without its call earns something,
-// and wait otherwise.
+// startCalls makes the calls that the limit allows, oldest request first. Calls
+// beyond it are skipped where a degraded answer earns something, and wait otherwise.
 func (c *Controller) startCalls() {
 	for _, r := range c.requests {
 		if !stepStartCall.allows(r.phase) || r.answered {
@@ -120,7 +119,7 @@
 	return deadline
 }
 
-// callsBacklogged tells whether more requests wait for calls than may be in
+// callsBacklogged reports whether more requests wait for calls than may be in
 // flight: cores may be free, the server isn't.
 func (c *Controller) callsBacklogged() bool {
 	return c.settings.Dependency == DependencyShared && c.calls.quota >= 1 &&
@@ -137,9 +136,9 @@
 	c.advance(r, stepNeedCall)
 }
 
-// callCompleted resumes a request after its call. One whose call failed goes on
-// without it or fails: a second call would add load to a dependency that is
-// overloaded, and might have its effect twice.
+// callCompleted resumes a request after its call. One whose call failed is
+// degraded or fails: a second call would add load to an overloaded dependency,
+// and might have its effect twice.
 func (c *Controller) callCompleted(e CallCompleted) {
 	r := c.byID[e.ID]
 	if r == nil || !stepCallSucceeded.allows(r.phase) {
--- a/admission/concurrency.go
+++ b/admission/concurrency.go
@@ -2,11 +2,11 @@
 
 // The concurrency limit c: how many requests run at once. It starts at the
 // number of cores, grows while cores are free and requests wait, and shrinks
-// while the cores are busy. Runs at calls are off the cores; a part of c is kept
-// for those that will be back.
+// while the cores are busy. Runs at calls are off the cores; a part of c is reserved
+// for their return.
 
 const (
-	// callCoreWeight, of a run, is what a request at a call will soon want of the cores.
+	// callCoreWeight, of a run, is the core time reserved for a request at a call.
 	callCoreWeight = 0.25
 	// usableRunsFraction is the fraction of the runs survived that may run or be at calls.
 	usableRunsFraction = 0.7
@@ -21,9 +21,8 @@
 	starvedCoresDivisor = 3
 )
 
-// canRun tells whether one more may go on the cores: the limit isn't reached,
-// and all that could come back from calls at once stays within what the server
-// survives.
+// canRun reports whether one more request may run: the limit isn't reached, and
+// the server survives if all requests at calls return at once.
 func (c *Controller) canRun() bool {
 	running := c.phaseCounts[phaseRunning]
 	atCalls := c.phaseCounts[phaseAwaitingCall] + c.phaseCounts[phaseInCall]
@@ -58,11 +57,11 @@
 	c.advance(r, stepRun)
 }
 
-// adjustLimit moves c at a gauge tick. It grows by the cores that are free, less
-// what is at calls: a limit that grew by one a tick would reject requests for
-// seconds while cores idle. It shrinks to the cores while they are busy, and
-// below while requests wait long to be read: reading shares the cores, and once
-// it can't keep up all that is read is too late.
+// adjustLimit moves c at a gauge tick. It grows by the free cores, less a part
+// for calls in flight: growth by one a tick would reject requests for seconds
+// while cores idle. It shrinks to the cores while they are busy, and
+// below while requests wait long to be read: reading shares the cores, and
+// once it falls behind every request is read too late.
 func (c *Controller) adjustLimit(g Gauges) {
 	cores := c.settings.Cores
 	free := int(float64(cores) - g.RunQueue - callCoreWeight*float64(c.phaseCounts[phaseInCall]))
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -108,14 +108,14 @@
 	c.solvePolicy(c.estimator.maxRate)
 }
 
-// passTime moves the clock and books the time that runs and calls took.
+// passTime moves the clock and accounts for the time that runs and calls took.
 func (c *Controller) passTime(now time.Duration) {
 	c.runTimes.expose((now - c.now).Seconds() * float64(c.phaseCounts[phaseRunning]))
 	c.calls.pass(c.now, now, c.phaseCounts[phaseInCall])
 	c.now = now
 }
 
-// apply books one event.
+// apply records one event.
 func (c *Controller) apply(e Event) {
 	switch e := e.(type) {
 	case Arrival:
--- a/admission/drain.go
+++ b/admission/drain.go
@@ -28,7 +28,7 @@
 	return max(c.now, c.stopAt-answerBeforeStop)
 }
 
-// arrivedAfterDrainGrace tells whether a request arrived too late to run.
+// arrivedAfterDrainGrace reports whether a request arrived too late to run.
 func (c *Controller) arrivedAfterDrainGrace(r *request) bool {
 	return c.draining && r.arrivedAt > c.drainStartedAt+c.settings.DrainGracePeriod
 }
--- a/admission/duplicates.go
+++ b/admission/duplicates.go
@@ -9,7 +9,7 @@
 // stored key of that one (DuplicateOf), and shares its result. It is never run.
 
 // minFreeForReadKeys is the fraction of the memory that must stay free for the
-// key of a plain read to be stored: sharing its result saves work, no more.
+// key of a plain read to be stored: it only saves work.
 const minFreeForReadKeys = 0.5
 
 // storedKey is the key of a request, by which its duplicates are found.
@@ -19,7 +19,7 @@
 }
 
 // answerDuplicate answers a request that repeats a stored one: with the result
-// of that one, or as that one was answered if it was rejected unrun.
+// of that one, or with a rejection if that one was rejected.
 func (c *Controller) answerDuplicate(r *request) {
 	original := c.byID[r.duplicateOf]
 	if original != nil && original.phase == phaseUndecided {
--- a/admission/episodes.go
+++ b/admission/episodes.go
@@ -8,7 +8,7 @@
 
 // Doubling episodes (section 4, algorithm 3): the policy is solved anew at the
 // end of each episode, whose length is twice that of the one before. An episode
-// ends early when what is observed has left the confidence set of its policy.
+// ends early when the observed rates leave the confidence set of its policy.
 
 const (
 	// firstEpisodeLength is t1: some tens of arrivals, and a policy soon after the start.
@@ -26,8 +26,8 @@
 	maxServiceRateDrift = 0.25
 	// arrivalWindowTicks is the number of gauge ticks over which recent arrivals are counted: 1 s.
 	arrivalWindowTicks = 4
-	// maxStateFactor is S as a multiple of the runs that the server survives: what
-	// is queued beyond is past its objective.
+	// maxStateFactor is S as a multiple of the runs that the server survives: a
+	// request queued beyond that would miss its objective.
 	maxStateFactor = 4
 	// maxStates bounds S, and with it the time that a policy takes.
 	maxStates = 400
@@ -90,14 +90,14 @@
 	c.logPolicy()
 }
 
-// isBurst tells whether the recent rate is beyond what Λ̃ explains. In the first
-// episode Λ̃ is Λmax, and says nothing.
+// isBurst reports whether the recent rate exceeds Λ̃ by more than chance. In the
+// first episode Λ̃ is Λmax, which is no estimate.
 func (c *Controller) isBurst(recent float64) bool {
 	planned := c.policy.model.arrivalRate
 	return c.estimator.episode > 1 && recent > planned+burstDeviations*math.Sqrt(planned)
 }
 
-// serviceDrifted tells whether μ or c differs from that of the policy.
+// serviceDrifted reports whether μ or c differs from that of the policy.
 func (c *Controller) serviceDrifted() bool {
 	m := &c.policy.model
 	rate := c.runTimes.serviceRate()
--- a/admission/health.go
+++ b/admission/health.go
@@ -4,11 +4,11 @@
 // that should have ended and did not, and how long requests wait to be read.
 
 const (
-	// unhealthyAfterMissedRuns is how many expected completions may fail to come
+	// unhealthyAfterMissedRuns is how many expected completions may be missing
 	// before the server calls itself unhealthy.
 	unhealthyAfterMissedRuns = 20.0
-	// unhealthyReadDelay, of the objective, is a wait to be read that leaves too
-	// little for use.
+	// unhealthyReadDelay, of the objective, is the wait to be read beyond which too
+	// little time is left to run.
 	unhealthyReadDelay = 0.7
 )
 
--- a/admission/idletimeout.go
+++ b/admission/idletimeout.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// The idle timeout of connections, set at each gauge tick. Where callers are many
-// each seldom comes again soon, and an idle connection costs core time and, once
-// the table is full, its place: it is closed at once. While nearly all requests
-// are rejected, opening connections is the greater cost: then they are kept, and
-// a full table turns callers away at no cost to the cores.
+// The idle timeout of connections, set at each gauge tick. With many callers
+// each one seldom sends again soon, and an idle connection costs core time and a
+// place in the connection table: it is closed at once. While nearly all requests
+// are rejected, opening connections costs more: then they stay open, and a full
+// table rejects callers at no cost to the cores.
 
 const (
 	// maxCallersPerCore: with no more callers than this per core, connections stay open.
--- a/admission/memory.go
+++ b/admission/memory.go
@@ -4,7 +4,7 @@
 // RunMemoryFactor times that from its start to its end; a stored key takes
 // KeyMemoryKB. A server that needs more than MemoryKB dies.
 
-// usableMemoryFraction is the fraction of the memory that is handed out.
+// usableMemoryFraction is the fraction of the memory that is used; the rest is a reserve.
 const usableMemoryFraction = 0.92
 
 // memoryOf is the memory that a request occupies in its phase.
@@ -18,7 +18,8 @@
 	return r.memoryKB * c.settings.RunMemoryFactor
 }
 
-// freeMemory is what is left to hand out.
+// freeMemory is the usable memory that is neither taken nor reserved, in kB. It may
+// be negative.
 func (c *Controller) freeMemory() float64 {
 	keys := float64(len(c.storedKeys)) * c.settings.KeyMemoryKB
 	return c.settings.MemoryKB*usableMemoryFraction - c.requestsKB - keys
--- a/admission/policy.go
+++ b/admission/policy.go
@@ -109,7 +109,7 @@
 	}
 }
 
-// samePolicy tells whether both biases accept the same classes in every state.
+// samePolicy reports whether both biases accept the same classes in every state.
 func (m *admissionModel) samePolicy(a, b []float64) bool {
 	for s := range m.maxState {
 		for i := range m.classShares {
--- a/admission/preempt.go
+++ b/admission/preempt.go
@@ -5,7 +5,7 @@
 const preemptAfterMeanRuns = 3.0
 
 // preemptLongRun pauses a run that is far longer than the mean of its class, for
-// a request that finds the limit reached, and tells whether it did. Where work
+// a request that finds the limit reached, and reports whether it did. Where work
 // is uneven the longest runs hold most of a small server, and those that ran
 // long have longest to go. It needs PreemptionPause; where weight counts per
 // work, long runs earn what they take.
--- a/admission/quota.go
+++ b/admission/quota.go
@@ -13,8 +13,8 @@
 	minTotalQuota = 1e-9
 )
 
-// tenantWeightFraction books an arrival of the tenant and returns the fraction
-// of its weight that is to be expected. The server doesn't know the rates over
+// tenantWeightFraction counts an arrival of the tenant and returns the fraction of
+// its weight that it is expected to earn. The server doesn't know the rates over
 // all servers, so it compares the tenants' fractions of its own arrivals with
 // their fractions of all quotas: a surge of all tenants puts none over its quota.
 func (c *Controller) tenantWeightFraction(tenant int) float64 {
--- a/admission/request.go
+++ b/admission/request.go
@@ -79,7 +79,7 @@
 		phaseAwaitingResult, phaseFinished), phaseFinished},
 }
 
-// allows tells whether the step may be taken from the phase.
+// allows reports whether the step may be taken from the phase.
 func (s step) allows(p phase) bool { return transitions[s].from&(1<<p) != 0 }
 
 // request is one that the server holds, answered or not.
@@ -103,7 +103,8 @@
 	onCoresSince time.Duration // clock time; of a running request
 }
 
-// advance takes a request one step on, and books its phase and memory.
+// advance moves a request to its next phase, and accounts for its phase, memory and
+// core time.
 func (c *Controller) advance(r *request, s step) {
 	to := transitions[s].to
 	if r.phase == phaseRunning {
--- a/admission/retryadvice.go
+++ b/admission/retryadvice.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Retry advice: what a rejection tells the caller. Inputs: the recent arrival
+// Retry advice: what a rejection asks of the caller. Inputs: the recent arrival
 // rate, cμ, the policy's thresholds, and the fractions of the requests read
 // lately that were rejected here or marked as retries.
 
 const (
-	// retryAfterPerExcess is how long to stay away for each capacity of excess arrivals.
+	// retryAfterPerExcess is the advice for each multiple of cμ by which arrivals exceed it.
 	retryAfterPerExcess = 100 * time.Millisecond
 	// minFutileRejections is the fraction of rejected requests from which retries
-	// elsewhere are futile, if retries come in too.
+	// elsewhere are futile, if retries arrive too.
 	minFutileRejections = 0.2
 	// minFutileRetries is the fraction of retries that shows that others reject as much.
 	minFutileRetries = 0.1
@@ -22,8 +22,8 @@
 	maxUsefulRejections = 0.5
 )
 
-// retryAfter is when to come back: once the runs that keep the class out have
-// ended. A draining server asks callers to stay away as long as they would.
+// retryAfter is the time until the runs that exclude the class have ended. A
+// draining server gives the longest advice.
 func (c *Controller) retryAfter(class int) time.Duration {
 	if c.draining {
 		return c.settings.MaxRetryAfter
@@ -36,9 +36,9 @@
 	return min(c.settings.MaxRetryAfter, time.Duration(math.Max(0, seconds)*float64(time.Second)))
 }
 
-// retriesFutile tells whether another server would reject the request too. In a
+// retriesFutile reports whether another server would reject the request too. In a
 // large fleet one server may be full while most have capacity: rejections here
-// alone don't show it unless they are most of what is read. Rejections below
+// alone don't show it unless most requests are rejected. Rejections below
 // the first tier waste the work of the tiers above, and are always final.
 func (c *Controller) retriesFutile() bool {
 	othersReject := c.retryFraction > minFutileRetries || !c.settings.RetriesMarked
@@ -46,7 +46,7 @@
 		c.rejectedFraction > minFutileRejections && othersReject
 }
 
-// countRetry books an arrival in the fractions kept of them.
+// countRetry updates the fractions of rejected requests and of retries at an arrival.
 func (c *Controller) countRetry(retry bool) {
 	c.rejectedFraction -= c.rejectedFraction * requestSmoothing
 	c.retryFraction -= c.retryFraction * requestSmoothing
@@ -55,5 +55,5 @@
 	}
 }
 
-// countRejection books the rejection of an arrival.
+// countRejection adds a rejection to the fraction of rejected requests.
 func (c *Controller) countRejection() { c.rejectedFraction += requestSmoothing }
--- a/admission/reward.go
+++ b/admission/reward.go
@@ -6,7 +6,7 @@
 // R(i) is the weight of its class; γ(i) is such that a wait up to the objective
 // costs all of it.
 
-// objectiveMargin is the fraction of an objective that is kept for the way to
+// objectiveMargin is the fraction of an objective that is reserved for the way to
 // the client and back.
 const objectiveMargin = 0.05
 
@@ -34,7 +34,7 @@
 // lateReward is the reward of a request that can't be answered within its objective.
 const lateReward = -1
 
-// reward is r(i)(s) of one request, by the time that is left until its objective.
+// reward is r(i)(s) of one request, with the time that remains until its objective.
 func (c *Controller) reward(r *request, state int) float64 {
 	budget := (min(r.objective, r.deadline) - c.now).Seconds() - c.runTimes.meanSeconds[r.class]
 	if budget <= 0 {
--- a/admission/runtimes.go
+++ b/admission/runtimes.go
@@ -6,17 +6,17 @@
 // the fraction of runs that answer their client.
 
 const (
-	// objectivesPerRun is the first guess: an objective is this many mean runs.
+	// runsPerObjective is the first guess: an objective is this many mean runs.
 	runsPerObjective = 6.0
 	// priorRuns is the number of completed runs that the first guess counts for.
 	priorRuns = 3.0
 	// maxRememberedRuns is how many completed runs μ remembers: an error of 1/√40.
 	maxRememberedRuns = 40.0
-	// doubtAfterMissedRuns is how many expected completions may fail to come
+	// doubtAfterMissedRuns is how many expected completions may be missing
 	// before μ is lowered.
 	doubtAfterMissedRuns = 5.0
-	// minSuccessFraction is what a class counts for when all of its runs fail: it
-	// must be able to recover.
+	// minSuccessFraction is the success of a class whose runs all fail: above 0, so
+	// that it can recover.
 	minSuccessFraction = 0.1
 	// minExposure in run-seconds avoids a division by 0.
 	minExposure = 1e-9
@@ -45,7 +45,7 @@
 	return t
 }
 
-// expose adds time that runs spent on the cores.
+// expose adds the time that runs spent on the cores.
 func (t *runTimes) expose(runSeconds float64) {
 	t.exposure += runSeconds
 	t.sinceExit += runSeconds
@@ -78,8 +78,8 @@
 	}
 }
 
-// serviceRate is μ, completions per run-second. It is lowered when nothing has
-// left the cores for much longer than it explains: a hang, a stall, sudden slowness.
+// serviceRate is μ, completions per run-second. It is lowered when no run
+// has left the cores for much longer than it predicts: a hang or a sudden slowdown.
 func (t *runTimes) serviceRate() float64 {
 	rate := t.completed / t.exposure
 	if t.missedRuns() > doubtAfterMissedRuns {
--- a/admission/smoothing.go
+++ b/admission/smoothing.go
@@ -1,7 +1,7 @@
 package admission
 
-// requestSmoothing is the weight of one request in the exponential means kept
-// of requests: the last 20 count most.
+// requestSmoothing is the weight of one request in exponential means over
+// requests: the last 20 count most.
 const requestSmoothing = 0.05
 
 // smooth moves an exponential mean towards the value of one more request.
--- a/admission/timers.go
+++ b/admission/timers.go
@@ -33,13 +33,13 @@
 	c.updateAdvert()
 	c.updateIdleTimeout()
 	if c.recentArrivals[0] == 0 {
-		c.readDelay *= 1 - requestSmoothing // without arrivals it fades, so that callers come again
+		c.readDelay *= 1 - requestSmoothing // decays without arrivals, so that health recovers
 	}
 	c.recentArrivals.nextTick()
 }
 
 // armTimer asks for the earliest time at which something is due: the next gauge
-// tick or the expiry of a request. A timer that is already earlier serves.
+// tick or the expiry of a request. An earlier timer that is still pending is enough.
 func (c *Controller) armTimer() {
 	next := c.nextGaugeAt
 	for _, r := range c.requests {
--- a/cmd/simadapter/host.go
+++ b/cmd/simadapter/host.go
@@ -9,7 +9,7 @@
 	"oxbowbridge/internal/simproto"
 )
 
-// Errors of messages that fit the protocol and not the instance; they come
+// Errors of messages that fit the protocol and not the instance; they are
 // wrapped in a *simproto.LineError.
 var (
 	errUnknownInstance = errors.New("unknown instance")
--- a/internal/simproto/errors.go
+++ b/internal/simproto/errors.go
@@ -6,8 +6,8 @@
 	"strconv"
 )
 
-// Errors of lines and settings; they come wrapped in a LineError, FieldError or
-// in the name of a setting.
+// Errors of lines and settings; they are wrapped in a LineError and a
+// FieldError, or with the name of a setting.
 var (
 	// ErrMissing: a required field is absent.
 	ErrMissing = errors.New("missing")
--- a/internal/simproto/settings.go
+++ b/internal/simproto/settings.go
@@ -25,7 +25,7 @@
 	Tier              int              `json:"tier"`
 }
 
-// Bounds is what the site lets a server do.
+// Bounds limits what callers follow.
 type Bounds struct {
 	MaxRetryAfter time.Duration `json:"max_retry_after_ns"`
 	RetryAfter    bool          `json:"retry_after"`
@@ -48,7 +48,7 @@
 	MarkRetries bool `json:"marks_retry"`
 }
 
-// ServerInfo is what a server is told of itself and its site; see admission.Settings.
+// ServerInfo describes the server and its site; see admission.Settings.
 type ServerInfo struct {
 	Advert                string        `json:"advert"`
 	Dependency            string        `json:"below"`
--- a/internal/simproto/terms.go
+++ b/internal/simproto/terms.go
@@ -114,7 +114,7 @@
 	"tier":   admission.DependencyNextTier,
 }
 
-// weightPerWork tells whether weights count per unit of work.
+// weightPerWork reports whether weights count per unit of work.
 var weightPerWork = map[string]bool{
 	"":        false,
 	"request": false,
