--- /dev/null
+++ b/internal/transport/engine/receive.go
@@ -0,0 +1,132 @@
+package engine
+
+import (
+	"strconv"
+	"strings"
+
+	"go.uber.org/zap"
+
+	"oxbowbridge/internal/proxy/exchange"
+	"oxbowbridge/internal/transport/lineproto"
+)
+
+// receive handles one message of the engine.
+func (s *Session) receive(m lineproto.Message) {
+	s.unansweredPolls = 0
+	words := m.Words
+	switch kind := words[0]; {
+	case kind == messageHello && len(words) == 3:
+		s.receiveGreeting(words)
+	case kind == messageStats && len(words) >= 2:
+		s.receiveStats(words)
+	case kind == messageRejected && len(words) >= 2:
+		s.receiveRejection(words)
+	case isNotice(kind) && len(words) >= 2:
+		s.receiveNotice(m)
+	default:
+		s.logNotUnderstood(words)
+	}
+}
+
+func (s *Session) logNotUnderstood(words []string) {
+	s.Log.Warn("engine line not understood", zap.Strings("words", words))
+}
+
+// receiveGreeting sends the runs that wait for the engine, and asks it for an answer that
+// follows all missed notices (see resync).
+func (s *Session) receiveGreeting(words []string) {
+	hello, err := parseGreeting(words)
+	if err != nil {
+		s.logNotUnderstood(words)
+		return
+	}
+	s.greeted = true
+	s.reconnectDelay = minReconnectDelay
+	for _, r := range s.runs {
+		if r.runSentOn == noConn {
+			s.sendRun(r)
+		}
+	}
+	s.send(commandStats, tagSync)
+	if s.ready {
+		return
+	}
+	s.ready = true
+	s.Log.Info("engine up", zap.String("state", hello.state), zap.Int64("since_ms", hello.uptimeMs))
+	s.Exchange.Post(exchange.RunnerReady{ColdStart: hello.state == stateColdStart, Uptime: hello.uptime()})
+}
+
+func (s *Session) receiveStats(words []string) {
+	if words[1] == tagSync {
+		s.resync()
+		return
+	}
+	gauges, err := parseGauges(words[2:])
+	if err != nil {
+		s.logNotUnderstood(words)
+		return
+	}
+	s.Exchange.Post(gauges)
+}
+
+// receiveNotice handles a notice, unless it is repeated after an ATTACH.
+func (s *Session) receiveNotice(m lineproto.Message) {
+	words := m.Words
+	number, err := strconv.ParseUint(words[1], 10, 64)
+	if err != nil {
+		s.logNotUnderstood(words)
+		return
+	}
+	if number <= s.lastNotice {
+		return
+	}
+	s.noticesMissing = s.noticesMissing || number != s.lastNotice+1
+	s.lastNotice = number
+	switch kind := words[0]; {
+	case kind == noticeCallNeeded && len(words) == 4:
+		s.receiveCall(words[2], m.Payload)
+	case kind == noticeDone && len(words) == 6:
+		s.receiveCompletion(m)
+	case kind != noticeRemark:
+		s.logNotUnderstood(words)
+	}
+}
+
+// receiveCall reports the call that a run stands at.
+func (s *Session) receiveCall(traceID string, body []byte) {
+	if r := s.runs[traceID]; r != nil {
+		r.started = true
+		r.reply = nil
+		r.replyOn = noConn
+		r.resumeOn = noConn
+	}
+	s.Exchange.Post(exchange.Outcome{TraceID: traceID, Stage: exchange.CallNeeded, Body: body})
+}
+
+// receiveCompletion reports the end of a run. One that was stopped where that pauses it, and
+// whose request is not answered, stays known: it may be resumed.
+func (s *Session) receiveCompletion(m lineproto.Message) {
+	done, ok := parseCompletion(m)
+	if !ok {
+		s.logNotUnderstood(m.Words)
+	}
+	r := s.runs[done.traceID]
+	paused := done.result == exchange.ResultStopped && s.pausesOnStop && r != nil && r.stopping && !r.answered
+	if !paused {
+		s.report(done)
+		return
+	}
+	r.started = true
+	r.stopping = false
+	s.post(done)
+}
+
+// receiveRejection handles a command that was not carried out. A RUN that the engine rejects is
+// of no request that came to this process from a balancer.
+func (s *Session) receiveRejection(words []string) {
+	s.Log.Warn("engine rejected a command", zap.String("command", strings.Join(words[1:], " ")))
+	if len(words) < 3 || words[1] != commandRun || s.runs[words[2]] == nil {
+		return
+	}
+	s.finish(words[2], exchange.ResultNotStarted)
+}
--- /dev/null
+++ b/internal/transport/engine/session.go
@@ -0,0 +1,175 @@
+package engine
+
+import (
+	"errors"
+	"strconv"
+	"time"
+
+	"go.uber.org/zap"
+
+	"oxbowbridge/internal/proxy/timerqueue"
+	"oxbowbridge/internal/transport/eventloop"
+	"oxbowbridge/internal/transport/lineproto"
+	"oxbowbridge/internal/transport/session"
+)
+
+const (
+	// Delay before a connection is dialed again, which doubles with each failure.
+	minReconnectDelay = time.Millisecond
+	maxReconnectDelay = 500 * time.Millisecond
+
+	// greetingTimeout is how long a connection waits for HELLO before another one is opened beside
+	// it. An engine that is not up yet sends none, but neither does one that has lost the connection.
+	greetingTimeout = 2 * time.Second
+
+	// The engine counts as lost after maxUnansweredPolls polls, which is 5 s, without a message.
+	// Polls that are closer than minPollInterval count as one.
+	minPollInterval    = 250 * time.Millisecond
+	maxUnansweredPolls = 20
+)
+
+var errSilent = errors.New("no message from the engine")
+
+// connNumber numbers connections, and dials of them, from 1.
+type connNumber int
+
+// noConn stands for no connection.
+const noConn connNumber = 0
+
+// Session is the exchange.Runner that speaks to the engine.
+type Session struct {
+	session.Dependencies
+	addr            string
+	pausesOnStop    bool // a stopped run is paused, and can be resumed
+	conn            *eventloop.Conn
+	current         connNumber // number of conn, or noConn
+	latestDial      connNumber
+	greeted         bool // HELLO has arrived on the current connection
+	ready           bool // HELLO has arrived once
+	lastNotice      uint64
+	noticesMissing  bool // notices are missing before the first one on the current connection
+	reconnectDelay  time.Duration
+	reconnectTimer  *timerqueue.Timer
+	unansweredPolls int           // since the latest message of the engine
+	lastCountedPoll time.Duration // when the latest of them was
+	runs            map[string]*run
+}
+
+// New returns a Session that is not connected. pausesOnStop tells what HALT does to a run.
+func New(addr string, pausesOnStop bool, deps session.Dependencies) *Session {
+	return &Session{
+		Dependencies:   deps,
+		addr:           addr,
+		pausesOnStop:   pausesOnStop,
+		reconnectDelay: minReconnectDelay,
+		runs:           map[string]*run{},
+	}
+}
+
+// Open connects, and connects again whenever the connection is lost. A current connection is
+// used until the new one takes its place.
+func (s *Session) Open() {
+	s.Timers.Cancel(s.reconnectTimer)
+	s.latestDial++
+	n := s.latestDial
+	s.Dial(s.addr, &session.LineHandler{
+		Dependencies: s.Dependencies,
+		Parser:       lineproto.Parser{HasPayload: hasPayload},
+		Current:      func() bool { return n == s.current || n == s.latestDial },
+		OnMessage:    s.receive,
+		OnLost:       func(err error) { s.lost(n, err) },
+	}, func(c *eventloop.Conn, err error) { s.opened(n, c, err) })
+}
+
+// SetAddress goes on at another address. Runs and numbers of notices stay as they are: it is the
+// same engine.
+func (s *Session) SetAddress(addr string) {
+	if addr == s.addr {
+		return
+	}
+	s.addr = addr
+	s.reconnectDelay = minReconnectDelay
+	s.Open()
+}
+
+// opened makes a connection the current one, unless a later dial has taken its place.
+func (s *Session) opened(n connNumber, c *eventloop.Conn, err error) {
+	if err != nil {
+		s.lost(n, err)
+		return
+	}
+	if n != s.latestDial { // another dial is under way, or this connection was lost already
+		c.Abort()
+		return
+	}
+	if s.conn != nil {
+		s.conn.Abort()
+	}
+	s.conn = c
+	s.current = n
+	s.greeted = false
+	s.noticesMissing = false
+	s.unansweredPolls = 0
+	s.send(commandAttach, strconv.FormatUint(s.lastNotice, 10))
+	s.Timers.Schedule(s.Now()+greetingTimeout, func() { s.checkGreeting(n) })
+}
+
+// checkGreeting opens another connection if the given one is the latest and had no HELLO so far.
+func (s *Session) checkGreeting(n connNumber) {
+	if n == s.current && n == s.latestDial && !s.greeted {
+		s.Open()
+	}
+}
+
+// lost dials once more if the current connection or the latest dial has failed.
+func (s *Session) lost(n connNumber, err error) {
+	if n == s.current {
+		s.conn.Abort()
+		s.conn = nil
+		s.current = noConn
+		s.greeted = false
+	}
+	if n != s.latestDial {
+		return
+	}
+	s.latestDial++ // nothing more is expected of the dial that failed
+	s.Log.Warn("engine connection lost", zap.Error(err), zap.Int64("retry_in_ms", s.reconnectDelay.Milliseconds()))
+	s.reconnectTimer = s.Timers.Schedule(s.Now()+s.reconnectDelay, s.Open)
+	s.reconnectDelay = min(2*s.reconnectDelay, maxReconnectDelay)
+}
+
+// RequestGauges polls the engine for the gauges, and guards against a connection that stays open
+// and silent: an engine that was up once answers, also while its work hangs. Polls are counted
+// rather than time, so that a pause of this process is held against nobody. A connection that
+// waits for an engine's start is silent by right.
+func (s *Session) RequestGauges() {
+	if s.greeted {
+		s.send(commandStats, tagGauges)
+	}
+	if s.conn == nil || !s.ready {
+		return
+	}
+	now := s.Now()
+	if now-s.lastCountedPoll < minPollInterval {
+		return
+	}
+	s.lastCountedPoll = now
+	s.unansweredPolls++
+	if s.unansweredPolls > maxUnansweredPolls {
+		s.lost(s.current, errSilent)
+	}
+}
+
+// send sends a command, if there is a connection.
+func (s *Session) send(words ...string) {
+	if s.conn != nil {
+		s.conn.Write(lineproto.AppendLine(nil, words...))
+	}
+}
+
+// sendPayload sends a command with a payload, if there is a connection.
+func (s *Session) sendPayload(payload []byte, words ...string) {
+	if s.conn != nil {
+		s.conn.Write(lineproto.AppendWithPayload(nil, payload, words...))
+	}
+}
--- /dev/null
+++ b/internal/transport/lineproto/parser.go
@@ -0,0 +1,91 @@
+package lineproto
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"strconv"
+	"strings"
+)
+
+// Limits in bytes, without the CR LF.
+const (
+	maxLineBytes    = 1 << 10
+	maxPayloadBytes = 64 << 10
+)
+
+// ErrMalformed is wrapped by all errors of a Parser.
+var ErrMalformed = errors.New("malformed line")
+
+// Parser cuts a stream into messages. After an error it must not be used again.
+type Parser struct {
+	// HasPayload tells by a line's words whether a payload follows it.
+	HasPayload func(words []string) bool
+
+	buf          []byte
+	words        []string // of a line whose payload is incomplete
+	payloadBytes int      // length of that payload
+}
+
+// Feed takes the next bytes and calls handle with each message that they complete.
+func (p *Parser) Feed(b []byte, handle func(Message)) error {
+	p.buf = append(p.buf, b...)
+	rest := p.buf
+	defer func() { p.buf = append(p.buf[:0], rest...) }()
+	for {
+		next := p.line
+		if p.words != nil {
+			next = p.payload
+		}
+		m, n, err := next(rest)
+		if err != nil || n == 0 {
+			return err
+		}
+		rest = rest[n:]
+		if m != nil {
+			handle(*m)
+		}
+	}
+}
+
+// line reads a line and returns how many bytes it took, 0 if it is incomplete. The message is
+// nil if a payload follows.
+func (p *Parser) line(b []byte) (m *Message, n int, err error) {
+	end := bytes.Index(b, []byte(lineEnd))
+	switch {
+	case end > maxLineBytes, end < 0 && len(b) > maxLineBytes:
+		return nil, 0, fmt.Errorf("%w: longer than %d bytes", ErrMalformed, maxLineBytes)
+	case end < 0:
+		return nil, 0, nil
+	}
+	n = end + len(lineEnd)
+	words := strings.Fields(string(b[:end]))
+	if len(words) == 0 {
+		return nil, 0, fmt.Errorf("%w: empty", ErrMalformed)
+	}
+	if !p.HasPayload(words) {
+		return &Message{Words: words}, n, nil
+	}
+	length := words[len(words)-1]
+	p.payloadBytes, err = strconv.Atoi(length)
+	if err != nil || p.payloadBytes < 0 || p.payloadBytes > maxPayloadBytes {
+		return nil, 0, fmt.Errorf("%w: length %q of %s", ErrMalformed, length, words[0])
+	}
+	p.words = words
+	return nil, n, nil
+}
+
+// payload reads the payload that is due, and returns how many bytes it took, 0 if it is
+// incomplete.
+func (p *Parser) payload(b []byte) (m *Message, n int, err error) {
+	n = p.payloadBytes + len(lineEnd)
+	if len(b) < n {
+		return nil, 0, nil
+	}
+	if string(b[p.payloadBytes:n]) != lineEnd {
+		return nil, 0, fmt.Errorf("%w: no CR LF after the %d bytes of %s", ErrMalformed, p.payloadBytes, p.words[0])
+	}
+	m = &Message{Words: p.words, Payload: bytes.Clone(b[:p.payloadBytes])}
+	p.words = nil
+	return m, n, nil
+}
--- a/internal/transport/lineproto/lines_test.go
+++ b/internal/transport/lineproto/parser_test.go
@@ -27,3 +27,16 @@
 		require.Equal(t, read(in), read(in[:cut], in[cut:]))
 	})
 }
+
+// TestAppend: what is appended is read back, and the bytes are the protocol's.
+func TestAppend(t *testing.T) {
+	b := AppendLine(nil, "ATTACH", "0")
+	b = AppendWithPayload(b, []byte("body\r\n"), "RUN", "9b1f03aa5c7e2d41", "nom-submit")
+	b = AppendWithPayload(b, nil, "FEED", "9b1f03aa5c7e2d41")
+	require.Equal(t, "ATTACH 0\r\nRUN 9b1f03aa5c7e2d41 nom-submit 6\r\nbody\r\n\r\nFEED 9b1f03aa5c7e2d41 0\r\n\r\n", string(b))
+	p := Parser{HasPayload: func(words []string) bool { return words[0] != "ATTACH" }}
+	var got []Message
+	require.NoError(t, p.Feed(b, func(m Message) { got = append(got, m) }))
+	require.Equal(t, []Message{{Words: []string{"ATTACH", "0"}}, {Words: []string{"RUN", "9b1f03aa5c7e2d41", "nom-submit", "6"}, Payload: []byte("body\r\n")},
+		{Words: []string{"FEED", "9b1f03aa5c7e2d41", "0"}, Payload: []byte{}}}, got)
+}
--- /dev/null
+++ b/internal/transport/records/client.go
@@ -0,0 +1,96 @@
+package records
+
+import (
+	"slices"
+	"time"
+
+	"oxbowbridge/internal/proxy/exchange"
+	"oxbowbridge/internal/proxy/fdquota"
+	"oxbowbridge/internal/proxy/timerqueue"
+	"oxbowbridge/internal/transport/session"
+)
+
+// Client is the exchange.DependencyClient that speaks to the records service.
+type Client struct {
+	session.Dependencies
+	addr    string        // "" without a service
+	pool    *fdquota.Pool // of descriptors for connections
+	linger  time.Duration // for which a call that is given up still counts at the service
+	calls   map[string]*call
+	queue   []*call // without a connection, oldest first
+	idle    []*conn // the latest used last
+	latency latencyEstimator
+}
+
+// call is a call that has not ended.
+type call struct {
+	exchange.Attempt
+	conn        *conn // nil while it has none
+	deadline    time.Duration
+	sends       int
+	failedDials int
+	retryTimer  *timerqueue.Timer // of the next placement
+}
+
+// maxSends is how often an idempotent call is sent.
+const maxSends = 3
+
+// mayResend reports whether the call may be sent once more after it may have run.
+func (k *call) mayResend() bool { return k.Idempotent && k.sends < maxSends }
+
+// New returns a Client that connects when there are calls, as far as the pool has descriptors for
+// them. Without an address each call ends as unreachable. What is given up may remain for linger
+// at a service that all share, and count there: a call is sent again only after that, so that
+// each request has one at a time.
+func New(addr string, pool *fdquota.Pool, linger time.Duration, deps session.Dependencies) *Client {
+	return &Client{
+		Dependencies: deps,
+		addr:         addr,
+		pool:         pool,
+		linger:       linger,
+		calls:        map[string]*call{},
+		latency:      newLatencyEstimator(),
+	}
+}
+
+// SetAddress has new calls go to another address. Those that were sent stay where they are.
+func (c *Client) SetAddress(addr string) {
+	if addr == c.addr {
+		return
+	}
+	c.addr = addr
+	for len(c.idle) > 0 {
+		c.idle[0].end(exchange.ResultUnreachable)
+	}
+}
+
+// Call makes a call, in place of an earlier one for the same request; the outcome is posted to
+// the exchange.
+func (c *Client) Call(a exchange.Attempt) {
+	c.Cancel(a.TraceID)
+	k := &call{Attempt: a, deadline: c.Now() + a.Timeout}
+	c.calls[a.TraceID] = k
+	c.place(k)
+}
+
+// Cancel gives up a call. No outcome follows. Its connection is not used again, since the reply
+// may still come on it.
+func (c *Client) Cancel(traceID string) {
+	k := c.calls[traceID]
+	if k == nil {
+		return
+	}
+	delete(c.calls, traceID)
+	if k.conn == nil {
+		c.Timers.Cancel(k.retryTimer)
+		c.queue = slices.DeleteFunc(c.queue, func(queued *call) bool { return queued == k })
+		return
+	}
+	k.conn.cancel()
+}
+
+// finish reports the end of a call.
+func (c *Client) finish(k *call, result exchange.Result, body []byte) {
+	delete(c.calls, k.TraceID)
+	c.Exchange.Post(exchange.Outcome{TraceID: k.TraceID, Stage: exchange.CallEnded, Result: result, Body: body})
+}
--- a/internal/transport/records/records_test.go
+++ b/internal/transport/records/client_test.go
@@ -24,7 +24,7 @@
 type rig struct {
 	t        *testing.T
 	pool     *fdquota.Pool
-	link     *Client
+	client   *Client
 	exchange *exchange.Exchange
 	calls    chan received // that have reached the service
 	outcomes []exchange.Outcome
@@ -56,7 +56,7 @@
 	require.NoError(t, err)
 	t.Cleanup(loop.Stop)
 	began := time.Now()
-	r.link = New(ln.Addr().String(), pool, 0, session.Dependencies{Exchange: r.exchange, Loop: loop, Timers: &timerqueue.Queue{},
+	r.client = New(ln.Addr().String(), pool, 0, session.Dependencies{Exchange: r.exchange, Loop: loop, Timers: &timerqueue.Queue{},
 		Now: func() time.Duration { return time.Since(began) }, Log: zap.NewNop()})
 	return r
 }
@@ -80,7 +80,7 @@
 	}
 }
 
-// turn does what the core does: it carries out steps, and keeps outcomes.
+// turn does what the dispatcher does: it carries out callbacks, and keeps outcomes.
 func (r *rig) turn() {
 	for _, e := range r.exchange.Dequeue(nil) {
 		switch e := e.(type) {
@@ -118,15 +118,15 @@
 
 func trace(n int) string { return strings.Repeat("0", 15) + fmt.Sprintf("%x", n) }
 
-// TestBoundOnConnections: a connection that is given up to make room for one call makes
-// none for the next that waits. Calls that must not be sent twice each want a connection of
-// their own, so that every reply leaves a free one behind.
+// TestBoundOnConnections: a connection that is closed to make room for one call makes
+// none for the next that queues. Calls that are not idempotent each need a connection of
+// their own, so that every reply leaves an idle one behind.
 func TestBoundOnConnections(t *testing.T) {
 	for most := 1; most <= 3; most++ {
 		r := newRig(t, most)
 		const calls = 9
 		for n := range calls {
-			r.link.Call(exchange.Attempt{TraceID: trace(n), Timeout: time.Minute, Body: []byte("x")})
+			r.client.Call(exchange.Attempt{TraceID: trace(n), Timeout: time.Minute, Body: []byte("x")})
 		}
 		for n := range calls {
 			c := r.arrived()
@@ -140,7 +140,7 @@
 		for _, o := range r.outcomes {
 			require.Equal(t, exchange.ResultOK, o.Result, o.TraceID)
 		}
-		require.Empty(t, r.link.calls)
-		require.Empty(t, r.link.waiting)
+		require.Empty(t, r.client.calls)
+		require.Empty(t, r.client.queue)
 	}
 }
--- /dev/null
+++ b/internal/transport/records/conn.go
@@ -0,0 +1,221 @@
+package records
+
+import (
+	"errors"
+	"fmt"
+	"strconv"
+	"time"
+
+	"go.uber.org/zap"
+
+	"oxbowbridge/internal/proxy/exchange"
+	"oxbowbridge/internal/proxy/timerqueue"
+	"oxbowbridge/internal/transport/eventloop"
+	"oxbowbridge/internal/transport/lineproto"
+	"oxbowbridge/internal/transport/session"
+)
+
+const (
+	// maxIdleTime is for how long an idle connection is kept. The service closes one after 10 s,
+	// and some hops on the way drop it earlier; a call that meets such an end proves nothing.
+	maxIdleTime  = time.Second
+	maxIdleConns = 16
+
+	// Dials for one call: the service may be moving to another address. The delay doubles with each.
+	maxDials       = 5
+	dialRetryDelay = 20 * time.Millisecond
+
+	// maxStrayReplies is how many replies without a call one call may bring with it.
+	maxStrayReplies = 16
+)
+
+var (
+	errMalformedReply = errors.New("reply not understood")
+	errReplyTimeout   = errors.New("no reply")
+)
+
+// conn is a connection to the service.
+type conn struct {
+	client        *Client
+	addr          string
+	socket        *eventloop.Conn // nil while dialing
+	state         connState
+	call          *call  // while dialing or busy
+	latestTraceID string // of its latest call, of which copies of the reply may still come
+	strayReplies  int    // since its latest call
+	sentAt        time.Duration
+	timer         *timerqueue.Timer // of the reply, or of the end of idleness
+}
+
+// connect dials for a call, for which acquireConn has taken a place.
+func (c *Client) connect(k *call) {
+	cn := &conn{client: c, addr: c.addr, call: k}
+	k.conn = cn
+	c.Dial(cn.addr, &session.LineHandler{
+		Dependencies: c.Dependencies,
+		Parser:       lineproto.Parser{HasPayload: hasPayload},
+		Current:      func() bool { return cn.state != connClosed },
+		OnMessage:    cn.receive,
+		OnLost:       cn.lost,
+	}, cn.opened)
+}
+
+// opened sends the call, unless it was cancelled meanwhile.
+func (c *conn) opened(socket *eventloop.Conn, err error) {
+	closed := c.state == connClosed
+	switch {
+	case err != nil && !closed:
+		c.dialFailed(err)
+	case err == nil && closed:
+		socket.Abort()
+	case err == nil:
+		c.socket = socket
+		c.begin(c.call)
+	}
+}
+
+// dialFailed has the call placed again after a delay: it was not sent, and the service may come
+// back or be moving to another address. A call that finds none in that time has failed.
+func (c *conn) dialFailed(err error) {
+	client := c.client
+	k := c.call
+	k.failedDials++
+	if k.failedDials >= maxDials || client.Now() >= k.deadline || client.addr == "" {
+		client.Log.Warn("records service not reached", zap.Error(err))
+		c.end(exchange.ResultUnreachable)
+		return
+	}
+	c.detach()
+	client.placeAfter(k, dialRetryDelay<<(k.failedDials-1))
+	c.end(exchange.ResultUnreachable)
+}
+
+// begin sends a call.
+func (c *conn) begin(k *call) {
+	client := c.client
+	c.state = c.state.next(callSent)
+	c.call = k
+	k.conn = c
+	k.sends++
+	c.latestTraceID = k.TraceID
+	c.strayReplies = 0
+	c.sentAt = client.Now()
+	timeout := strconv.FormatInt(timeoutMs(k.deadline-c.sentAt), 10)
+	c.socket.Write(lineproto.AppendWithPayload(nil, k.Body, commandCall, k.TraceID, timeout))
+	if k.mayResend() { // against replies that never come, or never end
+		c.timer = client.Timers.Schedule(c.sentAt+client.latency.replyTimeout(), func() { c.lost(errReplyTimeout) })
+	}
+}
+
+// cancel gives up the call of the connection.
+func (c *conn) cancel() {
+	traceID := c.call.TraceID
+	c.call = nil
+	if c.socket != nil {
+		c.socket.Write(lineproto.AppendLine(nil, commandCancel, traceID))
+	}
+	c.end(exchange.ResultUnreachable)
+}
+
+// receive handles one message of the service.
+func (c *conn) receive(m lineproto.Message) {
+	reply, err := parseReply(m)
+	if err != nil { // nothing after it can be trusted
+		c.lost(err)
+		return
+	}
+	if c.call == nil || c.call.TraceID != reply.traceID {
+		c.countStray()
+		return
+	}
+	if reply.result == exchange.ResultOK { // a rejection comes sooner
+		c.client.latency.observe(c.client.Now() - c.sentAt)
+	}
+	c.client.finish(c.detach(), reply.result, reply.body)
+	c.release()
+}
+
+// countStray counts a copy of a reply, or a reply to what was never asked, against a service that
+// has no end of them.
+func (c *conn) countStray() {
+	c.strayReplies++
+	if c.strayReplies > maxStrayReplies {
+		c.lost(fmt.Errorf("%w: %d that belong to no call", errMalformedReply, c.strayReplies))
+	}
+}
+
+// release keeps the connection for the next call, unless the service has another address by now.
+func (c *conn) release() {
+	client := c.client
+	if c.addr != client.addr {
+		c.end(exchange.ResultUnreachable)
+		return
+	}
+	c.state = c.state.next(callReplied)
+	client.idle = append(client.idle, c)
+	client.Timers.Cancel(c.timer)
+	c.timer = client.Timers.Schedule(client.Now()+maxIdleTime, func() { c.end(exchange.ResultUnreachable) })
+	if len(client.idle) > maxIdleConns {
+		client.idle[0].end(exchange.ResultUnreachable)
+	}
+	client.placeNext()
+}
+
+// lost ends a connection that was closed, whose input was malformed, or whose reply did not
+// come in time.
+func (c *conn) lost(err error) {
+	if c.state == connDialing {
+		c.dialFailed(err)
+		return
+	}
+	if c.call != nil {
+		if errors.Is(err, errReplyTimeout) { // it takes at least so long
+			c.client.latency.observe(c.client.Now() - c.sentAt)
+		}
+		c.client.Log.Warn("records connection lost", zap.String("trace", c.call.TraceID), zap.Error(err))
+	}
+	c.end(exchange.ResultConnectionLost)
+}
+
+// end closes the connection, ends its call with the result unless that may be sent again, and
+// lets the next call connect.
+func (c *conn) end(result exchange.Result) {
+	client := c.client
+	c.close()
+	if c.call != nil {
+		k := c.detach()
+		if result == exchange.ResultConnectionLost && k.mayResend() && client.Now()+client.linger < k.deadline {
+			client.resend(k)
+		} else {
+			client.finish(k, result, nil)
+		}
+	}
+	client.placeNext()
+}
+
+// resend places a call again that may have run, once the service has forgotten it.
+func (c *Client) resend(k *call) {
+	if c.linger == 0 {
+		c.place(k)
+	} else {
+		c.placeAfter(k, c.linger)
+	}
+}
+
+// close closes the connection and gives its place back to the pool.
+func (c *conn) close() {
+	c.state = c.state.next(connEnded)
+	c.client.pool.ReleaseCall()
+	c.client.removeIdle(c)
+	if c.socket != nil {
+		c.socket.CloseGracefully()
+	}
+}
+
+// detach takes the call from the connection.
+func (c *conn) detach() *call {
+	k := c.call
+	c.call = nil
+	k.conn = nil
+	return k
+}
--- /dev/null
+++ b/internal/transport/registry/protocol.go
@@ -0,0 +1,18 @@
+package registry
+
+// commandReport begins a report, as the protocol names it; the service's name and its
+// availability follow. No other file knows these words.
+const commandReport = "PULSE"
+
+// availability is what a report says of the service.
+type availability string
+
+const (
+	available   availability = "open"
+	unavailable availability = "closed" // listed, and takes no work
+)
+
+// report returns the datagram of a report.
+func report(name string, a availability) []byte {
+	return []byte(commandReport + " " + name + " " + string(a))
+}
--- /dev/null
+++ b/internal/transport/registry/reporter.go
@@ -0,0 +1,150 @@
+// Package registry reports this service to the registry that lists it for its balancers. It
+// belongs to the dispatcher's goroutine; sockets are opened on goroutines of their own (see
+// package session).
+package registry
+
+import (
+	"time"
+
+	"go.uber.org/zap"
+
+	"oxbowbridge/internal/proxy/timerqueue"
+	"oxbowbridge/internal/transport/eventloop"
+	"oxbowbridge/internal/transport/session"
+)
+
+// reportInterval is the time between reports. An entry lapses 3 s after its last one; where one
+// in four is lost on the way, that happens once in a million times.
+const reportInterval = 300 * time.Millisecond
+
+// state is how far the registration is. It goes one way: reporting by Register, deregistered by
+// Deregister.
+type state uint8
+
+const (
+	unregistered state = iota
+	reporting
+	deregistered
+)
+
+// String returns the name of s.
+func (s state) String() string {
+	return [...]string{"unregistered", "reporting", "deregistered"}[s]
+}
+
+// Reporter sends the reports, each a datagram that gets no answer.
+type Reporter struct {
+	session.Dependencies
+	addr         string // "" without a registry
+	name         string // of this service
+	state        state
+	availability availability // in the next report
+	socket       *socket      // nil if the next report is to open one
+	timer        *timerqueue.Timer
+	unreachable  bool // the latest report could not be sent
+}
+
+// socket is a socket to one address. A Reporter whose address changes leaves it, also while it
+// is being opened.
+type socket struct {
+	conn *eventloop.DatagramConn // nil until it is open
+}
+
+// New returns a Reporter that reports nothing yet, and nothing ever without an address.
+func New(addr, name string, deps session.Dependencies) *Reporter {
+	return &Reporter{Dependencies: deps, addr: addr, name: name, availability: available}
+}
+
+// Register reports this service from now on, as available until SetAvailable says otherwise. It
+// sends one report and schedules the next.
+func (r *Reporter) Register() {
+	if r.state == deregistered {
+		return
+	}
+	r.state = reporting
+	r.timer = r.Timers.Schedule(r.Now()+reportInterval, r.Register)
+	switch {
+	case r.addr == "":
+	case r.socket == nil:
+		r.open()
+	default:
+		r.send(r.availability)
+	}
+}
+
+// open opens a socket and sends a report once it is open.
+func (r *Reporter) open() {
+	s := &socket{}
+	r.socket = s
+	r.DialDatagram(r.addr, func(conn *eventloop.DatagramConn, err error) {
+		current := r.socket == s
+		switch {
+		case err != nil && current:
+			r.socket = nil
+			r.noteUnreachable(err)
+		case err != nil:
+		case !current:
+			conn.Close()
+		default:
+			s.conn = conn
+			r.send(r.availability)
+		}
+	})
+}
+
+// SetAddress reports to another address from now on.
+func (r *Reporter) SetAddress(addr string) {
+	if addr == r.addr {
+		return
+	}
+	r.addr = addr
+	if r.socket != nil && r.socket.conn != nil {
+		r.socket.conn.Close()
+	}
+	r.socket = nil
+	r.unreachable = false
+	if r.state == reporting {
+		r.Timers.Cancel(r.timer)
+		r.Register()
+	}
+}
+
+// SetAvailable reports from now on that this service is available, or that it is listed and
+// takes no work. Reports get lost: each that follows says the same.
+func (r *Reporter) SetAvailable(ok bool) {
+	before := r.availability
+	r.availability = available
+	if !ok {
+		r.availability = unavailable
+	}
+	if r.state == reporting && r.availability != before {
+		r.send(r.availability)
+	}
+}
+
+// Deregister reports this service as unavailable, and nothing after that: its entry lapses.
+func (r *Reporter) Deregister() {
+	r.state = deregistered
+	r.Timers.Cancel(r.timer)
+	r.send(unavailable)
+}
+
+// send sends a report, if the socket is open.
+func (r *Reporter) send(a availability) {
+	if r.socket == nil || r.socket.conn == nil {
+		return
+	}
+	if err := r.socket.conn.Send(report(r.name, a)); err != nil {
+		r.noteUnreachable(err)
+	} else {
+		r.unreachable = false
+	}
+}
+
+// noteUnreachable logs once that reports can't be sent. The next one is sent all the same.
+func (r *Reporter) noteUnreachable(err error) {
+	if !r.unreachable {
+		r.Log.Warn("registry not reached", zap.Error(err))
+	}
+	r.unreachable = true
+}
