--- a/internal/transport/ajp/conn.go
+++ b/internal/transport/ajp/conn.go
@@ -107,7 +107,7 @@
 		}
 	} else if header(headerTransferEncoding) != "" {
 		k.remainingBytes = unknownLength
-		c.Write(getBodyChunkPacket()) // the first piece comes by itself only where the length is told
+		c.Write(getBodyChunkPacket()) // without a length the web server sends the first piece only on request
 	}
 	if k.remainingBytes > frontend.MaxBodyBytes {
 		c.fail(k, http.StatusRequestEntityTooLarge, fmt.Errorf("body of %d bytes, %d at most", k.remainingBytes, frontend.MaxBodyBytes))
@@ -119,8 +119,7 @@
 	return nil
 }
 
-// begin makes k the request of the connection, unless that drains since its packet was looked
-// at.
+// begin makes k the request of the connection, unless that has begun to drain meanwhile.
 func (c *conn) begin(k *call) bool {
 	c.Lock()
 	defer c.Unlock()
--- a/internal/transport/ajp/upstream_conn.go
+++ b/internal/transport/ajp/upstream_conn.go
@@ -65,7 +65,7 @@
 	return r
 }
 
-// opened goes on with a connection that was made, or was not.
+// opened is called once the dial has succeeded or failed.
 func (c *upstreamConn) opened(socket *eventloop.Conn, err error) {
 	c.socket = socket
 	c.pool.noteDial(c.server, err)
--- a/internal/transport/ajp/upstream_pool.go
+++ b/internal/transport/ajp/upstream_pool.go
@@ -130,14 +130,14 @@
 // DeliverReply does nothing: an upstream makes its calls itself.
 func (p *UpstreamPool) DeliverReply(string, []byte) {}
 
-// The gauges that can be told from outside an upstream, by their names in the settings.
+// The gauges that are known without the upstream, by their names in the settings.
 const (
 	gaugeCoreUse = "core_use" // busy fraction of the cores
 	gaugeOnCores = "on_cores" // runs
 	unknownGauge = -1
 )
 
-// RequestGauges reports what can be told from outside, as if each run held a core.
+// RequestGauges reports the gauges that are known without the upstream, as if each run used a core.
 func (p *UpstreamPool) RequestGauges() {
 	busy := float64(len(p.runs))
 	var gauges exchange.Gauges
--- a/internal/transport/engine/protocol.go
+++ b/internal/transport/engine/protocol.go
@@ -8,7 +8,7 @@
 	"oxbowbridge/internal/transport/lineproto"
 )
 
-// The commands to the engine, as the protocol names them. No other file knows its words.
+// The commands to the engine, as the protocol names them. These names appear in no other file.
 const (
 	commandAttach       = "ATTACH" // number of the last notice that was read, 0 after a start
 	commandRun          = "RUN"    // trace id, class, and the body
--- a/internal/transport/engine/run.go
+++ b/internal/transport/engine/run.go
@@ -2,8 +2,7 @@
 
 import "oxbowbridge/internal/proxy/exchange"
 
-// pending stands, in place of the connection that a command was sent on, for one that has still
-// to be sent.
+// pending, in place of the number of a connection, marks a command that has still to be sent.
 const pending connNumber = -1
 
 // run is a run that was ordered and has not ended. Each command for it carries the number of the
@@ -12,7 +11,7 @@
 	attempt   exchange.Attempt
 	runSentOn connNumber // noConn if it was never sent
 	started   bool       // a notice has shown that it runs, or ran
-	stopping  bool       // it is to be stopped, and no notice has shown that it was
+	stopping  bool       // it is to be stopped, and no notice has confirmed that
 	answered  bool       // its request is answered: it is not resumed
 	resumeOn  connNumber // noConn if nothing is to be resumed, pending, or the connection of RESUME
 	reply     []byte     // to the call that the run stands at
--- a/internal/transport/engine/session.go
+++ b/internal/transport/engine/session.go
@@ -140,8 +140,8 @@
 
 // RequestGauges polls the engine for the gauges, and guards against a connection that stays open
 // and silent: an engine that was up once answers, also while its work hangs. Polls are counted
-// rather than time, so that a pause of this process is held against nobody. A connection that
-// waits for an engine's start is silent by right.
+// rather than time, so that a pause of this process does not count. Before the engine has been up
+// no answer is expected.
 func (s *Session) RequestGauges() {
 	if s.greeted {
 		s.send(commandStats, tagGauges)
--- a/internal/transport/eventloop/close.go
+++ b/internal/transport/eventloop/close.go
@@ -5,10 +5,9 @@
 	"time"
 )
 
-// CloseGracefully ends the connection in order: all that was written is sent, then the peer is
-// told that nothing more comes. What the peer still sends is dropped. The descriptor is closed
-// once the peer has ended its side too, or a bound of the lingering close is reached. It may be
-// called at any time, also again.
+// CloseGracefully sends all that was written and then a FIN. What the peer still sends is dropped.
+// The descriptor is closed once the peer has ended its side too, or a bound of the lingering close
+// is reached. It may be called at any time, and more than once.
 func (c *Conn) CloseGracefully() {
 	c.mu.Lock()
 	first := c.state == connOpen
@@ -21,9 +20,9 @@
 }
 
 // CloseIfQuiet does what CloseGracefully does, unless bytes have arrived that are not handled
-// to their end, or some wait to be sent, and reports whether the connection is closing. Between
-// the check and the FIN no lock is waited for: a process whose share of the processor is used up
-// could stand still there for longer than a request may take to cross the close.
+// completely, or some are pending, and reports whether the connection is closing. It waits for no
+// lock between the check and the FIN: a process that has used up its CPU quota could pause there
+// for longer than a request may take to cross the close.
 func (c *Conn) CloseIfQuiet() bool {
 	first, closing := c.closeIfQuiet()
 	if first {
@@ -50,7 +49,7 @@
 	return true, true
 }
 
-// sendFIN tells the peer that nothing more comes, once all that was written before the close was
+// sendFIN ends this side of the connection, once all that was written before the close was
 // requested has been sent.
 func (c *Conn) sendFIN() {
 	c.mu.Lock()
@@ -75,10 +74,10 @@
 	}
 }
 
-// Abort ends both directions at once, for a peer that is owed nothing; the loop closes the
-// descriptor by the event that this causes. Before the loop has the connection it is only
-// marked, and Loop.register goes on from there: nbio would register a descriptor that is closed
-// already, and by then perhaps another connection's.
+// Abort ends both directions at once and drops pending bytes; the loop closes the descriptor by
+// the event that this causes. Before the loop has the connection it is only marked, and
+// Loop.register does the rest: nbio would register a descriptor that is closed already, and by
+// then perhaps another connection's.
 func (c *Conn) Abort() {
 	c.mu.Lock()
 	first := !c.aborted()
--- a/internal/transport/eventloop/conn.go
+++ b/internal/transport/eventloop/conn.go
@@ -14,12 +14,12 @@
 	maxDroppedBytes = 1 << 20 // input dropped after a close, beyond which the connection is aborted
 )
 
-// Handler is told what happens on one connection. Its methods are called on the loop's goroutine
+// Handler receives the events of one connection. Its methods are called on the loop's goroutine
 // and must not block.
 type Handler interface {
 	// OnData is called with received bytes, which are valid during the call.
 	OnData(b []byte)
-	// OnClose is called once the connection is closed. What is called after it has no effect.
+	// OnClose is called when the connection is closed. Calls after it must have no effect.
 	OnClose(err error)
 }
 
@@ -127,10 +127,10 @@
 	return c.pendingBytes
 }
 
-// HasUnread reports whether bytes have arrived that the Handler has not handled to their end:
-// where the loop is behind, a connection on which nothing was read need not be idle.
+// HasUnread reports whether bytes have arrived that the Handler has not handled completely:
+// where the loop lags, a connection on which nothing was read is not always idle.
 func (c *Conn) HasUnread() bool {
-	// The socket first: what leaves its queue is in the loop's hands before that.
+	// The socket first: the loop marks a connection as being read before it empties the socket.
 	c.nb.Lock()
 	closed, _ := c.nb.IsClosed()
 	unread := !closed && c.socketHasUnread()
--- a/internal/transport/eventloop/linger.go
+++ b/internal/transport/eventloop/linger.go
@@ -10,11 +10,11 @@
 	// maxLinger is how long a peer has to end its side, after the FIN or, while queued bytes are
 	// being sent, after the latest progress in reading them.
 	maxLinger = time.Second
-	// minLinger is for how long no bound on their number aborts a connection: what crosses a close
-	// within 50 ms is sent again, and this is twice as long.
+	// minLinger is for how long no bound on their number aborts a connection: a request that
+	// crosses a close within 50 ms is sent again, and this is twice as long.
 	minLinger = 100 * time.Millisecond
 	// lingerOvercommit times the wanted number of lingering connections are never exceeded, even
-	// within minLinger: descriptors that are kept for sessions must stay free.
+	// within minLinger: the descriptors reserved for sessions must stay free.
 	lingerOvercommit = 2
 )
 
--- a/internal/transport/eventloop/listener.go
+++ b/internal/transport/eventloop/listener.go
@@ -59,8 +59,8 @@
 	return listener, nil
 }
 
-// Close accepts the connections that wait in the system's queue, which would be reset under the
-// requests on them, and closes the listener. It comes to an end however fast callers go on
+// Close accepts the connections that wait in the system's queue, which would otherwise be
+// reset with the requests on them, and closes the listener. It returns however fast callers go on
 // connecting.
 func (l *Listener) Close() error {
 	if tcp, ok := l.Listener.(*net.TCPListener); ok {
--- a/internal/transport/eventloop/loop.go
+++ b/internal/transport/eventloop/loop.go
@@ -14,8 +14,8 @@
 
 const (
 	readBufferBytes = 16 << 10
-	// maxReadsPerEvent is how many buffers are read of one connection in a row: they hold the
-	// longest message with its line, so that one is read to its end where the peer closes behind it.
+	// maxReadsPerEvent is how many buffers are read of one connection in a row: enough for the
+	// longest message, so that it is read completely where the peer closes behind it.
 	maxReadsPerEvent = 5
 )
 
@@ -126,8 +126,8 @@
 	}()
 }
 
-// Stop closes all connections. nbio forgets a stop that comes before its goroutine has begun,
-// and waits for ever: a connection that it has served shows that it has.
+// Stop closes all connections. nbio misses a stop that comes before its goroutine runs, and
+// waits for ever: a connection that was served shows that the goroutine runs.
 func (l *Loop) Stop() {
 	served := make(signalHandler, 1)
 	listener, err := l.Listen("127.0.0.1:0", func(*Conn) Handler { return served }, served.OnClose)
--- a/internal/transport/eventloop/state.go
+++ b/internal/transport/eventloop/state.go
@@ -1,13 +1,13 @@
 package eventloop
 
-// connState is the state of a connection on this side. That a connection was aborted is apart
-// from it: it may be in any state, and goes from there to connClosed with the loop's next event.
+// connState is the state of a connection on this side. An abort is no state of its own: it may
+// happen in any state, and the loop's next event of the connection leads to connClosed.
 type connState uint8
 
 const (
 	connOpen       connState = iota // bytes are written, and read for the Handler
 	connFlushing                    // a close was requested: queued bytes are sent, input is dropped
-	connHalfClosed                  // the peer was told that nothing more comes; input is dropped
+	connHalfClosed                  // FIN was sent; input is dropped
 	connClosed                      // the descriptor is closed
 )
 
--- a/internal/transport/frontend/call.go
+++ b/internal/transport/frontend/call.go
@@ -32,9 +32,8 @@
 }
 
 // Submit hands a request to the exchange, and reports false if the process holds too many. A
-// request that was settled meanwhile is not handed over: its connection was lost, the exchange
-// has been told so, and would be told before it had the request. It is called on the event
-// loop's goroutine.
+// request that was settled meanwhile is not handed over: its connection was lost, and the exchange
+// would be notified of that before it had the request. It is called on the event loop's goroutine.
 func (c *Conn) Submit(call *Call, req *exchange.Request) bool {
 	c.skippedBytes = 0
 	accepted := c.submit(call, req)
@@ -69,7 +68,7 @@
 	c.requestSettled()
 }
 
-// Abandon tells the exchange that the caller has taken a request back.
+// Abandon notifies the exchange that the caller has aborted a request.
 func (c *Conn) Abandon(call *Call) {
 	c.Lock()
 	req := call.submitted
--- a/internal/transport/frontend/conn.go
+++ b/internal/transport/frontend/conn.go
@@ -18,10 +18,10 @@
 	// HoldsPartialMessage reports whether part of a message waits in the parser for the rest.
 	// It is called on the event loop's goroutine.
 	HoldsPartialMessage() bool
-	// HasIncompleteRequest reports whether a request has begun and not arrived to its end. The
+	// HasIncompleteRequest reports whether a request has begun and not arrived completely. The
 	// lock of the Conn is held.
 	HasIncompleteRequest() bool
-	// DiscardIncomplete forgets the requests that have not arrived to their end, and returns how
+	// DiscardIncomplete forgets the requests that have not arrived completely, and returns how
 	// many of them had no answer. The lock of the Conn is held.
 	DiscardIncomplete() (unanswered int)
 	// DiscardAll forgets all requests, since their connection is lost, and returns those that were
@@ -34,7 +34,7 @@
 // a limit (limits.go) or until the process drains. Drain makes it refuse further requests; it is
 // closed gracefully once those that are open are answered.
 type Conn struct {
-	// Mutex guards the fields below, as far as not told otherwise, and the Codec's requests.
+	// Mutex guards the fields below, unless stated otherwise, and the Codec's requests.
 	sync.Mutex
 	*eventloop.Conn
 	server *Server
@@ -43,7 +43,7 @@
 	lastActive      time.Time // when a request last ended, or the connection was made; AJP: also when one began
 	openRequests    int       // that have begun and have no answer
 	draining        bool      // no request begins any more
-	completeRequest bool      // a complete request, or a sign of life of the protocol, has arrived
+	completeRequest bool      // a complete request, or a keep-alive of the protocol, has arrived
 	partialMessage  bool      // the parser held part of a message after the latest bytes
 	stall           stall
 
@@ -92,17 +92,17 @@
 // RequestBegan counts a request as open. The lock is held.
 func (c *Conn) RequestBegan() { c.openRequests++ }
 
-// Touch has the connection count as active just now. The lock is held.
+// Touch marks the connection as active now. The lock is held.
 func (c *Conn) Touch() { c.lastActive = time.Now() }
 
-// RequestArrived notes that a request, or a sign of life of the protocol, has arrived to its
-// end: the caller owes nothing. The lock is held.
+// RequestArrived notes that a request, or a keep-alive of the protocol, has arrived
+// completely: the caller is not stalled. The lock is held.
 func (c *Conn) RequestArrived() {
 	c.completeRequest = true
 	c.stall.sweeps = 0
 }
 
-// Drain lets no request begin any more, forgets what has not arrived to its end, and closes
+// Drain lets no request begin any more, forgets what has not arrived completely, and closes
 // the connection gracefully once the open requests are answered.
 func (c *Conn) Drain() {
 	c.Lock()
--- a/internal/transport/frontend/evict.go
+++ b/internal/transport/frontend/evict.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// minFirstRequestTime is how long a new connection has for its first request before others may
-// take its place: by the protocol a request may take 50 ms to cross a close.
+// minFirstRequestTime is how long a new connection has for its first request before it may be
+// evicted: by the protocol a request may take 50 ms to cross a close.
 const minFirstRequestTime = 50 * time.Millisecond
 
-// evictOne closes a connection to make room for a new one, and reports whether it found one.
-// Candidates come in this order, within each group the one longest inactive first:
+// evictOne closes a connection to make room for a new one, and reports whether it found one. The
+// order of candidates, within each group the one inactive for longest first:
 //
 //  1. no complete request yet, made at least minFirstRequestTime ago, and no part of one;
 //  2. idle after at least one complete request;
@@ -19,7 +19,7 @@
 //
 // A connection with open requests, or with bytes that are not parsed yet, is never evicted: a
 // complete request may be among them, and its caller could not know that nothing ran. Rejecting
-// the new connection is the better choice then. The lock of the Server is held.
+// the new connection is safer then. The lock of the Server is held.
 func (s *Server) evictOne() bool {
 	now := time.Now()
 	fresh, used := s.longestInactive()
--- a/internal/transport/frontend/headers.go
+++ b/internal/transport/frontend/headers.go
@@ -6,7 +6,7 @@
 // healthCheckPath is the path of a health check.
 const healthCheckPath = "/ping"
 
-// The fields of a request as the protocol names them. No other file knows these names.
+// The fields of a request as the protocol names them. These names appear in no other file.
 const (
 	HeaderTraceID        = "Trace-Id"       // 16 hex digits, new with every attempt
 	headerAcceptedAt     = "Accepted-At-Ms" // arrival at the machine, Unix milliseconds
--- a/internal/transport/frontend/limits.go
+++ b/internal/transport/frontend/limits.go
@@ -9,13 +9,13 @@
 	"oxbowbridge/internal/proxy/exchange"
 )
 
-// Limits on one caller, none of which a balancer comes near. Beyond the first three the
-// connection is drained; one that does not read, or floods a drained connection, is aborted.
+// Limits on one caller, far above what a balancer needs. Beyond the first two the connection is
+// drained; beyond the others, for callers that do not read or that flood, it is aborted.
 const (
 	maxConsecutiveFaults = 16        // faulty requests without a good one between them
 	maxSkippedBytes      = 64 << 10  // input that belongs to no request, between two that do
 	maxUnsentBytes       = 192 << 10 // answers that wait to be read: 32 of the longest
-	maxBytesAfterFault   = 1 << 20   // dropped input, while answers to what came before it are due
+	maxBytesAfterFault   = 1 << 20   // dropped input, while requests before the fault are answered
 )
 
 var (
--- a/internal/transport/frontend/reap.go
+++ b/internal/transport/frontend/reap.go
@@ -6,24 +6,23 @@
 	"go.uber.org/zap"
 )
 
-// maxStalledSweeps is for how many sweeps of the dispatcher, some 2 s, a caller may owe its next
-// step. Sweeps are counted rather than time, so that a pause of the machine is held against
-// nobody.
+// maxStalledSweeps is the number of the dispatcher's sweeps in a row, some 2 s, that a caller may
+// be stalled. Sweeps are counted rather than time, so that a pause of the machine does not count.
 const maxStalledSweeps = 9
 
-// stall counts for how long a caller has owed its next step.
+// stall counts for how long a caller has made no progress.
 type stall struct {
-	sweeps      int // in a row for which it has owed it
-	unsentBytes int // that waited for the caller to read them at the latest sweep
+	sweeps      int // in a row without progress
+	unsentBytes int // pending at the latest sweep
 }
 
 // progress is what a sweep finds of a caller.
 type progress uint8
 
 const (
-	progressing progress = iota // it owes nothing, or not for long
+	progressing progress = iota // nothing is expected of it, or not for long
 	stalled                     // its first request, or the rest of one, is overdue
-	notReading                  // it has read no answer for as long
+	notReading                  // it has read no answer for maxStalledSweeps
 )
 
 // String returns the name of p.
@@ -31,16 +30,16 @@
 	return [...]string{"progressing", "stalled", "not reading"}[p]
 }
 
-// checkProgress counts a sweep. A caller owes its first request, the rest of one, or the reading
-// of its answers: fewer bytes must wait than at the sweep before.
+// checkProgress counts a sweep. A caller without progress has sent no request yet, or only part of
+// one, or has read no bytes of its answers since the sweep before.
 func (c *Conn) checkProgress() progress {
 	c.Lock()
 	defer c.Unlock()
 	unsent := c.PendingBytes()
 	unread := unsent > 0 && unsent >= c.stall.unsentBytes
 	c.stall.unsentBytes = unsent
-	owesRequest := c.hasPartialMessage() || !c.completeRequest && !c.draining
-	if !owesRequest && !unread {
+	requestDue := c.hasPartialMessage() || !c.completeRequest && !c.draining
+	if !requestDue && !unread {
 		c.stall.sweeps = 0
 		return progressing
 	}
@@ -55,10 +54,10 @@
 	}
 }
 
-// CloseIdle closes the connection gracefully if no request is open and none was for so long,
-// and reports whether it did. Part of a message is not idle; nor are bytes that wait to be
-// read, which may be a request that came long before the close. A draining connection is closed
-// once its requests are answered, and counts as closed from then on.
+// CloseIdle closes the connection gracefully if no request has been open for the given time, and
+// reports whether it did. A connection with part of a message is not idle; nor is one with unread
+// bytes, which may be a request that was sent long before the close. A draining connection is
+// closed once its requests are answered, and counts as closed from then on.
 func (c *Conn) CloseIdle(now time.Time, idle time.Duration) bool {
 	c.Lock()
 	defer c.Unlock()
@@ -73,9 +72,9 @@
 	return true
 }
 
-// Reap closes the connections of callers that have stalled, and those that have been idle for
-// so long. A caller that reads no answers is aborted; one that owes a request, and of which no
-// bytes wait to be parsed, is drained.
+// Reap closes the connections of callers that have stalled, and those that have been idle for the
+// given time. The connection of a caller that reads no answers is aborted. One whose request is
+// overdue is closed, or drained, unless it has unread bytes: the request may be among them.
 func (s *Server) Reap(idle time.Duration) {
 	s.mu.Lock()
 	closed := 0
@@ -101,8 +100,8 @@
 	s.CloseIdle(idle)
 }
 
-// CloseIdle closes the connections that have had no open request for so long, and returns how
-// many remain, one more while the listener is being closed, and how many bytes wait to be sent.
+// CloseIdle closes the connections that have had no open request for the given time. It returns
+// how many remain, one more while the listener is being closed, and how many bytes are pending.
 func (s *Server) CloseIdle(idle time.Duration) (remaining, unsentBytes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/transport/frontend/request.go
+++ b/internal/transport/frontend/request.go
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// decodeOrigin reads what a request tells of its attempt and its balancer.
+// decodeOrigin reads the fields on the attempt and on the balancer.
 func (r RawRequest) decodeOrigin(req *exchange.Request) error {
 	switch retry := r.Header(headerIsRetry); retry {
 	case "":
@@ -102,9 +102,9 @@
 	return nil
 }
 
-// decodeArrival takes the time of arrival over from the clock of the wire, Unix time, to the
-// monotonic one; an arrival in the future counts as now. Times far from now are rejected: the
-// admission module would take the long wait for an overload of this process.
+// decodeArrival converts the time of arrival from Unix time to the monotonic clock; an arrival in
+// the future counts as now. Times far from now are rejected: the admission module would mistake
+// the long wait for an overload of this process.
 func (r RawRequest) decodeArrival(req *exchange.Request, now time.Time) error {
 	stamp := r.Header(headerAcceptedAt)
 	ms, err := strconv.ParseInt(stamp, 10, 64)
--- a/internal/transport/frontend/server.go
+++ b/internal/transport/frontend/server.go
@@ -28,7 +28,7 @@
 	listener net.Listener
 	maxConns int
 	pool     *fdquota.Pool // of descriptors, shared with calls and other frontends
-	closing  bool          // the listener still accepts what had connected before it was closed
+	closing  bool          // the listener still accepts connections that were made before it was closed
 }
 
 // NewServer returns a Server that does not listen yet.
@@ -77,7 +77,7 @@
 	s.forget(c)
 }
 
-// forget counts a connection no more. The lock is held.
+// forget stops counting a connection. The lock is held.
 func (s *Server) forget(c *Conn) {
 	if _, ok := s.conns[c]; ok {
 		delete(s.conns, c)
--- a/internal/transport/lineproto/message.go
+++ b/internal/transport/lineproto/message.go
@@ -1,6 +1,6 @@
-// Package lineproto reads and writes the line protocols of the engine and the records service:
-// lines of words that end in CR LF, some of them followed by a payload, whose length in bytes is
-// the line's last word, and another CR LF. It does no I/O.
+// Package lineproto reads and writes the line protocols of the engine and the records service.
+// A message is a line of words that ends in CR LF; in some messages the last word is the length in
+// bytes of a payload, which follows with another CR LF. The package does no I/O.
 package lineproto
 
 import (
--- a/internal/transport/records/client.go
+++ b/internal/transport/records/client.go
@@ -15,7 +15,7 @@
 	session.Dependencies
 	addr    string        // "" without a service
 	pool    *fdquota.Pool // of descriptors for connections
-	linger  time.Duration // for which a call that is given up still counts at the service
+	linger  time.Duration // for which a canceled call still counts at the service
 	calls   map[string]*call
 	queue   []*call // without a connection, oldest first
 	idle    []*conn // the latest used last
@@ -39,9 +39,9 @@
 func (k *call) mayResend() bool { return k.Idempotent && k.sends < maxSends }
 
 // New returns a Client that connects when there are calls, as far as the pool has descriptors for
-// them. Without an address each call ends as unreachable. What is given up may remain for linger
-// at a service that all share, and count there: a call is sent again only after that, so that
-// each request has one at a time.
+// them. Without an address each call ends as unreachable. A canceled call may go on counting for
+// linger at a service that several share: a call is sent again only after that, so that each
+// request has one at a time.
 func New(addr string, pool *fdquota.Pool, linger time.Duration, deps session.Dependencies) *Client {
 	return &Client{
 		Dependencies: deps,
@@ -73,7 +73,7 @@
 	c.place(k)
 }
 
-// Cancel gives up a call. No outcome follows. Its connection is not used again, since the reply
+// Cancel ends a call. No outcome follows. Its connection is not used again, since the reply
 // may still come on it.
 func (c *Client) Cancel(traceID string) {
 	k := c.calls[traceID]
--- a/internal/transport/records/conn.go
+++ b/internal/transport/records/conn.go
@@ -60,7 +60,7 @@
 	}, cn.opened)
 }
 
-// opened sends the call, unless it was cancelled meanwhile.
+// opened sends the call, unless it was canceled meanwhile.
 func (c *conn) opened(socket *eventloop.Conn, err error) {
 	closed := c.state == connClosed
 	switch {
@@ -102,7 +102,7 @@
 	c.sentAt = client.Now()
 	timeout := strconv.FormatInt(timeoutMs(k.deadline-c.sentAt), 10)
 	c.socket.Write(lineproto.AppendWithPayload(nil, k.Body, commandCall, k.TraceID, timeout))
-	if k.mayResend() { // against replies that never come, or never end
+	if k.mayResend() { // against replies that never come, or are never completed
 		c.timer = client.Timers.Schedule(c.sentAt+client.latency.replyTimeout(), func() { c.lost(errReplyTimeout) })
 	}
 }
@@ -135,8 +135,8 @@
 	c.release()
 }
 
-// countStray counts a copy of a reply, or a reply to what was never asked, against a service that
-// has no end of them.
+// countStray counts a copy of a reply, or a reply without a call, against a service that sends
+// them without end.
 func (c *conn) countStray() {
 	c.strayReplies++
 	if c.strayReplies > maxStrayReplies {
--- a/internal/transport/records/protocol.go
+++ b/internal/transport/records/protocol.go
@@ -8,7 +8,7 @@
 	"oxbowbridge/internal/transport/lineproto"
 )
 
-// The commands to the service, as the protocol names them. No other file knows its words.
+// The commands to the service, as the protocol names them. These names appear in no other file.
 const (
 	commandCall   = "OP"   // trace id, timeout in milliseconds, and the body
 	commandCancel = "UNOP" // trace id
--- a/internal/transport/registry/protocol.go
+++ b/internal/transport/registry/protocol.go
@@ -1,7 +1,7 @@
 package registry
 
 // commandReport begins a report, as the protocol names it; the service's name and its
-// availability follow. No other file knows these words.
+// availability follow. These names appear in no other file.
 const commandReport = "PULSE"
 
 // availability is what a report says of the service.
