--- a/internal/cluster/diskidentity/join.go
+++ b/internal/cluster/diskidentity/join.go
@@ -6,7 +6,7 @@
 )
 
 // CheckJoin decides on a request to become a member. refusal is "" if it is granted. removed are the
-// names that operators have removed; isUp tells of a member whether it has reported recently.
+// names that operators have removed; isUp reports whether a member was heard from recently.
 func CheckJoin(id string, members, removed []string, isUp func(id string) bool, maxMembers int) (refusal string) {
 	name := MemberName(id)
 	if slices.Contains(removed, name) {
--- a/internal/cluster/diskidentity/verdict.go
+++ b/internal/cluster/diskidentity/verdict.go
@@ -98,7 +98,7 @@
 	return ""
 }
 
-// foreign tells whether an attestation is known to be of another cluster.
+// foreign reports whether an attestation is known to be of another cluster.
 func (d *LocalDisk) foreign(a Attestation) bool {
 	return d.Cluster != "" && a.Cluster != "" && d.Cluster != a.Cluster
 }
--- a/internal/cluster/diskidentity/watermark.go
+++ b/internal/cluster/diskidentity/watermark.go
@@ -17,7 +17,7 @@
 	return cmp.Or(cmp.Compare(m.LastTerm, other.LastTerm), cmp.Compare(m.LastIndex, other.LastIndex))
 }
 
-// Behind tells whether a disk at m has forgotten something of what was observed.
+// Behind reports whether a disk at m has forgotten something of what was observed.
 func (m Watermark) Behind(observed Watermark) bool {
 	return m.Starts < observed.Starts || m.Term < observed.Term || m.CompareLog(observed) < 0
 }
--- a/internal/cluster/membership/lost_disks_test.go
+++ b/internal/cluster/membership/lost_disks_test.go
@@ -135,7 +135,7 @@
 }
 
 // settle has nodes that wait look again, the leader bring all members up to date, and
-// all that are up see each other, until nothing changes. It tells whether an acknowledged entry is lost.
+// all that are up see each other, until nothing changes. It reports whether an acknowledged entry is lost.
 func (w *lostDisksModel) settle(r diskRules) (loss bool) {
 	for {
 		was := *w
--- a/internal/cluster/membership/view.go
+++ b/internal/cluster/membership/view.go
@@ -46,17 +46,17 @@
 // Quorum is the majority of a number of voters.
 func Quorum(voters int) int { return voters/2 + 1 }
 
-// healthy tells whether a member counts for the majority: up, with its disk, and with the log.
+// healthy reports whether a member counts for the majority: up, with its disk, and with the log.
 func (p Policy) healthy(m Member) bool {
 	return m.Up && !m.DiskLost && m.Lag <= p.MaxLag
 }
 
-// outgoing tells whether a voter's vote is to go to another member.
+// outgoing reports whether a voter's vote is to go to another member.
 func (p Policy) outgoing(m Member) bool {
 	return m.Leaving || m.DiskLost || !m.Up && m.DownFor >= p.ReplaceAfter
 }
 
-// forgotten tells whether a learner is to be removed.
+// forgotten reports whether a learner is to be removed.
 func (p Policy) forgotten(m Member) bool {
 	return m.Leaving || m.DiskLost || !m.Up && p.ForgetAfter > 0 && m.DownFor >= p.ForgetAfter
 }
@@ -101,7 +101,7 @@
 	return c
 }
 
-// keepsQuorumWithout tells whether the voters but for one still have a healthy majority.
+// keepsQuorumWithout reports whether the voters but for one still have a healthy majority.
 func (p Policy) keepsQuorumWithout(c census, m Member) bool {
 	healthy := c.healthy
 	if p.healthy(m) {
--- a/internal/cluster/store/ack_transport_test.go
+++ b/internal/cluster/store/ack_transport_test.go
@@ -20,10 +20,10 @@
 	conf := raft.Configuration{Servers: []raft.Server{{ID: "a"}, {ID: "b"}, {ID: "c"}, {ID: "d", Suffrage: raft.Nonvoter}}}
 	now := time.Now()
 	a := newAckTransport(nil)
-	ask := func(leads bool) error {
+	await := func(isLeader bool) error {
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
 		defer cancel()
-		return a.awaitMajority(ctx, "a", conf, 7, now, func() bool { return leads })
+		return a.awaitMajority(ctx, "a", conf, 7, now, func() bool { return isLeader })
 	}
 	for _, k := range []struct {
 		id   raft.ServerID
@@ -32,9 +32,9 @@
 	}{{"b", peerAck{7, now.Add(-1)}, context.DeadlineExceeded}, {"b", peerAck{6, now}, context.DeadlineExceeded},
 		{"d", peerAck{7, now}, context.DeadlineExceeded}, {"c", peerAck{7, now}, nil}} {
 		a.record(k.id, k.ack)
-		assert.True(t, errors.Is(ask(true), k.want), k)
+		assert.True(t, errors.Is(await(true), k.want), k)
 	}
-	assert.ErrorIs(t, ask(false), ErrNoLeader)
+	assert.ErrorIs(t, await(false), ErrNoLeader)
 }
 
 // TestStaleTerm: a node that has left a term sends nothing more of it, by either way.
@@ -85,7 +85,7 @@
 	peer, leader := transport(), newAckTransport(transport())
 	rc := raft.DefaultConfig()
 	rc.LocalID, rc.LogOutput = "peer", io.Discard
-	rc.HeartbeatTimeout, rc.ElectionTimeout, rc.LeaderLeaseTimeout = time.Hour, time.Hour, time.Hour // it is told all by the test
+	rc.HeartbeatTimeout, rc.ElectionTimeout, rc.LeaderLeaseTimeout = time.Hour, time.Hour, time.Hour // no elections: the test sends every message
 	disk, state := raft.NewInmemStore(), &applied{}
 	snaps := raft.NewInmemSnapshotStore()
 	require.NoError(t, raft.BootstrapCluster(rc, disk, disk, snaps, peer, raft.Configuration{Servers: []raft.Server{
--- a/internal/cluster/store/config.go
+++ b/internal/cluster/store/config.go
@@ -84,7 +84,7 @@
 	return Peer{}, false
 }
 
-// isFounder tells whether the node is one of those that make the cluster.
+// isFounder reports whether the node is one of those that make the cluster.
 func (c *Config) isFounder() bool {
 	_, ok := c.configuredPeer(c.Node)
 	return ok
--- a/internal/cluster/store/incarnation.go
+++ b/internal/cluster/store/incarnation.go
@@ -71,7 +71,7 @@
 	return f, nil
 }
 
-// isLeader tells whether Raft takes this node for the leader.
+// isLeader reports whether Raft considers this node the leader.
 func (inc *incarnation) isLeader() bool { return inc.raft.State() == raft.Leader }
 
 // configuration is the latest one in the log, with its index, which Raft itself does not tell. It
@@ -84,7 +84,7 @@
 	return conf, index
 }
 
-// isMember tells whether the latest configuration has this disk.
+// isMember reports whether the latest configuration has this disk.
 func (inc *incarnation) isMember() bool {
 	conf, _ := inc.configuration()
 	_, ok := findServer(conf, inc.memberID)
@@ -117,7 +117,7 @@
 	}
 }
 
-// hasCommand tells whether the log has a command in a range that the state may not hold yet.
+// hasCommand reports whether the log has a command in a range that the state may not hold yet.
 // Entries that the log no longer has were in the state before they were cut off.
 func (inc *incarnation) hasCommand(from, to uint64) bool {
 	var entry raft.Log
@@ -132,7 +132,7 @@
 	return false
 }
 
-// beginsAsMember tells whether a verdict lets the disk vote from the start.
+// beginsAsMember reports whether a verdict lets the disk vote from the start.
 func beginsAsMember(v diskidentity.Verdict) bool {
 	return v == diskidentity.VerdictResume || v == diskidentity.VerdictBootstrap
 }
--- a/internal/cluster/store/leader.go
+++ b/internal/cluster/store/leader.go
@@ -8,7 +8,7 @@
 	"oxbowbridge/internal/cluster/diskidentity"
 )
 
-// IsLeader tells whether this node takes itself for the leader. A leader that was cut off may do
+// IsLeader reports whether this node considers itself the leader. A leader that was cut off may do
 // so for a while after another one was elected.
 func (s *Store) IsLeader() bool {
 	inc := s.current.Load()
--- a/internal/cluster/store/leader_view.go
+++ b/internal/cluster/store/leader_view.go
@@ -140,7 +140,7 @@
 	return m
 }
 
-// reportsOtherDisk tells whether a node reports an ID of the same name and another disk. A change
+// reportsOtherDisk reports whether a node reports an ID of the same name and another disk. A change
 // from a name alone to the name with a disk counts as one.
 func reportsOtherDisk(reported, id string) bool {
 	if reported == id || diskidentity.MemberName(reported) != diskidentity.MemberName(id) {
@@ -173,7 +173,7 @@
 	}
 }
 
-// reportsLegacy tells whether a member runs an earlier version.
+// reportsLegacy reports whether a member runs an earlier version.
 func (s *Store) reportsLegacy(id string) bool {
 	report, _ := s.peers.lastReport(diskidentity.MemberName(id))
 	return report.legacy
--- a/internal/cluster/store/log_entry.go
+++ b/internal/cluster/store/log_entry.go
@@ -15,7 +15,7 @@
 	Value json.RawMessage `json:"value"` // null deletes
 }
 
-// deletes tells whether the command deletes its key.
+// deletes reports whether the command deletes its key.
 func (c command) deletes() bool { return c.Value == nil || string(c.Value) == "null" }
 
 // decodeLogEntry reads a log entry of either form.
--- a/internal/cluster/store/members.go
+++ b/internal/cluster/store/members.go
@@ -81,7 +81,7 @@
 	return p, nil
 }
 
-// isUp tells of a member whether it is this node, or has a recent report.
+// isUp reports whether a member is this node, or has a recent report.
 func (s *Store) isUp(inc *incarnation) func(id string) bool {
 	return func(id string) bool {
 		report, recent := s.peers.lastReport(diskidentity.MemberName(id))
--- a/internal/cluster/store/mirror.go
+++ b/internal/cluster/store/mirror.go
@@ -60,7 +60,7 @@
 	return previous
 }
 
-// HasSQLRecord tells whether the node is set up to write the SQL record.
+// HasSQLRecord reports whether the node is set up to write the SQL record.
 func (s *Store) HasSQLRecord() bool { return s.mirror != nil }
 
 // RunMirror writes the SQL record under a lease until ctx ends, another node has taken over, or the
@@ -113,7 +113,7 @@
 	failingSince time.Time // zero if the last attempt succeeded
 }
 
-// next sets the wait after an attempt, and tells whether to abandon the mirror to another node.
+// next sets the wait after an attempt, and reports whether to abandon the mirror to another node.
 func (b *mirrorBackoff) next(err error) (abandon bool) {
 	switch {
 	case err == nil:
--- a/internal/cluster/store/peer_reports.go
+++ b/internal/cluster/store/peer_reports.go
@@ -50,7 +50,7 @@
 }
 
 // attestations are the recent reports on disks, by name, without those of earlier versions. allPolled
-// tells whether each node was polled at least once, with a report or an error; changed is closed at
+// reports whether each node was polled at least once, with a report or an error; changed is closed at
 // the next report.
 func (p *peers) attestations() (recent map[string]diskidentity.Attestation, allPolled bool, changed <-chan struct{}) {
 	p.mu.Lock()
--- a/internal/cluster/store/peers.go
+++ b/internal/cluster/store/peers.go
@@ -47,7 +47,7 @@
 	err        error     // of the last poll that failed
 }
 
-// recent tells whether the peer counts as up.
+// recent reports whether the peer counts as up.
 func (r peerReport) recent() bool {
 	return !r.receivedAt.IsZero() && time.Since(r.receivedAt) < reportLifetime
 }
--- a/internal/cluster/store/supervise.go
+++ b/internal/cluster/store/supervise.go
@@ -110,7 +110,7 @@
 	return errors.Join(errRemoved, err)
 }
 
-// isRemoved tells whether this log, or a peer with a later configuration, says that this disk is
+// isRemoved reports whether this log, or a peer with a later configuration, says that this disk is
 // no member.
 func (s *Store) isRemoved(inc *incarnation, conf raft.Configuration, index uint64) bool {
 	if inc.isLeader() {
--- a/internal/cluster/store/watermarks.go
+++ b/internal/cluster/store/watermarks.go
@@ -19,7 +19,7 @@
 // watermarks is how far this node has observed other disks, by member ID.
 type watermarks map[string]diskidentity.Watermark
 
-// observe raises a disk's watermark, and tells whether that changed anything.
+// observe raises a disk's watermark, and reports whether that changed anything.
 func (w watermarks) observe(memberID string, mark diskidentity.Watermark) bool {
 	old, known := w[memberID]
 	raised := old.Max(mark)
--- a/tests/stored_test.go
+++ b/tests/stored_test.go
@@ -5,7 +5,6 @@
 	"compress/gzip"
 	"database/sql"
 	"encoding/json"
-	"flag"
 	"fmt"
 	"io"
 	"io/fs"
@@ -15,7 +14,6 @@
 	"regexp"
 	"strings"
 	"testing"
-	"time"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
@@ -25,10 +23,6 @@
 	"oxbowbridge/internal/testrig"
 )
 
-// storedFrom rewrites the folders below testdata/stored, which must be done with a released
-// program only: they stand for what is on the disks of nodes that are upgraded.
-var storedFrom = flag.String("stored-from", "", "program with which TestWriteStoredFolders writes the stored folders anew")
-
 const (
 	storedDir      = "testdata/stored"
 	storedMembers  = "members.tar.gz"  // three voters, their SQLite record and a scheduled backup
@@ -162,36 +156,57 @@
 	c.hasLeft(t, site)
 	rows := recordRows(t, dir)
 	require.NotEmpty(t, rows)
-
-	c.Start(2) // alone: it has the settings that were good last, and nothing else
-	c.nodes[2].ready()
-	assert.Contains(t, c.nodes[2].log(), `"last_good":true`)
-	assert.Equal(t, 200, (&world{service: c.nodes[2]}).status("stored-class", "ok"))
-	c.Kill(2)
-
+	c.startsOnLastGood(t, 2)
 	c.Begin()
-	leader := c.Leader()
 	for i := range 3 {
 		c.hasKeys(t, i, site.Keys)
 		var st storeapi.Status
 		require.True(t, c.Ask(i, "/status", &st))
 		assert.Equal(t, site.Cluster, st.Cluster)
+		assert.Equal(t, 200, (&world{service: c.nodes[i]}).status("stored-class", "ok"))
+		_, text := c.sure(i, "GET", fmt.Sprint("/store/state/s", i), "")
+		assert.Regexp(t, `^\{"since_ms":\d{13},"state":"open"\}$`, strings.TrimSpace(text))
 	}
+	c.hasMembers(t, site.Members)
+	c.hasLeases(t, site.Leases)
+	c.hasOrders(t, site)
+	c.writesOn(t, dir, site, rows)
+	c.KillAll()
+	c.backsUpOn(t, dir, site)
+}
+
+// startsOnLastGood starts a node alone: it has the settings that were good last, and nothing else.
+func (c *cluster) startsOnLastGood(t *testing.T, node int) {
+	c.Start(node)
+	c.nodes[node].ready()
+	assert.Contains(t, c.nodes[node].log(), `"last_good":true`)
+	assert.Equal(t, 200, (&world{service: c.nodes[node]}).status("stored-class", "ok"))
+	c.Kill(node)
+}
+
+func (c *cluster) hasMembers(t *testing.T, members map[string]testrig.Member) {
 	await(t, "the members that were there", func() bool {
 		m := c.Members(c.Leader())
-		for id, want := range site.Members {
+		for id, want := range members {
 			if m[id].Role != want.Role || m[id].Name != want.Name {
 				return false
 			}
 		}
-		return len(m) == len(site.Members)
+		return len(m) == len(members)
 	})
-	for name, want := range site.Leases {
+}
+
+// hasLeases checks that leases are held as before, and that their tokens count.
+func (c *cluster) hasLeases(t *testing.T, leases map[string]storedLease) {
+	for name, want := range leases {
 		code, l := c.leaseOf(name)
 		assert.Equal(t, []any{200, want.Holder, want.Token, want.TTLMS}, []any{code, l.Holder, l.Token, l.TTLMS}, name)
-		code, text := c.sure(leader, "PUT", "/lease/"+name, fmt.Sprintf(`{"token":%d}`, want.Token))
+		code, text := c.sure(c.Leader(), "PUT", "/lease/"+name, fmt.Sprintf(`{"token":%d}`, want.Token))
 		assert.Equal(t, 200, code, "its token counts: %s", text)
 	}
+}
+
+func (c *cluster) hasOrders(t *testing.T, site storedSite) {
 	st, err := c.client().MaintenanceStatus(t.Context())
 	require.NoError(t, err)
 	require.Len(t, st.Orders, len(site.Jobs))
@@ -199,16 +214,12 @@
 		assert.Equal(t, want, st.Orders[i].Order)
 	}
 	assert.Equal(t, site.Pause, st.Pause.Reason)
-	for i := range 3 {
-		assert.Equal(t, 200, (&world{service: c.nodes[i]}).status("stored-class", "ok"))
-	}
-
-	for i := range 3 {
-		_, text := c.sure(i, "GET", fmt.Sprint("/store/state/s", i), "")
-		assert.Regexp(t, `^\{"since_ms":\d{13},"state":"open"\}$`, strings.TrimSpace(text))
-	}
+}
 
-	c.Put(0, "note/new", `"later"`) // it goes on
+// writesOn writes a key, which the record gets too, with the rows that it had; and has a new lease,
+// whose token is above the stored ones.
+func (c *cluster) writesOn(t *testing.T, dir string, site storedSite, rows map[string]string) {
+	c.Put(0, "note/new", `"later"`)
 	db, err := sql.Open("sqlite", "file:"+filepath.Join(dir, "record.db")+"?mode=ro&_pragma=busy_timeout(5000)")
 	require.NoError(t, err)
 	defer db.Close()
@@ -224,9 +235,11 @@
 	for name, want := range site.Leases {
 		assert.Greater(t, l.Token, want.Token, name)
 	}
-	c.KillAll()
+}
 
-	// With a schedule, the note of the last backup is followed, and files of the old one stay.
+// backsUpOn starts with a schedule: the note of the last backup is followed, its file stays, and a
+// new cluster can be made of it.
+func (c *cluster) backsUpOn(t *testing.T, dir string, site storedSite) {
 	c.Fields["backup"] = object{"dir": filepath.Join(dir, "backups"), "every": "1s", "keep": 100}
 	c.Begin()
 	await(t, "another backup", func() bool {
@@ -306,18 +319,6 @@
 	return rows
 }
 
-// pack writes a folder's files into an archive.
-func pack(t *testing.T, dir, path string) {
-	f, err := os.Create(path)
-	require.NoError(t, err)
-	zip := gzip.NewWriter(f)
-	w := tar.NewWriter(zip)
-	require.NoError(t, w.AddFS(os.DirFS(dir)))
-	require.NoError(t, w.Close())
-	require.NoError(t, zip.Close())
-	require.NoError(t, f.Close())
-}
-
 // unpack is the reverse.
 func unpack(t *testing.T, path, dir string) {
 	f, err := os.Open(path)
@@ -343,130 +344,3 @@
 		require.NoError(t, os.WriteFile(to, content, 0o600))
 	}
 }
-
-// record is what the program says of a running cluster and, once it is ended, of its folders.
-func (c *cluster) record(t *testing.T) (site storedSite) {
-	client := c.client()
-	leader := c.Leader()
-	var st storeapi.Status
-	require.True(t, c.Ask(leader, "/status", &st))
-	site = storedSite{Cluster: st.Cluster, Keys: map[string]storedKey{}, Leases: map[string]storedLease{}, Left: map[string]json.RawMessage{}}
-	list, _, err := client.List(t.Context(), "")
-	require.NoError(t, err)
-	for key := range list {
-		value, revision, err := client.Get(t.Context(), key, "")
-		require.NoError(t, err)
-		site.Keys[key] = storedKey{value, revision}
-	}
-	leases, err := client.ListLeases(t.Context())
-	require.NoError(t, err)
-	for _, l := range leases {
-		if strings.HasPrefix(l.Name, "job/") { // others are held by processes
-			site.Leases[l.Name] = storedLease{l.Holder, l.Token, l.TTLMS}
-		}
-	}
-	site.Members = c.Members(leader)
-	maintenanceStatus, err := client.MaintenanceStatus(t.Context())
-	require.NoError(t, err)
-	for _, order := range maintenanceStatus.Orders {
-		site.Jobs = append(site.Jobs, order.Order)
-	}
-	site.Pause = maintenanceStatus.Pause.Reason
-	return site
-}
-
-// TestWriteStoredFolders writes the folders that the tests above read.
-func TestWriteStoredFolders(t *testing.T) {
-	if *storedFrom == "" {
-		t.Skip("only with -stored-from")
-	}
-	require.NoError(t, os.MkdirAll(storedDir, 0o750))
-	program = *storedFrom
-	sites := map[string]storedSite{storedMembers: writeMembers(t), storedSnapshot: writeSnapshot(t)}
-	text, err := json.MarshalIndent(sites, "", " ")
-	require.NoError(t, err)
-	require.NoError(t, os.WriteFile(filepath.Join(storedDir, "expected.json"), append(text, '\n'), 0o600))
-}
-
-// finish ends all nodes, and writes their folders.
-func (c *cluster) finish(t *testing.T, dir, archive string, site *storedSite) {
-	c.KillAll()
-	for i, p := range c.Peers {
-		site.Left[p.Name] = json.RawMessage(c.left(t, i))
-	}
-	pack(t, dir, filepath.Join(storedDir, archive))
-}
-
-func writeMembers(t *testing.T) storedSite {
-	dir := t.TempDir()
-	c := clusterIn(t, dir, 3)
-	c.Fields["backup"] = object{"dir": filepath.Join(dir, "backups"), "every": "24h", "keep": 3}
-	c.Begin()
-	for i := range 5 {
-		c.Put(i%3, fmt.Sprint("note/", i), fmt.Sprintf(`{"n":%d,"text":"café"}`, i))
-	}
-	c.Put(1, "note/1", `{"n":11}`)
-	code, _ := c.sure(0, "DELETE", "/store/note/4", "")
-	require.Equal(t, 204, code)
-	set := settings()
-	set["classes"] = []object{{"name": "stored-class", "effect": "idempotent", "value": 1, "aim_ns": 1e9, "deadline_ns": 2e9}}
-	text, err := json.Marshal(set)
-	require.NoError(t, err)
-	c.Put(0, "config/settings", string(text))
-	c.Put(0, "config/log_level", `"info"`)
-	c.Put(0, "config/work", `{"most":1,"most_zone":1,"share":0.5,"share_zone":1,"spare":0}`)
-	c.Put(0, "state/elsewhere", `{"since_ms":1700000000000,"state":"open"}`)
-	code, text2 := c.sure(0, "POST", "/members/s1", "")
-	require.Equal(t, 204, code, text2)
-	c.KillAll()
-	c.Begin() // which keeps the settings as good ones
-	for i := range 3 {
-		await(t, "settings of the store", func() bool { return strings.Contains(c.nodes[i].log(), `"last_good":false`) })
-	}
-	require.NoError(t, c.client().PauseMaintenance(t.Context(), true, "stored"))
-	_, err = c.client().SubmitOrder(t.Context(), maintenance.Order{Node: "s1", Reason: "kernel", DurationMS: 60000, Priority: 2})
-	require.NoError(t, err)
-	_, err = c.client().SubmitOrder(t.Context(), maintenance.Order{Node: "s2", Reason: "disk", DurationMS: 30000})
-	require.NoError(t, err)
-	for i := range 3 {
-		code, _ := c.grant(i, fmt.Sprint("job/", i), fmt.Sprintf(`{"holder":"h%d","ttl_ms":600000}`, i))
-		require.Equal(t, 200, code)
-	}
-	var names []string
-	await(t, "a backup", func() bool {
-		list, _ := os.ReadDir(filepath.Join(dir, "backups"))
-		names = nil
-		for _, f := range list {
-			names = append(names, f.Name())
-		}
-		_, noted := c.HTTP(0, "GET", "/store/state/fleet.backup", "")
-		return len(names) > 0 && strings.Contains(noted, names[len(names)-1])
-	})
-	time.Sleep(5 * time.Second) // what services say of themselves settles, and the record follows
-	site := c.record(t)
-	site.Backups = names
-	c.finish(t, dir, storedMembers, &site)
-	return site
-}
-
-func writeSnapshot(t *testing.T) storedSite {
-	dir := t.TempDir()
-	c := clusterIn(t, dir, 1)
-	c.Begin()
-	for i := range 1100 { // more than a snapshot is taken after
-		c.Put(0, fmt.Sprint("note/", i%7), fmt.Sprint(i))
-	}
-	_, text := c.sure(0, "POST", "/session", "")
-	var opened struct{ Session json.Number }
-	require.NoError(t, json.Unmarshal([]byte(text), &opened))
-	w := &storedWrite{Session: opened.Session.String(), Number: "1", Key: "note/in-session", Value: `"once"`}
-	time.Sleep(250 * time.Second) // Raft looks every two to four minutes whether one is due
-	var code int
-	code, w.Tag = c.writeInSession(t, w)
-	require.Equal(t, 204, code)
-	c.Put(0, "note/after", `"the snapshot"`)
-	site := c.record(t)
-	site.Write = w
-	c.finish(t, dir, storedSnapshot, &site)
-	return site
-}
