--- a/cmd/simadapter/recordings_test.go
+++ b/cmd/simadapter/recordings_test.go
@@ -22,7 +22,7 @@
 func TestRecordingsReplayBitForBit(t *testing.T) {
 	inputs, err := filepath.Glob("testdata/recordings/*.in.gz")
 	require.NoError(t, err)
-	require.Len(t, inputs, 11)
+	require.Len(t, inputs, 12)
 	for _, input := range inputs {
 		name := strings.TrimSuffix(filepath.Base(input), ".in.gz")
 		t.Run(name, func(t *testing.T) {
