--- a/cmd/oxbowbridge/frontends.go
+++ b/cmd/oxbowbridge/frontends.go
@@ -20,6 +20,9 @@
 )
 
 const (
+	// effectDeduplicated is the effect, as the settings name it, of classes whose requests
+	// have an idempotency key.
+	effectDeduplicated = "deduplicated"
 	// listenRetryInterval is the time between two attempts to listen on an address in use.
 	listenRetryInterval = 50 * time.Millisecond
 	// predecessorExitSlack is what a predecessor that was killed at its stop_ms may take
@@ -55,7 +58,7 @@
 func frontendClasses(cfg *config) map[string]frontend.Class {
 	classes := map[string]frontend.Class{}
 	for i, class := range cfg.Settings.Classes {
-		classes[class.Name] = frontend.Class{Index: i, NeedsIdempotencyKey: class.Effect == "deduplicated"}
+		classes[class.Name] = frontend.Class{Index: i, NeedsIdempotencyKey: class.Effect == effectDeduplicated}
 	}
 	return classes
 }
--- a/cmd/oxbowbridge/runner.go
+++ b/cmd/oxbowbridge/runner.go
@@ -10,6 +10,9 @@
 	"oxbowbridge/internal/transport/session"
 )
 
+// preemptionPause names, in the settings, runs that keep their progress when stopped.
+const preemptionPause = "pause"
+
 // runner is an exchange.Runner of this program.
 type runner interface {
 	exchange.Runner
@@ -40,7 +43,7 @@
 func newRunner(cfg *config, env session.Dependencies) runner {
 	info := &cfg.Settings.Server
 	if len(cfg.AJP.UpstreamAddresses) == 0 {
-		return engineRunner{engine.New(cfg.EngineAddress, info.Preemption == "pause", env)}
+		return engineRunner{engine.New(cfg.EngineAddress, info.Preemption == preemptionPause, env)}
 	}
 	return upstreamRunner{ajp.NewUpstreamPool(cfg.AJP.UpstreamAddresses, cfg.AJP.UpstreamSecret, info.GaugeNames,
 		slowStartConfig(cfg), upstreamSeed(cfg), env)}
--- a/cmd/oxbowbridge/serve.go
+++ b/cmd/oxbowbridge/serve.go
@@ -18,8 +18,9 @@
 const (
 	// heapLimitFraction of limits.memory_mb is the soft limit of Go's heap.
 	heapLimitFraction = 0.6
-	// maxRunningGoroutines is for the dispatcher and the event loop.
-	maxRunningGoroutines = 2
+	// goThreads is the number of threads that run Go code at a time: one for the dispatcher
+	// and one for the event loop.
+	goThreads = 2
 )
 
 // serve runs the service until a drain is over.
@@ -30,7 +31,7 @@
 		return fmt.Errorf("%w: %w", errConfig, err)
 	}
 	debug.SetMemoryLimit(int64(float64(cfg.Limits.MemoryMB) * heapLimitFraction * (1 << 20)))
-	runtime.GOMAXPROCS(maxRunningGoroutines)
+	runtime.GOMAXPROCS(goThreads)
 	level := zap.NewAtomicLevel()
 	log := newLogger(level).With(zap.String("name", cfg.Name))
 	defer log.Sync()
@@ -54,16 +55,7 @@
 	// and a reload counts also while the service drains, as requests in flight may need the
 	// new addresses.
 	go reloadOnHangup(s, hangup, &current, env)
-	go func() {
-		select { // the first notice counts
-		case <-notice.Done():
-		case <-worker.leaves:
-		}
-		noticedAt := time.Now()
-		kept.say("draining")
-		stopTimeout := time.Duration(current.Load().DrainTimeoutMS) * time.Millisecond
-		s.drain(noticedAt, stopTimeout-kept.closing())
-	}()
+	go drainOnNotice(s, notice, worker, kept, &current)
 	s.dispatcher.Run()
 	return worker.out(notice)
 }
@@ -86,3 +78,16 @@
 		current.Store(s.reload(current.Load(), env))
 	}
 }
+
+// drainOnNotice starts the drain at the first notice: a signal, or an order of maintenance.
+// The store's shutdown is part of the drain timeout.
+func drainOnNotice(s *service, notice context.Context, worker *worker, kept *keeper, current *atomic.Pointer[config]) {
+	select {
+	case <-notice.Done():
+	case <-worker.leaves:
+	}
+	noticedAt := time.Now()
+	kept.say("draining")
+	drainTimeout := time.Duration(current.Load().DrainTimeoutMS) * time.Millisecond
+	s.drain(noticedAt, drainTimeout-kept.closing())
+}
--- a/cmd/oxbowbridge/service.go
+++ b/cmd/oxbowbridge/service.go
@@ -28,6 +28,8 @@
 	// many of limits.memory_mb. Together with the open requests that is less than
 	// heapLimitFraction.
 	idempotencyKeysDivisor = 5
+	// dependencyShared names, in the settings, a dependency that all services share.
+	dependencyShared = "shared"
 )
 
 // service is the connected parts of the program that serve requests.
@@ -133,7 +135,7 @@
 // callLinger is how long an abandoned call stays in flight at a dependency that all
 // services share.
 func callLinger(cfg *config) time.Duration {
-	if cfg.Settings.Server.Dependency != "shared" {
+	if cfg.Settings.Server.Dependency != dependencyShared {
 		return 0
 	}
 	return cfg.Settings.Server.CallLinger
