--- a/internal/cluster/storeadmin/errors.go
+++ b/internal/cluster/storeadmin/errors.go
@@ -34,7 +34,7 @@
 	{kv.ErrFenced, http.StatusPreconditionFailed},
 	{kv.ErrStaleRequest, http.StatusConflict},
 	{lease.ErrWaiterNotFound, http.StatusConflict},
-	{controller.ErrWrongPhase, http.StatusConflict},
+	{maintenance.ErrWrongPhase, http.StatusConflict},
 	{kv.ErrFull, http.StatusInsufficientStorage},
 }
 
--- a/internal/cluster/storeadmin/golden_test.go
+++ b/internal/cluster/storeadmin/golden_test.go
@@ -31,7 +31,7 @@
 	var lines strings.Builder
 	for _, err := range []error{
 		kv.ErrInvalidRequest, lease.ErrInvalidRequest, maintenance.ErrInvalidOrder, kv.ErrSessionNotFound, lease.ErrNotHolder, store.ErrMemberRejected, store.ErrMemberNotFound, controller.ErrOrderNotFound,
-		kv.ErrFenced, kv.ErrStaleRequest, lease.ErrWaiterNotFound, controller.ErrWrongPhase, kv.ErrFull,
+		kv.ErrFenced, kv.ErrStaleRequest, lease.ErrWaiterNotFound, maintenance.ErrWrongPhase, kv.ErrFull,
 		controller.ErrConflict, kv.ErrRestoring, lease.ErrTooMany, lease.ErrHeld, store.ErrNoLeader, store.ErrNotServing, store.ErrLeasesUnavailable, store.ErrNotFresh,
 		store.ErrTooManyWrites, store.ErrNotEmpty, errTooManyRequests, errors.New("another"),
 	} {
--- /dev/null
+++ b/internal/maintenance/agent/config.go
@@ -0,0 +1,62 @@
+package agent
+
+import (
+	"errors"
+	"fmt"
+	"time"
+
+	"oxbowbridge/internal/maintenance"
+)
+
+// Config is the section "work" of the configuration file.
+type Config struct {
+	Nodes               []string `json:"nodes"`      // admin addresses of the store; default is this service's own node
+	Zone                string   `json:"zone"`       // what fails together with the machine
+	Speed               float64  `json:"speed"`      // of a core, relative to others; default 1
+	HeartbeatIntervalMS int64    `json:"every_ms"`   // 50 to 600000; default 2000
+	Command             []string `json:"command"`    // run while the machine is out; it returns when this has ended
+	CommandTimeoutMS    int64    `json:"command_ms"` // for the command; default 10 minutes
+}
+
+const (
+	defaultHeartbeatInterval = 2 * time.Second
+	defaultCommandTimeout    = 10 * time.Minute
+	defaultSpeed             = 1
+)
+
+// Validate names the field that is not valid.
+func (c *Config) Validate() error {
+	interval := c.HeartbeatIntervalMS
+	switch {
+	case interval != 0 && (interval < maintenance.MinHeartbeatIntervalMS || interval > maintenance.MaxHeartbeatIntervalMS):
+		return fmt.Errorf("every_ms: want %d to %d", maintenance.MinHeartbeatIntervalMS, maintenance.MaxHeartbeatIntervalMS)
+	case c.Speed < 0:
+		return errors.New("speed: below 0")
+	case c.CommandTimeoutMS < 0:
+		return errors.New("command_ms: below 0")
+	case len(c.Command) > 0 && c.Command[0] == "":
+		return errors.New("command: no program")
+	}
+	return nil
+}
+
+func (c *Config) speed() float64 {
+	if c.Speed == 0 {
+		return defaultSpeed
+	}
+	return c.Speed
+}
+
+func (c *Config) heartbeatInterval() time.Duration {
+	if c.HeartbeatIntervalMS == 0 {
+		return defaultHeartbeatInterval
+	}
+	return time.Duration(c.HeartbeatIntervalMS) * time.Millisecond
+}
+
+func (c *Config) commandTimeout() time.Duration {
+	if c.CommandTimeoutMS == 0 {
+		return defaultCommandTimeout
+	}
+	return time.Duration(c.CommandTimeoutMS) * time.Millisecond
+}
--- /dev/null
+++ b/internal/maintenance/controller/run.go
@@ -0,0 +1,98 @@
+package controller
+
+import (
+	"context"
+	"errors"
+	"strings"
+	"time"
+
+	"go.uber.org/zap"
+
+	"oxbowbridge/internal/cluster/kv"
+	"oxbowbridge/internal/cluster/lease"
+	"oxbowbridge/internal/maintenance"
+)
+
+const (
+	decisionInterval = 200 * time.Millisecond
+	decisionTimeout  = 3 * time.Second
+	// maxTransitions is how many transitions one request to the store carries out.
+	maxTransitions = kv.MaxOps / 2
+)
+
+// Run decides under ControllerLease until ctx ends or the lease is lost, which is kv.ErrFenced.
+func (c *Controller) Run(ctx context.Context, fence lease.FencingToken) error {
+	tick := time.NewTicker(decisionInterval)
+	defer tick.Stop()
+	for {
+		if err := c.decideOnce(ctx, fence); err != nil && ctx.Err() == nil {
+			if errors.Is(err, kv.ErrFenced) {
+				return err
+			}
+			c.log.Warn("maintenance decision failed", zap.Int64("retry_in_ms", decisionInterval.Milliseconds()), zap.Error(err))
+			time.Sleep(decisionInterval)
+		}
+		select {
+		case <-ctx.Done():
+			return ctx.Err()
+		case <-tick.C:
+		}
+	}
+}
+
+// decideOnce carries out what is to be done now.
+func (c *Controller) decideOnce(ctx context.Context, fence lease.FencingToken) error {
+	if !c.hasOrders() {
+		return nil
+	}
+	ctx, cancel := context.WithTimeout(ctx, decisionTimeout)
+	defer cancel()
+	s, err := c.readSnapshot(ctx)
+	if err != nil {
+		return err
+	}
+	decision := maintenance.Decide(s.observation)
+	if len(decision.Transitions) == 0 && decision.PauseReason == "" {
+		return nil
+	}
+	return c.store.ExecuteAnywhere(ctx, c.requestFor(decision, s, fence))
+}
+
+// requestFor is a decision as a request, which is carried out only if the lease is held and nothing
+// that was decided on has changed.
+func (c *Controller) requestFor(decision maintenance.Decision, s snapshot, fence lease.FencingToken) kv.Request {
+	request := kv.Request{
+		Fences: []lease.FencingToken{fence},
+		If:     []kv.Compare{{Key: pauseKey, Revision: s.pauseRevision}},
+	}
+	for _, t := range decision.Transitions[:min(len(decision.Transitions), maxTransitions)] {
+		o := s.order(t.Node)
+		o.Phase = t.To
+		o.PhaseReason = t.Reason
+		o.PhaseSinceMS = s.observation.NowMS
+		request.If = append(request.If, kv.Compare{Key: orderPrefix + t.Node, Revision: s.orderRevisions[t.Node]})
+		request.Then = append(request.Then, putOrder(o))
+		c.log.Info("maintenance order changes phase", zap.String("machine", t.Node), zap.Stringer("phase", t.To), zap.String("reason", t.Reason))
+	}
+	if decision.PauseReason != "" {
+		pause := maintenance.Pause{
+			Paused:               true,
+			Reason:               decision.PauseReason,
+			AcknowledgedFailures: s.observation.Pause.AcknowledgedFailures,
+		}
+		request.Then = append(request.Then, putJSON(pauseKey, pause))
+		c.log.Error("maintenance paused", zap.String("reason", decision.PauseReason))
+	}
+	return request
+}
+
+// hasOrders tells whether there is any order in this node's state, which may be behind.
+func (c *Controller) hasOrders() bool {
+	entries, _ := c.store.Entries()
+	for key := range entries {
+		if strings.HasPrefix(key, orderPrefix) {
+			return true
+		}
+	}
+	return false
+}
--- /dev/null
+++ b/internal/maintenance/controller/snapshot.go
@@ -0,0 +1,93 @@
+package controller
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"slices"
+	"strings"
+	"time"
+
+	"oxbowbridge/internal/cluster/kv"
+	"oxbowbridge/internal/cluster/store"
+	"oxbowbridge/internal/maintenance"
+)
+
+// snapshot is all that the store has of maintenance, with the revisions of what a decision changes.
+type snapshot struct {
+	observation    maintenance.Observation
+	orderRevisions map[string]uint64 // by machine
+	pauseRevision  uint64            // 0 if maintenance was never paused
+}
+
+// readSnapshot reads the present state.
+func (c *Controller) readSnapshot(ctx context.Context) (s snapshot, err error) {
+	if _, err := c.store.WaitFresh(ctx, store.Freshness{}); err != nil {
+		return s, err
+	}
+	entries, _ := c.store.Entries()
+	s.observation = maintenance.Observation{NowMS: time.Now().UnixMilli(), Budget: maintenance.DefaultDisruptionBudget()}
+	if err := s.readPause(entries); err != nil {
+		return s, err
+	}
+	s.readBudget(entries)
+	if err := s.readOrders(entries); err != nil {
+		return s, err
+	}
+	s.observation.Machines = c.machines(c.heartbeats(), s.observation.Orders)
+	return s, nil
+}
+
+func (s *snapshot) readPause(entries map[string]kv.Entry) error {
+	e, ok := entries[pauseKey]
+	if !ok {
+		return nil
+	}
+	s.pauseRevision = e.ModRevision
+	if json.Unmarshal(e.Value, &s.observation.Pause) != nil {
+		return fmt.Errorf("%s: can't be read", pauseKey)
+	}
+	return nil
+}
+
+// readBudget reads the budget that operators have set. One that is not valid pauses maintenance.
+func (s *snapshot) readBudget(entries map[string]kv.Entry) {
+	e, ok := entries[BudgetKey]
+	if !ok {
+		return
+	}
+	budget := maintenance.DefaultDisruptionBudget()
+	err := json.Unmarshal(e.Value, &budget)
+	if err == nil {
+		err = budget.Validate()
+	}
+	if err != nil {
+		s.observation.Pause.Paused = true
+		s.observation.Pause.Reason = fmt.Sprintf("%s: %v", BudgetKey, err)
+		return
+	}
+	s.observation.Budget = budget
+}
+
+func (s *snapshot) readOrders(entries map[string]kv.Entry) error {
+	s.orderRevisions = map[string]uint64{}
+	for key, e := range entries {
+		if !strings.HasPrefix(key, orderPrefix) {
+			continue
+		}
+		var o maintenance.Order
+		if err := json.Unmarshal(e.Value, &o); err != nil {
+			return fmt.Errorf("%s: %w", key, err)
+		}
+		s.observation.Orders = append(s.observation.Orders, o)
+		s.orderRevisions[o.Node] = e.ModRevision
+	}
+	slices.SortFunc(s.observation.Orders, func(a, b maintenance.Order) int { return strings.Compare(a.Node, b.Node) })
+	return nil
+}
+
+// order is the order of a machine, which must have one.
+func (s *snapshot) order(machine string) maintenance.Order {
+	i := slices.IndexFunc(s.observation.Orders, func(o maintenance.Order) bool { return o.Node == machine })
+	return s.observation.Orders[i]
+}
--- /dev/null
+++ b/internal/maintenance/decide.go
@@ -0,0 +1,118 @@
+package maintenance
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+)
+
+// Observation is all that a decision depends on.
+type Observation struct {
+	NowMS    int64 // Unix time
+	Machines []Machine
+	Orders   []Order
+	Budget   DisruptionBudget
+	Pause    Pause
+}
+
+// machinesByName indexes the machines.
+func (v Observation) machinesByName() map[string]Machine {
+	machines := make(map[string]Machine, len(v.Machines))
+	for _, m := range v.Machines {
+		machines[m.Name] = m
+	}
+	return machines
+}
+
+// Transition moves an order into another phase.
+type Transition struct {
+	Node   string // the machine
+	To     Phase
+	Reason string
+}
+
+// Decision is what is to be done now.
+type Decision struct {
+	Transitions []Transition
+	PauseReason string            // if not empty, maintenance is to pause
+	WaitReasons map[string]string // why each order that waits does, by machine
+	HeadOfQueue string            // the first machine that waits
+}
+
+// Decide says what is to be done now: transitions that are due, then grants in the order of the
+// queue as long as the budget allows.
+func Decide(v Observation) Decision {
+	d := Decision{WaitReasons: map[string]string{}}
+	orders := slices.Clone(v.Orders)
+	machines := v.machinesByName()
+	d.applyTimedTransitions(v, orders, machines)
+	blocked := d.checkPause(v, orders)
+	usage := newBudgetUsage(v, orders, machines)
+	for i, o := range Queue(orders) {
+		reason := blocked
+		if reason == "" {
+			reason = usage.refusalReason(o)
+		}
+		if reason == "" {
+			d.Transitions = append(d.Transitions, Transition{Node: o.Node, To: PhaseGranted})
+			usage.takeOut(o.Node)
+			continue
+		}
+		d.WaitReasons[o.Node] = reason
+		if d.HeadOfQueue == "" {
+			d.HeadOfQueue = o.Node
+		}
+		overtaken := i == 0 && usage.isInService(o.Node) && v.NowMS-o.RequestedMS > v.Budget.OvertakingPeriodMS
+		if blocked == "" && overtaken {
+			blocked = o.Node + " has waited for long and goes first"
+		}
+	}
+	return d
+}
+
+// applyTimedTransitions records the transitions that are due, and applies them to orders.
+func (d *Decision) applyTimedTransitions(v Observation, orders []Order, machines map[string]Machine) {
+	for i, o := range orders {
+		to, reason := timedTransition(o, machines[o.Node], v)
+		if to == "" {
+			continue
+		}
+		d.Transitions = append(d.Transitions, Transition{o.Node, to, reason})
+		orders[i].Phase = to
+		orders[i].PhaseSinceMS = v.NowMS
+	}
+}
+
+// checkPause tells why nothing is granted now, or "". Too many failures that no operator has
+// acknowledged pause maintenance.
+func (d *Decision) checkPause(v Observation, orders []Order) (blocked string) {
+	if v.Pause.Paused {
+		return "the order is paused: " + v.Pause.Reason
+	}
+	failures := 0
+	for _, o := range orders {
+		failed := o.Phase == PhaseFailed || o.Phase == PhaseAbandoned
+		if failed && !slices.Contains(v.Pause.AcknowledgedFailures, o.Node) {
+			failures++
+		}
+	}
+	if failures < v.Budget.MaxFailures {
+		return ""
+	}
+	d.PauseReason = fmt.Sprintf("%d machines failed to return", failures)
+	return "the order is paused: " + d.PauseReason
+}
+
+// Queue is the orders that wait for a grant, the next one first: by priority, then in the order of
+// arrival.
+func Queue(orders []Order) (queue []Order) {
+	for _, o := range orders {
+		if o.Phase == PhaseRequested {
+			queue = append(queue, o)
+		}
+	}
+	slices.SortFunc(queue, func(a, b Order) int {
+		return cmp.Or(cmp.Compare(b.Priority, a.Priority), cmp.Compare(a.Ticket, b.Ticket), cmp.Compare(a.Node, b.Node))
+	})
+	return queue
+}
--- /dev/null
+++ b/internal/maintenance/plan_place.go
@@ -0,0 +1,137 @@
+package maintenance
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+	"time"
+)
+
+// place gives each task of a list the first time at which it fits beside those before it. It stops
+// early once the plan is not below a duration.
+func (in PlanInput) place(fixed, list []PlanTask, below time.Duration) (p Plan, err error) {
+	for _, t := range fixed {
+		p.Schedule = append(p.Schedule, ScheduledTask{PlanTask: t, End: t.Remaining})
+		p.Duration = max(p.Duration, t.Remaining)
+	}
+	for _, t := range list {
+		start, ok := in.firstStart(p.Schedule, t)
+		if !ok {
+			return p, fmt.Errorf("%w: %s fits at no time within the limits", ErrNoPlan, t.Node)
+		}
+		end := start + t.Duration
+		p.Schedule = append(p.Schedule, ScheduledTask{PlanTask: t, Start: start, End: end})
+		p.Duration = max(p.Duration, end)
+		if p.Duration >= below {
+			return p, nil
+		}
+	}
+	slices.SortStableFunc(p.Schedule, func(a, b ScheduledTask) int {
+		return cmp.Or(cmp.Compare(a.Start, b.Start), cmp.Compare(a.Node, b.Node))
+	})
+	return p, nil
+}
+
+// firstStart is the first time at which a task fits. Only the plan's start, the end of another task
+// and the start of a window can be that.
+func (in PlanInput) firstStart(schedule []ScheduledTask, t PlanTask) (time.Duration, bool) {
+	candidates := []time.Duration{0}
+	for _, other := range schedule {
+		candidates = append(candidates, other.End)
+	}
+	for _, w := range in.Windows {
+		candidates = append(candidates, w.From)
+	}
+	slices.Sort(candidates)
+	for _, start := range slices.Compact(candidates) {
+		if in.inWindow(start) && in.fits(schedule, t, start) {
+			return start, true
+		}
+	}
+	return 0, false
+}
+
+func (in PlanInput) inWindow(start time.Duration) bool {
+	return len(in.Windows) == 0 || slices.ContainsFunc(in.Windows, func(w StartWindow) bool { return w.From <= start && start < w.To })
+}
+
+// fits tells whether a task fits at a time. It checks the budget when the task starts, and each time
+// that another one starts meanwhile.
+func (in PlanInput) fits(schedule []ScheduledTask, t PlanTask, start time.Duration) bool {
+	if !in.fitsAt(schedule, t, start) {
+		return false
+	}
+	for _, other := range schedule {
+		startsMeanwhile := other.Start > start && other.Start < start+t.Duration
+		if startsMeanwhile && !in.fitsAt(schedule, t, other.Start) {
+			return false
+		}
+	}
+	return true
+}
+
+// fitsAt checks the budget at one moment at which a task is out. A single machine may go whatever
+// its share of the capacity is.
+func (in PlanInput) fitsAt(schedule []ScheduledTask, t PlanTask, moment time.Duration) bool {
+	out, zoneOut := 1, 1
+	capacityOut, zoneCapacityOut := t.Capacity, t.Capacity
+	for _, other := range schedule {
+		if moment < other.Start || moment >= other.End {
+			continue
+		}
+		if sharesReplicas(t, other.PlanTask) {
+			return false
+		}
+		out++
+		capacityOut += other.Capacity
+		if other.Zone == t.Zone {
+			zoneOut++
+			zoneCapacityOut += other.Capacity
+		}
+	}
+	b := in.Budget
+	switch {
+	case out > b.MaxOut, zoneOut > b.MaxOutPerZone:
+		return false
+	case out > 1 && capacityOut > b.MaxCapacityShare*in.TotalCapacity:
+		return false
+	case zoneOut > 1 && zoneCapacityOut > b.MaxZoneCapacityShare*in.ZoneCapacity[t.Zone]:
+		return false
+	}
+	return true
+}
+
+func sharesReplicas(a, b PlanTask) bool {
+	return slices.ContainsFunc(a.ReplicaGroups, func(group string) bool { return slices.Contains(b.ReplicaGroups, group) })
+}
+
+// lowerBound is a duration that no plan can be below: the longest task, the sum of all tasks by the
+// places that there are, whole and in each zone, and by the capacity that may be out.
+func (in PlanInput) lowerBound(fixed, free []PlanTask) time.Duration {
+	var bound time.Duration
+	var total, coreTime float64
+	zoneTotals := map[string]float64{}
+	for _, t := range slices.Concat(fixed, free) {
+		duration := t.Duration
+		if t.AlreadyOut {
+			duration = t.Remaining
+		}
+		bound = max(bound, duration)
+		total += float64(duration)
+		zoneTotals[t.Zone] += float64(duration)
+		coreTime += float64(duration) * t.Capacity
+	}
+	bound = max(bound, time.Duration(total/float64(in.Budget.MaxOut)))
+	for _, zoneTotal := range zoneTotals {
+		bound = max(bound, time.Duration(zoneTotal/float64(in.Budget.MaxOutPerZone)))
+	}
+	capacityLimit := in.Budget.MaxCapacityShare * in.TotalCapacity
+	if capacityLimit > 0 {
+		largest := 0.0
+		for _, t := range free {
+			largest = max(largest, t.Capacity)
+		}
+		bound = max(bound, time.Duration(coreTime/max(capacityLimit, largest)))
+	}
+	return bound
+}
--- /dev/null
+++ b/internal/maintenance/usage.go
@@ -0,0 +1,170 @@
+package maintenance
+
+import "fmt"
+
+// budgetUsage is how much of a disruption budget is in use, as sums: a question costs the same with
+// any number of machines. Capacities are in cores of speed 1.
+type budgetUsage struct {
+	budget    DisruptionBudget
+	machines  map[string]Machine
+	isOut     map[string]bool // by order, or because the machine is not in service
+	abandoned map[string]bool // they use no place, but their capacity is missing
+
+	totalCapacity float64
+	zoneCapacity  map[string]float64
+	voters        int
+
+	placesUsed     int // machines that count against MaxOut
+	zonePlacesUsed map[string]int
+	capacityOut    float64
+	zoneOut        map[string]float64
+	capacityIn     float64
+	capacityInUse  float64 // of capacityIn
+	votersIn       int
+	replicaOut     map[string]string // a machine that is out, by replica group
+}
+
+func newBudgetUsage(v Observation, orders []Order, machines map[string]Machine) *budgetUsage {
+	u := &budgetUsage{
+		budget:         v.Budget,
+		machines:       machines,
+		isOut:          map[string]bool{},
+		abandoned:      map[string]bool{},
+		zoneCapacity:   map[string]float64{},
+		zonePlacesUsed: map[string]int{},
+		zoneOut:        map[string]float64{},
+		replicaOut:     map[string]string{},
+	}
+	for _, o := range orders {
+		u.abandoned[o.Node] = o.Phase == PhaseAbandoned
+	}
+	for _, m := range machines {
+		u.addMachine(m)
+	}
+	for _, m := range machines {
+		if m.State != MachineInService {
+			u.takeOut(m.Name)
+		}
+	}
+	for _, o := range orders {
+		if o.Phase.countsAsOut() {
+			u.takeOut(o.Node)
+		}
+	}
+	return u
+}
+
+func (u *budgetUsage) addMachine(m Machine) {
+	u.totalCapacity += m.Capacity()
+	u.zoneCapacity[m.Zone] += m.Capacity()
+	u.capacityIn += m.Capacity()
+	u.capacityInUse += m.Capacity() * u.utilization(m)
+	if m.Voter {
+		u.voters++
+		u.votersIn++
+	}
+}
+
+// utilization is a machine's share in use. One that is not known, or too old, counts as 1.
+func (u *budgetUsage) utilization(m Machine) float64 {
+	if m.UtilizationAgeMS < 0 || m.UtilizationAgeMS > u.budget.MaxUtilizationAgeMS {
+		return 1
+	}
+	return min(max(m.Utilization, 0), 1)
+}
+
+// takeOut counts a machine as out.
+func (u *budgetUsage) takeOut(name string) {
+	if u.isOut[name] {
+		return
+	}
+	u.isOut[name] = true
+	m, known := u.machines[name]
+	if !u.abandoned[name] {
+		u.placesUsed++
+		if known {
+			u.zonePlacesUsed[m.Zone]++
+		}
+	}
+	if !known {
+		return // nothing but its place is known
+	}
+	u.capacityOut += m.Capacity()
+	u.zoneOut[m.Zone] += m.Capacity()
+	u.capacityIn -= m.Capacity()
+	u.capacityInUse -= m.Capacity() * u.utilization(m)
+	if m.Voter {
+		u.votersIn--
+	}
+	for _, group := range m.ReplicaGroups {
+		u.replicaOut[group] = name
+	}
+}
+
+func (u *budgetUsage) isInService(name string) bool {
+	_, known := u.machines[name]
+	return known && !u.isOut[name]
+}
+
+// refusalReason says why an order can't be granted now, or "".
+func (u *budgetUsage) refusalReason(o Order) string {
+	m, known := u.machines[o.Node]
+	switch {
+	case !known:
+		return "nothing is known of this machine"
+	case m.State != MachineInService:
+		return "it is " + m.State.String() + " already"
+	}
+	for _, group := range m.ReplicaGroups {
+		if other, out := u.replicaOut[group]; out {
+			return fmt.Sprintf("%s, which is out, holds copies of the same things (%s)", other, group)
+		}
+	}
+	if reason := u.placeShortage(m); reason != "" {
+		return reason
+	}
+	if reason := u.capacityShortage(m); reason != "" {
+		return reason
+	}
+	return u.voterShortage(m)
+}
+
+// placeShortage checks the number of machines that are out.
+func (u *budgetUsage) placeShortage(m Machine) string {
+	b := u.budget
+	switch {
+	case u.placesUsed >= b.MaxOut:
+		return fmt.Sprintf("%d are out, at most %d", u.placesUsed, b.MaxOut)
+	case u.zonePlacesUsed[m.Zone] >= b.MaxOutPerZone:
+		return fmt.Sprintf("%d are out in zone %q, at most %d", u.zonePlacesUsed[m.Zone], m.Zone, b.MaxOutPerZone)
+	}
+	return ""
+}
+
+// capacityShortage checks the capacity that would be out, and what would stay. A single machine may
+// go whatever its share is, or a small fleet would never be maintained.
+func (u *budgetUsage) capacityShortage(m Machine) string {
+	b := u.budget
+	out := u.capacityOut + m.Capacity()
+	zoneOut := u.zoneOut[m.Zone] + m.Capacity()
+	in := u.capacityIn - m.Capacity()
+	switch {
+	case out > b.MaxCapacityShare*u.totalCapacity && u.placesUsed > 0 || in <= 0:
+		return fmt.Sprintf("%.1f of %.1f cores would be out, at most %.0f%%", out, u.totalCapacity, 100*b.MaxCapacityShare)
+	case zoneOut > b.MaxZoneCapacityShare*u.zoneCapacity[m.Zone] && u.zonePlacesUsed[m.Zone] > 0:
+		return fmt.Sprintf("%.1f of %.1f cores of zone %q would be out, at most %.0f%%", zoneOut, u.zoneCapacity[m.Zone], m.Zone, 100*b.MaxZoneCapacityShare)
+	case u.capacityInUse > (1-b.SpareCapacityShare)*in:
+		return fmt.Sprintf("%.1f cores are in use, and %.1f would stay, of which %.0f%% are kept spare", u.capacityInUse, in, 100*b.SpareCapacityShare)
+	}
+	return ""
+}
+
+// voterShortage checks the store's voters that would stay.
+func (u *budgetUsage) voterShortage(m Machine) string {
+	quorum := u.voters/2 + 1
+	stay := u.votersIn - 1
+	if m.Voter && stay < quorum+u.budget.SpareVoters {
+		return fmt.Sprintf("%d of the store's %d voters would stay, want %d", stay, u.voters, quorum+u.budget.SpareVoters)
+	}
+	return ""
+}
--- a/internal/maintenance/work_test.go
+++ b/internal/maintenance/work_test.go
@@ -96,12 +96,12 @@
 		j.Phase = c.from
 		m := fleetOf(1)[0]
 		m.State = c.state
-		to, _ := overdue(j, m, Observation{NowMS: c.after, Budget: l})
+		to, _ := timedTransition(j, m, Observation{NowMS: c.after, Budget: l})
 		assert.Equal(t, c.to, to, c)
 	}
 	late := ask("m0")[0]
 	late.LatestStartMS = 10
-	to, why := overdue(late, Machine{}, Observation{NowMS: 11, Budget: l})
+	to, why := timedTransition(late, Machine{}, Observation{NowMS: 11, Budget: l})
 	assert.Equal(t, PhaseExpired, to)
 	assert.NotEmpty(t, why)
 }
