--- a/admission/admit_test.go
+++ b/admission/admit_test.go
@@ -28,7 +28,8 @@
 	for i := uint32(0); i < 60; i++ {
 		s := r.controller.occupancy()
 		probe := &request{class: 1, weightFraction: 1, objective: r.now + 950*ms, deadline: r.now + 2*time.Second}
-		admit := s < len(r.controller.policy.bias) && r.controller.reward(probe, s) >= r.controller.policy.bias[s] && r.controller.reward(probe, s) >= 0
+		reward := r.controller.reward(probe, s)
+		admit := s < len(r.controller.policy.bias) && reward >= r.controller.policy.bias[s] && reward >= 0
 		got := r.at(0, arrival(10+i, 1))
 		if rejected := count[Reject](got) == 1; rejected == admit {
 			t.Fatalf("state %d: rejected %v, r ≥ ∇h %v", s, rejected, admit)
--- a/admission/policy_test.go
+++ b/admission/policy_test.go
@@ -42,7 +42,8 @@
 	}
 }
 
-func smallModel(concurrency, maxState int, serviceRate, arrivalRate, radius float64, weights, costs, shares []float64) admissionModel {
+func smallModel(concurrency, maxState int, serviceRate, arrivalRate, radius float64,
+	weights, costs, shares []float64) admissionModel {
 	return admissionModel{
 		concurrency: concurrency,
 		maxState:    maxState,
