--- a/internal/transport/frontend/server.go
+++ b/internal/transport/frontend/server.go
@@ -13,10 +13,10 @@
 
 // Config is what a Server works with.
 type Config struct {
-	Exchange *exchange.Exchange
-	Classes  map[string]Class // by name
+	Exchange *exchange.Exchange // receives requests, and notices of callers that are gone
+	Classes  map[string]Class   // of the settings, by the name that the path of a request has
 	Log      *zap.Logger
-	Protocol string // in log messages
+	Protocol string // field of log messages on malformed input
 }
 
 // Server is the listener of one protocol, and its connections.
--- a/internal/transport/session/session.go
+++ b/internal/transport/session/session.go
@@ -23,8 +23,8 @@
 
 // Dependencies is what a session works with.
 type Dependencies struct {
-	Exchange *exchange.Exchange
-	Loop     *eventloop.Loop
+	Exchange *exchange.Exchange   // receives outcomes and callbacks
+	Loop     *eventloop.Loop      // of all connections
 	Timers   *timerqueue.Queue    // of the dispatcher's goroutine
 	Now      func() time.Duration // monotonic, since the start of the process
 	Log      *zap.Logger
