--- a/internal/cluster/membership/step_test.go
+++ b/internal/cluster/membership/step_test.go
@@ -11,11 +11,28 @@
 	p := Policy{Voters: 3, ReplaceAfter: time.Minute, ForgetAfter: time.Hour, SettleTime: time.Second, MaxLag: 10}
 	voter := func(id, zone string) Member { return Member{ID: id, Zone: zone, Role: Voter, Up: true} }
 	learner := func(id, zone string) Member { return Member{ID: id, Zone: zone, Up: true} }
-	down := func(m Member, d time.Duration) Member { m.Up, m.DownFor = false, d; return m }
-	leaving := func(m Member) Member { m.Leaving = true; return m }
-	lost := func(m Member) Member { m.Up, m.DiskLost = false, true; return m }
-	wanted := func(m Member) Member { m.VotePreferred = true; return m }
-	behind := func(m Member, n uint64) Member { m.Lag = n; return m }
+	down := func(m Member, d time.Duration) Member {
+		m.Up = false
+		m.DownFor = d
+		return m
+	}
+	leaving := func(m Member) Member {
+		m.Leaving = true
+		return m
+	}
+	lost := func(m Member) Member {
+		m.Up = false
+		m.DiskLost = true
+		return m
+	}
+	preferred := func(m Member) Member {
+		m.VotePreferred = true
+		return m
+	}
+	lagging := func(m Member, entries uint64) Member {
+		m.Lag = entries
+		return m
+	}
 	three := []Member{voter("a", "x"), voter("b", "y"), voter("c", "z")}
 	with := func(list []Member, m ...Member) []Member { return append(append([]Member{}, list...), m...) }
 	for _, c := range []struct {
@@ -27,7 +44,7 @@
 		{"quiet", three, StepNone, ""},
 		{"a learner waits", with(three, learner("d", "x")), StepNone, ""},
 		{"one voter missing", with(three[:2], learner("d", "x")), StepPromote, "d"},
-		{"the learner is behind", with(three[:2], behind(learner("d", "x"), 11)), StepNone, ""},
+		{"the learner is behind", with(three[:2], lagging(learner("d", "x"), 11)), StepNone, ""},
 		{"the zone with fewest", with(three[:2], learner("d", "x"), learner("e", "z")), StepPromote, "e"},
 		{"down for a moment", with(three[:2], down(voter("c", "z"), time.Second), learner("d", "z")), StepNone, ""},
 		{"down for long", with(three[:2], down(voter("c", "z"), time.Minute), learner("d", "z")), StepPromote, "d"},
@@ -39,8 +56,8 @@
 		{"its successor has the vote next", with(three[:2], lost(learner("c", "z")), learner("d", "z")), StepPromote, "d"},
 		{"then it is forgotten", with(three, lost(learner("d", "z"))), StepRemove, "d"},
 		{"two of three disks are gone", with(three[:1], lost(voter("b", "y")), lost(voter("c", "z")), learner("d", "z")), StepNone, ""},
-		{"an operator wants it to vote", with(three, wanted(learner("d", "x"))), StepPromote, "d"},
-		{"all that vote are wanted", with([]Member{wanted(three[0]), wanted(three[1]), wanted(three[2])}, wanted(learner("d", "x"))), StepNone, ""},
+		{"an operator wants it to vote", with(three, preferred(learner("d", "x"))), StepPromote, "d"},
+		{"all that vote are wanted", with([]Member{preferred(three[0]), preferred(three[1]), preferred(three[2])}, preferred(learner("d", "x"))), StepNone, ""},
 		{"leaves, with a standby", with(three[:2], leaving(voter("c", "z")), learner("d", "z")), StepPromote, "d"},
 		{"leaves, without one", with(three[:2], leaving(voter("c", "z"))), StepDemote, "c"},
 		{"the leader leaves", []Member{leaving(voter("a", "x")), voter("b", "y"), voter("c", "z"), voter("d", "x")}, StepTransfer, "b"},
