--- a/bench/durable/engines.go
+++ b/bench/durable/engines.go
@@ -29,7 +29,7 @@
 type durableEngine struct{ *durable.Store }
 
 func openDurable(path string) (engine, error) {
-	fs, err := vfs.NewDir(path)
+	fs, err := vfs.OpenDir(path)
 	if err != nil {
 		return nil, err
 	}
--- a/bench/durable/reads.go
+++ b/bench/durable/reads.go
@@ -30,7 +30,7 @@
 			return err
 		}
 		if d, ok := s.(durableEngine); ok {
-			for d.Stat().LogBehind > d.Stat().Checkpoint { // as upkeep leaves it
+			for d.Stats().LogBytesSinceCheckpoint > d.Stats().CheckpointBytes { // as upkeep leaves it
 				time.Sleep(100 * time.Millisecond)
 			}
 		}
--- a/bench/durable/writes.go
+++ b/bench/durable/writes.go
@@ -95,10 +95,10 @@
 		for _, working := range []bool{false, true} {
 			o := durable.Options{}
 			if !working { // nothing is ever due
-				o.Upkeep = plan.Limits{CheckpointMin: 1 << 40, GarbageShare: 1e6, WaitingShare: 1e6}
+				o.Maintenance = plan.Limits{MinCheckpointLogBytes: 1 << 40, GarbageRatio: 1e6, PendingDropRatio: 1e6}
 			}
 			path := filepath.Join(b.dir, fmt.Sprint("compaction-", working, round))
-			fs, err := vfs.NewDir(path)
+			fs, err := vfs.OpenDir(path)
 			if err != nil {
 				return err
 			}
@@ -117,7 +117,7 @@
 					s.Sync()
 				}
 			}
-			before := s.Stat()
+			before := s.Stats()
 			h := hdrhistogram.New(1, int64(time.Minute), 3)
 			begin, count := time.Now(), int(4*b.span.Seconds()*rate)
 			for i := range count { // on schedule, whatever the last one took
@@ -128,7 +128,7 @@
 				}
 				h.RecordValue(int64(time.Since(due)))
 			}
-			after := s.Stat()
+			after := s.Stats()
 			if working {
 				moved += after.MovedBytes - before.MovedBytes
 				checkpoints += after.Checkpoints - before.Checkpoints
@@ -159,7 +159,7 @@
 	fmt.Print("\n## Space after every key was overwritten 20 times\n\n| value | keys | data | largest folder | after the last write | compacted |\n| --- | --- | --- | --- | --- | --- |\n")
 	for _, c := range []struct{ size, keys int }{{32, 100_000}, {128, 50_000}, {1024, 20_000}, {16 << 10, 1000}} {
 		path := filepath.Join(b.dir, fmt.Sprint("space-", c.size))
-		fs, err := vfs.NewDir(path)
+		fs, err := vfs.OpenDir(path)
 		if err != nil {
 			return err
 		}
@@ -182,18 +182,18 @@
 					}
 				}
 				if round > 0 && i%100 == 0 {
-					peak = max(peak, s.Stat().UsedBytes)
+					peak = max(peak, s.Stats().UsedBytes)
 				}
 			}
 		}
 		time.Sleep(4 * time.Second) // as upkeep leaves it
 		data := float64(c.keys * (c.size + 12))
-		settled := s.Stat().UsedBytes
+		settled := s.Stats().UsedBytes
 		if err := s.Compact(context.Background()); err != nil {
 			return err
 		}
 		fmt.Printf("| %d B | %d | %.1f MB | %.2f | %.2f | %.2f |\n", c.size, c.keys, data/1e6,
-			float64(peak)/data, float64(settled)/data, float64(s.Stat().UsedBytes)/data)
+			float64(peak)/data, float64(settled)/data, float64(s.Stats().UsedBytes)/data)
 		if err := s.Close(); err != nil {
 			return err
 		}
--- a/bench/store/leases.go
+++ b/bench/store/leases.go
@@ -50,7 +50,7 @@
 		if err := holder.Start(); err != nil {
 			return err
 		}
-		testrig.Await(l.c.T, "the holder", func() bool { return l.c.Ask(0, "/lease/killed", &struct{}{}) })
+		testrig.Await(l.c.T, "the holder", func() bool { return l.c.GetJSON(0, "/lease/killed", &struct{}{}) })
 		time.Sleep(ttl/2 + time.Duration(n*137%1000)*time.Millisecond)
 		next := leaseclient.New(l.nodes, leaseclient.NewHolderName())
 		got := make(chan error, 1)
@@ -128,7 +128,7 @@
 
 // many has leases of many holders kept alive, and measures what that costs the leader.
 func (l *leaseBench) many() error {
-	lead := l.c.Leader()
+	lead := l.c.WaitForLeader()
 	before := memoryOf(l.pids[lead])
 	keepers := make([]*leaseclient.Manager, manyHolders)
 	var all sync.WaitGroup
@@ -156,20 +156,20 @@
 	default:
 	}
 	var from, to struct{ Last uint64 }
-	if !l.c.Ask(lead, "/status", &from) {
+	if !l.c.GetJSON(lead, "/status", &from) {
 		return errors.New("no status")
 	}
 	cpu, at := cpuOf(l.pids[lead]), time.Now()
 	time.Sleep(2 * manyTTL)
 	took := time.Since(at).Seconds()
-	if !l.c.Ask(lead, "/status", &to) || lead != l.c.Leader() {
+	if !l.c.GetJSON(lead, "/status", &to) || lead != l.c.WaitForLeader() {
 		return errors.New("the leader has changed")
 	}
 	l.note("log entries in 100 s, 10000 leases of 300 holders kept alive|"+l.x.name, float64(to.Last-from.Last)/took*100)
 	l.note("leader's CPU in thousandths of a core, 10000 leases of 300 holders kept alive|"+l.x.name, (cpuOf(l.pids[lead])-cpu).Seconds()/took*1000)
 	l.note("leader's resident bytes a lease, 10000 leases|"+l.x.name, float64(memoryOf(l.pids[lead])-before)/manyLeases)
 	var list []struct{ Holder string }
-	if !l.c.Ask(lead, "/lease", &list) {
+	if !l.c.GetJSON(lead, "/lease", &list) {
 		return errors.New("no list")
 	}
 	held := 0
--- a/bench/store/main.go
+++ b/bench/store/main.go
@@ -154,7 +154,7 @@
 	c := testrig.NewCluster(t, nodes, nodes)
 	c.Launch = func(node int, store map[string]any) testrig.Process { return b.launch(t, c, x, node, store) }
 	defer c.KillAll()
-	c.Begin()
+	c.Bootstrap()
 	return do(t, c)
 }
 
@@ -163,7 +163,7 @@
 }
 
 func (b *bench) measureStore(x build, c *testrig.Cluster) error {
-	lead := c.Leader()
+	lead := c.WaitForLeader()
 	for _, clients := range []int{1, 8, 64} {
 		n, err := b.load(clients, b.span, func(id, i int) error { return b.put(c, lead, fmt.Sprint("k", id), fmt.Sprintf(`"%0100d"`, i)) })
 		if err != nil {
@@ -182,9 +182,9 @@
 	}
 	for range b.outages {
 		b.outage(c, "ms from the leader's SIGKILL to a write|"+x.name, c.Kill, c.Start)
-		b.outage(c, "ms from the leader's SIGSTOP to a write|"+x.name, c.Stop, c.Continue)
+		b.outage(c, "ms from the leader's SIGSTOP to a write|"+x.name, c.Pause, c.Resume)
 	}
-	if b.behind > 0 && len(c.Members(c.Leader())) == 3 {
+	if b.behind > 0 && len(c.Members(c.WaitForLeader())) == 3 {
 		return b.comeBack(c, x)
 	}
 	return nil
@@ -195,7 +195,7 @@
 	if err := json.Unmarshal(b.config, &cfg); err != nil {
 		t.Fatalf("configuration: %v", err)
 	}
-	cfg["name"], cfg["listen"], cfg["engine"], cfg["store"] = c.Peers[node].Name, testrig.FreePort(t), testrig.FreePort(t), store
+	cfg["name"], cfg["listen"], cfg["engine"], cfg["store"] = c.Peers[node].Name, testrig.FreeAddr(t), testrig.FreeAddr(t), store
 	text, err := json.Marshal(cfg)
 	path := filepath.Join(t.dir, fmt.Sprint(node, ".json"))
 	if err == nil {
@@ -214,7 +214,7 @@
 
 // outage loses the leader, and measures until a write at another node is acknowledged.
 func (b *bench) outage(c *testrig.Cluster, name string, lose, back func(int)) {
-	lead := c.Leader()
+	lead := c.WaitForLeader()
 	time.Sleep(300 * time.Millisecond) // it has told the others
 	lose(lead)
 	began := time.Now()
@@ -223,13 +223,13 @@
 	}
 	b.note(name, float64(time.Since(began).Milliseconds()))
 	back(lead)
-	testrig.Await(c.T, "the node to be back", func() bool { return c.Ask(lead, "/store/after", new(int)) })
+	testrig.Await(c.T, "the node to be back", func() bool { return c.GetJSON(lead, "/store/after", new(int)) })
 }
 
 // comeBack has a node miss writes and return, and another one lose its disk, while a
 // client goes on.
 func (b *bench) comeBack(c *testrig.Cluster, x build) error {
-	lead := c.Leader()
+	lead := c.WaitForLeader()
 	lost := (lead + 1) % 3
 	during := func(name string, do func()) {
 		stop, ended := make(chan struct{}), make(chan struct{})
@@ -267,13 +267,13 @@
 	during("while a node catches up", func() {
 		began := time.Now()
 		c.Start(lost)
-		testrig.Await(c.T, "it to be up to date", func() bool { return c.Ask(lost, "/store/beside", new(int)) })
+		testrig.Await(c.T, "it to be up to date", func() bool { return c.GetJSON(lost, "/store/beside", new(int)) })
 		b.note(fmt.Sprintf("ms from the start of a node that misses %d writes to a fresh read|%s", b.behind, x.name), float64(time.Since(began).Milliseconds()))
 	})
 	during("while a lost disk is replaced", func() {
 		began := time.Now()
-		c.Replace(lost)
-		c.Strong(0, 1, 2)
+		c.ReplaceDisk(lost)
+		c.WaitForVoters(0, 1, 2)
 		b.note("ms from a lost disk to full strength|"+x.name, float64(time.Since(began).Milliseconds()))
 	})
 	return nil
--- a/cmd/oxbowbridge/durable.go
+++ b/cmd/oxbowbridge/durable.go
@@ -42,7 +42,7 @@
 	})
 	add("stat", "Print the figures of a folder", func(c *cobra.Command, dir string) error {
 		return withView(dir, func(v *durable.View, _ vfs.FS) error {
-			return errors.Join(printJSON(c.OutOrStdout(), v.Stat()), damaged(v.Report))
+			return errors.Join(printJSON(c.OutOrStdout(), v.Stats()), damaged(v.Report))
 		})
 	})
 	add("compact", "Give back all space that can be", func(c *cobra.Command, dir string) error { return compact(c, dir) })
@@ -50,7 +50,7 @@
 		if err := exists(dir); err != nil {
 			return err
 		}
-		fs, err := vfs.NewDir(dir)
+		fs, err := vfs.OpenDir(dir)
 		if err != nil {
 			return err
 		}
@@ -58,7 +58,7 @@
 		if report != nil {
 			err = errors.Join(printJSON(c.OutOrStdout(), report), err)
 		}
-		if errors.Is(err, durable.ErrHopeless) {
+		if errors.Is(err, durable.ErrUnrecoverable) {
 			return &exitError{exitCodeDamaged, err}
 		}
 		return err
@@ -67,7 +67,7 @@
 }
 
 func exists(dir string) error {
-	_, err := vfs.ReadDir(dir)
+	_, err := vfs.OpenDirReadOnly(dir)
 	return err
 }
 
@@ -87,7 +87,7 @@
 
 // withView reads a folder that nobody else may have open, and changes nothing in it.
 func withView(dir string, do func(*durable.View, vfs.FS) error) error {
-	fs, err := vfs.ReadDir(dir)
+	fs, err := vfs.OpenDirReadOnly(dir)
 	if err != nil {
 		return err
 	}
@@ -105,7 +105,7 @@
 }
 
 func openStore(dir string) (*durable.Store, error) {
-	fs, err := vfs.NewDir(dir)
+	fs, err := vfs.OpenDir(dir)
 	if err != nil {
 		return nil, err
 	}
@@ -117,7 +117,7 @@
 		return nil, err
 	}
 	if r.Loss == durable.TailLoss {
-		fmt.Fprintf(os.Stderr, "oxbowbridge: %d bytes of a tail that was never synced were cut off\n", r.CutBytes)
+		fmt.Fprintf(os.Stderr, "oxbowbridge: %d bytes of a tail that was never synced were cut off\n", r.TruncatedBytes)
 	}
 	return s, nil
 }
@@ -146,10 +146,10 @@
 			return loadedKey{r.key, len(results) == 0, r.err}, ok
 		})
 	}()
-	limits := durable.Defaults()
+	limits := durable.DefaultOptions()
 	lines := bufio.NewReaderSize(in, 64<<10)
 	for n := 1; ; n++ {
-		line, rerr := readLine(lines, 2*(limits.KeyBytes+limits.ValueBytes)+1)
+		line, rerr := readLine(lines, 2*(limits.MaxKeyBytes+limits.MaxValueBytes)+1)
 		if errors.Is(rerr, io.EOF) {
 			break
 		}
@@ -170,7 +170,7 @@
 			}
 			results <- result{key, err}
 		})
-		if s.Failed() != nil {
+		if s.ReadOnlyError() != nil {
 			break
 		}
 	}
@@ -257,7 +257,7 @@
 		v.Scan(0, func(i durable.Item) bool {
 			value, err := i.Value()
 			if err != nil {
-				v.Missed(i, err)
+				v.ReportUnreadable(i, err)
 				return true
 			}
 			key := []byte(i.Key)
@@ -273,7 +273,7 @@
 		if err := errors.Join(bad, w.Flush()); err != nil {
 			return err
 		}
-		if v.Fresh() {
+		if v.Uninitialized() {
 			fmt.Fprintln(os.Stderr, "oxbowbridge: no store was ever written here")
 		}
 		if err := damaged(v.Report); err != nil {
@@ -291,9 +291,9 @@
 	if err != nil {
 		return err
 	}
-	before := s.Stat().UsedBytes
+	before := s.Stats().UsedBytes
 	err = s.Compact(c.Context())
-	after := s.Stat()
+	after := s.Stats()
 	if err = errors.Join(err, s.Close()); err != nil {
 		return err
 	}
--- a/cmd/oxbowbridge/try.go
+++ b/cmd/oxbowbridge/try.go
@@ -79,8 +79,8 @@
 		return err
 	}
 	defer records.Close()
-	go (&standin.Engine{Cores: trialEngineCores, Work: trialRunWork, Calls: []string{trialCallingClass}}).Serve(engine)
-	go (&standin.Records{Work: trialCallDuration}).Serve(records)
+	go (&standin.Engine{Cores: trialEngineCores, RunDuration: trialRunWork, CallingClasses: []string{trialCallingClass}}).Serve(engine)
+	go (&standin.RecordsService{ResponseDelay: trialCallDuration}).Serve(records)
 	cfg.EngineAddress = engine.Addr().String()
 	cfg.RecordsAddress = records.Addr().String()
 	s, err := newService(ctx, cfg, zap.NewNop())
--- a/cmd/oxbowbridge/try_load.go
+++ b/cmd/oxbowbridge/try_load.go
@@ -67,7 +67,7 @@
 		class.latencies = append(class.latencies, time.Since(sentAt))
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
 		class.rejected++
-		if response.HoldOff != "" {
+		if response.RetryAfterMillis != "" {
 			class.rejectedWithHint++
 		}
 	default:
--- a/examples/standin/main.go
+++ b/examples/standin/main.go
@@ -27,7 +27,7 @@
 	flag.Parse()
 	var err error
 	if *class != "" {
-		err = call(*service, standin.Request{Class: *class, Key: *key, Body: strings.Join(flag.Args(), " ")})
+		err = call(*service, standin.Request{Class: *class, IdempotencyKey: *key, Body: strings.Join(flag.Args(), " ")})
 	} else {
 		err = serve(*addr)
 	}
@@ -42,8 +42,8 @@
 		return err
 	}
 	log.Println("toy engine on", ln.Addr())
-	return (&standin.Engine{Cores: 4, Work: 300 * time.Millisecond,
-		Began: func(class, body string) { log.Printf("run: %s %s", class, body) }}).Serve(ln)
+	return (&standin.Engine{Cores: 4, RunDuration: 300 * time.Millisecond,
+		OnRun: func(class, body string) { log.Printf("run: %s %s", class, body) }}).Serve(ln)
 }
 
 func call(addr string, q standin.Request) error {
@@ -52,8 +52,8 @@
 		return err
 	}
 	fmt.Printf("Status: %d\n", a.Status)
-	if a.HoldOff != "" {
-		fmt.Printf("Hold-Off-Ms: %s\n", a.HoldOff)
+	if a.RetryAfterMillis != "" {
+		fmt.Printf("Hold-Off-Ms: %s\n", a.RetryAfterMillis)
 	}
 	fmt.Printf("\n%s\n", a.Body)
 	return nil
--- a/internal/cluster/raftstorage/fail_stop_test.go
+++ b/internal/cluster/raftstorage/fail_stop_test.go
@@ -21,7 +21,7 @@
 	require.NoError(t, g.StoreLog(entry(1, 1, "a")))
 	require.ErrorIs(t, g.GetLog(2, &raft.Log{}), raft.ErrLogNotFound)
 	require.Zero(t, told)
-	f.At = func(int, string, string) faultfs.Fault { return faultfs.EIO }
+	f.FaultAt = func(int, string, string) faultfs.Fault { return faultfs.IOError }
 	require.Error(t, g.StoreLog(entry(2, 1, "b")))
 	went, ended := false, make(chan struct{})
 	go func() {
--- a/internal/cluster/raftstorage/log.go
+++ b/internal/cluster/raftstorage/log.go
@@ -28,7 +28,7 @@
 // GetLog reads one entry. Its error is raft.ErrLogNotFound if there is none.
 func (s *Storage) GetLog(index uint64, to *raft.Log) error {
 	b, err := s.log.Get(index)
-	if errors.Is(err, stream.ErrNotThere) {
+	if errors.Is(err, stream.ErrEntryNotFound) {
 		return raft.ErrLogNotFound
 	}
 	if err != nil {
@@ -86,9 +86,9 @@
 	case first == 0 || to < first || from > last:
 		return nil
 	case from <= first:
-		return s.log.CutFront(to+1, durable.Synced)
+		return s.log.TruncateFront(to+1, durable.Synced)
 	case to >= last:
-		return s.log.CutBack(from, durable.Synced)
+		return s.log.TruncateBack(from, durable.Synced)
 	}
 	return fmt.Errorf("entries %d to %d lie inside of %d to %d", from, to, first, last)
 }
--- a/internal/cluster/raftstorage/storage.go
+++ b/internal/cluster/raftstorage/storage.go
@@ -49,7 +49,7 @@
 	if _, err := os.Stat(filepath.Join(dir, legacyFile)); err == nil {
 		return nil, nil, fmt.Errorf("%s: %w", dir, ErrLegacyFormat)
 	}
-	fs, err := vfs.NewDir(dir)
+	fs, err := vfs.OpenDir(dir)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -59,8 +59,8 @@
 // OpenFS is Open on any folder.
 func OpenFS(fs vfs.FS) (*Storage, *durable.Report, error) {
 	store, report, err := durable.Open(fs, durable.Options{
-		ValueBytes: maxEntryBytes,
-		BatchBytes: maxEntryBytes + appendBatchBytes + batchOverheadBytes,
+		MaxValueBytes: maxEntryBytes,
+		MaxBatchBytes: maxEntryBytes + appendBatchBytes + batchOverheadBytes,
 	})
 	if err != nil {
 		return nil, report, err
@@ -80,7 +80,7 @@
 func (s *Storage) Close() error { return s.store.Close() }
 
 // Stat is the durable store's figures.
-func (s *Storage) Stat() durable.Stat { return s.store.Stat() }
+func (s *Storage) Stat() durable.Stats { return s.store.Stats() }
 
 // Failed is why nothing can be written any more, or nil.
-func (s *Storage) Failed() error { return s.store.Failed() }
+func (s *Storage) Failed() error { return s.store.ReadOnlyError() }
--- a/internal/cluster/raftstorage/storage_test.go
+++ b/internal/cluster/raftstorage/storage_test.go
@@ -53,7 +53,7 @@
 	_, err = half.Write(long)
 	require.NoError(t, err)
 
-	d, _, err = OpenFS(f.Crashed(rand.New(rand.NewPCG(1, 1)), 0.5))
+	d, _, err = OpenFS(f.AfterCrash(rand.New(rand.NewPCG(1, 1)), 0.5))
 	require.NoError(t, err)
 	first, _ := d.FirstIndex()
 	last, _ := d.LastIndex()
--- a/internal/cluster/store/folder_faults.go
+++ b/internal/cluster/store/folder_faults.go
@@ -15,11 +15,11 @@
 // openFolder of the test build opens a folder that fails as told by the file DIR.fault beside it:
 // "full", "write" or "sync".
 func openFolder(dir string) (*raftstorage.Storage, *durable.Report, error) {
-	folder, err := vfs.NewDir(dir)
+	folder, err := vfs.OpenDir(dir)
 	if err != nil {
 		return nil, nil, err
 	}
-	return raftstorage.OpenFS(&faultfs.Over{FS: folder, Cue: func() string {
+	return raftstorage.OpenFS(&faultfs.Injector{FS: folder, ActiveFault: func() string {
 		text, _ := os.ReadFile(dir + ".fault") // a missing file is no fault
 		return strings.TrimSpace(string(text))
 	}})
--- a/internal/cluster/store/storage.go
+++ b/internal/cluster/store/storage.go
@@ -56,7 +56,7 @@
 		return nil, fmt.Errorf("dir: %w", err)
 	}
 	if report.Loss == durable.TailLoss {
-		s.log.Info("unsynced log tail truncated", zap.Int64("truncated_bytes", report.CutBytes))
+		s.log.Info("unsynced log tail truncated", zap.Int64("truncated_bytes", report.TruncatedBytes))
 	}
 	diverged, err := storage.GetLocal(localDiverged)
 	if err == nil && diverged != nil {
--- a/internal/standin/caller.go
+++ b/internal/standin/caller.go
@@ -18,24 +18,24 @@
 const keyMost = 127 // bytes of a key, whose length is sent in one
 
 // Answer is what the service said to a request.
-type Answer struct {
-	Status  int
-	HoldOff string // Hold-Off-Ms, of a refusal
-	Body    string
+type Response struct {
+	Status           int
+	RetryAfterMillis string // Hold-Off-Ms, of a refusal
+	Body             string
 }
 
 // Request is one that is sent.
 type Request struct {
-	Class string
-	Key   string // Replay-Key, of a deduplicated class
-	Body  string
+	Class          string
+	IdempotencyKey string // Replay-Key, of a deduplicated class
+	Body           string
 }
 
 // Call sends one request over FastCGI, on a connection of its own.
-func Call(ctx context.Context, addr string, q Request) (Answer, error) {
+func Call(ctx context.Context, addr string, q Request) (Response, error) {
 	c, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 	if err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
 	defer c.Close()
 	stop := context.AfterFunc(ctx, func() { c.Close() })
@@ -45,8 +45,8 @@
 	fields := [][2]string{{"SCRIPT_NAME", "/call/" + q.Class}, {"REQUEST_METHOD", "POST"},
 		{"HTTP_TRACE_ID", hex.EncodeToString(id)}, {"HTTP_RESERVE_KB", "24.5"},
 		{"HTTP_ACCEPTED_AT_MS", strconv.FormatInt(time.Now().UnixMilli(), 10)}}
-	if q.Key != "" {
-		fields = append(fields, [2]string{"HTTP_REPLAY_KEY", q.Key[:min(len(q.Key), keyMost)]})
+	if q.IdempotencyKey != "" {
+		fields = append(fields, [2]string{"HTTP_REPLAY_KEY", q.IdempotencyKey[:min(len(q.IdempotencyKey), keyMost)]})
 	}
 	var params []byte
 	for _, p := range fields {
@@ -66,21 +66,21 @@
 	}
 	record(5, "")
 	if _, err := c.Write(out); err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
 	return readAnswer(c)
 }
 
-func readAnswer(c net.Conn) (Answer, error) {
+func readAnswer(c net.Conn) (Response, error) {
 	var text bytes.Buffer
 	for r := bufio.NewReader(c); ; {
 		h := make([]byte, 8)
 		if _, err := io.ReadFull(r, h); err != nil {
-			return Answer{}, fmt.Errorf("no answer: %w", err)
+			return Response{}, fmt.Errorf("no answer: %w", err)
 		}
 		content := make([]byte, int(binary.BigEndian.Uint16(h[4:]))+int(h[6]))
 		if _, err := io.ReadFull(r, content); err != nil {
-			return Answer{}, fmt.Errorf("no answer: %w", err)
+			return Response{}, fmt.Errorf("no answer: %w", err)
 		}
 		if h[1] == 3 { // END_REQUEST
 			break
@@ -92,10 +92,10 @@
 	r := bufio.NewReader(&text)
 	fields, err := textproto.NewReader(r).ReadMIMEHeader()
 	if err != nil {
-		return Answer{}, fmt.Errorf("answer can't be read: %w", err)
+		return Response{}, fmt.Errorf("answer can't be read: %w", err)
 	}
 	rest, _ := io.ReadAll(r)
-	a := Answer{HoldOff: fields.Get("Hold-Off-Ms"), Body: string(rest)}
+	a := Response{RetryAfterMillis: fields.Get("Hold-Off-Ms"), Body: string(rest)}
 	if a.Status, err = strconv.Atoi(fields.Get("Status")); err != nil {
 		return a, fmt.Errorf("answer has no status: %w", err)
 	}
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -19,10 +19,10 @@
 
 // Engine runs requests, each for the same time; those that find no core free wait.
 type Engine struct {
-	Cores int
-	Work  time.Duration
-	Calls []string                 // classes whose runs make a call below, half way
-	Began func(class, body string) // told of each run, if it is set
+	Cores          int
+	RunDuration    time.Duration
+	CallingClasses []string                 // classes whose runs make a call below, half way
+	OnRun          func(class, body string) // told of each run, if it is set
 
 	mu      sync.Mutex
 	conn    net.Conn
@@ -100,8 +100,8 @@
 		if len(w) > 2 && e.runs[w[1]] == nil {
 			reply := make(chan []byte, 1)
 			e.runs[w[1]] = reply
-			if e.Began != nil {
-				e.Began(w[2], string(body))
+			if e.OnRun != nil {
+				e.OnRun(w[2], string(body))
 			}
 			go e.run(w[1], w[2], body, reply)
 		}
@@ -121,9 +121,9 @@
 func (e *Engine) run(id, class string, body []byte, reply chan []byte) {
 	e.cores <- struct{}{}
 	defer func() { <-e.cores }()
-	time.Sleep(e.Work)
+	time.Sleep(e.RunDuration)
 	result := fmt.Appendf(nil, "%s done: %s", class, body)
-	if slices.Contains(e.Calls, class) {
+	if slices.Contains(e.CallingClasses, class) {
 		e.mu.Lock()
 		e.tell(fmt.Sprintf("NEED %d %s %d\r\n%s\r\n", len(e.notices)+1, id, len(body), body))
 		e.mu.Unlock()
@@ -146,7 +146,7 @@
 		return
 	}
 	delete(e.runs, id)
-	e.tell(fmt.Sprintf("DONE %d %s %s %d %d\r\n%s\r\n", len(e.notices)+1, id, end, e.Work.Milliseconds(), len(result), result))
+	e.tell(fmt.Sprintf("DONE %d %s %s %d %d\r\n%s\r\n", len(e.notices)+1, id, end, e.RunDuration.Milliseconds(), len(result), result))
 }
 
 func (e *Engine) tell(notice string) {
--- a/internal/storage/durable/batch.go
+++ b/internal/storage/durable/batch.go
@@ -62,14 +62,14 @@
 
 func (b *Batch) check(o *Options) error {
 	switch {
-	case b.empties || b.key > o.KeyBytes:
-		return fmt.Errorf("%w: %d bytes, want 1 to %d", ErrKeyLength, b.key, o.KeyBytes)
-	case b.value > o.ValueBytes:
-		return fmt.Errorf("%w: %d bytes, want at most %d", ErrValueLength, b.value, o.ValueBytes)
-	case b.ops == 0 || b.Bytes() > o.BatchBytes:
-		return fmt.Errorf("%w: %d operations in %d bytes, want 1 or more in at most %d", ErrBatchLength, b.ops, b.Bytes(), o.BatchBytes)
+	case b.empties || b.key > o.MaxKeyBytes:
+		return fmt.Errorf("%w: %d bytes, want 1 to %d", ErrKeyLength, b.key, o.MaxKeyBytes)
+	case b.value > o.MaxValueBytes:
+		return fmt.Errorf("%w: %d bytes, want at most %d", ErrValueLength, b.value, o.MaxValueBytes)
+	case b.ops == 0 || b.Bytes() > o.MaxBatchBytes:
+		return fmt.Errorf("%w: %d operations in %d bytes, want 1 or more in at most %d", ErrBatchLength, b.ops, b.Bytes(), o.MaxBatchBytes)
 	case b.order:
-		return ErrOrder
+		return ErrRangeOrder
 	}
 	return nil
 }
--- a/internal/storage/durable/busy_test.go
+++ b/internal/storage/durable/busy_test.go
@@ -18,7 +18,7 @@
 // snapshots read. In every snapshot a pair is equal, and a scan ends with what it
 // began with.
 func TestBusy(t *testing.T) {
-	o := Options{InlineBytes: 8, Upkeep: plan.Limits{SegmentMin: 8 << 10, SegmentMax: 8 << 10, CheckpointMin: 16 << 10, Rate: 64 << 20}}
+	o := Options{MaxInlineBytes: 8, Maintenance: plan.Limits{MinSegmentBytes: 8 << 10, MaxSegmentBytes: 8 << 10, MinCheckpointLogBytes: 16 << 10, BytesPerSecond: 64 << 20}}
 	f := &faultfs.FS{}
 	s, _, err := Open(f, o)
 	require.NoError(t, err)
@@ -79,8 +79,8 @@
 	close(stop)
 	reading.Wait()
 	require.NoError(t, s.Compact(t.Context()))
-	st := s.Stat()
-	assert.Positive(t, st.Dropped)
+	st := s.Stats()
+	assert.Positive(t, st.DroppedSegments)
 	assert.Positive(t, st.Checkpoints)
 	want, _ := state(t, s)
 	require.NoError(t, s.Close())
--- a/internal/storage/durable/commit.go
+++ b/internal/storage/durable/commit.go
@@ -113,7 +113,7 @@
 				group = append(group, r)
 				bytes += r.batch.Bytes()
 			}
-			if more = bytes < s.o.GroupBytes; !more {
+			if more = bytes < s.o.MaxGroupBytes; !more {
 				break
 			}
 			select {
@@ -135,7 +135,7 @@
 	if len(group) == 0 {
 		return
 	}
-	if s.log.seg.size >= s.o.Upkeep.SealAt(s.live.Load()) {
+	if s.log.seg.size >= s.o.Maintenance.SegmentBytes(s.live.Load()) {
 		if err := s.roll(); err != nil && !isFull(err) {
 			refuse(group, err)
 			return
@@ -177,7 +177,7 @@
 	s.seq, s.log.seg.size = end.seq, end.offset
 	s.live.Store(s.idx.live)
 	s.mu.Unlock()
-	if cap(s.log.buf) > 4*s.o.GroupBytes {
+	if cap(s.log.buf) > 4*s.o.MaxGroupBytes {
 		s.log.buf = nil // one long batch must not hold its memory for good
 	}
 	s.stats.batches.Add(int64(len(group)))
@@ -190,19 +190,19 @@
 
 // admitted answers those that there is no room for, and gives the others.
 func (s *Store) admitted(group []*request) []*request {
-	if err := s.Failed(); err != nil {
+	if err := s.ReadOnlyError(); err != nil {
 		refuse(group, err)
 		return nil
 	}
 	kept, space := group[:0], s.space()
 	for _, r := range group {
-		if n := int64(r.batch.Bytes()); r.upkeep || s.o.Upkeep.Admits(space, n, r.batch.grows) {
-			space.Used += n
+		if n := int64(r.batch.Bytes()); r.upkeep || s.o.Maintenance.Admits(space, n, r.batch.grows) {
+			space.UsedBytes += n
 			kept = append(kept, r)
 			continue
 		}
 		s.stats.full.Add(1)
-		r.then(0, fmt.Errorf("%w: %d of %d bytes are used", ErrFull, space.Used, s.o.Upkeep.MaxBytes))
+		r.then(0, fmt.Errorf("%w: %d of %d bytes are used", ErrFull, space.UsedBytes, s.o.Maintenance.MaxBytes))
 	}
 	return kept
 }
@@ -275,7 +275,7 @@
 // syncLog puts all that was written on disk. After a failure nothing tells what is
 // there, so it is never tried again.
 func (s *Store) syncLog() error {
-	if err := s.Failed(); err != nil {
+	if err := s.ReadOnlyError(); err != nil {
 		return err
 	}
 	if !s.log.dirty {
--- a/internal/storage/durable/corrupt_test.go
+++ b/internal/storage/durable/corrupt_test.go
@@ -84,7 +84,7 @@
 		return false
 	}
 	if _, err := Repair(f, small()); err != nil {
-		if !errors.Is(err, ErrHopeless) {
+		if !errors.Is(err, ErrUnrecoverable) {
 			t.Errorf("%s: repair: %v", what, err)
 		}
 		return false
@@ -256,22 +256,22 @@
 		}
 		spoil(c)
 		sound := faultfs.FromImage(c)
-		if _, err := Repair(sound, small()); errors.Is(err, ErrHopeless) || sound.Steps() == 0 {
+		if _, err := Repair(sound, small()); errors.Is(err, ErrUnrecoverable) || sound.Steps() == 0 {
 			continue
 		}
 		damages++
 		for k := 1; k <= sound.Steps(); k++ {
 			for seed := range uint64(4) {
 				f := faultfs.FromImage(c)
-				f.At = func(step int, _, _ string) faultfs.Fault {
+				f.FaultAt = func(step int, _, _ string) faultfs.Fault {
 					if step == k {
 						return faultfs.Crash
 					}
-					return faultfs.None
+					return faultfs.NoFault
 				}
 				_, err := Repair(f, small())
 				require.Error(t, err)
-				f = f.Crashed(rand.New(rand.NewPCG(uint64(k), seed)), []float64{0, 0.5, 1, 0.8}[seed])
+				f = f.AfterCrash(rand.New(rand.NewPCG(uint64(k), seed)), []float64{0, 0.5, 1, 0.8}[seed])
 				s, _, err := Open(f, small())
 				if errors.Is(err, ErrDamaged) {
 					_, err = Repair(f, small())
--- a/internal/storage/durable/crash_test.go
+++ b/internal/storage/durable/crash_test.go
@@ -45,12 +45,12 @@
 		seeds = 40
 	}
 	parallel(t, steps, func(k int) {
-		for _, fault := range []faultfs.Fault{faultfs.Crash, faultfs.EIO, faultfs.Short} {
-			f := &faultfs.FS{At: func(step int, _, _ string) faultfs.Fault {
+		for _, fault := range []faultfs.Fault{faultfs.Crash, faultfs.IOError, faultfs.ShortWrite} {
+			f := &faultfs.FS{FaultAt: func(step int, _, _ string) faultfs.Fault {
 				if step == k+1 {
 					return fault
 				}
-				return faultfs.None
+				return faultfs.NoFault
 			}}
 			b, err := newBed(f, small())
 			if err == nil {
@@ -65,7 +65,7 @@
 			}
 			for seed := range seeds {
 				keep := []float64{0.5, 0, 1, 0.9}[seed%4]
-				g := f.Crashed(rand.New(rand.NewPCG(uint64(k), seed)), keep)
+				g := f.AfterCrash(rand.New(rand.NewPCG(uint64(k), seed)), keep)
 				if seed%4 == 0 && fault == faultfs.Crash {
 					crashAgain(t, b, g, seed)
 				}
@@ -80,15 +80,15 @@
 	image := g.Image()
 	for k := 1; ; k++ {
 		h := faultfs.FromImage(image)
-		h.At = func(step int, _, _ string) faultfs.Fault {
+		h.FaultAt = func(step int, _, _ string) faultfs.Fault {
 			if step == k {
 				return faultfs.Crash
 			}
-			return faultfs.None
+			return faultfs.NoFault
 		}
 		s, _, err := Open(h, small())
 		if err == nil {
-			h.At = nil
+			h.FaultAt = nil
 			s.Close()
 			return
 		}
@@ -96,7 +96,7 @@
 			t.Errorf("recovery, step %d: %v", k, err)
 			return
 		}
-		reopened(t, b, h.Crashed(rand.New(rand.NewPCG(uint64(k), seed)), 0.5), fmt.Sprintf("recovery, step %d", k))
+		reopened(t, b, h.AfterCrash(rand.New(rand.NewPCG(uint64(k), seed)), 0.5), fmt.Sprintf("recovery, step %d", k))
 	}
 }
 
@@ -120,7 +120,7 @@
 	}
 	want, _ := state(t, s)
 	s.upkeep.stop()
-	s, _, err = Open(f.Crashed(rand.New(rand.NewPCG(1, 1)), 0), small())
+	s, _, err = Open(f.AfterCrash(rand.New(rand.NewPCG(1, 1)), 0), small())
 	if err != nil {
 		t.Errorf("%s, after a write and another crash: %v", when, err)
 		return
@@ -161,7 +161,7 @@
 	v, err := s.Get([]byte("a"), 0)
 	require.NoError(t, err)
 	require.Equal(t, "1", string(v))
-	s, _, err = Open(f.Crashed(rand.New(rand.NewPCG(1, 1)), 0), small())
+	s, _, err = Open(f.AfterCrash(rand.New(rand.NewPCG(1, 1)), 0), small())
 	require.NoError(t, err)
 	_, err = s.Get([]byte("a"), 0)
 	require.NoError(t, err)
--- a/internal/storage/durable/durable_test.go
+++ b/internal/storage/durable/durable_test.go
@@ -21,8 +21,8 @@
 
 // small has all kinds of upkeep happen within some KB.
 func small() Options {
-	return Options{StoreID: 0x5eed, KeyBytes: 64, ValueBytes: 2048, BatchBytes: 4096, InlineBytes: 12, ReserveBytes: 256, Manual: true,
-		Upkeep: plan.Limits{MaxBytes: 1 << 20, SegmentMin: 400, SegmentMax: 400, CheckpointMin: 900, Chunk: 128, Rate: 1 << 20}}
+	return Options{StoreID: 0x5eed, MaxKeyBytes: 64, MaxValueBytes: 2048, MaxBatchBytes: 4096, MaxInlineBytes: 12, ReserveBytes: 256, ManualMaintenance: true,
+		Maintenance: plan.Limits{MaxBytes: 1 << 20, MinSegmentBytes: 400, MaxSegmentBytes: 400, MinCheckpointLogBytes: 900, MaxStepBytes: 128, BytesPerSecond: 1 << 20}}
 }
 
 // bed is a store on a folder in memory, with all states that it went through.
@@ -101,7 +101,7 @@
 func (b *bed) upkeep(most int) error {
 	for range most {
 		b.now += 2 * time.Millisecond
-		if _, err := b.s.Step(b.now); err != nil {
+		if _, err := b.s.RunMaintenance(b.now); err != nil {
 			return err
 		}
 	}
@@ -159,9 +159,9 @@
 }
 
 func TestReadsAndWrites(t *testing.T) {
-	dir, err := vfs.NewDir(t.TempDir())
+	dir, err := vfs.OpenDir(t.TempDir())
 	require.NoError(t, err)
-	o := Options{InlineBytes: 8}
+	o := Options{MaxInlineBytes: 8}
 	s, r, err := Open(dir, o)
 	require.NoError(t, err)
 	assert.Equal(t, NoLoss, r.Loss)
@@ -230,17 +230,17 @@
 	got, damaged := state(t, b.s)
 	assert.Equal(t, canon(b.model), got)
 	assert.Zero(t, damaged)
-	st := b.s.Stat()
+	st := b.s.Stats()
 	assert.Greater(t, st.Checkpoints, int64(2))
 	assert.Greater(t, st.Compactions, int64(1))
-	assert.Greater(t, st.Dropped, int64(3))
+	assert.Greater(t, st.DroppedSegments, int64(3))
 	require.NoError(t, b.s.Compact(t.Context()))
 	list, _ := f.List()
 	sum := int64(0)
 	for _, i := range list {
 		sum += i.Size
 	}
-	assert.Equal(t, sum, b.s.Stat().UsedBytes, "the books on space are right")
+	assert.Equal(t, sum, b.s.Stats().UsedBytes, "the books on space are right")
 	require.NoError(t, b.s.Close())
 	s, r, err := Open(f, small())
 	require.NoError(t, err)
@@ -252,11 +252,11 @@
 
 // TestGroupCommit: writers at once share syncs, and each sees its own write.
 func TestGroupCommit(t *testing.T) {
-	f := &faultfs.FS{At: func(_ int, op, _ string) faultfs.Fault {
+	f := &faultfs.FS{FaultAt: func(_ int, op, _ string) faultfs.Fault {
 		if op == "sync" {
 			time.Sleep(time.Millisecond)
 		}
-		return faultfs.None
+		return faultfs.NoFault
 	}}
 	s, _, err := Open(f, Options{})
 	require.NoError(t, err)
@@ -275,7 +275,7 @@
 		}()
 	}
 	wg.Wait()
-	st := s.Stat()
+	st := s.Stats()
 	assert.EqualValues(t, 320, st.Batches)
 	assert.Less(t, st.Syncs, int64(200))
 	require.NoError(t, s.Close())
@@ -291,7 +291,7 @@
 			if disk {
 				f.Capacity = 24 << 10
 			} else {
-				o.Upkeep.MaxBytes = 24 << 10
+				o.Maintenance.MaxBytes = 24 << 10
 			}
 			b, err := newBed(f, o)
 			require.NoError(t, err)
@@ -302,13 +302,13 @@
 				if err = b.s.Put(fmt.Appendf(nil, "%04d", n), bytes.Repeat([]byte{'x'}, 200)); err != nil {
 					break
 				}
-				if _, uerr := b.s.Step(time.Duration(n) * time.Millisecond); uerr != nil {
+				if _, uerr := b.s.RunMaintenance(time.Duration(n) * time.Millisecond); uerr != nil {
 					require.NotErrorIs(t, uerr, ErrReadOnly)
 				}
 			}
 			require.ErrorIs(t, err, ErrFull)
 			require.Greater(t, n, 30)
-			require.NoError(t, b.s.Failed())
+			require.NoError(t, b.s.ReadOnlyError())
 			for i := range n {
 				_, err := b.s.Get(fmt.Appendf(nil, "%04d", i), 0)
 				require.NoError(t, err, i)
@@ -328,7 +328,7 @@
 			require.NoError(t, <-answers)
 			for i := range n * 3 / 4 {
 				require.NoError(t, b.s.Delete(fmt.Appendf(nil, "%04d", i)), i)
-				if _, uerr := b.s.Step(time.Duration(n+i) * time.Second); uerr != nil {
+				if _, uerr := b.s.RunMaintenance(time.Duration(n+i) * time.Second); uerr != nil {
 					require.NotErrorIs(t, uerr, ErrReadOnly)
 				}
 			}
@@ -348,12 +348,12 @@
 func TestSyncFails(t *testing.T) {
 	armed := false
 	f := &faultfs.FS{}
-	f.At = func(_ int, op, _ string) faultfs.Fault {
+	f.FaultAt = func(_ int, op, _ string) faultfs.Fault {
 		if armed && op == "sync" {
 			armed = false
-			return faultfs.EIO
+			return faultfs.IOError
 		}
-		return faultfs.None
+		return faultfs.NoFault
 	}
 	s, _, err := Open(f, small())
 	require.NoError(t, err)
@@ -369,6 +369,6 @@
 	assert.Equal(t, "1", string(v))
 	_, err = s.Get([]byte("b"), 0)
 	assert.ErrorIs(t, err, ErrNotFound)
-	assert.Contains(t, s.Stat().ReadOnly, "sync")
+	assert.Contains(t, s.Stats().ReadOnlyReason, "sync")
 	assert.True(t, errors.Is(s.Close(), ErrReadOnly))
 }
--- a/internal/storage/durable/errors.go
+++ b/internal/storage/durable/errors.go
@@ -20,13 +20,13 @@
 	// ErrDamaged means that what was acknowledged, or may have been, can't be read.
 	ErrDamaged = errors.New("store is damaged")
 	// ErrHopeless means that no consistent state can be recovered at all.
-	ErrHopeless = errors.New("nothing can be recovered")
+	ErrUnrecoverable = errors.New("nothing can be recovered")
 	// ErrKeyLength, ErrValueLength, ErrBatchLength and ErrOrder are faults of the
 	// caller; nothing was written.
 	ErrKeyLength   = errors.New("key is empty or too long")
 	ErrValueLength = errors.New("value is too long")
 	ErrBatchLength = errors.New("batch is empty or too long")
-	ErrOrder       = errors.New("range ends before it begins")
+	ErrRangeOrder  = errors.New("range ends before it begins")
 	// ErrTooManySnapshots means that Options.Snapshots are open.
 	ErrTooManySnapshots = errors.New("too many open snapshots")
 )
@@ -43,7 +43,7 @@
 }
 
 func (e *DamagedError) Is(target error) bool {
-	return target == ErrDamaged || target == ErrHopeless && e.Report.Hopeless
+	return target == ErrDamaged || target == ErrUnrecoverable && e.Report.Unrecoverable
 }
 
 // fault is one thing found wrong in a file.
--- a/internal/storage/durable/example_test.go
+++ b/internal/storage/durable/example_test.go
@@ -16,7 +16,7 @@
 		log.Fatal(err)
 	}
 	defer os.RemoveAll(dir)
-	fs, err := vfs.NewDir(dir)
+	fs, err := vfs.OpenDir(dir)
 	if err != nil {
 		log.Fatal(err)
 	}
@@ -49,7 +49,7 @@
 		log.Fatal(err)
 	}
 	logs.Append(1, [][]byte{[]byte("one"), []byte("two"), []byte("three")}, durable.Synced)
-	logs.CutFront(2, durable.Buffered)
+	logs.TruncateFront(2, durable.Buffered)
 	fmt.Println(logs.Bounds())
 	store.Close()
 	// Output:
--- a/internal/storage/durable/faultfs/faultfs.go
+++ b/internal/storage/durable/faultfs/faultfs.go
@@ -22,10 +22,10 @@
 type Fault int
 
 const (
-	None  Fault = iota
-	Crash       // this step and all that follow fail; take the folder from Crashed
-	EIO         // the step fails
-	Short       // a write stops half way with EIO; other steps fail
+	NoFault    Fault = iota
+	Crash            // this step and all that follow fail; take the folder from Crashed
+	IOError          // the step fails
+	ShortWrite       // a write stops half way with EIO; other steps fail
 )
 
 // FS is a folder in memory. Its zero value is empty, and never fails.
@@ -40,7 +40,7 @@
 
 	// At decides on each step that changes something, counted from 1; op is
 	// "create", "write", "truncate", "sync", "rename", "remove" or "syncdir".
-	At func(step int, op, name string) Fault
+	FaultAt func(step int, op, name string) Fault
 	// Capacity, if not 0, is the sum of all files' lengths beyond which writes get ENOSPC.
 	Capacity int64
 }
@@ -69,14 +69,14 @@
 		return fmt.Errorf("%s %s: crashed: %w", op, name, syscall.EIO)
 	}
 	f.steps++
-	if f.At == nil {
+	if f.FaultAt == nil {
 		return nil
 	}
-	switch f.At(f.steps, op, name) {
+	switch f.FaultAt(f.steps, op, name) {
 	case Crash:
 		f.crashed = true
-	case EIO:
-	case Short:
+	case IOError:
+	case ShortWrite:
 		return errShort
 	default:
 		return nil
@@ -102,7 +102,7 @@
 // Crashed is the folder as a new process may find it after the power went. What no
 // sync covered is lost if keep is 0, there if keep is 1, and else any part of it,
 // by sectors and by names, with that likelihood.
-func (f *FS) Crashed(rng *rand.Rand, keep float64) *FS {
+func (f *FS) AfterCrash(rng *rand.Rand, keep float64) *FS {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.init()
@@ -237,12 +237,12 @@
 	return nil
 }
 
-func (f *FS) List() ([]vfs.Info, error) {
+func (f *FS) List() ([]vfs.FileInfo, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var list []vfs.Info
+	var list []vfs.FileInfo
 	for _, name := range sorted(f.files) {
-		list = append(list, vfs.Info{Name: name, Size: int64(len(f.files[name].data))})
+		list = append(list, vfs.FileInfo{Name: name, Size: int64(len(f.files[name].data))})
 	}
 	return list, nil
 }
--- a/internal/storage/durable/faultfs/over.go
+++ b/internal/storage/durable/faultfs/over.go
@@ -10,36 +10,36 @@
 
 // Cues for Over.
 const (
-	Full       = "full"  // files can't grow, nor new ones be made
-	FailsWrite = "write" // every write fails
-	FailsSync  = "sync"  // every sync fails
+	DiskFull   = "full"  // files can't grow, nor new ones be made
+	FailWrites = "write" // every write fails
+	FailSyncs  = "sync"  // every sync fails
 )
 
 // Over is another folder, such as a real one, that fails while a cue is given.
-type Over struct {
+type Injector struct {
 	vfs.FS
-	Cue func() string // "" for none; asked at each step that changes something
+	ActiveFault func() string // "" for none; asked at each step that changes something
 }
 
-func (o *Over) fails(op, name string) error {
-	cue := o.Cue()
+func (o *Injector) fails(op, name string) error {
+	cue := o.ActiveFault()
 	switch {
-	case cue == Full && (op == "create" || op == "write"):
+	case cue == DiskFull && (op == "create" || op == "write"):
 		return fmt.Errorf("%s %s: %w", op, name, syscall.ENOSPC)
-	case cue == FailsWrite && (op == "create" || op == "write"), cue == FailsSync && op == "sync":
+	case cue == FailWrites && (op == "create" || op == "write"), cue == FailSyncs && op == "sync":
 		return fmt.Errorf("%s %s: %w", op, name, syscall.EIO)
 	}
 	return nil
 }
 
 // Open opens a file.
-func (o *Over) Open(name string) (vfs.File, error) {
+func (o *Injector) Open(name string) (vfs.File, error) {
 	f, err := o.FS.Open(name)
 	return o.file(f, name, err)
 }
 
 // Create makes a file.
-func (o *Over) Create(name string) (vfs.File, error) {
+func (o *Injector) Create(name string) (vfs.File, error) {
 	if err := o.fails("create", name); err != nil {
 		return nil, err
 	}
@@ -48,7 +48,7 @@
 }
 
 // SyncDir syncs the folder.
-func (o *Over) SyncDir() error {
+func (o *Injector) SyncDir() error {
 	if err := o.fails("sync", "."); err != nil {
 		return err
 	}
@@ -56,9 +56,9 @@
 }
 
 // Lock takes the folder.
-func (o *Over) Lock(name string) (io.Closer, error) { return o.FS.Lock(name) }
+func (o *Injector) Lock(name string) (io.Closer, error) { return o.FS.Lock(name) }
 
-func (o *Over) file(f vfs.File, name string, err error) (vfs.File, error) {
+func (o *Injector) file(f vfs.File, name string, err error) (vfs.File, error) {
 	if err != nil {
 		return nil, err
 	}
@@ -67,7 +67,7 @@
 
 type overFile struct {
 	vfs.File
-	o    *Over
+	o    *Injector
 	name string
 }
 
--- a/internal/storage/durable/format_test.go
+++ b/internal/storage/durable/format_test.go
@@ -24,8 +24,8 @@
 // formatOptions has segments, checkpoints and compactions happen within some KB, and
 // the same bytes written in each run.
 func formatOptions() durable.Options {
-	return durable.Options{StoreID: 0x0ddba11c0ffee, KeyBytes: 64, ValueBytes: 2048, BatchBytes: 4096, InlineBytes: 12, ReserveBytes: 256,
-		Manual: true, Upkeep: plan.Limits{MaxBytes: 1 << 20, SegmentMin: 1200, SegmentMax: 1200, CheckpointMin: 2000, Chunk: 256, Rate: 1 << 20}}
+	return durable.Options{StoreID: 0x0ddba11c0ffee, MaxKeyBytes: 64, MaxValueBytes: 2048, MaxBatchBytes: 4096, MaxInlineBytes: 12, ReserveBytes: 256,
+		ManualMaintenance: true, Maintenance: plan.Limits{MaxBytes: 1 << 20, MinSegmentBytes: 1200, MaxSegmentBytes: 1200, MinCheckpointLogBytes: 2000, MaxStepBytes: 256, BytesPerSecond: 1 << 20}}
 }
 
 // formatCase is one folder of testdata, and how it was written.
@@ -83,7 +83,7 @@
 			require.NoError(t, os.CopyFS(dir, os.DirFS(filepath.Join("testdata", c.name))))
 			store := openFolder(t, dir)
 			assert.Equal(t, c.loss, store.Report().Loss)
-			assert.Equal(t, c.cutBytes, store.Report().CutBytes)
+			assert.Equal(t, c.cutBytes, store.Report().TruncatedBytes)
 			assert.Empty(t, store.Report().Faults)
 			assert.Empty(t, store.Report().Warnings)
 			golden := filepath.Join("testdata", c.name+".contents")
@@ -124,7 +124,7 @@
 		apply(t, store, &b, durable.Synced)
 		step(t, store, time.Duration(i)*time.Second, 4)
 	}
-	require.GreaterOrEqual(t, store.Stat().Checkpoints, int64(2))
+	require.GreaterOrEqual(t, store.Stats().Checkpoints, int64(2))
 	var b durable.Batch
 	b.Put([]byte("tail"), []byte("behind the checkpoint"), 0)
 	b.Delete([]byte("short/07"))
@@ -151,9 +151,9 @@
 	require.NoError(t, err)
 	require.Equal(t, 31, n)
 	require.NoError(t, store.Compact(t.Context()))
-	stat := store.Stat()
+	stat := store.Stats()
 	require.Positive(t, stat.MovedBytes)
-	require.Positive(t, stat.Dropped)
+	require.Positive(t, stat.DroppedSegments)
 	require.NoError(t, store.Put([]byte("last"), longValue(1, 20)))
 	n, err = store.Expire(140, 100)
 	require.NoError(t, err)
@@ -180,7 +180,7 @@
 }
 
 func openFolder(t *testing.T, path string) *durable.Store {
-	dir, err := vfs.NewDir(path)
+	dir, err := vfs.OpenDir(path)
 	require.NoError(t, err)
 	store, _, err := durable.Open(dir, formatOptions())
 	require.NoError(t, err)
@@ -194,7 +194,7 @@
 
 func step(t *testing.T, store *durable.Store, now time.Duration, steps int) {
 	for range steps {
-		_, err := store.Step(now)
+		_, err := store.RunMaintenance(now)
 		require.NoError(t, err)
 	}
 }
--- a/internal/storage/durable/inspect.go
+++ b/internal/storage/durable/inspect.go
@@ -36,7 +36,7 @@
 }
 
 // Missed reports a value that its Value could not give.
-func (v *View) Missed(i Item, err error) {
+func (v *View) ReportUnreadable(i Item, err error) {
 	if !i.Lost {
 		v.Report.LostKeys++
 	}
@@ -44,25 +44,25 @@
 }
 
 // Fresh means that nothing was ever acknowledged here.
-func (v *View) Fresh() bool { return v.r.fresh }
+func (v *View) Uninitialized() bool { return v.r.fresh }
 
 // FolderStat are the figures of a folder that is not open.
-type FolderStat struct {
+type FolderStats struct {
 	*Report
-	UsedBytes  int64 `json:"used_bytes"`
-	LiveBytes  int64 `json:"live_bytes"`
-	KeysOnDisk int64 `json:"keys_on_disk"` // whose value is not held in memory
-	LogBehind  int64 `json:"log_behind_bytes"`
-	SetAside   int   `json:"files_set_aside"` // by repairs
+	UsedBytes               int64 `json:"used_bytes"`
+	LiveBytes               int64 `json:"live_bytes"`
+	KeysOnDisk              int64 `json:"keys_on_disk"` // whose value is not held in memory
+	LogBytesSinceCheckpoint int64 `json:"log_behind_bytes"`
+	QuarantinedFiles        int   `json:"files_set_aside"` // by repairs
 }
 
 // Stat gives the figures.
-func (v *View) Stat() FolderStat {
-	t := FolderStat{Report: v.Report, LogBehind: v.r.behind}
+func (v *View) Stats() FolderStats {
+	t := FolderStats{Report: v.Report, LogBytesSinceCheckpoint: v.r.behind}
 	for name, size := range v.r.files {
 		t.UsedBytes += size
 		if strings.HasPrefix(name, setAside) {
-			t.SetAside++
+			t.QuarantinedFiles++
 		}
 	}
 	if v.r.idx != nil {
@@ -79,11 +79,11 @@
 // view's report.
 func (v *View) Verify(fsys vfs.FS) error {
 	r := v.r
-	if r.idx == nil || r.report.Hopeless {
+	if r.idx == nil || r.report.Unrecoverable {
 		return nil
 	}
 	for _, ref := range r.man.ckps {
-		if ref.number == 0 || ref.number == r.report.Checkpoint {
+		if ref.number == 0 || ref.number == r.report.CheckpointNumber {
 			continue
 		}
 		if _, err := readCheckpoint(fsys, ref, r.man.store, func(entry) {}); err != nil {
--- a/internal/storage/durable/model_test.go
+++ b/internal/storage/durable/model_test.go
@@ -72,7 +72,7 @@
 				b.s, b.acked, b.now, snap = s, len(b.states)-1, 0, nil
 			},
 			"crash": func(t *rapid.T) {
-				f = f.Crashed(rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0)), rapid.Float64Range(0, 1).Draw(t, "keep"))
+				f = f.AfterCrash(rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0)), rapid.Float64Range(0, 1).Draw(t, "keep"))
 				s, _, err := Open(f, small())
 				require.NoError(t, err)
 				got, damaged := state(t, s)
@@ -159,7 +159,7 @@
 
 // TestSpaceStaysBounded: upkeep keeps up with writes that never stop, within its target.
 func TestSpaceStaysBounded(t *testing.T) {
-	f, o := &faultfs.FS{}, Options{Manual: true, Upkeep: plan.Limits{SegmentMin: 16 << 10, CheckpointMin: 32 << 10}, ReserveBytes: 1}
+	f, o := &faultfs.FS{}, Options{ManualMaintenance: true, Maintenance: plan.Limits{MinSegmentBytes: 16 << 10, MinCheckpointLogBytes: 32 << 10}, ReserveBytes: 1}
 	b, err := newBed(f, o)
 	require.NoError(t, err)
 	const keys, size = 400, 500
@@ -169,13 +169,13 @@
 		batch.Put(fmt.Appendf(nil, "%04d", i*7%keys), make([]byte, size), 0)
 		_, err := b.s.Apply(&batch, Buffered)
 		require.NoError(t, err)
-		_, err = b.s.Step(time.Duration(i) * time.Millisecond)
+		_, err = b.s.RunMaintenance(time.Duration(i) * time.Millisecond)
 		require.NoError(t, err)
 		if i > keys {
-			peak = max(peak, b.s.Stat().UsedBytes)
+			peak = max(peak, b.s.Stats().UsedBytes)
 		}
 	}
-	st := b.s.Stat()
+	st := b.s.Stats()
 	t.Logf("live %d, at most %d used", st.LiveBytes, peak)
 	require.Less(t, float64(peak), 2.5*float64(st.LiveBytes))
 	require.NoError(t, b.s.Close())
--- a/internal/storage/durable/options.go
+++ b/internal/storage/durable/options.go
@@ -12,36 +12,36 @@
 type Options struct {
 	// KeyBytes, ValueBytes and BatchBytes bound one key, one value and the encoded
 	// form of one batch.
-	KeyBytes, ValueBytes, BatchBytes int
+	MaxKeyBytes, MaxValueBytes, MaxBatchBytes int
 	// InlineBytes is the length up to which a value is held in memory with its key.
-	InlineBytes int
+	MaxInlineBytes int
 	// QueueBatches bounds how many batches wait for the disk; more block their callers.
-	QueueBatches int
+	MaxQueuedBatches int
 	// GroupBytes bounds what shares one sync.
-	GroupBytes int
+	MaxGroupBytes int
 	// Snapshots bounds how many may be open at once.
-	Snapshots int
+	MaxSnapshots int
 	// ReserveBytes are set aside on disk so that deletes and upkeep work when it is full.
 	ReserveBytes int
 	// StoreID tells files of one store from those of another; 0 takes a random one.
 	StoreID uint64
 	// Upkeep says when to seal, checkpoint, compact and drop, and how fast.
-	Upkeep plan.Limits
+	Maintenance plan.Limits
 	// Manual leaves upkeep to calls of Step.
-	Manual bool
+	ManualMaintenance bool
 }
 
 // Defaults are the options in force where none are given.
-func Defaults() Options {
-	return Options{KeyBytes: 4 << 10, ValueBytes: 8 << 20, BatchBytes: 16 << 20, InlineBytes: 64, QueueBatches: 1024,
-		GroupBytes: 1 << 20, Snapshots: 256, ReserveBytes: 1 << 20, Upkeep: plan.Defaults()}
+func DefaultOptions() Options {
+	return Options{MaxKeyBytes: 4 << 10, MaxValueBytes: 8 << 20, MaxBatchBytes: 16 << 20, MaxInlineBytes: 64, MaxQueuedBatches: 1024,
+		MaxGroupBytes: 1 << 20, MaxSnapshots: 256, ReserveBytes: 1 << 20, Maintenance: plan.DefaultLimits()}
 }
 
 func (o Options) filled() (Options, error) {
-	d := Defaults()
-	for _, f := range []struct{ v, d *int }{{&o.KeyBytes, &d.KeyBytes}, {&o.ValueBytes, &d.ValueBytes},
-		{&o.BatchBytes, &d.BatchBytes}, {&o.InlineBytes, &d.InlineBytes}, {&o.QueueBatches, &d.QueueBatches},
-		{&o.GroupBytes, &d.GroupBytes}, {&o.Snapshots, &d.Snapshots}, {&o.ReserveBytes, &d.ReserveBytes}} {
+	d := DefaultOptions()
+	for _, f := range []struct{ v, d *int }{{&o.MaxKeyBytes, &d.MaxKeyBytes}, {&o.MaxValueBytes, &d.MaxValueBytes},
+		{&o.MaxBatchBytes, &d.MaxBatchBytes}, {&o.MaxInlineBytes, &d.MaxInlineBytes}, {&o.MaxQueuedBatches, &d.MaxQueuedBatches},
+		{&o.MaxGroupBytes, &d.MaxGroupBytes}, {&o.MaxSnapshots, &d.MaxSnapshots}, {&o.ReserveBytes, &d.ReserveBytes}} {
 		if *f.v == 0 {
 			*f.v = *f.d
 		}
@@ -50,16 +50,16 @@
 		}
 	}
 	switch {
-	case o.KeyBytes > math.MaxUint16:
-		return o, fmt.Errorf("keys of %d bytes are too long, want at most %d", o.KeyBytes, math.MaxUint16)
-	case o.BatchBytes > 1<<28:
-		return o, fmt.Errorf("batches of %d bytes are too long, want at most %d", o.BatchBytes, 1<<28)
-	case o.ValueBytes+o.KeyBytes+opOverhead > o.BatchBytes:
+	case o.MaxKeyBytes > math.MaxUint16:
+		return o, fmt.Errorf("keys of %d bytes are too long, want at most %d", o.MaxKeyBytes, math.MaxUint16)
+	case o.MaxBatchBytes > 1<<28:
+		return o, fmt.Errorf("batches of %d bytes are too long, want at most %d", o.MaxBatchBytes, 1<<28)
+	case o.MaxValueBytes+o.MaxKeyBytes+opOverhead > o.MaxBatchBytes:
 		return o, errors.New("a batch must hold a key and a value of full length")
-	case o.InlineBytes > 4096:
+	case o.MaxInlineBytes > 4096:
 		return o, errors.New("at most 4096 bytes are held in memory with a key")
 	}
 	var err error
-	o.Upkeep, err = o.Upkeep.Filled()
+	o.Maintenance, err = o.Maintenance.WithDefaults()
 	return o, err
 }
--- a/internal/storage/durable/plan/limits.go
+++ b/internal/storage/durable/plan/limits.go
@@ -15,42 +15,42 @@
 	MaxBytes int64
 	// SegmentMin and SegmentMax bound a segment. Between them it is an eighth of the
 	// live data, so that the space that one dead segment holds stays in proportion.
-	SegmentMin, SegmentMax int64
+	MinSegmentBytes, MaxSegmentBytes int64
 	// CheckpointMin is the least log, in bytes, that a checkpoint is worth; above it,
 	// one is due when the log behind it is as long as CheckpointShare of the last.
-	CheckpointMin   int64
-	CheckpointShare float64
+	MinCheckpointLogBytes int64
+	CheckpointLogRatio    float64
 	// GarbageShare is how much dead data, as a share of the live, is let be.
-	GarbageShare float64
+	GarbageRatio float64
 	// WaitingShare is how much dead data, as a share of the live, may wait for the two
 	// checkpoints that let go of it.
-	WaitingShare float64
+	PendingDropRatio float64
 	// Rate is what upkeep writes and reads in bytes a second when nothing presses. It
 	// grows up to sixteen times as the folder outgrows its target.
-	Rate int64
+	BytesPerSecond int64
 	// Chunk is the most that one step writes or reads, in bytes.
-	Chunk int64
+	MaxStepBytes int64
 	// FlushAfter is how long a buffered write may stay unsynced.
-	FlushAfter time.Duration
+	MaxUnsyncedAge time.Duration
 	// QuietAfter is how long nothing must be written for a checkpoint to be due early.
-	QuietAfter time.Duration
+	IdleCheckpointDelay time.Duration
 	// Again is how long upkeep rests after a step that failed.
-	Again time.Duration
+	RetryDelay time.Duration
 }
 
 // Defaults suit a store of some MB to some GB on a disk that others use too.
-func Defaults() Limits {
-	return Limits{MaxBytes: 4 << 30, SegmentMin: 256 << 10, SegmentMax: 64 << 20, CheckpointMin: 4 << 20, CheckpointShare: 1,
-		GarbageShare: 0.3, WaitingShare: 0.25, Rate: 8 << 20, Chunk: 128 << 10, FlushAfter: 200 * time.Millisecond,
-		QuietAfter: time.Second, Again: time.Second}
+func DefaultLimits() Limits {
+	return Limits{MaxBytes: 4 << 30, MinSegmentBytes: 256 << 10, MaxSegmentBytes: 64 << 20, MinCheckpointLogBytes: 4 << 20, CheckpointLogRatio: 1,
+		GarbageRatio: 0.3, PendingDropRatio: 0.25, BytesPerSecond: 8 << 20, MaxStepBytes: 128 << 10, MaxUnsyncedAge: 200 * time.Millisecond,
+		IdleCheckpointDelay: time.Second, RetryDelay: time.Second}
 }
 
 // Filled sets what is zero, and checks the rest.
-func (l Limits) Filled() (Limits, error) {
-	d := Defaults()
-	for _, f := range []struct{ v, d *int64 }{{&l.MaxBytes, &d.MaxBytes}, {&l.SegmentMin, &d.SegmentMin}, {&l.SegmentMax, &d.SegmentMax},
-		{&l.CheckpointMin, &d.CheckpointMin}, {&l.Rate, &d.Rate}, {&l.Chunk, &d.Chunk},
-		{(*int64)(&l.FlushAfter), (*int64)(&d.FlushAfter)}, {(*int64)(&l.QuietAfter), (*int64)(&d.QuietAfter)}, {(*int64)(&l.Again), (*int64)(&d.Again)}} {
+func (l Limits) WithDefaults() (Limits, error) {
+	d := DefaultLimits()
+	for _, f := range []struct{ v, d *int64 }{{&l.MaxBytes, &d.MaxBytes}, {&l.MinSegmentBytes, &d.MinSegmentBytes}, {&l.MaxSegmentBytes, &d.MaxSegmentBytes},
+		{&l.MinCheckpointLogBytes, &d.MinCheckpointLogBytes}, {&l.BytesPerSecond, &d.BytesPerSecond}, {&l.MaxStepBytes, &d.MaxStepBytes},
+		{(*int64)(&l.MaxUnsyncedAge), (*int64)(&d.MaxUnsyncedAge)}, {(*int64)(&l.IdleCheckpointDelay), (*int64)(&d.IdleCheckpointDelay)}, {(*int64)(&l.RetryDelay), (*int64)(&d.RetryDelay)}} {
 		if *f.v == 0 {
 			*f.v = *f.d
 		}
@@ -58,8 +58,8 @@
 			return l, errors.New("upkeep: a limit is negative")
 		}
 	}
-	for _, f := range []struct{ v, d *float64 }{{&l.CheckpointShare, &d.CheckpointShare}, {&l.GarbageShare, &d.GarbageShare},
-		{&l.WaitingShare, &d.WaitingShare}} {
+	for _, f := range []struct{ v, d *float64 }{{&l.CheckpointLogRatio, &d.CheckpointLogRatio}, {&l.GarbageRatio, &d.GarbageRatio},
+		{&l.PendingDropRatio, &d.PendingDropRatio}} {
 		if *f.v == 0 {
 			*f.v = *f.d
 		}
@@ -68,29 +68,31 @@
 		}
 	}
 	switch {
-	case l.SegmentMin > l.SegmentMax:
+	case l.MinSegmentBytes > l.MaxSegmentBytes:
 		return l, errors.New("upkeep: the shortest segment is longer than the longest")
-	case l.SegmentMax > 1<<30:
+	case l.MaxSegmentBytes > 1<<30:
 		return l, errors.New("upkeep: segments are at most 1 GiB long")
 	}
 	return l, nil
 }
 
 // SealAt is the length at which a segment is sealed, for so much live data.
-func (l Limits) SealAt(live int64) int64 { return min(max(live/8, l.SegmentMin), l.SegmentMax) }
+func (l Limits) SegmentBytes(live int64) int64 {
+	return min(max(live/8, l.MinSegmentBytes), l.MaxSegmentBytes)
+}
 
 // Space is what counts for whether there is room.
 type Space struct {
-	Used       int64 // bytes of all files
-	Checkpoint int64 // bytes of the newest checkpoint
-	Live       int64 // bytes of keys and values
-	Released   bool  // the disk was full, and the reserve went to deletes or upkeep
+	UsedBytes       int64 // bytes of all files
+	CheckpointBytes int64 // bytes of the newest checkpoint
+	LiveBytes       int64 // bytes of keys and values
+	ReserveReleased bool  // the disk was full, and the reserve went to deletes or upkeep
 }
 
 // Headroom is what is kept free so that the next checkpoint, and moving one segment,
 // always fit.
-func (l Limits) Headroom(s Space) int64 {
-	return min(max(s.Checkpoint, s.Live/16)*5/4+l.SealAt(s.Live), l.MaxBytes/2)
+func (l Limits) HeadroomBytes(s Space) int64 {
+	return min(max(s.CheckpointBytes, s.LiveBytes/16)*5/4+l.SegmentBytes(s.LiveBytes), l.MaxBytes/2)
 }
 
 // Admits says whether a batch of so many bytes may be written. One that has only
@@ -98,10 +100,10 @@
 // been released, nothing grows until upkeep has made room for it again.
 func (l Limits) Admits(s Space, bytes int64, grows bool) bool {
 	if grows {
-		if s.Released {
+		if s.ReserveReleased {
 			return false
 		}
-		bytes += l.Headroom(s)
+		bytes += l.HeadroomBytes(s)
 	}
-	return s.Used+bytes <= l.MaxBytes
+	return s.UsedBytes+bytes <= l.MaxBytes
 }
--- a/internal/storage/durable/recover.go
+++ b/internal/storage/durable/recover.go
@@ -58,11 +58,11 @@
 		}
 	}
 	slices.Sort(r.segments)
-	if err := r.readManifest(fsys, ckps); err != nil || r.fresh || r.report.Hopeless {
+	if err := r.readManifest(fsys, ckps); err != nil || r.fresh || r.report.Unrecoverable {
 		return r, err
 	}
 	from, err := r.base(fsys, o)
-	if err == nil && !r.report.Hopeless {
+	if err == nil && !r.report.Unrecoverable {
 		err = r.replay(fsys, from)
 	}
 	if err != nil {
@@ -142,7 +142,7 @@
 			r.idx.load(e)
 		})
 		if err == nil {
-			r.report.Checkpoint = ref.number
+			r.report.CheckpointNumber = ref.number
 			for _, e := range gone {
 				r.report.add(fmt.Errorf("%s: value of %q is missing", logName(e.segment), e.key()))
 			}
@@ -162,14 +162,14 @@
 		return position{segment: r.man.first, offset: headerLen}, nil
 	}
 	r.report.add(errors.New("no checkpoint can be read, and the log does not go back to the beginning"))
-	r.report.Hopeless = true
+	r.report.Unrecoverable = true
 	return position{}, nil
 }
 
 // newIndex opens all segments for an empty index.
 func (r *recovered) newIndex(fsys vfs.FS, o *Options) error {
 	r.close()
-	r.idx = newIndex(o.InlineBytes)
+	r.idx = newIndex(o.MaxInlineBytes)
 	for _, n := range r.segments {
 		f, err := fsys.Open(logName(n))
 		if err != nil {
@@ -224,7 +224,7 @@
 	switch {
 	case err != nil:
 	case first && r.end.offset == headerLen:
-		if r.end.chain == 0 && r.report.Checkpoint == 0 {
+		if r.end.chain == 0 && r.report.CheckpointNumber == 0 {
 			r.end.chain, r.end.seq = h.sum, h.prevSeq
 		}
 		if h.sum != r.end.chain || h.prevSeq != r.end.seq {
@@ -255,7 +255,7 @@
 	}
 	begin := r.end.offset
 	what, err := walk(s, &r.end, func(f frame, payload []byte, at int64) error {
-		r.report.Replayed++
+		r.report.ReplayedBatches++
 		return r.idx.apply(s.number, at, f, payload)
 	})
 	r.behind += r.end.offset - begin
@@ -276,7 +276,7 @@
 		r.report.add(fmt.Errorf("%w; batches up to %d were on disk", bad, later))
 		r.maxSeq = max(r.maxSeq, later)
 	default:
-		r.report.CutBytes = s.size - r.end.offset
+		r.report.TruncatedBytes = s.size - r.end.offset
 		r.report.Loss = max(r.report.Loss, TailLoss)
 	}
 	return false, nil
@@ -384,7 +384,7 @@
 	if s := r.idx.segs[r.end.segment]; s != nil {
 		s.sealed, s.size = false, min(s.size, r.end.offset)
 	}
-	r.report.Store = fmt.Sprintf("%016x", r.man.store)
+	r.report.StoreID = fmt.Sprintf("%016x", r.man.store)
 	r.report.Seq, r.report.Keys, r.report.Segments = r.end.seq, r.idx.tree.Len(), len(r.segments)
 	r.report.LostKeys = int(r.idx.lost)
 }
--- a/internal/storage/durable/repair.go
+++ b/internal/storage/durable/repair.go
@@ -32,7 +32,7 @@
 	if r.fresh {
 		return r.report, nil
 	}
-	if r.report.Hopeless {
+	if r.report.Unrecoverable {
 		return r.report, &DamagedError{r.report}
 	}
 	gone := r.unreadable()
--- a/internal/storage/durable/report.go
+++ b/internal/storage/durable/report.go
@@ -24,19 +24,19 @@
 
 // Report says what a folder holds and what is wrong with it.
 type Report struct {
-	Store      string   `json:"store"`
-	Seq        uint64   `json:"seq"` // the last batch of the recovered state
-	Keys       int      `json:"keys"`
-	Segments   int      `json:"segments"`
-	Checkpoint uint32   `json:"checkpoint"` // that was read; 0 if the log alone was
-	Replayed   int      `json:"replayed"`   // batches, after it
-	CutBytes   int64    `json:"cut_bytes"`  // after the last good batch
-	Loss       Loss     `json:"loss"`
-	LostKeys   int      `json:"lost_keys"` // whose value can't be read
-	Hopeless   bool     `json:"hopeless"`  // no consistent state at all
-	FaultCount int      `json:"fault_count"`
-	Faults     []string `json:"faults"`   // the first of them
-	Warnings   []string `json:"warnings"` // that cost nothing
+	StoreID          string   `json:"store"`
+	Seq              uint64   `json:"seq"` // the last batch of the recovered state
+	Keys             int      `json:"keys"`
+	Segments         int      `json:"segments"`
+	CheckpointNumber uint32   `json:"checkpoint"` // that was read; 0 if the log alone was
+	ReplayedBatches  int      `json:"replayed"`   // batches, after it
+	TruncatedBytes   int64    `json:"cut_bytes"`  // after the last good batch
+	Loss             Loss     `json:"loss"`
+	LostKeys         int      `json:"lost_keys"` // whose value can't be read
+	Unrecoverable    bool     `json:"hopeless"`  // no consistent state at all
+	FaultCount       int      `json:"fault_count"`
+	Faults           []string `json:"faults"`   // the first of them
+	Warnings         []string `json:"warnings"` // that cost nothing
 }
 
 func (r *Report) add(err error) {
--- a/internal/storage/durable/snapshot.go
+++ b/internal/storage/durable/snapshot.go
@@ -22,7 +22,7 @@
 	switch {
 	case s.snaps == nil:
 		return nil, ErrClosed
-	case len(s.snaps) >= s.o.Snapshots:
+	case len(s.snaps) >= s.o.MaxSnapshots:
 		return nil, ErrTooManySnapshots
 	}
 	snap := &Snapshot{s: s, seq: s.seq, tree: s.idx.tree.Copy()}
@@ -140,7 +140,7 @@
 	var b Batch
 	s.mu.RLock()
 	s.idx.dues.Scan(func(d due) bool {
-		if d.at > now || b.Len() >= most || b.Bytes() > s.o.GroupBytes {
+		if d.at > now || b.Len() >= most || b.Bytes() > s.o.MaxGroupBytes {
 			return false
 		}
 		if e, ok := s.idx.tree.Get(lookup(d.key)); ok {
--- a/internal/storage/durable/store.go
+++ b/internal/storage/durable/store.go
@@ -94,7 +94,7 @@
 		r.close()
 		return nil, r.report, err
 	}
-	s := &Store{fs: fs, o: o, lock: lock, report: r.report, queue: make(chan *request, o.QueueBatches), done: make(chan struct{}),
+	s := &Store{fs: fs, o: o, lock: lock, report: r.report, queue: make(chan *request, o.MaxQueuedBatches), done: make(chan struct{}),
 		idx: r.idx, seq: r.end.seq, durable: r.end.seq, snaps: map[*Snapshot]struct{}{}, man: *r.man, storeID: r.man.store}
 	s.log = logEnd{seg: r.idx.segs[r.end.segment], at: r.end}
 	s.ckpBytes.Store(r.man.ckps[keptCkps-1].size)
@@ -106,7 +106,7 @@
 		return nil, r.report, err
 	}
 	go s.commit()
-	if !o.Manual {
+	if !o.ManualMaintenance {
 		go s.upkeep.loop()
 	} else {
 		close(s.upkeep.ended)
@@ -146,7 +146,7 @@
 // settle makes what was recovered last, and takes away what a crash left over.
 func settle(fs vfs.FS, r *recovered) error {
 	s := r.idx.segs[r.end.segment]
-	if r.report.CutBytes > 0 {
+	if r.report.TruncatedBytes > 0 {
 		if err := s.file.Truncate(r.end.offset); err != nil {
 			return fmt.Errorf("%s: %w", logName(s.number), err)
 		}
@@ -206,7 +206,7 @@
 }
 
 func (s *Store) space() plan.Space {
-	return plan.Space{Used: s.used.Load(), Checkpoint: s.ckpBytes.Load(), Live: s.live.Load(), Released: s.released.Load()}
+	return plan.Space{UsedBytes: s.used.Load(), CheckpointBytes: s.ckpBytes.Load(), LiveBytes: s.live.Load(), ReserveReleased: s.released.Load()}
 }
 
 // release gives the reserve to deletes and upkeep, and tells whether there was one.
@@ -267,7 +267,7 @@
 }
 
 // Failed is why the store is read-only, or nil.
-func (s *Store) Failed() error {
+func (s *Store) ReadOnlyError() error {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.failed
@@ -285,7 +285,7 @@
 	s.upkeep.stop()
 	close(s.queue)
 	<-s.done
-	err := s.Failed()
+	err := s.ReadOnlyError()
 	if err == nil {
 		if err = s.syncLog(); err == nil {
 			err = s.writeManifest(func(m *manifest) {})
@@ -335,50 +335,50 @@
 }
 
 // Stat is what a store holds and does.
-type Stat struct {
-	Seq         uint64 `json:"seq"`
-	Synced      uint64 `json:"synced"`
-	Keys        int    `json:"keys"`
-	KeysOnDisk  int64  `json:"keys_on_disk"` // whose value is not held in memory
-	LiveBytes   int64  `json:"live_bytes"`
-	UsedBytes   int64  `json:"used_bytes"`
-	MaxBytes    int64  `json:"max_bytes"`
-	Segments    int    `json:"segments"`
-	DeadBytes   int64  `json:"dead_bytes"` // of sealed segments
-	LogBehind   int64  `json:"log_behind_bytes"`
-	Checkpoint  int64  `json:"checkpoint_bytes"`
-	Batches     int64  `json:"batches"` // since it was opened, as all that follow
-	Syncs       int64  `json:"syncs"`
-	Groups      int64  `json:"groups"`
-	Full        int64  `json:"turned_away_full"`
-	Checkpoints int64  `json:"checkpoints"`
-	Compactions int64  `json:"compactions"`
-	Dropped     int64  `json:"segments_dropped"`
-	MovedBytes  int64  `json:"moved_bytes"`
-	Snapshots   int    `json:"snapshots"`
-	ReadOnly    string `json:"read_only,omitempty"`
-	Upkeep      string `json:"upkeep_error,omitempty"`
+type Stats struct {
+	Seq                     uint64 `json:"seq"`
+	SyncedSeq               uint64 `json:"synced"`
+	Keys                    int    `json:"keys"`
+	KeysOnDisk              int64  `json:"keys_on_disk"` // whose value is not held in memory
+	LiveBytes               int64  `json:"live_bytes"`
+	UsedBytes               int64  `json:"used_bytes"`
+	MaxBytes                int64  `json:"max_bytes"`
+	Segments                int    `json:"segments"`
+	DeadBytes               int64  `json:"dead_bytes"` // of sealed segments
+	LogBytesSinceCheckpoint int64  `json:"log_behind_bytes"`
+	CheckpointBytes         int64  `json:"checkpoint_bytes"`
+	Batches                 int64  `json:"batches"` // since it was opened, as all that follow
+	Syncs                   int64  `json:"syncs"`
+	Groups                  int64  `json:"groups"`
+	RejectedFull            int64  `json:"turned_away_full"`
+	Checkpoints             int64  `json:"checkpoints"`
+	Compactions             int64  `json:"compactions"`
+	DroppedSegments         int64  `json:"segments_dropped"`
+	MovedBytes              int64  `json:"moved_bytes"`
+	Snapshots               int    `json:"snapshots"`
+	ReadOnlyReason          string `json:"read_only,omitempty"`
+	MaintenanceError        string `json:"upkeep_error,omitempty"`
 }
 
 // Stat gives the figures of this moment.
-func (s *Store) Stat() Stat {
+func (s *Store) Stats() Stats {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	t := Stat{Seq: s.seq, Synced: s.durable, Keys: s.idx.tree.Len(), KeysOnDisk: s.idx.onDisk, LiveBytes: s.idx.live,
-		UsedBytes: s.used.Load(), MaxBytes: s.o.Upkeep.MaxBytes, Segments: len(s.idx.segs), LogBehind: s.behind.Load(),
-		Checkpoint: s.ckpBytes.Load(), Batches: s.stats.batches.Load(), Syncs: s.stats.syncs.Load(), Groups: s.stats.groups.Load(),
-		Full: s.stats.full.Load(), Checkpoints: s.stats.checkpoints.Load(), Compactions: s.stats.compactions.Load(),
-		Dropped: s.stats.dropped.Load(), MovedBytes: s.stats.moved.Load(), Snapshots: len(s.snaps)}
+	t := Stats{Seq: s.seq, SyncedSeq: s.durable, Keys: s.idx.tree.Len(), KeysOnDisk: s.idx.onDisk, LiveBytes: s.idx.live,
+		UsedBytes: s.used.Load(), MaxBytes: s.o.Maintenance.MaxBytes, Segments: len(s.idx.segs), LogBytesSinceCheckpoint: s.behind.Load(),
+		CheckpointBytes: s.ckpBytes.Load(), Batches: s.stats.batches.Load(), Syncs: s.stats.syncs.Load(), Groups: s.stats.groups.Load(),
+		RejectedFull: s.stats.full.Load(), Checkpoints: s.stats.checkpoints.Load(), Compactions: s.stats.compactions.Load(),
+		DroppedSegments: s.stats.dropped.Load(), MovedBytes: s.stats.moved.Load(), Snapshots: len(s.snaps)}
 	for _, seg := range s.idx.segs {
 		if seg.sealed {
 			t.DeadBytes += seg.size - seg.live
 		}
 	}
 	if s.failed != nil {
-		t.ReadOnly = s.failed.Error()
+		t.ReadOnlyReason = s.failed.Error()
 	}
 	if err := s.upkeep.lastError(); err != nil {
-		t.Upkeep = err.Error()
+		t.MaintenanceError = err.Error()
 	}
 	return t
 }
--- a/internal/storage/durable/stream/format_test.go
+++ b/internal/storage/durable/stream/format_test.go
@@ -45,13 +45,13 @@
 	requireEntries(t, entries, 14, 32)
 	requireEntries(t, votes, 501, 503)
 	_, err := entries.Get(13)
-	assert.ErrorIs(t, err, stream.ErrNotThere)
+	assert.ErrorIs(t, err, stream.ErrEntryNotFound)
 	_, err = entries.Get(33)
-	assert.ErrorIs(t, err, stream.ErrNotThere)
+	assert.ErrorIs(t, err, stream.ErrEntryNotFound)
 	assert.ErrorIs(t, entries.Append(34, [][]byte{entry(34)}, durable.Synced), stream.ErrGap)
 	require.NoError(t, entries.Append(33, [][]byte{entry(33), entry(34)}, durable.Synced))
-	require.NoError(t, entries.CutFront(20, durable.Buffered))
-	require.NoError(t, votes.CutFront(504, durable.Synced))
+	require.NoError(t, entries.TruncateFront(20, durable.Buffered))
+	require.NoError(t, votes.TruncateFront(504, durable.Synced))
 	require.NoError(t, votes.Append(7, [][]byte{entry(7)}, durable.Buffered))
 	require.NoError(t, store.Close())
 
@@ -69,8 +69,8 @@
 		require.NoError(t, entries.Append(n, [][]byte{entry(n), entry(n + 1), entry(n + 2)}, durable.Synced))
 	}
 	require.NoError(t, votes.Append(501, [][]byte{entry(501), entry(502), entry(503)}, durable.Synced))
-	require.NoError(t, entries.CutFront(14, durable.Synced))
-	require.NoError(t, entries.CutBack(33, durable.Synced))
+	require.NoError(t, entries.TruncateFront(14, durable.Synced))
+	require.NoError(t, entries.TruncateBack(33, durable.Synced))
 	require.NoError(t, store.Close())
 }
 
@@ -80,9 +80,9 @@
 }
 
 func openStore(t *testing.T, path string) *durable.Store {
-	dir, err := vfs.NewDir(path)
+	dir, err := vfs.OpenDir(path)
 	require.NoError(t, err)
-	store, _, err := durable.Open(dir, durable.Options{StoreID: 0xfeedc0ffee, Manual: true, ReserveBytes: 64})
+	store, _, err := durable.Open(dir, durable.Options{StoreID: 0xfeedc0ffee, ManualMaintenance: true, ReserveBytes: 64})
 	require.NoError(t, err)
 	return store
 }
--- a/internal/storage/durable/stream/stream.go
+++ b/internal/storage/durable/stream/stream.go
@@ -17,7 +17,7 @@
 	// ErrGap means that an entry would not follow the last one.
 	ErrGap = errors.New("entry does not follow the last")
 	// ErrNotThere means that a number lies outside of the stream.
-	ErrNotThere = errors.New("no such entry")
+	ErrEntryNotFound = errors.New("no such entry")
 )
 
 // Stream is one stream. One caller at a time may change it; any may read.
@@ -81,11 +81,11 @@
 // Get reads one entry.
 func (s *Stream) Get(n uint64) ([]byte, error) {
 	if first, last := s.Bounds(); n < first || n > last || n == 0 {
-		return nil, fmt.Errorf("%w: %d, there are %d to %d", ErrNotThere, n, first, last)
+		return nil, fmt.Errorf("%w: %d, there are %d to %d", ErrEntryNotFound, n, first, last)
 	}
 	v, err := s.store.Get(s.key(n), 0)
 	if errors.Is(err, durable.ErrNotFound) { // cut off meanwhile
-		err = fmt.Errorf("%w: %d", ErrNotThere, n)
+		err = fmt.Errorf("%w: %d", ErrEntryNotFound, n)
 	}
 	return v, err
 }
@@ -115,7 +115,7 @@
 }
 
 // CutFront removes all entries before a number.
-func (s *Stream) CutFront(to uint64, level durable.Level) error {
+func (s *Stream) TruncateFront(to uint64, level durable.Level) error {
 	first, last := s.Bounds()
 	if first == 0 || to <= first {
 		return nil
@@ -133,7 +133,7 @@
 }
 
 // CutBack removes a number and all entries after it.
-func (s *Stream) CutBack(from uint64, level durable.Level) error {
+func (s *Stream) TruncateBack(from uint64, level durable.Level) error {
 	first, last := s.Bounds()
 	if first == 0 || from > last {
 		return nil
--- a/internal/storage/durable/upkeep.go
+++ b/internal/storage/durable/upkeep.go
@@ -36,12 +36,12 @@
 func (u *upkeep) init(s *Store, r *recovered) {
 	u.s, u.start = s, time.Now()
 	u.quit, u.ended = make(chan struct{}), make(chan struct{})
-	u.planner.Limits = s.o.Upkeep
+	u.planner.Limits = s.o.Maintenance
 	u.ckpNext = r.maxCkp + 1
 }
 
 func (u *upkeep) now() time.Duration {
-	if u.s.o.Manual {
+	if u.s.o.ManualMaintenance {
 		return time.Duration(u.given.Load())
 	}
 	return time.Since(u.start)
@@ -94,7 +94,7 @@
 
 // Step does one step of upkeep at a time that never goes back, where
 // Options.Manual leaves that to the caller. It tells whether there was one to do.
-func (s *Store) Step(now time.Duration) (worked bool, err error) {
+func (s *Store) RunMaintenance(now time.Duration) (worked bool, err error) {
 	s.upkeep.given.Store(int64(now))
 	_, worked, err = s.upkeep.step(false)
 	return worked, err
@@ -118,15 +118,15 @@
 		return 0, false, errStopped
 	default:
 	}
-	if err := u.s.Failed(); err != nil {
+	if err := u.s.ReadOnlyError(); err != nil {
 		return 0, false, err
 	}
 	f := u.facts()
-	f.Eager = eager
+	f.ReclaimAll = eager
 	u.failed = false
 	step := u.planner.Next(f)
-	if step.Kind == plan.Wait {
-		return step.Wait, false, nil
+	if step.Kind == plan.Idle {
+		return step.Delay, false, nil
 	}
 	if err = u.do(step); err != nil {
 		u.failed = true
@@ -137,14 +137,14 @@
 	u.errMu.Lock()
 	u.err = err
 	u.errMu.Unlock()
-	return step.Wait, true, err
+	return step.Delay, true, err
 }
 
-func (u *upkeep) facts() plan.Facts {
+func (u *upkeep) facts() plan.State {
 	s := u.s
-	f := plan.Facts{Now: u.now(), LogBehind: s.behind.Load(), Space: s.space(), Failed: u.failed, ReserveMissing: !s.reserved.Load()}
+	f := plan.State{Now: u.now(), LogBytesSinceCheckpoint: s.behind.Load(), Space: s.space(), LastStepFailed: u.failed, ReserveMissing: !s.reserved.Load()}
 	if at := s.unsynced.Load(); at != 0 {
-		f.Unsynced, f.UnsyncedSince = true, time.Duration(at)
+		f.HasUnsynced, f.UnsyncedSince = true, time.Duration(at)
 	}
 	switch {
 	case u.ckp != nil:
@@ -153,17 +153,17 @@
 		f.Task = plan.Compacting
 	}
 	s.manMu.Lock()
-	f.OlderSeq, f.OlderSegment = s.man.ckps[0].seq, s.man.ckps[0].segment
+	f.OlderCheckpointSeq, f.OlderCheckpointSegment = s.man.ckps[0].seq, s.man.ckps[0].segment
 	s.manMu.Unlock()
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	f.Seq, f.OldestSnapshot = s.seq, s.seq
+	f.Seq, f.OldestSnapshotSeq = s.seq, s.seq
 	for p := range s.snaps {
-		f.OldestSnapshot = min(f.OldestSnapshot, p.seq)
+		f.OldestSnapshotSeq = min(f.OldestSnapshotSeq, p.seq)
 	}
 	for _, g := range s.idx.segs {
-		f.Segments = append(f.Segments, plan.Segment{Number: g.number, Bytes: g.size, Live: g.live, Refs: g.refs,
-			DeadSince: g.deadSince, Sealed: g.sealed, Unreadable: g.unreadable})
+		f.Segments = append(f.Segments, plan.Segment{Number: g.number, Bytes: g.size, LiveBytes: g.live, LiveValues: g.refs,
+			EmptiedSeq: g.deadSince, Sealed: g.sealed, Unreadable: g.unreadable})
 	}
 	slices.SortFunc(f.Segments, func(a, b plan.Segment) int { return int(int64(a.Number) - int64(b.Number)) })
 	return f
@@ -174,9 +174,9 @@
 	switch step.Kind {
 	case plan.Flush:
 		return s.Sync()
-	case plan.Drop:
+	case plan.DropSegment:
 		return s.drop(step.Segment)
-	case plan.Seal:
+	case plan.SealSegment:
 		return s.inCommitter(s.roll)
 	case plan.RestoreReserve:
 		return s.restoreReserve()
@@ -187,12 +187,12 @@
 		u.comp = &compaction{seg: s.idx.segs[step.Segment], at: headerLen}
 		s.mu.RUnlock()
 		return nil
-	case plan.Continue:
+	case plan.ContinueTask:
 		if u.ckp != nil {
-			return u.goOnCheckpoint(step.Bytes)
+			return u.goOnCheckpoint(step.BudgetBytes)
 		}
-		spent, done, err := s.compact(u.comp, step.Bytes)
-		u.planner.Spend(spent)
+		spent, done, err := s.compact(u.comp, step.BudgetBytes)
+		u.planner.Charge(spent)
 		if done {
 			u.comp = nil
 			s.stats.compactions.Add(1)
@@ -277,7 +277,7 @@
 	s, w := u.s, u.ckp
 	from := w.size
 	done, err := w.step(budget)
-	u.planner.Spend(w.size - from)
+	u.planner.Charge(w.size - from)
 	s.used.Add(w.size - from)
 	if err != nil {
 		return u.ckpFailed(err)
@@ -298,7 +298,7 @@
 		}
 		return fmt.Errorf("checkpoint was not taken: %w", err)
 	}
-	u.planner.Spend(w.size)
+	u.planner.Charge(w.size)
 	var old ckpRef
 	if err := s.writeManifest(func(m *manifest) {
 		old = m.ckps[0]
@@ -307,7 +307,7 @@
 			m.first = 0 // from now on the log may lose its beginning
 		}
 	}); err != nil {
-		if s.Failed() == nil && s.fs.Remove(ckpName(ref.number)) == nil {
+		if s.ReadOnlyError() == nil && s.fs.Remove(ckpName(ref.number)) == nil {
 			s.used.Add(-w.size)
 		}
 		return err
--- a/internal/storage/durable/vfs/dir.go
+++ b/internal/storage/durable/vfs/dir.go
@@ -17,7 +17,7 @@
 }
 
 // NewDir makes the folder if it is missing; its parent must be there.
-func NewDir(path string) (*Dir, error) {
+func OpenDir(path string) (*Dir, error) {
 	if err := os.Mkdir(path, 0o700); err != nil && !errors.Is(err, fs.ErrExist) {
 		return nil, err
 	}
@@ -26,7 +26,7 @@
 
 // ReadDir is a folder in which nothing is changed: its files are opened for
 // reading only, and the lock is taken only if its file is there.
-func ReadDir(path string) (*Dir, error) {
+func OpenDirReadOnly(path string) (*Dir, error) {
 	return &Dir{path: path, readOnly: true}, checkDir(path)
 }
 
@@ -60,12 +60,12 @@
 func (d *Dir) Remove(name string) error     { return os.Remove(d.at(name)) }
 func (d *Dir) Rename(from, to string) error { return os.Rename(d.at(from), d.at(to)) }
 
-func (d *Dir) List() ([]Info, error) {
+func (d *Dir) List() ([]FileInfo, error) {
 	entries, err := os.ReadDir(d.path)
 	if err != nil {
 		return nil, err
 	}
-	var list []Info
+	var list []FileInfo
 	for _, e := range entries {
 		if !e.Type().IsRegular() {
 			continue
@@ -77,7 +77,7 @@
 		if err != nil {
 			return nil, err
 		}
-		list = append(list, Info{Name: e.Name(), Size: info.Size()})
+		list = append(list, FileInfo{Name: e.Name(), Size: info.Size()})
 	}
 	return list, nil
 }
--- a/internal/storage/durable/vfs/vfs.go
+++ b/internal/storage/durable/vfs/vfs.go
@@ -22,7 +22,7 @@
 	// Rename replaces the target at once, but lastingly only after SyncDir.
 	Rename(from, to string) error
 	// List gives all files, in the order of their names.
-	List() ([]Info, error)
+	List() ([]FileInfo, error)
 	// SyncDir makes what was created, renamed and removed last.
 	SyncDir() error
 	// Lock takes the folder, or gives ErrLocked at once.
@@ -40,7 +40,7 @@
 }
 
 // Info is a file's name and length in bytes.
-type Info struct {
+type FileInfo struct {
 	Name string
 	Size int64
 }
--- a/internal/testrig/history.go
+++ b/internal/testrig/history.go
@@ -13,22 +13,22 @@
 )
 
 // Step is a read, a write or a compare-and-set of one key, and what came of it.
-type Step struct {
-	Key   string
-	Write bool
-	Value string // written
-	From  string // what a compare-and-set wants to find
+type RegisterOp struct {
+	Key      string
+	Write    bool
+	Value    string // written
+	Expected string // what a compare-and-set wants to find
 }
 
 // Unequal is what came of a compare-and-set that found another value.
-const Unequal = "Unequal"
+const CompareFailed = "Unequal"
 
 // register is a key that is written and read; each key is checked for itself.
 var register = porcupine.Model{
 	Partition: func(h []porcupine.Operation) [][]porcupine.Operation {
 		keys := map[string][]porcupine.Operation{}
 		for _, o := range h {
-			keys[o.Input.(Step).Key] = append(keys[o.Input.(Step).Key], o)
+			keys[o.Input.(RegisterOp).Key] = append(keys[o.Input.(RegisterOp).Key], o)
 		}
 		var parts [][]porcupine.Operation
 		for _, p := range keys {
@@ -38,29 +38,29 @@
 	},
 	Init: func() any { return "" },
 	Step: func(state, input, output any) (bool, any) {
-		in := input.(Step)
+		in := input.(RegisterOp)
 		switch {
 		case !in.Write:
 			return output == state, state
-		case in.From == "" || in.From == state && output != Unequal:
+		case in.Expected == "" || in.Expected == state && output != CompareFailed:
 			return true, in.Value
 		}
-		return output == Unequal && in.From != state, state
+		return output == CompareFailed && in.Expected != state, state
 	},
 }
 
 // History is what clients did, each on the clock of this process.
 type History struct {
-	mu                              sync.Mutex
-	ops                             []porcupine.Operation
-	began                           time.Time
-	Writes, Reads, Unknown, Refused int
+	mu                               sync.Mutex
+	ops                              []porcupine.Operation
+	began                            time.Time
+	Writes, Reads, Unknown, Rejected int
 }
 
-const Never = int64(1) << 60 // when an operation of unknown outcome ends
+const NeverReturned = int64(1) << 60 // when an operation of unknown outcome ends
 
 // Add notes one operation.
-func (h *History) Add(client int, in Step, out string, call, end int64) {
+func (h *History) Add(client int, in RegisterOp, out string, call, end int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.ops = append(h.ops, porcupine.Operation{ClientId: client, Input: in, Call: call, Output: out, Return: end})
@@ -73,21 +73,21 @@
 func (h *History) known() []porcupine.Operation {
 	read, first := map[string]bool{}, map[string]int64{}
 	for _, o := range h.ops {
-		if !o.Input.(Step).Write {
+		if !o.Input.(RegisterOp).Write {
 			read[o.Output.(string)] = true
 		}
 	}
 	for _, o := range h.ops {
-		in := o.Input.(Step)
-		if at, ok := first[in.Key]; o.Return == Never && !read[in.Value] && (!ok || o.Call < at) {
+		in := o.Input.(RegisterOp)
+		if at, ok := first[in.Key]; o.Return == NeverReturned && !read[in.Value] && (!ok || o.Call < at) {
 			first[in.Key] = o.Call
 		}
 	}
 	var ops []porcupine.Operation
 	for _, o := range h.ops {
-		in := o.Input.(Step)
+		in := o.Input.(RegisterOp)
 		at, lost := first[in.Key]
-		if o.Return == Never && !read[in.Value] || o.Output == Unequal && lost && at < o.Return {
+		if o.Return == NeverReturned && !read[in.Value] || o.Output == CompareFailed && lost && at < o.Return {
 			continue
 		}
 		ops = append(ops, o)
@@ -97,14 +97,14 @@
 
 // Enough tells whether so much was answered that a check of it means something. A busy
 // machine gets more time for it.
-func (h *History) Enough(least time.Duration) bool {
+func (h *History) HasEnough(least time.Duration) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.Writes > 50 && h.Reads > 100 || time.Since(h.began) > least+2*Patience
+	return h.Writes > 50 && h.Reads > 100 || time.Since(h.began) > least+2*AwaitTimeout
 }
 
 // Client reads, writes and compares-and-sets at random nodes until told to stop.
-func (h *History) Client(c *Cluster, id int, stop <-chan struct{}) {
+func (h *History) RunClient(c *Cluster, id int, stop <-chan struct{}) {
 	seen := map[string][2]string{} // by Key: a value that was read, and its tag
 	rng := rand.New(rand.NewPCG(uint64(id), 7))
 	web := &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
@@ -114,12 +114,12 @@
 			return
 		case <-time.After(time.Duration(rng.IntN(10)) * time.Millisecond):
 		}
-		in := Step{Key: fmt.Sprint("reg/", rng.IntN(5)), Write: rng.IntN(3) == 0, Value: fmt.Sprintf("%q", fmt.Sprintf("%d-%d", id, n))}
+		in := RegisterOp{Key: fmt.Sprint("reg/", rng.IntN(5)), Write: rng.IntN(3) == 0, Value: fmt.Sprintf("%q", fmt.Sprintf("%d-%d", id, n))}
 		method := "GET"
 		if in.Write {
 			method = "PUT"
 			if was, ok := seen[in.Key]; ok && rng.IntN(2) == 0 {
-				in.From = was[0]
+				in.Expected = was[0]
 			}
 		}
 		url := "http://" + c.Peers[rng.IntN(len(c.Peers))].Admin + "/store/" + in.Key
@@ -127,7 +127,7 @@
 		if err != nil {
 			panic(err)
 		}
-		if in.From != "" {
+		if in.Expected != "" {
 			req.Header.Set("If-Match", seen[in.Key][1])
 		}
 		call := time.Since(h.began).Nanoseconds()
@@ -142,11 +142,11 @@
 			}
 		}
 		end := time.Since(h.began).Nanoseconds()
-		ok := err == nil && (code == 200 || code == 204 || code == 404 && !in.Write || code == 412 && in.From != "")
+		ok := err == nil && (code == 200 || code == 204 || code == 404 && !in.Write || code == 412 && in.Expected != "")
 		switch {
 		case ok && in.Write && code == 412:
-			h.Add(id, in, Unequal, call, end)
-		case ok && in.Write && in.From != "":
+			h.Add(id, in, CompareFailed, call, end)
+		case ok && in.Write && in.Expected != "":
 			h.Add(id, in, "done", call, end)
 		case ok && in.Write:
 			h.Add(id, in, "", call, end)
@@ -155,7 +155,7 @@
 		case ok:
 			h.Add(id, in, text, call, end)
 		case in.Write:
-			h.Add(id, in, "", call, Never)
+			h.Add(id, in, "", call, NeverReturned)
 		}
 		h.mu.Lock()
 		switch {
@@ -166,7 +166,7 @@
 		case in.Write:
 			h.Unknown++
 		default:
-			h.Refused++
+			h.Rejected++
 		}
 		h.mu.Unlock()
 		if !ok {
@@ -179,7 +179,7 @@
 func NewHistory() *History { return &History{began: time.Now()} }
 
 // Since is how long it goes on already.
-func (h *History) Since() time.Duration { return time.Since(h.began) }
+func (h *History) Elapsed() time.Duration { return time.Since(h.began) }
 
 // Linearizable tells whether what was done to each key can have been done one after the
 // other, each between its begin and its end.
@@ -231,7 +231,7 @@
 }
 
 // After is when the first write ended that began after a time.
-func (p *Prober) After(at time.Time) (time.Time, bool) {
+func (p *Prober) FirstWriteAfter(at time.Time) (time.Time, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i := len(p.done) - 1; i >= 0; i-- {
--- a/internal/testrig/link.go
+++ b/internal/testrig/link.go
@@ -8,13 +8,13 @@
 )
 
 // Mode is what a link does to what one process says to another.
-type Mode struct {
-	Cut       bool          // connections are reset, and refused
-	Out, Back bool          // bytes that way are held, the connections stay half open
-	Delay     time.Duration // each way
-	Rate      int           // bytes a second, each way; 0 is without a bound
-	Burst     time.Duration // connections are reset in bursts: for so long in each Every
-	Every     time.Duration
+type LinkMode struct {
+	Cut                         bool          // connections are reset, and refused
+	HoldRequests, HoldResponses bool          // bytes that way are held, the connections stay half open
+	Delay                       time.Duration // each way
+	BytesPerSecond              int           // bytes a second, each way; 0 is without a bound
+	ResetBurst                  time.Duration // connections are reset in bursts: for so long in each Every
+	ResetInterval               time.Duration
 }
 
 // Link is the way on which one process calls another one's port.
@@ -26,7 +26,7 @@
 	ln    net.Listener
 	mu    sync.Mutex
 	moved *sync.Cond
-	mode  Mode
+	mode  LinkMode
 	conns map[net.Conn]bool
 }
 
@@ -53,11 +53,11 @@
 // Close cuts the link for good.
 func (l *Link) Close() {
 	l.ln.Close()
-	l.Set(Mode{Cut: true})
+	l.SetMode(LinkMode{Cut: true})
 }
 
 // Set changes what it does; the zero Mode heals it.
-func (l *Link) Set(m Mode) {
+func (l *Link) SetMode(m LinkMode) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.mode = m
@@ -72,7 +72,7 @@
 // down tells whether connections are reset now. The lock is held.
 func (l *Link) down() bool {
 	m := l.mode
-	return m.Cut || m.Burst > 0 && m.Every > 0 && time.Since(l.began)%m.Every < m.Burst
+	return m.Cut || m.ResetBurst > 0 && m.ResetInterval > 0 && time.Since(l.began)%m.ResetInterval < m.ResetBurst
 }
 
 func (l *Link) serve(from net.Conn) {
@@ -90,8 +90,8 @@
 	l.conns[from], l.conns[to] = true, true
 	l.mu.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { l.pump(to, from, func(m Mode) bool { return m.Out }) })
-	both.Go(func() { l.pump(from, to, func(m Mode) bool { return m.Back }) })
+	both.Go(func() { l.pump(to, from, func(m LinkMode) bool { return m.HoldRequests }) })
+	both.Go(func() { l.pump(from, to, func(m LinkMode) bool { return m.HoldResponses }) })
 	both.Wait()
 	l.mu.Lock()
 	delete(l.conns, from)
@@ -100,7 +100,7 @@
 }
 
 // pump carries one direction until either end closes.
-func (l *Link) pump(to, from net.Conn, held func(Mode) bool) {
+func (l *Link) pump(to, from net.Conn, held func(LinkMode) bool) {
 	defer to.Close()
 	defer from.Close()
 	b := make([]byte, 32<<10)
@@ -115,8 +115,8 @@
 		if down || err != nil {
 			return
 		}
-		if m.Rate > 0 {
-			m.Delay += time.Duration(n) * time.Second / time.Duration(m.Rate)
+		if m.BytesPerSecond > 0 {
+			m.Delay += time.Duration(n) * time.Second / time.Duration(m.BytesPerSecond)
 		}
 		time.Sleep(m.Delay)
 		if _, err := to.Write(b[:n]); err != nil {
@@ -127,17 +127,17 @@
 
 // Fault is something that is done to one node, and undone.
 type Fault struct {
-	Name     string
-	Leader   bool // the leader is lost to the others by it
-	Do, Undo func(node int)
+	Name            string
+	IsolatesLeader  bool // the leader is lost to the others by it
+	Inject, Recover func(node int)
 }
 
 // Turn is one fault of a schedule.
-type Turn struct {
-	Fault  Fault
-	Before time.Duration // of quiet
-	For    time.Duration
-	Node   int // a number drawn for faults that choose a node
+type ScheduledFault struct {
+	Fault       Fault
+	QuietBefore time.Duration // of quiet
+	Duration    time.Duration
+	Node        int // a number drawn for faults that choose a node
 }
 
 // Schedule gives the turns of a seed, without end: all faults in an order that is drawn
@@ -157,12 +157,12 @@
 }
 
 // Next is the next turn.
-func (s *Schedule) Next() Turn {
+func (s *Schedule) Next() ScheduledFault {
 	if len(s.order) == 0 {
 		s.order = s.rng.Perm(len(s.faults))
 	}
 	f := s.faults[s.order[0]]
 	s.order = s.order[1:]
 	drawn := func(d time.Duration) time.Duration { return d + time.Duration(s.rng.Int64N(int64(d))) }
-	return Turn{Fault: f, Before: drawn(s.least / 5), For: drawn(s.least), Node: s.rng.IntN(s.nodes)}
+	return ScheduledFault{Fault: f, QuietBefore: drawn(s.least / 5), Duration: drawn(s.least), Node: s.rng.IntN(s.nodes)}
 }
--- a/internal/testrig/resource.go
+++ b/internal/testrig/resource.go
@@ -11,7 +11,7 @@
 )
 
 // Act is one that a resource has accepted, from begin to end by its own clock.
-type Act struct {
+type Action struct {
 	Holder     string
 	Token      uint64
 	Begin, End time.Time
@@ -21,20 +21,20 @@
 // /act?holder=H&token=T takes Work to do. It keeps the highest token that it has seen, and
 // refuses lower ones, also those that are overtaken while they are at work.
 type Resource struct {
-	URL  string
-	Work time.Duration
+	URL            string
+	ActionDuration time.Duration
 
 	server  *httptest.Server
 	mu      sync.Mutex
 	open    bool // without the fence
 	highest uint64
-	acts    []Act
+	acts    []Action
 	refused int
 }
 
 // NewResource begins one; without a fence it takes any token.
 func NewResource(t T, fence bool) *Resource {
-	r := &Resource{Work: 2 * time.Millisecond, open: !fence}
+	r := &Resource{ActionDuration: 2 * time.Millisecond, open: !fence}
 	r.server = httptest.NewServer(r)
 	t.Cleanup(r.server.Close)
 	r.URL = r.server.URL
@@ -44,12 +44,12 @@
 // ServeHTTP is one act.
 func (r *Resource) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	token, err := strconv.ParseUint(q.URL.Query().Get("token"), 10, 64)
-	a := Act{Holder: q.URL.Query().Get("holder"), Token: token, Begin: time.Now()}
+	a := Action{Holder: q.URL.Query().Get("holder"), Token: token, Begin: time.Now()}
 	if err != nil || !r.admit(token) {
 		http.Error(w, "a higher token was here", http.StatusPreconditionFailed)
 		return
 	}
-	time.Sleep(r.Work)
+	time.Sleep(r.ActionDuration)
 	a.End = time.Now()
 	if !r.effect(a) {
 		http.Error(w, "a higher token came meanwhile", http.StatusPreconditionFailed)
@@ -67,7 +67,7 @@
 	return true
 }
 
-func (r *Resource) effect(a Act) bool {
+func (r *Resource) effect(a Action) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if a.Token < r.highest && !r.open {
@@ -80,10 +80,10 @@
 
 // Wrong names what no run may show: a token that took effect after a higher one, acts of
 // two holders that overlap, or a token that two holders had.
-func (r *Resource) Wrong() (wrong []string) {
+func (r *Resource) Violations() (wrong []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	holders, last := map[uint64]string{}, Act{}
+	holders, last := map[uint64]string{}, Action{}
 	for _, a := range r.acts {
 		if h, ok := holders[a.Token]; ok && h != a.Holder {
 			wrong = append(wrong, fmt.Sprintf("token %d of %s and %s", a.Token, h, a.Holder))
@@ -112,7 +112,7 @@
 }
 
 // Last is the last act that took effect.
-func (r *Resource) Last() (a Act, ok bool) {
+func (r *Resource) LastAction() (a Action, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.acts) == 0 {
@@ -122,16 +122,16 @@
 }
 
 // ActsAfter tells whether one took effect that began after a time.
-func (r *Resource) ActsAfter(at time.Time) bool {
-	a, ok := r.Last()
+func (r *Resource) ActedAfter(at time.Time) bool {
+	a, ok := r.LastAction()
 	return ok && a.Begin.After(at)
 }
 
 // Gap is the longest time since a time in which nothing took effect.
-func (r *Resource) Gap(since time.Time) (longest time.Duration) {
+func (r *Resource) LongestGap(since time.Time) (longest time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	i, _ := slices.BinarySearchFunc(r.acts, since, func(a Act, t time.Time) int { return a.End.Compare(t) })
+	i, _ := slices.BinarySearchFunc(r.acts, since, func(a Action, t time.Time) int { return a.End.Compare(t) })
 	for _, a := range r.acts[i:] {
 		longest, since = max(longest, a.End.Sub(since)), a.End
 	}
--- a/tests/backup_test.go
+++ b/tests/backup_test.go
@@ -45,7 +45,7 @@
 			w.Txn(ctx, pair(i))
 		}
 	})
-	lead := c.Leader()
+	lead := c.WaitForLeader()
 	follower := storeclient.New([]string{c.Peers[(lead+1)%3].Admin})
 	await(t, "both keys", func() bool { _, _, err := follower.Get(t.Context(), "pair/b", ""); return err == nil })
 	var text []byte
@@ -80,21 +80,21 @@
 	text, err = os.ReadFile(path)
 	require.NoError(t, err)
 	n := newCluster(t, nil)
-	fresh := "--nodes=" + n.Peers[(n.Leader()+1)%3].Admin // not the leader
+	fresh := "--nodes=" + n.Peers[(n.WaitForLeader()+1)%3].Admin // not the leader
 	bad := filepath.Join(t.TempDir(), "bad")
 	require.NoError(t, os.WriteFile(bad, bytes.Replace(text, []byte(`"n":39`), []byte(`"n":38`), 1), 0o600))
 	out, code = sub(t, "store", "restore", bad, fresh)
 	require.Equal(t, 1, code, out)
 	require.Contains(t, out, "damaged")
-	status, _ := n.HTTP(0, "POST", "/restore", string(text[:len(text)-3]))
+	status, _ := n.Request(0, "POST", "/restore", string(text[:len(text)-3]))
 	require.Equal(t, 400, status)
 	for range 2 { // the second time as if the answer had been lost
 		out, code = sub(t, "store", "restore", path, fresh)
 		require.Equal(t, 0, code, out)
 	}
 	for i := range 3 {
-		n.Has(i, "config/k39", `{"n":39}`)
-		status, _ := n.HTTP(i, "GET", "/store/config/k7", "")
+		n.WaitForValue(i, "config/k39", `{"n":39}`)
+		status, _ := n.Request(i, "GET", "/store/config/k7", "")
 		require.Equal(t, 404, status)
 	}
 	other := filepath.Join(t.TempDir(), "other")
@@ -111,8 +111,8 @@
 	out, code = sub(t, "store", "restore", path, fresh)
 	require.Equal(t, 1, code, out)
 	require.Contains(t, out, "empty")
-	require.Equal(t, 204, func() int { code, _ := n.HTTP(1, "PUT", "/store/note/on", "1"); return code }(), "it goes on after a refusal")
-	status, body := n.HTTP(0, "PUT", "/store/_cluster/id", `"x"`)
+	require.Equal(t, 204, func() int { code, _ := n.Request(1, "PUT", "/store/note/on", "1"); return code }(), "it goes on after a refusal")
+	status, body := n.Request(0, "PUT", "/store/_cluster/id", `"x"`)
 	require.Equal(t, 400, status, body)
 }
 
@@ -134,23 +134,23 @@
 		return err == nil && st.Cluster != ""
 	})
 	begin := func(i int) {
-		go c.HTTP(i, "POST", "/restore", text.String())
+		go c.Request(i, "POST", "/restore", text.String())
 		await(t, "a part of it", func() bool {
-			code, _ := c.HTTP(i, "GET", "/store/big/010?local=1", "")
+			code, _ := c.Request(i, "GET", "/store/big/010?local=1", "")
 			return code == 200
 		})
 	}
-	lead := c.Leader()
+	lead := c.WaitForLeader()
 	begin(lead)
 	c.Kill(lead)
 	others := storeclient.New([]string{c.Peers[(lead+1)%3].Admin, c.Peers[(lead+2)%3].Admin})
-	c.Leader()
-	code, body := c.HTTP(c.Leader(), "GET", "/store/_cluster/restore?local=1", "")
+	c.WaitForLeader()
+	code, body := c.Request(c.WaitForLeader(), "GET", "/store/_cluster/restore?local=1", "")
 	require.Equal(t, 200, code, "it was cut off: %s", body)
 	for _, i := range []int{(lead + 1) % 3, (lead + 2) % 3} {
-		code, body := c.HTTP(i, "GET", "/store/big/000", "")
+		code, body := c.Request(i, "GET", "/store/big/000", "")
 		assert.Equal(t, 503, code, body)
-		code, body = c.HTTP(i, "PUT", "/store/note/x", "1")
+		code, body = c.Request(i, "PUT", "/store/note/x", "1")
 		assert.Equal(t, 503, code, body)
 	}
 	require.NoError(t, others.UndoRestore(t.Context()))
@@ -175,7 +175,7 @@
 	t.Parallel()
 	c := newCluster(t, nil)
 	c.Put(0, "note/old", `1`)
-	c.Has(2, "note/old", `1`)
+	c.WaitForValue(2, "note/old", `1`)
 	await(t, "the cluster's id", func() bool { return strings.Contains(c.nodes[2].log(), `"msg":"cluster id"`) })
 	for i := range 3 {
 		c.Kill(i)
@@ -184,22 +184,22 @@
 	for i := range 3 { // all begin anew
 		c.Dirs[i] = t.TempDir()
 	}
-	c.Begin()
+	c.Bootstrap()
 	c.Put(0, "note/new", `2`)
 	c.Kill(2)
 	c.Dirs[2] = old
 	c.Start(2)
-	lead := c.Leader()
+	lead := c.WaitForLeader()
 	await(t, "a line", func() bool {
 		return strings.Contains(c.nodes[2].log(), "peer belongs to another cluster") || strings.Contains(c.nodes[lead].log(), "peer belongs to another cluster")
 	})
 	c.Put(lead, "note/more", `3`)
 	time.Sleep(2 * time.Second) // four elections' worth
-	code, body := c.HTTP(2, "GET", "/store/note/old", "")
+	code, body := c.Request(2, "GET", "/store/note/old", "")
 	assert.Equal(t, 503, code, body)
 	for i := range 2 {
-		c.Has(i, "note/more", `3`)
-		code, body = c.HTTP(i, "GET", "/store/note/old", "")
+		c.WaitForValue(i, "note/more", `3`)
+		code, body = c.Request(i, "GET", "/store/note/old", "")
 		assert.Equal(t, 404, code, body)
 	}
 	client := c.client()
@@ -212,7 +212,7 @@
 	c.Kill(2) // emptied, it is taken in
 	c.Dirs[2] = t.TempDir()
 	c.Start(2)
-	c.Has(2, "note/more", `3`)
+	c.WaitForValue(2, "note/more", `3`)
 }
 
 // sub runs a sub-command, and gives both its outputs as one.
--- a/tests/contenders_test.go
+++ b/tests/contenders_test.go
@@ -158,9 +158,9 @@
 	x.cmd.Process.Signal(sig)
 }
 
-func (x *contender) set(m testrig.Mode) {
+func (x *contender) set(m testrig.LinkMode) {
 	for _, l := range x.links {
-		l.Set(m)
+		l.SetMode(m)
 	}
 }
 
@@ -174,8 +174,8 @@
 
 func newStage(t *testing.T, nodes, contenders int, fence bool) *stage {
 	c := newNodes(t, nodes, nodes)
-	c.Wire()
-	c.Begin()
+	c.AddLinks()
+	c.Bootstrap()
 	s := &stage{cluster: c, res: testrig.NewResource(t, fence), ttl: time.Second}
 	for i := range contenders {
 		s.list = append(s.list, newContender(t, c, i, s.res, s.ttl))
@@ -187,7 +187,7 @@
 // holder waits for a contender that has the lease and acts.
 func (s *stage) holder() (x *contender, token uint64) {
 	testrig.Await(s.T, "a holder that acts", func() bool {
-		a, ok := s.res.Last()
+		a, ok := s.res.LastAction()
 		for _, c := range s.list {
 			if name, _, _ := strings.Cut(a.Holder, "-"); ok && time.Since(a.End) < 50*time.Millisecond && c.name == name {
 				x, token = c, a.Token
@@ -205,7 +205,7 @@
 		return func(int) { at, _ = s.holder(); do(at) }
 	}
 	undo := func(do func(x *contender)) func(int) { return func(int) { do(at) } }
-	held := testrig.Mode{Out: true, Back: true}
+	held := testrig.LinkMode{HoldRequests: true, HoldResponses: true}
 	all := func(do func(i int)) func(int) {
 		return func(int) {
 			for i := range s.Peers {
@@ -213,35 +213,35 @@
 			}
 		}
 	}
-	heal := func(i int) { s.Around(i, testrig.Mode{}, testrig.Mode{}) }
-	slow := testrig.Mode{Delay: 15 * time.Millisecond}
+	heal := func(i int) { s.SetLinksAround(i, testrig.LinkMode{}, testrig.LinkMode{}) }
+	slow := testrig.LinkMode{Delay: 15 * time.Millisecond}
 	long := func(do func(x *contender)) func(int) {
 		return with(func(x *contender) { do(x); time.Sleep(2 * s.ttl) })
 	}
 	return []testrig.Fault{
-		{Name: "all at once", Leader: true, Do: func(i int) {
+		{Name: "all at once", IsolatesLeader: true, Inject: func(i int) {
 			s.list[int(*seed)%len(s.list)].alone(syscall.SIGKILL)
-			s.Around((i+1)%len(s.Peers), testrig.Mode{Out: true}, testrig.Mode{})
-			s.Around((i+2)%len(s.Peers), slow, slow)
-			s.Stop(i)
+			s.SetLinksAround((i+1)%len(s.Peers), testrig.LinkMode{HoldRequests: true}, testrig.LinkMode{})
+			s.SetLinksAround((i+2)%len(s.Peers), slow, slow)
+			s.Pause(i)
 			long(func(x *contender) { x.signal(syscall.SIGSTOP) })(i)
-		}, Undo: func(i int) {
+		}, Recover: func(i int) {
 			at.signal(syscall.SIGCONT)
-			s.Continue(i)
-			s.Heal()
+			s.Resume(i)
+			s.HealLinks()
 		}},
-		{Name: "leader killed", Leader: true, Do: s.Kill, Undo: s.Start},
-		{Name: "leader stopped", Leader: true, Do: s.Stop, Undo: s.Continue},
-		{Name: "leader cut off", Do: func(i int) { s.Around(i, testrig.Mode{Cut: true}, testrig.Mode{Cut: true}) }, Undo: heal},
-		{Name: "leader not heard", Do: func(i int) { s.Around(i, testrig.Mode{Out: true}, testrig.Mode{}) }, Undo: heal},
-		{Name: "all links of the store slow", Do: all(func(i int) { s.Around(i, slow, slow) }), Undo: all(heal)},
-		{Name: "all nodes killed", Do: all(s.Kill), Undo: all(s.Start)},
-		{Name: "holder and its command stopped", Do: long(func(x *contender) { x.signal(syscall.SIGSTOP) }), Undo: undo(func(x *contender) { x.signal(syscall.SIGCONT) })},
-		{Name: "holder stopped, its command goes on", Do: long(func(x *contender) { x.alone(syscall.SIGSTOP) }), Undo: undo(func(x *contender) { x.alone(syscall.SIGCONT) })},
-		{Name: "holder killed", Do: with(func(x *contender) { x.alone(syscall.SIGKILL) }), Undo: func(int) {}},
-		{Name: "holder cut off from the store", Do: with(func(x *contender) { x.set(testrig.Mode{Cut: true}) }), Undo: undo(func(x *contender) { x.set(testrig.Mode{}) })},
-		{Name: "holder's answers are lost", Do: with(func(x *contender) { x.set(testrig.Mode{Back: true}) }), Undo: undo(func(x *contender) { x.set(testrig.Mode{}) })},
-		{Name: "holder half open", Do: with(func(x *contender) { x.set(held) }), Undo: undo(func(x *contender) { x.set(testrig.Mode{}) })},
+		{Name: "leader killed", IsolatesLeader: true, Inject: s.Kill, Recover: s.Start},
+		{Name: "leader stopped", IsolatesLeader: true, Inject: s.Pause, Recover: s.Resume},
+		{Name: "leader cut off", Inject: func(i int) { s.SetLinksAround(i, testrig.LinkMode{Cut: true}, testrig.LinkMode{Cut: true}) }, Recover: heal},
+		{Name: "leader not heard", Inject: func(i int) { s.SetLinksAround(i, testrig.LinkMode{HoldRequests: true}, testrig.LinkMode{}) }, Recover: heal},
+		{Name: "all links of the store slow", Inject: all(func(i int) { s.SetLinksAround(i, slow, slow) }), Recover: all(heal)},
+		{Name: "all nodes killed", Inject: all(s.Kill), Recover: all(s.Start)},
+		{Name: "holder and its command stopped", Inject: long(func(x *contender) { x.signal(syscall.SIGSTOP) }), Recover: undo(func(x *contender) { x.signal(syscall.SIGCONT) })},
+		{Name: "holder stopped, its command goes on", Inject: long(func(x *contender) { x.alone(syscall.SIGSTOP) }), Recover: undo(func(x *contender) { x.alone(syscall.SIGCONT) })},
+		{Name: "holder killed", Inject: with(func(x *contender) { x.alone(syscall.SIGKILL) }), Recover: func(int) {}},
+		{Name: "holder cut off from the store", Inject: with(func(x *contender) { x.set(testrig.LinkMode{Cut: true}) }), Recover: undo(func(x *contender) { x.set(testrig.LinkMode{}) })},
+		{Name: "holder's answers are lost", Inject: with(func(x *contender) { x.set(testrig.LinkMode{HoldResponses: true}) }), Recover: undo(func(x *contender) { x.set(testrig.LinkMode{}) })},
+		{Name: "holder half open", Inject: with(func(x *contender) { x.set(held) }), Recover: undo(func(x *contender) { x.set(testrig.LinkMode{}) })},
 	}
 }
 
@@ -258,22 +258,22 @@
 	for n := 0; n < len(faults) || time.Since(began) < *faultTime; n++ {
 		turn := plan.Next()
 		f := turn.Fault
-		i := s.Leader()
+		i := s.WaitForLeader()
 		s.holder()
-		time.Sleep(turn.Before)
+		time.Sleep(turn.QuietBefore)
 		_, _, before := s.res.Counts()
 		at := time.Now()
-		f.Do(i)
-		time.Sleep(turn.For)
-		f.Undo(i)
+		f.Inject(i)
+		time.Sleep(turn.Duration)
+		f.Recover(i)
 		undone := time.Now()
-		await(t, "an act after "+f.Name, func() bool { return s.res.ActsAfter(undone) })
-		gaps[f.Name] = append(gaps[f.Name], s.res.Gap(at).Round(time.Millisecond))
+		await(t, "an act after "+f.Name, func() bool { return s.res.ActedAfter(undone) })
+		gaps[f.Name] = append(gaps[f.Name], s.res.LongestGap(at).Round(time.Millisecond))
 		_, _, after := s.res.Counts()
 		refused[f.Name] += after - before
 	}
 	tokens, acts, all := s.res.Counts()
-	assert.Empty(t, s.res.Wrong())
+	assert.Empty(t, s.res.Violations())
 	assert.Greater(t, tokens, len(faults))
 	t.Logf("seed %d, %v: %d tokens acted, %d acts, %d acts refused by the fence", *seed, time.Since(began).Round(time.Second), tokens, acts, all)
 	for _, f := range faults {
@@ -291,9 +291,9 @@
 	await(t, "an act of one that stood still", func() bool {
 		x, token := s.holder()
 		x.signal(syscall.SIGSTOP)
-		await(t, "the next holder", func() bool { a, _ := s.res.Last(); return a.Token != token })
+		await(t, "the next holder", func() bool { a, _ := s.res.LastAction(); return a.Token != token })
 		x.signal(syscall.SIGCONT)
 		time.Sleep(100 * time.Millisecond)
-		return len(s.res.Wrong()) > 0
+		return len(s.res.Violations()) > 0
 	})
 }
--- a/tests/disks_test.go
+++ b/tests/disks_test.go
@@ -29,7 +29,7 @@
 // filled tells whether a node answers all of them, and fails on any other good answer.
 func filled(t *testing.T, c *cluster, node int, prefix string, n int) bool {
 	for k := range n {
-		code, text := c.HTTP(node, "GET", fmt.Sprint("/store/", prefix, "/", k), "")
+		code, text := c.Request(node, "GET", fmt.Sprint("/store/", prefix, "/", k), "")
 		if code != 200 {
 			require.NotEqual(t, 404, code, "%s/%d is gone at node %d", prefix, k, node)
 			return false
@@ -42,7 +42,7 @@
 // id is a running node's name and disk.
 func (c *cluster) id(node int) string {
 	var self struct{ ID string }
-	c.Ask(node, "/self", &self)
+	c.GetJSON(node, "/self", &self)
 	return self.ID
 }
 
@@ -56,25 +56,25 @@
 	c.Kill(2)
 	fill(c, 0, "note", 40)
 	c.Kill(1)
-	c.Wipe(1)
+	c.WipeFolder(1)
 	c.Kill(0)
 	c.Start(1)
 	c.Start(2)
 	await(t, "a line that says what is waited for", func() bool {
 		return strings.Contains(c.nodes[2].log(), `"msg":"store not serving"`) && strings.Contains(c.nodes[2].log(), "must say that this disk is not older")
 	})
-	await(t, "an answer of the wiped node", func() bool { code, _ := c.HTTP(1, "GET", "/status", ""); return code == 200 })
+	await(t, "an answer of the wiped node", func() bool { code, _ := c.Request(1, "GET", "/status", ""); return code == 200 })
 	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); { // six elections' worth
 		for i := 1; i <= 2; i++ {
-			code, text := c.HTTP(i, "GET", "/store/note/1", "")
+			code, text := c.Request(i, "GET", "/store/note/1", "")
 			assert.Equal(t, 503, code, text)
-			code, text = c.HTTP(i, "PUT", "/store/note/1", `"new"`)
+			code, text = c.Request(i, "PUT", "/store/note/1", `"new"`)
 			require.Equal(t, 503, code, text)
 		}
 	}
 	assert.Equal(t, 1, strings.Count(c.nodes[2].log(), "must say that this disk is not older"), "one line")
 	c.Start(0)
-	c.Strong(0, 1, 2)
+	c.WaitForVoters(0, 1, 2)
 	for i := range 3 {
 		await(t, "all keys", func() bool { return filled(t, c, i, "note", 40) && filled(t, c, i, "early", 5) })
 	}
@@ -85,27 +85,27 @@
 func TestWipedDoesNotVote(t *testing.T) {
 	t.Parallel()
 	c := newWired(t)
-	lead := c.Leader()
+	lead := c.WaitForLeader()
 	lost, behind := (lead+1)%3, (lead+2)%3
 	fill(c, lead, "early", 5)
-	c.Around(behind, testrig.Mode{Cut: true}, testrig.Mode{Cut: true})
+	c.SetLinksAround(behind, testrig.LinkMode{Cut: true}, testrig.LinkMode{Cut: true})
 	fill(c, lead, "note", 20)
 	c.Kill(lead)
 	c.Kill(lost)
-	c.Wipe(lost)
+	c.WipeFolder(lost)
 	c.Start(lost)
-	c.Heal()
+	c.HealLinks()
 	await(t, "the new disk to join", func() bool { return strings.Contains(c.nodes[lost].log(), `"verdict":"join"`) })
 	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); {
 		for _, i := range []int{lost, behind} {
-			code, text := c.HTTP(i, "GET", "/store/note/1", "")
+			code, text := c.Request(i, "GET", "/store/note/1", "")
 			require.Equal(t, 503, code, text)
-			code, text = c.HTTP(i, "PUT", "/store/note/1", `"new"`)
+			code, text = c.Request(i, "PUT", "/store/note/1", `"new"`)
 			require.Equal(t, 503, code, text)
 		}
 	}
 	c.Start(lead)
-	c.Strong(0, 1, 2)
+	c.WaitForVoters(0, 1, 2)
 	for i := range 3 {
 		await(t, "all keys", func() bool { return filled(t, c, i, "note", 20) && filled(t, c, i, "early", 5) })
 	}
@@ -121,11 +121,11 @@
 	h, stop := testrig.NewHistory(), make(chan struct{})
 	var wg sync.WaitGroup
 	for id := range 3 {
-		wg.Go(func() { h.Client(c.Cluster, id, stop) })
+		wg.Go(func() { h.RunClient(c.Cluster, id, stop) })
 	}
 	for i := range 3 {
-		c.Replace(i)
-		c.Strong(0, 1, 2)
+		c.ReplaceDisk(i)
+		c.WaitForVoters(0, 1, 2)
 	}
 	close(stop)
 	wg.Wait()
@@ -133,7 +133,7 @@
 		assert.NotContains(t, first, id)
 	}
 	require.True(t, h.Linearizable())
-	c.Equal(0, 1, 2)
+	c.WaitForEqual(0, 1, 2)
 	assert.True(t, filled(t, c, 1, "note", 20))
 }
 
@@ -143,18 +143,18 @@
 	t.Parallel()
 	c := newWired(t)
 	for _, cut := range []bool{false, true} {
-		lead := c.Leader()
+		lead := c.WaitForLeader()
 		old := (lead + 1) % 3
 		third := (lead + 2) % 3
 		c.Put(lead, "note/age", `"old"`)
-		c.Has(old, "note/age", `"old"`)
-		then := c.Copy(old)
-		c.Leader()
+		c.WaitForValue(old, "note/age", `"old"`)
+		then := c.CopyFolder(old)
+		c.WaitForLeader()
 		for n := range 30 {
 			c.Put(lead, fmt.Sprint("more/", n), fmt.Sprint(n))
 		}
 		c.Put(lead, "note/age", `"new"`)
-		c.Has(third, "note/age", `"new"`)
+		c.WaitForValue(third, "note/age", `"new"`)
 		mark := func(by, of int) uint64 {
 			var self, seen struct {
 				ID   string
@@ -165,8 +165,8 @@
 					LastIndex uint64 `json:"last_index"`
 				}
 			}
-			c.Ask(of, "/self?from=x", &self)
-			c.Ask(by, "/self?from="+self.ID, &seen)
+			c.GetJSON(of, "/self?from=x", &self)
+			c.GetJSON(by, "/self?from="+self.ID, &seen)
 			return min(seen.Seen.LastIndex, self.Mark.LastIndex)
 		}
 		var before struct {
@@ -174,13 +174,13 @@
 				LastIndex uint64 `json:"last_index"`
 			}
 		}
-		require.True(t, c.Ask(lead, "/self?from=x", &before))
+		require.True(t, c.GetJSON(lead, "/self?from=x", &before))
 		await(t, "the others to have seen it", func() bool { return mark(third, old) >= before.Mark.LastIndex })
 		was := c.id(old)
 		c.Kill(old)
-		c.Bring(old, then)
+		c.RestoreFolder(old, then)
 		if cut {
-			c.Between(old, lead, testrig.Mode{Cut: true})
+			c.SetLinksBetween(old, lead, testrig.LinkMode{Cut: true})
 			c.Kill(lead) // the one that is left and the older folder would be a majority
 		}
 		c.Start(old)
@@ -188,12 +188,12 @@
 		if cut {
 			for range 20 {
 				for _, i := range []int{old, third} {
-					code, text := c.HTTP(i, "GET", "/store/note/age", "")
+					code, text := c.Request(i, "GET", "/store/note/age", "")
 					assert.Equal(t, 503, code, text)
 				}
 				time.Sleep(50 * time.Millisecond)
 			}
-			c.Heal()
+			c.HealLinks()
 			c.Start(lead)
 		}
 		await(t, "the older disk to be forgotten", func() bool {
@@ -201,9 +201,9 @@
 			_, there := m[was]
 			return len(m) > 0 && !there
 		})
-		c.Strong(0, 1, 2)
+		c.WaitForVoters(0, 1, 2)
 		for i := range 3 {
-			c.Has(i, "note/age", `"new"`)
+			c.WaitForValue(i, "note/age", `"new"`)
 			await(t, "all keys", func() bool { return filled(t, c, i, "more", 30) })
 		}
 	}
@@ -215,18 +215,18 @@
 	t.Parallel()
 	c := newWired(t)
 	fill(c, 0, "note", 10)
-	lost := c.Leader()
+	lost := c.WaitForLeader()
 	c.Kill(lost)
-	c.Wipe(lost)
-	c.Around(lost, testrig.Mode{Cut: true}, testrig.Mode{Cut: true})
+	c.WipeFolder(lost)
+	c.SetLinksAround(lost, testrig.LinkMode{Cut: true}, testrig.LinkMode{Cut: true})
 	c.Start(lost)
-	next := c.Leader(lost)
+	next := c.WaitForLeader(lost)
 	c.Put(next, "note/10", "10")
 	await(t, "a line", func() bool { return strings.Contains(c.nodes[lost].log(), "must say whether there is a cluster yet") })
-	code, text := c.HTTP(lost, "GET", "/store/note/1", "")
+	code, text := c.Request(lost, "GET", "/store/note/1", "")
 	assert.Equal(t, 503, code, text)
-	c.Heal()
-	c.Strong(0, 1, 2)
+	c.HealLinks()
+	c.WaitForVoters(0, 1, 2)
 	await(t, "all keys", func() bool { return filled(t, c, lost, "note", 11) })
 }
 
@@ -236,12 +236,12 @@
 func TestMembers(t *testing.T) {
 	t.Parallel()
 	c := newNodes(t, 3, 4)
-	c.Fields["replace_after_ms"] = 1500
-	c.Begin()
+	c.StoreFields["replace_after_ms"] = 1500
+	c.Bootstrap()
 	fill(c, 0, "note", 10)
 	c.Start(3)
 	role := func(node int) (role string) {
-		for _, m := range c.Members(c.Leader()) {
+		for _, m := range c.Members(c.WaitForLeader()) {
 			if m.Name == c.Peers[node].Name {
 				role = m.Role
 			}
@@ -249,7 +249,7 @@
 		return role
 	}
 	await(t, "a learner", func() bool { return role(3) == "learner" })
-	gone := (c.Leader() + 1) % 3
+	gone := (c.WaitForLeader() + 1) % 3
 	c.Kill(gone)
 	await(t, "its vote to go to the standby", func() bool { return role(3) == "voter" && role(gone) == "learner" })
 	c.Start(gone)
@@ -262,10 +262,10 @@
 	}
 	name := c.Peers[3].Name
 	run("remove", name)
-	c.Strong(0, 1, 2) // the one that was gone is there to take its place
+	c.WaitForVoters(0, 1, 2) // the one that was gone is there to take its place
 	await(t, "a refusal", func() bool { return strings.Contains(c.nodes[3].log(), "was removed") })
 	c.Kill(3)
-	c.Wipe(3)
+	c.WipeFolder(3)
 	c.Start(3)
 	await(t, "a refusal after its folder was wiped", func() bool { return strings.Contains(c.nodes[3].log(), "was removed") })
 	assert.Contains(t, run("members"), "s0@")
@@ -276,15 +276,15 @@
 	await(t, "a learner again", func() bool { return role(3) == "learner" })
 	run("promote", name)
 	await(t, "a vote", func() bool { return role(3) == "voter" })
-	lead := c.Leader()
+	lead := c.WaitForLeader()
 	run("remove", c.Peers[lead].Name)
-	await(t, "the leader to be gone", func() bool { return c.Leader(lead) != lead && role(lead) == "" })
+	await(t, "the leader to be gone", func() bool { return c.WaitForLeader(lead) != lead && role(lead) == "" })
 	_, errs, code := cli(t, "", "store", "remove", "nobody", nodes)
 	assert.Equal(t, 1, code)
 	assert.Contains(t, errs, "no such member")
 	c.Put(3, "note/last", "1")
 	for _, bad := range []string{`{`, `{"id":"x","raft":"127.0.0.1:1","admin":"127.0.0.1:2"}`, `{"id":"x@1","raft":"10.0.0.1:1","admin":"127.0.0.1:2"}`, `{"id":"x@1","zone":"a|b"}`} {
-		code, text := c.HTTP(3, "POST", "/members", bad)
+		code, text := c.Request(3, "POST", "/members", bad)
 		assert.Equal(t, 400, code, text)
 	}
 }
@@ -294,28 +294,28 @@
 func TestJoinBehindPartition(t *testing.T) {
 	t.Parallel()
 	c := newNodes(t, 3, 4)
-	c.Wire()
-	c.Begin()
+	c.AddLinks()
+	c.Bootstrap()
 	fill(c, 0, "note", 10)
-	alone := (c.Leader() + 1) % 3
-	c.Around(alone, testrig.Mode{Cut: true}, testrig.Mode{Cut: true})
+	alone := (c.WaitForLeader() + 1) % 3
+	c.SetLinksAround(alone, testrig.LinkMode{Cut: true}, testrig.LinkMode{Cut: true})
 	for i := range 3 {
 		if i != alone {
-			c.Stop(i)
+			c.Pause(i)
 		}
 	}
-	section := c.Section(3)
+	section := c.StoreConfig(3)
 	section["peers"], section["voters"] = c.Peers[alone:alone+1], 3
 	c.Launch(3, section)
 	await(t, "a line", func() bool { return strings.Contains(c.nodes[3].log(), "a place among the members") })
-	code, text := c.HTTP(3, "GET", "/store/note/1", "")
+	code, text := c.Request(3, "GET", "/store/note/1", "")
 	assert.Equal(t, 503, code, text)
 	for i := range 3 {
-		c.Continue(i)
+		c.Resume(i)
 	}
 	await(t, "all keys", func() bool { return filled(t, c, 3, "note", 10) })
 	assert.Empty(t, c.Members(alone), "it is still cut off")
-	c.Heal()
+	c.HealLinks()
 	await(t, "it to be seen everywhere", func() bool { return len(c.Members(alone)) == 4 })
 }
 
@@ -324,27 +324,27 @@
 func TestLeaderLostInStep(t *testing.T) {
 	t.Parallel()
 	c := newNodes(t, 3, 4)
-	c.Fields["replace_after_ms"] = 1000
-	c.Begin()
+	c.StoreFields["replace_after_ms"] = 1000
+	c.Bootstrap()
 	fill(c, 0, "note", 10)
 	said := func(node int, step string) func() bool {
 		n := strings.Count(c.nodes[node].log(), step)
 		return func() bool { return strings.Count(c.nodes[node].log(), step) > n }
 	}
-	lead := c.Leader()
+	lead := c.WaitForLeader()
 	joins := said(lead, `"step":"learner"`)
 	c.Start(3)
 	await(t, "a join", joins)
 	c.Kill(lead) // in the middle of taking a learner in; then it is the voter that is gone
-	next := c.Leader(lead)
+	next := c.WaitForLeader(lead)
 	await(t, "a promotion", said(next, `"step":"promote"`))
 	c.Kill(next)
 	c.Start(lead)
-	next2 := c.Leader(next)
+	next2 := c.WaitForLeader(next)
 	c.Start(next)
 	out := (next2 + 1) % 4
 	await(t, "a wish", func() bool {
-		code, _ := c.HTTP(next2, "DELETE", "/members/"+c.Peers[out].Name, "")
+		code, _ := c.Request(next2, "DELETE", "/members/"+c.Peers[out].Name, "")
 		return code == 204
 	})
 	await(t, "its vote to be taken", func() bool { return c.Members(next2)[c.id(out)].Role != "voter" })
@@ -353,7 +353,7 @@
 		c.Start(i)
 	}
 	await(t, "it to be removed", func() bool {
-		m := c.Members(c.Leader())
+		m := c.Members(c.WaitForLeader())
 		voters := 0
 		for _, x := range m {
 			if x.Name == c.Peers[out].Name {
@@ -381,29 +381,29 @@
 	require.NoError(t, err)
 	c := newNodes(t, 3, 3)
 	c.build = build
-	c.Begin()
+	c.Bootstrap()
 	n := 0
-	for _, cue := range []string{faultfs.Full, faultfs.FailsWrite, faultfs.FailsSync} {
+	for _, cue := range []string{faultfs.DiskFull, faultfs.FailWrites, faultfs.FailSyncs} {
 		for _, leads := range []bool{true, false} {
-			lead := c.Leader()
+			lead := c.WaitForLeader()
 			bad, good := lead, (lead+1)%3
 			if !leads {
 				bad, good = (lead+1)%3, lead
 			}
 			lines := strings.Count(c.nodes[bad].log(), "gave up its vote")
-			c.Fault(bad, cue)
+			c.InjectFault(bad, cue)
 			await(t, "a line on its disk", func() bool {
-				c.HTTP(good, "PUT", "/store/poke", "1")
+				c.Request(good, "PUT", "/store/poke", "1")
 				return strings.Count(c.nodes[bad].log(), "gave up its vote") > lines
 			})
-			c.Leader(bad)
+			c.WaitForLeader(bad)
 			c.Put(good, fmt.Sprint("note/", n), fmt.Sprint(n))
 			n++
-			code, text := c.HTTP(bad, "GET", "/store/note/0", "")
+			code, text := c.Request(bad, "GET", "/store/note/0", "")
 			assert.Equal(t, 503, code, "%s, leader %v: %s", cue, leads, text)
 			c.nodes[bad].ready() // it still serves its callers
-			c.Fault(bad, "")
-			c.Strong(0, 1, 2)
+			c.InjectFault(bad, "")
+			c.WaitForVoters(0, 1, 2)
 			await(t, "all keys", func() bool { return filled(t, c, bad, "note", n) })
 		}
 	}
@@ -415,11 +415,11 @@
 func TestRecover(t *testing.T) {
 	t.Parallel()
 	c := newNodes(t, 3, 3)
-	c.Begin()
+	c.Bootstrap()
 	fill(c, 0, "note", 20)
 	await(t, "its keys", func() bool { return filled(t, c, 2, "note", 20) })
 	var st struct{ Cluster string }
-	await(t, "the cluster's id", func() bool { return c.Ask(2, "/status", &st) && st.Cluster != "" })
+	await(t, "the cluster's id", func() bool { return c.GetJSON(2, "/status", &st) && st.Cluster != "" })
 	config := c.nodes[2].path
 	_, errs, code := cli(t, "", "store", "recover", config)
 	assert.Equal(t, 1, code, "it runs")
@@ -438,22 +438,22 @@
 	_, errs, code = cli(t, "", "store", "recover", config, "--cluster", st.Cluster)
 	require.Zero(t, code, errs)
 	c.Start(2)
-	c.Strong(2)
+	c.WaitForVoters(2)
 	assert.True(t, filled(t, c, 2, "note", 20))
 	c.Put(2, "note/20", "20")
 	c.Start(0)
 	c.Start(1)
 	for i := range 2 {
 		await(t, "a line", func() bool { return strings.Contains(c.nodes[i].log(), "recovered as") })
-		await(t, "no answer", func() bool { code, _ := c.HTTP(i, "GET", "/store/note/1", ""); return code == 503 })
+		await(t, "no answer", func() bool { code, _ := c.Request(i, "GET", "/store/note/1", ""); return code == 503 })
 	}
-	c.Strong(2)
+	c.WaitForVoters(2)
 	for i := range 2 {
 		c.Kill(i)
-		c.Wipe(i)
+		c.WipeFolder(i)
 		c.Start(i)
 	}
-	c.Strong(0, 1, 2)
+	c.WaitForVoters(0, 1, 2)
 	for i := range 3 {
 		await(t, "all keys", func() bool { return filled(t, c, i, "note", 21) })
 	}
@@ -484,7 +484,7 @@
 		_, there := m[was]
 		return len(m) > 0 && !there
 	})
-	c.Strong(0, 1, 2)
+	c.WaitForVoters(0, 1, 2)
 	assert.DirExists(t, c.Dirs[1]+".refused-1")
 	await(t, "all keys", func() bool { return filled(t, c, 1, "note", 30) })
 }
@@ -507,10 +507,10 @@
 		require.NoError(t, raft.BootstrapCluster(rc, disk, disk, disk, wire, conf))
 		require.NoError(t, disk.Close())
 	}
-	c.Begin()
+	c.Bootstrap()
 	fill(c, 0, "note", 20)
 	await(t, "three disks in place of three names", func() bool {
-		m, disks := c.Members(c.Leader()), 0
+		m, disks := c.Members(c.WaitForLeader()), 0
 		for id, x := range m {
 			if strings.Contains(id, "@") && x.Role == "voter" {
 				disks++
@@ -521,8 +521,8 @@
 	for i := range 3 {
 		await(t, "all keys", func() bool { return filled(t, c, i, "note", 20) })
 	}
-	c.Replace(0)
-	c.Strong(0, 1, 2)
+	c.ReplaceDisk(0)
+	c.WaitForVoters(0, 1, 2)
 	assert.True(t, filled(t, c, 0, "note", 20))
 }
 
@@ -532,10 +532,10 @@
 func TestStateApart(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, nil)
-	odd := (c.Leader() + 1) % 3
+	odd := (c.WaitForLeader() + 1) % 3
 	other := (odd + 1) % 3
 	c.Put(other, "note/one", `"as most have it"`)
-	c.Equal(0, 1, 2)
+	c.WaitForEqual(0, 1, 2)
 	was := c.id(odd)
 	c.Kill(odd)
 	disk, _, err := raftstorage.Open(c.Dirs[odd])
@@ -559,10 +559,10 @@
 	await(t, "the node to find out", func() bool {
 		return strings.Contains(c.nodes[odd].log(), "the state differs from that of most other nodes: at entry ")
 	})
-	c.Strong(0, 1, 2)
+	c.WaitForVoters(0, 1, 2)
 	assert.NotEqual(t, was, c.id(odd))
-	c.Has(odd, "note/one", `"as most have it"`)
+	c.WaitForValue(odd, "note/one", `"as most have it"`)
 	await(t, "all keys", func() bool { return filled(t, c, odd, "more", 40) })
-	c.Equal(0, 1, 2)
+	c.WaitForEqual(0, 1, 2)
 	assert.DirExists(t, c.Dirs[odd]+".refused-1", "what it had is kept for whoever looks into it")
 }
--- a/tests/faults_test.go
+++ b/tests/faults_test.go
@@ -23,8 +23,8 @@
 // newWired is three nodes that run, and call each other over links.
 func newWired(t *testing.T) *cluster {
 	c := newNodes(t, 3, 3)
-	c.Wire()
-	c.Begin()
+	c.AddLinks()
+	c.Bootstrap()
 	return c
 }
 
@@ -34,16 +34,16 @@
 func TestLeaderCutOff(t *testing.T) {
 	t.Parallel()
 	w := newWired(t)
-	for n, fault := range [][2]testrig.Mode{{{Cut: true}, {Cut: true}}, {{Out: true}, {}}, {{Out: true, Back: true}, {Out: true, Back: true}}} {
-		lead := w.Leader()
+	for n, fault := range [][2]testrig.LinkMode{{{Cut: true}, {Cut: true}}, {{HoldRequests: true}, {}}, {{HoldRequests: true, HoldResponses: true}, {HoldRequests: true, HoldResponses: true}}} {
+		lead := w.WaitForLeader()
 		old, now := fmt.Sprintf("%d", 2*n), fmt.Sprintf("%d", 2*n+1)
 		w.Put(lead, "note/cut", old)
-		w.Around(lead, fault[0], fault[1])
+		w.SetLinksAround(lead, fault[0], fault[1])
 		next := -1
 		await(t, "another leader", func() bool {
 			for i := range 3 {
 				var st struct{ State string }
-				_, text := w.HTTP(i, "GET", "/status", "")
+				_, text := w.Request(i, "GET", "/status", "")
 				if i != lead && json.Unmarshal([]byte(text), &st) == nil && st.State == "Leader" {
 					next = i
 				}
@@ -51,14 +51,14 @@
 			return next >= 0
 		})
 		w.Put(next, "note/cut", now)
-		code, text := w.HTTP(lead, "GET", "/store/note/cut", "")
+		code, text := w.Request(lead, "GET", "/store/note/cut", "")
 		assert.Equal(t, 503, code, "fault %d: %s", n, text)
-		if deaf := fault[1] != (testrig.Mode{}); deaf { // else it hears of what follows, and can't be sure
-			code, text = w.HTTP(lead, "GET", "/store/note/cut?local=1", "")
+		if deaf := fault[1] != (testrig.LinkMode{}); deaf { // else it hears of what follows, and can't be sure
+			code, text = w.Request(lead, "GET", "/store/note/cut?local=1", "")
 			assert.Equal(t, fmt.Sprint("200 ", old), fmt.Sprint(code, " ", text), "fault %d", n)
 		}
-		w.Around(lead, testrig.Mode{}, testrig.Mode{})
-		w.Has(lead, "note/cut", now)
+		w.SetLinksAround(lead, testrig.LinkMode{}, testrig.LinkMode{})
+		w.WaitForValue(lead, "note/cut", now)
 	}
 }
 
@@ -92,15 +92,15 @@
 	t.Parallel()
 	c := newCluster(t, object{})
 	for round := range 2 {
-		lead := c.Leader()
+		lead := c.WaitForLeader()
 		c.Put(lead, "note/stop", fmt.Sprint(2*round))
-		c.Stop(lead)
+		c.Pause(lead)
 		value := fmt.Sprint(2*round + 1)
 		wg := c.overtaken(t, lead, "note/stop", value)
 		time.Sleep(50 * time.Millisecond) // they lie in its sockets
-		c.Continue(lead)
+		c.Resume(lead)
 		wg.Wait()
-		c.Has(lead, "note/stop", value)
+		c.WaitForValue(lead, "note/stop", value)
 	}
 }
 
@@ -111,15 +111,15 @@
 	c := newCluster(t, nil)
 	var a struct{ Session uint64 }
 	await(t, "a session", func() bool {
-		code, text := c.HTTP(0, "POST", "/session", "")
+		code, text := c.Request(0, "POST", "/session", "")
 		return code == 200 && json.Unmarshal([]byte(text), &a) == nil
 	})
 	n := 0
 	await(t, "a write that the next leader answers", func() bool {
 		n++
-		lead := c.Leader()
-		c.Stop(lead)
-		defer c.Continue(lead)
+		lead := c.WaitForLeader()
+		c.Pause(lead)
+		defer c.Resume(lead)
 		req, err := http.NewRequest("PUT", "http://"+c.Peers[(lead+1)%3].Admin+"/store/note/session", strings.NewReader(fmt.Sprint(n)))
 		require.NoError(t, err)
 		req.Header.Set("Session", fmt.Sprint(a.Session))
@@ -129,7 +129,7 @@
 		res.Body.Close()
 		return res.StatusCode == 204
 	})
-	c.Has(0, "note/session", fmt.Sprint(n))
+	c.WaitForValue(0, "note/session", fmt.Sprint(n))
 }
 
 // seed is that of the schedules.
@@ -147,7 +147,7 @@
 // change has a member removed, or let in again.
 func (c *cluster) change(method string, node int) {
 	testrig.Await(c.T, "a change of the members", func() bool {
-		code, _ := c.HTTP(c.Leader(), method, "/members/"+c.Peers[node].Name, "")
+		code, _ := c.Request(c.WaitForLeader(), method, "/members/"+c.Peers[node].Name, "")
 		return code == 204
 	})
 }
@@ -170,10 +170,10 @@
 	stop, probe := make(chan struct{}), &testrig.Prober{}
 	var wg sync.WaitGroup
 	for id := range 6 {
-		wg.Go(func() { h.Client(w.Cluster, id, stop) })
+		wg.Go(func() { h.RunClient(w.Cluster, id, stop) })
 	}
 	wg.Go(func() { probe.Run(w.Cluster, stop) })
-	heal := func(i int) { w.Around(i, testrig.Mode{}, testrig.Mode{}) }
+	heal := func(i int) { w.SetLinksAround(i, testrig.LinkMode{}, testrig.LinkMode{}) }
 	all := func(do func(i int)) func(int) {
 		return func(int) {
 			for i := range 3 {
@@ -181,52 +181,54 @@
 			}
 		}
 	}
-	around := func(from, to testrig.Mode) func(int) { return func(i int) { w.Around(i, from, to) } }
-	held := testrig.Mode{Out: true, Back: true}
+	around := func(from, to testrig.LinkMode) func(int) { return func(i int) { w.SetLinksAround(i, from, to) } }
+	held := testrig.LinkMode{HoldRequests: true, HoldResponses: true}
 	faults := []testrig.Fault{
-		{Name: "leader killed", Leader: true, Do: w.Kill, Undo: w.Start},
-		{Name: "leader cut off", Leader: true, Do: around(testrig.Mode{Cut: true}, testrig.Mode{Cut: true}), Undo: heal},
-		{Name: "leader stopped", Leader: true, Do: w.Stop, Undo: w.Continue},
-		{Name: "leader not heard", Leader: true, Do: around(testrig.Mode{Out: true}, testrig.Mode{}), Undo: heal},
-		{Name: "leader half open", Leader: true, Do: around(held, held), Undo: heal},
-		{Name: "all killed", Do: all(w.Kill), Undo: all(w.Start)},
-		{Name: "follower cut off", Do: func(i int) { w.Around((i+1)%3, testrig.Mode{Cut: true}, testrig.Mode{Cut: true}) }, Undo: func(i int) { heal((i + 1) % 3) }},
-		{Name: "all links slow", Do: all(around(testrig.Mode{Delay: 30 * time.Millisecond}, testrig.Mode{Delay: 30 * time.Millisecond})), Undo: all(heal)},
-		{Name: "resets in bursts", Do: all(around(testrig.Mode{Burst: 60 * time.Millisecond, Every: 300 * time.Millisecond}, testrig.Mode{})), Undo: all(heal)},
-		{Name: "follower on 20 kB/s", Do: func(i int) { w.Around((i+1)%3, testrig.Mode{Rate: 20 << 10}, testrig.Mode{Rate: 20 << 10}) }, Undo: func(i int) { heal((i + 1) % 3) }},
+		{Name: "leader killed", IsolatesLeader: true, Inject: w.Kill, Recover: w.Start},
+		{Name: "leader cut off", IsolatesLeader: true, Inject: around(testrig.LinkMode{Cut: true}, testrig.LinkMode{Cut: true}), Recover: heal},
+		{Name: "leader stopped", IsolatesLeader: true, Inject: w.Pause, Recover: w.Resume},
+		{Name: "leader not heard", IsolatesLeader: true, Inject: around(testrig.LinkMode{HoldRequests: true}, testrig.LinkMode{}), Recover: heal},
+		{Name: "leader half open", IsolatesLeader: true, Inject: around(held, held), Recover: heal},
+		{Name: "all killed", Inject: all(w.Kill), Recover: all(w.Start)},
+		{Name: "follower cut off", Inject: func(i int) { w.SetLinksAround((i+1)%3, testrig.LinkMode{Cut: true}, testrig.LinkMode{Cut: true}) }, Recover: func(i int) { heal((i + 1) % 3) }},
+		{Name: "all links slow", Inject: all(around(testrig.LinkMode{Delay: 30 * time.Millisecond}, testrig.LinkMode{Delay: 30 * time.Millisecond})), Recover: all(heal)},
+		{Name: "resets in bursts", Inject: all(around(testrig.LinkMode{ResetBurst: 60 * time.Millisecond, ResetInterval: 300 * time.Millisecond}, testrig.LinkMode{})), Recover: all(heal)},
+		{Name: "follower on 20 kB/s", Inject: func(i int) {
+			w.SetLinksAround((i+1)%3, testrig.LinkMode{BytesPerSecond: 20 << 10}, testrig.LinkMode{BytesPerSecond: 20 << 10})
+		}, Recover: func(i int) { heal((i + 1) % 3) }},
 	}
-	strong := func(int) { w.Strong(0, 1, 2) }
+	strong := func(int) { w.WaitForVoters(0, 1, 2) }
 	older := map[int]string{}
 	faults = append(faults,
-		testrig.Fault{Name: "leader's disk lost", Leader: true, Do: func(i int) { w.Kill(i); w.Wipe(i); w.Start(i) }, Undo: strong},
-		testrig.Fault{Name: "follower's disk lost", Do: func(i int) { w.Replace((i + 1) % 3) }, Undo: strong},
-		testrig.Fault{Name: "folder goes back", Do: func(i int) { older[(i+1)%3] = w.Copy((i + 1) % 3) }, Undo: func(i int) {
+		testrig.Fault{Name: "leader's disk lost", IsolatesLeader: true, Inject: func(i int) { w.Kill(i); w.WipeFolder(i); w.Start(i) }, Recover: strong},
+		testrig.Fault{Name: "follower's disk lost", Inject: func(i int) { w.ReplaceDisk((i + 1) % 3) }, Recover: strong},
+		testrig.Fault{Name: "folder goes back", Inject: func(i int) { older[(i+1)%3] = w.CopyFolder((i + 1) % 3) }, Recover: func(i int) {
 			i = (i + 1) % 3
 			w.Kill(i)
-			w.Bring(i, older[i])
+			w.RestoreFolder(i, older[i])
 			w.Start(i)
 			strong(i)
 		}},
-		testrig.Fault{Name: "member removed, and let in again", Do: func(i int) { w.change("DELETE", (i+1)%3) }, Undo: func(i int) {
+		testrig.Fault{Name: "member removed, and let in again", Inject: func(i int) { w.change("DELETE", (i+1)%3) }, Recover: func(i int) {
 			w.change("PUT", (i+1)%3)
 			strong(i)
 		}})
 	plan := testrig.NewSchedule(*seed, 3, 1500*time.Millisecond, faults...)
 	var outages []outage
 	count := map[string]int{}
-	for h.Since() < *faultTime || !h.Enough(*faultTime) {
+	for h.Elapsed() < *faultTime || !h.HasEnough(*faultTime) {
 		turn := plan.Next()
 		f := turn.Fault
-		i := w.Leader()
-		time.Sleep(turn.Before)
+		i := w.WaitForLeader()
+		time.Sleep(turn.QuietBefore)
 		at := time.Now()
-		f.Do(i)
+		f.Inject(i)
 		count[f.Name]++
-		time.Sleep(turn.For)
-		f.Undo(i)
-		if f.Leader {
+		time.Sleep(turn.Duration)
+		f.Recover(i)
+		if f.IsolatesLeader {
 			await(t, "a write after "+f.Name, func() bool {
-				end, ok := probe.After(at)
+				end, ok := probe.FirstWriteAfter(at)
 				if ok {
 					outages = append(outages, outage{f.Name, end.Sub(at)})
 				}
@@ -236,13 +238,13 @@
 	}
 	close(stop)
 	wg.Wait()
-	w.Heal()
+	w.HealLinks()
 	require.True(t, h.Linearizable())
 	assert.Greater(t, h.Writes, 50)
 	assert.Greater(t, h.Reads, 100)
-	w.Equal(0, 1, 2)
+	w.WaitForEqual(0, 1, 2)
 	t.Logf("seed %d, %v: %d writes and compare-and-sets, %d reads, %d writes of unknown outcome, %d not answered", *seed, *faultTime,
-		h.Writes, h.Reads, h.Unknown, h.Refused)
+		h.Writes, h.Reads, h.Unknown, h.Rejected)
 	for _, f := range faults {
 		var took []time.Duration
 		for _, o := range outages {
--- a/tests/leases_test.go
+++ b/tests/leases_test.go
@@ -27,7 +27,7 @@
 func (c *cluster) grant(node int, name, body string) (code int, l storeapi.LeaseStatus) {
 	testrig.Await(c.T, "an answer to a request for a lease", func() bool {
 		var text string
-		code, text = c.HTTP(node, "POST", "/lease/"+name, body)
+		code, text = c.Request(node, "POST", "/lease/"+name, body)
 		l = storeapi.LeaseStatus{}
 		return code != 503 && code != 0 && (code >= 400 && code != 409 || json.Unmarshal([]byte(text), &l) == nil)
 	})
@@ -93,7 +93,7 @@
 	assert.Equal(t, 200, code)
 	code, _ = c.sure(0, "PUT", "/store/note/f", "4", "Lease", "nonsense")
 	assert.Equal(t, 400, code)
-	c.Has(2, "note/f", "3")
+	c.WaitForValue(2, "note/f", "3")
 	// The queue: by priority, then in the order of coming; each waits at another node.
 	type got struct {
 		holder string
@@ -107,7 +107,7 @@
 			answers <- got{w, code, l.Token}
 		}()
 		await(t, w+" in the queue", func() bool {
-			_, text := c.HTTP(0, "GET", "/lease/job/a", "")
+			_, text := c.Request(0, "GET", "/lease/job/a", "")
 			return strings.Contains(text, `"holder":"`+w+`"`)
 		})
 	}
@@ -133,7 +133,7 @@
 	_, err := web.Post("http://"+c.Peers[1].Admin+"/lease/job/a", "", strings.NewReader(`{"holder":"gone","ttl_ms":60000,"wait_ms":20000}`))
 	require.Error(t, err)
 	await(t, "an empty queue", func() bool {
-		code, text := c.HTTP(0, "GET", "/lease/job/a", "")
+		code, text := c.Request(0, "GET", "/lease/job/a", "")
 		return code == 200 && !strings.Contains(text, "gone")
 	})
 	// What can't be.
@@ -161,11 +161,11 @@
 	}
 	code, l := ask(0, "h0", 0)
 	require.Equal(t, 200, code)
-	for n, fault := range []func(){func() {}, func() { i := c.Leader(); c.Kill(i); c.Start(i) }, func() { c.KillAll(); c.Start(0); c.Start(1); c.Start(2) }} {
+	for n, fault := range []func(){func() {}, func() { i := c.WaitForLeader(); c.Kill(i); c.Start(i) }, func() { c.KillAll(); c.Start(0); c.Start(1); c.Start(2) }} {
 		var at time.Time
 		await(t, "a keep-alive", func() bool {
 			at = time.Now()
-			code, _ := c.HTTP(n, "PUT", "/lease/job", fmt.Sprintf(`{"token":%d}`, l.Token))
+			code, _ := c.Request(n, "PUT", "/lease/job", fmt.Sprintf(`{"token":%d}`, l.Token))
 			if code == 410 { // a slow machine
 				_, l = ask(n, "again", 15*time.Second)
 			}
@@ -215,7 +215,7 @@
 	_, errs, code = cli(t, "", "store", "recover", path, "--cluster", left.Cluster)
 	require.Zero(t, code, errs)
 	c.Start(1)
-	c.Leader()
+	c.WaitForLeader()
 	code, l = c.grant(1, "new", `{"holder":"h","ttl_ms":500}`)
 	require.Equal(t, 200, code)
 	assert.Greater(t, l.Token, later.Token+lostMost)
@@ -264,7 +264,7 @@
 		out, errs, code := cli(t, "", "lease", "run", "long", "--ttl=2s", all, "--", "sh", "-c", "trap 'echo told; exit 5' TERM; while :; do sleep 0.05; done")
 		ended <- result{out, errs, code}
 	}()
-	await(t, "the lease to be held", func() bool { code, _ := c.HTTP(0, "GET", "/lease/long", ""); return code == 200 })
+	await(t, "the lease to be held", func() bool { code, _ := c.Request(0, "GET", "/lease/long", ""); return code == 200 })
 	time.Sleep(200 * time.Millisecond)
 	_, errs, code = cli(t, "", "lease", "revoke", "long", all)
 	assert.Zero(t, code, errs)
@@ -280,16 +280,16 @@
 	t.Parallel()
 	c := newNodes(t, 3, 3)
 	path, dir := filepath.Join(t.TempDir(), "record.db"), filepath.Join(t.TempDir(), "backups")
-	c.Fields["sql"] = object{"driver": "sqlite", "dsn": "file:" + path + "?_pragma=busy_timeout(5000)"}
-	c.Fields["backup"] = object{"dir": dir, "every": "1s", "keep": 3}
-	c.Begin()
+	c.StoreFields["sql"] = object{"driver": "sqlite", "dsn": "file:" + path + "?_pragma=busy_timeout(5000)"}
+	c.StoreFields["backup"] = object{"dir": dir, "every": "1s", "keep": 3}
+	c.Bootstrap()
 	db, err := sql.Open("sqlite", "file:"+path+"?_pragma=busy_timeout(5000)")
 	require.NoError(t, err)
 	defer db.Close()
 	holder := func(name string) (node int, token uint64) {
 		await(t, "a holder of "+name, func() bool {
 			var l storeapi.LeaseStatus
-			if !c.Ask(c.Leader(), "/lease/"+name, &l) {
+			if !c.GetJSON(c.WaitForLeader(), "/lease/"+name, &l) {
 				return false
 			}
 			node, token = int(l.Holder[1]-'0'), l.Token
@@ -317,16 +317,16 @@
 	at, token := holder("fleet/mirror")
 	// It stands still, and another one goes on. Not in a transaction of SQLite, whose lock would
 	// stand still with it (TestRecordIsLocked): it gets none while this one is open.
-	between(t, db, "EXCLUSIVE", func() { c.Stop(at) })
+	between(t, db, "EXCLUSIVE", func() { c.Pause(at) })
 	next := (at + 1) % 3
 	await(t, "another holder", func() bool {
 		var l storeapi.LeaseStatus
-		return c.Ask(next, "/lease/fleet/mirror", &l) && l.Token > token
+		return c.GetJSON(next, "/lease/fleet/mirror", &l) && l.Token > token
 	})
 	c.Put(next, "note/2", "2")
 	await(t, "the store of record by another", func() bool { return recorded(db, "note/2") })
-	c.Continue(at)
-	c.Has(at, "note/2", "2")
+	c.Resume(at)
+	c.WaitForValue(at, "note/2", "2")
 	newest := files()
 	at, _ = holder("fleet/backup")
 	c.Kill(at)
@@ -353,7 +353,7 @@
 	await(t, "a refusal by the database", func() bool {
 		for i := range 3 {
 			var st storeapi.Status
-			if c.Ask(i, "/status", &st) && strings.Contains(st.SQLError, "higher token") {
+			if c.GetJSON(i, "/status", &st) && strings.Contains(st.SQLError, "higher token") {
 				return true
 			}
 		}
@@ -389,22 +389,22 @@
 	t.Parallel()
 	c := newNodes(t, 1, 1)
 	dsn := "file:" + filepath.Join(t.TempDir(), "record.db") + "?_pragma=busy_timeout(%d)"
-	c.Fields["sql"] = object{"driver": "sqlite", "dsn": fmt.Sprintf(dsn, 50)}
-	c.Begin()
+	c.StoreFields["sql"] = object{"driver": "sqlite", "dsn": fmt.Sprintf(dsn, 50)}
+	c.Bootstrap()
 	db, err := sql.Open("sqlite", fmt.Sprintf(dsn, 5000))
 	require.NoError(t, err)
 	defer db.Close()
 	says := func(text string) func() bool {
 		return func() bool {
 			var st storeapi.Status
-			return c.Ask(0, "/status", &st) && strings.Contains(st.SQLError, text) && (text != "") == (st.SQLError != "")
+			return c.GetJSON(0, "/status", &st) && strings.Contains(st.SQLError, text) && (text != "") == (st.SQLError != "")
 		}
 	}
 	c.Put(0, "note/1", "1")
 	await(t, "the store of record", func() bool { return recorded(db, "note/1") })
 	between(t, db, "IMMEDIATE", func() {
 		c.Put(0, "note/2", "2")
-		c.Has(0, "note/2", "2")
+		c.WaitForValue(0, "note/2", "2")
 		await(t, "the reason", says("locked"))
 		assert.False(t, recorded(db, "note/2"))
 	})
@@ -441,7 +441,7 @@
 	_, err := k.Acquire(t.Context(), leaseclient.AcquireOptions{Name: "job/0", TTL: ttl})
 	assert.ErrorIs(t, err, leaseclient.ErrAlreadyHeld)
 	for _, l := range links {
-		l.Set(testrig.Mode{Out: true, Back: true})
+		l.SetMode(testrig.LinkMode{HoldRequests: true, HoldResponses: true})
 	}
 	ends := make(chan time.Time, 1)
 	go func() { <-held[0].Context().Done(); ends <- time.Now() }()
--- a/tests/linear_test.go
+++ b/tests/linear_test.go
@@ -35,15 +35,15 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			h.Client(c.Cluster, id, stop)
+			h.RunClient(c.Cluster, id, stop)
 		}()
 	}
 	rng, kills := rand.New(rand.NewPCG(3, 3)), 0
-	for h.Since() < *faultTime || !h.Enough(*faultTime) {
+	for h.Elapsed() < *faultTime || !h.HasEnough(*faultTime) {
 		time.Sleep(time.Duration(500+rng.IntN(1000)) * time.Millisecond)
 		i := rng.IntN(3)
 		if kills%2 == 0 {
-			i = c.Leader()
+			i = c.WaitForLeader()
 		}
 		c.Kill(i)
 		kills++
@@ -53,32 +53,32 @@
 	close(stop)
 	wg.Wait()
 	t.Logf("%d kills, %d writes, %d reads, %d writes of unknown outcome, %d reads not answered", kills, h.Writes, h.Reads,
-		h.Unknown, h.Refused)
+		h.Unknown, h.Rejected)
 	require.True(t, h.Linearizable())
 	assert.Greater(t, h.Writes, 50)
 	assert.Greater(t, h.Reads, 100)
-	c.Equal(0, 1, 2)
+	c.WaitForEqual(0, 1, 2)
 }
 
 // TestCheckerBites: one read that is behind an acknowledged write is found out, and
 // one compare-and-set that was done or not done against what the key had.
 func TestCheckerBites(t *testing.T) {
 	h := testrig.NewHistory()
-	h.Add(0, testrig.Step{Key: "k", Write: true, Value: "1"}, "", 1, 2)
-	h.Add(0, testrig.Step{Key: "k", Write: true, Value: "2"}, "", 3, 4)
-	h.Add(1, testrig.Step{Key: "k", Write: true, Value: "3"}, "", 5, testrig.Never)
-	h.Add(1, testrig.Step{Key: "k"}, "2", 5, 6)
+	h.Add(0, testrig.RegisterOp{Key: "k", Write: true, Value: "1"}, "", 1, 2)
+	h.Add(0, testrig.RegisterOp{Key: "k", Write: true, Value: "2"}, "", 3, 4)
+	h.Add(1, testrig.RegisterOp{Key: "k", Write: true, Value: "3"}, "", 5, testrig.NeverReturned)
+	h.Add(1, testrig.RegisterOp{Key: "k"}, "2", 5, 6)
 	assert.True(t, h.Linearizable())
-	set := testrig.Step{Key: "k", Write: true, From: "2", Value: "4"}
+	set := testrig.RegisterOp{Key: "k", Write: true, Expected: "2", Value: "4"}
 	h.Add(2, set, "done", 7, 8)
-	h.Add(0, testrig.Step{Key: "j", Write: true, Value: "4"}, "", 1, 2)
-	h.Add(0, testrig.Step{Key: "k", Write: true, From: "4", Value: "5"}, testrig.Unequal, 9, 10) // the write of unknown outcome may be why
+	h.Add(0, testrig.RegisterOp{Key: "j", Write: true, Value: "4"}, "", 1, 2)
+	h.Add(0, testrig.RegisterOp{Key: "k", Write: true, Expected: "4", Value: "5"}, testrig.CompareFailed, 9, 10) // the write of unknown outcome may be why
 	assert.True(t, h.Linearizable())
 	for _, wrong := range []struct {
-		in  testrig.Step
+		in  testrig.RegisterOp
 		out string
-	}{{testrig.Step{Key: "k"}, "1"}, {testrig.Step{Key: "k", Write: true, From: "2", Value: "5"}, "done"},
-		{testrig.Step{Key: "j", Write: true, From: "4", Value: "5"}, testrig.Unequal}} {
+	}{{testrig.RegisterOp{Key: "k"}, "1"}, {testrig.RegisterOp{Key: "k", Write: true, Expected: "2", Value: "5"}, "done"},
+		{testrig.RegisterOp{Key: "j", Write: true, Expected: "4", Value: "5"}, testrig.CompareFailed}} {
 		bad := h.Clone()
 		bad.Add(0, wrong.in, wrong.out, 9, 10)
 		assert.False(t, bad.Linearizable(), wrong.in)
@@ -92,23 +92,23 @@
 	c := newCluster(t, object{})
 	c.Put(0, "note/a", `"one"`)
 	for i := range 3 {
-		c.Has(i, "note/a?stale=30s", `"one"`)
+		c.WaitForValue(i, "note/a?stale=30s", `"one"`)
 	}
 	c.Kill(1)
 	c.Kill(2)
 	for _, path := range []string{"/store/note/a", "/store", "/store/note/a?stale=1ms"} {
-		code, text := c.HTTP(0, "GET", path, "")
+		code, text := c.Request(0, "GET", path, "")
 		assert.Equal(t, 503, code, "%s: %s", path, text)
 	}
-	code, text := c.HTTP(0, "GET", "/store/note/a?stale=10m", "")
+	code, text := c.Request(0, "GET", "/store/note/a?stale=10m", "")
 	assert.Equal(t, 200, code, text)
-	code, text = c.HTTP(0, "GET", "/store/note/a?local=1", "")
+	code, text = c.Request(0, "GET", "/store/note/a?local=1", "")
 	assert.Equal(t, `200 "one"`, fmt.Sprint(code, " ", text))
-	code, _ = c.HTTP(0, "GET", "/store/note/a?stale=soon", "")
+	code, _ = c.Request(0, "GET", "/store/note/a?stale=soon", "")
 	assert.Equal(t, 400, code)
 	c.Start(1)
 	c.Start(2)
-	c.Has(0, "note/a", `"one"`)
+	c.WaitForValue(0, "note/a", `"one"`)
 }
 
 // TestOnce: clients repeat each write, at any node, until it is answered, while nodes
@@ -173,7 +173,7 @@
 			for id := range clients {
 				code, text := 0, ""
 				await(t, "an answer", func() bool {
-					code, text = c.HTTP(id%3, "POST", "/txn", fmt.Sprintf(`{"then":[{"do":"get","key":"once/%d"}]}`, id))
+					code, text = c.Request(id%3, "POST", "/txn", fmt.Sprintf(`{"then":[{"do":"get","key":"once/%d"}]}`, id))
 					return code == 200
 				})
 				assert.Contains(t, text, fmt.Sprintf(`"value":%d`, writes))
@@ -189,7 +189,7 @@
 			return
 		case <-time.After(700 * time.Millisecond):
 			if kills < 6 {
-				i := c.Leader()
+				i := c.WaitForLeader()
 				c.Kill(i)
 				time.Sleep(300 * time.Millisecond)
 				c.Start(i)
@@ -286,7 +286,7 @@
 	c.Start(2)
 	await(t, "a start on the first settings", func() bool { return strings.Contains(c.nodes[2].log(), `"last_good":false`) })
 	c.Put(0, "config/settings", classes("second")) // node 2 has it in its log, and never started on it
-	c.Has(2, "config/settings", classes("second"))
+	c.WaitForValue(2, "config/settings", classes("second"))
 	for i := range 3 {
 		c.Kill(i)
 	}
@@ -295,11 +295,11 @@
 	assert.Contains(t, c.nodes[2].log(), `"last_good":true`)
 	w := &world{service: c.nodes[2]}
 	assert.Equal(t, []int{200, 400}, []int{w.status("first", "ok"), w.status("second", "ok")})
-	code, text := c.HTTP(2, "GET", "/store/config/settings", "")
+	code, text := c.Request(2, "GET", "/store/config/settings", "")
 	assert.Equal(t, 503, code, text)
 	c.Start(0)
 	c.Start(1)
-	c.Has(2, "config/settings", classes("second"))
+	c.WaitForValue(2, "config/settings", classes("second"))
 	for _, set := range []string{classes("second"), `{"classes":[]}`} { // the other would not start
 		c.Put(0, "config/settings", set)
 		c.Kill(2)
@@ -324,7 +324,7 @@
 	_, errs, code = cli(t, "", "store", "put", "note/a", `"two"`, "--if-revision=0", all)
 	assert.Equal(t, 1, code)
 	assert.Contains(t, errs, "the key has revision")
-	c.Kill(c.Leader())
+	c.Kill(c.WaitForLeader())
 	out, errs, code = cli(t, `{"then":[{"do":"put","key":"note/b","value":2},{"do":"get","key":"note/a"}]}`, "store", "txn", "--json", all)
 	require.Zero(t, code, errs)
 	assert.Contains(t, out, `"value": "one"`)
--- a/tests/process_test.go
+++ b/tests/process_test.go
@@ -26,12 +26,12 @@
 	"oxbowbridge/internal/testrig"
 )
 
-const patience = testrig.Patience
+const patience = testrig.AwaitTimeout
 
 // What the tests use of the rig by a short name.
 func await(t *testing.T, what string, ok func() bool) { t.Helper(); testrig.Await(t, what, ok) }
 
-func freePort(t *testing.T) string { return testrig.FreePort(t) }
+func freePort(t *testing.T) string { return testrig.FreeAddr(t) }
 
 var program string
 
--- a/tests/store_test.go
+++ b/tests/store_test.go
@@ -32,9 +32,9 @@
 func newCluster(t *testing.T, sql object) *cluster {
 	c := newNodes(t, 3, 3)
 	if sql != nil {
-		c.Fields["sql"] = sql
+		c.StoreFields["sql"] = sql
 	}
-	c.Begin()
+	c.Bootstrap()
 	return c
 }
 
@@ -58,23 +58,23 @@
 	c := newCluster(t, object{"driver": "sqlite", "dsn": "file:" + path + "?_pragma=busy_timeout(5000)"})
 	for i := range 3 {
 		c.Put(i, fmt.Sprint("note/", i), `"from here"`)
-		c.Has(i, fmt.Sprint("state/s", i), statePattern(t, c, i))
+		c.WaitForValue(i, fmt.Sprint("state/s", i), statePattern(t, c, i))
 	}
 	for i := range 3 {
-		c.Has(i, "note/2", `"from here"`)
+		c.WaitForValue(i, "note/2", `"from here"`)
 	}
-	code, text := c.HTTP(0, "PUT", "/store/note/x", "{")
+	code, text := c.Request(0, "PUT", "/store/note/x", "{")
 	assert.Equal(t, 400, code, text)
-	lost := c.Leader()
+	lost := c.WaitForLeader()
 	c.Kill(lost)
-	next := c.Leader()
+	next := c.WaitForLeader()
 	require.NotEqual(t, lost, next)
 	c.Put(next, "note/while", `"away"`)
-	code, _ = c.HTTP(next, "DELETE", "/store/note/0", "")
+	code, _ = c.Request(next, "DELETE", "/store/note/0", "")
 	assert.Equal(t, 204, code)
 	c.Start(lost)
-	c.Has(lost, "note/while", `"away"`) // what it missed
-	await(t, "a deletion", func() bool { code, _ := c.HTTP(lost, "GET", "/store/note/0", ""); return code == 404 })
+	c.WaitForValue(lost, "note/while", `"away"`) // what it missed
+	await(t, "a deletion", func() bool { code, _ := c.Request(lost, "GET", "/store/note/0", ""); return code == 404 })
 	set := settings()
 	set["classes"] = []object{{"name": "only-class", "effect": "idempotent", "value": 1, "aim_ns": 1e9, "deadline_ns": 2e9}}
 	text2, err := json.Marshal(set)
@@ -87,7 +87,7 @@
 		c.Start(i)
 	}
 	for i := range 3 {
-		c.Has(i, "note/while", `"away"`)
+		c.WaitForValue(i, "note/while", `"away"`)
 		c.nodes[i].ready()
 		w := &world{service: c.nodes[i]}
 		assert.Equal(t, []int{200, 400}, []int{w.status("only-class", "ok"), w.status("nom-submit", "ok")})
@@ -114,14 +114,14 @@
 		c.Dirs[i] = t.TempDir()
 		c.Start(i)
 	}
-	c.Has(1, "note/while", `"away"`)
+	c.WaitForValue(1, "note/while", `"away"`)
 }
 
 // statePattern is what the node itself has put down as its state.
 func statePattern(t *testing.T, c *cluster, i int) (text string) {
 	await(t, "its state", func() bool {
 		var code int
-		code, text = c.HTTP(i, "GET", fmt.Sprint("/store/state/s", i), "")
+		code, text = c.Request(i, "GET", fmt.Sprint("/store/state/s", i), "")
 		return code == 200
 	})
 	require.Contains(t, text, `"state":"open"`)
@@ -154,7 +154,7 @@
 	for i := range 3 {
 		c.Start(i)
 	}
-	c.Has(2, "note/early", `{"n":1}`) // taken over from PostgreSQL
+	c.WaitForValue(2, "note/early", `{"n":1}`) // taken over from PostgreSQL
 	c.Put(2, "note/early", `3`)
 	await(t, "the new row", func() bool { return pg.get("note/early") == "3" })
 }
--- a/tests/stored_test.go
+++ b/tests/stored_test.go
@@ -91,7 +91,7 @@
 		c.Dirs[i] = filepath.Join(dir, p.Name)
 	}
 	if nodes > 1 {
-		c.Fields["sql"] = object{"driver": "sqlite", "dsn": "file:" + filepath.Join(dir, "record.db") + "?_pragma=busy_timeout(5000)"}
+		c.StoreFields["sql"] = object{"driver": "sqlite", "dsn": "file:" + filepath.Join(dir, "record.db") + "?_pragma=busy_timeout(5000)"}
 	}
 	c.Launch = func(i int, store map[string]any) testrig.Process {
 		c.nodes[i] = startBuild(t, c.build, func(cfg object) {
@@ -139,7 +139,7 @@
 	t.Helper()
 	dir := filepath.Join(t.TempDir(), "copy")
 	require.NoError(t, os.CopyFS(dir, os.DirFS(c.Dirs[node])))
-	section := c.Section(node)
+	section := c.StoreConfig(node)
 	section["dir"] = dir
 	text, err := json.Marshal(object{"name": c.Peers[node].Name, "listen": freePort(t), "seed": "8c1f30d27a5be964", "stop_ms": 4000,
 		"limits":   object{"cores": 1.0, "memory_mb": 192, "sockets": 1024},
@@ -169,16 +169,16 @@
 	assert.Equal(t, 200, (&world{service: c.nodes[2]}).status("stored-class", "ok"))
 	c.Kill(2)
 
-	c.Begin()
-	leader := c.Leader()
+	c.Bootstrap()
+	leader := c.WaitForLeader()
 	for i := range 3 {
 		c.hasKeys(t, i, site.Keys)
 		var st storeapi.Status
-		require.True(t, c.Ask(i, "/status", &st))
+		require.True(t, c.GetJSON(i, "/status", &st))
 		assert.Equal(t, site.Cluster, st.Cluster)
 	}
 	await(t, "the members that were there", func() bool {
-		m := c.Members(c.Leader())
+		m := c.Members(c.WaitForLeader())
 		for id, want := range site.Members {
 			if m[id].Role != want.Role || m[id].Name != want.Name {
 				return false
@@ -227,8 +227,8 @@
 	c.KillAll()
 
 	// With a schedule, the note of the last backup is followed, and files of the old one stay.
-	c.Fields["backup"] = object{"dir": filepath.Join(dir, "backups"), "every": "1s", "keep": 100}
-	c.Begin()
+	c.StoreFields["backup"] = object{"dir": filepath.Join(dir, "backups"), "every": "1s", "keep": 100}
+	c.Bootstrap()
 	await(t, "another backup", func() bool {
 		list, _ := os.ReadDir(filepath.Join(dir, "backups"))
 		return len(list) > len(site.Backups)
@@ -239,12 +239,12 @@
 	n := newCluster(t, nil)
 	out, code := sub(t, "store", "restore", filepath.Join(dir, "backups", site.Backups[0]), "--nodes="+n.Peers[0].Admin)
 	require.Zero(t, code, out)
-	n.Has(1, "note/1", `{"n":11}`)
+	n.WaitForValue(1, "note/1", `{"n":11}`)
 }
 
 // leaseOf reads a lease at the leader.
 func (c *cluster) leaseOf(name string) (code int, l storeapi.LeaseStatus) {
-	code, text := c.sure(c.Leader(), "GET", "/lease/"+name, "")
+	code, text := c.sure(c.WaitForLeader(), "GET", "/lease/"+name, "")
 	json.Unmarshal([]byte(text), &l) // or it is the zero one
 	return code, l
 }
@@ -256,16 +256,16 @@
 	site := storedSites(t)[storedSnapshot]
 	c, _ := storedCluster(t, storedSnapshot, 1)
 	c.hasLeft(t, site)
-	c.Begin()
+	c.Bootstrap()
 	w := site.Write
 	code, tag := c.writeInSession(t, w)
 	assert.Equal(t, []any{204, w.Tag}, []any{code, tag}, "a repeated write has the answer that it had")
 	c.hasKeys(t, 0, site.Keys)
 	c.Put(0, "note/new", `"later"`)
 	c.KillAll()
-	c.Begin()
+	c.Bootstrap()
 	c.hasKeys(t, 0, site.Keys)
-	c.Has(0, "note/new", `"later"`)
+	c.WaitForValue(0, "note/new", `"later"`)
 }
 
 // writeInSession sends a write, perhaps again.
@@ -347,9 +347,9 @@
 // record is what the program says of a running cluster and, once it is ended, of its folders.
 func (c *cluster) record(t *testing.T) (site storedSite) {
 	client := c.client()
-	leader := c.Leader()
+	leader := c.WaitForLeader()
 	var st storeapi.Status
-	require.True(t, c.Ask(leader, "/status", &st))
+	require.True(t, c.GetJSON(leader, "/status", &st))
 	site = storedSite{Cluster: st.Cluster, Keys: map[string]storedKey{}, Leases: map[string]storedLease{}, Left: map[string]json.RawMessage{}}
 	list, _, err := client.List(t.Context(), "")
 	require.NoError(t, err)
@@ -400,8 +400,8 @@
 func writeMembers(t *testing.T) storedSite {
 	dir := t.TempDir()
 	c := clusterIn(t, dir, 3)
-	c.Fields["backup"] = object{"dir": filepath.Join(dir, "backups"), "every": "24h", "keep": 3}
-	c.Begin()
+	c.StoreFields["backup"] = object{"dir": filepath.Join(dir, "backups"), "every": "24h", "keep": 3}
+	c.Bootstrap()
 	for i := range 5 {
 		c.Put(i%3, fmt.Sprint("note/", i), fmt.Sprintf(`{"n":%d,"text":"café"}`, i))
 	}
@@ -419,7 +419,7 @@
 	code, text2 := c.sure(0, "POST", "/members/s1", "")
 	require.Equal(t, 204, code, text2)
 	c.KillAll()
-	c.Begin() // which keeps the settings as good ones
+	c.Bootstrap() // which keeps the settings as good ones
 	for i := range 3 {
 		await(t, "settings of the store", func() bool { return strings.Contains(c.nodes[i].log(), `"last_good":false`) })
 	}
@@ -439,7 +439,7 @@
 		for _, f := range list {
 			names = append(names, f.Name())
 		}
-		_, noted := c.HTTP(0, "GET", "/store/state/fleet.backup", "")
+		_, noted := c.Request(0, "GET", "/store/state/fleet.backup", "")
 		return len(names) > 0 && strings.Contains(noted, names[len(names)-1])
 	})
 	time.Sleep(5 * time.Second) // what services say of themselves settles, and the record follows
@@ -452,7 +452,7 @@
 func writeSnapshot(t *testing.T) storedSite {
 	dir := t.TempDir()
 	c := clusterIn(t, dir, 1)
-	c.Begin()
+	c.Bootstrap()
 	for i := range 1100 { // more than a snapshot is taken after
 		c.Put(0, fmt.Sprint("note/", i%7), fmt.Sprint(i))
 	}
--- a/tests/versions_test.go
+++ b/tests/versions_test.go
@@ -37,7 +37,7 @@
 	for node := range 3 {
 		m.start(node)
 	}
-	m.Leader()
+	m.WaitForLeader()
 	return m
 }
 
@@ -60,18 +60,18 @@
 // lead makes a node the leader: the other two are stopped one after the other, so that the
 // one that starts again lacks an entry that the wanted leader has, and cannot be elected.
 func (m *mixedCluster) lead(node int) {
-	m.Strong(0, 1, 2)
-	for m.Leader() != node {
-		leader := m.Leader()
+	m.WaitForVoters(0, 1, 2)
+	for m.WaitForLeader() != node {
+		leader := m.WaitForLeader()
 		other := 3 - leader - node
 		m.Kill(other)
 		m.Put(node, "election/entry", strconv.Itoa(leader))
-		m.Has(node, "election/entry", strconv.Itoa(leader))
+		m.WaitForValue(node, "election/entry", strconv.Itoa(leader))
 		m.Kill(leader)
 		m.start(other)
-		require.Equal(m.t, node, m.Leader())
+		require.Equal(m.t, node, m.WaitForLeader())
 		m.start(leader)
-		m.Strong(0, 1, 2)
+		m.WaitForVoters(0, 1, 2)
 	}
 }
 
@@ -114,7 +114,7 @@
 		m.checkLeases(prefix)
 		m.checkCommands()
 		m.checkReplacedDisk(prefix, 1)
-		if m.Leader() == leader {
+		if m.WaitForLeader() == leader {
 			return
 		}
 	}
@@ -135,7 +135,7 @@
 	}
 	for node := range 3 {
 		for writer := range 3 {
-			m.Has(node, fmt.Sprint(prefix, "note", writer), fmt.Sprintf(`{"from":%d}`, writer))
+			m.WaitForValue(node, fmt.Sprint(prefix, "note", writer), fmt.Sprintf(`{"from":%d}`, writer))
 		}
 		code, text := m.sure(node, "GET", "/store/"+prefix+"note0?stale=2s", "")
 		assert.Equal(t, []any{200, `{"from":0}`}, []any{code, strings.TrimSpace(text)})
@@ -151,7 +151,7 @@
 		f.until(t, prefix+"last")
 		assert.Equal(t, followers[0].told(), f.told(), "watch events through nodes of both versions")
 	}
-	m.Equal(0, 1, 2)
+	m.WaitForEqual(0, 1, 2)
 }
 
 // checkTransactions carries out a transaction whose compares hold, and one whose compares
@@ -173,7 +173,7 @@
 		require.False(t, missed.Succeeded)
 		require.Len(t, missed.Results, 1)
 		assert.Equal(t, made.Revision, missed.Results[0].Revision)
-		m.Has((node+1)%3, key, "1")
+		m.WaitForValue((node+1)%3, key, "1")
 	}
 }
 
@@ -205,7 +205,7 @@
 			next <- l
 		}()
 		await(t, "a waiter", func() bool {
-			_, text := m.HTTP((node+2)%3, "GET", "/lease/"+name, "")
+			_, text := m.Request((node+2)%3, "GET", "/lease/"+name, "")
 			return strings.Contains(text, `"holder":"h2"`)
 		})
 		code, text := m.sure((node+2)%3, "DELETE", fmt.Sprintf("/lease/%s?token=%d", name, held.Token), "")
@@ -229,7 +229,7 @@
 		statuses = nil
 		require.NoError(m.t, json.Unmarshal([]byte(m.command(build, "store", "status", "--json")), &statuses))
 		require.Len(m.t, statuses, 3)
-		leader := m.Peers[m.Leader()].Name
+		leader := m.Peers[m.WaitForLeader()].Name
 		return !slices.ContainsFunc(statuses, func(s nodeStatus) bool { return s.Leader != leader })
 	})
 	return statuses
@@ -284,14 +284,14 @@
 func (m *mixedCluster) checkReplacedDisk(prefix string, node int) {
 	before := m.id(node)
 	m.Kill(node)
-	m.Wipe(node)
+	m.WipeFolder(node)
 	m.Put((node+1)%3, prefix+"missed", "1")
 	m.start(node)
-	m.Strong(0, 1, 2)
+	m.WaitForVoters(0, 1, 2)
 	assert.NotEqual(m.t, before, m.id(node))
-	m.Has(node, prefix+"missed", "1")
-	m.Has(node, prefix+"fenced", "1")
-	m.Equal(0, 1, 2)
+	m.WaitForValue(node, prefix+"missed", "1")
+	m.WaitForValue(node, prefix+"fenced", "1")
+	m.WaitForEqual(0, 1, 2)
 }
 
 // checkFolders has each node go on with the folder that the other version has written.
@@ -303,17 +303,17 @@
 		m.Put((node+1)%3, fmt.Sprint("folder/missed", node), "1")
 		m.build = build
 		m.Start(node)
-		m.Strong(0, 1, 2)
+		m.WaitForVoters(0, 1, 2)
 		assert.Equal(t, before, m.id(node))
-		m.Has(node, fmt.Sprint("folder/missed", node), "1")
+		m.WaitForValue(node, fmt.Sprint("folder/missed", node), "1")
 	}
 	m.KillAll()
 	for node := range 3 { // and once more, all at once
 		m.start(node)
 	}
-	m.Strong(0, 1, 2)
-	m.Equal(0, 1, 2)
+	m.WaitForVoters(0, 1, 2)
+	m.WaitForEqual(0, 1, 2)
 	for node := range 3 {
-		m.Has(node, "folder/missed2", "1")
+		m.WaitForValue(node, "folder/missed2", "1")
 	}
 }
--- a/tests/wake_test.go
+++ b/tests/wake_test.go
@@ -13,22 +13,22 @@
 func TestWakingLeader(t *testing.T) {
 	t.Parallel()
 	w := newWired(t)
-	slow := testrig.Mode{Delay: 40 * time.Millisecond} // there is always a heartbeat on its way
-	late := testrig.Mode{Delay: 40 * time.Millisecond, Back: true}
+	slow := testrig.LinkMode{Delay: 40 * time.Millisecond} // there is always a heartbeat on its way
+	late := testrig.LinkMode{Delay: 40 * time.Millisecond, HoldResponses: true}
 	for round := range 6 {
-		lead := w.Leader()
-		w.Around(lead, slow, testrig.Mode{})
+		lead := w.WaitForLeader()
+		w.SetLinksAround(lead, slow, testrig.LinkMode{})
 		w.Put(lead, "note/wake", fmt.Sprint(2*round))
-		w.From(lead, (lead+1)%3, late) // one peer's answer comes only once the leader is awake
+		w.SetLinksFrom(lead, (lead+1)%3, late) // one peer's answer comes only once the leader is awake
 		time.Sleep(120 * time.Millisecond)
-		w.Stop(lead)
+		w.Pause(lead)
 		value := fmt.Sprint(2*round + 1)
 		wg := w.overtaken(t, lead, "note/wake", value)
-		w.Continue(lead)
+		w.Resume(lead)
 		time.Sleep(time.Duration(5+5*round) * time.Millisecond)
-		w.From(lead, (lead+1)%3, slow)
+		w.SetLinksFrom(lead, (lead+1)%3, slow)
 		wg.Wait()
-		w.Heal()
-		w.Has(lead, "note/wake", value)
+		w.HealLinks()
+		w.WaitForValue(lead, "note/wake", value)
 	}
 }
--- a/tests/watch_test.go
+++ b/tests/watch_test.go
@@ -163,7 +163,7 @@
 	assert.Len(t, reads.told(), 162)
 	await(t, "the one that does not read to be cut off", watchers(1))
 
-	code, text := c.HTTP(0, "GET", fmt.Sprint("/watch?from=", first.Revision), "")
+	code, text := c.Request(0, "GET", fmt.Sprint("/watch?from=", first.Revision), "")
 	assert.Equal(t, 410, code)
 	var gone struct {
 		Error  string
@@ -178,7 +178,7 @@
 	late := follow(t, client, "w/", typed.OldestRevision)
 	late.until(t, "w/end")
 	for _, query := range []string{"from=x", "from=-1", "prefix=" + strings.Repeat("p", 300)} {
-		code, _ := c.HTTP(0, "GET", "/watch?"+query, "")
+		code, _ := c.Request(0, "GET", "/watch?"+query, "")
 		assert.Equal(t, 400, code, query)
 	}
 
@@ -198,8 +198,14 @@
 	t.Fatal("100 may watch")
 }
 
-func first204(c *cluster, i int) int { code, _ := c.HTTP(i, "PUT", "/store/w/still", "1"); return code }
-func firstGet(c *cluster, i int) int { code, _ := c.HTTP(i, "GET", "/store/w/still", ""); return code }
+func first204(c *cluster, i int) int {
+	code, _ := c.Request(i, "PUT", "/store/w/still", "1")
+	return code
+}
+func firstGet(c *cluster, i int) int {
+	code, _ := c.Request(i, "GET", "/store/w/still", "")
+	return code
+}
 
 // TestWatchCommand: the command line lists, follows, and ends well when interrupted.
 func TestWatchCommand(t *testing.T) {
--- a/tests/work_test.go
+++ b/tests/work_test.go
@@ -31,7 +31,7 @@
 // newYard has all of them take part; the limits let two go at once, one in a zone.
 func newYard(t *testing.T, stores, others int, command ...string) *yard {
 	c := newNodes(t, stores, stores)
-	c.Wire()
+	c.AddLinks()
 	y := &yard{cluster: c, all: make([]*service, stores+others)}
 	section := func(i int) object {
 		o := object{"zone": fmt.Sprint("z", i%3), "every_ms": 200, "command": command, "command_ms": 20000}
@@ -54,7 +54,7 @@
 		y.all[i] = c.nodes[i]
 		return c.nodes[i]
 	}
-	c.Begin()
+	c.Bootstrap()
 	y.start = func(i int) {
 		y.all[i] = startBuild(t, "", func(cfg object) {
 			cfg["name"], cfg["engine"], cfg["work"] = y.names[i], y.engine[i].addr, section(i)
@@ -208,22 +208,22 @@
 		}
 		return int(st.Controller[1] - '0')
 	}
-	slow := testrig.Mode{Delay: 10 * time.Millisecond}
+	slow := testrig.LinkMode{Delay: 10 * time.Millisecond}
 	plan := testrig.NewSchedule(*seed, 5, time.Second,
-		testrig.Fault{Name: "order's holder stopped", Do: func(i int) { y.Stop(i) }, Undo: func(i int) { y.Continue(i) }},
-		testrig.Fault{Name: "order's holder cut off", Do: func(i int) { y.Around(i, testrig.Mode{Cut: true}, testrig.Mode{Cut: true}) }, Undo: func(int) { y.Heal() }},
-		testrig.Fault{Name: "leader not heard", Leader: true, Do: func(i int) { y.Around(i, testrig.Mode{Out: true}, testrig.Mode{}) }, Undo: func(int) { y.Heal() }},
-		testrig.Fault{Name: "links slow", Do: func(i int) { y.Around(i, slow, slow) }, Undo: func(int) { y.Heal() }})
+		testrig.Fault{Name: "order's holder stopped", Inject: func(i int) { y.Pause(i) }, Recover: func(i int) { y.Resume(i) }},
+		testrig.Fault{Name: "order's holder cut off", Inject: func(i int) { y.SetLinksAround(i, testrig.LinkMode{Cut: true}, testrig.LinkMode{Cut: true}) }, Recover: func(int) { y.HealLinks() }},
+		testrig.Fault{Name: "leader not heard", IsolatesLeader: true, Inject: func(i int) { y.SetLinksAround(i, testrig.LinkMode{HoldRequests: true}, testrig.LinkMode{}) }, Recover: func(int) { y.HealLinks() }},
+		testrig.Fault{Name: "links slow", Inject: func(i int) { y.SetLinksAround(i, slow, slow) }, Recover: func(int) { y.HealLinks() }})
 	for range 4 {
 		turn := plan.Next()
 		at := holder()
-		if turn.Fault.Leader {
-			at = y.Leader()
+		if turn.Fault.IsolatesLeader {
+			at = y.WaitForLeader()
 		}
-		turn.Fault.Do(at)
-		time.Sleep(turn.For)
-		turn.Fault.Undo(at)
-		time.Sleep(turn.Before)
+		turn.Fault.Inject(at)
+		time.Sleep(turn.Duration)
+		turn.Fault.Recover(at)
+		time.Sleep(turn.QuietBefore)
 	}
 	y.reach(t, y.names, maintenance.PhaseCompleted)
 	close(stop)
