--- a/tests/stored_test.go
+++ b/tests/stored_test.go
@@ -85,7 +85,7 @@
 		c.Dirs[i] = filepath.Join(dir, p.Name)
 	}
 	if nodes > 1 {
-		c.Fields["sql"] = object{"driver": "sqlite", "dsn": "file:" + filepath.Join(dir, "record.db") + "?_pragma=busy_timeout(5000)"}
+		c.StoreFields["sql"] = object{"driver": "sqlite", "dsn": "file:" + filepath.Join(dir, "record.db") + "?_pragma=busy_timeout(5000)"}
 	}
 	c.Launch = func(i int, store map[string]any) testrig.Process {
 		c.nodes[i] = startBuild(t, c.build, func(cfg object) {
@@ -133,7 +133,7 @@
 	t.Helper()
 	dir := filepath.Join(t.TempDir(), "copy")
 	require.NoError(t, os.CopyFS(dir, os.DirFS(c.Dirs[node])))
-	section := c.Section(node)
+	section := c.StoreConfig(node)
 	section["dir"] = dir
 	text, err := json.Marshal(object{"name": c.Peers[node].Name, "listen": freePort(t), "seed": "8c1f30d27a5be964", "stop_ms": 4000,
 		"limits":   object{"cores": 1.0, "memory_mb": 192, "sockets": 1024},
@@ -157,11 +157,11 @@
 	rows := recordRows(t, dir)
 	require.NotEmpty(t, rows)
 	c.startsOnLastGood(t, 2)
-	c.Begin()
+	c.Bootstrap()
 	for i := range 3 {
 		c.hasKeys(t, i, site.Keys)
 		var st storeapi.Status
-		require.True(t, c.Ask(i, "/status", &st))
+		require.True(t, c.GetJSON(i, "/status", &st))
 		assert.Equal(t, site.Cluster, st.Cluster)
 		assert.Equal(t, 200, (&world{service: c.nodes[i]}).status("stored-class", "ok"))
 		_, text := c.sure(i, "GET", fmt.Sprint("/store/state/s", i), "")
@@ -186,7 +186,7 @@
 
 func (c *cluster) hasMembers(t *testing.T, members map[string]testrig.Member) {
 	await(t, "the members that were there", func() bool {
-		m := c.Members(c.Leader())
+		m := c.Members(c.WaitForLeader())
 		for id, want := range members {
 			if m[id].Role != want.Role || m[id].Name != want.Name {
 				return false
@@ -201,7 +201,7 @@
 	for name, want := range leases {
 		code, l := c.leaseOf(name)
 		assert.Equal(t, []any{200, want.Holder, want.Token, want.TTLMS}, []any{code, l.Holder, l.Token, l.TTLMS}, name)
-		code, text := c.sure(c.Leader(), "PUT", "/lease/"+name, fmt.Sprintf(`{"token":%d}`, want.Token))
+		code, text := c.sure(c.WaitForLeader(), "PUT", "/lease/"+name, fmt.Sprintf(`{"token":%d}`, want.Token))
 		assert.Equal(t, 200, code, "its token counts: %s", text)
 	}
 }
@@ -240,8 +240,8 @@
 // backsUpOn starts with a schedule: the note of the last backup is followed, its file stays, and a
 // new cluster can be made of it.
 func (c *cluster) backsUpOn(t *testing.T, dir string, site storedSite) {
-	c.Fields["backup"] = object{"dir": filepath.Join(dir, "backups"), "every": "1s", "keep": 100}
-	c.Begin()
+	c.StoreFields["backup"] = object{"dir": filepath.Join(dir, "backups"), "every": "1s", "keep": 100}
+	c.Bootstrap()
 	await(t, "another backup", func() bool {
 		list, _ := os.ReadDir(filepath.Join(dir, "backups"))
 		return len(list) > len(site.Backups)
@@ -252,12 +252,12 @@
 	n := newCluster(t, nil)
 	out, code := sub(t, "store", "restore", filepath.Join(dir, "backups", site.Backups[0]), "--nodes="+n.Peers[0].Admin)
 	require.Zero(t, code, out)
-	n.Has(1, "note/1", `{"n":11}`)
+	n.WaitForValue(1, "note/1", `{"n":11}`)
 }
 
 // leaseOf reads a lease at the leader.
 func (c *cluster) leaseOf(name string) (code int, l storeapi.LeaseStatus) {
-	code, text := c.sure(c.Leader(), "GET", "/lease/"+name, "")
+	code, text := c.sure(c.WaitForLeader(), "GET", "/lease/"+name, "")
 	json.Unmarshal([]byte(text), &l) // or it is the zero one
 	return code, l
 }
@@ -269,16 +269,16 @@
 	site := storedSites(t)[storedSnapshot]
 	c, _ := storedCluster(t, storedSnapshot, 1)
 	c.hasLeft(t, site)
-	c.Begin()
+	c.Bootstrap()
 	w := site.Write
 	code, tag := c.writeInSession(t, w)
 	assert.Equal(t, []any{204, w.Tag}, []any{code, tag}, "a repeated write has the answer that it had")
 	c.hasKeys(t, 0, site.Keys)
 	c.Put(0, "note/new", `"later"`)
 	c.KillAll()
-	c.Begin()
+	c.Bootstrap()
 	c.hasKeys(t, 0, site.Keys)
-	c.Has(0, "note/new", `"later"`)
+	c.WaitForValue(0, "note/new", `"later"`)
 }
 
 // writeInSession sends a write, perhaps again.
