--- a/tests/stored_write_test.go
+++ b/tests/stored_write_test.go
@@ -37,9 +37,9 @@
 // record is what the program says of a running cluster and, once it is ended, of its folders.
 func (c *cluster) record(t *testing.T) (site storedSite) {
 	client := c.client()
-	leader := c.Leader()
+	leader := c.WaitForLeader()
 	var st storeapi.Status
-	require.True(t, c.Ask(leader, "/status", &st))
+	require.True(t, c.GetJSON(leader, "/status", &st))
 	site = storedSite{Cluster: st.Cluster, Keys: map[string]storedKey{}, Leases: map[string]storedLease{}, Left: map[string]json.RawMessage{}}
 	list, _, err := client.List(t.Context(), "")
 	require.NoError(t, err)
@@ -90,8 +90,8 @@
 func writeMembers(t *testing.T) storedSite {
 	dir := t.TempDir()
 	c := clusterIn(t, dir, 3)
-	c.Fields["backup"] = object{"dir": filepath.Join(dir, "backups"), "every": "24h", "keep": 3}
-	c.Begin()
+	c.StoreFields["backup"] = object{"dir": filepath.Join(dir, "backups"), "every": "24h", "keep": 3}
+	c.Bootstrap()
 	for i := range 5 {
 		c.Put(i%3, fmt.Sprint("note/", i), fmt.Sprintf(`{"n":%d,"text":"café"}`, i))
 	}
@@ -109,7 +109,7 @@
 	code, text2 := c.sure(0, "POST", "/members/s1", "")
 	require.Equal(t, 204, code, text2)
 	c.KillAll()
-	c.Begin() // which keeps the settings as good ones
+	c.Bootstrap() // which keeps the settings as good ones
 	for i := range 3 {
 		await(t, "settings of the store", func() bool { return strings.Contains(c.nodes[i].log(), `"last_good":false`) })
 	}
@@ -129,7 +129,7 @@
 		for _, f := range list {
 			names = append(names, f.Name())
 		}
-		_, noted := c.HTTP(0, "GET", "/store/state/fleet.backup", "")
+		_, noted := c.Request(0, "GET", "/store/state/fleet.backup", "")
 		return len(names) > 0 && strings.Contains(noted, names[len(names)-1])
 	})
 	time.Sleep(5 * time.Second) // what services say of themselves settles, and the record follows
@@ -142,7 +142,7 @@
 func writeSnapshot(t *testing.T) storedSite {
 	dir := t.TempDir()
 	c := clusterIn(t, dir, 1)
-	c.Begin()
+	c.Bootstrap()
 	for i := range 1100 { // more than a snapshot is taken after
 		c.Put(0, fmt.Sprint("note/", i%7), fmt.Sprint(i))
 	}
