--- a/internal/cluster/membership/choice.go
+++ b/internal/cluster/membership/choice.go
@@ -26,7 +26,7 @@
 	return cmp.Or(
 		-compareBool(a.VotePreferred, b.VotePreferred),
 		cmp.Compare(c.zones[a.Zone], c.zones[b.Zone]),
-		cmp.Compare(a.Lag, b.Lag),
+		cmp.Compare(a.EntriesBehind, b.EntriesBehind),
 		cmp.Compare(a.ID, b.ID),
 	)
 }
--- a/internal/cluster/membership/lost_disks_test.go
+++ b/internal/cluster/membership/lost_disks_test.go
@@ -201,7 +201,7 @@
 			}
 			m := Member{ID: diskID(i, g), Role: Role(conf[i][g] - 1), Up: x.running && x.generation == g, DiskLost: x.up && x.generation != g}
 			if x.logLength < w.nodes[lead].logLength {
-				m.Lag = 1
+				m.EntriesBehind = 1
 			}
 			v.Members = append(v.Members, m)
 		}
--- a/internal/cluster/membership/model_test.go
+++ b/internal/cluster/membership/model_test.go
@@ -42,7 +42,7 @@
 			m.Role = Voter
 		}
 		if !n.caughtUp {
-			m.Lag = 1
+			m.EntriesBehind = 1
 		}
 		if n.downLong {
 			m.DownFor = time.Hour
--- a/internal/cluster/membership/step_test.go
+++ b/internal/cluster/membership/step_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestNext(t *testing.T) {
-	p := Policy{Voters: 3, ReplaceAfter: time.Minute, ForgetAfter: time.Hour, SettleTime: time.Second, MaxLag: 10}
+	p := Policy{Voters: 3, ReplaceAfter: time.Minute, ForgetAfter: time.Hour, SettleTime: time.Second, MaxEntriesBehind: 10}
 	voter := func(id, zone string) Member { return Member{ID: id, Zone: zone, Role: Voter, Up: true} }
 	learner := func(id, zone string) Member { return Member{ID: id, Zone: zone, Up: true} }
 	down := func(m Member, d time.Duration) Member {
@@ -30,7 +30,7 @@
 		return m
 	}
 	lagging := func(m Member, entries uint64) Member {
-		m.Lag = entries
+		m.EntriesBehind = entries
 		return m
 	}
 	three := []Member{voter("a", "x"), voter("b", "y"), voter("c", "z")}
--- a/internal/cluster/membership/view.go
+++ b/internal/cluster/membership/view.go
@@ -20,7 +20,7 @@
 	Role          Role
 	Up            bool
 	DownFor       time.Duration // 0 if it is up
-	Lag           uint64        // log entries that it misses
+	EntriesBehind uint64        // log entries that it misses
 	Leaving       bool          // an operator wants it removed
 	DiskLost      bool          // the node of this name has another disk
 	VotePreferred bool          // an operator wants it to have a vote
@@ -36,11 +36,11 @@
 
 // Policy is what operators set. Its methods decide.
 type Policy struct {
-	Voters       int           // wanted number, odd
-	ReplaceAfter time.Duration // a voter that is down for so long gives its vote to a learner
-	ForgetAfter  time.Duration // a learner that is down for so long is removed; 0 is never
-	SettleTime   time.Duration // least time between two changes
-	MaxLag       uint64        // log entries that a healthy member may miss
+	Voters           int           // wanted number, odd
+	ReplaceAfter     time.Duration // a voter that is down for so long gives its vote to a learner
+	ForgetAfter      time.Duration // a learner that is down for so long is removed; 0 is never
+	SettleTime       time.Duration // least time between two changes
+	MaxEntriesBehind uint64        // log entries that a healthy member may miss
 }
 
 // Quorum is the majority of a number of voters.
@@ -48,7 +48,7 @@
 
 // healthy reports whether a member counts for the majority: up, with its disk, and with the log.
 func (p Policy) healthy(m Member) bool {
-	return m.Up && !m.DiskLost && m.Lag <= p.MaxLag
+	return m.Up && !m.DiskLost && m.EntriesBehind <= p.MaxEntriesBehind
 }
 
 // outgoing reports whether a voter's vote is to go to another member.
--- a/internal/cluster/store/golden_test.go
+++ b/internal/cluster/store/golden_test.go
@@ -168,10 +168,10 @@
 		`"sql":{"driver":"sqlite","dsn":"file:x"},"backup":{"dir":"/b","every":"1h","keep":7}}`)
 }
 
-// TestGoldenSelf: what a node tells another one of itself.
+// TestGoldenSelf: what a node tells a peer of itself.
 func TestGoldenSelf(t *testing.T) {
 	golden(t, storeapi.PeerStatus{Attestation: diskidentity.Attestation{ID: "n1@5f", Cluster: "c", PreviousClusters: []string{"b"}, Fresh: true, ConfigIndex: 1, Members: []string{"m"}, Voters: []string{"v"},
-		LastObserved: &diskidentity.Watermark{Starts: 1, Term: 2, LastTerm: 3, LastIndex: 4}}, State: peerServing, Mark: diskidentity.Watermark{Starts: 5}, AppliedIndex: 6,
+		LastObserved: &diskidentity.Watermark{Starts: 1, Term: 2, LastTerm: 3, LastIndex: 4}}, State: peerServing, Watermark: diskidentity.Watermark{Starts: 5}, AppliedIndex: 6,
 		RaftAddress: "r", AdminAddress: "a", Zone: "z", SupportsLeases: true, Addresses: map[string]string{"m": "x"}},
 		`{"id":"n1@5f","cluster":"c","was":["b"],"fresh":true,"config":1,"members":["m"],"voters":["v"],`+
 			`"seen":{"starts":1,"term":2,"last_term":3,"last_index":4},"state":"serving","mark":{"starts":5,"term":0,"last_term":0,"last_index":0},"applied":6,`+
--- a/internal/cluster/store/leader_view.go
+++ b/internal/cluster/store/leader_view.go
@@ -132,7 +132,7 @@
 	m.DiskLost = recent && reportsOtherDisk(report.ID, id)
 	if m.Up {
 		last := inc.raft.LastIndex()
-		m.Lag = last - min(last, report.Mark.LastIndex)
+		m.EntriesBehind = last - min(last, report.Watermark.LastIndex)
 		delete(inc.members.downSince, id)
 		return m
 	}
@@ -155,7 +155,7 @@
 	next := -1
 	voters := 0
 	for i, m := range members {
-		if !m.Up || m.Lag > maxPromotionLag || m.ID != inc.memberID && s.reportsLegacy(m.ID) {
+		if !m.Up || m.EntriesBehind > maxPromotionLag || m.ID != inc.memberID && s.reportsLegacy(m.ID) {
 			return
 		}
 		if m.Role == membership.Voter {
--- a/internal/cluster/store/members.go
+++ b/internal/cluster/store/members.go
@@ -129,7 +129,7 @@
 		ID:            m.ID,
 		Zone:          m.Zone,
 		Role:          m.Role.String(),
-		EntriesBehind: m.Lag,
+		EntriesBehind: m.EntriesBehind,
 		State:         memberStateOf(m, leader).describe(m.DownFor),
 		AdminAddress:  decodePeer(server.ID, server.Address).Admin,
 	}
--- a/internal/cluster/store/peers.go
+++ b/internal/cluster/store/peers.go
@@ -150,7 +150,7 @@
 	self.ID = st.Node
 	self.Cluster = st.Cluster
 	self.State = peerServing
-	self.Mark.LastIndex = st.LastIndex
+	self.Watermark.LastIndex = st.LastIndex
 	self.AppliedIndex = st.AppliedIndex
 	return self, true, nil
 }
@@ -185,7 +185,7 @@
 	if diskidentity.MemberDisk(self.ID) == "" {
 		return
 	}
-	if p.observed.observe(self.ID, self.Mark) {
+	if p.observed.observe(self.ID, self.Watermark) {
 		p.unsaved = true
 	}
 }
--- a/internal/cluster/store/status.go
+++ b/internal/cluster/store/status.go
@@ -35,9 +35,9 @@
 	return st
 }
 
-// Self is what the node tells a peer, whose member ID is asker: its own state, and what it has
+// PeerStatus is what the node tells a peer, whose member ID is asker: its own state, and what it has
 // observed of the asker's disk. It is ErrNotServing until the node knows its own disk.
-func (s *Store) Self(asker string) (storeapi.PeerStatus, error) {
+func (s *Store) PeerStatus(asker string) (storeapi.PeerStatus, error) {
 	f := s.folder.Load()
 	if f == nil {
 		return storeapi.PeerStatus{}, fmt.Errorf("%w: it waits for %s", ErrNotServing, *s.waitReason.Load())
@@ -60,7 +60,7 @@
 func (s *Store) describeFolder(out *storeapi.PeerStatus, f *nodeFolder) {
 	out.ID = f.local.ID
 	out.Cluster = s.identity.get()
-	out.Mark = f.local.Watermark
+	out.Watermark = f.local.Watermark
 	out.Fresh = f.local.Fresh
 	out.ConfigIndex = f.local.ConfigIndex
 	out.Members = f.local.Members
@@ -73,11 +73,11 @@
 	out.AppliedIndex = inc.raft.AppliedIndex()
 	out.Checksums = s.state.recentChecksums()
 	if mark, err := inc.storage.Watermark(); err == nil {
-		out.Mark = mark.Max(f.local.Watermark)
+		out.Watermark = mark.Max(f.local.Watermark)
 	}
 	conf, index := inc.configuration()
 	out.ConfigIndex = index
 	out.Members, out.Voters = memberIDs(conf)
 	out.Addresses = memberAddresses(conf)
-	out.Fresh = f.local.Fresh && out.Mark.LastIndex == 0
+	out.Fresh = f.local.Fresh && out.Watermark.LastIndex == 0
 }
--- a/internal/cluster/storeadmin/read.go
+++ b/internal/cluster/storeadmin/read.go
@@ -29,7 +29,7 @@
 
 // getSelf is GET /self?from=ID: this node's status for another node.
 func (s *server) getSelf(w http.ResponseWriter, r *http.Request) error {
-	status, err := s.store.Self(r.URL.Query().Get("from"))
+	status, err := s.store.PeerStatus(r.URL.Query().Get("from"))
 	if err != nil {
 		return err
 	}
--- a/internal/cluster/storeapi/node.go
+++ b/internal/cluster/storeapi/node.go
@@ -26,7 +26,7 @@
 type PeerStatus struct {
 	diskidentity.Attestation
 	State          string                 `json:"state"` // serving, waiting or failed
-	Mark           diskidentity.Watermark `json:"mark"`
+	Watermark      diskidentity.Watermark `json:"mark"`
 	AppliedIndex   uint64                 `json:"applied"`
 	RaftAddress    string                 `json:"raft"`
 	AdminAddress   string                 `json:"admin"`
