--- a/tests/disks_test.go
+++ b/tests/disks_test.go
@@ -184,7 +184,7 @@
 			c.Kill(lead) // the one that is left and the older folder would be a majority
 		}
 		c.Start(old)
-		await(t, "the verdict", func() bool { return strings.Contains(c.nodes[old].log(), "it becomes a new member") })
+		await(t, "the verdict", func() bool { return strings.Contains(c.nodes[old].log(), "disk identity renewed") })
 		if cut {
 			for range 20 {
 				for _, i := range []int{old, third} {
