--- a/cmd/oxbowbridge/storenode.go
+++ b/cmd/oxbowbridge/storenode.go
@@ -66,7 +66,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w: store: %w", errConfig, err)
 	}
-	singletons, err := singleton.Start(s, controller, *cfg.Store, log.Named("fleet"))
+	singletons, err := singleton.Start(s, controller, *cfg.Store, log.Named("singleton"))
 	if err != nil {
 		s.Close()
 		return nil, fmt.Errorf("%w: store: %w", errConfig, err)
--- a/internal/cluster/lease/model_test.go
+++ b/internal/cluster/lease/model_test.go
@@ -16,10 +16,10 @@
 	walks = flag.Int("walks", 500, "random walks of 400 events")
 )
 
-// The model: one name, two or three who want it, a log that is right, leaders that
+// The model: one lease, two or three processes that want it, a correct log, leaders that
 // change, and messages that are late, lost, repeated and overtaken. In a tick the clock of
-// a holder runs slow and that of a leader fast, which is the worst that drift can do.
-// What decides is State, Timer and Holder.
+// a holder runs slow and that of a leader fast, which is the worst case of drift.
+// State, ExpiryTimer and HolderState decide.
 const (
 	name     = "job"
 	ttl      = 500 * time.Millisecond
@@ -48,64 +48,64 @@
 // ms is a time in the model, small as there are many states.
 type ms int16
 
-func (m ms) is() time.Duration { return time.Duration(m) * time.Millisecond }
+func (m ms) duration() time.Duration { return time.Duration(m) * time.Millisecond }
 
 // after is a time that is left, or an age, once more has passed; what is beyond the
 // lease's time makes no difference.
-func (m ms) after(d time.Duration) ms { return ms(max(m.is()-d, -1).Milliseconds()) }
-func (m ms) older(d time.Duration) ms { return ms(min(m.is()+d, ttl).Milliseconds()) }
+func (m ms) after(d time.Duration) ms { return ms(max(m.duration()-d, -1).Milliseconds()) }
+func (m ms) older(d time.Duration) ms { return ms(min(m.duration()+d, ttl).Milliseconds()) }
 
 type message struct {
-	kind  kind
-	stage stage
-	old   bool   // the leader that it came to has been replaced
-	token uint16 // asked for, or granted; 0 is a refusal
-	ago   ms     // since it was sent, by the holder's clock
-	came  ms     // ago, by the leader's clock
+	kind           kind
+	stage          stage
+	toFormerLeader bool   // the leader that it came to has been replaced
+	token          uint16 // asked for, or granted; 0 is a refusal
+	sentAgo        ms     // since it was sent, by the holder's clock
+	arrivedAgo     ms     // ago, by the leader's clock
 }
 
 type holder struct {
-	token, given uint16 // that it has, and gave back last
-	left         ms     // until it stops acting, by its clock
+	token, releasedToken uint16 // that it has, and gave back last
+	remaining            ms     // until it stops acting, by its clock
 }
 
-func (h holder) is() *HolderState {
-	return &HolderState{Token: uint64(h.token), TTL: ttl, deadline: h.left.is(), releasedToken: uint64(h.given)}
+func (h holder) state() *HolderState {
+	return &HolderState{Token: uint64(h.token), TTL: ttl, deadline: h.remaining.duration(), releasedToken: uint64(h.releasedToken)}
 }
 
-func heldAs(h *HolderState) holder {
+func holderOf(h *HolderState) holder {
 	return holder{uint16(h.Token), uint16(h.releasedToken), ms(max(h.deadline, -1).Milliseconds())}
 }
 
 // world is a state of the model.
 type world struct {
-	holder, waits uint8  // who has it (1, 2, …; 0 is nobody), and who waits for it; one at most is modelled
-	last, token   uint16 // the last number given, the lease's
-	timed         uint16 // the token that the leader's timer knows
-	left          ms
-	over          bool
-	revoked       bool
-	changed       bool // the leader, once
-	holders       [3]holder
-	flight        [3][inFlight]message
-	about         [3]uint16 // the token under which a holder has checked that it may act, and hasn't acted yet
-	top           uint16    // the highest that the resource has seen
-	late          bool      // the resource took a token after a higher one
+	holder, waiter   uint8  // who has it (1, 2, …; 0 is nobody), and who waits for it; one at most is modelled
+	lastToken, token uint16 // the last number given, the lease's
+	timerToken       uint16 // the token that the leader's timer knows
+	timerRemaining   ms
+	expiryProposed   bool
+	revoked          bool
+	leaderChanged    bool // the leader, once
+	holders          [3]holder
+	flight           [3][inFlight]message
+	checkedToken     [3]uint16 // the token under which a holder has checked that it may act, and hasn't acted yet
+	resourceToken    uint16    // the highest that the resource has seen
+	staleAct         bool      // the resource took a token after a higher one
 }
 
 // rules leave guards out, one at a time.
 type rules struct {
-	n                                    int
-	noMargin, noGrace, noVerify, noGiven bool
-	acts, noFence                        bool          // acts at a resource, which may come late
-	orders                               bool          // leases are revoked and handed over
-	slow, fast                           time.Duration // what a tick is by a holder's and by a leader's clock
-	tokens                               uint16        // numbers that are given at most
-	flight                               int           // messages of one holder at a time
+	holderCount                                                int
+	noMargin, noNewLeaderGrace, noLeaderCheck, noReleasedToken bool
+	acts, noFence                                              bool          // acts at a resource, which may come late
+	operatorOps                                                bool          // leases are revoked and handed over
+	holderTick, leaderTick                                     time.Duration // what a tick is by a holder's and by a leader's clock
+	maxTokens                                                  uint16        // numbers that are given at most
+	messagesPerHolder                                          int           // messages of one holder at a time
 }
 
-func within() rules {
-	return rules{n: 2, tokens: 5, flight: 1, slow: tick * 9 / 10, fast: tick * 11 / 10}
+func defaultRules() rules {
+	return rules{holderCount: 2, maxTokens: 5, messagesPerHolder: 1, holderTick: tick * 9 / 10, leaderTick: tick * 11 / 10}
 }
 
 // fencedResource is what an outside resource does with tokens: it keeps the highest one that it
@@ -121,36 +121,36 @@
 	return true
 }
 
-func who(i int) string { return fmt.Sprint("h", i+1) }
+func holderName(i int) string { return fmt.Sprint("h", i+1) }
 
-// real makes the decision parts of a world; times count from 0, which is now.
-func (w *world) real() (*State, *ExpiryTimer) {
-	s := NewState(uint64(w.last))
+// decisionParts makes the decision parts of a world; times count from 0, which is now.
+func (w *world) decisionParts() (*State, *ExpiryTimer) {
+	s := NewState(uint64(w.lastToken))
 	if w.holder > 0 {
-		l := Lease{Holder: who(int(w.holder) - 1), Token: uint64(w.token), TTLMS: ttl.Milliseconds(), Revoked: w.revoked}
-		if w.waits > 0 {
-			l.Waiters, s.WaiterCount = []Waiter{{Holder: who(int(w.waits) - 1), TTLMS: ttl.Milliseconds()}}, 1
+		l := Lease{Holder: holderName(int(w.holder) - 1), Token: uint64(w.token), TTLMS: ttl.Milliseconds(), Revoked: w.revoked}
+		if w.waiter > 0 {
+			l.Waiters, s.WaiterCount = []Waiter{{Holder: holderName(int(w.waiter) - 1), TTLMS: ttl.Milliseconds()}}, 1
 		}
 		s.Leases[name] = l
 	}
 	t := NewExpiryTimer(0)
-	if w.timed > 0 {
-		t.expiries[name] = expiry{uint64(w.timed), w.left.is(), w.over}
+	if w.timerToken > 0 {
+		t.expiries[name] = expiry{uint64(w.timerToken), w.timerRemaining.duration(), w.expiryProposed}
 	}
 	return s, t
 }
 
-// keep takes them back.
-func (w *world) keep(s *State, t *ExpiryTimer) {
-	w.last, w.holder, w.token, w.waits, w.timed, w.left, w.over, w.revoked = uint16(s.LastToken), 0, 0, 0, 0, 0, false, false
+// record takes them back.
+func (w *world) record(s *State, t *ExpiryTimer) {
+	w.lastToken, w.holder, w.token, w.waiter, w.timerToken, w.timerRemaining, w.expiryProposed, w.revoked = uint16(s.LastToken), 0, 0, 0, 0, 0, false, false
 	number := func(h string) uint8 { return h[1] - '0' }
 	if l, ok := s.Leases[name]; ok {
 		w.holder, w.token, w.revoked = number(l.Holder), uint16(l.Token), l.Revoked
 		if len(l.Waiters) > 0 {
-			w.waits = number(l.Waiters[0].Holder)
+			w.waiter = number(l.Waiters[0].Holder)
 		}
 		if e, ok := t.expiries[name]; ok && e.token == l.Token {
-			w.timed, w.left, w.over = uint16(e.token), ms(max(e.deadline, -1).Milliseconds()), e.proposed
+			w.timerToken, w.timerRemaining, w.expiryProposed = uint16(e.token), ms(max(e.deadline, -1).Milliseconds()), e.proposed
 		}
 	}
 }
@@ -158,7 +158,7 @@
 // acting are those that may act now.
 func (w *world) acting(n int) (list []int) {
 	for i, h := range w.holders[:n] {
-		if h.is().MayAct(0) {
+		if h.state().MayAct(0) {
 			list = append(list, i)
 		}
 	}
@@ -167,26 +167,26 @@
 
 // answer has the leader deal with a message that came.
 func (w *world) answer(i int, m *message, r rules) {
-	s, t := w.real()
+	s, t := w.decisionParts()
 	switch m.kind {
 	case acquire:
-		l, needed, err := t.TryAcquire(s, name, who(i), w.waits == 0, -m.came.is(), 0)
+		l, needed, err := t.TryAcquire(s, name, holderName(i), w.waiter == 0, -m.arrivedAgo.duration(), 0)
 		if needed {
-			s.Apply(Op{Kind: OpAcquire, Name: name, Holder: who(i), TTLMS: ttl.Milliseconds(), Queue: w.waits == 0})
-			l, needed, err = t.TryAcquire(s, name, who(i), false, -m.came.is(), 0)
+			s.Apply(Op{Kind: OpAcquire, Name: name, Holder: holderName(i), TTLMS: ttl.Milliseconds(), Queue: w.waiter == 0})
+			l, needed, err = t.TryAcquire(s, name, holderName(i), false, -m.arrivedAgo.duration(), 0)
 		}
 		if m.token = 0; !needed && err == nil {
 			m.token = uint16(l.Token)
 		}
 		t.DueOps(s, 0) // it begins to count
 	case renew:
-		if !m.old && t.Renew(s, name, uint64(m.token), -m.came.is()) != nil || m.old && !r.noVerify {
+		if !m.toFormerLeader && t.Renew(s, name, uint64(m.token), -m.arrivedAgo.duration()) != nil || m.toFormerLeader && !r.noLeaderCheck {
 			m.token = 0
 		}
 	case release, handOver:
 		o := Op{Kind: OpRelease, Name: name, Token: uint64(m.token)}
-		if m.kind == handOver && w.waits > 0 {
-			o.Kind, o.Holder = OpHandOver, who(int(w.waits)-1)
+		if m.kind == handOver && w.waiter > 0 {
+			o.Kind, o.Holder = OpHandOver, holderName(int(w.waiter)-1)
 		}
 		if r, _ := s.Apply(o); r.Err() == nil {
 			t.DueOps(s, 0)
@@ -194,22 +194,22 @@
 		m.token = 0
 	}
 	m.stage = answered
-	w.keep(s, t)
+	w.record(s, t)
 }
 
-// hear has a holder read an answer.
-func (w *world) hear(i int, m message, r rules) {
-	h := w.holders[i].is()
+// receive has a holder read an answer.
+func (w *world) receive(i int, m message, r rules) {
+	h := w.holders[i].state()
 	switch {
 	case m.token != 0 && uint64(m.token) >= h.Token: // an answer that was overtaken says nothing
-		h.RecordGrant(uint64(m.token), -m.ago.is())
+		h.RecordGrant(uint64(m.token), -m.sentAgo.duration())
 		if r.noMargin {
-			h.deadline = max(h.deadline, -m.ago.is()+ttl)
+			h.deadline = max(h.deadline, -m.sentAgo.duration()+ttl)
 		}
 	case m.token == 0 && m.kind == renew:
 		h.MarkLost()
 	}
-	w.holders[i] = heldAs(h)
+	w.holders[i] = holderOf(h)
 }
 
 // events are all that may happen next, with what it is called.
@@ -217,112 +217,112 @@
 	add := func(what string, change func(*world)) {
 		x := w
 		change(&x)
-		if x.last < r.tokens && x != w {
+		if x.lastToken < r.maxTokens && x != w {
 			next, names = append(next, x), append(names, what)
 		}
 	}
 	add("tick", func(x *world) {
-		if x.timed > 0 {
-			x.left = x.left.after(r.fast)
+		if x.timerToken > 0 {
+			x.timerRemaining = x.timerRemaining.after(r.leaderTick)
 		}
-		for i := range r.n {
-			x.holders[i].left = x.holders[i].left.after(r.slow)
+		for i := range r.holderCount {
+			x.holders[i].remaining = x.holders[i].remaining.after(r.holderTick)
 			for k := range x.flight[i] {
 				if m := &x.flight[i][k]; m.kind != none {
-					m.ago = m.ago.older(r.slow)
+					m.sentAgo = m.sentAgo.older(r.holderTick)
 					if m.stage == arrived {
-						m.came = m.came.older(r.fast)
+						m.arrivedAgo = m.arrivedAgo.older(r.leaderTick)
 					}
 				}
 			}
 		}
 	})
 	add("another leader", func(x *world) {
-		x.changed = r.noVerify
-		s, _ := x.real()
+		x.leaderChanged = r.noLeaderCheck
+		s, _ := x.decisionParts()
 		t := NewExpiryTimer(0)
-		if r.noGrace {
+		if r.noNewLeaderGrace {
 			t.expiries[name] = expiry{token: uint64(x.token)}
 		} else {
 			t.DueOps(s, 0)
 		}
-		x.keep(s, t)
-		for i := range r.n {
+		x.record(s, t)
+		for i := range r.holderCount {
 			for k := range x.flight[i] {
 				if m := &x.flight[i][k]; m.kind != none && m.stage == arrived {
-					m.old = true
+					m.toFormerLeader = true
 				}
 			}
 		}
 	})
 	add("the lease is over", func(x *world) {
-		s, t := x.real()
+		s, t := x.decisionParts()
 		if len(t.DueOps(s, 0)) > 0 {
 			s.End(name, uint64(x.token))
 			t.DueOps(s, 0)
 		}
-		x.keep(s, t)
+		x.record(s, t)
 	})
-	if r.orders && w.holder > 0 {
+	if r.operatorOps && w.holder > 0 {
 		add("the lease is revoked", func(x *world) {
-			s, t := x.real()
+			s, t := x.decisionParts()
 			s.Apply(Op{Kind: OpRevoke, Name: name})
-			x.keep(s, t)
+			x.record(s, t)
 		})
 		add("who waits leaves", func(x *world) {
-			s, t := x.real()
-			s.Apply(Op{Kind: OpWithdraw, Name: name, Holder: who(int(x.waits) - 1)})
-			x.keep(s, t)
+			s, t := x.decisionParts()
+			s.Apply(Op{Kind: OpWithdraw, Name: name, Holder: holderName(int(x.waiter) - 1)})
+			x.record(s, t)
 		})
 	}
-	for i := range r.n {
+	for i := range r.holderCount {
 		h := w.holders[i]
-		if r.acts && w.about[i] == 0 && h.is().MayAct(0) {
-			add(who(i)+" sees that it may act", func(x *world) { x.about[i] = h.token })
+		if r.acts && w.checkedToken[i] == 0 && h.state().MayAct(0) {
+			add(holderName(i)+" sees that it may act", func(x *world) { x.checkedToken[i] = h.token })
 		}
-		if w.about[i] != 0 {
-			add(who(i)+" acts", func(x *world) {
-				f := fencedResource{highestToken: uint64(x.top)}
-				if f.Admit(uint64(x.about[i])) || r.noFence {
-					x.late = x.about[i] < x.top
-					x.top = max(x.top, x.about[i])
+		if w.checkedToken[i] != 0 {
+			add(holderName(i)+" acts", func(x *world) {
+				f := fencedResource{highestToken: uint64(x.resourceToken)}
+				if f.Admit(uint64(x.checkedToken[i])) || r.noFence {
+					x.staleAct = x.checkedToken[i] < x.resourceToken
+					x.resourceToken = max(x.resourceToken, x.checkedToken[i])
 				}
-				x.about[i] = 0
+				x.checkedToken[i] = 0
 			})
 		}
-		for k, m := range w.flight[i][:r.flight] {
+		for k, m := range w.flight[i][:r.messagesPerHolder] {
 			at := func(x *world) *message { return &x.flight[i][k] }
 			switch {
 			case m.kind == none:
 				if h.token == 0 {
-					add(who(i)+" asks", func(x *world) { *at(x) = message{kind: acquire} })
+					add(holderName(i)+" asks", func(x *world) { *at(x) = message{kind: acquire} })
 				} else {
-					add(who(i)+" keeps alive", func(x *world) { *at(x) = message{kind: renew, token: h.token} })
+					add(holderName(i)+" keeps alive", func(x *world) { *at(x) = message{kind: renew, token: h.token} })
 					for _, k := range []kind{release, handOver} {
-						if k == handOver && !r.orders {
+						if k == handOver && !r.operatorOps {
 							continue
 						}
-						add(who(i)+map[kind]string{release: " releases", handOver: " hands over"}[k], func(x *world) {
-							gone := h.is()
+						add(holderName(i)+map[kind]string{release: " releases", handOver: " hands over"}[k], func(x *world) {
+							gone := h.state()
 							*at(x) = message{kind: k, token: uint16(gone.Release())}
-							if x.holders[i] = heldAs(gone); r.noGiven {
-								x.holders[i].given = 0
+							if x.holders[i] = holderOf(gone); r.noReleasedToken {
+								x.holders[i].releasedToken = 0
 							}
 						})
 					}
 				}
 				continue
 			case m.stage == sent:
-				add(who(i)+"'s message comes", func(x *world) { at(x).stage = arrived })
-				if w.changed {
-					add(who(i)+"'s message comes to the former leader", func(x *world) { at(x).stage, at(x).old = arrived, true })
+				add(holderName(i)+"'s message comes", func(x *world) { at(x).stage = arrived })
+				if w.leaderChanged {
+					add(holderName(i)+"'s message comes to the former leader", func(x *world) { at(x).stage, at(x).toFormerLeader = arrived, true })
 				}
-			case m.stage == arrived && (!m.old || r.noVerify && m.kind == renew):
-				add(who(i)+"'s message is answered", func(x *world) { x.answer(i, at(x), r) })
+			case m.stage == arrived && (!m.toFormerLeader || r.noLeaderCheck && m.kind == renew):
+				add(holderName(i)+"'s message is answered", func(x *world) { x.answer(i, at(x), r) })
 			case m.stage == answered:
-				add(who(i)+" hears", func(x *world) { x.hear(i, m, r); *at(x) = message{} })
+				add(holderName(i)+" hears", func(x *world) { x.receive(i, m, r); *at(x) = message{} })
 			}
-			add(who(i)+"'s message is lost", func(x *world) { *at(x) = message{} })
+			add(holderName(i)+"'s message is lost", func(x *world) { *at(x) = message{} })
 		}
 	}
 	return next, names
@@ -345,7 +345,7 @@
 					continue
 				}
 				came[x] = step{w, names[i]}
-				if len(x.acting(r.n)) > 1 || x.late {
+				if len(x.acting(r.holderCount)) > 1 || x.staleAct {
 					for ; x != start; x = came[x].from {
 						way = append(way, came[x].what)
 					}
@@ -363,19 +363,19 @@
 // TestOneHolderActsAtATime: with clocks up to a tenth apart and all guards, no two act at once, to
 // the depth and in random walks far beyond it; tokens only grow.
 func TestOneHolderActsAtATime(t *testing.T) {
-	r := within()
+	r := defaultRules()
 	states, way := explore(r, *depth)
 	assert.Empty(t, way)
 	t.Logf("two holders: %d states to depth %d", states, *depth)
-	r.orders, r.acts = true, true
+	r.operatorOps, r.acts = true, true
 	states, way = explore(r, *depth-3)
 	assert.Empty(t, way)
 	t.Logf("two holders that act at a resource, leases revoked and handed over: %d states to depth %d", states, *depth-3)
-	r.n, r.orders, r.acts = 3, false, false
+	r.holderCount, r.operatorOps, r.acts = 3, false, false
 	states, way = explore(r, *depth-3)
 	assert.Empty(t, way)
 	t.Logf("three holders: %d states to depth %d", states, *depth-3)
-	r.orders, r.acts = true, true
+	r.operatorOps, r.acts = true, true
 	granted, found := walk(t, r, 0, uint64(*walks))
 	assert.Empty(t, found)
 	t.Logf("%d walks of 400 events, %d grants", *walks, granted)
@@ -385,7 +385,7 @@
 // walk goes at random, with messages that overtake each other, and gives the grants, and
 // the way to two that act, if there is one.
 func walk(t *testing.T, r rules, from, to uint64) (granted int, found string) {
-	r.n, r.tokens, r.flight = 3, 60000, inFlight
+	r.holderCount, r.maxTokens, r.messagesPerHolder = 3, 60000, inFlight
 	for seed := from; seed < to; seed++ {
 		rng, w, highest := rand.New(rand.NewPCG(seed, 1)), world{}, uint16(0)
 		var way []string
@@ -398,16 +398,16 @@
 				highest = x.token
 			}
 			w, way = list[at], append(way, names[at])
-			if len(w.acting(r.n)) > 1 || w.late {
+			if len(w.acting(r.holderCount)) > 1 || w.staleAct {
 				return granted, fmt.Sprintf("seed %d: %v", seed, way[max(0, len(way)-40):])
 			}
 		}
-		if next := w.waits; next > 0 { // nobody is heard of any more: who waits has it in the end
-			s, timer := w.real()
+		if next := w.waiter; next > 0 { // nobody is heard of any more: who waits has it in the end
+			s, timer := w.decisionParts()
 			for _, o := range timer.DueOps(s, 2*ttl) {
 				s.Apply(o)
 			}
-			assert.Equal(t, who(int(next)-1), s.Leases[name].Holder, "seed %d", seed)
+			assert.Equal(t, holderName(int(next)-1), s.Leases[name].Holder, "seed %d", seed)
 		}
 	}
 	return granted, ""
@@ -417,86 +417,20 @@
 func TestEachGuardIsNeeded(t *testing.T) {
 	for what, change := range map[string]func(*rules){
 		"the margin":                       func(r *rules) { r.noMargin = true },
-		"the grace of a new leader":        func(r *rules) { r.noGrace = true },
-		"a leader's making sure of itself": func(r *rules) { r.noVerify = true },
+		"the grace of a new leader":        func(r *rules) { r.noNewLeaderGrace = true },
+		"a leader's making sure of itself": func(r *rules) { r.noLeaderCheck = true },
 		"the fence":                        func(r *rules) { r.acts, r.noFence = true, true },
-		"a bound on drift":                 func(r *rules) { r.fast, r.slow = tick*15/10, tick*8/10 },
+		"a bound on drift":                 func(r *rules) { r.leaderTick, r.holderTick = tick*15/10, tick*8/10 },
 	} {
-		r := within()
+		r := defaultRules()
 		change(&r)
 		states, way := explore(r, 17)
 		assert.NotEmpty(t, way, "without %s", what)
 		t.Logf("without %s: two act after %d events (%d states): %v", what, len(way), states, way)
 	}
-	r := within()
-	r.noGiven = true
+	r := defaultRules()
+	r.noReleasedToken = true
 	_, found := walk(t, r, 1400, 1500) // one of these finds it
 	assert.NotEmpty(t, found, "without what was given back")
 	t.Logf("without what was given back: %s", found)
 }
-
-// TestFencingToken: one that checked, stood still and acts late is refused by a resource that
-// keeps the highest token, and not by one that doesn't.
-func TestFencingToken(t *testing.T) {
-	s, f := NewState(0), &fencedResource{}
-	first, err := s.Acquire(name, "h1", 500, false, 0)
-	assert.NoError(t, err)
-	h := &HolderState{TTL: ttl}
-	h.RecordGrant(first.Token, 0)
-	assert.True(t, h.MayAct(399*time.Millisecond)) // checks, and is stopped for three times the lease
-	assert.False(t, h.MayAct(400*time.Millisecond))
-	_, given, err := s.End(name, first.Token)
-	assert.NoError(t, err)
-	assert.False(t, given)
-	second, err := s.Acquire(name, "h2", 500, false, 0)
-	assert.NoError(t, err)
-	assert.True(t, f.Admit(second.Token))
-	assert.False(t, f.Admit(first.Token), "acts on waking up")
-	assert.False(t, s.Holds(name, first.Token))
-	assert.True(t, s.Holds(name, second.Token))
-}
-
-// TestWaitersQueue: who waits is served by priority, then in the order of coming, one at a time;
-// tokens only grow, also in a state that is restored; bounds are kept.
-func TestWaitersQueue(t *testing.T) {
-	s := NewState(41)
-	l, err := s.Acquire(name, "a", 500, false, 0)
-	assert.NoError(t, err)
-	assert.EqualValues(t, 42, l.Token)
-	for i, h := range []string{"b", "c", "d", "b"} {
-		_, err := s.Acquire(name, h, 500, true, map[int]int{2: 1}[i])
-		assert.ErrorIs(t, err, ErrHeld)
-	}
-	same, err := s.Acquire(name, "a", 500, true, 0)
-	assert.NoError(t, err)
-	assert.Equal(t, l.Token, same.Token, "its answer was lost")
-	s.Withdraw(name, "c")
-	var order []string
-	for token := l.Token; ; {
-		next, given, err := s.End(name, token)
-		assert.NoError(t, err)
-		if !given {
-			break
-		}
-		_, _, err = s.End(name, token)
-		assert.ErrorIs(t, err, ErrNotHolder)
-		assert.Greater(t, next.Token, token)
-		order, token = append(order, next.Holder), next.Token
-	}
-	assert.Equal(t, []string{"d", "b"}, order)
-	for _, bad := range [][2]string{{"", "a"}, {"a b", "a"}, {name, ""}} {
-		_, err := s.Acquire(bad[0], bad[1], 500, false, 0)
-		assert.ErrorIs(t, err, ErrInvalidRequest)
-	}
-	_, err = s.Acquire(name, "a", 499, false, 0)
-	assert.ErrorIs(t, err, ErrInvalidRequest)
-	s.Acquire(name, "a", 500, false, 0)
-	for i := range MaxWaitersPerLease {
-		s.Acquire(name, fmt.Sprint("w", i), 500, true, 0)
-	}
-	_, err = s.Acquire(name, "late", 500, true, 0)
-	assert.ErrorIs(t, err, ErrTooMany)
-	c := s.Clone()
-	c.Withdraw(name, "w0")
-	assert.Len(t, s.Leases[name].Waiters, MaxWaitersPerLease)
-}
--- a/internal/cluster/storeadmin/server.go
+++ b/internal/cluster/storeadmin/server.go
@@ -65,7 +65,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	maintenanceController := controller.New(node, log.Named("work"))
+	maintenanceController := controller.New(node, log.Named("maintenance"))
 	node.OnClose(maintenanceController.Close)
 	if err := serve(node, maintenanceController); err != nil {
 		maintenanceController.Close()
--- a/internal/maintenance/golden_test.go
+++ b/internal/maintenance/golden_test.go
@@ -82,13 +82,13 @@
 		func(v *Observation) {
 			v.NowMS = 1_000_000
 			v.Orders[0].LatestStartMS, v.Orders[1].Phase, v.Orders[2].Phase = 1, PhaseGranted, PhaseDraining
-			v.Orders = append(v.Orders, ask("m4", "m5", "m6", "m7")...)
+			v.Orders = append(v.Orders, newOrders("m4", "m5", "m6", "m7")...)
 			v.Orders[3].Phase, v.Orders[4].Phase, v.Orders[5].Phase, v.Orders[6].Phase = PhaseOut, PhaseReturned, PhaseReturned, PhaseFailed
 			v.Orders[6].PhaseReason, v.Machines[5].State = "disk", MachineWarmingUp
 			v.Budget.AbandonAfterMS = 5000
 		},
 	} {
-		v := Observation{Machines: fleetOf(12), Orders: ask("m0", "m1", "m3"), Budget: DefaultDisruptionBudget()}
+		v := Observation{Machines: newMachines(12), Orders: newOrders("m0", "m1", "m3"), Budget: DefaultDisruptionBudget()}
 		v.Budget.MaxOut, v.Budget.MaxOutPerZone, v.Budget.MaxCapacityShare, v.Budget.MaxZoneCapacityShare, v.Budget.SpareVoters = 3, 3, 1, 1, 0
 		v.Orders[0].Priority = 1
 		change(&v)
@@ -102,9 +102,9 @@
 func TestGoldenPlans(t *testing.T) {
 	var lines strings.Builder
 	for _, n := range []int{0, 5, 8, 30} {
-		v := Observation{Machines: fleetOf(n)}
+		v := Observation{Machines: newMachines(n)}
 		for i, m := range v.Machines {
-			j := ask(m.Name)[0]
+			j := newOrders(m.Name)[0]
 			j.DurationMS, j.Priority, j.PhaseSinceMS = int64(10_000+7919*(i%5)), i%2, 1000
 			if i == 1 {
 				j.Phase = PhaseOut
--- a/internal/maintenance/order_duration_test.go
+++ b/internal/maintenance/order_duration_test.go
@@ -14,16 +14,16 @@
 // carried out, beside its plan, what no plan can be shorter than, one at a time, and fixed
 // batches of the same limit. All in virtual time, of one seed.
 func TestOrderDurations(t *testing.T) {
-	s := newSim(t, 1, 300)
-	s.faults = 0
-	l := simLimits(300)
+	s := newSimulation(t, 1, 300)
+	s.faultsUntil = 0
+	l := simulationBudget(300)
 	q := PlanInput{Budget: l, ZoneCapacity: map[string]float64{}, Seed: 1, MaxSchedules: 3}
 	var one, batches, longest time.Duration
 	for i, m := range s.machines {
 		q.TotalCapacity += m.Capacity()
 		q.ZoneCapacity[m.Zone] += m.Capacity()
-		s.jobs[m.Name].DurationMS = 60_000 + s.rng.Int64N(540_000)
-		length := time.Duration(s.jobs[m.Name].DurationMS) * time.Millisecond
+		s.orders[m.Name].DurationMS = 60_000 + s.rng.Int64N(540_000)
+		length := time.Duration(s.orders[m.Name].DurationMS) * time.Millisecond
 		q.Tasks = append(q.Tasks, PlanTask{Node: m.Name, Zone: m.Zone, Capacity: m.Capacity(), Duration: length})
 		one += length
 		if longest = max(longest, length); (i+1)%l.MaxOut == 0 {
@@ -48,7 +48,7 @@
 func BenchmarkDecide(b *testing.B) {
 	for _, n := range []int{300, 3000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			v := Observation{Machines: fleetOf(n), Budget: simLimits(n), NowMS: 1}
+			v := Observation{Machines: newMachines(n), Budget: simulationBudget(n), NowMS: 1}
 			for i, m := range v.Machines {
 				if i%3 == 0 {
 					v.Orders = append(v.Orders, Order{Node: m.Name, Reason: "kernel", DurationMS: 60_000, Phase: PhaseRequested, Ticket: uint64(i), RequestedMS: 1_800_000_000_000})
