--- a/admission/admit.go
+++ b/admission/admit.go
@@ -33,7 +33,7 @@
 	state := c.occupancy()
 	full := !c.canRun() || c.phaseCounts[phaseQueued] > 0
 	c.limitReached = c.limitReached || full
-	if c.isTooLate(r, state) {
+	if c.rejectsAsTooLate(r, state) {
 		return false
 	}
 	return !full || c.preemptLongRun() || c.policyAdmits(r, state)
@@ -44,9 +44,9 @@
 	return state < len(c.policy.bias) && c.reward(r, state) >= c.policy.bias[state]
 }
 
-// isTooLate reports whether a request can't be answered within its objective. An
+// rejectsAsTooLate reports whether a request can't be answered within its objective. An
 // idle server admits such requests all the same, to learn how long runs take.
-func (c *Controller) isTooLate(r *request, state int) bool {
+func (c *Controller) rejectsAsTooLate(r *request, state int) bool {
 	if c.reward(r, state) >= 0 {
 		return false
 	}
--- a/admission/answers.go
+++ b/admission/answers.go
@@ -5,12 +5,12 @@
 // Answers: every request gets one answer by its deadline. One that never ran may
 // be rejected; one that ran, or may have, can only fail.
 
-// answerLeadTicks is how many calls of Handle before its deadline a request is
+// answerLeadIntervals is how many calls of Handle before its deadline a request is
 // answered: the timer may be late by one.
-const answerLeadTicks = 2
+const answerLeadIntervals = 2
 
 // answerLead is how long before its deadline a request is answered.
-func (c *Controller) answerLead() time.Duration { return answerLeadTicks * c.settings.MinInterval }
+func (c *Controller) answerLead() time.Duration { return answerLeadIntervals * c.settings.MinInterval }
 
 // expiry is the clock time at which a request is answered, whatever its phase. A
 // queued one is answered when half of a mean run no longer fits before its
@@ -112,7 +112,7 @@
 func (c *Controller) learnFrom(r *request, e Completed) {
 	switch r.phase {
 	case phaseRunning:
-		c.runTimes.exited()
+		c.runTimes.resetMissedRuns()
 		if e.Outcome == OutcomeOK || e.Outcome == OutcomeInternal {
 			c.runTimes.observe(r.class, e.Elapsed.Seconds())
 		}
--- a/admission/arrival.go
+++ b/admission/arrival.go
@@ -27,7 +27,7 @@
 		r.deadline = min(r.deadline, c.lastAnswerTime())
 	}
 	smooth(&c.readDelay, math.Min(1, float64(e.Age)/float64(class.LatencyObjective)))
-	c.countRetry(e.Retry)
+	c.observeArrival(e.Retry)
 	c.requests = append(c.requests, r)
 	c.byID[r.id] = r
 	c.phaseCounts[phaseUndecided]++
--- a/admission/calls.go
+++ b/admission/calls.go
@@ -62,8 +62,8 @@
 	return inFlight+len(l.lingerUntil) == 0 && l.savedTime >= l.linger.Seconds()+minCallTime.Seconds()
 }
 
-// spendable is the longest call that the accrued call time allows, if it lingers after that.
-func (l *callLimiter) spendable() time.Duration {
+// maxCallTime is the longest call that the accrued call time allows, if it lingers after that.
+func (l *callLimiter) maxCallTime() time.Duration {
 	seconds := l.savedTime - l.linger.Seconds()
 	return time.Duration(seconds * float64(time.Second))
 }
@@ -114,7 +114,7 @@
 func (c *Controller) callDeadline(r *request) time.Duration {
 	deadline := r.deadline - c.answerLead()
 	if c.settings.Dependency == DependencyShared && c.calls.quota < 1 {
-		deadline = min(deadline, c.now+c.calls.spendable())
+		deadline = min(deadline, c.now+c.calls.maxCallTime())
 	}
 	return deadline
 }
@@ -132,7 +132,7 @@
 	if r == nil || !stepNeedCall.allows(r.phase) {
 		return
 	}
-	c.runTimes.exited()
+	c.runTimes.resetMissedRuns()
 	c.advance(r, stepNeedCall)
 }
 
--- a/admission/concurrency.go
+++ b/admission/concurrency.go
@@ -49,7 +49,7 @@
 // run starts or resumes a request.
 func (c *Controller) run(r *request) {
 	if c.phaseCounts[phaseRunning] == 0 {
-		c.runTimes.exited()
+		c.runTimes.resetMissedRuns()
 	}
 	r.ran = true
 	r.preempted = false
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -110,7 +110,7 @@
 
 // passTime moves the clock and accounts for the time that runs and calls took.
 func (c *Controller) passTime(now time.Duration) {
-	c.runTimes.expose((now - c.now).Seconds() * float64(c.phaseCounts[phaseRunning]))
+	c.runTimes.addRunSeconds((now - c.now).Seconds() * float64(c.phaseCounts[phaseRunning]))
 	c.calls.pass(c.now, now, c.phaseCounts[phaseInCall])
 	c.now = now
 }
--- a/admission/episodes.go
+++ b/admission/episodes.go
@@ -24,8 +24,8 @@
 	burstDeviations = 3.5
 	// maxServiceRateDrift is the relative change of μ that calls for a new policy: beyond its error.
 	maxServiceRateDrift = 0.25
-	// arrivalWindowTicks is the number of gauge ticks over which recent arrivals are counted: 1 s.
-	arrivalWindowTicks = 4
+	// arrivalWindowGaugeTicks is the number of gauge ticks over which recent arrivals are counted: 1 s.
+	arrivalWindowGaugeTicks = 4
 	// maxStateFactor is S as a multiple of the runs that the server survives: a
 	// request queued beyond that would miss its objective.
 	maxStateFactor = 4
@@ -36,7 +36,7 @@
 // arrivalWindow counts the arrivals of the latest gauge ticks, the current one
 // first. A count falls below 0 when an arrival of an earlier tick is withdrawn;
 // the sum is right.
-type arrivalWindow [arrivalWindowTicks]int
+type arrivalWindow [arrivalWindowGaugeTicks]int
 
 // rate is the mean of the window in requests per second.
 func (w *arrivalWindow) rate() float64 {
@@ -44,7 +44,7 @@
 	for _, count := range w {
 		recent += count
 	}
-	return float64(recent) / (gaugeInterval.Seconds() * arrivalWindowTicks)
+	return float64(recent) / (gaugeInterval.Seconds() * arrivalWindowGaugeTicks)
 }
 
 // nextTick begins a gauge tick.
--- a/admission/events.go
+++ b/admission/events.go
@@ -14,7 +14,7 @@
 	ExpectedWork time.Duration // on a standard core; 0 if not known
 	Age          time.Duration // since it reached the machine
 	MemoryKB     float64       // while queued
-	HasKey       bool          // it names a subject
+	HasSubject   bool          // it names a subject
 	Retry        bool          // marked as a retry or a hedged request
 	Rank         float64       // 0 to 1, by the weight of its class
 	DuplicateOf  uint32        // stored request that it repeats; 0 if none
--- a/admission/retryadvice.go
+++ b/admission/retryadvice.go
@@ -46,8 +46,8 @@
 		c.rejectedFraction > minFutileRejections && othersReject
 }
 
-// countRetry updates the fractions of rejected requests and of retries at an arrival.
-func (c *Controller) countRetry(retry bool) {
+// observeArrival updates the fractions of rejected requests and of retries at an arrival.
+func (c *Controller) observeArrival(retry bool) {
 	c.rejectedFraction -= c.rejectedFraction * requestSmoothing
 	c.retryFraction -= c.retryFraction * requestSmoothing
 	if retry {
--- a/admission/runtimes.go
+++ b/admission/runtimes.go
@@ -18,14 +18,14 @@
 	// minSuccessFraction is the success of a class whose runs all fail: above 0, so
 	// that it can recover.
 	minSuccessFraction = 0.1
-	// minExposure in run-seconds avoids a division by 0.
-	minExposure = 1e-9
+	// minRunSeconds in run-seconds avoids a division by 0.
+	minRunSeconds = 1e-9
 )
 
 // runTimes holds the estimates. Run-seconds are seconds times runs on the cores.
 type runTimes struct {
 	completed   float64   // runs completed, fading
-	exposure    float64   // run-seconds on the cores, fading
+	runSeconds  float64   // run-seconds on the cores, fading
 	sinceExit   float64   // run-seconds since a run last left the cores
 	meanSeconds []float64 // mean seconds on the cores, by class
 	success     []float64 // fraction of runs whose client got an answer, by class
@@ -40,19 +40,19 @@
 	for i, class := range classes {
 		t.success[i] = 1
 		t.meanSeconds[i] = class.LatencyObjective.Seconds() / runsPerObjective
-		t.exposure += t.meanSeconds[i] * priorRuns / float64(len(classes))
+		t.runSeconds += t.meanSeconds[i] * priorRuns / float64(len(classes))
 	}
 	return t
 }
 
-// expose adds the time that runs spent on the cores.
-func (t *runTimes) expose(runSeconds float64) {
-	t.exposure += runSeconds
+// addRunSeconds adds the time that runs spent on the cores.
+func (t *runTimes) addRunSeconds(runSeconds float64) {
+	t.runSeconds += runSeconds
 	t.sinceExit += runSeconds
 }
 
-// exited notes that a run left the cores, or that the cores were empty.
-func (t *runTimes) exited() { t.sinceExit = 0 }
+// resetMissedRuns notes that a run left the cores, or that the cores were empty.
+func (t *runTimes) resetMissedRuns() { t.sinceExit = 0 }
 
 // observe counts a run that ended by itself after the given seconds.
 func (t *runTimes) observe(class int, seconds float64) {
@@ -73,7 +73,7 @@
 // forget limits the completed runs that are remembered.
 func (t *runTimes) forget() {
 	if t.completed > maxRememberedRuns {
-		t.exposure *= maxRememberedRuns / t.completed
+		t.runSeconds *= maxRememberedRuns / t.completed
 		t.completed = maxRememberedRuns
 	}
 }
@@ -81,7 +81,7 @@
 // serviceRate is μ, completions per run-second. It is lowered when no run
 // has left the cores for much longer than it predicts: a hang or a sudden slowdown.
 func (t *runTimes) serviceRate() float64 {
-	rate := t.completed / t.exposure
+	rate := t.completed / t.runSeconds
 	if t.missedRuns() > doubtAfterMissedRuns {
 		rate = math.Min(rate, doubtAfterMissedRuns/t.sinceExit)
 	}
@@ -90,5 +90,5 @@
 
 // missedRuns is how many runs should have left the cores since the last one did.
 func (t *runTimes) missedRuns() float64 {
-	return t.sinceExit * t.completed / math.Max(t.exposure-t.sinceExit, minExposure)
+	return t.sinceExit * t.completed / math.Max(t.runSeconds-t.sinceExit, minRunSeconds)
 }
--- a/cmd/oxbowbridge/config_validate.go
+++ b/cmd/oxbowbridge/config_validate.go
@@ -83,7 +83,7 @@
 
 // validateSections has each section checked by the package that uses it.
 func (c *config) validateSections() error {
-	if _, err := dispatch.ParseSettings(&c.Settings); err != nil {
+	if _, err := dispatch.ControllerSettings(&c.Settings); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	if c.Store != nil {
--- a/cmd/oxbowbridge/runner.go
+++ b/cmd/oxbowbridge/runner.go
@@ -40,7 +40,7 @@
 }
 
 // newRunner returns the engine, or the AJP upstreams if there are any.
-func newRunner(cfg *config, env session.Dependencies) runner {
+func newRunner(cfg *config, env session.Config) runner {
 	info := &cfg.Settings.Server
 	if len(cfg.AJP.UpstreamAddresses) == 0 {
 		return engineRunner{engine.New(cfg.EngineAddress, info.Preemption == preemptionPause, env)}
@@ -52,12 +52,12 @@
 func slowStartConfig(cfg *config) slowstart.Config {
 	safety := &cfg.Settings.Safety
 	return slowstart.Config{
-		Cores:            cfg.Settings.Server.Cores,
-		WarmRunsPerCore:  safety.MaxRunsPerCore,
-		MinSpeedFraction: safety.SlowStartMinSpeed,
-		WarmUp:           safety.SlowStartDuration,
-		AveragingWindow:  safety.OverloadWindow,
-		Processes:        cfg.Settings.Servers,
+		Cores:           cfg.Settings.Server.Cores,
+		MaxRunsPerCore:  safety.MaxRunsPerCore,
+		MinSpeed:        safety.SlowStartMinSpeed,
+		Duration:        safety.SlowStartDuration,
+		AveragingWindow: safety.OverloadWindow,
+		Processes:       cfg.Settings.Servers,
 	}
 }
 
--- a/cmd/oxbowbridge/service.go
+++ b/cmd/oxbowbridge/service.go
@@ -51,7 +51,7 @@
 		return nil, err
 	}
 	started := time.Now()
-	env := session.Dependencies{
+	env := session.Config{
 		Exchange: exchange.New(maxOpenRequests(cfg)),
 		Loop:     loop,
 		Timers:   &timerqueue.Queue{},
@@ -74,7 +74,7 @@
 		Now:                    env.Now,
 		Log:                    log,
 		Seed:                   seed,
-		Settings:               &cfg.Settings,
+		SiteSettings:           &cfg.Settings,
 	}
 	for _, f := range frontends {
 		d.Frontends = append(d.Frontends, f.listener)
--- a/cmd/oxbowbridge/storenode_settings.go
+++ b/cmd/oxbowbridge/storenode_settings.go
@@ -70,7 +70,7 @@
 	var settings simproto.Settings
 	err := simproto.DecodeJSON(version.Value, &settings)
 	if err == nil {
-		_, err = dispatch.ParseSettings(&settings)
+		_, err = dispatch.ControllerSettings(&settings)
 	}
 	if err != nil {
 		n.log.Error("invalid settings in store", zap.Uint64("revision", version.Revision), zap.Error(err))
--- a/internal/proxy/dispatch/actions.go
+++ b/internal/proxy/dispatch/actions.go
@@ -14,7 +14,7 @@
 func (d *Dispatcher) execute(now time.Duration, a admission.Action) {
 	switch a := a.(type) {
 	case admission.Run:
-		d.executeStart(now, a.ID)
+		d.startOrReportGone(now, a.ID)
 	case admission.Preempt:
 		d.withRequest(a.ID, d.preempt)
 	case admission.Reject:
@@ -31,11 +31,11 @@
 	case admission.Advertise:
 		d.Exchange.SetFeedback(a.Value)
 	case admission.SetHealth:
-		d.setActive(a.Healthy)
+		d.setHealthy(a.Healthy)
 	case admission.SetIdleTimeout:
 		d.idleTimeout = a.Timeout
 	case admission.SetTimer:
-		d.deferDue(now, a)
+		d.scheduleControllerTimer(now, a)
 	case admission.LogMessage:
 		d.Log.Info("admission controller remark", zap.String("text", a.Text))
 	default:
@@ -49,9 +49,9 @@
 	}
 }
 
-// executeStart starts a request. The controller expects an end for each start, also of a
+// startOrReportGone starts a request. The controller expects an end for each start, also of a
 // request that is forgotten.
-func (d *Dispatcher) executeStart(now time.Duration, id uint32) {
+func (d *Dispatcher) startOrReportGone(now time.Duration, id uint32) {
 	r := d.byID[id]
 	if r == nil {
 		d.reportNextTurn(admission.Completed{ID: id, Outcome: admission.OutcomeNotStarted})
@@ -60,11 +60,11 @@
 	d.start(now, r)
 }
 
-// setActive sets the answer to health checks, and the listing where the settings have one.
-func (d *Dispatcher) setActive(active bool) {
-	d.active = active
+// setHealthy sets the answer to health checks, and the listing where the settings have one.
+func (d *Dispatcher) setHealthy(active bool) {
+	d.controllerHealthy = active
 	d.updateHealth()
-	if d.Settings.Server.Readiness {
+	if d.SiteSettings.Server.Readiness {
 		d.Registry.SetAvailable(active)
 	}
 	d.Log.Info("health check status set", zap.Bool("healthy", active))
--- a/internal/proxy/dispatch/arrival.go
+++ b/internal/proxy/dispatch/arrival.go
@@ -14,25 +14,25 @@
 // request is one that has no final response, or whose run goes on after its response.
 type request struct {
 	*exchange.Request
-	id        uint32 // names the request for the controller
-	state     state
-	answered  bool          // the final response was given
-	started   bool          // a run was started, whether or not it still goes on
-	preempted bool          // by the controller: the end of its run puts it back into the queue
-	arrivedAt time.Duration // at the machine
-	startedAt time.Duration // when the run, or the wait for the original, began
-	calledAt  time.Duration // when the call in flight was made
-	callBody  []byte        // of the call that the run needs
-	callTimer *timerqueue.Timer
-	ownEntry  *idempotency.Entry // of the idempotency table, if this attempt may run
-	original  *idempotency.Entry // of the idempotency table, if this attempt duplicates another
+	id            uint32 // names the request for the controller
+	state         state
+	answered      bool          // the final response was given
+	started       bool          // a run was started, whether or not it still goes on
+	preempted     bool          // by the controller: the end of its run puts it back into the queue
+	arrivedAt     time.Duration // at the machine
+	startedAt     time.Duration // when the run, or the wait for the original, began
+	calledAt      time.Duration // when the call in flight was made
+	callBody      []byte        // of the call that the run needs
+	callTimer     *timerqueue.Timer
+	ownedEntry    *idempotency.Entry // of the idempotency table, if this attempt may run
+	originalEntry *idempotency.Entry // of the idempotency table, if this attempt duplicates another
 }
 
 // arrive records a request and reports it to the controller.
 func (d *Dispatcher) arrive(q *exchange.Request) {
 	if d.isDuplicateTrace(q.TraceID) {
 		d.Log.Warn("duplicate trace id, request failed", zap.String("trace_id", q.TraceID))
-		d.respondUnrecorded(q, exchange.Response{Kind: exchange.Failed, InvalidRequest: true})
+		d.sendResponse(q, exchange.Response{Kind: exchange.Failed, InvalidRequest: true})
 		return
 	}
 	r := &request{
@@ -69,15 +69,15 @@
 		ExpectedWork: r.ExpectedWork,
 		Age:          r.arrivedAt,
 		MemoryKB:     r.ReservedKB,
-		HasKey:       r.HasSubject,
+		HasSubject:   r.HasSubject,
 		Retry:        r.IsRetry,
 		Rank:         r.Rank,
 	}
-	if d.Settings.Server.PassesDeadline && r.Timeout > 0 { // else the deadline of its class counts
+	if d.SiteSettings.Server.PassesDeadline && r.Timeout > 0 { // else the deadline of its class counts
 		a.Timeout = r.arrivedAt + r.Timeout
 	}
-	if r.original != nil {
-		a.DuplicateOf = r.original.Owner
+	if r.originalEntry != nil {
+		a.DuplicateOf = r.originalEntry.Owner
 	}
 	return a
 }
@@ -91,9 +91,9 @@
 	return a
 }
 
-// clientGone ends a request whose connection is lost, or that its caller cancelled: no
+// callerGone ends a request whose connection is lost, or that its caller cancelled: no
 // response can reach the caller, and its resources go to others.
-func (d *Dispatcher) clientGone(q *exchange.Request) {
+func (d *Dispatcher) callerGone(q *exchange.Request) {
 	r := d.byTraceID[q.TraceID]
 	if r == nil || r.Request != q || r.answered {
 		return
@@ -106,4 +106,6 @@
 }
 
 // effect says how often requests of r's class may run.
-func (d *Dispatcher) effect(r *request) admission.Effect { return d.settings.Classes[r.Class].Effect }
+func (d *Dispatcher) effect(r *request) admission.Effect {
+	return d.controllerSettings.Classes[r.Class].Effect
+}
--- a/internal/proxy/dispatch/atmostonce.go
+++ b/internal/proxy/dispatch/atmostonce.go
@@ -24,13 +24,13 @@
 	if !r.state.permits(startRun) || r.answered {
 		return false
 	}
-	return d.effect(r) == admission.Idempotent || !r.started && r.original == nil
+	return d.effect(r) == admission.Idempotent || !r.started && r.originalEntry == nil
 }
 
 // mayRejectSafely tells whether a response may promise that nothing ran: neither this
 // attempt nor the one that it duplicates.
 func (d *Dispatcher) mayRejectSafely(r *request) bool {
-	mayHaveRun := r.started || r.original != nil && r.original.Started
+	mayHaveRun := r.started || r.originalEntry != nil && r.originalEntry.Started
 	return d.effect(r) == admission.Idempotent || !mayHaveRun
 }
 
@@ -42,6 +42,6 @@
 	}
 	traceID := r.TraceID
 	d.spentTraces[traceID] = struct{}{}
-	expiry := d.Now() + d.settings.Classes[r.Class].Deadline
+	expiry := d.Now() + d.controllerSettings.Classes[r.Class].Deadline
 	d.Timers.Schedule(expiry, func() { delete(d.spentTraces, traceID) })
 }
--- a/internal/proxy/dispatch/calls.go
+++ b/internal/proxy/dispatch/calls.go
@@ -7,9 +7,9 @@
 	"oxbowbridge/internal/proxy/exchange"
 )
 
-// upstreamTimeoutSlack is how long after its expiry a call may still be reported as ended by
+// callReportSlack is how long after its expiry a call may still be reported as ended by
 // the dependency; then it is given up here.
-const upstreamTimeoutSlack = 50 * time.Millisecond
+const callReportSlack = 50 * time.Millisecond
 
 // callNeeded reports a run that waits for a call to the controller. The run of a request
 // that is answered is stopped instead.
@@ -33,16 +33,16 @@
 		return
 	}
 	if expiry == 0 {
-		expiry = now + d.settings.Classes[r.Class].Deadline
+		expiry = now + d.controllerSettings.Classes[r.Class].Deadline
 	}
 	r.calledAt = now
-	d.Dependency.Call(exchange.Attempt{
+	d.Dependency.Call(exchange.Job{
 		TraceID:    r.TraceID,
 		Idempotent: d.effect(r) == admission.Idempotent,
 		Timeout:    expiry - now,
 		Body:       r.callBody,
 	})
-	r.callTimer = d.Timers.Schedule(expiry+upstreamTimeoutSlack, func() {
+	r.callTimer = d.Timers.Schedule(expiry+callReportSlack, func() {
 		d.Dependency.Cancel(r.TraceID)
 		d.callEnded(r, exchange.Outcome{Result: exchange.ResultTimedOut})
 	})
--- a/internal/proxy/dispatch/config.go
+++ b/internal/proxy/dispatch/config.go
@@ -45,7 +45,7 @@
 type Config struct {
 	// Exchange brings requests and outcomes to the dispatcher.
 	Exchange *exchange.Exchange
-	// Timers are shared with the client side. The dispatcher's goroutine owns them.
+	// Timers are shared with the backend side. The dispatcher's goroutine owns them.
 	Timers *timerqueue.Queue
 	// Runner runs requests: the engine, or AJP upstreams.
 	Runner exchange.Runner
@@ -67,5 +67,5 @@
 	// Seed seeds the random draws of the admission controller; default 0.
 	Seed uint64
 	// Settings are the service's settings as configured.
-	Settings *simproto.Settings
+	SiteSettings *simproto.Settings
 }
--- a/internal/proxy/dispatch/dispatcher.go
+++ b/internal/proxy/dispatch/dispatcher.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// reapInterval is the time between two looks for connections that are idle or stuck.
-	reapInterval = 200 * time.Millisecond
+	// sweepInterval is the time between two looks for connections that are idle or stuck.
+	sweepInterval = 200 * time.Millisecond
 	// lateTurnThreshold is how late a timer may run without a message in the log.
 	lateTurnThreshold = 20 * time.Millisecond
 	// maxTurnInterval is the time after which a turn begins if no timer is set.
@@ -23,9 +23,9 @@
 // goroutine that calls Run owns it; see the package comment.
 type Dispatcher struct {
 	Config
-	settings    admission.Settings
-	tenants     map[string]int // index by name
-	idempotency *idempotency.Table
+	controllerSettings admission.Settings
+	tenants            map[string]int // index by name
+	idempotency        *idempotency.Table
 
 	controller    *admission.Controller // nil before the first event
 	pendingEvents []admission.Event     // for the next call of the controller
@@ -37,43 +37,43 @@
 	byTraceID   map[string]*request
 	spentTraces map[string]struct{} // ran, and must not run again; see atmostonce.go
 
-	coldStart   bool          // the runner was cold when it became ready
-	readyAt     time.Duration // when the runner became ready; 0 before
-	warmAt      time.Duration // when it is warm
-	active      bool          // the controller wants health checks to succeed
-	idleTimeout time.Duration // of connections without open requests
-	gauges      gaugeReading
-	drain       drainState
+	coldStart         bool          // the runner was cold when it became ready
+	readyAt           time.Duration // when the runner became ready; 0 before
+	warmAt            time.Duration // when it is warm
+	controllerHealthy bool          // the controller wants health checks to succeed
+	idleTimeout       time.Duration // of connections without open requests
+	gauges            gaugeReading
+	drain             drainState
 }
 
 // New checks the settings and returns a Dispatcher.
 func New(c Config) (*Dispatcher, error) {
-	settings, err := ParseSettings(c.Settings)
+	settings, err := ControllerSettings(c.SiteSettings)
 	if err != nil {
 		return nil, err
 	}
 	reserveKeyMemory(&settings, c.MaxIdempotencyKeyBytes)
 	tenants := map[string]int{}
-	for i, t := range c.Settings.Tenants {
+	for i, t := range c.SiteSettings.Tenants {
 		tenants[t.Name] = i
 	}
 	return &Dispatcher{
-		Config:      c,
-		settings:    settings,
-		tenants:     tenants,
-		idempotency: idempotency.New(c.MaxIdempotencyKeyBytes),
-		byID:        map[uint32]*request{},
-		byTraceID:   map[string]*request{},
-		spentTraces: map[string]struct{}{},
-		coldStart:   settings.SlowStart,
-		idleTimeout: settings.MaxIdleTimeout,
-		gauges:      gaugeReading{values: c.Settings.Gauges(nil)},
+		Config:             c,
+		controllerSettings: settings,
+		tenants:            tenants,
+		idempotency:        idempotency.New(c.MaxIdempotencyKeyBytes),
+		byID:               map[uint32]*request{},
+		byTraceID:          map[string]*request{},
+		spentTraces:        map[string]struct{}{},
+		coldStart:          settings.SlowStart,
+		idleTimeout:        settings.MaxIdleTimeout,
+		gauges:             gaugeReading{values: c.SiteSettings.Gauges(nil)},
 	}, nil
 }
 
 // Run dispatches until the service has drained.
 func (d *Dispatcher) Run() {
-	d.reapIdle()
+	d.sweepConnections()
 	timer := time.NewTimer(0)
 	for !d.drain.finished {
 		d.awaitMinInterval()
@@ -89,7 +89,7 @@
 // awaitMinInterval keeps two calls of the controller apart by the time that its settings
 // promise it (MinInterval). Events that come meanwhile belong to one turn.
 func (d *Dispatcher) awaitMinInterval() {
-	remaining := d.lastDecision + d.settings.MinInterval - d.Now()
+	remaining := d.lastDecision + d.controllerSettings.MinInterval - d.Now()
 	if d.lastDecision > 0 && remaining > 0 {
 		time.Sleep(remaining)
 	}
@@ -137,12 +137,12 @@
 	switch e := e.(type) {
 	case *exchange.Request:
 		d.arrive(e)
-	case exchange.ClientGone:
-		d.clientGone(e.Request)
+	case exchange.CallerGone:
+		d.callerGone(e.Request)
 	case exchange.Outcome:
 		d.outcome(e)
 	case exchange.Gauges:
-		d.gauges = gaugeReading{values: d.Settings.Gauges(e), readAt: d.Now()}
+		d.gauges = gaugeReading{values: d.SiteSettings.Gauges(e), readAt: d.Now()}
 	case exchange.RunnerReady:
 		d.runnerReady(e)
 	case exchange.Callback:
@@ -156,7 +156,7 @@
 	d.readyAt = d.Now()
 	d.warmAt = d.readyAt
 	if e.ColdStart {
-		d.warmAt += max(0, d.settings.SlowStartDuration-e.Uptime)
+		d.warmAt += max(0, d.controllerSettings.SlowStartDuration-e.Uptime)
 	}
 	d.updateHealth()
 	d.Registry.Register()
@@ -164,7 +164,7 @@
 }
 
 // updateHealth sets the answer to health checks: failing until the runner is ready.
-func (d *Dispatcher) updateHealth() { d.Exchange.SetHealthy(d.active && d.readyAt > 0) }
+func (d *Dispatcher) updateHealth() { d.Exchange.SetHealthy(d.controllerHealthy && d.readyAt > 0) }
 
 // report adds an event for the controller. It must be called in a turn, before the
 // controller is.
@@ -198,19 +198,19 @@
 
 // startController waits for the first event, as only then is known whether the runner is cold.
 func (d *Dispatcher) startController() {
-	d.settings.SlowStart = d.coldStart
-	controller, err := admission.New(d.settings, d.Seed)
+	d.controllerSettings.SlowStart = d.coldStart
+	controller, err := admission.New(d.controllerSettings, d.Seed)
 	if err != nil {
-		panic(err) // ParseSettings checked the same settings
+		panic(err) // ControllerSettings checked the same settings
 	}
 	d.controller = controller
 }
 
-// reapIdle closes connections that are idle, stuck, or have lingered long enough.
-func (d *Dispatcher) reapIdle() {
+// sweepConnections closes connections that are idle, stuck, or have lingered long enough.
+func (d *Dispatcher) sweepConnections() {
 	d.Lingering.Reap(time.Now())
 	for _, f := range d.Frontends {
 		f.Reap(d.idleTimeout)
 	}
-	d.Timers.Schedule(d.Now()+reapInterval, d.reapIdle)
+	d.Timers.Schedule(d.Now()+sweepInterval, d.sweepConnections)
 }
--- a/internal/proxy/dispatch/doc.go
+++ b/internal/proxy/dispatch/doc.go
@@ -5,7 +5,7 @@
 //
 // One goroutine, the one that calls [Dispatcher.Run], owns the Dispatcher with all its
 // fields, the admission controller, the idempotency table, the timer queue, and the state
-// of the client side (engine, upstreams, records, registry), whose methods it calls. Other
+// of the backend side (engine, upstreams, records, registry), whose methods it calls. Other
 // goroutines (the event loop, signal handlers) reach it through the exchange only, if need
 // be with an exchange.Callback. Frontends guard their connections with locks, as the event
 // loop uses them too.
--- a/internal/proxy/dispatch/drain.go
+++ b/internal/proxy/dispatch/drain.go
@@ -12,23 +12,23 @@
 // notice, also where it is handled late.
 //
 //   - At once: the registry lists the service as unavailable, and the controller gets
-//     drainTimeout - shutdownReserve for the requests in hand. Requests are still taken, as
+//     drainTimeout - answerLead for the requests in hand. Requests are still taken, as
 //     balancers hear of a drain late.
-//   - After DrainGracePeriod (settings), at the latest shutdownReserve before the stop: listeners
+//   - After DrainGracePeriod (settings), at the latest answerLead before the stop: listeners
 //     close, and connections close once they are idle.
-//   - finishBefore before the stop: all connections are told to finish.
+//   - drainConnectionsLead before the stop: all connections are told to finish.
 //   - The process ends when no connection, unsent byte or unanswered request has been left
-//     for closeRaceWindow, and exitBefore before the stop in any case.
+//     for closeRaceWindow, and exitLead before the stop in any case.
 const (
-	// shutdownReserve is kept of the drain timeout for the last responses and closes.
-	shutdownReserve = 250 * time.Millisecond
-	// exitBefore is how long before the stop the process ends, whatever is left.
-	exitBefore = 100 * time.Millisecond
+	// answerLead is kept of the drain timeout for the last responses and closes.
+	answerLead = 250 * time.Millisecond
+	// exitLead is how long before the stop the process ends, whatever is left.
+	exitLead = 100 * time.Millisecond
 	// closeRaceWindow is how long a request that was sent while its connection closed may
 	// take to come again on another one.
 	closeRaceWindow = 100 * time.Millisecond
-	// finishBefore is how long before the stop connections with incomplete messages end.
-	finishBefore = exitBefore + closeRaceWindow
+	// drainConnectionsLead is how long before the stop connections with incomplete messages end.
+	drainConnectionsLead = exitLead + closeRaceWindow
 	// drainPollInterval is the time between two looks at what is left.
 	drainPollInterval = 20 * time.Millisecond
 )
@@ -54,15 +54,15 @@
 	stopAt := noticedAt + timeout
 	d.drain.started = true
 	d.drain.stopAt = stopAt
-	d.drain.closeAt = min(noticedAt+d.settings.DrainGracePeriod, stopAt-shutdownReserve)
+	d.drain.closeAt = min(noticedAt+d.controllerSettings.DrainGracePeriod, stopAt-answerLead)
 	remaining := stopAt - d.Now()
 	d.Log.Info("drain started", zap.Int64("stop_in_ms", remaining.Milliseconds()), zap.Int("open_requests", len(d.byID)))
-	if d.Settings.Server.Readiness {
+	if d.SiteSettings.Server.Readiness {
 		d.Registry.SetAvailable(false)
 	} else {
 		d.Registry.Deregister()
 	}
-	d.report(admission.Drain{StopIn: max(0, remaining-shutdownReserve), Age: waited})
+	d.report(admission.Drain{StopIn: max(0, remaining-answerLead), Age: waited})
 	d.pollDrain()
 }
 
@@ -85,7 +85,7 @@
 		d.drain.emptySince = now
 	}
 	empty := d.drain.emptySince > 0 && now >= d.drain.emptySince+closeRaceWindow
-	if empty || now >= d.drain.stopAt-exitBefore {
+	if empty || now >= d.drain.stopAt-exitLead {
 		beforeStop := d.drain.stopAt - now
 		d.Log.Info("drain finished", zap.Int("open_requests", unanswered), zap.Int64("before_stop_ms", beforeStop.Milliseconds()))
 		d.drain.finished = true
@@ -109,7 +109,7 @@
 func (d *Dispatcher) closeIdle(now time.Duration) (remaining, unsentBytes int) {
 	remaining = d.Lingering.Reap(time.Now())
 	for _, f := range d.Frontends {
-		if now >= d.drain.stopAt-finishBefore {
+		if now >= d.drain.stopAt-drainConnectionsLead {
 			f.DrainConnections()
 		}
 		frontendRemaining, frontendUnsent := f.CloseIdle(0)
--- a/internal/proxy/dispatch/drain_test.go
+++ b/internal/proxy/dispatch/drain_test.go
@@ -34,11 +34,11 @@
 	require.NoError(t, json.Unmarshal([]byte(smallSite), &settings))
 	now := 10 * time.Second
 	d, err := New(Config{Exchange: exchange.New(10), Timers: &timerqueue.Queue{}, Registry: idleRegistry{}, Log: zap.NewNop(),
-		Settings: &settings, Now: func() time.Duration { return now }})
+		SiteSettings: &settings, Now: func() time.Duration { return now }})
 	require.NoError(t, err)
 	const waited, stop = 300 * time.Millisecond, 4 * time.Second
 	d.Drain(waited, stop)
 	require.Equal(t, now-waited+stop, d.drain.stopAt)
 	require.Equal(t, now-waited+2500*time.Millisecond, d.drain.closeAt)
-	require.Equal(t, []admission.Event{admission.Drain{StopIn: stop - waited - shutdownReserve, Age: waited}}, d.pendingEvents)
+	require.Equal(t, []admission.Event{admission.Drain{StopIn: stop - waited - answerLead, Age: waited}}, d.pendingEvents)
 }
--- a/internal/proxy/dispatch/gauges.go
+++ b/internal/proxy/dispatch/gauges.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// gaugePollInterval is how long before a controller's timer the runner is asked for its
+	// gaugePollLead is how long before a controller's timer the runner is asked for its
 	// gauges, so that they are fresh when the timer is due.
-	gaugePollInterval = 8 * time.Millisecond
+	gaugePollLead = 8 * time.Millisecond
 	// maxDecisionGaugeAge is the age up to which gauges describe the present for the
 	// controller; older ones count as unknown.
 	maxDecisionGaugeAge = time.Second
@@ -33,15 +33,15 @@
 	return d.gauges.values.CPUUtilization, known, warm
 }
 
-// deferDue sets a timer for the controller, which gets the gauges when it is due.
-func (d *Dispatcher) deferDue(now time.Duration, a admission.SetTimer) {
-	if a.After > gaugePollInterval {
-		d.Timers.Schedule(now+a.After-gaugePollInterval, d.Runner.RequestGauges)
+// scheduleControllerTimer sets a timer for the controller, which gets the gauges when it is due.
+func (d *Dispatcher) scheduleControllerTimer(now time.Duration, a admission.SetTimer) {
+	if a.After > gaugePollLead {
+		d.Timers.Schedule(now+a.After-gaugePollLead, d.Runner.RequestGauges)
 	}
 	d.Timers.Schedule(now+a.After, func() {
 		// Guards against a connection that is down, or a runner that does not respond.
 		if d.Now()-d.gauges.readAt > maxDecisionGaugeAge {
-			d.gauges.values = d.Settings.Gauges(nil)
+			d.gauges.values = d.SiteSettings.Gauges(nil)
 		}
 		d.report(admission.TimerFired{TimerID: a.TimerID, Gauges: d.gauges.values})
 	})
--- a/internal/proxy/dispatch/idempotency.go
+++ b/internal/proxy/dispatch/idempotency.go
@@ -42,16 +42,16 @@
 	switch {
 	case errors.Is(err, idempotency.ErrKeyReused):
 		d.Log.Warn("idempotency key reused for another request", zap.String("trace_id", r.TraceID))
-		d.respondUnrecorded(r.Request, exchange.Response{Kind: exchange.Failed, InvalidRequest: true})
+		d.sendResponse(r.Request, exchange.Response{Kind: exchange.Failed, InvalidRequest: true})
 		return false
 	case err != nil:
 		d.Log.Warn("request rejected, idempotency table full", zap.Int("keys", d.idempotency.Len()))
-		d.respondUnrecorded(r.Request, exchange.Response{Kind: exchange.Rejected, RetryAfter: d.untilKeyExpires(now)})
+		d.sendResponse(r.Request, exchange.Response{Kind: exchange.Rejected, RetryAfter: d.untilKeyExpires(now)})
 		return false
 	case owner:
-		r.ownEntry = entry
+		r.ownedEntry = entry
 	default:
-		r.original = entry
+		r.originalEntry = entry
 	}
 	return true
 }
@@ -60,33 +60,33 @@
 // 0 if none will expire by itself.
 func (d *Dispatcher) untilKeyExpires(now time.Duration) time.Duration {
 	next, _ := d.idempotency.NextExpiry()
-	return min(max(0, next-now), d.settings.MaxRetryAfter)
+	return min(max(0, next-now), d.controllerSettings.MaxRetryAfter)
 }
 
 // completeKey records the result of the attempt that owns a key, nil if it has none, and
 // answers its duplicates. Duplicates come while the class's window is open, which is
 // counted from the owner's arrival, and wait no longer than the class's deadline after that.
 func (d *Dispatcher) completeKey(r *request, result []byte) {
-	if r.ownEntry == nil {
+	if r.ownedEntry == nil {
 		return
 	}
-	class := &d.settings.Classes[r.Class]
+	class := &d.controllerSettings.Classes[r.Class]
 	expiry := r.arrivedAt + class.DedupWindow + class.Deadline
-	for _, id := range d.idempotency.Complete(r.ownEntry, result, expiry) {
+	for _, id := range d.idempotency.Complete(r.ownedEntry, result, expiry) {
 		d.answerDuplicate(d.byID[id])
 	}
 }
 
 // joinOriginal answers a duplicate with the result of its original, now or when there is one.
 func (d *Dispatcher) joinOriginal(now time.Duration, r *request) {
-	if r.original == nil || r.answered || !r.state.advance(joinOriginalRun) {
+	if r.originalEntry == nil || r.answered || !r.state.advance(joinOriginalRun) {
 		return
 	}
 	r.startedAt = now
-	if r.original.Ended {
+	if r.originalEntry.Ended {
 		d.answerDuplicate(r)
 	} else {
-		d.idempotency.AddWaiter(r.original, r.id)
+		d.idempotency.AddWaiter(r.originalEntry, r.id)
 	}
 }
 
@@ -97,8 +97,8 @@
 	}
 	response := exchange.Response{Kind: exchange.Failed}
 	outcome := admission.OutcomeInternal
-	if r.original.Result != nil {
-		response = exchange.Response{Kind: exchange.Succeeded, Body: r.original.Result}
+	if r.originalEntry.Result != nil {
+		response = exchange.Response{Kind: exchange.Succeeded, Body: r.originalEntry.Result}
 		outcome = admission.OutcomeOK
 	}
 	d.reportNextTurn(admission.Completed{ID: r.id, Elapsed: d.Now() - r.startedAt, Outcome: outcome})
--- a/internal/proxy/dispatch/response.go
+++ b/internal/proxy/dispatch/response.go
@@ -19,7 +19,7 @@
 		return // mostly a run that ends after its request was failed
 	}
 	r.answered = true
-	d.respondUnrecorded(r.Request, response)
+	d.sendResponse(r.Request, response)
 	switch r.state {
 	case paused:
 		d.Runner.Discard(r.TraceID)
@@ -29,9 +29,9 @@
 	}
 }
 
-// respondUnrecorded answers a request that is not recorded here. The exchange then has
+// sendResponse answers a request that is not recorded here. The exchange then has
 // room for another.
-func (d *Dispatcher) respondUnrecorded(q *exchange.Request, response exchange.Response) {
+func (d *Dispatcher) sendResponse(q *exchange.Request, response exchange.Response) {
 	d.Exchange.Release()
 	q.Responder.Respond(response)
 }
@@ -59,7 +59,7 @@
 	delete(d.byID, r.id)
 	delete(d.byTraceID, r.TraceID)
 	if r.state == awaitingOriginal {
-		d.idempotency.RemoveWaiter(r.original, r.id)
+		d.idempotency.RemoveWaiter(r.originalEntry, r.id)
 	}
 	d.completeKey(r, nil)
 	d.markSpent(r)
--- a/internal/proxy/dispatch/runs.go
+++ b/internal/proxy/dispatch/runs.go
@@ -19,12 +19,12 @@
 	r.state.advance(startRun)
 	r.started = true
 	r.startedAt = now
-	if r.ownEntry != nil {
-		r.ownEntry.Started = true
+	if r.ownedEntry != nil {
+		r.ownedEntry.Started = true
 	}
-	d.Runner.Run(exchange.Attempt{
+	d.Runner.Run(exchange.Job{
 		TraceID:    r.TraceID,
-		Class:      d.Settings.Classes[r.Class].Name,
+		Class:      d.SiteSettings.Classes[r.Class].Name,
 		Idempotent: d.effect(r) == admission.Idempotent,
 		Body:       r.Body,
 	})
@@ -33,7 +33,7 @@
 // preempt takes a run off the cores. With PreemptionPause a run at its call uses none: it goes
 // on, unless its request is answered.
 func (d *Dispatcher) preempt(r *request) {
-	keepsWaiting := d.settings.Preemption == admission.PreemptionPause && !r.answered
+	keepsWaiting := d.controllerSettings.Preemption == admission.PreemptionPause && !r.answered
 	if r.state == running || r.state.atCall() && !keepsWaiting {
 		r.preempted = true
 		d.stop(r)
@@ -47,7 +47,7 @@
 	}
 	d.Timers.Cancel(r.callTimer)
 	r.state.advance(stopRun)
-	if d.settings.Preemption != admission.PreemptionNone { // else the runner ends it at its call, when it learns of the response
+	if d.controllerSettings.Preemption != admission.PreemptionNone { // else the runner ends it at its call, when it learns of the response
 		d.Runner.Stop(r.TraceID, r.answered)
 	}
 }
@@ -98,7 +98,7 @@
 func (d *Dispatcher) requeue(r *request) {
 	d.Timers.Cancel(r.callTimer)
 	r.preempted = false
-	if d.settings.Preemption == admission.PreemptionPause {
+	if d.controllerSettings.Preemption == admission.PreemptionPause {
 		r.state.advance(pauseRun)
 	} else {
 		r.state.advance(requeueRun)
--- a/internal/proxy/dispatch/settings.go
+++ b/internal/proxy/dispatch/settings.go
@@ -15,10 +15,10 @@
 	errNameTwice   = errors.New("is there twice")
 )
 
-// ParseSettings returns the controller's settings, or an error that names the field which
+// ControllerSettings returns the controller's settings, or an error that names the field which
 // can't be served. What the protocols have no field for stays unused: results of reads are
 // not shared, and calls are not skipped.
-func ParseSettings(w *simproto.Settings) (admission.Settings, error) {
+func ControllerSettings(w *simproto.Settings) (admission.Settings, error) {
 	settings, err := w.Admission()
 	if err != nil {
 		return settings, err
--- a/internal/proxy/exchange/doc.go
+++ b/internal/proxy/exchange/doc.go
@@ -1,4 +1,4 @@
-// Package exchange is where the frontends and the client side (engine, AJP upstreams,
+// Package exchange is where the frontends and the backend side (engine, AJP upstreams,
 // records) meet the dispatcher. It has the messages between them, in no protocol's terms,
 // and the queue that brings them into the dispatcher's goroutine.
 //
--- a/internal/proxy/exchange/event.go
+++ b/internal/proxy/exchange/event.go
@@ -2,22 +2,23 @@
 
 import "time"
 
-// Event is what the dispatcher dequeues: one of *Request, ClientGone, Outcome, Gauges,
+// Event is what the dispatcher dequeues: one of *Request, CallerGone, Outcome, Gauges,
 // RunnerReady and Callback.
 type Event interface{ event() }
 
-// ClientGone reports that nobody waits for a request any more.
-type ClientGone struct{ Request *Request }
+// CallerGone reports that nobody waits for a request any more.
+type CallerGone struct{ Request *Request }
 
-// Outcome reports on an attempt.
+// Outcome reports on a job.
 type Outcome struct {
-	// TraceID is that of the attempt.
+	// TraceID is that of the job.
 	TraceID string
 	// Stage says what is reported.
 	Stage Stage
-	// Result is how the attempt ended; of RunEnded and CallEnded.
+	// Result is how the job ended; of RunEnded and CallEnded.
 	Result Result
-	// Duration is how long a run took, if the runner says; 0 if not.
+	// Duration is how long a run took, if the runner says; 0 if not. The dispatcher measures
+	// runs by its own clock and does not use it.
 	Duration time.Duration
 	// Body is the result of the run, the request of the call, or the reply.
 	Body []byte
@@ -38,7 +39,7 @@
 type Callback func()
 
 func (*Request) event()    {}
-func (ClientGone) event()  {}
+func (CallerGone) event()  {}
 func (Outcome) event()     {}
 func (Gauges) event()      {}
 func (RunnerReady) event() {}
--- a/internal/proxy/exchange/exchange.go
+++ b/internal/proxy/exchange/exchange.go
@@ -51,7 +51,7 @@
 }
 
 // Post adds any other event. There is no bound, as each such event follows from a request,
-// an attempt or a connection, which are bounded.
+// a job or a connection, which are bounded.
 func (x *Exchange) Post(e Event) {
 	x.mu.Lock()
 	x.queue = append(x.queue, e)
--- a/internal/proxy/exchange/exchange_test.go
+++ b/internal/proxy/exchange/exchange_test.go
@@ -29,11 +29,11 @@
 	request := &Request{}
 	x.Submit(request)
 	x.Post(Gauges{1, 2})
-	x.Post(ClientGone{Request: request})
+	x.Post(CallerGone{Request: request})
 	require.Len(t, x.Wake(), 1)
 	<-x.Wake()
 	buf := x.Dequeue(nil)
-	require.Equal(t, []Event{request, Gauges{1, 2}, ClientGone{Request: request}}, buf)
+	require.Equal(t, []Event{request, Gauges{1, 2}, CallerGone{Request: request}}, buf)
 	require.Empty(t, x.Dequeue(buf))
 	require.Empty(t, x.Wake())
 }
--- a/internal/proxy/exchange/attempt.go
+++ b/internal/proxy/exchange/job.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// Attempt is work for the client side: a run for a Runner, or a call for a DependencyClient.
-type Attempt struct {
+// Job is work for the backend side: a run for a Runner, or a call for a DependencyClient.
+type Job struct {
 	// TraceID is that of the request.
 	TraceID string
 	// Class is the name of the request's class. Calls have none.
 	Class string
-	// Idempotent says that the attempt may be sent again after it may have run.
+	// Idempotent says that the job may be sent again after it may have run.
 	Idempotent bool
-	// Timeout is how long the attempt may take. Runs have none.
+	// Timeout is how long the job may take. Runs have none.
 	Timeout time.Duration
 	// Body is the request's for a run, and the run's for a call.
 	Body []byte
@@ -21,7 +21,7 @@
 // calls them.
 type Runner interface {
 	// Run begins a run.
-	Run(Attempt)
+	Run(Job)
 	// Stop ends a run, or pauses it where the runner does that. A run whose request is
 	// answered is not resumed.
 	Stop(traceID string, answered bool)
@@ -40,7 +40,7 @@
 // dispatcher's goroutine calls them.
 type DependencyClient interface {
 	// Call begins a call.
-	Call(Attempt)
+	Call(Job)
 	// Cancel gives a call up. No outcome is reported for it.
 	Cancel(traceID string)
 }
--- a/internal/proxy/slowstart/slowstart.go
+++ b/internal/proxy/slowstart/slowstart.go
@@ -16,37 +16,37 @@
 type Config struct {
 	// Cores is the server's number of cores, at least 1 (family_info.cores).
 	Cores int
-	// WarmRunsPerCore is how many runs per core a warm server survives, averaged over
+	// MaxRunsPerCore is how many runs per core a warm server survives, averaged over
 	// AveragingWindow (safety.fall_multiple).
-	WarmRunsPerCore float64
-	// MinSpeedFraction is the speed of a server at its start, as a fraction of its speed
+	MaxRunsPerCore float64
+	// MinSpeed is the speed of a server at its start, as a fraction of its speed
 	// when warm: 0 to 1 (safety.cold_share).
-	MinSpeedFraction float64
-	// WarmUp is the time after which a server is warm; 0: at once (safety.cold_ns).
-	WarmUp time.Duration
+	MinSpeed float64
+	// Duration is the time after which a server is warm; 0: at once (safety.cold_ns).
+	Duration time.Duration
 	// AveragingWindow is the time over which runs are averaged; 0: none (safety.fall_ns).
 	AveragingWindow time.Duration
 	// Processes is how many send to the server, this one included (servers).
 	Processes int
 }
 
-// TotalQuota is how many runs a server of the given age survives, of all processes together
+// MaxRuns is how many runs a server of the given age survives, of all processes together
 // and averaged over the window: one per core, and those that it can work off beyond that at
 // its present speed. The speed is taken to grow linearly while the server warms up.
-func (c Config) TotalQuota(age time.Duration) float64 {
-	return float64(c.Cores) * (1 + (c.WarmRunsPerCore-1)*c.speedFraction(age))
+func (c Config) MaxRuns(age time.Duration) float64 {
+	return float64(c.Cores) * (1 + (c.MaxRunsPerCore-1)*c.speed(age))
 }
 
-// speedFraction is the speed at an age, as a fraction of the speed when warm.
-func (c Config) speedFraction(age time.Duration) float64 {
-	if c.WarmUp <= 0 || age >= c.WarmUp {
+// speed is the speed at an age, as a fraction of the speed when warm.
+func (c Config) speed(age time.Duration) float64 {
+	if c.Duration <= 0 || age >= c.Duration {
 		return 1
 	}
-	return c.MinSpeedFraction + (1-c.MinSpeedFraction)*float64(max(age, 0))/float64(c.WarmUp)
+	return c.MinSpeed + (1-c.MinSpeed)*float64(max(age, 0))/float64(c.Duration)
 }
 
 // IsWarm tells whether a server of the given age is warm.
-func (c Config) IsWarm(age time.Duration) bool { return age >= c.WarmUp }
+func (c Config) IsWarm(age time.Duration) bool { return age >= c.Duration }
 
 // SlowStart is the part of one process in the slow start of one server. It belongs to one
 // goroutine.
@@ -87,7 +87,7 @@
 		s.drawWindow = window
 		s.draw = s.random.Float64()
 	}
-	quota := s.config.TotalQuota(age) / float64(max(1, s.config.Processes))
+	quota := s.config.MaxRuns(age) / float64(max(1, s.config.Processes))
 	whole := math.Floor(quota)
 	if s.draw < quota-whole {
 		whole++
--- a/internal/proxy/slowstart/slowstart_test.go
+++ b/internal/proxy/slowstart/slowstart_test.go
@@ -20,19 +20,19 @@
 }
 
 func config(processes int) Config {
-	return Config{Cores: 4, WarmRunsPerCore: 8, MinSpeedFraction: 0.2, WarmUp: 16 * time.Second, AveragingWindow: 3 * time.Second, Processes: processes}
+	return Config{Cores: 4, MaxRunsPerCore: 8, MinSpeed: 0.2, Duration: 16 * time.Second, AveragingWindow: 3 * time.Second, Processes: processes}
 }
 
 // TestTotalQuota: the quota at the start, half way through the warm-up, and warm.
 func TestTotalQuota(t *testing.T) {
 	c := config(1)
-	require.InDelta(t, 4*(1+7*0.2), c.TotalQuota(0), 1e-9)
-	require.InDelta(t, 4*(1+7*0.6), c.TotalQuota(8*time.Second), 1e-9)
-	require.InDelta(t, 4*8, c.TotalQuota(16*time.Second), 1e-9)
+	require.InDelta(t, 4*(1+7*0.2), c.MaxRuns(0), 1e-9)
+	require.InDelta(t, 4*(1+7*0.6), c.MaxRuns(8*time.Second), 1e-9)
+	require.InDelta(t, 4*8, c.MaxRuns(16*time.Second), 1e-9)
 	require.False(t, c.IsWarm(16*time.Second-1))
 	require.True(t, c.IsWarm(16*time.Second))
-	c.WarmUp = 0
-	require.InDelta(t, 4*8, c.TotalQuota(0), 1e-9)
+	c.Duration = 0
+	require.InDelta(t, 4*8, c.MaxRuns(0), 1e-9)
 }
 
 // TestSumOfProcesses: the quotas of any number of processes have the total quota as their
@@ -41,7 +41,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		c := config(rapid.IntRange(1, 200).Draw(t, "processes"))
 		c.Cores = rapid.IntRange(1, 40).Draw(t, "cores")
-		c.MinSpeedFraction = rapid.Float64Range(0.05, 0.9).Draw(t, "minimum speed")
+		c.MinSpeed = rapid.Float64Range(0.05, 0.9).Draw(t, "minimum speed")
 		seed := rapid.Uint64().Draw(t, "seed")
 		var starts []*SlowStart
 		for i := range c.Processes {
@@ -49,12 +49,12 @@
 		}
 		over, windows := 0, 0
 		var sum, allowed float64
-		for age := c.AveragingWindow; age < c.WarmUp; age += c.AveragingWindow {
+		for age := c.AveragingWindow; age < c.Duration; age += c.AveragingWindow {
 			n := 0
 			for _, s := range starts {
 				n += s.Quota(age)
 			}
-			total := c.TotalQuota(age)
+			total := c.MaxRuns(age)
 			windows++
 			sum += float64(n)
 			allowed += total
@@ -71,7 +71,7 @@
 // has no bound.
 func TestQuotaStaysForAWindow(t *testing.T) {
 	c := config(30)
-	c.WarmUp = time.Hour // the total quota hardly grows meanwhile
+	c.Duration = time.Hour // the total quota hardly grows meanwhile
 	s := New(c, 7, 0)
 	changes, last := 0, s.Quota(0)
 	for now := time.Duration(0); now < 100*c.AveragingWindow; now += c.AveragingWindow / 10 {
--- a/internal/simproto/convert.go
+++ b/internal/simproto/convert.go
@@ -20,7 +20,7 @@
 		Servers:     cmp.Or(s.Servers, 1), // the endpoint list may not hold this server yet
 		Callers:     server.Callers,
 
-		WeightPerWork:     readWord(&words, weightPerWork, "counted_by", s.WeightUnit),
+		WeightPerWork:     readWord(&words, weightUnits, "counted_by", s.WeightUnit),
 		OverQuotaFraction: s.OverQuotaFraction,
 
 		SlowStart:         server.SlowStart,
--- a/internal/simproto/events.go
+++ b/internal/simproto/events.go
@@ -43,7 +43,7 @@
 		Age:          f.duration(fieldAge),
 		MemoryKB:     f.number(fieldMemoryKB),
 		Rank:         f.number(fieldRank),
-		HasKey:       f.text(fieldKey) != "",
+		HasSubject:   f.text(fieldKey) != "",
 		Retry:        f.flag(fieldRetry),
 		DuplicateOf:  uint32(f.count(fieldDuplicateOf, optional, math.MaxUint32)),
 	}
--- a/internal/simproto/reader_test.go
+++ b/internal/simproto/reader_test.go
@@ -30,7 +30,7 @@
 		{"ACCEPT\top_id=7\tcategory=1\trealm=2\tresource=k:x\ttime_left_ns=240\testimate_ns=12\theld_kb=24.5" +
 			"\tplace=0.625\tsrc=17\twaited_ns=18\tdup_of=9\trepeat=1\tlater=field",
 			admission.Arrival{ID: 7, Class: 1, Tenant: 2, Timeout: 240, ExpectedWork: 12, Age: 18, MemoryKB: 24.5,
-				HasKey: true, Retry: true, Rank: 0.625, DuplicateOf: 9}},
+				HasSubject: true, Retry: true, Rank: 0.625, DuplicateOf: 9}},
 		{"COMPLETED\top_id=7\ttook_ns=5\toutcome=TOO_LATE", admission.Completed{ID: 7, Elapsed: 5, Outcome: admission.OutcomeNotStarted}},
 		{"LAPSED\top_id=4294967295", admission.Canceled{ID: 4294967295}},
 		{"AWAITING\top_id=7", admission.CallNeeded{ID: 7}},
--- a/internal/simproto/terms.go
+++ b/internal/simproto/terms.go
@@ -115,7 +115,7 @@
 }
 
 // weightPerWork reports whether weights count per unit of work.
-var weightPerWork = map[string]bool{
+var weightUnits = map[string]bool{
 	"":        false,
 	"request": false,
 	"work":    true,
--- a/internal/transport/ajp/conn.go
+++ b/internal/transport/ajp/conn.go
@@ -17,8 +17,8 @@
 type conn struct {
 	*frontend.Conn
 	frontend *Frontend
-	parser   parser // of the event loop's goroutine
-	call     *call  // from the first byte of a request to its answer; guarded by the lock of Conn
+	parser   parser       // of the event loop's goroutine
+	open     *openRequest // from the first byte of a request to its answer; guarded by the lock of Conn
 }
 
 // Feed parses received bytes.
@@ -28,50 +28,50 @@
 func (c *conn) HoldsPartialMessage() bool { return len(c.parser.buf) > 0 }
 
 // HasIncompleteRequest reports whether part of a request's body is still to come.
-func (c *conn) HasIncompleteRequest() bool { return c.call != nil && !c.call.complete }
+func (c *conn) HasIncompleteRequest() bool { return c.open != nil && !c.open.complete }
 
 // DiscardIncomplete forgets the request if part of its body is still to come.
 func (c *conn) DiscardIncomplete() (unanswered int) {
 	if !c.HasIncompleteRequest() {
 		return 0
 	}
-	c.call.Discard()
-	c.call = nil
+	c.open.Discard()
+	c.open = nil
 	return 1
 }
 
 // DiscardAll forgets the request, if there is one.
 func (c *conn) DiscardAll() (unanswered []*exchange.Request) {
-	if c.call == nil {
+	if c.open == nil {
 		return nil
 	}
-	if req := c.call.Unanswered(); req != nil {
+	if req := c.open.Unanswered(); req != nil {
 		unanswered = append(unanswered, req)
 	}
-	c.call.Discard()
-	c.call = nil
+	c.open.Discard()
+	c.open = nil
 	return unanswered
 }
 
 // packet handles the content of one packet.
 func (c *conn) packet(content []byte) error {
 	c.Lock()
-	k := c.call
-	draining := c.Draining()
+	open := c.open
+	draining := c.RefusesRequests()
 	c.Unlock()
 	switch {
 	case draining:
 		return c.Skip(len(content) + frameBytes)
-	case k != nil && !k.complete:
-		return c.bodyChunk(k, content)
+	case open != nil && !open.complete:
+		return c.bodyChunk(open, content)
 	case len(content) == 0:
 		return errors.New("unexpected empty packet")
-	case content[0] == codeCPing && k == nil:
+	case content[0] == codeCPing && open == nil:
 		c.cping()
 		return nil
 	case content[0] == codeShutdown || content[0] == codePing: // no caller may stop the service
 		return c.Skip(len(content) + frameBytes)
-	case content[0] == codeForwardRequest && k == nil:
+	case content[0] == codeForwardRequest && open == nil:
 		return c.forwardRequest(content[1:])
 	}
 	return fmt.Errorf("unexpected packet of code %d", content[0])
@@ -92,48 +92,48 @@
 		return err
 	}
 	header := func(name string) string { return f.headers[strings.ToLower(name)] }
-	k := &call{conn: c, raw: frontend.RawRequest{Path: f.path, Method: f.method, Header: header}}
-	if !c.begin(k) {
+	open := &openRequest{conn: c, raw: frontend.RawRequest{Path: f.path, Method: f.method, Header: header}}
+	if !c.begin(open) {
 		return c.Skip(len(content))
 	}
 	if subtle.ConstantTimeCompare([]byte(f.secret), []byte(c.frontend.secret)) != 1 {
-		c.fail(k, http.StatusForbidden, errors.New("secret: wrong or missing"))
+		c.fail(open, http.StatusForbidden, errors.New("secret: wrong or missing"))
 		return nil
 	}
 	if length, told := f.headers[strings.ToLower(headerContentLength)]; told {
-		if k.remainingBytes, err = strconv.Atoi(length); err != nil || k.remainingBytes < 0 {
-			c.fail(k, http.StatusBadRequest, fmt.Errorf("content-length %q", length))
+		if open.remainingBytes, err = strconv.Atoi(length); err != nil || open.remainingBytes < 0 {
+			c.fail(open, http.StatusBadRequest, fmt.Errorf("content-length %q", length))
 			return nil
 		}
 	} else if header(headerTransferEncoding) != "" {
-		k.remainingBytes = unknownLength
+		open.remainingBytes = unknownLength
 		c.Write(getBodyChunkPacket()) // without a length the web server sends the first piece only on request
 	}
-	if k.remainingBytes > frontend.MaxBodyBytes {
-		c.fail(k, http.StatusRequestEntityTooLarge, fmt.Errorf("body of %d bytes, %d at most", k.remainingBytes, frontend.MaxBodyBytes))
+	if open.remainingBytes > frontend.MaxBodyBytes {
+		c.fail(open, http.StatusRequestEntityTooLarge, fmt.Errorf("body of %d bytes, %d at most", open.remainingBytes, frontend.MaxBodyBytes))
 		return nil
 	}
-	if k.remainingBytes == 0 {
-		return c.complete(k)
+	if open.remainingBytes == 0 {
+		return c.complete(open)
 	}
 	return nil
 }
 
-// begin makes k the request of the connection, unless that has begun to drain meanwhile.
-func (c *conn) begin(k *call) bool {
+// begin makes open the request of the connection, unless that has begun to drain meanwhile.
+func (c *conn) begin(open *openRequest) bool {
 	c.Lock()
 	defer c.Unlock()
-	if c.Draining() {
+	if c.RefusesRequests() {
 		return false
 	}
-	c.call = k
+	c.open = open
 	c.Touch()
 	c.RequestBegan()
 	return true
 }
 
 // bodyChunk takes a piece of the body. An empty one ends a body of unknown length.
-func (c *conn) bodyChunk(k *call, content []byte) error {
+func (c *conn) bodyChunk(open *openRequest, content []byte) error {
 	r := reader{b: content}
 	n := 0
 	if len(content) > 0 {
@@ -143,20 +143,20 @@
 	switch {
 	case n > 0 && r.err != nil:
 		return fmt.Errorf("body chunk: %w", r.err)
-	case n == 0 && k.remainingBytes > 0:
-		return fmt.Errorf("body ends %d bytes early", k.remainingBytes)
-	case k.remainingBytes != unknownLength && n > k.remainingBytes:
+	case n == 0 && open.remainingBytes > 0:
+		return fmt.Errorf("body ends %d bytes early", open.remainingBytes)
+	case open.remainingBytes != unknownLength && n > open.remainingBytes:
 		return errors.New("body is longer than its content-length")
-	case len(k.body)+n > frontend.MaxBodyBytes:
-		c.fail(k, http.StatusRequestEntityTooLarge, fmt.Errorf("body of more than %d bytes", frontend.MaxBodyBytes))
+	case len(open.body)+n > frontend.MaxBodyBytes:
+		c.fail(open, http.StatusRequestEntityTooLarge, fmt.Errorf("body of more than %d bytes", frontend.MaxBodyBytes))
 		return nil
 	}
-	k.body = append(k.body, piece...)
-	if k.remainingBytes > 0 {
-		k.remainingBytes -= n
+	open.body = append(open.body, piece...)
+	if open.remainingBytes > 0 {
+		open.remainingBytes -= n
 	}
-	if n == 0 || k.remainingBytes == 0 {
-		return c.complete(k)
+	if n == 0 || open.remainingBytes == 0 {
+		return c.complete(open)
 	}
 	c.Write(getBodyChunkPacket())
 	return nil
--- a/internal/transport/ajp/conn_test.go
+++ b/internal/transport/ajp/conn_test.go
@@ -44,11 +44,11 @@
 	c := connect()
 	require.True(t, c.CloseIdle(time.Now().Add(time.Hour), 0))
 	require.NoError(t, c.forwardRequest(forward), "looked at before the close")
-	require.Nil(t, c.call)
+	require.Nil(t, c.open)
 
 	c = connect()
 	require.NoError(t, c.forwardRequest(forward))
-	half := c.call
+	half := c.open
 	require.NotNil(t, half)
 	c.Drain()
 	require.NoError(t, c.bodyChunk(half, piece), "looked at before the close")
@@ -57,13 +57,13 @@
 
 	c = connect() // its connection is lost between its last piece and the hand-over
 	require.NoError(t, c.forwardRequest(forward))
-	half = c.call
+	half = c.open
 	c.OnClose(nil)
 	c.submit(half, &exchange.Request{Responder: half})
 	require.Empty(t, x.Dequeue(nil))
 
 	c = connect() // and without an end it is handed over
 	require.NoError(t, c.forwardRequest(forward))
-	require.NoError(t, c.bodyChunk(c.call, piece))
+	require.NoError(t, c.bodyChunk(c.open, piece))
 	require.Len(t, x.Dequeue(nil), 1)
 }
--- a/internal/transport/ajp/golden_test.go
+++ b/internal/transport/ajp/golden_test.go
@@ -115,7 +115,7 @@
 	defer loop.Stop()
 	x, began := exchange.New(10), time.Now()
 	u := NewUpstreamPool([]string{ln.Addr().String()}, "s3", []string{"core_use", "on_cores", "links"}, slowstart.Config{Cores: 4}, 1,
-		session.Dependencies{Exchange: x, Loop: loop, Timers: &timerqueue.Queue{}, Now: func() time.Duration { return time.Since(began) }, Log: zap.NewNop()})
+		session.Config{Exchange: x, Loop: loop, Timers: &timerqueue.Queue{}, Now: func() time.Duration { return time.Since(began) }, Log: zap.NewNop()})
 	var events []exchange.Event
 	turn := func() {
 		for _, e := range x.Dequeue(nil) {
@@ -126,7 +126,7 @@
 			}
 		}
 	}
-	u.Run(exchange.Attempt{TraceID: "0123456789abcdef", Class: "nom-submit", Body: []byte("ok")})
+	u.Run(exchange.Job{TraceID: "0123456789abcdef", Class: "nom-submit", Body: []byte("ok")})
 	u.RequestGauges()
 	turn()
 	require.Equal(t, []exchange.Event{exchange.Gauges{0.25, 1, -1}}, events)
@@ -160,6 +160,6 @@
 	outcome := events[1].(exchange.Outcome)
 	outcome.Duration = 0
 	require.Equal(t, exchange.Outcome{TraceID: "0123456789abcdef", Stage: exchange.RunEnded, Result: exchange.ResultOK, Body: []byte("abc")}, outcome)
-	u.Run(exchange.Attempt{TraceID: "0123456789abcde0", Class: "nom-submit"})
+	u.Run(exchange.Job{TraceID: "0123456789abcde0", Class: "nom-submit"})
 	requireBytes(t, peer, "\x12\x34\x00\x01\x0a", "CPING before a connection is used again")
 }
--- a/internal/transport/ajp/call.go
+++ b/internal/transport/ajp/open_request.go
@@ -13,8 +13,8 @@
 const unknownLength = -1
 
 // call is one request.
-type call struct {
-	frontend.Call
+type openRequest struct {
+	frontend.OpenRequest
 	conn           *conn
 	raw            frontend.RawRequest
 	body           []byte
@@ -24,53 +24,53 @@
 
 // complete handles a request that has arrived to its end: it answers health checks and faulty
 // requests, and hands others over.
-func (c *conn) complete(k *call) error {
+func (c *conn) complete(open *openRequest) error {
 	c.Lock()
-	if k.Settled() { // discarded just now: nobody would get its answer
+	if open.Settled() { // discarded just now: nobody would get its answer
 		c.Unlock()
 		return nil
 	}
-	k.complete = true
+	open.complete = true
 	c.RequestArrived()
 	c.Unlock()
-	if k.raw.IsHealthCheck() {
-		c.reply(k, frontend.HealthResponse(c.frontend.Exchange.Healthy()), true)
+	if open.raw.IsHealthCheck() {
+		c.reply(open, frontend.HealthResponse(c.frontend.Exchange.Healthy()), true)
 		return nil
 	}
-	req, err := k.raw.Decode(c.frontend.Classes, time.Now())
+	req, err := open.raw.Decode(c.frontend.Classes, time.Now())
 	if err != nil {
 		c.LogFailedRequest(http.StatusBadRequest, err)
-		c.reply(k, frontend.HTTPResponse{Status: http.StatusBadRequest}, true)
+		c.reply(open, frontend.HTTPResponse{Status: http.StatusBadRequest}, true)
 		return c.CountFault()
 	}
-	req.Body = k.body
-	req.Responder = k
-	c.submit(k, req)
+	req.Body = open.body
+	req.Responder = open
+	c.submit(open, req)
 	return nil
 }
 
 // submit hands a request over, or rejects it if the process holds too many.
-func (c *conn) submit(k *call, req *exchange.Request) {
-	if !c.Submit(&k.Call, req) {
-		c.reply(k, frontend.HTTPResponse{Status: http.StatusServiceUnavailable}, true)
+func (c *conn) submit(open *openRequest, req *exchange.Request) {
+	if !c.Submit(&open.OpenRequest, req) {
+		c.reply(open, frontend.HTTPResponse{Status: http.StatusServiceUnavailable}, true)
 	}
 }
 
 // fail answers a request whose body is not read: it may still be on its way, so that the
 // connection can't go on.
-func (c *conn) fail(k *call, status int, err error) {
+func (c *conn) fail(open *openRequest, status int, err error) {
 	c.LogFailedRequest(status, err)
-	c.reply(k, frontend.HTTPResponse{Status: status}, false)
+	c.reply(open, frontend.HTTPResponse{Status: status}, false)
 }
 
 // Respond writes the answer to the request. It is called on the dispatcher's goroutine.
-func (k *call) Respond(answer exchange.Response) {
-	k.conn.reply(k, frontend.NewHTTPResponse(answer), true)
-	k.conn.CountAnswer(answer)
+func (open *openRequest) Respond(answer exchange.Response) {
+	open.conn.reply(open, frontend.NewHTTPResponse(answer), true)
+	open.conn.CountAnswer(answer)
 }
 
 // reply writes a response, once. With reuse the connection goes on.
-func (c *conn) reply(k *call, r frontend.HTTPResponse, reuse bool) {
+func (c *conn) reply(open *openRequest, r frontend.HTTPResponse, reuse bool) {
 	headers := []frontend.Header{
 		{Name: headerContentType, Value: contentTypeBytes},
 		{Name: headerContentLength, Value: strconv.Itoa(len(r.Body))},
@@ -78,5 +78,5 @@
 	headers = append(headers, frontend.CommonHeaders(c.frontend.Exchange)...)
 	headers = append(headers, r.Headers...)
 	packets := responsePackets(r.Status, headers, r.Body, reuse)
-	c.WriteResponse(&k.Call, packets, reuse, func() { c.call = nil })
+	c.WriteResponse(&open.OpenRequest, packets, reuse, func() { c.open = nil })
 }
--- a/internal/transport/ajp/upstream_conn.go
+++ b/internal/transport/ajp/upstream_conn.go
@@ -110,14 +110,14 @@
 	c.used = true
 	c.unsentBody = r.Body
 	r.sends++
-	c.socket.Write(forwardPacket(frontend.CallPathPrefix+r.Class, c.pool.secret, requestHeaders(r.Attempt)))
+	c.socket.Write(forwardPacket(frontend.CallPathPrefix+r.Class, c.pool.secret, requestHeaders(r.Job)))
 	if len(r.Body) > 0 {
 		c.sendChunk(maxChunkBytes)
 	}
 }
 
 // requestHeaders are the headers of a run's request.
-func requestHeaders(a exchange.Attempt) []frontend.Header {
+func requestHeaders(a exchange.Job) []frontend.Header {
 	return []frontend.Header{
 		{Name: upstreamHeaderTraceID, Value: a.TraceID},
 		{Name: upstreamHeaderContentLength, Value: strconv.Itoa(len(a.Body))},
@@ -174,7 +174,7 @@
 		c.socket.Abort()
 	}
 	c.server.conns--
-	if err != nil && c.used && c.server.conns == 0 && !c.server.away && p.listed(c.addr) {
+	if err != nil && c.used && c.server.conns == 0 && !c.server.refusing && p.listed(c.addr) {
 		p.connect(c.addr, nil) // the server may have ended: this is how its next start is noticed
 	}
 	r := c.detach()
--- a/internal/transport/ajp/upstream_placement.go
+++ b/internal/transport/ajp/upstream_placement.go
@@ -35,7 +35,7 @@
 func (p *UpstreamPool) placeOnNew(r *upstreamRun, away bool) bool {
 	for range p.addrs {
 		s := p.server(p.takeAddress())
-		if s.away == away && p.hasSlot(s) {
+		if s.refusing == away && p.hasSlot(s) {
 			p.connect(s.addr, r)
 			return true
 		}
--- a/internal/transport/ajp/upstream_pool.go
+++ b/internal/transport/ajp/upstream_pool.go
@@ -20,7 +20,7 @@
 // UpstreamPool is the exchange.Runner that has AJP servers do the work, one run at a time on a
 // connection. It belongs to the dispatcher's goroutine.
 type UpstreamPool struct {
-	session.Dependencies
+	session.Config
 	addrs      []string // of the servers that are listed
 	secret     string
 	gaugeNames []string // in the order in which gauges are reported
@@ -38,7 +38,7 @@
 
 // upstreamRun is a run that has not ended.
 type upstreamRun struct {
-	exchange.Attempt
+	exchange.Job
 	began       time.Duration
 	sends       int // of its request: it may have run as often
 	failedDials int // connections that were made for it in vain
@@ -47,16 +47,16 @@
 
 // NewUpstreamPool returns a pool without connections. The configuration of the slow start holds
 // for each of the servers; the seed differs between processes.
-func NewUpstreamPool(addrs []string, secret string, gaugeNames []string, slowStart slowstart.Config, seed uint64, deps session.Dependencies) *UpstreamPool {
+func NewUpstreamPool(addrs []string, secret string, gaugeNames []string, slowStart slowstart.Config, seed uint64, deps session.Config) *UpstreamPool {
 	return &UpstreamPool{
-		Dependencies: deps,
-		addrs:        addrs,
-		secret:       secret,
-		gaugeNames:   gaugeNames,
-		slowStart:    slowStart,
-		seed:         seed,
-		servers:      map[string]*upstreamServer{},
-		runs:         map[string]*upstreamRun{},
+		Config:     deps,
+		addrs:      addrs,
+		secret:     secret,
+		gaugeNames: gaugeNames,
+		slowStart:  slowStart,
+		seed:       seed,
+		servers:    map[string]*upstreamServer{},
+		runs:       map[string]*upstreamRun{},
 	}
 }
 
@@ -100,8 +100,8 @@
 func (p *UpstreamPool) listed(addr string) bool { return slices.Contains(p.addrs, addr) }
 
 // Run has a run done.
-func (p *UpstreamPool) Run(a exchange.Attempt) {
-	r := &upstreamRun{Attempt: a, began: p.Now()}
+func (p *UpstreamPool) Run(a exchange.Job) {
+	r := &upstreamRun{Job: a, began: p.Now()}
 	p.runs[a.TraceID] = r
 	p.place(r)
 }
--- a/internal/transport/ajp/upstream_server.go
+++ b/internal/transport/ajp/upstream_server.go
@@ -14,7 +14,7 @@
 	addr      string
 	conns     int                  // open or being opened
 	runs      int                  // on them
-	away      bool                 // it refused the latest connection
+	refusing  bool                 // it refused the latest connection
 	slowStart *slowstart.SlowStart // nil once it is warm
 }
 
@@ -45,18 +45,18 @@
 // accepts one again: then it has just started.
 func (p *UpstreamPool) noteDial(s *upstreamServer, err error) {
 	switch {
-	case err == nil && s.away:
-		s.away = false
+	case err == nil && s.refusing:
+		s.refusing = false
 		p.beginSlowStart(s)
-	case errors.Is(err, syscall.ECONNREFUSED) && !s.away:
-		s.away = true
+	case errors.Is(err, syscall.ECONNREFUSED) && !s.refusing:
+		s.refusing = true
 		p.scheduleProbe(s)
 	}
 }
 
 // probe connects to a server that is away until it is back, or is not listed any more.
 func (p *UpstreamPool) probe(s *upstreamServer) {
-	if !s.away || !p.listed(s.addr) {
+	if !s.refusing || !p.listed(s.addr) {
 		return
 	}
 	p.connect(s.addr, nil)
--- a/internal/transport/engine/golden_test.go
+++ b/internal/transport/engine/golden_test.go
@@ -32,7 +32,7 @@
 	require.NoError(t, err)
 	t.Cleanup(loop.Stop)
 	began, x := time.Now(), exchange.New(10)
-	return &fixture{t: t, exchange: x, listener: ln, link: New(ln.Addr().String(), pauses, session.Dependencies{Exchange: x, Loop: loop,
+	return &fixture{t: t, exchange: x, listener: ln, link: New(ln.Addr().String(), pauses, session.Config{Exchange: x, Loop: loop,
 		Timers: &timerqueue.Queue{}, Now: func() time.Duration { return time.Since(began) }, Log: zap.NewNop()})}
 }
 
@@ -111,7 +111,7 @@
 	f.hears(c, "STAT gauges\r\n")
 	require.Equal(t, []exchange.Event{exchange.Gauges{0.5, 1, 0.25, -1}}, f.says(c, "STATS sync 1\r\nSTATS gauges 0.5 1 0.25 -1\r\n", 1))
 
-	f.link.Run(exchange.Attempt{TraceID: trace1, Class: "nom-submit", Body: []byte("body\r\n")})
+	f.link.Run(exchange.Job{TraceID: trace1, Class: "nom-submit", Body: []byte("body\r\n")})
 	f.hears(c, "RUN "+trace1+" nom-submit 6\r\nbody\r\n\r\n")
 	require.Equal(t, []exchange.Event{exchange.Outcome{TraceID: trace1, Stage: exchange.CallNeeded, Body: []byte("call")}},
 		f.says(c, "NOTE 1 "+trace1+" begun\r\nNEED 2 "+trace1+" 4\r\ncall\r\n", 1))
@@ -130,18 +130,18 @@
 		word string
 		end  exchange.Result
 	}{{"ERROR", exchange.ResultError}, {"MOOT", exchange.ResultObsolete}, {"NONSENSE", exchange.ResultError}} {
-		f.link.Run(exchange.Attempt{TraceID: trace2, Class: "nom-update"})
+		f.link.Run(exchange.Job{TraceID: trace2, Class: "nom-update"})
 		f.hears(c, "RUN "+trace2+" nom-update 0\r\n\r\n")
 		require.Equal(t, []exchange.Event{exchange.Outcome{TraceID: trace2, Stage: exchange.RunEnded, Result: end.end, Body: []byte{}}},
 			f.says(c, "DONE "+string(rune('5'+i))+" "+trace2+" "+end.word+" 0 0\r\n\r\n", 1))
 	}
-	f.link.Run(exchange.Attempt{TraceID: trace2, Class: "nom-update"})
+	f.link.Run(exchange.Job{TraceID: trace2, Class: "nom-update"})
 	f.hears(c, "RUN "+trace2+" nom-update 0\r\n\r\n")
 	require.Equal(t, []exchange.Event{exchange.Outcome{TraceID: trace2, Stage: exchange.RunEnded, Result: exchange.ResultNotStarted}},
 		f.says(c, "NO RUN "+trace2+"\r\n", 1))
 
 	// Another link: what the one before may have lost is sent again after its notices.
-	f.link.Run(exchange.Attempt{TraceID: trace1, Class: "nom-submit", Body: []byte("b")})
+	f.link.Run(exchange.Job{TraceID: trace1, Class: "nom-submit", Body: []byte("b")})
 	f.hears(c, "RUN "+trace1+" nom-submit 1\r\nb\r\n")
 	f.link.Stop(trace1, true)
 	f.hears(c, "HALT "+trace1+"\r\n")
--- a/internal/transport/engine/resync.go
+++ b/internal/transport/engine/resync.go
@@ -11,7 +11,7 @@
 func (s *Session) resync() {
 	for traceID, r := range s.runs {
 		sent := r.runSentOn == s.current
-		if !sent && s.noticesMissing && !r.attempt.Idempotent {
+		if !sent && s.noticesMissing && !r.job.Idempotent {
 			s.send(commandStop, traceID)
 			s.finish(traceID, exchange.ResultError)
 			continue
--- a/internal/transport/engine/run.go
+++ b/internal/transport/engine/run.go
@@ -8,7 +8,7 @@
 // run is a run that was ordered and has not ended. Each command for it carries the number of the
 // connection that it was sent on last, for resync.
 type run struct {
-	attempt   exchange.Attempt
+	job       exchange.Job
 	runSentOn connNumber // noConn if it was never sent
 	started   bool       // a notice has shown that it runs, or ran
 	stopping  bool       // it is to be stopped, and no notice has confirmed that
@@ -19,8 +19,8 @@
 }
 
 // Run orders a run. Without a connection it waits for one: what was never sent can't have run.
-func (s *Session) Run(a exchange.Attempt) {
-	r := &run{attempt: a}
+func (s *Session) Run(a exchange.Job) {
+	r := &run{job: a}
 	s.runs[a.TraceID] = r
 	if s.greeted {
 		s.sendRun(r)
@@ -29,7 +29,7 @@
 
 func (s *Session) sendRun(r *run) {
 	r.runSentOn = s.current
-	s.sendPayload(r.attempt.Body, commandRun, r.attempt.TraceID, r.attempt.Class)
+	s.sendPayload(r.job.Body, commandRun, r.job.TraceID, r.job.Class)
 }
 
 // Stop stops a run. One whose request is answered is not resumed.
@@ -64,7 +64,7 @@
 
 func (s *Session) sendResume(r *run) {
 	r.resumeOn = s.current
-	s.send(commandResume, r.attempt.TraceID)
+	s.send(commandResume, r.job.TraceID)
 }
 
 // Discard forgets a run that is paused: its request is over.
@@ -85,7 +85,7 @@
 
 func (s *Session) sendReply(r *run) {
 	r.replyOn = s.current
-	s.sendPayload(r.reply, commandDeliverReply, r.attempt.TraceID)
+	s.sendPayload(r.reply, commandDeliverReply, r.job.TraceID)
 }
 
 // finish forgets a run and reports its end, without a notice of the engine.
--- a/internal/transport/engine/session.go
+++ b/internal/transport/engine/session.go
@@ -38,7 +38,7 @@
 
 // Session is the exchange.Runner that speaks to the engine.
 type Session struct {
-	session.Dependencies
+	session.Config
 	addr            string
 	pausesOnStop    bool // a stopped run is paused, and can be resumed
 	conn            *eventloop.Conn
@@ -56,9 +56,9 @@
 }
 
 // New returns a Session that is not connected. pausesOnStop tells what HALT does to a run.
-func New(addr string, pausesOnStop bool, deps session.Dependencies) *Session {
+func New(addr string, pausesOnStop bool, deps session.Config) *Session {
 	return &Session{
-		Dependencies:   deps,
+		Config:         deps,
 		addr:           addr,
 		pausesOnStop:   pausesOnStop,
 		reconnectDelay: minReconnectDelay,
@@ -73,11 +73,11 @@
 	s.latestDial++
 	n := s.latestDial
 	s.Dial(s.addr, &session.LineHandler{
-		Dependencies: s.Dependencies,
-		Parser:       lineproto.Parser{HasPayload: hasPayload},
-		Current:      func() bool { return n == s.current || n == s.latestDial },
-		OnMessage:    s.receive,
-		OnLost:       func(err error) { s.lost(n, err) },
+		Config:    s.Config,
+		Parser:    lineproto.Parser{HasPayload: hasPayload},
+		Current:   func() bool { return n == s.current || n == s.latestDial },
+		OnMessage: s.receive,
+		OnLost:    func(err error) { s.lost(n, err) },
 	}, func(c *eventloop.Conn, err error) { s.opened(n, c, err) })
 }
 
--- a/internal/transport/eventloop/conn.go
+++ b/internal/transport/eventloop/conn.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	maxUnsentBytes  = 1 << 20 // queued bytes of one connection, beyond which it is aborted
+	maxQueuedBytes  = 1 << 20 // queued bytes of one connection, beyond which it is aborted
 	maxDroppedBytes = 1 << 20 // input dropped after a close, beyond which the connection is aborted
 )
 
@@ -55,7 +55,7 @@
 	if !ok {
 		return
 	}
-	if queued+len(b) > maxUnsentBytes {
+	if queued+len(b) > maxQueuedBytes {
 		c.Abort()
 		return
 	}
--- a/internal/transport/eventloop/linger.go
+++ b/internal/transport/eventloop/linger.go
@@ -134,10 +134,10 @@
 	closeBacklogInterval = time.Millisecond
 )
 
-// awaitCloseBacklog waits, for maxCloseBacklogWait at most, while more aborted connections hold
+// throttleAccepts waits, for maxCloseBacklogWait at most, while more aborted connections hold
 // a descriptor than may linger, so that callers that connect without end get no further ahead of
 // the loop than that.
-func (l *Loop) awaitCloseBacklog() {
+func (l *Loop) throttleAccepts() {
 	for range maxCloseBacklogWait / closeBacklogInterval {
 		l.mu.Lock()
 		backlog := len(l.aborted)
--- a/internal/transport/eventloop/listener.go
+++ b/internal/transport/eventloop/listener.go
@@ -43,7 +43,7 @@
 	go func() {
 		defer close(listener.done)
 		for {
-			l.awaitCloseBacklog()
+			l.throttleAccepts()
 			conn, err := raw.Accept()
 			switch {
 			case err == nil:
--- a/internal/transport/eventloop/loop.go
+++ b/internal/transport/eventloop/loop.go
@@ -42,7 +42,7 @@
 		Name:                         "loop",
 		NPoller:                      1,
 		ReadBufferSize:               readBufferBytes,
-		MaxWriteBufferSize:           maxUnsentBytes,
+		MaxWriteBufferSize:           maxQueuedBytes,
 		MaxConnReadTimesPerEventLoop: maxReadsPerEvent,
 	})
 	l.engine.OnOpen(func(*nbio.Conn) {})
--- a/internal/transport/fastcgi/conn.go
+++ b/internal/transport/fastcgi/conn.go
@@ -21,9 +21,9 @@
 // conn is the frontend.Codec of one connection of a balancer.
 type conn struct {
 	*frontend.Conn
-	server *frontend.Server
-	parser parser           // of the event loop's goroutine
-	calls  map[uint16]*call // by request id, guarded by the lock of Conn
+	server       *frontend.Server
+	parser       parser                  // of the event loop's goroutine
+	openRequests map[uint16]*openRequest // by request id, guarded by the lock of Conn
 }
 
 // Feed parses received bytes.
@@ -34,8 +34,8 @@
 
 // HasIncompleteRequest reports whether the input of a request has not ended.
 func (c *conn) HasIncompleteRequest() bool {
-	for _, k := range c.calls {
-		if !k.inputEnded {
+	for _, open := range c.openRequests {
+		if !open.inputEnded {
 			return true
 		}
 	}
@@ -45,13 +45,13 @@
 // DiscardIncomplete forgets the requests whose input has not ended. What is still to come of
 // them is skipped.
 func (c *conn) DiscardIncomplete() (unanswered int) {
-	for _, k := range c.calls {
-		if k.inputEnded {
+	for _, open := range c.openRequests {
+		if open.inputEnded {
 			continue
 		}
-		k.inputEnded = true
-		delete(c.calls, k.id)
-		if k.Discard() {
+		open.inputEnded = true
+		delete(c.openRequests, open.id)
+		if open.Discard() {
 			unanswered++
 		}
 	}
@@ -60,13 +60,13 @@
 
 // DiscardAll forgets all requests.
 func (c *conn) DiscardAll() (unanswered []*exchange.Request) {
-	for _, k := range c.calls {
-		if req := k.Unanswered(); req != nil {
+	for _, open := range c.openRequests {
+		if req := open.Unanswered(); req != nil {
 			unanswered = append(unanswered, req)
 		}
-		k.Discard()
+		open.Discard()
 	}
-	clear(c.calls)
+	clear(c.openRequests)
 	return unanswered
 }
 
@@ -76,19 +76,19 @@
 		return c.managementRecord(r)
 	}
 	c.Lock()
-	k := c.calls[r.id]
+	open := c.openRequests[r.id]
 	c.Unlock()
 	switch {
 	case r.kind == typeBeginRequest:
-		return c.beginRequest(r, k)
-	case k == nil: // input of a request that was rejected or aborted
+		return c.beginRequest(r, open)
+	case open == nil: // input of a request that was rejected or aborted
 		return c.Skip(len(r.content) + headerBytes)
-	case r.kind == typeParams && !k.paramsEnded:
-		return c.appendParams(k, r.content)
-	case r.kind == typeStdin && k.paramsEnded && !k.inputEnded:
-		return c.appendBody(k, r.content)
+	case r.kind == typeParams && !open.paramsEnded:
+		return c.appendParams(open, r.content)
+	case r.kind == typeStdin && open.paramsEnded && !open.inputEnded:
+		return c.appendBody(open, r.content)
 	case r.kind == typeAbortRequest:
-		c.abort(k)
+		c.abort(open)
 		return nil
 	case r.kind == typeData:
 		return c.Skip(len(r.content) + headerBytes)
@@ -121,14 +121,14 @@
 }
 
 // beginRequest handles BEGIN_REQUEST; earlier is the request that had its id until now.
-func (c *conn) beginRequest(r record, earlier *call) error {
+func (c *conn) beginRequest(r record, earlier *openRequest) error {
 	if len(r.content) != beginRequestBytes {
 		return fmt.Errorf("BEGIN_REQUEST of %d bytes", len(r.content))
 	}
 	role := int(r.content[0])<<8 | int(r.content[1])
 	keepAlive := r.content[2]&flagKeepConnection != 0
 	c.Lock()
-	if c.Draining() {
+	if c.RefusesRequests() {
 		c.Unlock()
 		return nil
 	}
@@ -138,7 +138,7 @@
 	}
 	full := c.OpenRequests() >= maxOpenRequests
 	if !full && role == roleResponder {
-		c.calls[r.id] = &call{conn: c, id: r.id, keepAlive: keepAlive}
+		c.openRequests[r.id] = &openRequest{conn: c, id: r.id, keepAlive: keepAlive}
 		c.RequestBegan()
 	}
 	c.Unlock()
@@ -154,27 +154,27 @@
 }
 
 // appendParams takes a record of the PARAMS stream, which an empty one ends.
-func (c *conn) appendParams(k *call, content []byte) error {
-	k.paramsEnded = len(content) == 0
-	if k.failed {
+func (c *conn) appendParams(open *openRequest, content []byte) error {
+	open.paramsEnded = len(content) == 0
+	if open.failed {
 		return c.Skip(len(content))
 	}
-	if len(k.params)+len(content) > maxParamsBytes {
-		return c.fail(k, http.StatusRequestHeaderFieldsTooLarge, fmt.Errorf("parameters of more than %d bytes", maxParamsBytes))
+	if len(open.params)+len(content) > maxParamsBytes {
+		return c.fail(open, http.StatusRequestHeaderFieldsTooLarge, fmt.Errorf("parameters of more than %d bytes", maxParamsBytes))
 	}
-	k.params = append(k.params, content...)
+	open.params = append(open.params, content...)
 	return nil
 }
 
 // appendBody takes a record of the STDIN stream, which an empty one ends. The rest of the body
 // of a request that has failed is skipped.
-func (c *conn) appendBody(k *call, content []byte) error {
+func (c *conn) appendBody(open *openRequest, content []byte) error {
 	ended := len(content) == 0
 	c.Lock()
-	k.inputEnded = ended
-	settled := k.Settled()
+	open.inputEnded = ended
+	settled := open.Settled()
 	if settled && ended {
-		c.forget(k)
+		c.forget(open)
 	}
 	if ended {
 		c.RequestArrived()
@@ -184,26 +184,26 @@
 	case settled:
 		return c.Skip(len(content))
 	case ended:
-		return c.complete(k)
-	case len(k.body)+len(content) > frontend.MaxBodyBytes:
-		return c.fail(k, http.StatusRequestEntityTooLarge, fmt.Errorf("body of more than %d bytes", frontend.MaxBodyBytes))
+		return c.complete(open)
+	case len(open.body)+len(content) > frontend.MaxBodyBytes:
+		return c.fail(open, http.StatusRequestEntityTooLarge, fmt.Errorf("body of more than %d bytes", frontend.MaxBodyBytes))
 	}
-	k.body = append(k.body, content...)
+	open.body = append(open.body, content...)
 	return nil
 }
 
 // abort ends a request whose caller takes it back.
-func (c *conn) abort(k *call) {
-	c.Abandon(&k.Call)
+func (c *conn) abort(open *openRequest) {
+	c.Abandon(&open.OpenRequest)
 	c.Lock()
-	k.inputEnded = true
+	open.inputEnded = true
 	c.Unlock()
-	c.respond(k, appendEndRequest(nil, k.id, statusRequestComplete))
+	c.respond(open, appendEndRequest(nil, open.id, statusRequestComplete))
 }
 
 // forget forgets a request. The lock is held.
-func (c *conn) forget(k *call) {
-	if c.calls[k.id] == k {
-		delete(c.calls, k.id)
+func (c *conn) forget(open *openRequest) {
+	if c.openRequests[open.id] == open {
+		delete(c.openRequests, open.id)
 	}
 }
--- a/internal/transport/fastcgi/conn_test.go
+++ b/internal/transport/fastcgi/conn_test.go
@@ -166,7 +166,7 @@
 	for _, r := range request[:4] {
 		require.NoError(t, c.record(r))
 	}
-	lost := c.calls[1]
+	lost := c.openRequests[1]
 	c.OnClose(nil)
 	c.submit(lost, &exchange.Request{Responder: lost})
 	require.Empty(t, x.Dequeue(nil))
@@ -176,8 +176,8 @@
 	}
 	require.Len(t, x.Dequeue(nil), 1)
 	c.Lock()
-	half := &call{conn: c, id: 2, paramsEnded: true}
-	c.calls[2] = half
+	half := &openRequest{conn: c, id: 2, paramsEnded: true}
+	c.openRequests[2] = half
 	c.RequestBegan()
 	c.Unlock()
 	c.Drain()
--- a/internal/transport/fastcgi/frontend.go
+++ b/internal/transport/fastcgi/frontend.go
@@ -25,7 +25,7 @@
 }
 
 func (f *Frontend) newConn(raw *eventloop.Conn) *conn {
-	c := &conn{server: f.Server, calls: map[uint16]*call{}}
+	c := &conn{server: f.Server, openRequests: map[uint16]*openRequest{}}
 	c.Conn = frontend.NewConn(f.Server, raw, c)
 	return c
 }
--- a/internal/transport/frontend/conn.go
+++ b/internal/transport/frontend/conn.go
@@ -42,7 +42,7 @@
 
 	lastActive      time.Time // when a request last ended, or the connection was made; AJP: also when one began
 	openRequests    int       // that have begun and have no answer
-	draining        bool      // no request begins any more
+	refusing        bool      // no request begins any more
 	completeRequest bool      // a complete request, or a keep-alive of the protocol, has arrived
 	partialMessage  bool      // the parser held part of a message after the latest bytes
 	stall           stall
@@ -66,7 +66,7 @@
 	c.parse(received)
 	partial := c.codec.HoldsPartialMessage()
 	c.Lock()
-	c.partialMessage = partial && !c.draining
+	c.partialMessage = partial && !c.refusing
 	c.Unlock()
 }
 
@@ -75,16 +75,16 @@
 func (c *Conn) OnClose(error) {
 	c.server.remove(c)
 	c.Lock()
-	c.draining = true
+	c.refusing = true
 	unanswered := c.codec.DiscardAll()
 	c.Unlock()
 	for _, r := range unanswered {
-		c.server.Exchange.Post(exchange.ClientGone{Request: r})
+		c.server.Exchange.Post(exchange.CallerGone{Request: r})
 	}
 }
 
-// Draining reports whether the connection takes no further request. The lock is held.
-func (c *Conn) Draining() bool { return c.draining }
+// RefusesRequests reports whether the connection takes no further request. The lock is held.
+func (c *Conn) RefusesRequests() bool { return c.refusing }
 
 // OpenRequests is the number of requests that have begun and have no answer. The lock is held.
 func (c *Conn) OpenRequests() int { return c.openRequests }
@@ -107,7 +107,7 @@
 func (c *Conn) Drain() {
 	c.Lock()
 	defer c.Unlock()
-	c.draining = true
+	c.refusing = true
 	c.partialMessage = false
 	c.openRequests -= c.codec.DiscardIncomplete()
 	c.closeOnceAnswered()
@@ -116,7 +116,7 @@
 // closeOnceAnswered lets no request begin any more, and closes the connection gracefully if
 // none is open. The lock is held.
 func (c *Conn) closeOnceAnswered() {
-	c.draining = true
+	c.refusing = true
 	if c.openRequests <= 0 {
 		c.CloseGracefully()
 	}
@@ -126,7 +126,7 @@
 func (c *Conn) requestSettled() {
 	c.openRequests--
 	c.lastActive = time.Now()
-	if c.draining {
+	if c.refusing {
 		c.closeOnceAnswered()
 	}
 }
--- a/internal/transport/frontend/headers.go
+++ b/internal/transport/frontend/headers.go
@@ -15,10 +15,10 @@
 	headerExpectedWork   = "Expected-Ms"    // expected work on one core, milliseconds
 	headerMemory         = "Reserve-Kb"     // memory booked for the request, KB
 	headerRank           = "Standing"       // rank, from 0 to under 1
-	headerLookupKey      = "Lookup-Key"     // subject of a read; absent in writes
+	headerSubject        = "Lookup-Key"     // subject of a read; absent in writes
 	headerIdempotencyKey = "Replay-Key"     // idempotency key of a deduplicated class
 	headerTenant         = "Project"        // tenant, at sites that have tenants
-	headerPatience       = "Max-Wait-Ms"    // how long the caller waits, milliseconds since arrival
+	headerTimeout        = "Max-Wait-Ms"    // how long the caller waits, milliseconds since arrival
 )
 
 // The fields of a response as the protocol names them.
--- a/internal/transport/frontend/limits.go
+++ b/internal/transport/frontend/limits.go
@@ -14,14 +14,14 @@
 const (
 	maxConsecutiveFaults = 16        // faulty requests without a good one between them
 	maxSkippedBytes      = 64 << 10  // input that belongs to no request, between two that do
-	maxUnsentBytes       = 192 << 10 // answers that wait to be read: 32 of the longest
+	maxUnreadAnswerBytes = 192 << 10 // answers that wait to be read: 32 of the longest
 	maxBytesAfterFault   = 1 << 20   // dropped input, while requests before the fault are answered
 )
 
 var (
 	errTooManyFaults = fmt.Errorf("%d faulty requests", maxConsecutiveFaults)
 	errTooMuchInput  = fmt.Errorf("more than %d bytes that belong to no request", maxSkippedBytes)
-	errUnsent        = fmt.Errorf("more than %d bytes of answers not read", maxUnsentBytes)
+	errAnswersUnread = fmt.Errorf("more than %d bytes of answers not read", maxUnreadAnswerBytes)
 )
 
 // parse feeds the Codec and applies the limits.
@@ -34,15 +34,15 @@
 		return
 	}
 	err := c.codec.Feed(received)
-	if err == nil && c.PendingBytes() > maxUnsentBytes {
-		err = errUnsent
+	if err == nil && c.PendingBytes() > maxUnreadAnswerBytes {
+		err = errAnswersUnread
 	}
 	if err == nil {
 		return
 	}
 	c.malformed = true
 	c.server.Log.Warn("malformed input, connection closed", zap.String("protocol", c.server.Protocol), zap.Error(err))
-	if errors.Is(err, errUnsent) {
+	if errors.Is(err, errAnswersUnread) {
 		c.Abort()
 	} else {
 		c.Drain()
--- a/internal/transport/frontend/reap.go
+++ b/internal/transport/frontend/reap.go
@@ -38,7 +38,7 @@
 	unsent := c.PendingBytes()
 	unread := unsent > 0 && unsent >= c.stall.unsentBytes
 	c.stall.unsentBytes = unsent
-	requestDue := c.hasPartialMessage() || !c.completeRequest && !c.draining
+	requestDue := c.hasPartialMessage() || !c.completeRequest && !c.refusing
 	if !requestDue && !unread {
 		c.stall.sweeps = 0
 		return progressing
@@ -61,14 +61,14 @@
 func (c *Conn) CloseIdle(now time.Time, idle time.Duration) bool {
 	c.Lock()
 	defer c.Unlock()
-	if c.draining {
+	if c.refusing {
 		c.closeOnceAnswered()
 		return c.openRequests == 0
 	}
 	if c.hasPartialMessage() || c.openRequests > 0 || now.Sub(c.lastActive) < idle || !c.CloseIfQuiet() {
 		return false
 	}
-	c.draining = true
+	c.refusing = true
 	return true
 }
 
@@ -105,7 +105,7 @@
 func (s *Server) CloseIdle(idle time.Duration) (remaining, unsentBytes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.closing {
+	if s.drainingBacklog {
 		remaining++
 	}
 	now := time.Now()
--- a/internal/transport/frontend/request.go
+++ b/internal/transport/frontend/request.go
@@ -18,7 +18,7 @@
 	maxArrivalAhead        = time.Minute     // clocks of one machine differ by less
 	maxIdempotencyKeyBytes = 128
 	maxExpectedWorkMs      = 1e6
-	maxPatienceMs          = 1e9
+	maxTimeoutMs           = 1e9
 	memoryLimitKB          = 2000 // exclusive, as the protocol has it
 	rankLimit              = 1    // exclusive
 )
@@ -54,7 +54,7 @@
 		TraceID:    r.Header(HeaderTraceID),
 		Class:      class.Index,
 		Tenant:     r.Header(headerTenant),
-		HasSubject: r.Header(headerLookupKey) != "",
+		HasSubject: r.Header(headerSubject) != "",
 	}
 	if !exchange.IsTraceID(req.TraceID) {
 		return nil, fmt.Errorf("%s %q: want 16 hex digits", HeaderTraceID, req.TraceID)
@@ -127,7 +127,7 @@
 func (r RawRequest) decodeNumbers(req *exchange.Request) error {
 	fields := []numberField{
 		{headerExpectedWork, false, func(ms float64) bool { return ms <= maxExpectedWorkMs }, func(ms float64) { req.ExpectedWork = milliseconds(ms) }},
-		{headerPatience, false, func(ms float64) bool { return ms <= maxPatienceMs }, func(ms float64) { req.Timeout = milliseconds(ms) }},
+		{headerTimeout, false, func(ms float64) bool { return ms <= maxTimeoutMs }, func(ms float64) { req.Timeout = milliseconds(ms) }},
 		{headerMemory, true, func(kb float64) bool { return kb > 0 && kb < memoryLimitKB }, func(kb float64) { req.ReservedKB = kb }},
 		{headerRank, false, func(rank float64) bool { return rank < rankLimit }, func(rank float64) { req.Rank = rank }},
 	}
--- a/internal/transport/frontend/server.go
+++ b/internal/transport/frontend/server.go
@@ -23,12 +23,12 @@
 type Server struct {
 	Config
 
-	mu       sync.Mutex // taken before the lock of a Conn
-	conns    map[*Conn]struct{}
-	listener net.Listener
-	maxConns int
-	pool     *fdquota.Pool // of descriptors, shared with calls and other frontends
-	closing  bool          // the listener still accepts connections that were made before it was closed
+	mu              sync.Mutex // taken before the lock of a Conn
+	conns           map[*Conn]struct{}
+	listener        net.Listener
+	maxConns        int
+	pool            *fdquota.Pool // of descriptors, shared with calls and other frontends
+	drainingBacklog bool          // the listener still accepts connections that were made before it was closed
 }
 
 // NewServer returns a Server that does not listen yet.
@@ -92,12 +92,12 @@
 // wait for that: until it is done CloseIdle counts the listener as remaining.
 func (s *Server) StopListening() {
 	s.mu.Lock()
-	s.closing = true
+	s.drainingBacklog = true
 	s.mu.Unlock()
 	go func() {
 		s.listener.Close()
 		s.mu.Lock()
-		s.closing = false
+		s.drainingBacklog = false
 		s.mu.Unlock()
 	}()
 }
--- a/internal/transport/records/client.go
+++ b/internal/transport/records/client.go
@@ -12,7 +12,7 @@
 
 // Client is the exchange.DependencyClient that speaks to the records service.
 type Client struct {
-	session.Dependencies
+	session.Config
 	addr    string        // "" without a service
 	pool    *fdquota.Pool // of descriptors for connections
 	linger  time.Duration // for which a canceled call still counts at the service
@@ -24,7 +24,7 @@
 
 // call is a call that has not ended.
 type call struct {
-	exchange.Attempt
+	exchange.Job
 	conn        *conn // nil while it has none
 	deadline    time.Duration
 	sends       int
@@ -42,14 +42,14 @@
 // them. Without an address each call ends as unreachable. A canceled call may go on counting for
 // linger at a service that several share: a call is sent again only after that, so that each
 // request has one at a time.
-func New(addr string, pool *fdquota.Pool, linger time.Duration, deps session.Dependencies) *Client {
+func New(addr string, pool *fdquota.Pool, linger time.Duration, deps session.Config) *Client {
 	return &Client{
-		Dependencies: deps,
-		addr:         addr,
-		pool:         pool,
-		linger:       linger,
-		calls:        map[string]*call{},
-		latency:      newLatencyEstimator(),
+		Config:  deps,
+		addr:    addr,
+		pool:    pool,
+		linger:  linger,
+		calls:   map[string]*call{},
+		latency: newLatencyEstimator(),
 	}
 }
 
@@ -66,9 +66,9 @@
 
 // Call makes a call, in place of an earlier one for the same request; the outcome is posted to
 // the exchange.
-func (c *Client) Call(a exchange.Attempt) {
+func (c *Client) Call(a exchange.Job) {
 	c.Cancel(a.TraceID)
-	k := &call{Attempt: a, deadline: c.Now() + a.Timeout}
+	k := &call{Job: a, deadline: c.Now() + a.Timeout}
 	c.calls[a.TraceID] = k
 	c.place(k)
 }
--- a/internal/transport/records/client_test.go
+++ b/internal/transport/records/client_test.go
@@ -56,7 +56,7 @@
 	require.NoError(t, err)
 	t.Cleanup(loop.Stop)
 	began := time.Now()
-	r.client = New(ln.Addr().String(), pool, 0, session.Dependencies{Exchange: r.exchange, Loop: loop, Timers: &timerqueue.Queue{},
+	r.client = New(ln.Addr().String(), pool, 0, session.Config{Exchange: r.exchange, Loop: loop, Timers: &timerqueue.Queue{},
 		Now: func() time.Duration { return time.Since(began) }, Log: zap.NewNop()})
 	return r
 }
@@ -126,7 +126,7 @@
 		r := newRig(t, most)
 		const calls = 9
 		for n := range calls {
-			r.client.Call(exchange.Attempt{TraceID: trace(n), Timeout: time.Minute, Body: []byte("x")})
+			r.client.Call(exchange.Job{TraceID: trace(n), Timeout: time.Minute, Body: []byte("x")})
 		}
 		for n := range calls {
 			c := r.arrived()
--- a/internal/transport/records/conn.go
+++ b/internal/transport/records/conn.go
@@ -52,11 +52,11 @@
 	cn := &conn{client: c, addr: c.addr, call: k}
 	k.conn = cn
 	c.Dial(cn.addr, &session.LineHandler{
-		Dependencies: c.Dependencies,
-		Parser:       lineproto.Parser{HasPayload: hasPayload},
-		Current:      func() bool { return cn.state != connClosed },
-		OnMessage:    cn.receive,
-		OnLost:       cn.lost,
+		Config:    c.Config,
+		Parser:    lineproto.Parser{HasPayload: hasPayload},
+		Current:   func() bool { return cn.state != connClosed },
+		OnMessage: cn.receive,
+		OnLost:    cn.lost,
 	}, cn.opened)
 }
 
--- a/internal/transport/records/golden_test.go
+++ b/internal/transport/records/golden_test.go
@@ -27,7 +27,7 @@
 	defer loop.Stop()
 	r := &rig{t: t, exchange: exchange.New(10)}
 	pool := fdquota.NewPool(fdquota.Quotas{Connections: 8, ReservedCalls: 4})
-	r.client = New(ln.Addr().String(), pool, 0, session.Dependencies{Exchange: r.exchange, Loop: loop, Timers: &timerqueue.Queue{},
+	r.client = New(ln.Addr().String(), pool, 0, session.Config{Exchange: r.exchange, Loop: loop, Timers: &timerqueue.Queue{},
 		Now: func() time.Duration { return time.Minute }, Log: zap.NewNop()}) // the clock stands still: so does the time in each line
 	accept := func() net.Conn {
 		c, err := ln.Accept()
@@ -50,7 +50,7 @@
 	}
 	const name = "0123456789abcdef"
 	call := func(safe bool) {
-		r.client.Call(exchange.Attempt{TraceID: name, Idempotent: safe, Timeout: 1500 * time.Millisecond, Body: []byte("call")})
+		r.client.Call(exchange.Job{TraceID: name, Idempotent: safe, Timeout: 1500 * time.Millisecond, Body: []byte("call")})
 	}
 	for _, reply := range []struct {
 		text    string
--- a/internal/transport/records/latency.go
+++ b/internal/transport/records/latency.go
@@ -10,11 +10,11 @@
 }
 
 const (
-	initialLatency   = 500 * time.Millisecond
-	latencyGain      = 0.1 // weight of one reply in the mean and the deviation
-	deviationFactor  = 4.0 // mean deviations that are added to the mean
-	patienceFactor   = 2.0 // of that sum: what takes longer counts as lost
-	minReplyPatience = 600 * time.Millisecond
+	initialLatency     = 500 * time.Millisecond
+	latencyGain        = 0.1 // weight of one reply in the mean and the deviation
+	deviationFactor    = 4.0 // mean deviations that are added to the mean
+	replyTimeoutFactor = 2.0 // of that sum: what takes longer counts as lost
+	minReplyTimeout    = 600 * time.Millisecond
 )
 
 func newLatencyEstimator() latencyEstimator {
@@ -29,5 +29,5 @@
 
 // replyTimeout is how long the reply to a call that may be sent again is waited for.
 func (e *latencyEstimator) replyTimeout() time.Duration {
-	return max(minReplyPatience, time.Duration(patienceFactor*float64(e.mean+deviationFactor*e.deviation)))
+	return max(minReplyTimeout, time.Duration(replyTimeoutFactor*float64(e.mean+deviationFactor*e.deviation)))
 }
--- a/internal/transport/registry/golden_test.go
+++ b/internal/transport/registry/golden_test.go
@@ -24,7 +24,7 @@
 	}
 	first, second := listen(), listen()
 	x, due, now := exchange.New(10), &timerqueue.Queue{}, time.Duration(0)
-	l := New(first.LocalAddr().String(), "n3", session.Dependencies{Exchange: x, Timers: due, Now: func() time.Duration { return now }, Log: zap.NewNop()})
+	l := New(first.LocalAddr().String(), "n3", session.Config{Exchange: x, Timers: due, Now: func() time.Duration { return now }, Log: zap.NewNop()})
 	hears := func(list net.PacketConn, want string) {
 		t.Helper()
 		b := make([]byte, 100)
--- a/internal/transport/registry/reporter.go
+++ b/internal/transport/registry/reporter.go
@@ -34,7 +34,7 @@
 
 // Reporter sends the reports, each a datagram that gets no answer.
 type Reporter struct {
-	session.Dependencies
+	session.Config
 	addr         string // "" without a registry
 	name         string // of this service
 	state        state
@@ -51,8 +51,8 @@
 }
 
 // New returns a Reporter that reports nothing yet, and nothing ever without an address.
-func New(addr, name string, deps session.Dependencies) *Reporter {
-	return &Reporter{Dependencies: deps, addr: addr, name: name, availability: available}
+func New(addr, name string, deps session.Config) *Reporter {
+	return &Reporter{Config: deps, addr: addr, name: name, availability: available}
 }
 
 // Register reports this service from now on, as available until SetAvailable says otherwise. It
--- a/internal/transport/session/line_handler.go
+++ b/internal/transport/session/line_handler.go
@@ -4,8 +4,8 @@
 
 // LineHandler is the eventloop.Handler of a connection that speaks a line protocol.
 type LineHandler struct {
-	Dependencies Dependencies
-	Parser       lineproto.Parser // of the event loop's goroutine
+	Config Config
+	Parser lineproto.Parser // of the event loop's goroutine
 	// Current reports whether the session still uses the connection; if not, nothing more is
 	// reported. It and the other functions are called on the dispatcher's goroutine.
 	Current   func() bool
@@ -35,7 +35,7 @@
 func (h *LineHandler) OnClose(err error) { h.post(func() { h.OnLost(err) }) }
 
 func (h *LineHandler) post(f func()) {
-	h.Dependencies.post(func() {
+	h.Config.post(func() {
 		if h.Current() {
 			f()
 		}
--- a/internal/transport/session/session.go
+++ b/internal/transport/session/session.go
@@ -21,8 +21,8 @@
 
 const dialTimeout = time.Second
 
-// Dependencies is what a session works with.
-type Dependencies struct {
+// Config is what a session works with.
+type Config struct {
 	Exchange *exchange.Exchange   // receives outcomes and callbacks
 	Loop     *eventloop.Loop      // of all connections
 	Timers   *timerqueue.Queue    // of the dispatcher's goroutine
@@ -31,7 +31,7 @@
 }
 
 // Dial connects and has opened called on the dispatcher's goroutine.
-func (d Dependencies) Dial(addr string, h eventloop.Handler, opened func(*eventloop.Conn, error)) {
+func (d Config) Dial(addr string, h eventloop.Handler, opened func(*eventloop.Conn, error)) {
 	handler := func(*eventloop.Conn) eventloop.Handler { return h }
 	d.Loop.Dial(addr, dialTimeout, handler, func(c *eventloop.Conn, err error) {
 		d.post(func() { opened(c, err) })
@@ -39,11 +39,11 @@
 }
 
 // DialDatagram opens a socket for datagrams and has opened called on the dispatcher's goroutine.
-func (d Dependencies) DialDatagram(addr string, opened func(*eventloop.DatagramConn, error)) {
+func (d Config) DialDatagram(addr string, opened func(*eventloop.DatagramConn, error)) {
 	eventloop.DialDatagram(addr, dialTimeout, func(c *eventloop.DatagramConn, err error) {
 		d.post(func() { opened(c, err) })
 	})
 }
 
 // post has f called on the dispatcher's goroutine.
-func (d Dependencies) post(f func()) { d.Exchange.Post(exchange.Callback(f)) }
+func (d Config) post(f func()) { d.Exchange.Post(exchange.Callback(f)) }
--- a/tests/ramp_test.go
+++ b/tests/ramp_test.go
@@ -142,7 +142,7 @@
 // the others more than their number.
 func TestColdServerUnderThirty(t *testing.T) {
 	const services, callers = 30, 3
-	limits := slowstart.Config{Cores: 2, WarmRunsPerCore: 8, MinSpeedFraction: 0.2, WarmUp: 5 * time.Second, AveragingWindow: time.Second, Processes: services}
+	limits := slowstart.Config{Cores: 2, MaxRunsPerCore: 8, MinSpeed: 0.2, Duration: 5 * time.Second, AveragingWindow: time.Second, Processes: services}
 	u := &sharedUpstream{t: t, addr: freePort(t), work: 100 * time.Millisecond}
 	u.start()
 	t.Cleanup(u.end)
@@ -154,8 +154,8 @@
 			cfg["settings"].(object)["servers"] = services
 			cfg["settings"].(object)["family_info"].(object)["cores"] = limits.Cores
 			safety := cfg["settings"].(object)["safety"].(object)
-			safety["cold_ns"], safety["cold_share"] = limits.WarmUp, limits.MinSpeedFraction
-			safety["fall_ns"], safety["fall_multiple"] = limits.AveragingWindow, limits.WarmRunsPerCore
+			safety["cold_ns"], safety["cold_share"] = limits.Duration, limits.MinSpeed
+			safety["fall_ns"], safety["fall_multiple"] = limits.AveragingWindow, limits.MaxRunsPerCore
 		}))
 	}
 	var ended atomic.Bool
@@ -180,12 +180,12 @@
 		await(t, "the news of the end", func() bool { return strings.Contains(s.log(), "upstream not reached") })
 	}
 	u.start()
-	await(t, "a warm server", func() bool { u.mu.Lock(); defer u.mu.Unlock(); return time.Since(u.changes[0].at) > limits.WarmUp })
+	await(t, "a warm server", func() bool { u.mu.Lock(); defer u.mu.Unlock(); return time.Since(u.changes[0].at) > limits.Duration })
 	excess, mean := u.most(limits.AveragingWindow, func(age time.Duration) float64 {
-		n := limits.TotalQuota(age)
+		n := limits.MaxRuns(age)
 		return n + 2*math.Sqrt(n) + 2
 	})
 	t.Logf("mean of runs while cold %.1f, largest excess over the bound %.1f", mean, excess)
 	assert.LessOrEqual(t, excess, 0.0)
-	assert.Greater(t, mean, limits.TotalQuota(0)/2, "the server is used meanwhile")
+	assert.Greater(t, mean, limits.MaxRuns(0)/2, "the server is used meanwhile")
 }
