--- a/tests/links_test.go
+++ b/tests/links_test.go
@@ -89,6 +89,26 @@
 	assert.Equal(t, 1, e.heardOf("RUN "+unsafe))
 }
 
+// TestRunEndsAfterSync: a run that the engine has read and that ends between its answer to STAT
+// sync and the repeated RUN runs once, as its class is at most once.
+func TestRunEndsAfterSync(t *testing.T) {
+	t.Parallel()
+	w := newWorld(t, nil)
+	trace := newTrace()
+	got := w.later("nom-submit", trace, "hold")
+	await(t, "the run", func() bool { return w.engine.held() == 1 })
+	w.engine.mu.Lock()
+	w.engine.endsNow = true
+	w.engine.conn.Close()
+	w.engine.mu.Unlock()
+	require.Equal(t, 200, (<-got).status)
+	// The commands of a connection are read in order: a repeated RUN comes before this one.
+	require.Equal(t, 200, w.status("nom-submit", "ok"))
+	w.engine.mu.Lock()
+	defer w.engine.mu.Unlock()
+	assert.Equal(t, 1, w.engine.runs[trace])
+}
+
 // TestGaugesAge: gauges that came long ago say nothing of the cores: no more runs
 // are put on the cores, whatever idled then.
 func TestGaugesAge(t *testing.T) {
--- a/tests/process_test.go
+++ b/tests/process_test.go
@@ -327,6 +327,7 @@
 	crosses bool // runs end well just before their HALT is read
 	forgets int  // so many of the next links are accepted and then forgotten
 	gauged  int  // STATs that it answered
+	endsNow bool // runs that hold end right after the next STATS sync
 }
 
 func newEngine(t *testing.T) *engine {
@@ -365,6 +366,9 @@
 	case w[0] == "STAT":
 		e.gauged++
 		fmt.Fprintf(e.conn, "STATS %s 0.1 1 0.1 1\r\n", w[1])
+		if e.endsNow && w[1] == "sync" {
+			e.releaseLocked()
+		}
 	case w[0] == "RUN" && e.active[w[1]]: // nothing happens
 	case w[0] == "RUN":
 		e.runs[w[1]]++
@@ -406,6 +410,10 @@
 func (e *engine) release() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
+	e.releaseLocked()
+}
+
+func (e *engine) releaseLocked() {
 	for i := len(e.holds) - 1; i >= 0; i-- {
 		e.notice("DONE %d "+e.holds[i]+" OK 5 ", "result of "+e.holds[i])
 	}
