--- /dev/null
+++ b/internal/storage/durable/batch_header.go
@@ -0,0 +1,69 @@
+package durable
+
+import "encoding/binary"
+
+// All integers are little endian. docs/design/durable-store.md has the layouts.
+const (
+	batchMagic = 0x78b0f4a3
+	// frameHeaderLen is the length of a batch's header in bytes.
+	frameHeaderLen = 40
+	// checksummedHeaderLen is the part of the header that its checksum covers, in bytes.
+	checksummedHeaderLen = frameHeaderLen - checksumLen
+)
+
+// batchHeader is the header of one batch in the log.
+type batchHeader struct {
+	payloadLen       uint32 // bytes
+	seq              uint64
+	syncedSeq        uint64 // all batches up to this one were on disk when this one was written
+	opCount          uint32
+	previousChecksum uint32 // of the previous batch's header; it chains the batches
+	payloadChecksum  uint32
+	checksum         uint32 // of this header
+}
+
+// encode sets the lengths and checksums for a payload, writes the header into b
+// and returns the header's checksum.
+func (h *batchHeader) encode(b, payload []byte, salt uint32) uint32 {
+	h.payloadLen = uint32(len(payload))
+	h.payloadChecksum = checksum(salt, payload)
+	e := binary.LittleEndian
+	e.PutUint32(b, batchMagic)
+	e.PutUint32(b[4:], h.payloadLen)
+	e.PutUint64(b[8:], h.seq)
+	e.PutUint64(b[16:], h.syncedSeq)
+	e.PutUint32(b[24:], h.opCount)
+	e.PutUint32(b[28:], h.previousChecksum)
+	e.PutUint32(b[32:], h.payloadChecksum)
+	h.checksum = checksum(salt, b[:checksummedHeaderLen])
+	e.PutUint32(b[checksummedHeaderLen:], h.checksum)
+	return h.checksum
+}
+
+// parseBatchHeader reads a header. It accepts only what encode wrote.
+func parseBatchHeader(b []byte, salt uint32) (h batchHeader, ok bool) {
+	if len(b) < frameHeaderLen {
+		return h, false
+	}
+	e := binary.LittleEndian
+	if e.Uint32(b) != batchMagic {
+		return h, false
+	}
+	if e.Uint32(b[checksummedHeaderLen:]) != checksum(salt, b[:checksummedHeaderLen]) {
+		return h, false
+	}
+	return batchHeader{
+		payloadLen:       e.Uint32(b[4:]),
+		seq:              e.Uint64(b[8:]),
+		syncedSeq:        e.Uint64(b[16:]),
+		opCount:          e.Uint32(b[24:]),
+		previousChecksum: e.Uint32(b[28:]),
+		payloadChecksum:  e.Uint32(b[32:]),
+		checksum:         e.Uint32(b[checksummedHeaderLen:]),
+	}, true
+}
+
+// matches checks a payload's checksum and that its operations can be read.
+func (h *batchHeader) matches(payload []byte, salt uint32) bool {
+	return checksum(salt, payload) == h.payloadChecksum && forEachOp(payload, h.opCount, checkOp) == nil
+}
--- /dev/null
+++ b/internal/storage/durable/compaction.go
@@ -0,0 +1,131 @@
+package durable
+
+import "fmt"
+
+// maxMoveBatchBytes is the length at which a batch of moves is written.
+const maxMoveBatchBytes = 128 << 10
+
+// compaction moves the live values of a sealed segment to the end of the log.
+type compaction struct {
+	segment *segment
+	offset  int64  // of the next batch
+	payload []byte // of the last batch that was read
+}
+
+// moveWriter collects moves and writes them in batches.
+type moveWriter struct {
+	store   *Store
+	batch   Batch
+	written int64 // bytes
+}
+
+// flush writes the collected moves, buffered.
+func (w *moveWriter) flush() error {
+	if w.batch.Len() == 0 {
+		return nil
+	}
+	result := make(chan error, 1)
+	w.store.submit(&request{
+		batch:       &w.batch,
+		level:       Buffered,
+		maintenance: true,
+		done:        func(_ uint64, err error) { result <- err },
+	})
+	err := <-result
+	n := int64(w.batch.Bytes())
+	w.written += n
+	w.store.stats.movedBytes.Add(n)
+	w.batch.Reset()
+	return err
+}
+
+// compactSegment reads and writes about budget bytes, and returns how many it did.
+// A key that is written meanwhile is left alone: a move takes effect only for the
+// version that it was made from.
+func (s *Store) compactSegment(c *compaction, budget int64) (spent int64, done bool, err error) {
+	moves := &moveWriter{store: s}
+	read := int64(0)
+	for read+moves.written < budget {
+		liveValues, size := s.segmentState(c.segment)
+		if liveValues == 0 && moves.batch.Len() == 0 || c.offset >= size {
+			err := moves.flush()
+			if err == nil && liveValues > 0 {
+				s.markUnreadable(c.segment)
+			}
+			return read + moves.written, true, err
+		}
+		header, payload, ok, err := c.readBatch(size)
+		if err != nil {
+			return read + moves.written, true, err
+		}
+		if !ok {
+			c.offset = size // recovery truncated the log here, or repair did
+			continue
+		}
+		batchLen := frameHeaderLen + int64(len(payload))
+		read += batchLen
+		if err := s.moveLive(c, moves, header, payload); err != nil {
+			return read + moves.written, true, err
+		}
+		c.offset += batchLen
+	}
+	err = moves.flush()
+	return read + moves.written, false, err
+}
+
+func (s *Store) segmentState(segment *segment) (liveValues, size int64) {
+	s.mu.RLock()
+	defer s.mu.RUnlock()
+	return segment.liveValues, segment.size
+}
+
+// markUnreadable marks a segment that still has live values after its last batch
+// was moved: they lie where no batch can be read.
+func (s *Store) markUnreadable(segment *segment) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	segment.unreadable = segment.liveValues > 0
+}
+
+// moveLive adds a move for each operation of a batch that the index refers to.
+func (s *Store) moveLive(c *compaction, moves *moveWriter, h batchHeader, payload []byte) error {
+	return forEachOp(payload, h.opCount, func(o op) error {
+		if !o.kind.storesValue() {
+			return nil
+		}
+		s.mu.RLock()
+		e, found := s.index.tree.Get(searchKey(string(o.key)))
+		s.mu.RUnlock()
+		if !found || !e.inSegment(c.segment.number, c.offset+frameHeaderLen+int64(o.offset)) {
+			return nil
+		}
+		moves.batch.move(o, e.version)
+		if len(moves.batch.payload) >= maxMoveBatchBytes {
+			return moves.flush()
+		}
+		return nil
+	})
+}
+
+// readBatch reads the batch at the offset, if it is complete.
+func (c *compaction) readBatch(size int64) (h batchHeader, payload []byte, ok bool, err error) {
+	if size-c.offset < frameHeaderLen {
+		return h, nil, false, nil
+	}
+	var header [frameHeaderLen]byte
+	if err := readFull(c.segment.file, header[:], c.offset); err != nil {
+		return h, nil, false, fmt.Errorf("compaction: %s: %w", segmentName(c.segment.number), err)
+	}
+	h, ok = parseBatchHeader(header[:], c.segment.salt)
+	if !ok || int64(h.payloadLen) > size-c.offset-frameHeaderLen {
+		return h, nil, false, nil
+	}
+	if cap(c.payload) < int(h.payloadLen) {
+		c.payload = make([]byte, h.payloadLen)
+	}
+	payload = c.payload[:h.payloadLen]
+	if err := readFull(c.segment.file, payload, c.offset+frameHeaderLen); err != nil {
+		return h, nil, false, fmt.Errorf("compaction: %s: %w", segmentName(c.segment.number), err)
+	}
+	return h, payload, h.matches(payload, c.segment.salt), nil
+}
--- a/internal/storage/durable/busy_test.go
+++ b/internal/storage/durable/concurrency_test.go
@@ -14,10 +14,10 @@
 	"oxbowbridge/internal/storage/durable/plan"
 )
 
-// TestBusy: while writers overwrite pairs of keys, upkeep compacts and drops what
-// snapshots read. In every snapshot a pair is equal, and a scan ends with what it
+// TestConcurrentWritersAndMaintenance: while writers overwrite pairs of keys,
+// maintenance compacts and drops what snapshots read. In every snapshot a pair is equal, and a scan ends with what it
 // began with.
-func TestBusy(t *testing.T) {
+func TestConcurrentWritersAndMaintenance(t *testing.T) {
 	o := Options{MaxInlineBytes: 8, Maintenance: plan.Limits{MinSegmentBytes: 8 << 10, MaxSegmentBytes: 8 << 10, MinCheckpointLogBytes: 16 << 10, BytesPerSecond: 64 << 20}}
 	f := &faultfs.FS{}
 	s, _, err := Open(f, o)
@@ -32,7 +32,7 @@
 			rng := rand.New(rand.NewPCG(uint64(w), 1))
 			for i := range writes {
 				var b Batch
-				k, v := rng.IntN(20), []byte(val(i, 1+rng.IntN(40)))
+				k, v := rng.IntN(20), []byte(testValue(i, 1+rng.IntN(40)))
 				b.Put(fmt.Appendf(nil, "%d/a/%d", w, k), v, 0)
 				b.Put(fmt.Appendf(nil, "%d/b/%d", w, k), v, 0)
 				_, err := s.Apply(&b, Level(i%2))
@@ -82,11 +82,11 @@
 	st := s.Stats()
 	assert.Positive(t, st.DroppedSegments)
 	assert.Positive(t, st.Checkpoints)
-	want, _ := state(t, s)
+	want, _ := readState(t, s)
 	require.NoError(t, s.Close())
 	s, _, err = Open(f, o)
 	require.NoError(t, err)
-	got, _ := state(t, s)
+	got, _ := readState(t, s)
 	assert.Equal(t, want, got)
 	require.NoError(t, s.Close())
 }
@@ -94,28 +94,28 @@
 // TestWriteOvertakesMove: a key is written after compaction has read its old value and
 // before the move comes to the log. The move must not count, now or after a restart.
 func TestWriteOvertakesMove(t *testing.T) {
-	f, o := &faultfs.FS{}, small()
-	b, err := newBed(f, o)
+	f, o := &faultfs.FS{}, smallOptions()
+	b, err := newWorkload(f, o)
 	require.NoError(t, err)
-	require.NoError(t, b.s.Put([]byte("k"), []byte(val(1, 30))))
-	require.NoError(t, b.s.Put([]byte("gone"), []byte(val(1, 30))))
-	require.NoError(t, b.s.roll())
+	require.NoError(t, b.store.Put([]byte("k"), []byte(testValue(1, 30))))
+	require.NoError(t, b.store.Put([]byte("gone"), []byte(testValue(1, 30))))
+	require.NoError(t, b.store.rotateSegment())
 	hold, done := make(chan struct{}), make(chan error, 3)
-	b.s.submit(&request{do: func() error { <-hold; return nil }, then: func(uint64, error) {}})
-	for len(b.s.queue) > 0 { // until the committer holds it
+	b.store.submit(&request{run: func() error { <-hold; return nil }, done: func(uint64, error) {}})
+	for len(b.store.requests) > 0 { // until the committer holds it
 		runtime.Gosched()
 	}
 	var put, del Batch
-	put.Put([]byte("k"), []byte(val(2, 30)), 0)
+	put.Put([]byte("k"), []byte(testValue(2, 30)), 0)
 	del.Delete([]byte("gone"))
 	for _, c := range []*Batch{&put, &del} {
-		b.s.Submit(c, Synced, func(_ uint64, err error) { done <- err })
+		b.store.Submit(c, Synced, func(_ uint64, err error) { done <- err })
 	}
 	go func() {
-		_, _, err := b.s.compact(&compaction{seg: b.s.idx.segs[1], at: headerLen}, 1<<20)
+		_, _, err := b.store.compactSegment(&compaction{segment: b.store.index.segments[1], offset: headerLen}, 1<<20)
 		done <- err
 	}()
-	for len(b.s.queue) < 3 {
+	for len(b.store.requests) < 3 {
 		runtime.Gosched()
 	}
 	close(hold)
@@ -123,13 +123,13 @@
 		require.NoError(t, <-done)
 	}
 	for range 2 {
-		v, err := b.s.Get([]byte("k"), 0)
+		v, err := b.store.Get([]byte("k"), 0)
 		require.NoError(t, err)
-		require.Equal(t, val(2, 30), string(v))
-		_, err = b.s.Get([]byte("gone"), 0)
+		require.Equal(t, testValue(2, 30), string(v))
+		_, err = b.store.Get([]byte("gone"), 0)
 		require.ErrorIs(t, err, ErrNotFound)
-		require.NoError(t, b.s.Close())
-		b.s, _, err = Open(f, o)
+		require.NoError(t, b.store.Close())
+		b.store, _, err = Open(f, o)
 		require.NoError(t, err)
 	}
 }
--- a/internal/storage/durable/corrupt_test.go
+++ b/internal/storage/durable/corrupt_test.go
@@ -15,56 +15,56 @@
 	"oxbowbridge/internal/storage/durable/faultfs"
 )
 
-// folders are a day's folder as it stands in service, with a compaction half done,
-// and after it was closed.
-func folders(t *testing.T) (b *bed, images map[string]map[string][]byte) {
-	f, o := &faultfs.FS{}, small()
+// workloadFolders are a workload's folder in service, with a compaction half done, and
+// after it was closed.
+func workloadFolders(t *testing.T) (b *workload, images map[string]map[string][]byte) {
+	f, o := &faultfs.FS{}, smallOptions()
 	o.ReserveBytes = 1
-	b, err := newBed(f, o)
+	b, err := newWorkload(f, o)
 	require.NoError(t, err)
-	require.NoError(t, b.day())
-	for i := 0; b.s.upkeep.comp == nil || b.s.upkeep.comp.at <= headerLen; i++ {
+	require.NoError(t, b.runDay())
+	for i := 0; b.store.maintenance.compaction == nil || b.store.maintenance.compaction.offset <= headerLen; i++ {
 		require.Less(t, i, 500, "a compaction must be half done")
 		if i%3 == 0 {
-			require.NoError(t, b.apply(Synced, change{put: map[string]string{fmt.Sprintf("k%02d", i%9): val(i, 25)}}))
+			require.NoError(t, b.apply(Synced, change{puts: map[string]string{fmt.Sprintf("k%02d", i%9): testValue(i, 25)}}))
 		}
-		require.NoError(t, b.upkeep(1))
+		require.NoError(t, b.runMaintenance(1))
 	}
-	require.NoError(t, b.s.roll())
+	require.NoError(t, b.store.rotateSegment())
 	for i := range 4 {
-		require.NoError(t, b.apply(Synced, change{put: map[string]string{"tail": fmt.Sprint("t", i)}}))
+		require.NoError(t, b.apply(Synced, change{puts: map[string]string{"tail": fmt.Sprint("t", i)}}))
 	}
 	images = map[string]map[string][]byte{"in service": f.Image()}
-	require.NoError(t, b.s.Close())
+	require.NoError(t, b.store.Close())
 	images["closed"] = f.Image()
 	for when, image := range images {
-		ckps, logs := 0, 0
+		checkpoints, segments := 0, 0
 		for name := range image {
-			if strings.HasSuffix(name, ckpSuffix) {
-				ckps++
+			if strings.HasSuffix(name, checkpointSuffix) {
+				checkpoints++
 			}
-			if strings.HasSuffix(name, logSuffix) {
-				logs++
+			if strings.HasSuffix(name, segmentSuffix) {
+				segments++
 			}
 		}
-		require.GreaterOrEqual(t, ckps, 2, when)
-		require.GreaterOrEqual(t, logs, 4, when)
+		require.GreaterOrEqual(t, checkpoints, 2, when)
+		require.GreaterOrEqual(t, segments, 4, when)
 	}
 	return b, images
 }
 
-// outcome opens a folder; what it gives is a state that existed, or a typed error.
-// It may be older by as many batches as late says: what a cut takes with the whole
-// end of the log can't be told from what never was there, if the folder was not closed.
-func outcome(t *testing.T, b *bed, image map[string][]byte, what string, late int, repair bool) (opened bool) {
+// checkDamagedFolder opens a folder; the result is a state that existed, or a typed
+// error. The state may be older by maxLostBatches: where a cut removes the end of the
+// log and the folder was not closed, nothing tells that it was there.
+func checkDamagedFolder(t *testing.T, b *workload, image map[string][]byte, what string, maxLostBatches int, repair bool) (opened bool) {
 	f := faultfs.FromImage(image)
 	before := f.Steps()
-	s, r, err := Open(f, small())
+	s, r, err := Open(f, smallOptions())
 	if err == nil {
-		got, damaged := state(t, s)
-		if i := slices.Index(b.states, got); i < 0 && damaged == 0 || damaged > 0 && !partOf(b, got) {
+		got, damaged := readState(t, s)
+		if i := slices.Index(b.states, got); i < 0 && damaged == 0 || damaged > 0 && !isPartOfState(b, got) {
 			t.Errorf("%s: no such state: %s\n%+v", what, got, r)
-		} else if damaged == 0 && !slices.Contains(b.states[max(0, len(b.states)-1-late):], got) {
+		} else if damaged == 0 && !slices.Contains(b.states[max(0, len(b.states)-1-maxLostBatches):], got) {
 			t.Errorf("%s: the state is older than it may be\n%+v", what, r)
 		}
 		if err := s.Close(); err != nil {
@@ -83,29 +83,29 @@
 	if !repair {
 		return false
 	}
-	if _, err := Repair(f, small()); err != nil {
+	if _, err := Repair(f, smallOptions()); err != nil {
 		if !errors.Is(err, ErrUnrecoverable) {
 			t.Errorf("%s: repair: %v", what, err)
 		}
 		return false
 	}
-	s, _, err = Open(f, small())
+	s, _, err = Open(f, smallOptions())
 	if err != nil {
 		t.Errorf("%s: after repair: %v", what, err)
 		return false
 	}
-	if got, _ := state(t, s); !partOf(b, got) {
+	if got, _ := readState(t, s); !isPartOfState(b, got) {
 		t.Errorf("%s: after repair, no such state: %s", what, got)
 	}
-	if err := s.Put([]byte("after"), []byte(val(3, 30))); err != nil {
+	if err := s.Put([]byte("after"), []byte(testValue(3, 30))); err != nil {
 		t.Errorf("%s: after repair: %v", what, err)
 	}
 	s.Close()
 	return false
 }
 
-// partOf tells whether a state that existed has all these keys, with these values.
-func partOf(b *bed, got string) bool {
+// isPartOfState: a state that existed has all these keys, with these values.
+func isPartOfState(b *workload, got string) bool {
 	pairs := strings.Split(strings.TrimSuffix(got, ";"), ";")
 	return got == "" || slices.ContainsFunc(b.states, func(s string) bool {
 		s = ";" + s
@@ -113,11 +113,11 @@
 	})
 }
 
-// TestEveryByte cuts every file at every byte, and spoils every byte.
-func TestEveryByte(t *testing.T) {
-	b, images := folders(t)
+// TestEveryByteDamaged cuts every file at every byte, and changes every byte.
+func TestEveryByteDamaged(t *testing.T) {
+	b, images := workloadFolders(t)
 	patterns, repairs := []byte{0x01, 0x80, 0xff}, 23
-	if *full {
+	if *longRun {
 		patterns, repairs = []byte{0x01, 0x02, 0x04, 0x08, 0x10, 0x20, 0x40, 0x80, 0xff, 0x55}, 1
 	}
 	for when, image := range images {
@@ -125,22 +125,22 @@
 		for _, name := range slices.Sorted(maps.Keys(image)) {
 			whole := image[name]
 			count := func(i int, changed []byte, what string) {
-				late := 0
+				maxLostBatches := 0
 				if when == "in service" {
-					late = 1
+					maxLostBatches = 1
 				}
 				if when == "in service" && len(changed) < len(whole) {
-					late = len(b.states)
+					maxLostBatches = len(b.states)
 				}
 				c := maps.Clone(image)
 				c[name] = changed
-				if outcome(t, b, c, fmt.Sprintf("%s, %s %s byte %d", when, name, what, i), late, i%repairs == 0) {
+				if checkDamagedFolder(t, b, c, fmt.Sprintf("%s, %s %s byte %d", when, name, what, i), maxLostBatches, i%repairs == 0) {
 					opened.Add(1)
 				} else {
 					refused.Add(1)
 				}
 			}
-			parallel(t, len(whole), func(i int) {
+			runParallel(t, len(whole), func(i int) {
 				count(i, slices.Clone(whole[:i]), "cut at")
 				for _, p := range patterns {
 					c := slices.Clone(whole)
@@ -150,7 +150,7 @@
 			})
 			c := maps.Clone(image)
 			delete(c, name)
-			outcome(t, b, c, when+", without "+name, 0, true)
+			checkDamagedFolder(t, b, c, when+", without "+name, 0, true)
 		}
 		t.Logf("%s: %d folders opened, %d refused", when, opened.Load(), refused.Load())
 		require.Positive(t, opened.Load())
@@ -160,35 +160,35 @@
 
 // TestSwappedFiles: whole files of another time or another store are found out.
 func TestSwappedFiles(t *testing.T) {
-	b, images := folders(t)
+	b, images := workloadFolders(t)
 	image := images["closed"]
 	names := slices.Sorted(maps.Keys(image))
 	for _, from := range names {
 		for _, to := range names {
 			c := maps.Clone(image)
 			c[to] = image[from]
-			outcome(t, b, c, from+" in place of "+to, 0, true)
+			checkDamagedFolder(t, b, c, from+" in place of "+to, 0, true)
 		}
 	}
-	o := small()
+	o := smallOptions()
 	o.StoreID = 0xd1ff
 	f := &faultfs.FS{}
-	other, err := newBed(f, o)
+	other, err := newWorkload(f, o)
 	require.NoError(t, err)
-	require.NoError(t, other.day())
-	require.NoError(t, other.s.Close())
+	require.NoError(t, other.runDay())
+	require.NoError(t, other.store.Close())
 	for name, data := range f.Image() {
 		c := maps.Clone(image)
 		if c[name] == nil {
 			continue
 		}
 		c[name] = data
-		s, _, err := Open(faultfs.FromImage(c), small())
+		s, _, err := Open(faultfs.FromImage(c), smallOptions())
 		if name == LockName || name == reserveName {
 			require.NoError(t, err)
 			s.Close()
 		} else if err == nil {
-			got, damaged := state(t, s)
+			got, damaged := readState(t, s)
 			if damaged == 0 && got != b.states[len(b.states)-1] {
 				t.Errorf("%s of another store: %s", name, got)
 			}
@@ -198,55 +198,58 @@
 }
 
 // TestReusedBlock: where a batch was torn, the disk gives back what stood there in an
-// earlier life of the same segment: batches that are whole, with the right numbers.
+// earlier use of the same segment: batches that are whole, with the right numbers.
 func TestReusedBlock(t *testing.T) {
-	life := func(f *faultfs.FS, word string) {
-		s, _, err := Open(f, small())
+	fill := func(f *faultfs.FS, word string) {
+		s, _, err := Open(f, smallOptions())
 		require.NoError(t, err)
 		for i := range 4 {
 			require.NoError(t, s.Put(fmt.Append(nil, i), []byte(word)))
 		}
 		require.NoError(t, s.Sync())
-		s.upkeep.stop()
+		s.maintenance.stop()
 	}
 	f, old := &faultfs.FS{}, &faultfs.FS{}
-	life(f, "new")
-	life(old, "old")
-	name := logName(1)
+	fill(f, "new")
+	fill(old, "old")
+	name := segmentName(1)
 	image, before := f.Image(), old.Image()[name]
 	size := (len(image[name]) - headerLen) / 4
 	image[name] = append(image[name][:headerLen+2*size:headerLen+2*size], before[headerLen+2*size:]...)
-	s, _, err := Open(faultfs.FromImage(image), small())
+	s, _, err := Open(faultfs.FromImage(image), smallOptions())
 	if err != nil {
 		require.ErrorIs(t, err, ErrDamaged)
 		return
 	}
-	got, _ := state(t, s)
+	got, _ := readState(t, s)
 	require.Equal(t, "0=new;1=new;", got)
 }
 
 // TestCrashInRepair stops the machine at every step of repairs of all kinds of
 // damage. Afterwards the folder is as damaged as before, or repaired.
 func TestCrashInRepair(t *testing.T) {
-	b, images := folders(t)
+	b, images := workloadFolders(t)
 	image := images["closed"]
 	names := slices.Sorted(maps.Keys(image))
-	logs, ckps, damages := []string{}, []string{}, 0
+	segments, checkpoints, damages := []string{}, []string{}, 0
 	for _, name := range names {
 		switch {
-		case strings.HasSuffix(name, logSuffix):
-			logs = append(logs, name)
-		case strings.HasSuffix(name, ckpSuffix):
-			ckps = append(ckps, name)
+		case strings.HasSuffix(name, segmentSuffix):
+			segments = append(segments, name)
+		case strings.HasSuffix(name, checkpointSuffix):
+			checkpoints = append(checkpoints, name)
 		}
 	}
 	damage := []func(map[string][]byte){
 		func(c map[string][]byte) { delete(c, manifestName) },
 		func(c map[string][]byte) { c[manifestName][30] ^= 1 },
-		func(c map[string][]byte) { c[ckps[len(ckps)-1]][100] ^= 1; c[logs[len(logs)-1]][70] ^= 1 },
-		func(c map[string][]byte) { delete(c, logs[len(logs)-1]) },
+		func(c map[string][]byte) {
+			c[checkpoints[len(checkpoints)-1]][100] ^= 1
+			c[segments[len(segments)-1]][70] ^= 1
+		},
+		func(c map[string][]byte) { delete(c, segments[len(segments)-1]) },
 	}
-	for _, name := range logs {
+	for _, name := range segments {
 		damage = append(damage, func(c map[string][]byte) { c[name] = c[name][:len(c[name])/2] }, func(c map[string][]byte) { delete(c, name) })
 	}
 	for d, spoil := range damage {
@@ -256,7 +259,7 @@
 		}
 		spoil(c)
 		sound := faultfs.FromImage(c)
-		if _, err := Repair(sound, small()); errors.Is(err, ErrUnrecoverable) || sound.Steps() == 0 {
+		if _, err := Repair(sound, smallOptions()); errors.Is(err, ErrUnrecoverable) || sound.Steps() == 0 {
 			continue
 		}
 		damages++
@@ -269,19 +272,19 @@
 					}
 					return faultfs.NoFault
 				}
-				_, err := Repair(f, small())
+				_, err := Repair(f, smallOptions())
 				require.Error(t, err)
 				f = f.AfterCrash(rand.New(rand.NewPCG(uint64(k), seed)), []float64{0, 0.5, 1, 0.8}[seed])
-				s, _, err := Open(f, small())
+				s, _, err := Open(f, smallOptions())
 				if errors.Is(err, ErrDamaged) {
-					_, err = Repair(f, small())
+					_, err = Repair(f, smallOptions())
 					require.NoError(t, err, "damage %d, step %d, seed %d", d, k, seed)
-					s, _, err = Open(f, small())
+					s, _, err = Open(f, smallOptions())
 				}
 				require.NoError(t, err, "damage %d, step %d, seed %d", d, k, seed)
-				got, _ := state(t, s)
-				require.True(t, partOf(b, got), "damage %d, step %d, seed %d: %s", d, k, seed, got)
-				require.NoError(t, s.Put([]byte("after"), []byte(val(3, 30))))
+				got, _ := readState(t, s)
+				require.True(t, isPartOfState(b, got), "damage %d, step %d, seed %d: %s", d, k, seed, got)
+				require.NoError(t, s.Put([]byte("after"), []byte(testValue(3, 30))))
 				require.NoError(t, s.Close())
 			}
 		}
--- a/internal/storage/durable/crash_test.go
+++ b/internal/storage/durable/crash_test.go
@@ -18,33 +18,33 @@
 	"oxbowbridge/internal/testrig/rapidseed"
 )
 
-var full = flag.Bool("full", false, "run the long form of the sweeps")
+var longRun = flag.Bool("full", false, "run the long form of the sweeps")
 
 // TestMain has the short form try the same histories each time.
 func TestMain(m *testing.M) {
 	flag.Parse()
-	if !*full {
+	if !*longRun {
 		rapidseed.Fix()
 	}
 	os.Exit(m.Run())
 }
 
-// TestCrashAtEveryStep stops the machine at each I/O step of the day, with all, none
+// TestCrashAtEveryStep stops the machine at each I/O step of the workload, with all, none
 // or any part of what no sync covered on disk, and again at each step of the
 // recovery. What was acknowledged is there, and nothing is half there.
 func TestCrashAtEveryStep(t *testing.T) {
 	sound := &faultfs.FS{}
-	b, err := newBed(sound, small())
+	b, err := newWorkload(sound, smallOptions())
 	require.NoError(t, err)
-	require.NoError(t, b.day())
-	require.NoError(t, b.s.Close())
+	require.NoError(t, b.runDay())
+	require.NoError(t, b.store.Close())
 	steps := sound.Steps()
 	require.Greater(t, steps, 300)
 	seeds := uint64(4)
-	if *full {
+	if *longRun {
 		seeds = 40
 	}
-	parallel(t, steps, func(k int) {
+	runParallel(t, steps, func(k int) {
 		for _, fault := range []faultfs.Fault{faultfs.Crash, faultfs.IOError, faultfs.ShortWrite} {
 			f := &faultfs.FS{FaultAt: func(step int, _, _ string) faultfs.Fault {
 				if step == k+1 {
@@ -52,12 +52,12 @@
 				}
 				return faultfs.NoFault
 			}}
-			b, err := newBed(f, small())
+			b, err := newWorkload(f, smallOptions())
 			if err == nil {
-				if err = b.day(); err == nil {
-					err = b.s.Close()
+				if err = b.runDay(); err == nil {
+					err = b.store.Close()
 				} else {
-					b.s.Close()
+					b.store.Close()
 				}
 			}
 			if fault == faultfs.Crash && err == nil {
@@ -67,16 +67,16 @@
 				keep := []float64{0.5, 0, 1, 0.9}[seed%4]
 				g := f.AfterCrash(rand.New(rand.NewPCG(uint64(k), seed)), keep)
 				if seed%4 == 0 && fault == faultfs.Crash {
-					crashAgain(t, b, g, seed)
+					crashDuringRecovery(t, b, g, seed)
 				}
-				reopened(t, b, g, fmt.Sprintf("%v at step %d, seed %d", fault, k+1, seed))
+				checkReopened(t, b, g, fmt.Sprintf("%v at step %d, seed %d", fault, k+1, seed))
 			}
 		}
 	})
 }
 
-// crashAgain stops the recovery at its first, second, third... step.
-func crashAgain(t *testing.T, b *bed, g *faultfs.FS, seed uint64) {
+// crashDuringRecovery stops the recovery at its first, second, third... step.
+func crashDuringRecovery(t *testing.T, b *workload, g *faultfs.FS, seed uint64) {
 	image := g.Image()
 	for k := 1; ; k++ {
 		h := faultfs.FromImage(image)
@@ -86,7 +86,7 @@
 			}
 			return faultfs.NoFault
 		}
-		s, _, err := Open(h, small())
+		s, _, err := Open(h, smallOptions())
 		if err == nil {
 			h.FaultAt = nil
 			s.Close()
@@ -96,43 +96,42 @@
 			t.Errorf("recovery, step %d: %v", k, err)
 			return
 		}
-		reopened(t, b, h.AfterCrash(rand.New(rand.NewPCG(uint64(k), seed)), 0.5), fmt.Sprintf("recovery, step %d", k))
+		checkReopened(t, b, h.AfterCrash(rand.New(rand.NewPCG(uint64(k), seed)), 0.5), fmt.Sprintf("recovery, step %d", k))
 	}
 }
 
-// reopened checks that a folder opens without a word of damage, in a state that is
-// not older than what was acknowledged.
-func reopened(t *testing.T, b *bed, f *faultfs.FS, when string) {
-	s, r, err := Open(f, small())
+// checkReopened checks that a folder opens without damage, in a state that is not older than what was acknowledged.
+func checkReopened(t *testing.T, b *workload, f *faultfs.FS, when string) {
+	s, r, err := Open(f, smallOptions())
 	if err != nil {
 		t.Errorf("%s: %v", when, err)
 		return
 	}
-	got, damaged := state(t, s)
+	got, damaged := readState(t, s)
 	if damaged > 0 {
 		t.Errorf("%s: %d values are damaged", when, damaged)
 	}
-	if r.Loss == AcknowledgedLoss || !slices.Contains(b.states[b.acked:], got) {
-		t.Errorf("%s: not a state from %d on: %s\n%+v", when, b.acked, got, r)
+	if r.Loss == AcknowledgedLoss || !slices.Contains(b.states[b.acknowledged:], got) {
+		t.Errorf("%s: not a state from %d on: %s\n%+v", when, b.acknowledged, got, r)
 	}
-	if err := s.Put([]byte("after"), []byte(val(1, 30))); err != nil {
+	if err := s.Put([]byte("after"), []byte(testValue(1, 30))); err != nil {
 		t.Errorf("%s: %v", when, err)
 	}
-	want, _ := state(t, s)
-	s.upkeep.stop()
-	s, _, err = Open(f.AfterCrash(rand.New(rand.NewPCG(1, 1)), 0), small())
+	want, _ := readState(t, s)
+	s.maintenance.stop()
+	s, _, err = Open(f.AfterCrash(rand.New(rand.NewPCG(1, 1)), 0), smallOptions())
 	if err != nil {
 		t.Errorf("%s, after a write and another crash: %v", when, err)
 		return
 	}
-	if got, _ := state(t, s); got != want {
+	if got, _ := readState(t, s); got != want {
 		t.Errorf("%s, after a write and another crash: %s, want %s", when, got, want)
 	}
 	s.Close()
 }
 
-// parallel runs n cases on all cores.
-func parallel(t *testing.T, n int, do func(i int)) {
+// runParallel runs n cases on all cores.
+func runParallel(t *testing.T, n int, do func(i int)) {
 	var wg sync.WaitGroup
 	var next atomic.Int64
 	for range runtime.GOMAXPROCS(0) {
@@ -152,16 +151,16 @@
 // it back.
 func TestKilledThenCrashed(t *testing.T) {
 	f := &faultfs.FS{}
-	b, err := newBed(f, small())
+	b, err := newWorkload(f, smallOptions())
 	require.NoError(t, err)
-	require.NoError(t, b.apply(Buffered, change{put: map[string]string{"a": "1"}}))
-	b.s.lock.Close() // as the system does
-	s, _, err := Open(f, small())
+	require.NoError(t, b.apply(Buffered, change{puts: map[string]string{"a": "1"}}))
+	b.store.lock.Close() // as the system does
+	s, _, err := Open(f, smallOptions())
 	require.NoError(t, err)
 	v, err := s.Get([]byte("a"), 0)
 	require.NoError(t, err)
 	require.Equal(t, "1", string(v))
-	s, _, err = Open(f.AfterCrash(rand.New(rand.NewPCG(1, 1)), 0), small())
+	s, _, err = Open(f.AfterCrash(rand.New(rand.NewPCG(1, 1)), 0), smallOptions())
 	require.NoError(t, err)
 	_, err = s.Get([]byte("a"), 0)
 	require.NoError(t, err)
--- a/internal/storage/durable/example_test.go
+++ b/internal/storage/durable/example_test.go
@@ -26,23 +26,23 @@
 	}
 	fmt.Println("missing:", report.Loss)
 
-	var b durable.Batch // takes effect whole or not at all
+	var b durable.Batch // takes effect completely or not at all
 	b.Put([]byte("volume/kamloops"), []byte("200 GJ"), 0)
 	b.Put([]byte("lease/kamloops"), []byte("desk-1"), 1_700_000_060) // until then
 	if _, err := store.Apply(&b, durable.Synced); err != nil {
 		log.Fatal(err)
 	}
-	snap, err := store.Snapshot()
+	snapshot, err := store.Snapshot()
 	if err != nil {
 		log.Fatal(err)
 	}
 	store.Delete([]byte("volume/kamloops"))
-	snap.Scan(nil, nil, 1_700_000_060, func(i durable.Item) bool {
+	snapshot.Scan(nil, nil, 1_700_000_060, func(i durable.Item) bool {
 		v, _ := i.Value()
 		fmt.Printf("%s = %s\n", i.Key, v)
 		return true
 	})
-	snap.Close()
+	snapshot.Close()
 
 	logs, err := stream.Open(store, "raft/")
 	if err != nil {
--- a/internal/storage/durable/format_test.go
+++ b/internal/storage/durable/format_test.go
@@ -30,17 +30,17 @@
 
 // formatCase is one folder of testdata, and how it was written.
 type formatCase struct {
-	name     string
-	write    func(t *testing.T, store *durable.Store)
-	tornTail int64 // bytes taken off the last batch of a log that was not closed; 0 if the store was closed
-	cutBytes int64 // what Open says of the tail
-	loss     durable.Loss
+	name           string
+	write          func(t *testing.T, store *durable.Store)
+	tornTail       int64 // bytes taken off the last batch of a log that was not closed; 0 if the store was closed
+	truncatedBytes int64 // as Open reports
+	loss           durable.Loss
 }
 
 var formatCases = []formatCase{
 	{name: "checkpoint", write: writeCheckpointFixture, loss: durable.NoLoss},
 	{name: "compacted", write: writeCompactedFixture, loss: durable.NoLoss},
-	{name: "torn", write: writeTornFixture, tornTail: 7, cutBytes: 105, loss: durable.TailLoss},
+	{name: "torn", write: writeTornFixture, tornTail: 7, truncatedBytes: 105, loss: durable.TailLoss},
 }
 
 // TestFormatWritten: the same operations give the same bytes as when the fixtures
@@ -83,7 +83,7 @@
 			require.NoError(t, os.CopyFS(dir, os.DirFS(filepath.Join("testdata", c.name))))
 			store := openFolder(t, dir)
 			assert.Equal(t, c.loss, store.Report().Loss)
-			assert.Equal(t, c.cutBytes, store.Report().TruncatedBytes)
+			assert.Equal(t, c.truncatedBytes, store.Report().TruncatedBytes)
 			assert.Empty(t, store.Report().Faults)
 			assert.Empty(t, store.Report().Warnings)
 			golden := filepath.Join("testdata", c.name+".contents")
--- a/internal/storage/durable/index.go
+++ b/internal/storage/durable/index.go
@@ -1,209 +1,214 @@
 package durable
 
 import (
-	"fmt"
-
 	"github.com/tidwall/btree"
-
-	"oxbowbridge/internal/storage/durable/vfs"
 )
 
-type place uint8
+// valuePlace is where an entry's value is. It is stored in checkpoints.
+type valuePlace uint8
 
 const (
-	inline place = iota // the value follows the key in memory
-	onDisk
-	lost // repair found the value unreadable
+	valueInline valuePlace = iota // in memory, after the key
+	valueOnDisk                   // in a segment
+	valueLost                     // nowhere: a repair found it unreadable
 )
 
-// entry is one key of the index: 48 bytes, and data.
-type entry struct {
+// indexEntry is one key of the index: 48 bytes, and data.
+type indexEntry struct {
 	data    string // the key; after it the value, if that is inline
 	version uint64 // the batch that put it
-	expiry  int64
+	expiry  int64  // 0 is never
 	segment uint32 // where the operation that has the value is
-	offset  uint32
-	size    uint32
-	klen    uint16
-	place   place
+	offset  uint32 // bytes, in the segment
+	size    uint32 // bytes, of the operation
+	keyLen  uint16
+	place   valuePlace
 }
 
-func (e *entry) key() string   { return e.data[:e.klen] }
-func (e *entry) value() string { return e.data[e.klen:] }
+func (e *indexEntry) key() string   { return e.data[:e.keyLen] }
+func (e *indexEntry) value() string { return e.data[e.keyLen:] }
 
-// bytes is what the entry counts as live data.
-func (e *entry) bytes() int64 {
-	if e.place == onDisk {
+// liveBytes is what the entry counts as live data.
+func (e *indexEntry) liveBytes() int64 {
+	if e.place == valueOnDisk {
 		return int64(e.size)
 	}
 	return int64(len(e.data))
 }
 
-func byKey(a, b entry) bool { return a.data[:a.klen] < b.data[:b.klen] }
+// expired: the key is not there for readers at that time.
+func (e *indexEntry) expired(now int64) bool { return e.expiry > 0 && e.expiry <= now }
 
-func lookup(key string) entry { return entry{data: key, klen: uint16(len(key))} }
-
-// due is a key that expires.
-type due struct {
-	at  int64
-	key string
+// inSegment: the value is the operation at that place of the log.
+func (e *indexEntry) inSegment(segment uint32, offset int64) bool {
+	return e.place == valueOnDisk && e.segment == segment && int64(e.offset) == offset
 }
 
-func byTime(a, b due) bool { return a.at < b.at || a.at == b.at && a.key < b.key }
+func lessByKey(a, b indexEntry) bool { return a.data[:a.keyLen] < b.data[:b.keyLen] }
+
+// searchKey is an entry that compares equal to the entry of a key.
+func searchKey(key string) indexEntry { return indexEntry{data: key, keyLen: uint16(len(key))} }
 
-// segment is one file of the log.
-type segment struct {
-	number     uint32
-	file       vfs.File
-	size       int64 // up to the end of the last good batch
-	salt       uint32
-	live       int64
-	refs       int64
-	deadSince  uint64
-	sealed     bool
-	unreadable bool
+// expiration is a key that expires.
+type expiration struct {
+	expiry int64
+	key    string
 }
 
-// index is all keys, and what of the log they hold on to.
+func lessByExpiry(a, b expiration) bool {
+	return a.expiry < b.expiry || a.expiry == b.expiry && a.key < b.key
+}
+
+// index holds all keys, and counts what of the log they refer to. Store.mu guards
+// it, but for the committer, which alone changes it and may read it without.
 type index struct {
-	tree   *btree.BTreeG[entry]
-	dues   *btree.BTreeG[due]
-	segs   map[uint32]*segment
-	inline int   // values up to this length are held in memory
-	live   int64 // bytes
-	onDisk int64 // keys whose value is on disk
-	lost   int64 // keys whose value is
-}
-
-func newIndex(inlineBytes int) *index {
-	o := btree.Options{NoLocks: true, Degree: 32}
-	return &index{tree: btree.NewBTreeGOptions(byKey, o), dues: btree.NewBTreeGOptions(byTime, o),
-		segs: map[uint32]*segment{}, inline: inlineBytes}
-}
-
-// apply carries out one batch, read from or just written to a segment at the offset
-// of its frame. It is the only way in which the index changes, in service and in
-// recovery alike.
-func (x *index) apply(seg uint32, offset int64, f frame, payload []byte) error {
-	return eachOp(payload, f.ops, func(o op) error {
+	tree           *btree.BTreeG[indexEntry]
+	expirations    *btree.BTreeG[expiration]
+	segments       map[uint32]*segment
+	maxInlineBytes int   // values up to this length are held in memory
+	liveBytes      int64 // of keys and values
+	valuesOnDisk   int64
+	valuesLost     int64
+}
+
+// indexDegree is the degree of the B-trees.
+const indexDegree = 32
+
+func newIndex(maxInlineBytes int) *index {
+	options := btree.Options{NoLocks: true, Degree: indexDegree}
+	return &index{
+		tree:           btree.NewBTreeGOptions(lessByKey, options),
+		expirations:    btree.NewBTreeGOptions(lessByExpiry, options),
+		segments:       map[uint32]*segment{},
+		maxInlineBytes: maxInlineBytes,
+	}
+}
+
+// apply carries out one batch, read from or just written to a segment at the
+// offset of its header. It is the only way in which the index changes, in service
+// and in recovery alike.
+func (x *index) apply(segment uint32, offset int64, h batchHeader, payload []byte) error {
+	return forEachOp(payload, h.opCount, func(o op) error {
 		switch o.kind {
 		case opPut:
-			x.put(f.seq, f.seq, seg, offset, o)
+			x.put(h.seq, h.seq, segment, offset, o)
 		case opMove:
-			if e, ok := x.tree.Get(lookup(string(o.key))); ok && e.version == o.version {
-				x.put(f.seq, o.version, seg, offset, o)
+			if _, ok := x.version(o); ok {
+				x.put(h.seq, o.version, segment, offset, o)
 			}
 		case opDelete:
-			x.delete(f.seq, lookup(string(o.key)))
+			x.delete(h.seq, searchKey(string(o.key)))
 		case opExpire:
-			if e, ok := x.tree.Get(lookup(string(o.key))); ok && e.version == o.version {
-				x.delete(f.seq, e)
+			if e, ok := x.version(o); ok {
+				x.delete(h.seq, e)
 			}
 		case opDeleteRange:
-			x.deleteRange(f.seq, string(o.key), string(o.value))
+			x.deleteRange(h.seq, string(o.key), string(o.value))
 		}
 		return nil
 	})
 }
 
-func (x *index) put(seq, version uint64, seg uint32, offset int64, o op) {
-	e := entry{version: version, expiry: o.expiry, klen: uint16(len(o.key)), place: onDisk}
-	if len(o.value) <= x.inline {
-		b := make([]byte, 0, len(o.key)+len(o.value))
-		e.data, e.place = string(append(append(b, o.key...), o.value...)), inline
+// version finds the operation's key, if it still has the operation's version.
+func (x *index) version(o op) (indexEntry, bool) {
+	e, ok := x.tree.Get(searchKey(string(o.key)))
+	return e, ok && e.version == o.version
+}
+
+func (x *index) put(seq, version uint64, segment uint32, offset int64, o op) {
+	e := indexEntry{version: version, expiry: o.expiry, keyLen: uint16(len(o.key))}
+	if len(o.value) <= x.maxInlineBytes {
+		data := make([]byte, 0, len(o.key)+len(o.value))
+		data = append(data, o.key...)
+		data = append(data, o.value...)
+		e.data = string(data)
+		e.place = valueInline
 	} else {
 		e.data = string(o.key)
-		e.segment, e.offset, e.size = seg, uint32(offset+frameLen+int64(o.off)), uint32(o.size)
+		e.place = valueOnDisk
+		e.segment = segment
+		e.offset = uint32(offset + frameHeaderLen + int64(o.offset))
+		e.size = uint32(o.size)
 	}
 	old, replaced := x.tree.Set(e)
-	x.count(&e, 1, seq)
+	x.account(&e, 1, seq)
 	if replaced {
-		x.count(&old, -1, seq)
+		x.account(&old, -1, seq)
 	}
 }
 
-func (x *index) delete(seq uint64, e entry) {
+func (x *index) delete(seq uint64, e indexEntry) {
 	if old, ok := x.tree.Delete(e); ok {
-		x.count(&old, -1, seq)
+		x.account(&old, -1, seq)
 	}
 }
 
+// deleteRange deletes the keys in [from, to); an empty end means all that follow.
 func (x *index) deleteRange(seq uint64, from, to string) {
-	var gone []entry
-	x.tree.Ascend(lookup(from), func(e entry) bool {
+	var deleted []indexEntry
+	x.tree.Ascend(searchKey(from), func(e indexEntry) bool {
 		if to != "" && e.key() >= to {
 			return false
 		}
-		gone = append(gone, e)
+		deleted = append(deleted, e)
 		return true
 	})
-	for _, e := range gone {
+	for _, e := range deleted {
 		x.delete(seq, e)
 	}
 }
 
-// count keeps the sums as an entry comes (1) or goes (-1).
-func (x *index) count(e *entry, n int64, seq uint64) {
-	x.live += n * e.bytes()
-	if e.expiry > 0 {
-		if n > 0 {
-			x.dues.Set(due{e.expiry, e.key()})
-		} else if now, ok := x.tree.Get(*e); !ok || now.expiry != e.expiry {
-			x.dues.Delete(due{e.expiry, e.key()})
-		}
-	}
-	if e.place == lost {
-		x.lost += n
+// account updates the counts as an entry is added (sign 1) or removed (-1).
+func (x *index) account(e *indexEntry, sign int64, seq uint64) {
+	x.liveBytes += sign * e.liveBytes()
+	x.accountExpiry(e, sign)
+	if e.place == valueLost {
+		x.valuesLost += sign
 	}
-	if e.place != onDisk {
+	if e.place != valueOnDisk {
 		return
 	}
-	x.onDisk += n
-	if s := x.segs[e.segment]; s != nil {
-		s.live += n * int64(e.size)
-		s.refs += n
-		if s.refs == 0 {
-			s.deadSince = seq
+	x.valuesOnDisk += sign
+	if s := x.segments[e.segment]; s != nil {
+		s.liveBytes += sign * int64(e.size)
+		s.liveValues += sign
+		if s.liveValues == 0 {
+			s.emptiedSeq = seq
 		}
 	}
 }
 
-// load adds an entry of a checkpoint, in the order of keys.
-func (x *index) load(e entry) {
-	x.tree.Load(e)
-	x.count(&e, 1, 0)
+// accountExpiry keeps the expirations in step with the tree. A put accounts the
+// new entry before the old one, which may have the same expiry.
+func (x *index) accountExpiry(e *indexEntry, sign int64) {
+	if e.expiry <= 0 {
+		return
+	}
+	if sign > 0 {
+		x.expirations.Set(expiration{e.expiry, e.key()})
+		return
+	}
+	if current, ok := x.tree.Get(*e); !ok || current.expiry != e.expiry {
+		x.expirations.Delete(expiration{e.expiry, e.key()})
+	}
 }
 
-// lose marks entries whose value can't be read.
-func (x *index) lose(seq uint64, gone []entry) {
-	for _, e := range gone {
-		now := e
-		now.place, now.segment, now.offset, now.size = lost, 0, 0, 0
-		x.tree.Set(now)
-		x.count(&now, 1, seq)
-		x.count(&e, -1, seq)
-	}
+// loadSorted adds an entry of a checkpoint; entries come in the order of keys.
+func (x *index) loadSorted(e indexEntry) {
+	x.tree.Load(e)
+	x.account(&e, 1, 0)
 }
 
-// read takes an entry's value from the file and proves that it is the one.
-func (s *segment) read(e *entry) ([]byte, error) {
-	b := make([]byte, e.size)
-	if err := readFull(s.file, b, int64(e.offset)); err != nil {
-		return nil, fmt.Errorf("%w: value of %q: %s: %w", ErrDamaged, e.key(), logName(s.number), err)
-	}
-	o, err := parseOp(b, 0)
-	if err != nil || o.size != len(b) || string(o.key) != e.key() || o.kind != opPut && o.kind != opMove {
-		return nil, fmt.Errorf("%w: value of %q is not where it was put", ErrDamaged, e.key())
-	}
-	seq, stored := e.version, b[len(b)-sumLen:]
-	if o.kind == opMove {
-		if o.version != e.version {
-			return nil, fmt.Errorf("%w: value of %q is an older one", ErrDamaged, e.key())
-		}
-		seq = 0 // a move is bound to its place by the version that it carries
-	}
-	if s := opSum(s.salt, seq, b); s != uint32(stored[0])|uint32(stored[1])<<8|uint32(stored[2])<<16|uint32(stored[3])<<24 {
-		return nil, fmt.Errorf("%w: value of %q has a wrong checksum", ErrDamaged, e.key())
+// markLost marks entries whose value can't be read.
+func (x *index) markLost(seq uint64, entries []indexEntry) {
+	for _, old := range entries {
+		marked := old
+		marked.place = valueLost
+		marked.segment = 0
+		marked.offset = 0
+		marked.size = 0
+		x.tree.Set(marked)
+		x.account(&marked, 1, seq)
+		x.account(&old, -1, seq)
 	}
-	return o.value, nil
 }
--- a/internal/storage/durable/options.go
+++ b/internal/storage/durable/options.go
@@ -8,56 +8,90 @@
 	"oxbowbridge/internal/storage/durable/plan"
 )
 
-// Options are a store's limits. Zero values take what Defaults gives.
+// Options are a store's limits. Zero values stand for those of DefaultOptions.
 type Options struct {
-	// KeyBytes, ValueBytes and BatchBytes bound one key, one value and the encoded
-	// form of one batch.
-	MaxKeyBytes, MaxValueBytes, MaxBatchBytes int
-	// InlineBytes is the length up to which a value is held in memory with its key.
+	// MaxKeyBytes bounds one key; default 4 KiB, at most 65535.
+	MaxKeyBytes int
+	// MaxValueBytes bounds one value; default 8 MiB.
+	MaxValueBytes int
+	// MaxBatchBytes bounds the encoded form of one batch; default 16 MiB, at most
+	// 256 MiB. A key and a value of full length must fit.
+	MaxBatchBytes int
+	// MaxInlineBytes is the length up to which a value is held in memory with its
+	// key; default 64, at most 4096.
 	MaxInlineBytes int
-	// QueueBatches bounds how many batches wait for the disk; more block their callers.
+	// MaxQueuedBatches bounds the batches that wait for the committer; further
+	// callers block. Default 1024.
 	MaxQueuedBatches int
-	// GroupBytes bounds what shares one sync.
+	// MaxGroupBytes is the length at which a group, which shares one sync, takes no
+	// further batch; default 1 MiB.
 	MaxGroupBytes int
-	// Snapshots bounds how many may be open at once.
+	// MaxSnapshots bounds the snapshots that are open at once; default 256.
 	MaxSnapshots int
-	// ReserveBytes are set aside on disk so that deletes and upkeep work when it is full.
+	// ReserveBytes are set aside on disk, so that deletes and maintenance work when
+	// the disk is full; default 1 MiB.
 	ReserveBytes int
-	// StoreID tells files of one store from those of another; 0 takes a random one.
+	// StoreID tells files of one store from those of another; 0 draws a random one.
 	StoreID uint64
-	// Upkeep says when to seal, checkpoint, compact and drop, and how fast.
+	// Maintenance says when to seal, checkpoint, compact and drop, and how fast.
 	Maintenance plan.Limits
-	// Manual leaves upkeep to calls of Step.
+	// ManualMaintenance leaves maintenance to calls of RunMaintenance.
 	ManualMaintenance bool
 }
 
-// Defaults are the options in force where none are given.
+const (
+	maxKeyBytesLimit    = math.MaxUint16
+	maxBatchBytesLimit  = 1 << 28
+	maxInlineBytesLimit = 4096
+)
+
+// DefaultOptions are the options in force where none are given.
 func DefaultOptions() Options {
-	return Options{MaxKeyBytes: 4 << 10, MaxValueBytes: 8 << 20, MaxBatchBytes: 16 << 20, MaxInlineBytes: 64, MaxQueuedBatches: 1024,
-		MaxGroupBytes: 1 << 20, MaxSnapshots: 256, ReserveBytes: 1 << 20, Maintenance: plan.DefaultLimits()}
+	return Options{
+		MaxKeyBytes:      4 << 10,
+		MaxValueBytes:    8 << 20,
+		MaxBatchBytes:    16 << 20,
+		MaxInlineBytes:   64,
+		MaxQueuedBatches: 1024,
+		MaxGroupBytes:    1 << 20,
+		MaxSnapshots:     256,
+		ReserveBytes:     1 << 20,
+		Maintenance:      plan.DefaultLimits(),
+	}
 }
 
-func (o Options) filled() (Options, error) {
-	d := DefaultOptions()
-	for _, f := range []struct{ v, d *int }{{&o.MaxKeyBytes, &d.MaxKeyBytes}, {&o.MaxValueBytes, &d.MaxValueBytes},
-		{&o.MaxBatchBytes, &d.MaxBatchBytes}, {&o.MaxInlineBytes, &d.MaxInlineBytes}, {&o.MaxQueuedBatches, &d.MaxQueuedBatches},
-		{&o.MaxGroupBytes, &d.MaxGroupBytes}, {&o.MaxSnapshots, &d.MaxSnapshots}, {&o.ReserveBytes, &d.ReserveBytes}} {
-		if *f.v == 0 {
-			*f.v = *f.d
+// withDefaults sets what is zero, and checks the rest.
+func (o Options) withDefaults() (Options, error) {
+	defaults := DefaultOptions()
+	for _, field := range []struct {
+		value        *int
+		defaultValue int
+	}{
+		{&o.MaxKeyBytes, defaults.MaxKeyBytes},
+		{&o.MaxValueBytes, defaults.MaxValueBytes},
+		{&o.MaxBatchBytes, defaults.MaxBatchBytes},
+		{&o.MaxInlineBytes, defaults.MaxInlineBytes},
+		{&o.MaxQueuedBatches, defaults.MaxQueuedBatches},
+		{&o.MaxGroupBytes, defaults.MaxGroupBytes},
+		{&o.MaxSnapshots, defaults.MaxSnapshots},
+		{&o.ReserveBytes, defaults.ReserveBytes},
+	} {
+		if *field.value == 0 {
+			*field.value = field.defaultValue
 		}
-		if *f.v < 0 {
+		if *field.value < 0 {
 			return o, errors.New("a limit is negative")
 		}
 	}
 	switch {
-	case o.MaxKeyBytes > math.MaxUint16:
-		return o, fmt.Errorf("keys of %d bytes are too long, want at most %d", o.MaxKeyBytes, math.MaxUint16)
-	case o.MaxBatchBytes > 1<<28:
-		return o, fmt.Errorf("batches of %d bytes are too long, want at most %d", o.MaxBatchBytes, 1<<28)
-	case o.MaxValueBytes+o.MaxKeyBytes+opOverhead > o.MaxBatchBytes:
+	case o.MaxKeyBytes > maxKeyBytesLimit:
+		return o, fmt.Errorf("keys of %d bytes are too long, want at most %d", o.MaxKeyBytes, maxKeyBytesLimit)
+	case o.MaxBatchBytes > maxBatchBytesLimit:
+		return o, fmt.Errorf("batches of %d bytes are too long, want at most %d", o.MaxBatchBytes, maxBatchBytesLimit)
+	case o.MaxValueBytes+o.MaxKeyBytes+maxOpOverhead > o.MaxBatchBytes:
 		return o, errors.New("a batch must hold a key and a value of full length")
-	case o.MaxInlineBytes > 4096:
-		return o, errors.New("at most 4096 bytes are held in memory with a key")
+	case o.MaxInlineBytes > maxInlineBytesLimit:
+		return o, fmt.Errorf("at most %d bytes are held in memory with a key", maxInlineBytesLimit)
 	}
 	var err error
 	o.Maintenance, err = o.Maintenance.WithDefaults()
--- a/internal/storage/durable/plan/limits.go
+++ b/internal/storage/durable/plan/limits.go
@@ -1,7 +1,3 @@
-// Package plan decides the upkeep of a durable store: when the log is sealed, when a
-// checkpoint is taken, which segment is compacted, what may be dropped, how fast all
-// that goes, and when there is no room for more. It does no I/O and reads no clock:
-// facts come in, one step goes out.
 package plan
 
 import (
@@ -9,101 +5,109 @@
 	"time"
 )
 
-// Limits are what an operator may set. Zero values take what Defaults gives.
+// Limits are what an operator may set. Zero values stand for those of DefaultLimits.
 type Limits struct {
-	// MaxBytes bounds all files together; puts are turned away a little before it.
+	// MaxBytes bounds all files together; default 4 GiB. Puts are rejected a little
+	// before it.
 	MaxBytes int64
-	// SegmentMin and SegmentMax bound a segment. Between them it is an eighth of the
-	// live data, so that the space that one dead segment holds stays in proportion.
-	MinSegmentBytes, MaxSegmentBytes int64
-	// CheckpointMin is the least log, in bytes, that a checkpoint is worth; above it,
-	// one is due when the log behind it is as long as CheckpointShare of the last.
+	// MinSegmentBytes and MaxSegmentBytes bound a segment; defaults 256 KiB and
+	// 64 MiB, at most 1 GiB.
+	MinSegmentBytes int64
+	MaxSegmentBytes int64
+	// MinCheckpointLogBytes is the shortest log that a checkpoint is worth; default
+	// 4 MiB.
 	MinCheckpointLogBytes int64
-	CheckpointLogRatio    float64
-	// GarbageShare is how much dead data, as a share of the live, is let be.
+	// CheckpointLogRatio: a checkpoint is due when the log after the last one is
+	// this multiple of its length; default 1.
+	CheckpointLogRatio float64
+	// GarbageRatio is the dead data, as a ratio of the live data, that compaction
+	// tolerates; default 0.3.
 	GarbageRatio float64
-	// WaitingShare is how much dead data, as a share of the live, may wait for the two
-	// checkpoints that let go of it.
+	// PendingDropRatio is the data, as a ratio of the live data, that may wait for
+	// the two checkpoints after which it is dropped; default 0.25.
 	PendingDropRatio float64
-	// Rate is what upkeep writes and reads in bytes a second when nothing presses. It
-	// grows up to sixteen times as the folder outgrows its target.
+	// BytesPerSecond is what maintenance writes and reads while the folder is not
+	// above its target; default 8 MiB. See Rate.
 	BytesPerSecond int64
-	// Chunk is the most that one step writes or reads, in bytes.
+	// MaxStepBytes is what one step writes or reads; default 128 KiB.
 	MaxStepBytes int64
-	// FlushAfter is how long a buffered write may stay unsynced.
+	// MaxUnsyncedAge is how long a buffered write may stay unsynced; default 200 ms.
 	MaxUnsyncedAge time.Duration
-	// QuietAfter is how long nothing must be written for a checkpoint to be due early.
+	// IdleCheckpointDelay is how long nothing must be written for a checkpoint to be
+	// due early; default 1 s.
 	IdleCheckpointDelay time.Duration
-	// Again is how long upkeep rests after a step that failed.
+	// RetryDelay is the pause after a step that failed; default 1 s.
 	RetryDelay time.Duration
 }
 
-// Defaults suit a store of some MB to some GB on a disk that others use too.
+// DefaultLimits suit a store of some MB to some GB on a disk that others use too.
 func DefaultLimits() Limits {
-	return Limits{MaxBytes: 4 << 30, MinSegmentBytes: 256 << 10, MaxSegmentBytes: 64 << 20, MinCheckpointLogBytes: 4 << 20, CheckpointLogRatio: 1,
-		GarbageRatio: 0.3, PendingDropRatio: 0.25, BytesPerSecond: 8 << 20, MaxStepBytes: 128 << 10, MaxUnsyncedAge: 200 * time.Millisecond,
-		IdleCheckpointDelay: time.Second, RetryDelay: time.Second}
+	return Limits{
+		MaxBytes:              4 << 30,
+		MinSegmentBytes:       256 << 10,
+		MaxSegmentBytes:       64 << 20,
+		MinCheckpointLogBytes: 4 << 20,
+		CheckpointLogRatio:    1,
+		GarbageRatio:          0.3,
+		PendingDropRatio:      0.25,
+		BytesPerSecond:        8 << 20,
+		MaxStepBytes:          128 << 10,
+		MaxUnsyncedAge:        200 * time.Millisecond,
+		IdleCheckpointDelay:   time.Second,
+		RetryDelay:            time.Second,
+	}
 }
 
-// Filled sets what is zero, and checks the rest.
+// segmentBytesLimit bounds MaxSegmentBytes.
+const segmentBytesLimit = 1 << 30
+
+// WithDefaults sets what is zero, and checks the rest.
 func (l Limits) WithDefaults() (Limits, error) {
-	d := DefaultLimits()
-	for _, f := range []struct{ v, d *int64 }{{&l.MaxBytes, &d.MaxBytes}, {&l.MinSegmentBytes, &d.MinSegmentBytes}, {&l.MaxSegmentBytes, &d.MaxSegmentBytes},
-		{&l.MinCheckpointLogBytes, &d.MinCheckpointLogBytes}, {&l.BytesPerSecond, &d.BytesPerSecond}, {&l.MaxStepBytes, &d.MaxStepBytes},
-		{(*int64)(&l.MaxUnsyncedAge), (*int64)(&d.MaxUnsyncedAge)}, {(*int64)(&l.IdleCheckpointDelay), (*int64)(&d.IdleCheckpointDelay)}, {(*int64)(&l.RetryDelay), (*int64)(&d.RetryDelay)}} {
-		if *f.v == 0 {
-			*f.v = *f.d
+	defaults := DefaultLimits()
+	for _, field := range []struct{ value, defaultValue *int64 }{
+		{&l.MaxBytes, &defaults.MaxBytes},
+		{&l.MinSegmentBytes, &defaults.MinSegmentBytes},
+		{&l.MaxSegmentBytes, &defaults.MaxSegmentBytes},
+		{&l.MinCheckpointLogBytes, &defaults.MinCheckpointLogBytes},
+		{&l.BytesPerSecond, &defaults.BytesPerSecond},
+		{&l.MaxStepBytes, &defaults.MaxStepBytes},
+		{(*int64)(&l.MaxUnsyncedAge), (*int64)(&defaults.MaxUnsyncedAge)},
+		{(*int64)(&l.IdleCheckpointDelay), (*int64)(&defaults.IdleCheckpointDelay)},
+		{(*int64)(&l.RetryDelay), (*int64)(&defaults.RetryDelay)},
+	} {
+		if *field.value == 0 {
+			*field.value = *field.defaultValue
 		}
-		if *f.v < 0 {
-			return l, errors.New("upkeep: a limit is negative")
+		if *field.value < 0 {
+			return l, errors.New("maintenance: a limit is negative")
 		}
 	}
-	for _, f := range []struct{ v, d *float64 }{{&l.CheckpointLogRatio, &d.CheckpointLogRatio}, {&l.GarbageRatio, &d.GarbageRatio},
-		{&l.PendingDropRatio, &d.PendingDropRatio}} {
-		if *f.v == 0 {
-			*f.v = *f.d
+	for _, field := range []struct{ value, defaultValue *float64 }{
+		{&l.CheckpointLogRatio, &defaults.CheckpointLogRatio},
+		{&l.GarbageRatio, &defaults.GarbageRatio},
+		{&l.PendingDropRatio, &defaults.PendingDropRatio},
+	} {
+		if *field.value == 0 {
+			*field.value = *field.defaultValue
 		}
-		if !(*f.v > 0) {
-			return l, errors.New("upkeep: a share is not above 0")
+		if !(*field.value > 0) { // also false for NaN
+			return l, errors.New("maintenance: a ratio is not above 0")
 		}
 	}
 	switch {
 	case l.MinSegmentBytes > l.MaxSegmentBytes:
-		return l, errors.New("upkeep: the shortest segment is longer than the longest")
-	case l.MaxSegmentBytes > 1<<30:
-		return l, errors.New("upkeep: segments are at most 1 GiB long")
+		return l, errors.New("maintenance: the shortest segment is longer than the longest")
+	case l.MaxSegmentBytes > segmentBytesLimit:
+		return l, errors.New("maintenance: segments are at most 1 GiB long")
 	}
 	return l, nil
 }
 
-// SealAt is the length at which a segment is sealed, for so much live data.
-func (l Limits) SegmentBytes(live int64) int64 {
-	return min(max(live/8, l.MinSegmentBytes), l.MaxSegmentBytes)
-}
-
-// Space is what counts for whether there is room.
-type Space struct {
-	UsedBytes       int64 // bytes of all files
-	CheckpointBytes int64 // bytes of the newest checkpoint
-	LiveBytes       int64 // bytes of keys and values
-	ReserveReleased bool  // the disk was full, and the reserve went to deletes or upkeep
-}
+// segmentsOfLiveData is in how many segments live data is divided, so that the space
+// that one dead segment takes stays in proportion.
+const segmentsOfLiveData = 8
 
-// Headroom is what is kept free so that the next checkpoint, and moving one segment,
-// always fit.
-func (l Limits) HeadroomBytes(s Space) int64 {
-	return min(max(s.CheckpointBytes, s.LiveBytes/16)*5/4+l.SegmentBytes(s.LiveBytes), l.MaxBytes/2)
-}
-
-// Admits says whether a batch of so many bytes may be written. One that has only
-// deletes may use the headroom, and upkeep may use all there is. Once the reserve has
-// been released, nothing grows until upkeep has made room for it again.
-func (l Limits) Admits(s Space, bytes int64, grows bool) bool {
-	if grows {
-		if s.ReserveReleased {
-			return false
-		}
-		bytes += l.HeadroomBytes(s)
-	}
-	return s.UsedBytes+bytes <= l.MaxBytes
+// SegmentBytes is the length at which a segment is sealed.
+func (l Limits) SegmentBytes(liveBytes int64) int64 {
+	return min(max(liveBytes/segmentsOfLiveData, l.MinSegmentBytes), l.MaxSegmentBytes)
 }
--- a/internal/storage/durable/records_test.go
+++ b/internal/storage/durable/records_test.go
@@ -20,11 +20,11 @@
 	}
 	payload := append(sealed(op{kind: opPut, key: []byte("key"), value: []byte("value"), expiry: 1_700_000_000}),
 		sealed(op{kind: opDelete, key: []byte("other")})...)
-	header := make([]byte, frameLen)
-	batch := frame{seq: 300, synced: 299, ops: 2, prev: 0xdeadbeef}
-	batch.put(header, payload, salt)
-	entryOf := func(e entry, key, value string) []byte {
-		e.data, e.klen, e.version = key+value, uint16(len(key)), 290
+	header := make([]byte, frameHeaderLen)
+	batch := batchHeader{seq: 300, syncedSeq: 299, opCount: 2, previousChecksum: 0xdeadbeef}
+	batch.encode(header, payload, salt)
+	entryOf := func(e indexEntry, key, value string) []byte {
+		e.data, e.keyLen, e.version = key+value, uint16(len(key)), 290
 		return appendEntry(nil, &e, "keep", 300)
 	}
 	for _, c := range []struct {
@@ -48,27 +48,27 @@
 			"04a2020305646b657976616c7565423e6e5e"},
 		{"expire", sealed(op{kind: opExpire, key: []byte("key"), version: 290}),
 			"05a202036b6579"},
-		{"segment header", (&segHeader{store: store, number: number, prevSize: 4096, prevSeq: 299, prevChain: 0xcafe}).encode(),
+		{"segment header", (&segmentHeader{storeID: store, number: number, previousSize: 4096, previousSeq: 299, previousChain: 0xcafe}).encode(),
 			"6f7862774c4f470a01000000efcdab89674523010700000000100000000000002b01000000000000feca000000000000" +
 				"000000000000000000000000d9d20b15"},
-		{"checkpoint header", (&ckpHeader{store, number, position{segment: 5, offset: 1234, seq: 299, chain: 0xcafe}}).encode(),
+		{"checkpoint header", (&checkpointHeader{store, number, position{segment: 5, offset: 1234, seq: 299, chain: 0xcafe}}).encode(),
 			"6f786277434b500a01000000efcdab8967452301070000002b0100000000000005000000d204000000000000feca0000" +
 				"0000000000000000000000005806b906"},
-		{"checkpoint entry, inline", entryOf(entry{place: inline}, "key", "value"),
+		{"checkpoint entry, inline", entryOf(indexEntry{place: valueInline}, "key", "value"),
 			"020179000a0576616c7565"},
-		{"checkpoint entry, on disk with expiry", entryOf(entry{place: onDisk, expiry: 50, segment: 5, offset: 1234, size: 99}, "key", ""),
+		{"checkpoint entry, on disk with expiry", entryOf(indexEntry{place: valueOnDisk, expiry: 50, segment: 5, offset: 1234, size: 99}, "key", ""),
 			"020179810a6405d20963"},
-		{"checkpoint entry, lost", entryOf(entry{place: lost}, "key", ""),
+		{"checkpoint entry, lost", entryOf(indexEntry{place: valueLost}, "key", ""),
 			"020179020a"},
-		{"manifest", (&manifest{store: store, generation: 9, active: 7, floor: 299, first: 1,
-			ckps: [keptCkps]ckpRef{{2, 200, 4000, 5}, {3, 280, 4100, 6}}}).encode(),
+		{"manifest", (&manifest{storeID: store, generation: 9, activeSegment: 7, syncedSeq: 299, firstSegment: 1,
+			checkpoints: [retainedCheckpoints]checkpointRef{{2, 200, 4000, 5}, {3, 280, 4100, 6}}}).encode(),
 			"6f7862774d414e0a01000000efcdab89674523010900000000000000070000002b010000000000000100000002000000" +
 				"c800000000000000a00f0000000000000500000003000000180100000000000004100000000000000600000000000000" +
 				"0000000000000000000000000000000000000000000000000000000061265c76"},
 	} {
 		assert.Equal(t, c.want, hex.EncodeToString(c.bytes), c.name)
 	}
-	assert.EqualValues(t, frameMagic, binary.LittleEndian.Uint32(header))
+	assert.EqualValues(t, batchMagic, binary.LittleEndian.Uint32(header))
 	assert.Equal(t, []string{"00000007.log", "00000007.ckp", "MANIFEST", "MANIFEST.tmp", "RESERVE", "LOCK", "damaged-"},
-		[]string{logName(number), ckpName(number), manifestName, manifestTemp, reserveName, LockName, setAside})
+		[]string{segmentName(number), checkpointName(number), manifestName, manifestTempName, reserveName, LockName, quarantinePrefix})
 }
--- a/internal/storage/durable/repair.go
+++ b/internal/storage/durable/repair.go
@@ -6,16 +6,20 @@
 	"oxbowbridge/internal/storage/durable/vfs"
 )
 
+// repairStepBytes is the length of the pieces in which a repair writes checkpoints.
+const repairStepBytes = 1 << 20
+
 // Repair makes a damaged folder one that opens, with the last consistent state that
 // can be recovered: batches after the damage are gone, and a key whose value can't
-// be read stays, marked: Get says so until it is written or deleted. The numbers of
-// batches that are gone are not given again. Files that are no longer used are kept
-// under a name that begins with "damaged-". A folder that opens is left as it is.
+// be read stays, marked: Get fails for it until it is written or deleted. The
+// numbers of batches that are gone are not given again. Files that are no longer
+// used are kept under a name that begins with "damaged-". A folder that opens is
+// left as it is.
 //
 // The report is of the folder before. What was written for the repair counts only
 // once the manifest has been replaced, so a crash on the way changes nothing.
 func Repair(fsys vfs.FS, o Options) (*Report, error) {
-	o, err := o.filled()
+	o, err := o.withDefaults()
 	if err != nil {
 		return nil, err
 	}
@@ -29,48 +33,43 @@
 		return nil, err
 	}
 	defer r.close()
-	if r.fresh {
+	if r.uninitialized {
 		return r.report, nil
 	}
 	if r.report.Unrecoverable {
 		return r.report, &DamagedError{r.report}
 	}
-	gone := r.unreadable()
+	unreadable := r.findUnreadable()
 	if r.report.Loss != AcknowledgedLoss {
 		return r.report, nil
 	}
-	r.idx.lose(r.end.seq, gone)
-	return r.report, rebuild(fsys, r)
+	r.index.markLost(r.end.seq, unreadable)
+	if err := r.writeRepaired(fsys); err != nil {
+		return r.report, err
+	}
+	return r.report, r.quarantine(fsys)
 }
 
-// rebuild writes the recovered state as two checkpoints with an empty log behind
-// them, and puts a manifest in place that has only those.
-func rebuild(fsys vfs.FS, r *recovered) error {
-	h := segHeader{store: r.man.store, number: r.maxSeg + 1, prevSeq: r.maxSeq + 1}
-	if err := writeFile(fsys, logName(h.number), h.encode()); err != nil {
+// writeRepaired writes the recovered state as two checkpoints with an empty log
+// behind them, and puts a manifest in place that has only those.
+func (r *recovery) writeRepaired(fsys vfs.FS) error {
+	header := segmentHeader{storeID: r.manifest.storeID, number: r.maxSegment + 1, previousSeq: r.maxSeq + 1}
+	if err := writeFile(fsys, segmentName(header.number), header.encode()); err != nil {
 		return fmt.Errorf("repair: %w", err)
 	}
-	at := position{h.number, headerLen, h.prevSeq, h.sum}
-	next := &manifest{store: r.man.store, generation: r.man.generation, active: h.number, floor: at.seq}
-	for i := range next.ckps {
-		head := ckpHeader{r.man.store, r.maxCkp + 1 + uint32(i), at}
-		w := &ckpWriter{head: head, iter: r.idx.tree.Iter()}
-		if err := w.begin(fsys); err != nil {
-			return fmt.Errorf("repair: %w", err)
-		}
-		for done := false; !done; {
-			var err error
-			if done, err = w.step(1 << 20); err != nil {
-				return fmt.Errorf("repair: %w", err)
-			}
-		}
-		if err := w.file.Close(); err != nil {
-			return fmt.Errorf("repair: %w", err)
-		}
-		next.ckps[i] = ckpRef{head.number, at.seq, w.size, at.segment}
-		if _, err := readCheckpoint(fsys, next.ckps[i], head.store, func(entry) {}); err != nil {
+	start := position{header.number, headerLen, header.previousSeq, header.checksum}
+	next := &manifest{
+		storeID:       r.manifest.storeID,
+		generation:    r.manifest.generation,
+		activeSegment: header.number,
+		syncedSeq:     start.seq,
+	}
+	for i := range next.checkpoints {
+		ref, err := r.writeCheckpoint(fsys, r.maxCheckpoint+1+uint32(i), start)
+		if err != nil {
 			return fmt.Errorf("repair: %w", err)
 		}
+		next.checkpoints[i] = ref
 	}
 	if err := fsys.SyncDir(); err != nil {
 		return fmt.Errorf("repair: %w", err)
@@ -78,15 +77,53 @@
 	if err := next.write(fsys); err != nil {
 		return fmt.Errorf("repair: %w", err)
 	}
+	return nil
+}
+
+// writeCheckpoint writes the index as a checkpoint, and reads it back.
+func (r *recovery) writeCheckpoint(fsys vfs.FS, number uint32, start position) (checkpointRef, error) {
+	header := checkpointHeader{r.manifest.storeID, number, start}
+	w := &checkpointWriter{header: header, iterator: r.index.tree.Iter()}
+	if err := w.begin(fsys); err != nil {
+		return checkpointRef{}, err
+	}
+	for done := false; !done; {
+		var err error
+		if done, err = w.writeNext(repairStepBytes); err != nil {
+			return checkpointRef{}, err
+		}
+	}
+	if err := w.file.Close(); err != nil {
+		return checkpointRef{}, err
+	}
+	ref := w.ref()
+	_, err := readCheckpoint(fsys, ref, header.storeID, func(indexEntry) {})
+	return ref, err
+}
+
+// quarantine renames the files that the repaired store does not use. Segments that
+// hold live values stay.
+func (r *recovery) quarantine(fsys vfs.FS) error {
 	for name := range r.files {
-		n, isLog := numbered(name, logSuffix)
-		_, isCkp := numbered(name, ckpSuffix)
-		if isLog && r.idx.segs[n] != nil && r.idx.segs[n].refs > 0 || !isLog && !isCkp {
+		if !r.isReplaced(name) {
 			continue
 		}
-		if err := fsys.Rename(name, setAside+name); err != nil {
+		if err := fsys.Rename(name, quarantinePrefix+name); err != nil {
 			return fmt.Errorf("repair: %w", err)
 		}
 	}
 	return fsys.SyncDir()
 }
+
+// isReplaced: the file is a checkpoint, or a segment without live values.
+func (r *recovery) isReplaced(name string) bool {
+	if _, ok := parseNumberedName(name, checkpointSuffix); ok {
+		return true
+	}
+	n, ok := parseNumberedName(name, segmentSuffix)
+	if !ok {
+		return false
+	}
+	segment := r.index.segments[n]
+	return segment == nil || segment.liveValues <= 0
+}
--- a/internal/storage/durable/report.go
+++ b/internal/storage/durable/report.go
@@ -6,21 +6,24 @@
 type Loss int
 
 const (
-	// NoLoss: the log ends where a batch ends.
+	// NoLoss means that the log ends where a batch ends.
 	NoLoss Loss = iota
-	// TailLoss: what was cut off can only be batches that no sync had covered, or a
-	// last group whose sync nothing later attests.
+	// TailLoss means that only batches are missing that no sync had covered, or a last
+	// group whose sync no later batch attests.
 	TailLoss
-	// AcknowledgedLoss: something is missing that was acknowledged, or may have been.
+	// AcknowledgedLoss means that something is missing that was acknowledged, or may
+	// have been.
 	AcknowledgedLoss
 )
 
+// String is the loss as reports name it.
 func (l Loss) String() string { return [...]string{"none", "unsynced tail", "acknowledged"}[l] }
 
-// MarshalText has reports say it in words.
+// MarshalText encodes the loss by its name.
 func (l Loss) MarshalText() ([]byte, error) { return []byte(l.String()), nil }
 
-const faultsMost = 32 // that a report lists
+// maxReportedFaults bounds the faults, and the warnings, that a report lists.
+const maxReportedFaults = 32
 
 // Report says what a folder holds and what is wrong with it.
 type Report struct {
@@ -28,27 +31,28 @@
 	Seq              uint64   `json:"seq"` // the last batch of the recovered state
 	Keys             int      `json:"keys"`
 	Segments         int      `json:"segments"`
-	CheckpointNumber uint32   `json:"checkpoint"` // that was read; 0 if the log alone was
-	ReplayedBatches  int      `json:"replayed"`   // batches, after it
+	CheckpointNumber uint32   `json:"checkpoint"` // the one that was read; 0 if the log alone was
+	ReplayedBatches  int      `json:"replayed"`   // after the checkpoint
 	TruncatedBytes   int64    `json:"cut_bytes"`  // after the last good batch
 	Loss             Loss     `json:"loss"`
 	LostKeys         int      `json:"lost_keys"` // whose value can't be read
 	Unrecoverable    bool     `json:"hopeless"`  // no consistent state at all
 	FaultCount       int      `json:"fault_count"`
-	Faults           []string `json:"faults"`   // the first of them
-	Warnings         []string `json:"warnings"` // that cost nothing
+	Faults           []string `json:"faults"`   // the first maxReportedFaults of them
+	Warnings         []string `json:"warnings"` // faults that cost no data
 }
 
-func (r *Report) add(err error) {
+// addFault records a fault that cost acknowledged data.
+func (r *Report) addFault(err error) {
 	r.Loss = AcknowledgedLoss
 	r.FaultCount++
-	if len(r.Faults) < faultsMost {
+	if len(r.Faults) < maxReportedFaults {
 		r.Faults = append(r.Faults, err.Error())
 	}
 }
 
-func (r *Report) warn(format string, args ...any) {
-	if len(r.Warnings) < faultsMost {
+func (r *Report) addWarning(format string, args ...any) {
+	if len(r.Warnings) < maxReportedFaults {
 		r.Warnings = append(r.Warnings, fmt.Sprintf(format, args...))
 	}
 }
--- /dev/null
+++ b/internal/storage/durable/segment.go
@@ -0,0 +1,106 @@
+package durable
+
+import (
+	"encoding/binary"
+	"fmt"
+
+	"oxbowbridge/internal/storage/durable/vfs"
+)
+
+const segmentMagic = "oxbwLOG\n"
+
+// segment is one file of the log. Store.mu guards the fields that change.
+type segment struct {
+	number     uint32
+	file       vfs.File
+	size       int64 // bytes, up to the end of the last good batch
+	salt       uint32
+	liveBytes  int64  // of the values that the index refers to here
+	liveValues int64  // how many they are
+	emptiedSeq uint64 // the batch after which no value was live
+	sealed     bool   // nothing is appended any more
+	unreadable bool   // compaction found damage in it
+}
+
+// position is a place in the log, between two batches.
+type position struct {
+	segment uint32
+	offset  int64  // bytes
+	seq     uint64 // of the batch before
+	chain   uint32 // header checksum of the batch before, or of the segment's header
+}
+
+// segmentHeader is at the start of a segment and binds it to the one before.
+type segmentHeader struct {
+	storeID       uint64
+	number        uint32
+	previousSize  int64  // bytes of the segment before
+	previousSeq   uint64 // the last batch before this segment
+	previousChain uint32 // checksum of that batch's header
+	checksum      uint32 // of this header; the first batch chains to it
+}
+
+func (h *segmentHeader) encode() []byte {
+	b := newFileHeader(headerLen, segmentMagic, h.storeID)
+	e := binary.LittleEndian
+	e.PutUint32(b[20:], h.number)
+	e.PutUint64(b[24:], uint64(h.previousSize))
+	e.PutUint64(b[32:], h.previousSeq)
+	e.PutUint32(b[40:], h.previousChain)
+	h.checksum = sealFileHeader(b, segmentKind, h.number)
+	return b
+}
+
+func parseSegmentHeader(b []byte, name string) (segmentHeader, error) {
+	if len(b) < headerLen {
+		return segmentHeader{}, newFault(name, 0, "header is cut short")
+	}
+	b = b[:headerLen]
+	e := binary.LittleEndian
+	number := e.Uint32(b[20:])
+	if err := checkFileHeader(b, segmentMagic, segmentKind, number, name, "a segment of a log"); err != nil {
+		return segmentHeader{}, err
+	}
+	return segmentHeader{
+		storeID:       e.Uint64(b[headerStoreOffset:]),
+		number:        number,
+		previousSize:  int64(e.Uint64(b[24:])),
+		previousSeq:   e.Uint64(b[32:]),
+		previousChain: e.Uint32(b[40:]),
+		checksum:      e.Uint32(b[headerLen-checksumLen:]),
+	}, nil
+}
+
+// readHeader reads the segment's header. A damaged header matches ErrDamaged.
+func (s *segment) readHeader() (segmentHeader, error) {
+	b := make([]byte, min(s.size, headerLen))
+	if err := readFull(s.file, b, 0); err != nil {
+		return segmentHeader{}, err
+	}
+	return parseSegmentHeader(b, segmentName(s.number))
+}
+
+// readValue reads an entry's value from the file and proves that it is the one
+// that the entry refers to.
+func (s *segment) readValue(e *indexEntry) ([]byte, error) {
+	b := make([]byte, e.size)
+	if err := readFull(s.file, b, int64(e.offset)); err != nil {
+		return nil, fmt.Errorf("%w: value of %q: %s: %w", ErrDamaged, e.key(), segmentName(s.number), err)
+	}
+	o, err := parseOp(b, 0)
+	if err != nil || o.size != len(b) || string(o.key) != e.key() || !o.kind.storesValue() {
+		return nil, fmt.Errorf("%w: value of %q is not where it was put", ErrDamaged, e.key())
+	}
+	seq := e.version
+	if o.kind == opMove {
+		if o.version != e.version {
+			return nil, fmt.Errorf("%w: value of %q is an older one", ErrDamaged, e.key())
+		}
+		seq = 0 // the version that a move carries binds it
+	}
+	stored := binary.LittleEndian.Uint32(b[len(b)-checksumLen:])
+	if opChecksum(s.salt, seq, b) != stored {
+		return nil, fmt.Errorf("%w: value of %q has a wrong checksum", ErrDamaged, e.key())
+	}
+	return o.value, nil
+}
--- /dev/null
+++ b/internal/storage/durable/stats.go
@@ -0,0 +1,82 @@
+package durable
+
+import "sync/atomic"
+
+// counters count since the store was opened.
+type counters struct {
+	batches         atomic.Int64
+	syncs           atomic.Int64
+	groups          atomic.Int64
+	rejectedFull    atomic.Int64
+	checkpoints     atomic.Int64
+	compactions     atomic.Int64
+	droppedSegments atomic.Int64
+	movedBytes      atomic.Int64
+}
+
+// Stats is what a store holds and does.
+type Stats struct {
+	Seq                     uint64 `json:"seq"`    // the last batch that readers see
+	SyncedSeq               uint64 `json:"synced"` // the last batch on disk
+	Keys                    int    `json:"keys"`
+	KeysOnDisk              int64  `json:"keys_on_disk"` // whose value is not held in memory
+	LiveBytes               int64  `json:"live_bytes"`
+	UsedBytes               int64  `json:"used_bytes"` // of all files
+	MaxBytes                int64  `json:"max_bytes"`
+	Segments                int    `json:"segments"`
+	DeadBytes               int64  `json:"dead_bytes"` // of sealed segments
+	LogBytesSinceCheckpoint int64  `json:"log_behind_bytes"`
+	CheckpointBytes         int64  `json:"checkpoint_bytes"` // of the newest
+	// The counters begin when the store is opened.
+	Batches         int64 `json:"batches"`
+	Syncs           int64 `json:"syncs"`
+	Groups          int64 `json:"groups"`
+	RejectedFull    int64 `json:"turned_away_full"` // batches
+	Checkpoints     int64 `json:"checkpoints"`
+	Compactions     int64 `json:"compactions"`
+	DroppedSegments int64 `json:"segments_dropped"`
+	MovedBytes      int64 `json:"moved_bytes"` // by compactions
+	// The state of this moment.
+	Snapshots        int    `json:"snapshots"`
+	ReadOnlyReason   string `json:"read_only,omitempty"`
+	MaintenanceError string `json:"upkeep_error,omitempty"` // of the last step
+}
+
+// Stats returns the figures of this moment.
+func (s *Store) Stats() Stats {
+	s.mu.RLock()
+	defer s.mu.RUnlock()
+	stats := Stats{
+		Seq:                     s.seq,
+		SyncedSeq:               s.syncedSeq,
+		Keys:                    s.index.tree.Len(),
+		KeysOnDisk:              s.index.valuesOnDisk,
+		LiveBytes:               s.index.liveBytes,
+		UsedBytes:               s.usedBytes.Load(),
+		MaxBytes:                s.options.Maintenance.MaxBytes,
+		Segments:                len(s.index.segments),
+		LogBytesSinceCheckpoint: s.logBytesSinceCheckpoint.Load(),
+		CheckpointBytes:         s.checkpointBytes.Load(),
+		Batches:                 s.stats.batches.Load(),
+		Syncs:                   s.stats.syncs.Load(),
+		Groups:                  s.stats.groups.Load(),
+		RejectedFull:            s.stats.rejectedFull.Load(),
+		Checkpoints:             s.stats.checkpoints.Load(),
+		Compactions:             s.stats.compactions.Load(),
+		DroppedSegments:         s.stats.droppedSegments.Load(),
+		MovedBytes:              s.stats.movedBytes.Load(),
+		Snapshots:               len(s.snapshots),
+	}
+	for _, segment := range s.index.segments {
+		if segment.sealed {
+			stats.DeadBytes += segment.size - segment.liveBytes
+		}
+	}
+	if s.readOnlyErr != nil {
+		stats.ReadOnlyReason = s.readOnlyErr.Error()
+	}
+	if err := s.maintenance.lastError(); err != nil {
+		stats.MaintenanceError = err.Error()
+	}
+	return stats
+}
--- a/internal/storage/durable/durable_test.go
+++ b/internal/storage/durable/store_test.go
@@ -19,27 +19,27 @@
 	"oxbowbridge/internal/storage/durable/vfs"
 )
 
-// small has all kinds of upkeep happen within some KB.
-func small() Options {
+// smallOptions has all kinds of maintenance happen within some KB.
+func smallOptions() Options {
 	return Options{StoreID: 0x5eed, MaxKeyBytes: 64, MaxValueBytes: 2048, MaxBatchBytes: 4096, MaxInlineBytes: 12, ReserveBytes: 256, ManualMaintenance: true,
 		Maintenance: plan.Limits{MaxBytes: 1 << 20, MinSegmentBytes: 400, MaxSegmentBytes: 400, MinCheckpointLogBytes: 900, MaxStepBytes: 128, BytesPerSecond: 1 << 20}}
 }
 
-// bed is a store on a folder in memory, with all states that it went through.
-type bed struct {
-	s      *Store
-	model  map[string]string
-	states []string // one for each batch that was handed over
-	acked  int      // the last of them that must survive
-	now    time.Duration
+// workload is a store and the model of its content, with all states that it went through.
+type workload struct {
+	store        *Store
+	model        map[string]string
+	states       []string // one for each batch that was submitted
+	acknowledged int      // index of the last state that must survive
+	now          time.Duration
 }
 
-func newBed(fs vfs.FS, o Options) (*bed, error) {
+func newWorkload(fs vfs.FS, o Options) (*workload, error) {
 	s, _, err := Open(fs, o)
-	return &bed{s: s, model: map[string]string{}, states: []string{""}}, err
+	return &workload{store: s, model: map[string]string{}, states: []string{""}}, err
 }
 
-func canon(m map[string]string) string {
+func modelText(m map[string]string) string {
 	var b strings.Builder
 	for _, k := range slices.Sorted(maps.Keys(m)) {
 		fmt.Fprintf(&b, "%s=%s;", k, m[k])
@@ -49,40 +49,40 @@
 
 // change is one batch and its effect on the model.
 type change struct {
-	put  map[string]string
-	del  []string
-	from string // a range to delete
-	to   string
+	puts       map[string]string
+	deletes    []string
+	deleteFrom string // a range to delete
+	deleteTo   string
 }
 
 func (c change) batch(model map[string]string) *Batch {
 	var b Batch
-	for _, k := range c.del {
+	for _, k := range c.deletes {
 		b.Delete([]byte(k))
 		delete(model, k)
 	}
-	if c.from != "" {
-		b.DeleteRange([]byte(c.from), []byte(c.to))
-		maps.DeleteFunc(model, func(k, _ string) bool { return k >= c.from && (c.to == "" || k < c.to) })
+	if c.deleteFrom != "" {
+		b.DeleteRange([]byte(c.deleteFrom), []byte(c.deleteTo))
+		maps.DeleteFunc(model, func(k, _ string) bool { return k >= c.deleteFrom && (c.deleteTo == "" || k < c.deleteTo) })
 	}
-	for _, k := range slices.Sorted(maps.Keys(c.put)) {
-		b.Put([]byte(k), []byte(c.put[k]), 0)
-		model[k] = c.put[k]
+	for _, k := range slices.Sorted(maps.Keys(c.puts)) {
+		b.Put([]byte(k), []byte(c.puts[k]), 0)
+		model[k] = c.puts[k]
 	}
 	return &b
 }
 
-// apply hands batches over as one group.
-func (b *bed) apply(level Level, changes ...change) error {
+// apply submits batches as one group.
+func (b *workload) apply(level Level, changes ...change) error {
 	hold, first := make(chan struct{}), len(b.states)
-	b.s.submit(&request{do: func() error { <-hold; return nil }, then: func(uint64, error) {}})
+	b.store.submit(&request{run: func() error { <-hold; return nil }, done: func(uint64, error) {}})
 	var wg sync.WaitGroup
 	errs := make([]error, len(changes))
 	for i, c := range changes {
 		wg.Add(1)
 		batch := c.batch(b.model)
-		b.states = append(b.states, canon(b.model))
-		b.s.Submit(batch, level, func(_ uint64, err error) { errs[i] = err; wg.Done() })
+		b.states = append(b.states, modelText(b.model))
+		b.store.Submit(batch, level, func(_ uint64, err error) { errs[i] = err; wg.Done() })
 	}
 	close(hold)
 	wg.Wait()
@@ -91,25 +91,25 @@
 			return err
 		}
 		if level == Synced {
-			b.acked = first + i
+			b.acknowledged = first + i
 		}
 	}
 	return nil
 }
 
-// upkeep does up to so many steps.
-func (b *bed) upkeep(most int) error {
-	for range most {
+// runMaintenance takes a number of steps.
+func (b *workload) runMaintenance(steps int) error {
+	for range steps {
 		b.now += 2 * time.Millisecond
-		if _, err := b.s.RunMaintenance(b.now); err != nil {
+		if _, err := b.store.RunMaintenance(b.now); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// state reads everything; keys whose value is damaged are left out, and counted.
-func state(t require.TestingT, s *Store) (text string, damaged int) {
+// readState reads everything; keys whose value is damaged are left out, and counted.
+func readState(t require.TestingT, s *Store) (text string, damaged int) {
 	p, err := s.Snapshot()
 	require.NoError(t, err)
 	defer p.Close()
@@ -124,34 +124,34 @@
 		m[i.Key] = string(v)
 		return true
 	}))
-	return canon(m), damaged
+	return modelText(m), damaged
 }
 
-func val(i, n int) string { return strings.Repeat(fmt.Sprintf("%d,", i), n) }
+func testValue(i, n int) string { return strings.Repeat(fmt.Sprintf("%d,", i), n) }
 
-// day goes through all that a store does, and ends early at an error.
-func (b *bed) day() error {
+// runDay goes through all that a store does, and ends early at an error.
+func (b *workload) runDay() error {
 	for i := range 30 {
-		if err := b.apply(Synced, change{put: map[string]string{fmt.Sprintf("k%02d", i%9): val(i, 4+i%30), "last": fmt.Sprint(i)}}); err != nil {
+		if err := b.apply(Synced, change{puts: map[string]string{fmt.Sprintf("k%02d", i%9): testValue(i, 4+i%30), "last": fmt.Sprint(i)}}); err != nil {
 			return err
 		}
 		if i%4 == 1 {
-			if err := b.apply(Buffered, change{put: map[string]string{"lossy": val(i, 20)}}); err != nil {
+			if err := b.apply(Buffered, change{puts: map[string]string{"lossy": testValue(i, 20)}}); err != nil {
 				return err
 			}
 		}
 		if i%7 == 3 {
-			if err := b.apply(Synced, change{put: map[string]string{"g1": val(i, 9)}}, change{del: []string{"k03", "g1"}},
-				change{put: map[string]string{"g2": val(i, 2), "g3": val(i, 40)}}); err != nil {
+			if err := b.apply(Synced, change{puts: map[string]string{"g1": testValue(i, 9)}}, change{deletes: []string{"k03", "g1"}},
+				change{puts: map[string]string{"g2": testValue(i, 2), "g3": testValue(i, 40)}}); err != nil {
 				return err
 			}
 		}
 		if i%11 == 10 {
-			if err := b.apply(Synced, change{from: "k02", to: "k05", put: map[string]string{"k03": "back"}}); err != nil {
+			if err := b.apply(Synced, change{deleteFrom: "k02", deleteTo: "k05", puts: map[string]string{"k03": "back"}}); err != nil {
 				return err
 			}
 		}
-		if err := b.upkeep(5); err != nil {
+		if err := b.runMaintenance(5); err != nil {
 			return err
 		}
 	}
@@ -221,32 +221,32 @@
 	require.NoError(t, s.Close())
 }
 
-// TestDay: the day on a sound folder uses every part, and space is given back.
-func TestDay(t *testing.T) {
+// TestWorkload: the workload on a sound folder uses every part, and space is reclaimed.
+func TestWorkload(t *testing.T) {
 	f := &faultfs.FS{}
-	b, err := newBed(f, small())
+	b, err := newWorkload(f, smallOptions())
 	require.NoError(t, err)
-	require.NoError(t, b.day())
-	got, damaged := state(t, b.s)
-	assert.Equal(t, canon(b.model), got)
+	require.NoError(t, b.runDay())
+	got, damaged := readState(t, b.store)
+	assert.Equal(t, modelText(b.model), got)
 	assert.Zero(t, damaged)
-	st := b.s.Stats()
+	st := b.store.Stats()
 	assert.Greater(t, st.Checkpoints, int64(2))
 	assert.Greater(t, st.Compactions, int64(1))
 	assert.Greater(t, st.DroppedSegments, int64(3))
-	require.NoError(t, b.s.Compact(t.Context()))
+	require.NoError(t, b.store.Compact(t.Context()))
 	list, _ := f.List()
 	sum := int64(0)
 	for _, i := range list {
 		sum += i.Size
 	}
-	assert.Equal(t, sum, b.s.Stats().UsedBytes, "the books on space are right")
-	require.NoError(t, b.s.Close())
-	s, r, err := Open(f, small())
+	assert.Equal(t, sum, b.store.Stats().UsedBytes, "the space is accounted for")
+	require.NoError(t, b.store.Close())
+	s, r, err := Open(f, smallOptions())
 	require.NoError(t, err)
 	assert.Equal(t, NoLoss, r.Loss)
-	got, _ = state(t, s)
-	assert.Equal(t, canon(b.model), got)
+	got, _ = readState(t, s)
+	assert.Equal(t, modelText(b.model), got)
 	require.NoError(t, s.Close())
 }
 
@@ -281,60 +281,60 @@
 	require.NoError(t, s.Close())
 }
 
-// TestFull: a bound on space, then a disk that is full, turn puts away and lose
-// nothing; deletes work, and make room.
-func TestFull(t *testing.T) {
+// TestSpaceExhausted: MaxBytes, then a full disk, reject puts and lose nothing;
+// deletes work, and free space.
+func TestSpaceExhausted(t *testing.T) {
 	for _, disk := range []bool{false, true} {
 		t.Run(fmt.Sprint("disk=", disk), func(t *testing.T) {
-			f, o := &faultfs.FS{}, small()
+			f, o := &faultfs.FS{}, smallOptions()
 			o.ReserveBytes = 6 << 10
 			if disk {
 				f.Capacity = 24 << 10
 			} else {
 				o.Maintenance.MaxBytes = 24 << 10
 			}
-			b, err := newBed(f, o)
+			b, err := newWorkload(f, o)
 			require.NoError(t, err)
-			require.NoError(t, b.upkeep(3))
+			require.NoError(t, b.runMaintenance(3))
 			n := 0
 			for ; ; n++ {
 				require.Less(t, n, 1000)
-				if err = b.s.Put(fmt.Appendf(nil, "%04d", n), bytes.Repeat([]byte{'x'}, 200)); err != nil {
+				if err = b.store.Put(fmt.Appendf(nil, "%04d", n), bytes.Repeat([]byte{'x'}, 200)); err != nil {
 					break
 				}
-				if _, uerr := b.s.RunMaintenance(time.Duration(n) * time.Millisecond); uerr != nil {
+				if _, uerr := b.store.RunMaintenance(time.Duration(n) * time.Millisecond); uerr != nil {
 					require.NotErrorIs(t, uerr, ErrReadOnly)
 				}
 			}
 			require.ErrorIs(t, err, ErrFull)
 			require.Greater(t, n, 30)
-			require.NoError(t, b.s.ReadOnlyError())
+			require.NoError(t, b.store.ReadOnlyError())
 			for i := range n {
-				_, err := b.s.Get(fmt.Appendf(nil, "%04d", i), 0)
+				_, err := b.store.Get(fmt.Appendf(nil, "%04d", i), 0)
 				require.NoError(t, err, i)
 			}
-			_, err = b.s.Get(fmt.Appendf(nil, "%04d", n), 0)
+			_, err = b.store.Get(fmt.Appendf(nil, "%04d", n), 0)
 			require.ErrorIs(t, err, ErrNotFound)
 			hold, answers := make(chan struct{}), make(chan error, 2) // one group: what fits of it is taken
-			b.s.submit(&request{do: func() error { <-hold; return nil }, then: func(uint64, error) {}})
+			b.store.submit(&request{run: func() error { <-hold; return nil }, done: func(uint64, error) {}})
 			var big, gone Batch
 			big.Put([]byte("big"), bytes.Repeat([]byte{'x'}, 2000), 0)
 			gone.Delete([]byte("0000"))
 			for _, c := range []*Batch{&big, &gone} {
-				b.s.Submit(c, Synced, func(_ uint64, err error) { answers <- err })
+				b.store.Submit(c, Synced, func(_ uint64, err error) { answers <- err })
 			}
 			close(hold)
 			require.ErrorIs(t, <-answers, ErrFull)
 			require.NoError(t, <-answers)
 			for i := range n * 3 / 4 {
-				require.NoError(t, b.s.Delete(fmt.Appendf(nil, "%04d", i)), i)
-				if _, uerr := b.s.RunMaintenance(time.Duration(n+i) * time.Second); uerr != nil {
+				require.NoError(t, b.store.Delete(fmt.Appendf(nil, "%04d", i)), i)
+				if _, uerr := b.store.RunMaintenance(time.Duration(n+i) * time.Second); uerr != nil {
 					require.NotErrorIs(t, uerr, ErrReadOnly)
 				}
 			}
-			require.NoError(t, b.s.Compact(t.Context()))
-			require.NoError(t, b.s.Put([]byte("again"), bytes.Repeat([]byte{'y'}, 200)))
-			require.NoError(t, b.s.Close())
+			require.NoError(t, b.store.Compact(t.Context()))
+			require.NoError(t, b.store.Put([]byte("again"), bytes.Repeat([]byte{'y'}, 200)))
+			require.NoError(t, b.store.Close())
 			s, r, err := Open(f, o)
 			require.NoError(t, err)
 			assert.Equal(t, NoLoss, r.Loss)
@@ -344,8 +344,9 @@
 	}
 }
 
-// TestSyncFails: a sync that fails once is never taken back by one that succeeds.
-func TestSyncFails(t *testing.T) {
+// TestFailedSyncIsPermanent: after a failed sync the store stays read-only, though
+// the next sync would succeed.
+func TestFailedSyncIsPermanent(t *testing.T) {
 	armed := false
 	f := &faultfs.FS{}
 	f.FaultAt = func(_ int, op, _ string) faultfs.Fault {
@@ -355,7 +356,7 @@
 		}
 		return faultfs.NoFault
 	}
-	s, _, err := Open(f, small())
+	s, _, err := Open(f, smallOptions())
 	require.NoError(t, err)
 	require.NoError(t, s.Put([]byte("a"), []byte("1")))
 	armed = true
--- a/internal/storage/durable/vfs/dir.go
+++ b/internal/storage/durable/vfs/dir.go
@@ -10,13 +10,13 @@
 	"syscall"
 )
 
-// Dir is a folder of the operating system.
+// Dir is a folder of the operating system. It implements FS.
 type Dir struct {
 	path     string
 	readOnly bool
 }
 
-// NewDir makes the folder if it is missing; its parent must be there.
+// OpenDir opens a folder, and makes it (mode 0700) if it is missing; its parent must exist.
 func OpenDir(path string) (*Dir, error) {
 	if err := os.Mkdir(path, 0o700); err != nil && !errors.Is(err, fs.ErrExist) {
 		return nil, err
@@ -24,8 +24,8 @@
 	return &Dir{path: path}, checkDir(path)
 }
 
-// ReadDir is a folder in which nothing is changed: its files are opened for
-// reading only, and the lock is taken only if its file is there.
+// OpenDirReadOnly opens a folder without changing anything in it: files are opened
+// for reading only, and the lock is taken only if its file exists.
 func OpenDirReadOnly(path string) (*Dir, error) {
 	return &Dir{path: path, readOnly: true}, checkDir(path)
 }
@@ -40,26 +40,32 @@
 	return nil
 }
 
-func (d *Dir) at(name string) string { return filepath.Join(d.path, name) }
+func (d *Dir) fullPath(name string) string { return filepath.Join(d.path, name) }
 
+// Open opens a file that exists.
 func (d *Dir) Open(name string) (File, error) {
 	mode := os.O_RDWR
 	if d.readOnly {
 		mode = os.O_RDONLY
 	}
-	return opened(os.OpenFile(d.at(name), mode, 0))
+	return wrapFile(os.OpenFile(d.fullPath(name), mode, 0))
 }
 
+// Create makes a file (mode 0600), or truncates one that exists.
 func (d *Dir) Create(name string) (File, error) {
 	if d.readOnly {
-		return nil, &fs.PathError{Op: "create", Path: d.at(name), Err: syscall.EROFS}
+		return nil, &fs.PathError{Op: "create", Path: d.fullPath(name), Err: syscall.EROFS}
 	}
-	return opened(os.OpenFile(d.at(name), os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600))
+	return wrapFile(os.OpenFile(d.fullPath(name), os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600))
 }
 
-func (d *Dir) Remove(name string) error     { return os.Remove(d.at(name)) }
-func (d *Dir) Rename(from, to string) error { return os.Rename(d.at(from), d.at(to)) }
+// Remove removes a file.
+func (d *Dir) Remove(name string) error { return os.Remove(d.fullPath(name)) }
 
+// Rename replaces the target atomically.
+func (d *Dir) Rename(from, to string) error { return os.Rename(d.fullPath(from), d.fullPath(to)) }
+
+// List returns all regular files, in the order of their names.
 func (d *Dir) List() ([]FileInfo, error) {
 	entries, err := os.ReadDir(d.path)
 	if err != nil {
@@ -82,6 +88,7 @@
 	return list, nil
 }
 
+// SyncDir makes what was created, renamed and removed durable.
 func (d *Dir) SyncDir() error {
 	f, err := os.Open(d.path)
 	if err != nil {
@@ -91,13 +98,13 @@
 	return f.Sync()
 }
 
-// Lock holds an advisory lock (flock), which ends with the process that took it.
+// Lock takes an advisory lock (flock), which ends with the process that took it.
 func (d *Dir) Lock(name string) (io.Closer, error) {
 	mode := os.O_RDWR | os.O_CREATE
 	if d.readOnly {
 		mode = os.O_RDONLY
 	}
-	f, err := os.OpenFile(d.at(name), mode, 0o600)
+	f, err := os.OpenFile(d.fullPath(name), mode, 0o600)
 	if d.readOnly && errors.Is(err, fs.ErrNotExist) {
 		return io.NopCloser(nil), nil
 	}
@@ -114,16 +121,17 @@
 	return f, nil
 }
 
+// osFile adds Sync and Size to a file of the operating system.
 type osFile struct{ *os.File }
 
-func opened(f *os.File, err error) (File, error) {
+func wrapFile(f *os.File, err error) (File, error) {
 	if err != nil {
 		return nil, err
 	}
 	return osFile{f}, nil
 }
 
-// Sync writes the data and the length; times of access need not last.
+// Sync writes the content and the length; access times need not be durable.
 func (f osFile) Sync() error {
 	for {
 		err := syscall.Fdatasync(int(f.Fd()))
@@ -133,6 +141,7 @@
 	}
 }
 
+// Size is the length in bytes.
 func (f osFile) Size() (int64, error) {
 	info, err := f.Stat()
 	if err != nil {
