--- a/cmd/oxbowbridge/serve.go
+++ b/cmd/oxbowbridge/serve.go
@@ -35,11 +35,11 @@
 	level := zap.NewAtomicLevel()
 	log := newLogger(level).With(zap.String("name", cfg.Name))
 	defer log.Sync()
-	kept, err := openKeeper(notice, cfg, level, log)
+	node, err := openStoreNode(notice, cfg, level, log)
 	if err != nil {
 		return err
 	}
-	defer kept.close()
+	defer node.close()
 	s, err := newService(notice, cfg, log)
 	if notice.Err() != nil && errors.Is(err, syscall.EADDRINUSE) {
 		return nil // it never listened
@@ -47,17 +47,17 @@
 	if err != nil {
 		return err
 	}
-	kept.say("open")
-	worker := openWorker(notice, cfg, kept, s, log)
+	node.publishState(stateOpen)
+	machine := openMaintenanceAgent(notice, cfg, node, s, log)
 	var current atomic.Pointer[config]
 	current.Store(cfg)
 	// Neither waits for the other: a file that takes long to read must not delay the drain,
 	// and a reload counts also while the service drains, as requests in flight may need the
 	// new addresses.
 	go reloadOnHangup(s, hangup, &current, env)
-	go drainOnNotice(s, notice, worker, kept, &current)
+	go drainOnNotice(s, notice, machine, node, &current)
 	s.dispatcher.Run()
-	return worker.out(notice)
+	return machine.finish(notice)
 }
 
 // handleSignals takes over all signals, from the start of the process to its end: a SIGHUP
@@ -81,13 +81,13 @@
 
 // drainOnNotice starts the drain at the first notice: a signal, or an order of maintenance.
 // The store's shutdown is part of the drain timeout.
-func drainOnNotice(s *service, notice context.Context, worker *worker, kept *keeper, current *atomic.Pointer[config]) {
+func drainOnNotice(s *service, notice context.Context, machine *maintenanceAgent, node *storeNode, current *atomic.Pointer[config]) {
 	select {
 	case <-notice.Done():
-	case <-worker.leaves:
+	case <-machine.drainRequested:
 	}
 	noticedAt := time.Now()
-	kept.say("draining")
+	node.publishState(stateDraining)
 	drainTimeout := time.Duration(current.Load().DrainTimeoutMS) * time.Millisecond
-	s.drain(noticedAt, drainTimeout-kept.closing())
+	s.drain(noticedAt, drainTimeout-node.closeTimeout())
 }
--- a/internal/cluster/membership/lost_disks_test.go
+++ b/internal/cluster/membership/lost_disks_test.go
@@ -135,7 +135,7 @@
 }
 
 // settle has nodes that wait look again, the leader bring all members up to date, and
-// all that are up see each other, until nothing changes. It tells whether an acknowledged entry is lost.
+// all that are up see each other, until nothing changes. It reports whether an acknowledged entry is lost.
 func (w *lostDisksModel) settle(r diskRules) (loss bool) {
 	for {
 		was := *w
@@ -201,7 +201,7 @@
 			}
 			m := Member{ID: diskID(i, g), Role: Role(conf[i][g] - 1), Up: x.running && x.generation == g, DiskLost: x.up && x.generation != g}
 			if x.logLength < w.nodes[lead].logLength {
-				m.Lag = 1
+				m.EntriesBehind = 1
 			}
 			v.Members = append(v.Members, m)
 		}
--- a/internal/cluster/store/members.go
+++ b/internal/cluster/store/members.go
@@ -81,7 +81,7 @@
 	return p, nil
 }
 
-// isUp tells of a member whether it is this node, or has a recent report.
+// isUp reports whether a member is this node, or has a recent report.
 func (s *Store) isUp(inc *incarnation) func(id string) bool {
 	return func(id string) bool {
 		report, recent := s.peers.lastReport(diskidentity.MemberName(id))
@@ -129,7 +129,7 @@
 		ID:            m.ID,
 		Zone:          m.Zone,
 		Role:          m.Role.String(),
-		EntriesBehind: m.Lag,
+		EntriesBehind: m.EntriesBehind,
 		State:         memberStateOf(m, leader).describe(m.DownFor),
 		AdminAddress:  decodePeer(server.ID, server.Address).Admin,
 	}
--- a/internal/cluster/store/peers.go
+++ b/internal/cluster/store/peers.go
@@ -47,7 +47,7 @@
 	err        error     // of the last poll that failed
 }
 
-// recent tells whether the peer counts as up.
+// recent reports whether the peer counts as up.
 func (r peerReport) recent() bool {
 	return !r.receivedAt.IsZero() && time.Since(r.receivedAt) < reportLifetime
 }
@@ -150,7 +150,7 @@
 	self.ID = st.Node
 	self.Cluster = st.Cluster
 	self.State = peerServing
-	self.Mark.LastIndex = st.LastIndex
+	self.Watermark.LastIndex = st.LastIndex
 	self.AppliedIndex = st.AppliedIndex
 	return self, true, nil
 }
@@ -185,7 +185,7 @@
 	if diskidentity.MemberDisk(self.ID) == "" {
 		return
 	}
-	if p.observed.observe(self.ID, self.Mark) {
+	if p.observed.observe(self.ID, self.Watermark) {
 		p.unsaved = true
 	}
 }
