--- /dev/null
+++ b/cmd/oxbowbridge/durable_load.go
@@ -0,0 +1,137 @@
+package main
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+
+	"oxbowbridge/internal/storage/durable"
+)
+
+const (
+	// maxInFlightPuts bounds the puts that wait for the disk.
+	maxInFlightPuts = 256
+	// readBufferBytes is the length of reads of the input.
+	readBufferBytes = 64 << 10
+)
+
+// loadResult is a key that is on disk, or the error that kept it from there.
+type loadResult struct {
+	key []byte
+	err error
+}
+
+// loader puts lines into a store, and prints the keys in their order.
+type loader struct {
+	store    *durable.Store
+	asHex    bool
+	results  chan loadResult // in the order of the lines
+	inFlight chan struct{}   // one element for each put that was not printed yet
+}
+
+// loadFolder puts one line after the other, each synced, and prints each key that is
+// on disk. It ends at the first line that can't be put.
+func loadFolder(dir string, in io.Reader, out io.Writer, asHex bool) (err error) {
+	store, err := openStore(dir)
+	if err != nil {
+		return err
+	}
+	defer func() { err = errors.Join(err, store.Close()) }()
+	l := &loader{
+		store:    store,
+		asHex:    asHex,
+		results:  make(chan loadResult, maxInFlightPuts),
+		inFlight: make(chan struct{}, maxInFlightPuts),
+	}
+	printed := make(chan error, 1)
+	go func() { printed <- l.printResults(out) }()
+	err = l.putLines(in)
+	for range maxInFlightPuts { // until all results are printed
+		l.inFlight <- struct{}{}
+	}
+	close(l.results)
+	return errors.Join(err, <-printed)
+}
+
+// putLines submits a put for each line, until a line can't be read or the store is
+// read-only.
+func (l *loader) putLines(in io.Reader) error {
+	limits := durable.DefaultOptions()
+	maxLineBytes := 2*(limits.MaxKeyBytes+limits.MaxValueBytes) + 1 // in hex digits
+	lines := bufio.NewReaderSize(in, readBufferBytes)
+	for number := 1; l.store.ReadOnlyError() == nil; number++ {
+		line, err := readLine(lines, maxLineBytes)
+		if errors.Is(err, io.EOF) {
+			return nil
+		}
+		var key, value []byte
+		if err == nil {
+			key, value, err = parseLine(line, l.asHex)
+		}
+		if err != nil {
+			return usageError(fmt.Errorf("line %d: %w", number, err))
+		}
+		l.put(number, key, value)
+	}
+	return nil
+}
+
+func (l *loader) put(number int, key, value []byte) {
+	l.inFlight <- struct{}{}
+	var b durable.Batch
+	b.Put(key, value, 0)
+	l.store.Submit(&b, durable.Synced, func(_ uint64, err error) {
+		if err != nil {
+			err = fmt.Errorf("line %d: %w", number, err)
+		}
+		l.results <- loadResult{key, err}
+	})
+}
+
+// printResults prints keys as they become durable, up to the first that did not. The
+// output is flushed when no further result waits.
+func (l *loader) printResults(out io.Writer) error {
+	w := bufio.NewWriter(out)
+	var firstErr error
+	for result := range l.results {
+		<-l.inFlight
+		isLast := len(l.results) == 0
+		if firstErr == nil {
+			firstErr = result.err
+		}
+		if firstErr == nil {
+			fmt.Fprintf(w, "ok %s\n", result.key)
+		}
+		if !isLast {
+			continue
+		}
+		if err := w.Flush(); err != nil && firstErr == nil {
+			firstErr = err
+		}
+	}
+	return errors.Join(firstErr, w.Flush())
+}
+
+var errLineTooLong = errors.New("line is too long")
+
+// readLine reads a line of at most maxBytes, without its end.
+func readLine(r *bufio.Reader, maxBytes int) ([]byte, error) {
+	var line []byte
+	for {
+		part, err := r.ReadSlice('\n')
+		if len(line)+len(part) > maxBytes+1 {
+			return nil, errLineTooLong
+		}
+		line = append(line, part...)
+		switch {
+		case err == nil:
+			return line[:len(line)-1], nil
+		case errors.Is(err, bufio.ErrBufferFull):
+		case errors.Is(err, io.EOF) && len(line) > 0:
+			return line, nil
+		default:
+			return nil, err
+		}
+	}
+}
--- a/cmd/oxbowbridge/output.go
+++ b/cmd/oxbowbridge/output.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"encoding/json"
 	"fmt"
 	"io"
 	"text/tabwriter"
@@ -21,3 +22,10 @@
 	}
 	return w.Flush()
 }
+
+// printJSON prints a value as indented JSON.
+func printJSON(out io.Writer, value any) error {
+	encoder := json.NewEncoder(out)
+	encoder.SetIndent("", "  ")
+	return encoder.Encode(value)
+}
