--- a/examples/standin/main.go
+++ b/examples/standin/main.go
@@ -1,4 +1,4 @@
-// Toy is a small engine to try oxbowbridge with, and a caller:
+// Standin is a small engine to try oxbowbridge with, and a caller:
 //
 //	go run ./examples/standin                       the engine, on 127.0.0.1:6100
 //	go run ./examples/standin -call nom-submit hi   one request to 127.0.0.1:9090
@@ -19,42 +19,57 @@
 	"oxbowbridge/internal/standin"
 )
 
+const (
+	engineCores = 4
+	runDuration = 300 * time.Millisecond
+)
+
 func main() {
-	addr := flag.String("engine", "127.0.0.1:6100", "where the engine listens")
-	service := flag.String("service", "127.0.0.1:9090", "where the service listens")
+	engineAddr := flag.String("engine", "127.0.0.1:6100", "where the engine listens")
+	serviceAddr := flag.String("service", "127.0.0.1:9090", "where the service listens")
 	class := flag.String("call", "", "send one request of this class, with the arguments as its body")
 	key := flag.String("key", "", "the request's Replay-Key, the same for all its tries")
 	flag.Parse()
 	var err error
 	if *class != "" {
-		err = call(*service, standin.Request{Class: *class, IdempotencyKey: *key, Body: strings.Join(flag.Args(), " ")})
+		err = call(*serviceAddr, standin.Request{
+			Class:          *class,
+			IdempotencyKey: *key,
+			Body:           strings.Join(flag.Args(), " "),
+		})
 	} else {
-		err = serve(*addr)
+		err = serveEngine(*engineAddr)
 	}
 	if err != nil {
 		log.Fatal("toy: ", err)
 	}
 }
 
-func serve(addr string) error {
-	ln, err := net.Listen("tcp", addr)
+// serveEngine runs the engine until the process ends.
+func serveEngine(addr string) error {
+	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return err
 	}
-	log.Println("toy engine on", ln.Addr())
-	return (&standin.Engine{Cores: 4, RunDuration: 300 * time.Millisecond,
-		OnRun: func(class, body string) { log.Printf("run: %s %s", class, body) }}).Serve(ln)
+	log.Println("toy engine on", listener.Addr())
+	engine := &standin.Engine{
+		Cores:       engineCores,
+		RunDuration: runDuration,
+		OnRun:       func(class, body string) { log.Printf("run: %s %s", class, body) },
+	}
+	return engine.Serve(listener)
 }
 
-func call(addr string, q standin.Request) error {
-	a, err := standin.Call(context.Background(), addr, q)
+// call sends one request, and prints the response as the service sent it.
+func call(addr string, request standin.Request) error {
+	response, err := standin.Call(context.Background(), addr, request)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("Status: %d\n", a.Status)
-	if a.RetryAfterMillis != "" {
-		fmt.Printf("Hold-Off-Ms: %s\n", a.RetryAfterMillis)
+	fmt.Printf("Status: %d\n", response.Status)
+	if response.RetryAfterMillis != "" {
+		fmt.Printf("Hold-Off-Ms: %s\n", response.RetryAfterMillis)
 	}
-	fmt.Printf("\n%s\n", a.Body)
+	fmt.Printf("\n%s\n", response.Body)
 	return nil
 }
--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -1,6 +1,11 @@
 // Package logsink writes log lines to a file or pipe without ever blocking the goroutine
-// that logs. A pipe whose reader has stopped reading blocks write(2); the service must go
-// on answering meanwhile.
+// that logs. A pipe whose reader has stopped reading blocks write(2); the service must
+// keep on responding meanwhile.
+//
+// A [Sink] has one goroutine, which alone writes to the output; Sink.mu guards the
+// buffer between it and the loggers. Lines are written completely and in order, or
+// dropped completely when the buffer is full; a notice with their number follows.
+// Errors of the output are ignored.
 package logsink
 
 import (
@@ -11,10 +16,10 @@
 )
 
 const (
-	// bufferMost is how many bytes may wait to be written; further lines are dropped.
-	bufferMost = 256 << 10
-	// syncMost is how long Sync waits for the buffer to empty.
-	syncMost = 50 * time.Millisecond
+	// maxBufferBytes bounds the bytes that wait to be written; further lines are dropped.
+	maxBufferBytes = 256 << 10
+	// syncTimeout is how long Sync waits for the buffer to empty.
+	syncTimeout = 50 * time.Millisecond
 )
 
 // Sink is a zapcore.WriteSyncer that buffers lines and writes them from a goroutine of
@@ -24,8 +29,8 @@
 	wake chan struct{}
 
 	mu      sync.Mutex
-	buffer  []byte          // whole lines that are not written yet
-	dropped int             // lines dropped since the last notice of that
+	buffer  []byte          // complete lines that are not written yet
+	dropped int             // lines dropped since the last notice
 	waiters []chan struct{} // closed when the buffer has been written
 }
 
@@ -36,28 +41,28 @@
 	return s
 }
 
-// Write queues one line. It never blocks and never fails: a line that finds the buffer
-// full is dropped and counted.
+// Write queues one line, or drops and counts it if the buffer is full. It never blocks
+// on the output and never fails.
 func (s *Sink) Write(line []byte) (int, error) {
 	s.mu.Lock()
-	if len(s.buffer)+len(line) > bufferMost {
+	if len(s.buffer)+len(line) > maxBufferBytes {
 		s.dropped++
 	} else {
 		s.buffer = append(s.buffer, line...)
 	}
 	s.mu.Unlock()
-	s.signal()
+	s.wakeWriter()
 	return len(line), nil
 }
 
-// Sync waits until all that was queued is written, but not longer than syncMost.
+// Sync waits until all queued lines are written, but not longer than syncTimeout.
 func (s *Sink) Sync() error {
 	written := make(chan struct{})
 	s.mu.Lock()
 	s.waiters = append(s.waiters, written)
 	s.mu.Unlock()
-	s.signal()
-	timeout := time.NewTimer(syncMost)
+	s.wakeWriter()
+	timeout := time.NewTimer(syncTimeout)
 	defer timeout.Stop()
 	select {
 	case <-written:
@@ -66,35 +71,39 @@
 	return nil
 }
 
-func (s *Sink) signal() {
+// wakeWriter has the goroutine look at the buffer.
+func (s *Sink) wakeWriter() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
+// run writes the buffer whenever it is woken.
 func (s *Sink) run() {
 	var writing []byte
 	for range s.wake {
 		var waiters []chan struct{}
 		for {
-			writing, waiters = s.take(writing)
+			writing, waiters = s.dequeue(writing)
 			if len(writing) == 0 {
 				break
 			}
-			s.out.Write(writing) // a reader that has gone away gets nothing more
-			finish(waiters)
+			s.out.Write(writing) // an error means that nobody reads any more
+			closeAll(waiters)
 		}
-		finish(waiters)
+		closeAll(waiters)
 	}
 }
 
-// take exchanges the queued lines for an empty buffer, which reuses the given one.
-func (s *Sink) take(reuse []byte) ([]byte, []chan struct{}) {
+// dequeue exchanges the queued lines for an empty buffer, which reuses the given one.
+func (s *Sink) dequeue(reuse []byte) ([]byte, []chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	lines, waiters := s.buffer, s.waiters
-	s.buffer, s.waiters = reuse[:0], nil
+	lines := s.buffer
+	waiters := s.waiters
+	s.buffer = reuse[:0]
+	s.waiters = nil
 	if s.dropped > 0 {
 		lines = fmt.Appendf(lines, `{"level":"warn","msg":"log lines dropped","lines":%d}`+"\n", s.dropped)
 		s.dropped = 0
@@ -102,7 +111,7 @@
 	return lines, waiters
 }
 
-func finish(waiters []chan struct{}) {
+func closeAll(waiters []chan struct{}) {
 	for _, written := range waiters {
 		close(written)
 	}
--- a/internal/logsink/logsink_test.go
+++ b/internal/logsink/logsink_test.go
@@ -10,10 +10,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestReaderThatStands: while nobody reads the pipe, lines are taken until the buffer is
-// full and then dropped; once somebody reads, all that was taken arrives whole and in
+// TestStalledReader: while nobody reads the pipe, lines are queued until the buffer is
+// full and then dropped; once somebody reads, all queued lines arrive complete and in
 // order, with the number of those that were dropped.
-func TestReaderThatStands(t *testing.T) {
+func TestStalledReader(t *testing.T) {
 	reader, writer, err := os.Pipe()
 	require.NoError(t, err)
 	defer reader.Close()
@@ -25,11 +25,11 @@
 		require.NoError(t, err)
 		require.Equal(t, len(line), n)
 	}
-	require.NoError(t, s.Sync(), "does not wait for a reader that stands")
+	require.NoError(t, s.Sync(), "does not wait for a stalled reader")
 
 	scan := bufio.NewScanner(reader)
-	var whole, dropped int
-	for whole+dropped < lines && scan.Scan() {
+	var complete, dropped int
+	for complete+dropped < lines && scan.Scan() {
 		if strings.HasPrefix(scan.Text(), "{") {
 			var notice struct {
 				Message string `json:"msg"`
@@ -41,12 +41,12 @@
 			continue
 		}
 		require.Equal(t, line, scan.Text()+"\n")
-		whole++
+		complete++
 	}
 	require.NoError(t, scan.Err())
-	require.Equal(t, lines, whole+dropped, "each line is written or counted")
+	require.Equal(t, lines, complete+dropped, "each line is written or counted")
 	require.Positive(t, dropped, "the buffer is bounded")
-	require.GreaterOrEqual(t, whole*len(line), bufferMost/2)
+	require.GreaterOrEqual(t, complete*len(line), maxBufferBytes/2)
 
 	_, err = s.Write([]byte("afterwards\n"))
 	require.NoError(t, err)
@@ -54,8 +54,8 @@
 	require.Equal(t, "afterwards", scan.Text())
 }
 
-// TestReaderThatLeft: a pipe that nobody can read any more costs the lines, nothing else.
-func TestReaderThatLeft(t *testing.T) {
+// TestClosedReader: a pipe that nobody can read any more loses the lines, nothing else.
+func TestClosedReader(t *testing.T) {
 	reader, writer, err := os.Pipe()
 	require.NoError(t, err)
 	require.NoError(t, reader.Close())
--- a/internal/standin/caller.go
+++ b/internal/standin/caller.go
@@ -15,89 +15,149 @@
 	"time"
 )
 
-const keyMost = 127 // bytes of a key, whose length is sent in one
+// FastCGI, as far as a caller of one request on a connection needs it. Each record is
+// a header and a content of at most 65535 bytes.
+const (
+	fastCGIVersion   = 1
+	recordHeaderLen  = 8 // bytes
+	requestID        = 1
+	recordBegin      = 1
+	recordEndRequest = 3
+	recordParams     = 4
+	recordStdin      = 5
+	// beginResponder asks for the responder role, on a connection that is closed after
+	// the request.
+	beginResponder = "\x00\x01\x00\x00\x00\x00\x00\x00"
+	// maxShortLen is the longest name or value whose length is sent in one byte.
+	maxShortLen = 127
+)
 
-// Answer is what the service said to a request.
-type Response struct {
-	Status           int
-	RetryAfterMillis string // Hold-Off-Ms, of a refusal
-	Body             string
-}
+// memoryReserveKB is the memory that a request declares.
+const memoryReserveKB = "24.5"
+
+// maxResponseBytes bounds the response that is kept.
+const maxResponseBytes = 2 * maxBodyBytes
 
 // Request is one that is sent.
 type Request struct {
-	Class          string
-	IdempotencyKey string // Replay-Key, of a deduplicated class
-	Body           string
+	Class string
+	// IdempotencyKey makes a request of a class with duplicate detection idempotent, the
+	// same for all attempts; at most 127 bytes are sent.
+	IdempotencyKey string
+	// Body is cut at 65535 bytes.
+	Body string
 }
 
-// Call sends one request over FastCGI, on a connection of its own.
+// Response is the service's response.
+type Response struct {
+	Status int // as in HTTP
+	// RetryAfterMillis is when a rejected request may be sent again, as it was sent; ""
+	// if the service gave none.
+	RetryAfterMillis string
+	Body             string
+}
+
+// Call sends one request over FastCGI, on a connection of its own. The context bounds
+// the whole call.
 func Call(ctx context.Context, addr string, q Request) (Response, error) {
-	c, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
+	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return Response{}, err
 	}
-	defer c.Close()
-	stop := context.AfterFunc(ctx, func() { c.Close() })
+	defer conn.Close()
+	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
-	id := make([]byte, 8)
-	rand.Read(id)
-	fields := [][2]string{{"SCRIPT_NAME", "/call/" + q.Class}, {"REQUEST_METHOD", "POST"},
-		{"HTTP_TRACE_ID", hex.EncodeToString(id)}, {"HTTP_RESERVE_KB", "24.5"},
-		{"HTTP_ACCEPTED_AT_MS", strconv.FormatInt(time.Now().UnixMilli(), 10)}}
-	if q.IdempotencyKey != "" {
-		fields = append(fields, [2]string{"HTTP_REPLAY_KEY", q.IdempotencyKey[:min(len(q.IdempotencyKey), keyMost)]})
+	if _, err := conn.Write(encodeRequest(q)); err != nil {
+		return Response{}, err
 	}
-	var params []byte
-	for _, p := range fields {
-		params = append(params, byte(len(p[0])), byte(len(p[1])))
-		params = append(append(params, p[0]...), p[1]...)
+	return readResponse(conn)
+}
+
+// encodeRequest is the request as FastCGI records.
+func encodeRequest(q Request) []byte {
+	out := appendRecord(nil, recordBegin, beginResponder)
+	out = appendRecord(out, recordParams, encodeParams(q))
+	out = appendRecord(out, recordParams, "")
+	if q.Body != "" {
+		out = appendRecord(out, recordStdin, q.Body[:min(len(q.Body), maxBodyBytes-1)])
 	}
-	var out []byte
-	record := func(kind byte, content string) {
-		out = append(out, 1, kind, 0, 1, byte(len(content)>>8), byte(len(content)), 0, 0)
-		out = append(out, content...)
+	return appendRecord(out, recordStdin, "")
+}
+
+func encodeParams(q Request) string {
+	traceID := make([]byte, 8)
+	rand.Read(traceID)
+	params := []struct{ name, value string }{
+		{"SCRIPT_NAME", "/call/" + q.Class},
+		{"REQUEST_METHOD", "POST"},
+		{"HTTP_TRACE_ID", hex.EncodeToString(traceID)},
+		{"HTTP_RESERVE_KB", memoryReserveKB},
+		{"HTTP_ACCEPTED_AT_MS", strconv.FormatInt(time.Now().UnixMilli(), 10)},
 	}
-	record(1, "\x00\x01\x00\x00\x00\x00\x00\x00")
-	record(4, string(params))
-	record(4, "")
-	if q.Body != "" {
-		record(5, q.Body[:min(len(q.Body), bodyMost-1)])
+	if q.IdempotencyKey != "" {
+		key := q.IdempotencyKey[:min(len(q.IdempotencyKey), maxShortLen)]
+		params = append(params, struct{ name, value string }{"HTTP_REPLAY_KEY", key})
 	}
-	record(5, "")
-	if _, err := c.Write(out); err != nil {
-		return Response{}, err
+	var encoded []byte
+	for _, p := range params {
+		encoded = append(encoded, byte(len(p.name)), byte(len(p.value)))
+		encoded = append(encoded, p.name...)
+		encoded = append(encoded, p.value...)
 	}
-	return readAnswer(c)
+	return string(encoded)
 }
 
-func readAnswer(c net.Conn) (Response, error) {
+func appendRecord(out []byte, kind byte, content string) []byte {
+	const paddingLen, reserved = 0, 0
+	n := len(content)
+	out = append(out, fastCGIVersion, kind, requestID>>8, requestID, byte(n>>8), byte(n), paddingLen, reserved)
+	return append(out, content...)
+}
+
+// readResponse reads records up to the end of the request, and parses their content.
+func readResponse(conn net.Conn) (Response, error) {
 	var text bytes.Buffer
-	for r := bufio.NewReader(c); ; {
-		h := make([]byte, 8)
-		if _, err := io.ReadFull(r, h); err != nil {
-			return Response{}, fmt.Errorf("no answer: %w", err)
-		}
-		content := make([]byte, int(binary.BigEndian.Uint16(h[4:]))+int(h[6]))
-		if _, err := io.ReadFull(r, content); err != nil {
+	for in := bufio.NewReader(conn); ; {
+		kind, content, err := readRecord(in)
+		if err != nil {
 			return Response{}, fmt.Errorf("no answer: %w", err)
 		}
-		if h[1] == 3 { // END_REQUEST
+		if kind == recordEndRequest {
 			break
 		}
-		if text.Len() <= 2*bodyMost {
-			text.Write(content[:binary.BigEndian.Uint16(h[4:])])
+		if text.Len() <= maxResponseBytes {
+			text.Write(content)
 		}
 	}
-	r := bufio.NewReader(&text)
-	fields, err := textproto.NewReader(r).ReadMIMEHeader()
+	return parseResponse(&text)
+}
+
+// readRecord reads one record, and leaves out its padding.
+func readRecord(in io.Reader) (kind byte, content []byte, err error) {
+	header := make([]byte, recordHeaderLen)
+	if _, err := io.ReadFull(in, header); err != nil {
+		return 0, nil, err
+	}
+	contentLen := int(binary.BigEndian.Uint16(header[4:]))
+	paddingLen := int(header[6])
+	content = make([]byte, contentLen+paddingLen)
+	if _, err := io.ReadFull(in, content); err != nil {
+		return 0, nil, err
+	}
+	return header[1], content[:contentLen], nil
+}
+
+// parseResponse reads header fields and a body.
+func parseResponse(text io.Reader) (Response, error) {
+	in := bufio.NewReader(text)
+	fields, err := textproto.NewReader(in).ReadMIMEHeader()
 	if err != nil {
 		return Response{}, fmt.Errorf("answer can't be read: %w", err)
 	}
-	rest, _ := io.ReadAll(r)
-	a := Response{RetryAfterMillis: fields.Get("Hold-Off-Ms"), Body: string(rest)}
-	if a.Status, err = strconv.Atoi(fields.Get("Status")); err != nil {
-		return a, fmt.Errorf("answer has no status: %w", err)
+	body, _ := io.ReadAll(in)
+	response := Response{RetryAfterMillis: fields.Get("Hold-Off-Ms"), Body: string(body)}
+	if response.Status, err = strconv.Atoi(fields.Get("Status")); err != nil {
+		return response, fmt.Errorf("answer has no status: %w", err)
 	}
-	return a, nil
+	return response, nil
 }
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -1,10 +1,6 @@
-// Package standin has the smallest engine, records service and caller that the service
-// works with: for trying it out, not for use.
 package standin
 
 import (
-	"bufio"
-	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -15,141 +11,133 @@
 	"time"
 )
 
-const bodyMost = 1 << 16 // bytes, of a request or a reply
+// upstreamReplyTimeout ends the wait for the reply to a run's call. The service has
+// halted the run long before.
+const upstreamReplyTimeout = time.Minute
 
-// Engine runs requests, each for the same time; those that find no core free wait.
+// Engine runs requests, each for the same time. Requests that find no core free wait
+// for one.
 type Engine struct {
-	Cores          int
-	RunDuration    time.Duration
-	CallingClasses []string                 // classes whose runs make a call below, half way
-	OnRun          func(class, body string) // told of each run, if it is set
+	// Cores is how many requests run at once.
+	Cores int
+	// RunDuration is how long each of them runs.
+	RunDuration time.Duration
+	// CallingClasses are the classes whose runs call the records service half way.
+	CallingClasses []string
+	// OnRun is called at the begin of each run, if it is set. It must not block.
+	OnRun func(class, body string)
 
 	mu      sync.Mutex
-	conn    net.Conn
-	notices []string
-	runs    map[string]chan []byte // of each run, where the reply to its call comes
-	cores   chan struct{}
-	began   time.Time
+	conn    net.Conn               // the attached one
+	notices []string               // all that were sent, to be sent again on a new connection
+	replies map[string]chan []byte // by run: where the reply to its call arrives
+	cores   chan struct{}          // one element for each core in use
+	started time.Time
 }
 
-// Serve takes links until the listener is closed.
-func (e *Engine) Serve(ln net.Listener) error {
-	e.runs, e.cores, e.began = map[string]chan []byte{}, make(chan struct{}, e.Cores), time.Now()
-	return serve(ln, func(c net.Conn) {
-		readLines(c, func(w []string) bool { return w[0] == "RUN" || w[0] == "FEED" }, func(w []string, body []byte) {
-			e.command(c, w, body)
-		})
+// Serve accepts connections until the listener is closed.
+func (e *Engine) Serve(listener net.Listener) error {
+	e.replies = map[string]chan []byte{}
+	e.cores = make(chan struct{}, e.Cores)
+	e.started = time.Now()
+	hasBody := func(name string) bool { return name == "RUN" || name == "FEED" }
+	return serve(listener, func(conn net.Conn) {
+		readCommands(conn, hasBody, func(command lineCommand) { e.handle(conn, command) })
 	})
 }
 
-// serve handles each connection, and closes it then, until the listener is closed.
-func serve(ln net.Listener, handle func(net.Conn)) error {
-	for {
-		c, err := ln.Accept()
-		if errors.Is(err, net.ErrClosed) {
-			return nil
-		}
-		if err != nil {
-			return err
-		}
-		go func() {
-			defer c.Close()
-			handle(c)
-		}()
-	}
-}
-
-// readLines reads lines of words, and the bytes that follow those that long picks,
-// until something else comes.
-func readLines(c net.Conn, long func([]string) bool, handle func(words []string, body []byte)) {
-	r := bufio.NewReader(c)
-	for {
-		line, err := r.ReadString('\n')
-		w := strings.Fields(line)
-		if err != nil || len(w) < 2 {
-			return
-		}
-		var body []byte
-		if long(w) {
-			n, err := strconv.Atoi(w[len(w)-1])
-			if err != nil || n < 0 || n > bodyMost {
-				return
-			}
-			body = make([]byte, n+2)
-			if _, err := io.ReadFull(r, body); err != nil {
-				return
-			}
-			body = body[:n]
-		}
-		handle(w, body)
-	}
-}
-
-func (e *Engine) command(c net.Conn, w []string, body []byte) {
+// handle carries out one command of the service.
+func (e *Engine) handle(conn net.Conn, command lineCommand) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	switch w[0] {
+	switch command.name() {
 	case "ATTACH":
-		n, _ := strconv.Atoi(w[1])
-		if n == 0 { // the service has started anew
-			e.notices, e.runs = nil, map[string]chan []byte{}
-		}
-		e.conn = c
-		fmt.Fprintf(c, "HELLO WARM %d\r\n%s", time.Since(e.began).Milliseconds(), strings.Join(e.notices[min(n, len(e.notices)):], ""))
+		e.attach(conn, command.words[1])
 	case "RUN":
-		if len(w) > 2 && e.runs[w[1]] == nil {
-			reply := make(chan []byte, 1)
-			e.runs[w[1]] = reply
-			if e.OnRun != nil {
-				e.OnRun(w[2], string(body))
-			}
-			go e.run(w[1], w[2], body, reply)
+		if len(command.words) > 2 {
+			e.start(command.id(), command.words[2], command.body)
 		}
 	case "FEED":
 		select {
-		case e.runs[w[1]] <- body:
+		case e.replies[command.id()] <- command.body:
 		default: // no run, or one that has its reply
 		}
 	case "HALT":
-		e.done(w[1], "STOPPED", nil)
+		e.finish(command.id(), "STOPPED", nil)
 	case "STAT":
-		busy := len(e.cores)
-		fmt.Fprintf(c, "STATS %s %.2f %d 0.1 1\r\n", w[1], float64(busy)/float64(e.Cores), len(e.runs))
+		coresInUse := float64(len(e.cores)) / float64(e.Cores)
+		fmt.Fprintf(conn, "STATS %s %.2f %d 0.1 1\r\n", command.words[1], coresInUse, len(e.replies))
+	}
+}
+
+// attach sends the notices after the number that the service has received. A service
+// that has received none was restarted; its runs are forgotten. The lock is held.
+func (e *Engine) attach(conn net.Conn, lastNotice string) {
+	received, _ := strconv.Atoi(lastNotice)
+	if received == 0 {
+		e.notices = nil
+		e.replies = map[string]chan []byte{}
+	}
+	e.conn = conn
+	missed := e.notices[min(received, len(e.notices)):]
+	fmt.Fprintf(conn, "HELLO WARM %d\r\n%s", time.Since(e.started).Milliseconds(), strings.Join(missed, ""))
+}
+
+// start begins a run, unless it has begun before. The lock is held.
+func (e *Engine) start(id, class string, body []byte) {
+	if e.replies[id] != nil {
+		return
 	}
+	reply := make(chan []byte, 1)
+	e.replies[id] = reply
+	if e.OnRun != nil {
+		e.OnRun(class, string(body))
+	}
+	go e.run(id, class, body, reply)
 }
 
+// run waits for a core, and runs one request. During its call the core is free.
 func (e *Engine) run(id, class string, body []byte, reply chan []byte) {
 	e.cores <- struct{}{}
 	defer func() { <-e.cores }()
 	time.Sleep(e.RunDuration)
 	result := fmt.Appendf(nil, "%s done: %s", class, body)
 	if slices.Contains(e.CallingClasses, class) {
-		e.mu.Lock()
-		e.tell(fmt.Sprintf("NEED %d %s %d\r\n%s\r\n", len(e.notices)+1, id, len(body), body))
-		e.mu.Unlock()
-		<-e.cores // others may run meanwhile
+		e.sendCall(id, body)
+		<-e.cores
 		select {
-		case r := <-reply:
-			result = fmt.Appendf(result, " (%s)", r)
-		case <-time.After(time.Minute): // the service has halted it long ago
+		case response := <-reply:
+			result = fmt.Appendf(result, " (%s)", response)
+		case <-time.After(upstreamReplyTimeout):
 		}
 		e.cores <- struct{}{}
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.done(id, "OK", result)
+	e.finish(id, "OK", result)
+}
+
+func (e *Engine) sendCall(id string, body []byte) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.notify(fmt.Sprintf("NEED %d %s %d\r\n%s\r\n", e.nextNotice(), id, len(body), body))
 }
 
-// done tells the end of a run, once.
-func (e *Engine) done(id, end string, result []byte) {
-	if e.runs[id] == nil {
+// finish sends the end of a run, once. The lock is held.
+func (e *Engine) finish(id, outcome string, result []byte) {
+	if e.replies[id] == nil {
 		return
 	}
-	delete(e.runs, id)
-	e.tell(fmt.Sprintf("DONE %d %s %s %d %d\r\n%s\r\n", len(e.notices)+1, id, end, e.RunDuration.Milliseconds(), len(result), result))
+	delete(e.replies, id)
+	e.notify(fmt.Sprintf("DONE %d %s %s %d %d\r\n%s\r\n",
+		e.nextNotice(), id, outcome, e.RunDuration.Milliseconds(), len(result), result))
 }
 
-func (e *Engine) tell(notice string) {
+// nextNotice is the number of the next notice, from 1. The lock is held.
+func (e *Engine) nextNotice() int { return len(e.notices) + 1 }
+
+// notify sends a notice and keeps it. The lock is held.
+func (e *Engine) notify(notice string) {
 	e.notices = append(e.notices, notice)
 	io.WriteString(e.conn, notice)
 }
