--- /dev/null
+++ b/internal/testrig/await.go
@@ -0,0 +1,62 @@
+package testrig
+
+import (
+	"fmt"
+	"net"
+	"os"
+	"sync/atomic"
+	"time"
+)
+
+const (
+	// AwaitTimeout is how long any condition may take.
+	AwaitTimeout = 20 * time.Second
+	// awaitInterval is the time between two checks of a condition.
+	awaitInterval = 5 * time.Millisecond
+)
+
+// T is what the rig needs of a test, or of a tool.
+type T interface {
+	Helper()
+	Fatalf(format string, args ...any)
+	Logf(format string, args ...any)
+	Cleanup(func())
+	TempDir() string
+}
+
+// Await waits until a condition holds, or ends the test after AwaitTimeout.
+func Await(t T, description string, holds func() bool) {
+	t.Helper()
+	for end := time.Now().Add(AwaitTimeout); time.Now().Before(end); time.Sleep(awaitInterval) {
+		if holds() {
+			return
+		}
+	}
+	t.Fatalf("never happened: %s", description)
+}
+
+// Free ports lie below those that the system gives to outgoing connections, which could
+// take them before a process listens.
+const (
+	firstPort = 20000
+	portCount = 12000
+	// portsPerProcess sets the first ports of two test processes apart.
+	portsPerProcess = 97
+)
+
+var portsGiven atomic.Uint32
+
+// FreeAddr returns a loopback address that nothing listens on. Each is given once in a
+// process.
+func FreeAddr(t T) string {
+	for range portCount {
+		n := portsGiven.Add(1) + uint32(os.Getpid())*portsPerProcess
+		addr := fmt.Sprintf("127.0.0.1:%d", firstPort+n%portCount)
+		if listener, err := net.Listen("tcp", addr); err == nil {
+			listener.Close()
+			return addr
+		}
+	}
+	t.Fatalf("no port is free")
+	return ""
+}
--- a/internal/testrig/golden/golden.go
+++ b/internal/testrig/golden/golden.go
@@ -20,7 +20,7 @@
 
 // Sample is one type to compare. Value is a pointer to it; its content is replaced.
 type Sample struct {
-	Name  string
+	Name  string // in the golden file
 	Value any
 }
 
@@ -65,49 +65,51 @@
 // Fill sets each exported field that a pointer leads to, to a value that is not zero and
 // differs from all others. Slices and maps get one element.
 func Fill(pointer any) {
-	next := 0
-	fill(reflect.ValueOf(pointer).Elem(), &next)
+	counter := 0
+	fill(reflect.ValueOf(pointer).Elem(), &counter)
 }
 
 var rawMessage = reflect.TypeFor[json.RawMessage]()
 
-func fill(v reflect.Value, next *int) {
-	*next++
+// fill sets a value from a counter, which it increments.
+func fill(v reflect.Value, counter *int) {
+	*counter++
 	if v.Type() == rawMessage {
-		v.SetBytes(fmt.Appendf(nil, `{"raw":%d}`, *next))
+		v.SetBytes(fmt.Appendf(nil, `{"raw":%d}`, *counter))
 		return
 	}
 	switch v.Kind() {
 	case reflect.Bool:
 		v.SetBool(true)
 	case reflect.String:
-		v.SetString(fmt.Sprint("text-", *next))
+		v.SetString(fmt.Sprint("text-", *counter))
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
-		v.SetInt(int64(*next))
+		v.SetInt(int64(*counter))
 	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
-		v.SetUint(uint64(*next))
+		v.SetUint(uint64(*counter))
 	case reflect.Float32, reflect.Float64:
-		v.SetFloat(float64(*next) + 0.5)
+		v.SetFloat(float64(*counter) + 0.5)
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
-		fill(v.Elem(), next)
+		fill(v.Elem(), counter)
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 1, 1))
-		fill(v.Index(0), next)
+		fill(v.Index(0), counter)
 	case reflect.Array:
 		for i := range v.Len() {
-			fill(v.Index(i), next)
+			fill(v.Index(i), counter)
 		}
 	case reflect.Map:
-		key, element := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
-		fill(key, next)
-		fill(element, next)
+		key := reflect.New(v.Type().Key()).Elem()
+		element := reflect.New(v.Type().Elem()).Elem()
+		fill(key, counter)
+		fill(element, counter)
 		v.Set(reflect.MakeMap(v.Type()))
 		v.SetMapIndex(key, element)
 	case reflect.Struct:
 		for i := range v.NumField() {
 			if field := v.Type().Field(i); field.IsExported() {
-				fill(v.Field(i), next)
+				fill(v.Field(i), counter)
 			}
 		}
 	default:
--- a/internal/testrig/rapidseed/rapidseed.go
+++ b/internal/testrig/rapidseed/rapidseed.go
@@ -3,10 +3,15 @@
 
 import "flag"
 
+const (
+	seedFlag  = "rapid.seed"
+	fixedSeed = "20261201"
+)
+
 // Fix has rapid try the same cases each time, unless a seed is given. It is for
 // TestMain of a package that uses rapid, once the flags are parsed.
 func Fix() {
-	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == seed.DefValue {
-		flag.Set("rapid.seed", "20261201")
+	if seed := flag.Lookup(seedFlag); seed.Value.String() == seed.DefValue {
+		flag.Set(seedFlag, fixedSeed)
 	}
 }
--- a/internal/testrig/resource.go
+++ b/internal/testrig/resource.go
@@ -10,130 +10,147 @@
 	"time"
 )
 
-// Act is one that a resource has accepted, from begin to end by its own clock.
+// Action is one that a resource has accepted. Its times are of the resource's clock.
 type Action struct {
-	Holder     string
-	Token      uint64
-	Begin, End time.Time
+	Holder string
+	Token  uint64
+	Begin  time.Time
+	End    time.Time
 }
 
+// defaultActionDuration is how long an action takes where the test sets nothing else.
+const defaultActionDuration = 2 * time.Millisecond
+
 // Resource is something that only one process may act on at a time: POST
-// /act?holder=H&token=T takes Work to do. It keeps the highest token that it has seen, and
-// refuses lower ones, also those that are overtaken while they are at work.
+// /act?holder=H&token=T takes ActionDuration. A fenced resource keeps the highest token
+// that it has received, and rejects lower ones, also of actions during which a higher
+// one arrived.
 type Resource struct {
 	URL            string
 	ActionDuration time.Duration
 
-	server  *httptest.Server
-	mu      sync.Mutex
-	open    bool // without the fence
-	highest uint64
-	acts    []Action
-	refused int
+	server   *httptest.Server
+	unfenced bool
+
+	mu       sync.Mutex
+	highest  uint64
+	actions  []Action
+	rejected int
 }
 
-// NewResource begins one; without a fence it takes any token.
-func NewResource(t T, fence bool) *Resource {
-	r := &Resource{ActionDuration: 2 * time.Millisecond, open: !fence}
+// NewResource starts a resource; one without a fence accepts any token.
+func NewResource(t T, fenced bool) *Resource {
+	r := &Resource{ActionDuration: defaultActionDuration, unfenced: !fenced}
 	r.server = httptest.NewServer(r)
 	t.Cleanup(r.server.Close)
 	r.URL = r.server.URL
 	return r
 }
 
-// ServeHTTP is one act.
+// ServeHTTP carries out one action.
 func (r *Resource) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	token, err := strconv.ParseUint(q.URL.Query().Get("token"), 10, 64)
-	a := Action{Holder: q.URL.Query().Get("holder"), Token: token, Begin: time.Now()}
+	action := Action{Holder: q.URL.Query().Get("holder"), Token: token, Begin: time.Now()}
 	if err != nil || !r.admit(token) {
 		http.Error(w, "a higher token was here", http.StatusPreconditionFailed)
 		return
 	}
 	time.Sleep(r.ActionDuration)
-	a.End = time.Now()
-	if !r.effect(a) {
+	action.End = time.Now()
+	if !r.commit(action) {
 		http.Error(w, "a higher token came meanwhile", http.StatusPreconditionFailed)
 	}
 }
 
+// admit begins an action, unless the fence rejects its token.
 func (r *Resource) admit(token uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if token < r.highest && !r.open {
-		r.refused++
+	if r.rejectStale(token) {
 		return false
 	}
 	r.highest = max(r.highest, token)
 	return true
 }
 
-func (r *Resource) effect(a Action) bool {
+// commit has an action take effect, unless a higher token arrived during it.
+func (r *Resource) commit(action Action) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if a.Token < r.highest && !r.open {
-		r.refused++
+	if r.rejectStale(action.Token) {
+		return false
+	}
+	r.actions = append(r.actions, action)
+	return true
+}
+
+// rejectStale reports whether the fence rejects a token, and counts it. The lock is held.
+func (r *Resource) rejectStale(token uint64) bool {
+	if r.unfenced || token >= r.highest {
 		return false
 	}
-	r.acts = append(r.acts, a)
+	r.rejected++
 	return true
 }
 
-// Wrong names what no run may show: a token that took effect after a higher one, acts of
-// two holders that overlap, or a token that two holders had.
-func (r *Resource) Violations() (wrong []string) {
+// Violations names what no run may show: a token that took effect after a higher one,
+// actions of two holders that overlap, or a token that two holders had.
+func (r *Resource) Violations() (violations []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	holders, last := map[uint64]string{}, Action{}
-	for _, a := range r.acts {
-		if h, ok := holders[a.Token]; ok && h != a.Holder {
-			wrong = append(wrong, fmt.Sprintf("token %d of %s and %s", a.Token, h, a.Holder))
+	holders := map[uint64]string{} // by token
+	var last Action
+	for _, a := range r.actions {
+		if holder, ok := holders[a.Token]; ok && holder != a.Holder {
+			violations = append(violations, fmt.Sprintf("token %d of %s and %s", a.Token, holder, a.Holder))
 		}
 		holders[a.Token] = a.Holder
 		switch {
 		case a.Token < last.Token:
-			wrong = append(wrong, fmt.Sprintf("token %d of %s after %d of %s", a.Token, a.Holder, last.Token, last.Holder))
+			violations = append(violations, fmt.Sprintf("token %d of %s after %d of %s", a.Token, a.Holder, last.Token, last.Holder))
 		case a.Holder != last.Holder && a.Begin.Before(last.End):
-			wrong = append(wrong, fmt.Sprintf("acts of %s and %s overlap", a.Holder, last.Holder))
+			violations = append(violations, fmt.Sprintf("acts of %s and %s overlap", a.Holder, last.Holder))
 		}
 		last = a
 	}
-	return wrong
+	return violations
 }
 
-// Counts are the tokens and the acts that took effect, and the acts that were refused.
-func (r *Resource) Counts() (tokens, acts, refused int) {
+// Counts are the tokens and the actions that took effect, and the rejected actions.
+func (r *Resource) Counts() (tokens, actions, rejected int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	seen := map[uint64]bool{}
-	for _, a := range r.acts {
-		seen[a.Token] = true
+	distinct := map[uint64]bool{}
+	for _, a := range r.actions {
+		distinct[a.Token] = true
 	}
-	return len(seen), len(r.acts), r.refused
+	return len(distinct), len(r.actions), r.rejected
 }
 
-// Last is the last act that took effect.
+// LastAction is the last action that took effect.
 func (r *Resource) LastAction() (a Action, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.acts) == 0 {
+	if len(r.actions) == 0 {
 		return a, false
 	}
-	return r.acts[len(r.acts)-1], true
+	return r.actions[len(r.actions)-1], true
 }
 
-// ActsAfter tells whether one took effect that began after a time.
+// ActedAfter reports whether the last action that took effect began after a time.
 func (r *Resource) ActedAfter(at time.Time) bool {
 	a, ok := r.LastAction()
 	return ok && a.Begin.After(at)
 }
 
-// Gap is the longest time since a time in which nothing took effect.
+// LongestGap is the longest time since a time in which nothing took effect.
 func (r *Resource) LongestGap(since time.Time) (longest time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	i, _ := slices.BinarySearchFunc(r.acts, since, func(a Action, t time.Time) int { return a.End.Compare(t) })
-	for _, a := range r.acts[i:] {
-		longest, since = max(longest, a.End.Sub(since)), a.End
+	first, _ := slices.BinarySearchFunc(r.actions, since, func(a Action, t time.Time) int { return a.End.Compare(t) })
+	for _, a := range r.actions[first:] {
+		longest = max(longest, a.End.Sub(since))
+		since = a.End
 	}
 	return longest
 }
