--- a/bench/durable/engines.go
+++ b/bench/durable/engines.go
@@ -15,36 +15,62 @@
 // engine is a store that is measured: each put returns once it is on disk.
 type engine interface {
 	put(key, value []byte) error
-	load(n int, key, value func(i int) []byte) error // many, in few syncs
+	// load puts many keys, in few syncs.
+	load(count int, key, value func(i int) []byte) error
 	close() error
 }
 
-var engines = []struct {
+// engineKind is a way to open an engine; all others are compared with the first.
+type engineKind struct {
 	name string
 	open func(path string) (engine, error)
-}{{"durable", openDurable}, {"bbolt Update", openBolt(false)}, {"bbolt Batch", openBolt(true)}, {"SQLite", openSQLite}}
+}
+
+var engines = []engineKind{
+	{"durable", openDurable},
+	{"bbolt Update", openBolt(false)},
+	{boltBatchName, openBolt(true)},
+	{"SQLite", openSQLite},
+}
 
+const boltBatchName = "bbolt Batch"
+
+// loadBatch is how many keys load puts at once.
 const loadBatch = 10_000
 
 type durableEngine struct{ *durable.Store }
 
 func openDurable(path string) (engine, error) {
+	store, err := openStore(path, durable.Options{})
+	return durableEngine{store}, err
+}
+
+// openStore opens a durable store on a real folder.
+func openStore(path string, options durable.Options) (*durable.Store, error) {
 	fs, err := vfs.OpenDir(path)
 	if err != nil {
 		return nil, err
 	}
-	s, _, err := durable.Open(fs, durable.Options{})
-	return durableEngine{s}, err
+	store, _, err := durable.Open(fs, options)
+	return store, err
+}
+
+// putBuffered puts one key without a sync.
+func putBuffered(store *durable.Store, key, value []byte) error {
+	var b durable.Batch
+	b.Put(key, value, 0)
+	_, err := store.Apply(&b, durable.Buffered)
+	return err
 }
 
 func (e durableEngine) put(key, value []byte) error { return e.Put(key, value) }
 func (e durableEngine) close() error                { return e.Close() }
 
-func (e durableEngine) load(n int, key, value func(int) []byte) error {
-	for i := 0; i < n; i += loadBatch {
+func (e durableEngine) load(count int, key, value func(int) []byte) error {
+	for begin := 0; begin < count; begin += loadBatch {
 		var b durable.Batch
-		for j := i; j < min(n, i+loadBatch); j++ {
-			b.Put(key(j), value(j), 0)
+		for i := begin; i < min(count, begin+loadBatch); i++ {
+			b.Put(key(i), value(i), 0)
 		}
 		if _, err := e.Apply(&b, durable.Synced); err != nil {
 			return err
@@ -55,10 +81,10 @@
 
 type boltEngine struct {
 	db    *bbolt.DB
-	batch bool
+	batch bool // puts of several writers share a transaction
 }
 
-var bucket = []byte("b")
+var boltBucket = []byte("b")
 
 func openBolt(batch bool) func(string) (engine, error) {
 	return func(path string) (engine, error) {
@@ -67,45 +93,47 @@
 			return nil, err
 		}
 		return boltEngine{db, batch}, db.Update(func(tx *bbolt.Tx) error {
-			_, err := tx.CreateBucketIfNotExists(bucket)
+			_, err := tx.CreateBucketIfNotExists(boltBucket)
 			return err
 		})
 	}
 }
 
 func (e boltEngine) put(key, value []byte) error {
-	do := func(tx *bbolt.Tx) error { return tx.Bucket(bucket).Put(key, value) }
+	update := func(tx *bbolt.Tx) error { return tx.Bucket(boltBucket).Put(key, value) }
 	if e.batch {
-		return e.db.Batch(do)
+		return e.db.Batch(update)
 	}
-	return e.db.Update(do)
+	return e.db.Update(update)
 }
 
 func (e boltEngine) close() error { return e.db.Close() }
 
-func (e boltEngine) load(n int, key, value func(int) []byte) error {
-	for i := 0; i < n; i += loadBatch {
-		if err := e.db.Update(func(tx *bbolt.Tx) error {
-			for j := i; j < min(n, i+loadBatch); j++ {
-				if err := tx.Bucket(bucket).Put(key(j), value(j)); err != nil {
+func (e boltEngine) load(count int, key, value func(int) []byte) error {
+	for begin := 0; begin < count; begin += loadBatch {
+		err := e.db.Update(func(tx *bbolt.Tx) error {
+			for i := begin; i < min(count, begin+loadBatch); i++ {
+				if err := tx.Bucket(boltBucket).Put(key(i), value(i)); err != nil {
 					return err
 				}
 			}
 			return nil
-		}); err != nil {
+		})
+		if err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-type sqlEngine struct {
+type sqliteEngine struct {
 	db     *sql.DB
-	insert *sql.Stmt
+	upsert *sql.Stmt
 }
 
 func openSQLite(path string) (engine, error) {
-	db, err := sql.Open("sqlite", "file:"+filepath.ToSlash(path)+"?_pragma=journal_mode(WAL)&_pragma=synchronous(FULL)&_pragma=busy_timeout(10000)")
+	const pragmas = "?_pragma=journal_mode(WAL)&_pragma=synchronous(FULL)&_pragma=busy_timeout(10000)"
+	db, err := sql.Open("sqlite", "file:"+filepath.ToSlash(path)+pragmas)
 	if err != nil {
 		return nil, err
 	}
@@ -113,32 +141,36 @@
 	if _, err := db.Exec("CREATE TABLE IF NOT EXISTS t (k BLOB PRIMARY KEY, v BLOB) WITHOUT ROWID"); err != nil {
 		return nil, err
 	}
-	s, err := db.Prepare("INSERT INTO t VALUES (?, ?) ON CONFLICT(k) DO UPDATE SET v = excluded.v")
-	return sqlEngine{db, s}, err
+	upsert, err := db.Prepare("INSERT INTO t VALUES (?, ?) ON CONFLICT(k) DO UPDATE SET v = excluded.v")
+	return sqliteEngine{db, upsert}, err
 }
 
-func (e sqlEngine) put(key, value []byte) error {
-	_, err := e.insert.Exec(key, value)
+func (e sqliteEngine) put(key, value []byte) error {
+	_, err := e.upsert.Exec(key, value)
 	return err
 }
 
-func (e sqlEngine) close() error { return e.db.Close() }
+func (e sqliteEngine) close() error { return e.db.Close() }
 
-func (e sqlEngine) load(n int, key, value func(int) []byte) error {
-	for i := 0; i < n; i += loadBatch {
-		tx, err := e.db.BeginTx(context.Background(), nil)
-		if err != nil {
+func (e sqliteEngine) load(count int, key, value func(int) []byte) error {
+	for begin := 0; begin < count; begin += loadBatch {
+		if err := e.loadBatch(begin, min(count, begin+loadBatch), key, value); err != nil {
 			return err
 		}
-		put := tx.Stmt(e.insert)
-		for j := i; j < min(n, i+loadBatch); j++ {
-			if _, err := put.Exec(key(j), value(j)); err != nil {
-				return err
-			}
-		}
-		if err := tx.Commit(); err != nil {
+	}
+	return nil
+}
+
+func (e sqliteEngine) loadBatch(begin, end int, key, value func(int) []byte) error {
+	tx, err := e.db.BeginTx(context.Background(), nil)
+	if err != nil {
+		return err
+	}
+	put := tx.Stmt(e.upsert)
+	for i := begin; i < end; i++ {
+		if _, err := put.Exec(key(i), value(i)); err != nil {
 			return err
 		}
 	}
-	return nil
+	return tx.Commit()
 }
