--- /dev/null
+++ b/bench/store/many_leases.go
@@ -0,0 +1,103 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"strings"
+	"sync"
+	"time"
+
+	"oxbowbridge/internal/cluster/leaseclient"
+)
+
+// The leases that are kept alive at once.
+const (
+	manyHolders      = 300
+	manyLeaseCount   = 10000
+	manyTTL          = 10 * time.Second
+	manyHolderPrefix = "many-"
+	// maxParallelAcquires bounds the acquisitions at once.
+	maxParallelAcquires = 32
+	// logEntriesPeriodSeconds is the time that log entries are counted for.
+	logEntriesPeriodSeconds = 100
+)
+
+// manyLeases has leases of many holders kept alive, and measures what that costs the
+// leader.
+func (l *leaseBench) manyLeases() error {
+	leader := l.cluster.WaitForLeader()
+	memoryBefore := residentBytes(l.pids[leader])
+	managers := make([]*leaseclient.Manager, manyHolders)
+	for i := range managers {
+		managers[i] = leaseclient.New(l.admins, fmt.Sprint(manyHolderPrefix, i))
+		defer managers[i].Close()
+	}
+	if err := acquireMany(managers); err != nil {
+		return err
+	}
+	var before, after struct{ Last uint64 }
+	if !l.cluster.GetJSON(leader, "/status", &before) {
+		return errors.New("no status")
+	}
+	cpuBefore := cpuTime(l.pids[leader])
+	began := time.Now()
+	time.Sleep(2 * manyTTL)
+	seconds := time.Since(began).Seconds()
+	if !l.cluster.GetJSON(leader, "/status", &after) || leader != l.cluster.WaitForLeader() {
+		return errors.New("the leader has changed")
+	}
+	cpuSeconds := (cpuTime(l.pids[leader]) - cpuBefore).Seconds()
+	memoryGrowth := residentBytes(l.pids[leader]) - memoryBefore
+	l.note("log entries in 100 s, 10000 leases of 300 holders kept alive", float64(after.Last-before.Last)/seconds*logEntriesPeriodSeconds)
+	l.note("leader's CPU in thousandths of a core, 10000 leases of 300 holders kept alive", cpuSeconds/seconds*1000)
+	l.note("leader's resident bytes a lease, 10000 leases", float64(memoryGrowth)/manyLeaseCount)
+	held, err := l.countHeld(leader)
+	if err != nil {
+		return err
+	}
+	l.note("of 10000 leases held at the end", float64(held))
+	return nil
+}
+
+// acquireMany has the managers acquire all leases, in turn.
+func acquireMany(managers []*leaseclient.Manager) error {
+	var running sync.WaitGroup
+	failed := make(chan error, len(managers))
+	slots := make(chan struct{}, maxParallelAcquires)
+	for i, manager := range managers {
+		running.Go(func() {
+			for n := i; n < manyLeaseCount; n += len(managers) {
+				slots <- struct{}{}
+				options := leaseclient.AcquireOptions{Name: fmt.Sprint("many/", n), TTL: manyTTL, Wait: true}
+				_, err := manager.Acquire(context.Background(), options)
+				<-slots
+				if err != nil {
+					failed <- err
+					return
+				}
+			}
+		})
+	}
+	running.Wait()
+	select {
+	case err := <-failed:
+		return err
+	default:
+		return nil
+	}
+}
+
+// countHeld is how many of the leases are held.
+func (l *leaseBench) countHeld(node int) (held int, err error) {
+	var leases []struct{ Holder string }
+	if !l.cluster.GetJSON(node, "/lease", &leases) {
+		return 0, errors.New("no list")
+	}
+	for _, lease := range leases {
+		if strings.HasPrefix(lease.Holder, manyHolderPrefix) {
+			held++
+		}
+	}
+	return held, nil
+}
