--- a/cmd/oxbowbridge/durable.go
+++ b/cmd/oxbowbridge/durable.go
@@ -27,7 +27,9 @@
 	}
 	asHex := false
 	load := add("load", "Put lines of KEY TAB VALUE from standard input, and print each key that is on disk",
-		func(c *cobra.Command, dir string) error { return loadFolder(dir, c.InOrStdin(), c.OutOrStdout(), asHex) })
+		func(c *cobra.Command, dir string) error {
+			return loadFolder(dir, c.InOrStdin(), c.OutOrStdout(), asHex)
+		})
 	dump := add("dump", "Print what the folder holds, or would recover to, without changing it",
 		func(c *cobra.Command, dir string) error { return dumpFolder(dir, c.OutOrStdout(), asHex) })
 	for _, sub := range []*cobra.Command{load, dump} {
