--- a/bench/durable/index.go
+++ b/bench/durable/index.go
@@ -30,7 +30,10 @@
 // index compares the persistent tree with plain structures, for what an index does.
 func (b *bench) index() error {
 	count := b.keys / 4
-	fmt.Printf("\n## Index structures, %d keys\n\n| structure | insert, ns | look-up, ns | overwrite, ns | copy for a checkpoint, us | sorted walk, ns a key | B a key |\n| --- | --- | --- | --- | --- | --- | --- |\n", count)
+	fmt.Printf("\n## Index structures, %d keys\n\n"+
+		"| structure | insert, ns | look-up, ns | overwrite, ns | "+
+		"copy for a checkpoint, us | sorted walk, ns a key | B a key |\n"+
+		"| --- | --- | --- | --- | --- | --- | --- |\n", count)
 	keys := make([]string, count)
 	for i := range keys {
 		keys[i] = fmt.Sprintf("rec/%012d", uint64(i)*0x9e3779b97f4a7c15%1e12) // in no order
@@ -60,7 +63,8 @@
 	began = time.Now()
 	walked := copied.walk()
 	walk := nanosPerKey(began, len(keys))
-	fmt.Printf("| %s | %.0f | %.0f | %.0f | %.1f | %.0f | %.0f |\n", name, insert, lookUp, overwrite, copyMicros, walk, heapPerKey)
+	fmt.Printf("| %s | %.0f | %.0f | %.0f | %.1f | %.0f | %.0f |\n",
+		name, insert, lookUp, overwrite, copyMicros, walk, heapPerKey)
 	runtime.KeepAlive(s)
 	runtime.KeepAlive(found + walked)
 }
--- a/bench/durable/open.go
+++ b/bench/durable/open.go
@@ -13,7 +13,9 @@
 
 // open measures opening a large store of small records, and the memory that holds.
 func (b *bench) open() error {
-	fmt.Printf("\n## Opening a store of %d records (16 B keys, 32 B values)\n\n| engine | open and read one, ms | heap, B a key | file, MB |\n| --- | --- | --- | --- |\n", b.keys)
+	fmt.Printf("\n## Opening a store of %d records (16 B keys, 32 B values)\n\n"+
+		"| engine | open and read one, ms | heap, B a key | file, MB |\n"+
+		"| --- | --- | --- | --- |\n", b.keys)
 	for i, kind := range engines {
 		if kind.name == boltBatchName {
 			continue // the same files as the other bbolt
--- a/bench/durable/puts.go
+++ b/bench/durable/puts.go
@@ -11,7 +11,9 @@
 
 // puts counts synced puts a second, the engines taking turns in each round.
 func (b *bench) puts() error {
-	fmt.Print("\n## Synced puts a second\n\n| writers | value | engine | puts/s | durable is |\n| --- | --- | --- | --- | --- |\n")
+	fmt.Print("\n## Synced puts a second\n\n" +
+		"| writers | value | engine | puts/s | durable is |\n" +
+		"| --- | --- | --- | --- | --- |\n")
 	for _, writers := range []int{1, 16, 64} {
 		for _, valueBytes := range []int{128, 1024} {
 			if err := b.comparePuts(writers, valueBytes); err != nil {
--- a/bench/durable/space.go
+++ b/bench/durable/space.go
@@ -22,7 +22,9 @@
 
 // space overwrites every key 20 times and compares the folder with what is live.
 func (b *bench) space() error {
-	fmt.Print("\n## Space after every key was overwritten 20 times\n\n| value | keys | data | largest folder | after the last write | compacted |\n| --- | --- | --- | --- | --- | --- |\n")
+	fmt.Print("\n## Space after every key was overwritten 20 times\n\n" +
+		"| value | keys | data | largest folder | after the last write | compacted |\n" +
+		"| --- | --- | --- | --- | --- | --- |\n")
 	for _, c := range []struct{ valueBytes, keys int }{{32, 100_000}, {128, 50_000}, {1024, 20_000}, {16 << 10, 1000}} {
 		if err := b.spaceOf(c.valueBytes, c.keys); err != nil {
 			return err
--- a/bench/store/leases.go
+++ b/bench/store/leases.go
@@ -62,7 +62,8 @@
 		if err != nil {
 			return err
 		}
-		l.note(fmt.Sprintf("ms from a holder's SIGKILL to the next grant, TTL %d", handoverTTL.Milliseconds()), float64(elapsed.Milliseconds()))
+		measured := fmt.Sprintf("ms from a holder's SIGKILL to the next grant, TTL %d", handoverTTL.Milliseconds())
+		l.note(measured, float64(elapsed.Milliseconds()))
 	}
 	return nil
 }
--- a/bench/store/many_leases.go
+++ b/bench/store/many_leases.go
@@ -49,7 +49,8 @@
 	}
 	cpuSeconds := (cpuTime(l.pids[leader]) - cpuBefore).Seconds()
 	memoryGrowth := residentBytes(l.pids[leader]) - memoryBefore
-	l.note("log entries in 100 s, 10000 leases of 300 holders kept alive", float64(after.Last-before.Last)/seconds*logEntriesPeriodSeconds)
+	entriesPerSecond := float64(after.Last-before.Last) / seconds
+	l.note("log entries in 100 s, 10000 leases of 300 holders kept alive", entriesPerSecond*logEntriesPeriodSeconds)
 	l.note("leader's CPU in thousandths of a core, 10000 leases of 300 holders kept alive", cpuSeconds/seconds*1000)
 	l.note("leader's resident bytes a lease, 10000 leases", float64(memoryGrowth)/manyLeaseCount)
 	held, err := l.countHeld(leader)
--- a/internal/storage/durable/batch.go
+++ b/internal/storage/durable/batch.go
@@ -57,7 +57,7 @@
 func (b *Batch) Len() int { return int(b.opCount) }
 
 // Bytes is the encoded length on disk, in bytes.
-func (b *Batch) Bytes() int { return frameHeaderLen + len(b.payload) }
+func (b *Batch) Bytes() int { return batchHeaderLen + len(b.payload) }
 
 // Reset empties the batch for another use, once Apply has returned.
 func (b *Batch) Reset() { *b = Batch{payload: b.payload[:0]} }
--- a/internal/storage/durable/batch_header.go
+++ b/internal/storage/durable/batch_header.go
@@ -6,9 +6,9 @@
 const (
 	batchMagic = 0x78b0f4a3
 	// frameHeaderLen is the length of a batch's header in bytes.
-	frameHeaderLen = 40
+	batchHeaderLen = 40
 	// checksummedHeaderLen is the part of the header that its checksum covers, in bytes.
-	checksummedHeaderLen = frameHeaderLen - checksumLen
+	checksummedHeaderLen = batchHeaderLen - checksumLen
 )
 
 // batchHeader is the header of one batch in the log.
@@ -42,7 +42,7 @@
 
 // parseBatchHeader reads a header. It accepts only what encode wrote.
 func parseBatchHeader(b []byte, salt uint32) (h batchHeader, ok bool) {
-	if len(b) < frameHeaderLen {
+	if len(b) < batchHeaderLen {
 		return h, false
 	}
 	e := binary.LittleEndian
--- a/internal/storage/durable/commit.go
+++ b/internal/storage/durable/commit.go
@@ -119,7 +119,7 @@
 	defer s.mu.Unlock()
 	segment := s.logTail.segment
 	for _, r := range group {
-		payload := s.logTail.buffer[r.bufferOffset+frameHeaderLen:][:r.header.payloadLen]
+		payload := s.logTail.buffer[r.bufferOffset+batchHeaderLen:][:r.header.payloadLen]
 		err := s.index.apply(segment.number, begin+int64(r.bufferOffset), r.header, payload)
 		if err != nil { // its operations were encoded just now
 			panic("durable: " + err.Error())
@@ -176,9 +176,9 @@
 	buffer := s.logTail.buffer[:0]
 	for _, r := range group {
 		r.bufferOffset = len(buffer)
-		buffer = append(buffer, make([]byte, frameHeaderLen)...)
+		buffer = append(buffer, make([]byte, batchHeaderLen)...)
 		buffer = append(buffer, r.batch.payload...)
-		payload := buffer[r.bufferOffset+frameHeaderLen:]
+		payload := buffer[r.bufferOffset+batchHeaderLen:]
 		end.seq++
 		sealOps(payload, salt, end.seq)
 		r.header = batchHeader{
@@ -195,8 +195,8 @@
 }
 
 // handleWriteError answers a group whose write failed. If the disk is full, what
-// reached the file is truncated away and that is synced, before anybody is told
-// that the batch is not there.
+// reached the file is truncated away and the truncation synced, before the caller
+// learns that the batch is not there.
 func (s *Store) handleWriteError(group []*request, err error) {
 	if !isDiskFull(err) {
 		failAll(group, s.enterReadOnly(err))
@@ -225,8 +225,8 @@
 	r.done(0, fmt.Errorf("%w: %w", ErrFull, err))
 }
 
-// syncLog puts all that was written on disk. After a failure nothing tells what is
-// there, so the sync is never tried again.
+// syncLog syncs the active segment. After a failed sync it is unknown what is on
+// disk, so the store becomes read-only and the sync is not retried.
 func (s *Store) syncLog() error {
 	if err := s.ReadOnlyError(); err != nil {
 		return err
--- a/internal/storage/durable/compaction.go
+++ b/internal/storage/durable/compaction.go
@@ -62,7 +62,7 @@
 			c.offset = size // recovery truncated the log here, or repair did
 			continue
 		}
-		batchLen := frameHeaderLen + int64(len(payload))
+		batchLen := batchHeaderLen + int64(len(payload))
 		read += batchLen
 		if err := s.moveLive(c, moves, header, payload); err != nil {
 			return read + moves.written, true, err
@@ -96,7 +96,7 @@
 		s.mu.RLock()
 		e, found := s.index.tree.Get(searchKey(string(o.key)))
 		s.mu.RUnlock()
-		if !found || !e.inSegment(c.segment.number, c.offset+frameHeaderLen+int64(o.offset)) {
+		if !found || !e.inSegment(c.segment.number, c.offset+batchHeaderLen+int64(o.offset)) {
 			return nil
 		}
 		moves.batch.move(o, e.version)
@@ -109,22 +109,22 @@
 
 // readBatch reads the batch at the offset, if it is complete.
 func (c *compaction) readBatch(size int64) (h batchHeader, payload []byte, ok bool, err error) {
-	if size-c.offset < frameHeaderLen {
+	if size-c.offset < batchHeaderLen {
 		return h, nil, false, nil
 	}
-	var header [frameHeaderLen]byte
+	var header [batchHeaderLen]byte
 	if err := readFull(c.segment.file, header[:], c.offset); err != nil {
 		return h, nil, false, fmt.Errorf("compaction: %s: %w", segmentName(c.segment.number), err)
 	}
 	h, ok = parseBatchHeader(header[:], c.segment.salt)
-	if !ok || int64(h.payloadLen) > size-c.offset-frameHeaderLen {
+	if !ok || int64(h.payloadLen) > size-c.offset-batchHeaderLen {
 		return h, nil, false, nil
 	}
 	if cap(c.payload) < int(h.payloadLen) {
 		c.payload = make([]byte, h.payloadLen)
 	}
 	payload = c.payload[:h.payloadLen]
-	if err := readFull(c.segment.file, payload, c.offset+frameHeaderLen); err != nil {
+	if err := readFull(c.segment.file, payload, c.offset+batchHeaderLen); err != nil {
 		return h, nil, false, fmt.Errorf("compaction: %s: %w", segmentName(c.segment.number), err)
 	}
 	return h, payload, h.matches(payload, c.segment.salt), nil
--- a/internal/storage/durable/concurrency_test.go
+++ b/internal/storage/durable/concurrency_test.go
@@ -18,7 +18,12 @@
 // maintenance compacts and drops what snapshots read. In every snapshot a pair is equal, and a scan ends with what it
 // began with.
 func TestConcurrentWritersAndMaintenance(t *testing.T) {
-	o := Options{MaxInlineBytes: 8, Maintenance: plan.Limits{MinSegmentBytes: 8 << 10, MaxSegmentBytes: 8 << 10, MinCheckpointLogBytes: 16 << 10, BytesPerSecond: 64 << 20}}
+	o := Options{MaxInlineBytes: 8, Maintenance: plan.Limits{
+		MinSegmentBytes:       8 << 10,
+		MaxSegmentBytes:       8 << 10,
+		MinCheckpointLogBytes: 16 << 10,
+		BytesPerSecond:        64 << 20,
+	}}
 	f := &faultfs.FS{}
 	s, _, err := Open(f, o)
 	require.NoError(t, err)
--- a/internal/storage/durable/corrupt_test.go
+++ b/internal/storage/durable/corrupt_test.go
@@ -55,7 +55,7 @@
 
 // checkDamagedFolder opens a folder; the result is a state that existed, or a typed
 // error. The state may be older by maxLostBatches: where a cut removes the end of the
-// log and the folder was not closed, nothing tells that it was there.
+// log and the folder was not closed, it can't be detected.
 func checkDamagedFolder(t *testing.T, b *workload, image map[string][]byte, what string, maxLostBatches int, repair bool) (opened bool) {
 	f := faultfs.FromImage(image)
 	before := f.Steps()
@@ -123,13 +123,13 @@
 	for when, image := range images {
 		var opened, refused atomic.Int64
 		for _, name := range slices.Sorted(maps.Keys(image)) {
-			whole := image[name]
+			content := image[name]
 			count := func(i int, changed []byte, what string) {
 				maxLostBatches := 0
 				if when == "in service" {
 					maxLostBatches = 1
 				}
-				if when == "in service" && len(changed) < len(whole) {
+				if when == "in service" && len(changed) < len(content) {
 					maxLostBatches = len(b.states)
 				}
 				c := maps.Clone(image)
@@ -140,10 +140,10 @@
 					refused.Add(1)
 				}
 			}
-			runParallel(t, len(whole), func(i int) {
-				count(i, slices.Clone(whole[:i]), "cut at")
+			runParallel(t, len(content), func(i int) {
+				count(i, slices.Clone(content[:i]), "cut at")
 				for _, p := range patterns {
-					c := slices.Clone(whole)
+					c := slices.Clone(content)
 					c[i] ^= p
 					count(i, c, fmt.Sprintf("xor %#x at", p))
 				}
@@ -158,7 +158,7 @@
 	}
 }
 
-// TestSwappedFiles: whole files of another time or another store are found out.
+// TestSwappedFiles: complete files of another time or another store are detected.
 func TestSwappedFiles(t *testing.T) {
 	b, images := workloadFolders(t)
 	image := images["closed"]
@@ -198,7 +198,7 @@
 }
 
 // TestReusedBlock: where a batch was torn, the disk gives back what stood there in an
-// earlier use of the same segment: batches that are whole, with the right numbers.
+// earlier use of the same segment: complete batches, with the right numbers.
 func TestReusedBlock(t *testing.T) {
 	fill := func(f *faultfs.FS, word string) {
 		s, _, err := Open(f, smallOptions())
--- a/internal/storage/durable/doc.go
+++ b/internal/storage/durable/doc.go
@@ -39,7 +39,7 @@
 //
 // Files are written, synced and then named by a manifest that is replaced by
 // rename. A write that failed for want of space is truncated away; after any
-// other failed write or sync the store is read-only, because nothing tells what
+// other failed write or sync the store is read-only, because it is unknown what
 // is on disk. Recovery loads the newest readable checkpoint and replays the log
 // after it; it truncates a torn tail only where no later batch attests that the
 // tail was synced. All else counts as damage: the folder is not opened, and
--- a/internal/storage/durable/format_test.go
+++ b/internal/storage/durable/format_test.go
@@ -24,8 +24,23 @@
 // formatOptions has segments, checkpoints and compactions happen within some KB, and
 // the same bytes written in each run.
 func formatOptions() durable.Options {
-	return durable.Options{StoreID: 0x0ddba11c0ffee, MaxKeyBytes: 64, MaxValueBytes: 2048, MaxBatchBytes: 4096, MaxInlineBytes: 12, ReserveBytes: 256,
-		ManualMaintenance: true, Maintenance: plan.Limits{MaxBytes: 1 << 20, MinSegmentBytes: 1200, MaxSegmentBytes: 1200, MinCheckpointLogBytes: 2000, MaxStepBytes: 256, BytesPerSecond: 1 << 20}}
+	return durable.Options{
+		StoreID:           0x0ddba11c0ffee,
+		MaxKeyBytes:       64,
+		MaxValueBytes:     2048,
+		MaxBatchBytes:     4096,
+		MaxInlineBytes:    12,
+		ReserveBytes:      256,
+		ManualMaintenance: true,
+		Maintenance: plan.Limits{
+			MaxBytes:              1 << 20,
+			MinSegmentBytes:       1200,
+			MaxSegmentBytes:       1200,
+			MinCheckpointLogBytes: 2000,
+			MaxStepBytes:          256,
+			BytesPerSecond:        1 << 20,
+		},
+	}
 }
 
 // formatCase is one folder of testdata, and how it was written.
--- a/internal/storage/durable/index.go
+++ b/internal/storage/durable/index.go
@@ -127,7 +127,7 @@
 		e.data = string(o.key)
 		e.place = valueOnDisk
 		e.segment = segment
-		e.offset = uint32(offset + frameHeaderLen + int64(o.offset))
+		e.offset = uint32(offset + batchHeaderLen + int64(o.offset))
 		e.size = uint32(o.size)
 	}
 	old, replaced := x.tree.Set(e)
--- a/internal/storage/durable/model_test.go
+++ b/internal/storage/durable/model_test.go
@@ -159,7 +159,12 @@
 
 // TestSpaceStaysBounded: maintenance keeps up with writes that never stop, within its target.
 func TestSpaceStaysBounded(t *testing.T) {
-	f, o := &faultfs.FS{}, Options{ManualMaintenance: true, Maintenance: plan.Limits{MinSegmentBytes: 16 << 10, MinCheckpointLogBytes: 32 << 10}, ReserveBytes: 1}
+	f := &faultfs.FS{}
+	o := Options{
+		ManualMaintenance: true,
+		Maintenance:       plan.Limits{MinSegmentBytes: 16 << 10, MinCheckpointLogBytes: 32 << 10},
+		ReserveBytes:      1,
+	}
 	b, err := newWorkload(f, o)
 	require.NoError(t, err)
 	const keys, size = 400, 500
--- a/internal/storage/durable/op.go
+++ b/internal/storage/durable/op.go
@@ -25,7 +25,13 @@
 	if k < opPut || k > opExpire {
 		return "unknown"
 	}
-	return [...]string{"put", "delete", "delete range", "move", "expire"}[k-1]
+	return [...]string{
+		opPut:         "put",
+		opDelete:      "delete",
+		opDeleteRange: "delete range",
+		opMove:        "move",
+		opExpire:      "expire",
+	}[k]
 }
 
 // hasVersion: moves and expires apply to one version of a key only.
--- a/internal/storage/durable/plan/planner_test.go
+++ b/internal/storage/durable/plan/planner_test.go
@@ -28,7 +28,14 @@
 
 // idleState has nothing to do.
 func idleState() State {
-	return State{Now: time.Second, Seq: 100, OlderCheckpointSeq: 100, OlderCheckpointSegment: 9, OldestSnapshotSeq: 100, Space: Space{UsedBytes: 1 << 20, LiveBytes: 1 << 20}}
+	return State{
+		Now:                    time.Second,
+		Seq:                    100,
+		OlderCheckpointSeq:     100,
+		OlderCheckpointSegment: 9,
+		OldestSnapshotSeq:      100,
+		Space:                  Space{UsedBytes: 1 << 20, LiveBytes: 1 << 20},
+	}
 }
 
 func TestNextStep(t *testing.T) {
@@ -41,31 +48,64 @@
 		want   Step
 	}{
 		{"idle", func(*State) {}, Step{Delay: idleDelay}},
-		{"buffered write is fresh", func(state *State) { state.HasUnsynced, state.UnsyncedSince = true, state.Now-time.Millisecond }, Step{Delay: idleDelay}},
-		{"buffered write is old", func(state *State) { state.HasUnsynced, state.UnsyncedSince = true, 0 }, Step{Kind: Flush}},
+		{"buffered write is fresh", func(state *State) {
+			state.HasUnsynced = true
+			state.UnsyncedSince = state.Now - time.Millisecond
+		}, Step{Delay: idleDelay}},
+		{"buffered write is old", func(state *State) {
+			state.HasUnsynced = true
+			state.UnsyncedSince = 0
+		}, Step{Kind: Flush}},
 		{"dead segment", func(state *State) { state.Segments = []Segment{dead} }, Step{Kind: DropSegment, Segment: 1}},
 		{"the older checkpoint needs its log", func(state *State) {
-			state.Segments, state.OlderCheckpointSeq, state.OlderCheckpointSegment = []Segment{dead}, 60, 1
+			state.Segments = []Segment{dead}
+			state.OlderCheckpointSeq = 60
+			state.OlderCheckpointSegment = 1
+		}, Step{Kind: BeginCheckpoint}},
+		{"the older checkpoint points to its values", func(state *State) {
+			state.Segments = []Segment{dead}
+			state.OlderCheckpointSeq = 49
+		}, Step{Kind: BeginCheckpoint}},
+		{"a snapshot reads it", func(state *State) {
+			state.Segments = []Segment{dead}
+			state.OldestSnapshotSeq = 49
+		}, Step{Delay: idleDelay}},
+		{"it is still written to", func(state *State) {
+			state.Segments = []Segment{{Number: 1, Bytes: 8 << 20}}
+		}, Step{Delay: idleDelay}},
+		{"much log", func(state *State) {
+			state.LogBytesSinceCheckpoint = 4 << 20
+			state.OlderCheckpointSeq = 50
 		}, Step{Kind: BeginCheckpoint}},
-		{"the older checkpoint points to its values", func(state *State) { state.Segments, state.OlderCheckpointSeq = []Segment{dead}, 49 }, Step{Kind: BeginCheckpoint}},
-		{"a snapshot reads it", func(state *State) { state.Segments, state.OldestSnapshotSeq = []Segment{dead}, 49 }, Step{Delay: idleDelay}},
-		{"it is still written to", func(state *State) { state.Segments = []Segment{{Number: 1, Bytes: 8 << 20}} }, Step{Delay: idleDelay}},
-		{"much log", func(state *State) { state.LogBytesSinceCheckpoint, state.OlderCheckpointSeq = 4<<20, 50 }, Step{Kind: BeginCheckpoint}},
 		{"much log, less than the checkpoint", func(state *State) {
-			state.LogBytesSinceCheckpoint, state.OlderCheckpointSeq, state.Space.CheckpointBytes = 4<<20, 50, 5<<20
+			state.LogBytesSinceCheckpoint = 4 << 20
+			state.OlderCheckpointSeq = 50
+			state.Space.CheckpointBytes = 5 << 20
 		}, Step{Delay: idleDelay}},
-		{"the worst segment", func(state *State) { state.Segments = []Segment{half, more} }, Step{Kind: BeginCompaction, Segment: 3}},
+		{"the worst segment", func(state *State) {
+			state.Segments = []Segment{half, more}
+		}, Step{Kind: BeginCompaction, Segment: 3}},
 		{"the worst that can be read", func(state *State) {
 			m := more
 			m.Unreadable = true
 			state.Segments = []Segment{half, m}
 		}, Step{Kind: BeginCompaction, Segment: 2}},
-		{"little is dead", func(state *State) { state.Segments, state.Space.LiveBytes = []Segment{half}, 64<<20 }, Step{Delay: idleDelay}},
+		{"little is dead", func(state *State) {
+			state.Segments = []Segment{half}
+			state.Space.LiveBytes = 64 << 20
+		}, Step{Delay: idleDelay}},
 		{"no reserve", func(state *State) { state.ReserveMissing = true }, Step{Kind: RestoreReserve}},
-		{"no reserve, no room", func(state *State) { state.ReserveMissing, state.Space.UsedBytes = true, 4<<30 }, Step{Delay: idleDelay}},
-		{"after a failure", func(state *State) { state.LastStepFailed, state.Segments = true, []Segment{dead} }, Step{Delay: idleDelay}},
+		{"no reserve, no room", func(state *State) {
+			state.ReserveMissing = true
+			state.Space.UsedBytes = 4 << 30
+		}, Step{Delay: idleDelay}},
+		{"after a failure", func(state *State) {
+			state.LastStepFailed = true
+			state.Segments = []Segment{dead}
+		}, Step{Delay: idleDelay}},
 		{"reclaim seals", func(state *State) {
-			state.ReclaimAll, state.Segments = true, []Segment{{Number: 1, Bytes: 1 << 20, LiveBytes: 1 << 10, LiveValues: 1}}
+			state.ReclaimAll = true
+			state.Segments = []Segment{{Number: 1, Bytes: 1 << 20, LiveBytes: 1 << 10, LiveValues: 1}}
 		}, Step{Kind: SealSegment}},
 		{"reclaim ends", func(state *State) { state.ReclaimAll = true }, Step{Delay: idleDelay}},
 	} {
@@ -81,7 +121,8 @@
 func TestCheckpointWhenIdle(t *testing.T) {
 	p := Planner{Limits: limits(t)}
 	state := idleState()
-	state.LogBytesSinceCheckpoint, state.OlderCheckpointSeq = 1<<20, 50
+	state.LogBytesSinceCheckpoint = 1 << 20
+	state.OlderCheckpointSeq = 50
 	require.Equal(t, Idle, p.Next(state).Kind)
 	state.Now += p.Limits.IdleCheckpointDelay - 1
 	require.Equal(t, Idle, p.Next(state).Kind)
@@ -126,11 +167,19 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.Uint64Range(0, 20)
 		state := idleState()
-		state.Seq, state.OlderCheckpointSeq, state.OldestSnapshotSeq, state.ReclaimAll = 20, n.Draw(t, "older"), n.Draw(t, "snapshot"), rapid.Bool().Draw(t, "reclaim")
+		state.Seq = 20
+		state.OlderCheckpointSeq = n.Draw(t, "older")
+		state.OldestSnapshotSeq = n.Draw(t, "snapshot")
+		state.ReclaimAll = rapid.Bool().Draw(t, "reclaim")
 		state.OlderCheckpointSegment = rapid.Uint32Range(0, 5).Draw(t, "segment")
 		for i := range rapid.IntRange(0, 4).Draw(t, "segments") {
-			state.Segments = append(state.Segments, Segment{Number: uint32(i + 1), Bytes: 1 << 20, LiveValues: rapid.Int64Range(0, 1).Draw(t, "live values"),
-				EmptiedSeq: n.Draw(t, "emptied"), Sealed: rapid.Bool().Draw(t, "sealed")})
+			state.Segments = append(state.Segments, Segment{
+				Number:     uint32(i + 1),
+				Bytes:      1 << 20,
+				LiveValues: rapid.Int64Range(0, 1).Draw(t, "live values"),
+				EmptiedSeq: n.Draw(t, "emptied"),
+				Sealed:     rapid.Bool().Draw(t, "sealed"),
+			})
 		}
 		p := Planner{Limits: limits(t)}
 		if step := p.Next(state); step.Kind == DropSegment {
--- a/internal/storage/durable/plan/state.go
+++ b/internal/storage/durable/plan/state.go
@@ -94,7 +94,16 @@
 
 // String is the kind in words.
 func (k StepKind) String() string {
-	return [...]string{"wait", "flush", "drop", "continue", "restore reserve", "seal", "begin checkpoint", "begin compaction"}[k]
+	return [...]string{
+		Idle:            "wait",
+		Flush:           "flush",
+		DropSegment:     "drop",
+		ContinueTask:    "continue",
+		RestoreReserve:  "restore reserve",
+		SealSegment:     "seal",
+		BeginCheckpoint: "begin checkpoint",
+		BeginCompaction: "begin compaction",
+	}[k]
 }
 
 // Step is one decision.
--- a/internal/storage/durable/read.go
+++ b/internal/storage/durable/read.go
@@ -58,7 +58,9 @@
 }
 
 // find looks a key up. A segment is returned if the value must be read from it.
-func find(tree *btree.BTreeG[indexEntry], segments map[uint32]*segment, key string, now int64) (indexEntry, *segment, error) {
+func find(
+	tree *btree.BTreeG[indexEntry], segments map[uint32]*segment, key string, now int64,
+) (indexEntry, *segment, error) {
 	if len(key) == 0 || len(key) > math.MaxUint16 {
 		return indexEntry{}, nil, ErrNotFound
 	}
--- a/internal/storage/durable/records_test.go
+++ b/internal/storage/durable/records_test.go
@@ -20,7 +20,7 @@
 	}
 	payload := append(sealed(op{kind: opPut, key: []byte("key"), value: []byte("value"), expiry: 1_700_000_000}),
 		sealed(op{kind: opDelete, key: []byte("other")})...)
-	header := make([]byte, frameHeaderLen)
+	header := make([]byte, batchHeaderLen)
 	batch := batchHeader{seq: 300, syncedSeq: 299, opCount: 2, previousChecksum: 0xdeadbeef}
 	batch.encode(header, payload, salt)
 	entryOf := func(e indexEntry, key, value string) []byte {
--- a/internal/storage/durable/repair.go
+++ b/internal/storage/durable/repair.go
@@ -10,11 +10,10 @@
 const repairStepBytes = 1 << 20
 
 // Repair makes a damaged folder one that opens, with the last consistent state that
-// can be recovered: batches after the damage are gone, and a key whose value can't
-// be read stays, marked: Get fails for it until it is written or deleted. The
-// numbers of batches that are gone are not given again. Files that are no longer
-// used are kept under a name that begins with "damaged-". A folder that opens is
-// left as it is.
+// can be recovered. Batches after the damage are lost, and their sequence numbers
+// are not used again. A key whose value can't be read stays in the index, marked as
+// lost: Get fails for it until it is written or deleted. Files that are no longer
+// used get a name that begins with "damaged-". A folder that opens is not changed.
 //
 // The report is of the folder before. What was written for the repair counts only
 // once the manifest has been replaced, so a crash on the way changes nothing.
--- a/internal/storage/durable/replay.go
+++ b/internal/storage/durable/replay.go
@@ -161,16 +161,20 @@
 // scanChunkBytes is the length of reads of the log.
 const scanChunkBytes = 256 << 10
 
+// visitBatch is called for a batch at an offset of its segment. The payload is valid
+// during the call only.
+type visitBatch func(h batchHeader, payload []byte, offset int64) error
+
 // readBatches reads batches from a position on, each checked completely before it
 // is visited, and moves the position behind it. It ends at the segment's end, with
 // no reason, or at a place that no batch can be read from, with the reason.
-func readBatches(s *segment, at *position, visit func(h batchHeader, payload []byte, offset int64) error) (reason string, err error) {
+func readBatches(s *segment, at *position, visit visitBatch) (reason string, err error) {
 	rest := io.NewSectionReader(s.file, at.offset, s.size-at.offset)
 	in := bufio.NewReaderSize(rest, int(min(s.size-at.offset+1, scanChunkBytes)))
-	var header [frameHeaderLen]byte
+	var header [batchHeaderLen]byte
 	var payload []byte
 	for at.offset < s.size {
-		if s.size-at.offset < frameHeaderLen {
+		if s.size-at.offset < batchHeaderLen {
 			return "batch is cut short", nil
 		}
 		if _, err := io.ReadFull(in, header[:]); err != nil {
@@ -182,7 +186,7 @@
 			return "batch's header is wrong", nil
 		case h.seq != at.seq+1 || h.previousChecksum != at.chain:
 			return "batch does not follow the one before", nil
-		case int64(h.payloadLen) > s.size-at.offset-frameHeaderLen:
+		case int64(h.payloadLen) > s.size-at.offset-batchHeaderLen:
 			return "batch is cut short", nil
 		}
 		if cap(payload) < int(h.payloadLen) {
@@ -198,7 +202,7 @@
 		if err := visit(h, payload, at.offset); err != nil {
 			return "", err
 		}
-		at.offset += frameHeaderLen + int64(h.payloadLen)
+		at.offset += batchHeaderLen + int64(h.payloadLen)
 		at.seq = h.seq
 		at.chain = h.checksum
 	}
@@ -210,7 +214,7 @@
 // there is none.
 func findSyncedSeq(s *segment, from position) (seq uint64, err error) {
 	magic := binary.LittleEndian.AppendUint32(nil, batchMagic)
-	chunk := make([]byte, min(scanChunkBytes+frameHeaderLen, max(0, s.size-from.offset)))
+	chunk := make([]byte, min(scanChunkBytes+batchHeaderLen, max(0, s.size-from.offset)))
 	for offset := from.offset; offset < s.size; offset += scanChunkBytes {
 		n := min(int64(len(chunk)), s.size-offset)
 		if err := readFull(s.file, chunk[:n], offset); err != nil {
--- a/internal/storage/durable/report.go
+++ b/internal/storage/durable/report.go
@@ -17,7 +17,9 @@
 )
 
 // String is the loss as reports name it.
-func (l Loss) String() string { return [...]string{"none", "unsynced tail", "acknowledged"}[l] }
+func (l Loss) String() string {
+	return [...]string{NoLoss: "none", TailLoss: "unsynced tail", AcknowledgedLoss: "acknowledged"}[l]
+}
 
 // MarshalText encodes the loss by its name.
 func (l Loss) MarshalText() ([]byte, error) { return []byte(l.String()), nil }
--- a/internal/storage/durable/store.go
+++ b/internal/storage/durable/store.go
@@ -163,7 +163,7 @@
 }
 
 // updateManifest changes the manifest and replaces its file. After an error that
-// matches ErrReadOnly nothing tells which of the two is on disk.
+// matches ErrReadOnly either of the two may be on disk.
 func (s *Store) updateManifest(change func(*manifest)) error {
 	s.manifestMu.Lock()
 	defer s.manifestMu.Unlock()
--- a/internal/storage/durable/store_test.go
+++ b/internal/storage/durable/store_test.go
@@ -21,8 +21,23 @@
 
 // smallOptions has all kinds of maintenance happen within some KB.
 func smallOptions() Options {
-	return Options{StoreID: 0x5eed, MaxKeyBytes: 64, MaxValueBytes: 2048, MaxBatchBytes: 4096, MaxInlineBytes: 12, ReserveBytes: 256, ManualMaintenance: true,
-		Maintenance: plan.Limits{MaxBytes: 1 << 20, MinSegmentBytes: 400, MaxSegmentBytes: 400, MinCheckpointLogBytes: 900, MaxStepBytes: 128, BytesPerSecond: 1 << 20}}
+	return Options{
+		StoreID:           0x5eed,
+		MaxKeyBytes:       64,
+		MaxValueBytes:     2048,
+		MaxBatchBytes:     4096,
+		MaxInlineBytes:    12,
+		ReserveBytes:      256,
+		ManualMaintenance: true,
+		Maintenance: plan.Limits{
+			MaxBytes:              1 << 20,
+			MinSegmentBytes:       400,
+			MaxSegmentBytes:       400,
+			MinCheckpointLogBytes: 900,
+			MaxStepBytes:          128,
+			BytesPerSecond:        1 << 20,
+		},
+	}
 }
 
 // workload is a store and the model of its content, with all states that it went through.
@@ -317,10 +332,10 @@
 			require.ErrorIs(t, err, ErrNotFound)
 			hold, answers := make(chan struct{}), make(chan error, 2) // one group: what fits of it is taken
 			b.store.submit(&request{run: func() error { <-hold; return nil }, done: func(uint64, error) {}})
-			var big, gone Batch
+			var big, deletion Batch
 			big.Put([]byte("big"), bytes.Repeat([]byte{'x'}, 2000), 0)
-			gone.Delete([]byte("0000"))
-			for _, c := range []*Batch{&big, &gone} {
+			deletion.Delete([]byte("0000"))
+			for _, c := range []*Batch{&big, &deletion} {
 				b.store.Submit(c, Synced, func(_ uint64, err error) { answers <- err })
 			}
 			close(hold)
--- a/internal/storage/durable/write.go
+++ b/internal/storage/durable/write.go
@@ -16,7 +16,7 @@
 type request struct {
 	batch        *Batch
 	level        Level
-	maintenance  bool         // of the store itself: may use the space kept free
+	maintenance  bool         // of the store itself: may use all space, as plan.Limits.Admits says
 	run          func() error // in place of a batch
 	done         func(seq uint64, err error)
 	header       batchHeader // as it was written
@@ -37,8 +37,8 @@
 	return r.seq, r.err
 }
 
-// Submit is Apply for callers that don't wait: done is called once, mostly by the
-// committer, which it must not block. The batch must not be changed until then.
+// Submit is Apply without waiting: done is called once, usually by the committer,
+// which it must not block. The batch must not be changed until then.
 // Submit blocks while the queue is full.
 func (s *Store) Submit(b *Batch, level Level, done func(seq uint64, err error)) {
 	if err := b.check(&s.options); err != nil {
