--- a/internal/proxy/dispatch/invariants_test.go
+++ b/internal/proxy/dispatch/invariants_test.go
@@ -80,7 +80,7 @@
 }
 
 // Run checks that nothing runs twice that must run once.
-func (s *surroundings) Run(a exchange.Attempt) {
+func (s *surroundings) Run(a exchange.Job) {
 	s.runs[a.TraceID]++
 	s.results[a.TraceID] = fmt.Append(nil, "result of ", string(a.Body))
 	s.inRun = append(s.inRun, a.TraceID)
@@ -100,7 +100,7 @@
 	}
 }
 
-func (s *surroundings) Call(a exchange.Attempt) {
+func (s *surroundings) Call(a exchange.Job) {
 	require.Positive(s.t, s.runs[a.TraceID], "calls belong to runs")
 	s.calls = append(s.calls, a.TraceID)
 }
@@ -181,7 +181,7 @@
 		Now:                    func() time.Duration { return s.now },
 		Log:                    zap.NewNop(),
 		Seed:                   seed,
-		Settings:               &settings,
+		SiteSettings:           &settings,
 	})
 	require.NoError(t, err)
 	s.dispatcher = dispatcher
