--- a/internal/proxy/dispatch/invariants_test.go
+++ b/internal/proxy/dispatch/invariants_test.go
@@ -203,7 +203,7 @@
 		s.requests = append(s.requests, request)
 	}
 	if s.chance(9) && len(s.requests) > 0 {
-		s.exchange.Post(exchange.ClientGone{Request: s.recentRequest(12)})
+		s.exchange.Post(exchange.CallerGone{Request: s.recentRequest(12)})
 	}
 }
 
