--- a/admission/actions.go
+++ b/admission/actions.go
@@ -45,7 +45,7 @@
 // SetHealth sets the answer to health checks.
 type SetHealth struct {
 	Healthy bool
-	Cached  bool // checks are answered from this alone, without real work
+	Cached  bool // checks are answered from this alone, without real work; always true
 }
 
 // Advertise sets the value that Settings.Advert describes.
--- a/admission/admit.go
+++ b/admission/admit.go
@@ -9,7 +9,14 @@
 	return c.phaseCounts[phaseQueued] + c.phaseCounts[phaseRunning]
 }
 
-// decide answers or admits a request, and starts what can run.
+// rejectLateAbove is the fraction of requests rejected lately above which a late one
+// is rejected, unless the server is empty.
+const rejectLateAbove = 0.2
+
+// decide answers a duplicate, and rejects or admits any other request. It is the
+// rule of the paper: while a core is free every request is admitted, otherwise
+// those with r(i)(s) ≥ ∇h(s). A request for which a long run is preempted is
+// admitted too, as that frees its core.
 func (c *Controller) decide(r *request) {
 	if r.duplicateOf != 0 {
 		c.answerDuplicate(r)
@@ -17,39 +24,58 @@
 	}
 	free := c.freeMemory()
 	need := c.memoryToAdmit(r)
-	if c.arrivedAfterDrainGrace(r) || need > free || !c.admits(r) {
+	if c.arrivedAfterDrainGrace(r) || need > free {
 		c.reject(r)
 		return
 	}
-	c.storeKeyOf(r, free-need)
-	c.advance(r, stepAdmit)
-	c.startRuns()
-}
-
-// admits is the rule of the paper: while a core is free every request is
-// admitted, otherwise those with r(i)(s) ≥ ∇h(s). A request that is late is
-// rejected; one for which a long run is preempted is admitted.
-func (c *Controller) admits(r *request) bool {
 	state := c.occupancy()
-	full := !c.canRun() || c.phaseCounts[phaseQueued] > 0
+	full := c.isFull()
 	c.limitReached = c.limitReached || full
 	if c.rejectsAsTooLate(r, state) {
-		return false
+		c.reject(r)
+		return
 	}
-	return !full || c.preemptLongRun() || c.policyAdmits(r, state)
+	if full {
+		preempted := c.preemptLongRun()
+		if !preempted && !c.policyAdmits(r, state) {
+			c.reject(r)
+			return
+		}
+	}
+	c.admit(r, free-need)
+}
+
+// admit queues a request, and starts what can run. free is the memory left after
+// the admission, in kB.
+func (c *Controller) admit(r *request, free float64) {
+	c.storeKeyOf(r, free)
+	c.advance(r, stepAdmit)
+	c.startRuns()
+}
+
+// isFull reports whether a request that is admitted now would have to wait for a core.
+func (c *Controller) isFull() bool {
+	return !c.canRun() || c.phaseCounts[phaseQueued] > 0
 }
 
-// policyAdmits reports whether r(i)(s) ≥ ∇h(s).
+// policyAdmits reports whether r(i)(s) ≥ ∇h(s). The reward is that of the request
+// itself, by its own remaining time and its tenant's quota, and is compared exactly.
+// The thresholds, which are logged and advertised, are of the class's reward and
+// give ties to the class (admissionModel.accepts): a request may be decided
+// otherwise than the threshold of its class says.
 func (c *Controller) policyAdmits(r *request, state int) bool {
 	return state < len(c.policy.bias) && c.reward(r, state) >= c.policy.bias[state]
 }
 
-// rejectsAsTooLate reports whether a request can't be answered within its objective. An
-// idle server admits such requests all the same, to learn how long runs take.
+// rejectsAsTooLate reports whether a request is rejected because it can't be
+// answered within its objective. Such a late request is rejected while the server
+// drains, when it has expired, while calls are backlogged, and while requests are
+// queued or running and more than rejectLateAbove of the latest were rejected.
+// Otherwise it is decided on like others: its run shows how long runs take.
 func (c *Controller) rejectsAsTooLate(r *request, state int) bool {
 	if c.reward(r, state) >= 0 {
 		return false
 	}
 	return c.draining || c.now >= c.expiry(r) || c.callsBacklogged() ||
-		state > 0 && c.rejectedFraction > minFutileRejections
+		state > 0 && c.rejectedFraction > rejectLateAbove
 }
--- a/admission/advert.go
+++ b/admission/advert.go
@@ -8,6 +8,9 @@
 // minAdvertChange is the relative change of the value that is advertised anew.
 const minAdvertChange = 0.1
 
+// minCreditPerLimit times the concurrency limit is the least credit of all callers together.
+const minCreditPerLimit = 2
+
 // noAdvert stands for a value that was never advertised; any value differs from it.
 const noAdvert = -1
 
@@ -29,8 +32,10 @@
 		return c.rejectedClassFraction()
 	case AdvertWeight:
 		return math.Min(1, c.serviceCapacity()/c.policy.model.arrivalRate)
+	case AdvertCredit:
+		return c.creditPerCaller()
 	}
-	return c.creditPerCaller()
+	return noAdvert // updateAdvert does not ask for AdvertNone
 }
 
 // rejectedClassFraction is the fraction of the classes that are rejected now.
@@ -47,14 +52,15 @@
 	return float64(rejected) / float64(classes)
 }
 
-// creditPerCaller divides among the callers the requests that may be queued before any class is rejected, at
-// least twice the concurrency limit, plus the requests at calls.
+// creditPerCaller is each caller's part of the requests that the server may have: those
+// queued or running before any class is rejected, at least minCreditPerLimit times the
+// concurrency limit, and those at calls.
 func (c *Controller) creditPerCaller() float64 {
 	threshold := len(c.policy.bias)
 	for i := range c.settings.Classes {
 		threshold = min(threshold, c.policy.threshold(i))
 	}
 	atCalls := c.phaseCounts[phaseAwaitingCall] + c.phaseCounts[phaseInCall]
-	credit := max(threshold, 2*c.concurrencyLimit) + atCalls
+	credit := max(threshold, minCreditPerLimit*c.concurrencyLimit) + atCalls
 	return float64(credit) / float64(max(1, c.settings.Callers))
 }
--- a/admission/answers.go
+++ b/admission/answers.go
@@ -5,8 +5,8 @@
 // Answers: every request gets one answer by its deadline. One that never ran may
 // be rejected; one that ran, or may have, can only fail.
 
-// answerLeadIntervals is how many calls of Handle before its deadline a request is
-// answered: the timer may be late by one.
+// answerLeadIntervals is how long before its deadline a request is answered, in
+// multiples of MinInterval: the timer may be late by one.
 const answerLeadIntervals = 2
 
 // answerLead is how long before its deadline a request is answered.
@@ -56,7 +56,8 @@
 	c.advance(r, stepFinish)
 }
 
-// fail answers a request that ran, or may have. One at a call ends with Completed.
+// fail answers a request that ran, or may have. One at a call stays until Completed
+// reports the end of its run.
 func (c *Controller) fail(r *request) {
 	r.answered = true
 	c.emit(Fail{r.id})
@@ -70,7 +71,7 @@
 }
 
 // canceled ends a request that no caller waits for, and stops its run where that
-// can be done. One at a call ends with Completed.
+// can be done. One at a call stays until Completed reports the end of its run.
 func (c *Controller) canceled(e Canceled) {
 	r := c.byID[e.ID]
 	if r == nil {
@@ -90,24 +91,30 @@
 	}
 }
 
-// completed ends a run or a shared result, or confirms a preemption.
+// completed ends a run or a shared result, unless it only confirms a preemption.
 func (c *Controller) completed(e Completed) {
 	r := c.byID[e.ID]
 	if r == nil {
 		return
 	}
-	if e.Outcome == OutcomeNotStarted {
-		c.withdraw(r)
-	}
-	if r.preempted && e.Outcome == OutcomeCanceled && !r.answered {
+	if confirmsPreemption(r, e) {
 		c.advance(r, stepPreempted)
 		return
 	}
+	if e.Outcome == OutcomeNotStarted {
+		c.withdraw(r)
+	}
 	c.learnFrom(r, e)
 	r.answered = true
 	c.advance(r, stepFinish)
 }
 
+// confirmsPreemption reports whether the event says that Preempt took effect on a
+// request that still needs an answer: it is paused then, not over.
+func confirmsPreemption(r *request, e Completed) bool {
+	return r.preempted && e.Outcome == OutcomeCanceled && !r.answered
+}
+
 // learnFrom updates the estimates of run times, success and calls at the end of a run.
 func (c *Controller) learnFrom(r *request, e Completed) {
 	switch r.phase {
--- a/admission/arrival.go
+++ b/admission/arrival.go
@@ -13,10 +13,12 @@
 		return
 	}
 	class := &c.settings.Classes[e.Class]
+	c.observeTenant(e.Tenant)
+	weightFraction := c.tenantWeightFraction(e.Tenant)
 	r := &request{
 		id:             e.ID,
 		class:          e.Class,
-		weightFraction: c.tenantWeightFraction(e.Tenant),
+		weightFraction: weightFraction,
 		duplicateOf:    e.DuplicateOf,
 		memoryKB:       e.MemoryKB,
 		arrivedAt:      c.now - e.Age,
@@ -48,15 +50,15 @@
 }
 
 // objectiveOf is the time from arrival within which an answer earns the full
-// weight, less the way to the client and back.
+// weight, less the way to the caller and back.
 func objectiveOf(class *Class, expectedWork time.Duration) time.Duration {
 	objective := class.LatencyObjective + time.Duration(class.ObjectiveStretch*float64(expectedWork))
 	return min(objective, class.Deadline) - time.Duration(objectiveMargin*float64(class.LatencyObjective))
 }
 
-// withdraw takes an arrival out of the estimates: its caller took it back unrun,
-// or it was none that could be run. It guards the policy against callers that
-// send requests by the hundred and cancel them.
+// withdraw takes an arrival out of the estimates: it was canceled before it ran, or
+// could not be started. It guards the policy against callers that send requests by
+// the hundred and cancel them.
 func (c *Controller) withdraw(r *request) {
 	if r.duplicateOf != 0 || r.answered {
 		return
--- a/admission/calls.go
+++ b/admission/calls.go
@@ -19,8 +19,12 @@
 	callLimitDecrease = 0.25
 	// minCallTime is the shortest timeout with which a call is made.
 	minCallTime = 20 * time.Millisecond
-	// callTimeDivisor: half of a quota below 1 accrues as call time, up to half of the window.
-	callTimeDivisor = 2
+	// accruedQuotaFraction is the fraction of a quota below 1 that accrues as call time.
+	accruedQuotaFraction = 1.0 / 2
+	// maxSavedQuotaFraction is the fraction of the quota of one window, in call-seconds,
+	// beyond which call time does not accrue. What was saved before a window and what
+	// accrues in it are the whole quota together.
+	maxSavedQuotaFraction = 1 - accruedQuotaFraction
 )
 
 // callLimiter bounds the calls in flight. With a quota of at least 1 their
@@ -44,9 +48,9 @@
 func (l *callLimiter) pass(from, to time.Duration, inFlight int) {
 	l.lingerUntil = slices.DeleteFunc(l.lingerUntil, func(until time.Duration) bool { return until <= to })
 	seconds := (to - from).Seconds()
-	maxSaved := l.quota * l.window.Seconds() / callTimeDivisor
+	maxSaved := l.quota * l.window.Seconds() * maxSavedQuotaFraction
 	used := float64(inFlight + len(l.lingerUntil))
-	l.savedTime = math.Min(maxSaved, l.savedTime+seconds*(l.quota/callTimeDivisor-used))
+	l.savedTime = math.Min(maxSaved, l.savedTime+seconds*(l.quota*accruedQuotaFraction-used))
 }
 
 // abandon counts a call as in flight for as long as it may linger.
@@ -110,7 +114,7 @@
 }
 
 // callDeadline is the clock time at which a call that starts now is abandoned:
-// two ticks before its request's deadline, for the answer.
+// answerLead before its request's deadline, for the answer.
 func (c *Controller) callDeadline(r *request) time.Duration {
 	deadline := r.deadline - c.answerLead()
 	if c.settings.Dependency == DependencyShared && c.calls.quota < 1 {
--- a/admission/concurrency.go
+++ b/admission/concurrency.go
@@ -6,18 +6,22 @@
 // for their return.
 
 const (
-	// callCoreWeight, of a run, is the core time reserved for a request at a call.
+	// callCoreWeight is the part of a core that is reserved for a request at a call.
 	callCoreWeight = 0.25
-	// usableRunsFraction is the fraction of the runs survived that may run or be at calls.
+	// usableRunsFraction is the fraction of maxRuns that may run or be at calls; the
+	// rest is a reserve.
 	usableRunsFraction = 0.7
-	// growBelowUtilization is the CPU utilization below which more may run at once.
+	// growBelowUtilization is the CPU utilization, a fraction of the cores, below which
+	// more may run at once.
 	growBelowUtilization = 0.9
-	// shrinkAboveUtilization is the CPU utilization above which more runs can't help.
+	// shrinkAboveUtilization is the CPU utilization, a fraction of the cores, above
+	// which more runs can't help.
 	shrinkAboveUtilization = 0.985
-	// maxReadDelay, of the objective, is the time until a request is read beyond
-	// which reading is starved of the cores.
+	// maxReadDelay is a fraction of the objective. If requests wait for longer than
+	// that until they are read, the goroutines that read them are starved of the cores.
 	maxReadDelay = 0.22
-	// starvedCoresDivisor: the limit falls to a third of the cores while reading is starved.
+	// starvedCoresDivisor: while reading is starved the limit falls below the cores, by 1
+	// a gauge tick, down to a third of them.
 	starvedCoresDivisor = 3
 )
 
@@ -27,8 +31,9 @@
 	running := c.phaseCounts[phaseRunning]
 	atCalls := c.phaseCounts[phaseAwaitingCall] + c.phaseCounts[phaseInCall]
 	started := running + c.phaseCounts[phasePaused] + atCalls
+	maxOthersStarted := max(1, c.maxRuns()*usableRunsFraction) - 1 // beside the one more
 	return float64(running)+callCoreWeight*float64(atCalls) < float64(c.concurrencyLimit) &&
-		float64(started) <= max(1, c.maxRuns()*usableRunsFraction)-1
+		float64(started) <= maxOthersStarted
 }
 
 // startRuns starts what is queued, oldest first, then resumes what is paused.
@@ -67,7 +72,8 @@
 	free := int(float64(cores) - g.RunQueue - callCoreWeight*float64(c.phaseCounts[phaseInCall]))
 	switch {
 	case c.readDelay > maxReadDelay:
-		c.concurrencyLimit = max(1, cores/starvedCoresDivisor, c.concurrencyLimit-1)
+		floor := max(1, cores/starvedCoresDivisor)
+		c.concurrencyLimit = max(floor, c.concurrencyLimit-1)
 	case c.concurrencyLimit < cores:
 		c.concurrencyLimit++
 	case c.limitReached && g.CPUUtilization >= 0 && g.CPUUtilization < growBelowUtilization && free > 0:
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -12,7 +12,7 @@
 	started   bool
 	startedAt time.Duration // clock time of the first call of Handle
 	now       time.Duration // clock time of the current or latest call
-	actions   []Action      // of the current call
+	actions   []Action      // of the current batch
 
 	requests    []*request // in the order in which they were read
 	byID        map[uint32]*request
@@ -49,9 +49,9 @@
 	timerID     uint64        // of the latest timer
 }
 
-// New returns the controller of a server that has just started. The decisions
-// use no random numbers: the seed is not used. The error says which setting is
-// out of range; see [SettingError].
+// New returns the controller of a server that has just started. The seed is part of
+// the simulator's protocol and not used: no decision is random. The error says which
+// setting is out of range; see [SettingError].
 func New(s Settings, _ uint64) (*Controller, error) {
 	if err := s.validate(); err != nil {
 		return nil, err
@@ -69,8 +69,8 @@
 	}, nil
 }
 
-// Handle takes the events of one instant and returns the actions of it, in the
-// order in which they must be carried out. now is the server's clock time; it
+// Handle takes a batch of events, those since the call before, and returns the actions
+// in the order in which they must be carried out. now is the server's clock time; it
 // never goes back. The result is valid until the next call.
 func (c *Controller) Handle(now time.Duration, events []Event) []Action {
 	c.actions = nil
--- a/admission/duplicates.go
+++ b/admission/duplicates.go
@@ -5,8 +5,10 @@
 	"time"
 )
 
-// Duplicates and hedged requests: a request is found to repeat another by the
-// stored key of that one (DuplicateOf), and shares its result. It is never run.
+// Duplicates: a request is found to repeat another by the stored key of that one
+// (DuplicateOf), and shares its result. It is never run. A hedged request is a
+// duplicate only if it carries the key of a stored request; without one it is a
+// request of its own.
 
 // minFreeForReadKeys is the fraction of the memory that must stay free for the
 // key of a plain read to be stored: it only saves work.
@@ -18,8 +20,11 @@
 	until time.Duration // clock time
 }
 
-// answerDuplicate answers a request that repeats a stored one: with the result
-// of that one, or with a rejection if that one was rejected.
+// answerDuplicate answers a request that repeats a stored one, its original. An
+// original of the same batch is decided first. The duplicate is rejected if the
+// original ended without a run in this batch, and fails if memory has run out or
+// its own time has. Otherwise it shares the result, also of an original that the
+// controller has forgotten: the server still has the result of that one's key.
 func (c *Controller) answerDuplicate(r *request) {
 	original := c.byID[r.duplicateOf]
 	if original != nil && original.phase == phaseUndecided {
--- a/admission/episodes.go
+++ b/admission/episodes.go
@@ -61,7 +61,8 @@
 	return float64(c.concurrencyLimit) * c.runTimes.serviceRate()
 }
 
-// beginEpisode learns Λmax too (appendix H): at least what was just observed.
+// beginEpisode starts an episode of the given length. Λmax is learned too (appendix H):
+// it covers the recent rate, so that the first bound of the episode does.
 func (c *Controller) beginEpisode(length time.Duration) {
 	capacity := c.serviceCapacity()
 	maxRate := math.Max(capacity*maxRateOfCapacity, maxRateOfRecent*c.recentArrivalRate())
--- a/admission/events.go
+++ b/admission/events.go
@@ -14,10 +14,13 @@
 	ExpectedWork time.Duration // on a standard core; 0 if not known
 	Age          time.Duration // since it reached the machine
 	MemoryKB     float64       // while queued
-	HasSubject   bool          // it names a subject
 	Retry        bool          // marked as a retry or a hedged request
-	Rank         float64       // 0 to 1, by the weight of its class
 	DuplicateOf  uint32        // stored request that it repeats; 0 if none
+
+	// The rest is part of the event; no decision uses it.
+
+	HasSubject bool    // it names a subject
+	Rank       float64 // 0 to 1, by the weight of its class
 }
 
 // Completed reports that a run or a ShareResult ended, or that Preempt took effect.
@@ -52,10 +55,16 @@
 	Gauges  Gauges
 }
 
+// UnknownGauge is the value of a gauge that is not known.
+const UnknownGauge = -1
+
 // Gauges are the server's own measurements; a negative value is not known.
 type Gauges struct {
-	CPUUtilization    float64 // fraction of the cores busy lately
-	RunQueue          float64 // everything that wants a core now
+	CPUUtilization float64 // fraction of the cores busy lately
+	RunQueue       float64 // everything that wants a core now
+
+	// The rest is part of the event; no decision uses it.
+
 	MemoryUtilization float64 // fraction of the memory in use
 	Connections       float64 // open connections
 }
--- a/admission/health.go
+++ b/admission/health.go
@@ -12,8 +12,9 @@
 	unhealthyReadDelay = 0.7
 )
 
-// updateHealth reports a change of health. A server whose reading is starved
-// turns unhealthy at unhealthyReadDelay, and healthy again below maxReadDelay.
+// updateHealth reports a change of health. The delay at which a server whose reading
+// is starved turns unhealthy is above the one at which it turns healthy again, so that
+// the answer does not flap.
 func (c *Controller) updateHealth() {
 	starved := c.readDelay > unhealthyReadDelay || !c.healthy && c.readDelay > maxReadDelay
 	healthy := !c.draining && c.runTimes.missedRuns() < unhealthyAfterMissedRuns && !starved
--- a/admission/policy.go
+++ b/admission/policy.go
@@ -93,8 +93,8 @@
 	}
 }
 
-// iteratePolicy runs PI-B: evaluate the policy by equations 11 and 3, accept
-// every class with r(i)(s) ≥ ∇h(s), repeat until the policy is stable.
+// iteratePolicy runs PI-B until a round changes no decision. The first round never ends
+// it: the bias that it starts from is 0 in every state, and no policy's.
 func iteratePolicy(m admissionModel) policy {
 	m.prepare()
 	p := policy{bias: make([]float64, m.maxState), model: m}
--- a/admission/quota.go
+++ b/admission/quota.go
@@ -13,20 +13,30 @@
 	minTotalQuota = 1e-9
 )
 
-// tenantWeightFraction counts an arrival of the tenant and returns the fraction of
-// its weight that it is expected to earn. The server doesn't know the rates over
-// all servers, so it compares the tenants' fractions of its own arrivals with
-// their fractions of all quotas: a surge of all tenants puts none over its quota.
+// observeTenant counts an arrival in the tenants' fractions of the arrivals here. A
+// tenant that the settings don't have is not counted.
+func (c *Controller) observeTenant(tenant int) {
+	if tenant >= len(c.tenantArrivals) {
+		return
+	}
+	for i := range c.tenantArrivals {
+		c.tenantArrivals[i] -= c.tenantArrivals[i] * tenantSmoothing
+	}
+	c.tenantArrivals[tenant] += tenantSmoothing
+}
+
+// tenantWeightFraction is the fraction of its weight that a request of the tenant is
+// expected to earn. The server doesn't know the rates over all servers, so it compares
+// the tenants' fractions of its own arrivals, the request's included, with their
+// fractions of all quotas: a surge of all tenants puts none over its quota.
 func (c *Controller) tenantWeightFraction(tenant int) float64 {
 	if tenant >= len(c.tenantArrivals) {
 		return 1
 	}
 	totalQuota := minTotalQuota
-	for i, t := range c.settings.Tenants {
+	for _, t := range c.settings.Tenants {
 		totalQuota += t.QuotaPerSecond
-		c.tenantArrivals[i] -= c.tenantArrivals[i] * tenantSmoothing
 	}
-	c.tenantArrivals[tenant] += tenantSmoothing
 	within := math.Min(1, c.settings.Tenants[tenant].QuotaPerSecond/totalQuota/c.tenantArrivals[tenant])
 	return within + (1-within)*c.settings.OverQuotaFraction
 }
--- a/admission/quota_test.go
+++ b/admission/quota_test.go
@@ -11,6 +11,7 @@
 	play := func(pattern ...int) {
 		for i := 0; i < 2000; i++ {
 			tenant := pattern[i%len(pattern)]
+			r.controller.observeTenant(tenant)
 			fraction[tenant] = r.controller.tenantWeightFraction(tenant)
 		}
 	}
@@ -23,6 +24,7 @@
 		t.Errorf("the first sends twice its quota and they keep %v, want half and a tenth of the rest, and all", fraction)
 	}
 	r = newDriver(t, func(s *Settings) { s.Tenants = []Tenant{{}, {}} })
+	r.controller.observeTenant(0)
 	if got := r.controller.tenantWeightFraction(0); got != 0 {
 		t.Errorf("a tenant without quota keeps %v", got)
 	}
--- a/admission/retryadvice.go
+++ b/admission/retryadvice.go
@@ -22,8 +22,11 @@
 	maxUsefulRejections = 0.5
 )
 
-// retryAfter is the time until the runs that exclude the class have ended. A
-// draining server gives the longest advice.
+// retryAfter is the longer of two times: retryAfterPerExcess for each multiple of cμ
+// by which the recent arrivals exceed it, and the time that cμ needs for the requests
+// above the threshold of the class and one more. The second is left out in the first
+// episode. The result is at least 0 and at most MaxRetryAfter, which a draining server
+// gives in any case.
 func (c *Controller) retryAfter(class int) time.Duration {
 	if c.draining {
 		return c.settings.MaxRetryAfter
@@ -46,11 +49,13 @@
 		c.rejectedFraction > minFutileRejections && othersReject
 }
 
-// observeArrival updates the fractions of rejected requests and of retries at an arrival.
-func (c *Controller) observeArrival(retry bool) {
+// observeArrival lets one arrival fade the fractions of rejected requests and of
+// retries, and adds it to the second if it is marked. countRejection adds it to the
+// first if it is rejected.
+func (c *Controller) observeArrival(markedRetry bool) {
 	c.rejectedFraction -= c.rejectedFraction * requestSmoothing
 	c.retryFraction -= c.retryFraction * requestSmoothing
-	if retry {
+	if markedRetry {
 		c.retryFraction += requestSmoothing
 	}
 }
--- a/admission/runtimes.go
+++ b/admission/runtimes.go
@@ -51,7 +51,7 @@
 	t.sinceExit += runSeconds
 }
 
-// resetMissedRuns notes that a run left the cores, or that the cores were empty.
+// resetMissedRuns is called when a run leaves the cores, and when one starts on empty cores.
 func (t *runTimes) resetMissedRuns() { t.sinceExit = 0 }
 
 // observe counts a run that ended by itself after the given seconds.
--- a/admission/settings.go
+++ b/admission/settings.go
@@ -11,8 +11,8 @@
 // The effects of a class.
 const (
 	Idempotent   Effect = iota // may be run again
-	Deduplicated               // at most once on this server within its window
-	AtMostOnce                 // once, never again after it may have run
+	Deduplicated               // at most once in its window for each idempotency key, over all attempts
+	AtMostOnce                 // an attempt is started once; attempts under other trace ids are not recognised
 )
 
 // Preemption says what Preempt does to a running request.
@@ -61,13 +61,16 @@
 	// PriorityWeight is the value of one request, or of one unit of work with
 	// Settings.WeightPerWork. At least 0.
 	PriorityWeight float64
+	// DegradedFraction is the fraction of the weight that an answer without its
+	// call earns; 0 forbids Degrade.
+	DegradedFraction float64
+
+	// The rest is part of the settings; no decision uses it.
+
 	// LateFraction is the fraction of the weight that an answer after the objective earns.
 	LateFraction float64
 	// MakesCalls says that its requests may call the dependency.
 	MakesCalls bool
-	// DegradedFraction is the fraction of the weight that an answer without its
-	// call earns; 0 forbids Degrade.
-	DegradedFraction float64
 }
 
 // Tenant describes one tenant.
@@ -84,8 +87,6 @@
 	TiersAbove int
 	// Cores of this server, at least 1.
 	Cores int
-	// Servers of this tier, at least 1.
-	Servers int
 	// Callers of this tier.
 	Callers int
 	Classes []Class
@@ -107,8 +108,6 @@
 	// MaxRunsPerCore is the mean number of runs on the cores, per core, that a
 	// warm server survives. At least 1.
 	MaxRunsPerCore float64
-	// OverloadWindow is the time over which MaxRunsPerCore is averaged.
-	OverloadWindow time.Duration
 
 	// MemoryKB is the memory for requests and stored keys. Above 0.
 	MemoryKB float64
@@ -130,25 +129,32 @@
 
 	Preemption Preemption
 	Advert     Advert
-	// NotifiesCanceled says that Canceled may come.
-	NotifiesCanceled bool
-	// DeepHealthChecks says that health checks do real work unless SetHealth.Cached.
-	DeepHealthChecks bool
 	// MaxIdleTimeout is the longest idle timeout of a connection.
 	MaxIdleTimeout time.Duration
-	// AdvertTTL is how long callers remember an advertised value.
-	AdvertTTL time.Duration
 	// MaxRetryAfter is the longest retry advice that callers follow; 0: none.
 	MaxRetryAfter time.Duration
-	// AnswerGracePeriod is how long after its deadline an answer still counts.
-	AnswerGracePeriod time.Duration
 	// DrainGracePeriod: requests that arrive later than this after Drain must not run.
 	DrainGracePeriod time.Duration
 	// RetriesMarked says that callers mark retries and hedged requests.
 	RetriesMarked bool
+
+	// The rest is part of the settings and checked with them; no decision uses it.
+
+	// Servers of this tier, at least 1.
+	Servers int
+	// OverloadWindow is the time over which MaxRunsPerCore is averaged.
+	OverloadWindow time.Duration
+	// NotifiesCanceled says that Canceled may come.
+	NotifiesCanceled bool
+	// DeepHealthChecks says that health checks do real work unless SetHealth.Cached.
+	DeepHealthChecks bool
+	// AdvertTTL is how long callers remember an advertised value.
+	AdvertTTL time.Duration
+	// AnswerGracePeriod is how long after its deadline an answer still counts.
+	AnswerGracePeriod time.Duration
 }
 
-// SettingError names a setting whose value is out of range.
+// SettingError names a field of Settings whose value is out of range.
 type SettingError struct {
 	Name  string
 	Value float64
@@ -166,7 +172,7 @@
 // validate refuses settings with which no server could work.
 func (s *Settings) validate() error {
 	if len(s.Classes) == 0 {
-		return fmt.Errorf("classes: at least one is needed")
+		return fmt.Errorf("setting Classes: at least one is needed")
 	}
 	for _, bound := range s.lowerBounds() {
 		if !(bound.Value >= bound.Min) { // also catches NaN
@@ -175,43 +181,43 @@
 	}
 	for i, class := range s.Classes {
 		if !class.valid() {
-			return fmt.Errorf("class %d: impossible aim, deadline, window, value or late share", i)
+			return fmt.Errorf("setting Classes[%d]: LatencyObjective, Deadline, DedupWindow, PriorityWeight or LateFraction is impossible", i)
 		}
 	}
 	for i, tenant := range s.Tenants {
 		if !(tenant.QuotaPerSecond >= 0) {
-			return fmt.Errorf("tenant %d: impossible allowance %g", i, tenant.QuotaPerSecond)
+			return &SettingError{fmt.Sprintf("Tenants[%d].QuotaPerSecond", i), tenant.QuotaPerSecond, 0}
 		}
 	}
 	return nil
 }
 
-// lowerBounds lists the settings that have a least value, with the names that
-// their errors use.
+// lowerBounds lists the settings that have a least value. simproto.Settings.Validate
+// checks the same bounds, so that its errors name the JSON keys.
 func (s *Settings) lowerBounds() []SettingError {
 	return []SettingError{
-		{"cores", float64(s.Cores), 1},
-		{"servers", float64(s.Servers), 1},
-		{"memory", s.MemoryKB, minMemoryKB},
-		{"run factor", s.RunMemoryFactor, 1},
-		{"crowd factor", s.MaxRunsPerCore, 1},
-		{"tick", float64(s.MinInterval), 0},
-		{"callers", float64(s.Callers), 0},
-		{"depth", float64(s.TiersAbove), 0},
-		{"cold share", s.SlowStartMinSpeed, 0},
-		{"key size", s.KeyMemoryKB, 0},
-		{"call share", s.CallQuota, 0},
-		{"over-share worth", s.OverQuotaFraction, 0},
-		{"cold time", float64(s.SlowStartDuration), 0},
-		{"answer slack", float64(s.AnswerGracePeriod), 0},
-		{"drain grace", float64(s.DrainGracePeriod), 0},
-		{"crowd time", float64(s.OverloadWindow), 0},
-		{"share time", float64(s.ResultReuseWindow), 0},
-		{"call window", float64(s.CallWindow), 0},
-		{"linger", float64(s.CallLinger), 0},
-		{"longest advice", float64(s.MaxRetryAfter), 0},
-		{"idle time", float64(s.MaxIdleTimeout), 0},
-		{"heard time", float64(s.AdvertTTL), 0},
+		{"Cores", float64(s.Cores), 1},
+		{"Servers", float64(s.Servers), 1},
+		{"MemoryKB", s.MemoryKB, minMemoryKB},
+		{"RunMemoryFactor", s.RunMemoryFactor, 1},
+		{"MaxRunsPerCore", s.MaxRunsPerCore, 1},
+		{"MinInterval", float64(s.MinInterval), 0},
+		{"Callers", float64(s.Callers), 0},
+		{"TiersAbove", float64(s.TiersAbove), 0},
+		{"SlowStartMinSpeed", s.SlowStartMinSpeed, 0},
+		{"KeyMemoryKB", s.KeyMemoryKB, 0},
+		{"CallQuota", s.CallQuota, 0},
+		{"OverQuotaFraction", s.OverQuotaFraction, 0},
+		{"SlowStartDuration", float64(s.SlowStartDuration), 0},
+		{"AnswerGracePeriod", float64(s.AnswerGracePeriod), 0},
+		{"DrainGracePeriod", float64(s.DrainGracePeriod), 0},
+		{"OverloadWindow", float64(s.OverloadWindow), 0},
+		{"ResultReuseWindow", float64(s.ResultReuseWindow), 0},
+		{"CallWindow", float64(s.CallWindow), 0},
+		{"CallLinger", float64(s.CallLinger), 0},
+		{"MaxRetryAfter", float64(s.MaxRetryAfter), 0},
+		{"MaxIdleTimeout", float64(s.MaxIdleTimeout), 0},
+		{"AdvertTTL", float64(s.AdvertTTL), 0},
 	}
 }
 
--- a/admission/slowstart.go
+++ b/admission/slowstart.go
@@ -1,6 +1,10 @@
 package admission
 
 // Slow start: a cold server is slower and survives fewer runs on its cores.
+// Package internal/proxy/slowstart has the same formula for the servers to which a
+// process sends; the two stand apart because this package imports no other of the
+// module. Here the runs are those of this server, and concurrency.go uses only
+// usableRunsFraction of them; there they are divided among the senders, whole.
 // Inputs: SlowStart, SlowStartMinSpeed, SlowStartDuration, MaxRunsPerCore.
 
 // speed is the fraction of its warm speed that the server has at least: it grows
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -54,8 +54,8 @@
 		batch("ABOUT\ti=server/1", "LAPSED\top_id=1"):                                                `line 3: field i: unknown instance "server/1"`,
 		batch("ABOUT\ti=server/1", create, "ACCEPT\top_id=1\tcategory=4"):                            "line 4: ACCEPT: field category",
 		batch("ABOUT\ti=server/1", create, "ACCEPT\top_id=1\trealm=1"):                               "line 4: ACCEPT: field realm",
-		batch("ABOUT\ti=server/1", strings.Replace(create, `"cores":1`, `"cores":0`, 1)):             "line 3: CREATE: field settings: cores",
-		batch("ABOUT\ti=server/1", strings.Replace(create, `"aim_ns":1000000000`, `"aim_ns":-1`, 1)): "line 3: CREATE: field settings: class 0",
+		batch("ABOUT\ti=server/1", strings.Replace(create, `"cores":1`, `"cores":0`, 1)):             "line 3: CREATE: field settings: Cores: 0",
+		batch("ABOUT\ti=server/1", strings.Replace(create, `"aim_ns":1000000000`, `"aim_ns":-1`, 1)): "line 3: CREATE: field settings: setting Classes[0]: LatencyObjective",
 	} {
 		var out bytes.Buffer
 		err := run(strings.NewReader(in), &out)
--- a/internal/simproto/doc.go
+++ b/internal/simproto/doc.go
@@ -7,6 +7,11 @@
 // fields and settings are skipped; a malformed line is reported with its number
 // and field, see [LineError] and [FieldError].
 //
-// The protocol has words of its own for the terms of package admission. They
-// appear in terms.go and in the JSON tags of [Settings], and nowhere else.
+// The protocol has words of its own for the terms of package admission. In this
+// package they appear in terms.go and in the JSON tags of [Settings] alone.
+//
+// [Settings] is also the type of the service's own settings: the configuration file
+// and the store hold the same JSON object as the simulator's CREATE. Packages that
+// read a Settings before [Settings.Admission] converts it (cmd/oxbowbridge, and
+// transport/ajp for the names of gauges) compare its words themselves.
 package simproto
--- a/internal/simproto/events.go
+++ b/internal/simproto/events.go
@@ -9,23 +9,28 @@
 	"oxbowbridge/admission"
 )
 
-// event reads the event of a message; nil if the message is not known.
+// event reads the event of a message; nil if the message is not known. The fields of an
+// unknown message are not even split.
 func (f *fields) event(message string) admission.Event {
 	switch message {
 	case messageArrival:
-		return f.parse().arrival()
+		f.parse()
+		return f.arrival()
 	case messageCompleted:
 		f.parse()
 		return admission.Completed{ID: f.requestID(), Elapsed: f.duration(fieldElapsed), Outcome: f.outcome()}
 	case messageCanceled:
-		return admission.Canceled{ID: f.parse().requestID()}
+		f.parse()
+		return admission.Canceled{ID: f.requestID()}
 	case messageCallNeeded:
-		return admission.CallNeeded{ID: f.parse().requestID()}
+		f.parse()
+		return admission.CallNeeded{ID: f.requestID()}
 	case messageCallCompleted:
 		f.parse()
 		return admission.CallCompleted{ID: f.requestID(), Elapsed: f.duration(fieldElapsed), Outcome: f.outcome()}
 	case messageDrain:
-		return admission.Drain{StopIn: f.parse().duration(fieldTimeLeft)}
+		f.parse()
+		return admission.Drain{StopIn: f.duration(fieldTimeLeft)}
 	case messageTimerFired:
 		f.parse()
 		return admission.TimerFired{TimerID: f.count(fieldTimerID, optional, math.MaxInt64), Gauges: f.gauges()}
@@ -80,7 +85,8 @@
 
 // create reads the settings of an instance; nil on an error.
 func (f *fields) create() *Create {
-	seed := f.parse().count(fieldSeed, optional, math.MaxUint64)
+	f.parse()
+	seed := f.count(fieldSeed, optional, math.MaxUint64)
 	text := f.text(fieldSettings)
 	if text == "" {
 		f.fail(fieldSettings, ErrMissing)
--- a/internal/simproto/fields.go
+++ b/internal/simproto/fields.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// fields are the name=value pairs of one line. The first error sticks; after it
-// the values returned mean nothing.
+// fields are the name=value pairs of one line. parse splits them, and must be called
+// before the others. The first error sticks, that of parse included; after it the
+// values returned mean nothing.
 type fields struct {
 	rest   string // of the line, before parse
 	names  []string
@@ -17,10 +18,12 @@
 	err    error
 }
 
-// Whether a field must be there.
+// presence says whether a field must be there.
+type presence bool
+
 const (
-	optional = false
-	required = true
+	optional presence = false
+	required presence = true
 )
 
 func (f *fields) fail(name string, err error) {
@@ -30,7 +33,7 @@
 }
 
 // parse splits the line. The settings take all that follows.
-func (f *fields) parse() *fields {
+func (f *fields) parse() {
 	for rest := f.rest; rest != "" && f.err == nil; {
 		if settings, ok := strings.CutPrefix(rest, fieldSettings+"="); ok {
 			f.add(fieldSettings, settings)
@@ -44,7 +47,6 @@
 		f.add(name, value)
 		rest = after
 	}
-	return f
 }
 
 func (f *fields) add(name, value string) {
@@ -61,10 +63,10 @@
 }
 
 // count reads a whole number from 0 to limit; an absent one is 0.
-func (f *fields) count(name string, mustExist bool, limit uint64) uint64 {
+func (f *fields) count(name string, want presence, limit uint64) uint64 {
 	text := f.text(name)
 	if text == "" {
-		if mustExist {
+		if want == required {
 			f.fail(name, ErrMissing)
 		}
 		return 0
--- a/internal/simproto/reader.go
+++ b/internal/simproto/reader.go
@@ -110,13 +110,15 @@
 	if l.message != messageBatchStart {
 		return 0, r.errorf("%s %w", l.message, ErrOutsideBatch)
 	}
-	now := l.fields.parse().count(fieldClockTime, required, math.MaxInt64)
+	l.fields.parse()
+	now := l.fields.count(fieldClockTime, required, math.MaxInt64)
 	return time.Duration(now), r.lineError(l)
 }
 
 // instance reads the name of the instance of the messages that follow.
 func (r *Reader) instance(l line) (string, error) {
-	name := l.fields.parse().text(fieldInstance)
+	l.fields.parse()
+	name := l.fields.text(fieldInstance)
 	if name == "" {
 		l.fields.fail(fieldInstance, ErrMissing)
 	}
--- a/internal/simproto/terms.go
+++ b/internal/simproto/terms.go
@@ -114,22 +114,20 @@
 	"tier":   admission.DependencyNextTier,
 }
 
-// weightPerWork reports whether weights count per unit of work.
+// weightUnits are the units that weights count by; true stands for a unit of work.
 var weightUnits = map[string]bool{
 	"":        false,
 	"request": false,
 	"work":    true,
 }
 
-// unknownGauge stands for a gauge that was not given.
-const unknownGauge = -1
-
+// unknownGauges are the gauges of a message that gives none.
 func unknownGauges() admission.Gauges {
 	return admission.Gauges{
-		CPUUtilization:    unknownGauge,
-		RunQueue:          unknownGauge,
-		MemoryUtilization: unknownGauge,
-		Connections:       unknownGauge,
+		CPUUtilization:    admission.UnknownGauge,
+		RunQueue:          admission.UnknownGauge,
+		MemoryUtilization: admission.UnknownGauge,
+		Connections:       admission.UnknownGauge,
 	}
 }
 
