--- a/admission/drain.go
+++ b/admission/drain.go
@@ -28,7 +28,9 @@
 	return max(c.now, c.stopAt-answerBeforeStop)
 }
 
-// arrivedAfterDrainGrace reports whether a request arrived too late to run.
+// arrivedAfterDrainGrace reports whether a request arrived too late to run. A stop that
+// comes before the end of the grace does not shorten it here; the server closes its
+// listeners by then (internal/proxy/dispatch/drain.go).
 func (c *Controller) arrivedAfterDrainGrace(r *request) bool {
 	return c.draining && r.arrivedAt > c.drainStartedAt+c.settings.DrainGracePeriod
 }
--- a/cmd/oxbowbridge/frontends.go
+++ b/cmd/oxbowbridge/frontends.go
@@ -34,7 +34,7 @@
 type configuredFrontend struct {
 	listener interface {
 		dispatch.Frontend
-		Listen(loop *eventloop.Loop, addr string, maxConns int, pool *fdquota.Pool) error
+		Listen(loop *eventloop.Loop, addr string, maxConns int, pool *fdquota.ConnPool) error
 		Addr() net.Addr
 	}
 	field   string // of the configuration
@@ -65,7 +65,7 @@
 
 // listenAll has all frontends listen, with equal parts of the caller connections. A notice
 // of the end stops the wait for an address in use.
-func listenAll(notice context.Context, cfg *config, frontends []configuredFrontend, loop *eventloop.Loop, pool *fdquota.Pool, log *zap.Logger) error {
+func listenAll(notice context.Context, cfg *config, frontends []configuredFrontend, loop *eventloop.Loop, pool *fdquota.ConnPool, log *zap.Logger) error {
 	maxWait := time.Duration(cfg.DrainTimeoutMS)*time.Millisecond + predecessorExitSlack
 	for _, f := range frontends {
 		listen := func() error { return f.listener.Listen(loop, f.address, pool.MaxCallers()/len(frontends), pool) }
--- a/cmd/oxbowbridge/service.go
+++ b/cmd/oxbowbridge/service.go
@@ -45,7 +45,7 @@
 // for an address in use.
 func newService(notice context.Context, cfg *config, log *zap.Logger) (*service, error) {
 	quotas := divideDescriptors(cfg, log)
-	pool := fdquota.NewPool(quotas)
+	pool := fdquota.NewConnPool(quotas)
 	loop, err := eventloop.New(quotas.Lingering)
 	if err != nil {
 		return nil, err
--- a/internal/proxy/dispatch/arrival.go
+++ b/internal/proxy/dispatch/arrival.go
@@ -59,40 +59,51 @@
 	}
 }
 
-// arrivalOf is the controller's event of a request. Age and Timeout are points in time
-// until arrivalAt turns them into spans.
-func (d *Dispatcher) arrivalOf(r *request) admission.Arrival {
-	a := admission.Arrival{
-		ID:           r.id,
-		Class:        r.Class,
-		Tenant:       d.tenants[r.Tenant],
-		ExpectedWork: r.ExpectedWork,
-		Age:          r.arrivedAt,
-		MemoryKB:     r.ReservedKB,
-		HasSubject:   r.HasSubject,
-		Retry:        r.IsRetry,
-		Rank:         r.Rank,
+// pendingArrival is the event of a request until the controller is called. Its Age and
+// Timeout are not set, as they depend on the time of that call.
+type pendingArrival struct {
+	admission.Arrival
+	arrivedAt       time.Duration
+	callerTimeoutAt time.Duration // 0: not known, the deadline of the class counts
+}
+
+// arrivalOf is the controller's event of a request.
+func (d *Dispatcher) arrivalOf(r *request) pendingArrival {
+	p := pendingArrival{
+		Arrival: admission.Arrival{
+			ID:           r.id,
+			Class:        r.Class,
+			Tenant:       d.tenants[r.Tenant],
+			ExpectedWork: r.ExpectedWork,
+			MemoryKB:     r.ReservedKB,
+			HasSubject:   r.HasSubject,
+			Retry:        r.IsRetry,
+			Rank:         r.Rank,
+		},
+		arrivedAt: r.arrivedAt,
 	}
-	if d.SiteSettings.Server.PassesDeadline && r.Timeout > 0 { // else the deadline of its class counts
-		a.Timeout = r.arrivedAt + r.Timeout
+	if d.SiteSettings.Server.PassesDeadline && r.Timeout > 0 {
+		p.callerTimeoutAt = r.arrivedAt + r.Timeout
 	}
 	if r.originalEntry != nil {
-		a.DuplicateOf = r.originalEntry.Owner
+		p.DuplicateOf = r.originalEntry.Owner
 	}
-	return a
+	return p
 }
 
-// arrivalAt completes the event when the controller is called.
-func arrivalAt(a admission.Arrival, now time.Duration) admission.Arrival {
-	a.Age = max(0, now-a.Age)
-	if a.Timeout != 0 {
-		a.Timeout = max(1, a.Timeout-now) // 0 would mean that it is not known
+// at completes the event for a call of the controller.
+func (p pendingArrival) at(now time.Duration) admission.Arrival {
+	a := p.Arrival
+	a.Age = max(0, now-p.arrivedAt)
+	if p.callerTimeoutAt != 0 {
+		a.Timeout = max(1, p.callerTimeoutAt-now) // 0 would mean that it is not known
 	}
 	return a
 }
 
 // callerGone ends a request whose connection is lost, or that its caller cancelled: no
-// response can reach the caller, and its resources go to others.
+// response can reach the caller, and its resources go to others. To respond all the same
+// releases the request's place in the exchange; the Responder drops the bytes.
 func (d *Dispatcher) callerGone(q *exchange.Request) {
 	r := d.byTraceID[q.TraceID]
 	if r == nil || r.Request != q || r.answered {
--- a/internal/proxy/dispatch/calls.go
+++ b/internal/proxy/dispatch/calls.go
@@ -48,8 +48,9 @@
 	})
 }
 
-// callEnded gives a reply to the runner, and reports the end to the controller, which may
-// have a call that failed made again.
+// callEnded gives a reply to the runner, and reports the end to the controller, which fails
+// the request if the call failed. Calls are retried by the DependencyClient alone, before
+// they end.
 func (d *Dispatcher) callEnded(r *request, o exchange.Outcome) {
 	d.Timers.Cancel(r.callTimer)
 	outcome := callOutcome(o.Result)
--- a/internal/proxy/dispatch/config.go
+++ b/internal/proxy/dispatch/config.go
@@ -17,9 +17,9 @@
 	// CloseIdle closes the connections that have had no open request for the given time.
 	// It returns how many remain, and how many bytes of responses are not sent yet.
 	CloseIdle(idle time.Duration) (remaining, unsentBytes int)
-	// Reap does what CloseIdle does, and ends connections whose callers leave a message
+	// Sweep does what CloseIdle does, and ends connections whose callers leave a message
 	// incomplete or do not read.
-	Reap(idle time.Duration)
+	Sweep(idle time.Duration)
 	// DrainConnections ends all connections, each once the requests read on it are answered.
 	DrainConnections()
 }
@@ -27,8 +27,9 @@
 // LingeringConns are the connections, of frontends and clients, that this side has shut
 // down and that wait for their peers to close.
 type LingeringConns interface {
-	// Reap closes those whose peers have had their time, and returns how many remain.
-	Reap(now time.Time) (remaining int)
+	// ReapLingering closes those whose peers have had their time, and returns how many
+	// remain. now is by time.Now, the clock of the event loop, not by Config.Now.
+	ReapLingering(now time.Time) (remaining int)
 }
 
 // Registry lists the service with the balancers.
@@ -64,8 +65,9 @@
 	Now func() time.Duration
 	// Log takes the dispatcher's messages.
 	Log *zap.Logger
-	// Seed seeds the random draws of the admission controller; default 0.
+	// Seed is handed to admission.New, which does not use it: no decision is random.
+	// Default 0.
 	Seed uint64
-	// Settings are the service's settings as configured.
+	// SiteSettings are the service's settings as configured.
 	SiteSettings *simproto.Settings
 }
--- a/internal/proxy/dispatch/dispatcher.go
+++ b/internal/proxy/dispatch/dispatcher.go
@@ -11,7 +11,8 @@
 )
 
 const (
-	// sweepInterval is the time between two looks for connections that are idle or stuck.
+	// sweepInterval is the time between two sweeps, which look for connections that are idle
+	// or stuck. frontend.maxStalledSweeps counts in it.
 	sweepInterval = 200 * time.Millisecond
 	// lateTurnThreshold is how late a timer may run without a message in the log.
 	lateTurnThreshold = 20 * time.Millisecond
@@ -111,7 +112,7 @@
 		d.Log.Warn("dispatch turn late", zap.Int64("late_ms", (d.Now()-next).Milliseconds()))
 	}
 	d.Timers.RunDue(d.Now())
-	d.handlePosted()
+	d.handlePosted() // once more, as timers may post
 	if len(d.pendingEvents) > 0 {
 		d.decide()
 	}
@@ -174,7 +175,7 @@
 // has a turn follow.
 func (d *Dispatcher) reportNextTurn(e admission.Event) {
 	d.report(e)
-	d.Exchange.Post(exchange.Callback(func() {}))
+	d.Exchange.Wakeup()
 }
 
 // decide calls the controller and carries out its actions.
@@ -184,8 +185,8 @@
 	}
 	now := d.Now()
 	for i, e := range d.pendingEvents {
-		if a, ok := e.(admission.Arrival); ok {
-			d.pendingEvents[i] = arrivalAt(a, now)
+		if p, ok := e.(pendingArrival); ok {
+			d.pendingEvents[i] = p.at(now)
 		}
 	}
 	d.lastDecision = now
@@ -196,7 +197,8 @@
 	}
 }
 
-// startController waits for the first event, as only then is known whether the runner is cold.
+// startController creates the controller at the first event. If that is RunnerReady, the
+// slow start is the runner's; a request that arrives before has it taken from the settings.
 func (d *Dispatcher) startController() {
 	d.controllerSettings.SlowStart = d.coldStart
 	controller, err := admission.New(d.controllerSettings, d.Seed)
@@ -208,9 +210,9 @@
 
 // sweepConnections closes connections that are idle, stuck, or have lingered long enough.
 func (d *Dispatcher) sweepConnections() {
-	d.Lingering.Reap(time.Now())
+	d.Lingering.ReapLingering(time.Now())
 	for _, f := range d.Frontends {
-		f.Reap(d.idleTimeout)
+		f.Sweep(d.idleTimeout)
 	}
 	d.Timers.Schedule(d.Now()+sweepInterval, d.sweepConnections)
 }
--- a/internal/proxy/dispatch/drain.go
+++ b/internal/proxy/dispatch/drain.go
@@ -6,27 +6,33 @@
 	"go.uber.org/zap"
 
 	"oxbowbridge/admission"
+	"oxbowbridge/internal/proxy/exchange"
 )
 
 // The drain, from the notice (SIGTERM) to the end of the process. All times count from the
 // notice, also where it is handled late.
 //
-//   - At once: the registry lists the service as unavailable, and the controller gets
-//     drainTimeout - answerLead for the requests in hand. Requests are still taken, as
-//     balancers hear of a drain late.
+//   - At once: the registry lists the service as unavailable, and the controller is told of a
+//     stop that is answerLead earlier. Requests are still taken, as balancers learn of a drain
+//     late.
 //   - After DrainGracePeriod (settings), at the latest answerLead before the stop: listeners
 //     close, and connections close once they are idle.
-//   - drainConnectionsLead before the stop: all connections are told to finish.
+//   - drainConnectionsLead before the stop: DrainConnections, which drops incomplete messages.
 //   - The process ends when no connection, unsent byte or unanswered request has been left
 //     for closeRaceWindow, and exitLead before the stop in any case.
+//
+// Two more times stand elsewhere: the controller rejects what arrives after DrainGracePeriod,
+// which it does not cut at a near stop, and answers all by answerBeforeStop before the stop
+// that it was told (admission/drain.go); a service with a store is stopped earlier, to close
+// the store (cmd/oxbowbridge).
 const (
 	// answerLead is kept of the drain timeout for the last responses and closes.
 	answerLead = 250 * time.Millisecond
 	// exitLead is how long before the stop the process ends, whatever is left.
 	exitLead = 100 * time.Millisecond
-	// closeRaceWindow is how long a request that was sent while its connection closed may
-	// take to come again on another one.
-	closeRaceWindow = 100 * time.Millisecond
+	// closeRaceWindow is for how long nothing must be left before the process ends: a request
+	// may have crossed the close of its connection, and comes again on another one.
+	closeRaceWindow = 2 * exchange.MaxCloseRace
 	// drainConnectionsLead is how long before the stop connections with incomplete messages end.
 	drainConnectionsLead = exitLead + closeRaceWindow
 	// drainPollInterval is the time between two looks at what is left.
@@ -107,7 +113,7 @@
 // which will not be requests any more. It returns how many remain, and how many bytes are
 // not sent yet.
 func (d *Dispatcher) closeIdle(now time.Duration) (remaining, unsentBytes int) {
-	remaining = d.Lingering.Reap(time.Now())
+	remaining = d.Lingering.ReapLingering(time.Now())
 	for _, f := range d.Frontends {
 		if now >= d.drain.stopAt-drainConnectionsLead {
 			f.DrainConnections()
--- a/internal/proxy/dispatch/gauges.go
+++ b/internal/proxy/dispatch/gauges.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// gaugePollLead is how long before a controller's timer the runner is asked for its
-	// gauges, so that they are fresh when the timer is due.
+	// gaugePollLead is how long before a controller's timer the runner is polled for its
+	// gauges, so that the answer has come when the timer is due.
 	gaugePollLead = 8 * time.Millisecond
 	// maxDecisionGaugeAge is the age up to which gauges describe the present for the
 	// controller; older ones count as unknown.
--- a/internal/proxy/dispatch/idempotency.go
+++ b/internal/proxy/dispatch/idempotency.go
@@ -38,7 +38,7 @@
 func (d *Dispatcher) claimKey(r *request) bool {
 	now := d.Now()
 	key := idempotency.Request{Key: r.IdempotencyKey, Class: r.Class, Body: r.Body}
-	entry, owner, err := d.idempotency.Claim(now, key, r.id)
+	claim, err := d.idempotency.Claim(now, key, r.id)
 	switch {
 	case errors.Is(err, idempotency.ErrKeyReused):
 		d.Log.Warn("idempotency key reused for another request", zap.String("trace_id", r.TraceID))
@@ -48,10 +48,10 @@
 		d.Log.Warn("request rejected, idempotency table full", zap.Int("keys", d.idempotency.Len()))
 		d.sendResponse(r.Request, exchange.Response{Kind: exchange.Rejected, RetryAfter: d.untilKeyExpires(now)})
 		return false
-	case owner:
-		r.ownedEntry = entry
+	case claim.Owned:
+		r.ownedEntry = claim.Entry
 	default:
-		r.originalEntry = entry
+		r.originalEntry = claim.Entry
 	}
 	return true
 }
--- a/internal/proxy/dispatch/invariants_test.go
+++ b/internal/proxy/dispatch/invariants_test.go
@@ -122,14 +122,14 @@
 // idleFrontend has no connections.
 type idleFrontend struct{ *surroundings }
 
-// Reap does nothing.
-func (idleFrontend) Reap(time.Duration) {}
+// Sweep does nothing.
+func (idleFrontend) Sweep(time.Duration) {}
 
 // noLingering has no connections.
 type noLingering struct{}
 
-// Reap finds nothing.
-func (noLingering) Reap(time.Time) int { return 0 }
+// ReapLingering finds nothing.
+func (noLingering) ReapLingering(time.Time) int { return 0 }
 
 // TestInvariants: whatever callers repeat, however runs and calls end, and whatever actions
 // come, a request has one response, nothing that must run once runs twice, and no rejection
--- a/internal/proxy/dispatch/response.go
+++ b/internal/proxy/dispatch/response.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// sendResponse answers a request that is not recorded here. The exchange then has
-// room for another.
+// sendResponse sends the response, and releases the request's place in the exchange. For a
+// recorded request it is called by respond alone.
 func (d *Dispatcher) sendResponse(q *exchange.Request, response exchange.Response) {
 	d.Exchange.Release()
 	q.Responder.Respond(response)
--- a/internal/proxy/dispatch/runs.go
+++ b/internal/proxy/dispatch/runs.go
@@ -40,14 +40,16 @@
 	}
 }
 
-// stop has the runner end a run. The runner reports the end.
+// stop cancels the call of a run and has the runner end the run; the runner reports the
+// end. With PreemptionNone no run can be stopped: it is left to the runner, and when its end
+// is reported its result is dropped.
 func (d *Dispatcher) stop(r *request) {
 	if r.state == calling {
 		d.Dependency.Cancel(r.TraceID)
 	}
 	d.Timers.Cancel(r.callTimer)
 	r.state.advance(stopRun)
-	if d.controllerSettings.Preemption != admission.PreemptionNone { // else the runner ends it at its call, when it learns of the response
+	if d.controllerSettings.Preemption != admission.PreemptionNone {
 		d.Runner.Stop(r.TraceID, r.answered)
 	}
 }
@@ -87,8 +89,9 @@
 		d.requeue(r)
 		return
 	default:
-		unknown := o.Result == exchange.ResultNotStarted // to the runner
-		d.respond(r, exchange.Response{Kind: exchange.Failed, InvalidRequest: unknown})
+		// The runner takes only trace ids that a balancer has sent: this caller made its up.
+		runnerKnowsNoSuchRequest := o.Result == exchange.ResultNotStarted
+		d.respond(r, exchange.Response{Kind: exchange.Failed, InvalidRequest: runnerKnowsNoSuchRequest})
 	}
 	d.forget(r)
 }
--- a/internal/proxy/dispatch/settings.go
+++ b/internal/proxy/dispatch/settings.go
@@ -15,20 +15,20 @@
 	errNameTwice   = errors.New("is there twice")
 )
 
-// ControllerSettings returns the controller's settings, or an error that names the field which
-// can't be served. What the protocols have no field for stays unused: results of reads are
+// ControllerSettings returns the controller's settings at a site, or an error that names the
+// field which can't be served. What the protocols have no field for stays unused: results of reads are
 // not shared, and calls are not skipped.
-func ControllerSettings(w *simproto.Settings) (admission.Settings, error) {
-	settings, err := w.Admission()
+func ControllerSettings(site *simproto.Settings) (admission.Settings, error) {
+	settings, err := site.Admission()
 	if err != nil {
 		return settings, err
 	}
-	if err := w.Validate(); err != nil {
+	if err := site.Validate(); err != nil {
 		return settings, err
 	}
 	names := map[string]bool{}
 	for i := range settings.Classes {
-		name := w.Classes[i].Name
+		name := site.Classes[i].Name
 		if err := checkClassName(name, names); err != nil {
 			return settings, fmt.Errorf("classes.%d.name: %w", i, err)
 		}
--- a/internal/proxy/dispatch/state.go
+++ b/internal/proxy/dispatch/state.go
@@ -41,7 +41,7 @@
 	needCall                          // the runner reports that the run needs a call
 	sendCall                          // the controller has the call made
 	callSucceeded                     // the reply goes to the runner
-	callFailed                        // the controller decides whether to call again
+	callFailed                        // the run waits until the controller fails the request
 	stopRun                           // the runner is told to stop the run, and reports its end later
 	requeueRun                        // a preempted run has ended without its progress
 	pauseRun                          // a preempted run has ended, and its progress is kept
--- a/internal/proxy/exchange/exchange.go
+++ b/internal/proxy/exchange/exchange.go
@@ -59,6 +59,9 @@
 	x.signal()
 }
 
+// Wakeup has the dispatcher take a turn without an event.
+func (x *Exchange) Wakeup() { x.signal() }
+
 func (x *Exchange) signal() {
 	select {
 	case x.wake <- struct{}{}:
@@ -66,7 +69,7 @@
 	}
 }
 
-// Wake has a value if something was posted since the last Dequeue.
+// Wake has a value if something was posted, or Wakeup was called, since the last read of it.
 func (x *Exchange) Wake() <-chan struct{} { return x.wake }
 
 // Dequeue returns all posted events, in their order, and empties the queue. It reuses buf.
--- a/internal/proxy/exchange/request.go
+++ b/internal/proxy/exchange/request.go
@@ -5,6 +5,10 @@
 	"time"
 )
 
+// MaxCloseRace is how long a request may take to cross the close of its connection, by the
+// protocol of the balancers: the caller sends it again elsewhere.
+const MaxCloseRace = 50 * time.Millisecond
+
 // traceIDLength is the length of a trace id in hex digits.
 const traceIDLength = 16
 
--- a/internal/proxy/fdquota/divide.go
+++ b/internal/proxy/fdquota/divide.go
@@ -1,18 +1,18 @@
 package fdquota
 
 const (
-	// ownDescriptors is what the service opens for itself after its start: the event loop
+	// serviceDescriptors is what the service opens for itself after its start: the event loop
 	// (2), the engine's connection and its successor (2), the registry's socket and its
 	// successor (2), a connection that has two descriptors while the event loop takes it
 	// over (2), one that a closing listener accepts (2), and files that are read (2).
-	ownDescriptors = 12
+	serviceDescriptors = 12
 
-	// lingeringDivisor: one in so many of the remaining descriptors is for lingering
-	// connections. There may be twice as many for a moment, so two in so many are set aside.
+	// The quota of lingering connections is a sixteenth of the remaining descriptors. There
+	// may be twice as many for a moment, so an eighth is set aside.
 	lingeringDivisor = 16
-	// reservedCallsDivisor: one in so many connections is reserved for calls.
+	// An eighth of the connections is reserved for calls.
 	reservedCallsDivisor = 8
-	// callsDivisor: at most one in so many connections is used by calls.
+	// Calls use at most half of the connections.
 	callsDivisor = 2
 
 	// With fewer than these the service could not do its work.
@@ -52,7 +52,7 @@
 // can work with, they are the minimum, and BelowMinimum is set: a service that may run out
 // of descriptors is of more use than one that does not start.
 func Divide(u Usage) Quotas {
-	remaining := u.Limit - u.AlreadyOpen - u.Listeners - u.Reserved - ownDescriptors
+	remaining := u.Limit - u.AlreadyOpen - u.Listeners - u.Reserved - serviceDescriptors
 	lingering := max(remaining/lingeringDivisor, minLingering)
 	connections := remaining - 2*lingering
 	q := Quotas{
--- a/internal/proxy/fdquota/fdquota_test.go
+++ b/internal/proxy/fdquota/fdquota_test.go
@@ -27,7 +27,7 @@
 			Listeners:   rapid.IntRange(1, 3).Draw(t, "listeners"),
 			Reserved:    rapid.IntRange(0, 200).Draw(t, "others"),
 		}
-		others := u.AlreadyOpen + u.Listeners + u.Reserved + ownDescriptors
+		others := u.AlreadyOpen + u.Listeners + u.Reserved + serviceDescriptors
 		q := Divide(u)
 		if q.BelowMinimum {
 			require.Less(t, u.Limit-others, minConnections+2*minLingering+lingeringDivisor, "below the minimum though there is room")
@@ -46,7 +46,7 @@
 func TestPool(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		quotas := Divide(Usage{Limit: rapid.IntRange(30, 600).Draw(t, "limit"), AlreadyOpen: 10, Listeners: 1})
-		p := NewPool(quotas)
+		p := NewConnPool(quotas)
 		callers, calls := 0, 0
 		for range rapid.IntRange(1, 500).Draw(t, "steps") {
 			switch rapid.SampledFrom([]string{"caller", "caller", "caller leaves", "call", "call", "call ends"}).Draw(t, "step") {
--- a/internal/proxy/fdquota/pool.go
+++ b/internal/proxy/fdquota/pool.go
@@ -2,10 +2,10 @@
 
 import "sync"
 
-// Pool counts the open connections of callers and calls, which share Quotas.Connections.
+// ConnPool counts the open connections of callers and calls, which share Quotas.Connections.
 // Calls may use what callers leave, up to half of all, and always have ReservedCalls. It is
 // safe for concurrent use.
-type Pool struct {
+type ConnPool struct {
 	quotas Quotas
 
 	mu      sync.Mutex
@@ -13,28 +13,28 @@
 	calls   int
 }
 
-// NewPool returns a Pool without open connections.
-func NewPool(q Quotas) *Pool { return &Pool{quotas: q} }
+// NewConnPool returns a ConnPool without open connections.
+func NewConnPool(q Quotas) *ConnPool { return &ConnPool{quotas: q} }
 
 // MaxCallers is the maximum of caller connections.
-func (p *Pool) MaxCallers() int { return p.quotas.Connections - p.quotas.ReservedCalls }
+func (p *ConnPool) MaxCallers() int { return p.quotas.Connections - p.quotas.ReservedCalls }
 
 // HasCallerCapacity tells whether there is room for one more caller.
-func (p *Pool) HasCallerCapacity() bool {
+func (p *ConnPool) HasCallerCapacity() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.callers+max(p.calls, p.quotas.ReservedCalls) < p.quotas.Connections
 }
 
 // AddCallers counts n callers more; less if n is negative.
-func (p *Pool) AddCallers(n int) {
+func (p *ConnPool) AddCallers(n int) {
 	p.mu.Lock()
 	p.callers += n
 	p.mu.Unlock()
 }
 
 // AcquireCall counts one more call, if there is room for it.
-func (p *Pool) AcquireCall() bool {
+func (p *ConnPool) AcquireCall() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	reserved := p.calls < p.quotas.ReservedCalls
@@ -47,14 +47,14 @@
 }
 
 // Calls is the number of open calls.
-func (p *Pool) Calls() int {
+func (p *ConnPool) Calls() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.calls
 }
 
 // ReleaseCall counts one call less.
-func (p *Pool) ReleaseCall() {
+func (p *ConnPool) ReleaseCall() {
 	p.mu.Lock()
 	p.calls--
 	p.mu.Unlock()
--- a/internal/proxy/idempotency/table.go
+++ b/internal/proxy/idempotency/table.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	// entryOverhead is the memory of an entry in bytes, without key and result: its
+	// entryOverhead is what an entry counts for in bytes, beside key and result: its
 	// structure, its place in the map and in the order of expiry.
 	entryOverhead = 512
 	// longKeyBytes is the length of a long key.
@@ -81,17 +81,25 @@
 // UsedBytes are counted for all entries, with the results that are still to come.
 func (t *Table) UsedBytes() int { return t.usedBytes }
 
-// Claim returns the entry of an attempt's request. The first attempt of a request becomes
-// the owner of a new entry; owner is false for each further one. The error is ErrKeyReused
-// or ErrTableFull, and there is no entry then.
-func (t *Table) Claim(now time.Duration, request Request, attempt uint32) (entry *Entry, owner bool, err error) {
+// Claim is an attempt's part in the entry of its request.
+type Claim struct {
+	// Entry is that of the request.
+	Entry *Entry
+	// Owned says that the attempt is the owner of the entry, and may run.
+	Owned bool
+}
+
+// Claim returns the claim of an attempt. The first attempt of a request becomes the owner
+// of a new entry, each further one is a duplicate. The error is ErrKeyReused or
+// ErrTableFull, and there is no entry then.
+func (t *Table) Claim(now time.Duration, request Request, attempt uint32) (Claim, error) {
 	t.removeExpired(now)
 	body := sha256.Sum256(request.Body)
 	if e := t.byKey[request.Key]; e != nil {
 		if e.class != request.Class || e.body != body {
-			return nil, false, ErrKeyReused
+			return Claim{}, ErrKeyReused
 		}
-		return e, false, nil
+		return Claim{Entry: e}, nil
 	}
 	e := &Entry{
 		Owner: attempt,
@@ -101,11 +109,11 @@
 		bytes: entryOverhead + len(request.Key) + ReservedResultBytes,
 	}
 	if t.usedBytes+e.bytes > t.maxBytes {
-		return nil, false, ErrTableFull
+		return Claim{}, ErrTableFull
 	}
 	t.usedBytes += e.bytes
 	t.byKey[request.Key] = e
-	return e, true, nil
+	return Claim{Entry: e, Owned: true}, nil
 }
 
 // AddWaiter notes that an attempt waits for the end of the entry's owner.
--- a/internal/proxy/idempotency/table_test.go
+++ b/internal/proxy/idempotency/table_test.go
@@ -62,11 +62,12 @@
 				}
 				attempt++
 				used := table.UsedBytes()
-				e, owner, err := table.Claim(now, Request{Key: key, Class: 1, Body: []byte(body)}, attempt)
+				claim, err := table.Claim(now, Request{Key: key, Class: 1, Body: []byte(body)}, attempt)
+				e := claim.Entry
 				switch k := keys[key]; {
 				case k != nil && k.body == body:
 					require.NoError(t, err)
-					require.False(t, owner)
+					require.False(t, claim.Owned)
 					require.Same(t, k.entry, e)
 				case k != nil:
 					require.ErrorIs(t, err, ErrKeyReused)
@@ -76,7 +77,7 @@
 					require.Greater(t, used+entryOverhead+len(key)+ReservedResultBytes, maxBytes)
 				default:
 					require.NoError(t, err)
-					require.True(t, owner)
+					require.True(t, claim.Owned)
 					require.Equal(t, attempt, e.Owner)
 					keys[key] = &known{entry: e, body: body}
 				}
@@ -128,10 +129,10 @@
 // TestClassIsPartOfRequest: the same key and body in another class is another request.
 func TestClassIsPartOfRequest(t *testing.T) {
 	table := New(1 << 20)
-	_, owner, err := table.Claim(0, Request{Key: "k", Class: 1}, 1)
+	claim, err := table.Claim(0, Request{Key: "k", Class: 1}, 1)
 	require.NoError(t, err)
-	require.True(t, owner)
-	_, _, err = table.Claim(0, Request{Key: "k", Class: 2}, 2)
+	require.True(t, claim.Owned)
+	_, err = table.Claim(0, Request{Key: "k", Class: 2}, 2)
 	require.ErrorIs(t, err, ErrKeyReused)
 	require.Equal(t, 1, table.Len())
 }
--- a/internal/proxy/slowstart/slowstart.go
+++ b/internal/proxy/slowstart/slowstart.go
@@ -1,6 +1,11 @@
 // Package slowstart bounds the runs that one process has in flight at a server that has just
 // started, so that all processes together stay within what such a server survives.
 //
+// Package admission has the formula of [Config.MaxRuns] for the server that it runs in
+// (admission/slowstart.go), where only part of the runs is used. It imports no other package
+// of the module, so that the formula stands twice. Here the runs are divided among the
+// processes, without a reserve.
+//
 // The processes do not communicate. Each knows the settings, how many processes there are,
 // and when it learned of the start. The package does no I/O and has no clock.
 package slowstart
@@ -74,8 +79,8 @@
 func (s *SlowStart) Warm(now time.Duration) bool { return s.config.IsWarm(now - s.learnedAt) }
 
 // Quota is how many runs this process may have in flight at the server now; math.MaxInt
-// once the server is warm. Where the process's part of the total is no whole number, the
-// fraction is the chance of one run more, drawn anew in each window. As the processes draw
+// once the server is warm. Where the process's part of the total is no whole number, its
+// fractional part is granted at random, once per averaging window. As the processes draw
 // independently, the sum of their quotas differs from the total by chance alone, which
 // grows with its square root.
 func (s *SlowStart) Quota(now time.Duration) int {
--- a/internal/proxy/timerqueue/queue.go
+++ b/internal/proxy/timerqueue/queue.go
@@ -1,5 +1,6 @@
-// Package timerqueue holds functions that are due at some time in one sorted list. It has
-// no clock and no goroutine: its owner runs what is due. A Queue belongs to one goroutine.
+// Package timerqueue is a queue of timers, each a function and the time at which it is due.
+// It has no clock and no goroutine: its owner runs what is due. A Queue belongs to one
+// goroutine.
 package timerqueue
 
 import (
--- a/internal/transport/ajp/conn_test.go
+++ b/internal/transport/ajp/conn_test.go
@@ -42,7 +42,7 @@
 	}
 
 	c := connect()
-	require.True(t, c.CloseIdle(time.Now().Add(time.Hour), 0))
+	require.True(t, c.CloseIfIdle(time.Now().Add(time.Hour), 0))
 	require.NoError(t, c.forwardRequest(forward), "looked at before the close")
 	require.Nil(t, c.open)
 
--- a/internal/transport/eventloop/close_test.go
+++ b/internal/transport/eventloop/close_test.go
@@ -63,13 +63,13 @@
 	require.Equal(t, len(answer), len(got))
 	_, err = c.Write([]byte("and after it"))
 	require.NoError(t, err)
-	require.Equal(t, 1, loop.Reap(time.Now()), "still there for its peer")
+	require.Equal(t, 1, loop.ReapLingering(time.Now()), "still there for its peer")
 	require.NoError(t, c.CloseWrite())
 	require.NoError(t, drop(<-p.closed))
 	require.Empty(t, p.data, "nothing is handled after the end")
 	_, err = c.Read(make([]byte, 1))
 	require.Equal(t, io.EOF, err, "no reset in the end either")
-	require.Zero(t, loop.Reap(time.Now()))
+	require.Zero(t, loop.ReapLingering(time.Now()))
 }
 
 // drop is an error that is not the peer's end.
@@ -96,12 +96,12 @@
 		for _, p := range peers {
 			p.conn.CloseGracefully()
 		}
-		lingering = loop.Reap(time.Now())
+		lingering = loop.ReapLingering(time.Now())
 		if time.Since(start) < minLinger {
 			return peers, lingering
 		}
 		require.LessOrEqual(t, lingering, lingerOvercommit*2)
-		require.Zero(t, loop.Reap(time.Now().Add(maxLinger)))
+		require.Zero(t, loop.ReapLingering(time.Now().Add(maxLinger)))
 	}
 	require.Fail(t, "the machine is too busy to close connections within minLinger")
 	return nil, 0
@@ -114,8 +114,8 @@
 	p, _ := connect()
 	p.conn.CloseGracefully()
 	p.conn.CloseGracefully() // once is enough
-	require.Equal(t, 1, loop.Reap(time.Now()))
-	require.Zero(t, loop.Reap(time.Now().Add(maxLinger)), "its time is over")
+	require.Equal(t, 1, loop.ReapLingering(time.Now()))
+	require.Zero(t, loop.ReapLingering(time.Now().Add(maxLinger)), "its time is over")
 	<-p.closed
 
 	p, c := connect()
@@ -132,7 +132,7 @@
 
 	_, lingering := closeWithinMinLinger(t, loop, connect, lingerOvercommit*2+1)
 	require.Equal(t, lingerOvercommit*2, lingering)
-	require.Zero(t, loop.Reap(time.Now().Add(maxLinger)))
+	require.Zero(t, loop.ReapLingering(time.Now().Add(maxLinger)))
 
 	peers, lingering := closeWithinMinLinger(t, loop, connect, 3)
 	require.Equal(t, 3, lingering, "what crosses an end has its time, whatever the bound")
@@ -168,7 +168,7 @@
 			read += n
 		}
 		began = began.Add(maxLinger * 9 / 10)
-		require.Equal(t, 1, loop.Reap(began), "after %d bytes", read)
+		require.Equal(t, 1, loop.ReapLingering(began), "after %d bytes", read)
 	}
 	_, err := io.Copy(io.Discard, c)
 	require.NoError(t, err)
@@ -179,7 +179,7 @@
 	at := time.Now()
 	require.Eventually(t, func() bool { // once the system's buffers are full
 		at = at.Add(maxLinger)
-		return loop.Reap(at) == 0
+		return loop.ReapLingering(at) == 0
 	}, 10*time.Second, time.Millisecond, "its time is over")
 	<-p.closed
 }
@@ -196,7 +196,7 @@
 		p.conn.CloseGracefully()
 		p.conn.Abort()
 	}
-	require.Zero(t, loop.Reap(time.Now()))
+	require.Zero(t, loop.ReapLingering(time.Now()))
 	loop.mu.Lock()
 	defer loop.mu.Unlock()
 	require.Empty(t, loop.aborted)
--- a/internal/transport/eventloop/conn.go
+++ b/internal/transport/eventloop/conn.go
@@ -43,7 +43,7 @@
 	pendingBytes  int       // that wait to be sent
 	droppedBytes  int       // that were received after the close was requested
 	closeAt       time.Time // when a connection that was closed is aborted, whatever its peer does
-	lastReapBytes int       // that waited to be sent at the latest Reap since the close was requested
+	lastReapBytes int       // that waited to be sent at the latest ReapLingering since the close was requested
 	requestedAt   time.Time // when the close was requested
 }
 
--- a/internal/transport/eventloop/linger.go
+++ b/internal/transport/eventloop/linger.go
@@ -53,10 +53,10 @@
 	return evicted
 }
 
-// Reap aborts lingering connections whose peers have had their time, and returns how many still
+// ReapLingering aborts lingering connections whose peers have had their time, and returns how many still
 // linger. It also closes aborted connections that the loop's events have not closed in
 // maxLinger.
-func (l *Loop) Reap(now time.Time) (lingering int) {
+func (l *Loop) ReapLingering(now time.Time) (lingering int) {
 	var expired []*Conn
 	l.mu.Lock()
 	l.lingering = slices.DeleteFunc(l.lingering, func(c *Conn) bool {
@@ -77,7 +77,7 @@
 }
 
 // lingerExpired reports whether the peer has had its time. A peer that has read some of what
-// was written since the Reap before has time anew.
+// was written since the ReapLingering before has time anew.
 func (c *Conn) lingerExpired(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/transport/fastcgi/conn_test.go
+++ b/internal/transport/fastcgi/conn_test.go
@@ -58,7 +58,7 @@
 	_, err = peer.Write(request)
 	require.NoError(t, err)
 	require.Eventually(t, c.HasPartialMessage, 10*time.Second, time.Millisecond)
-	require.False(t, c.CloseIdle(time.Now().Add(time.Hour), 0))
+	require.False(t, c.CloseIfIdle(time.Now().Add(time.Hour), 0))
 	goOn()
 	var got []exchange.Event
 	require.Eventually(t, func() bool { got = append(got, f.Exchange.Dequeue(nil)...); return len(got) > 0 }, 10*time.Second, time.Millisecond)
@@ -102,7 +102,7 @@
 	<-g.begun
 	require.True(t, g.HasUnread())
 	require.True(t, g.HasPartialMessage())
-	require.False(t, g.CloseIdle(time.Now().Add(time.Hour), 0))
+	require.False(t, g.CloseIfIdle(time.Now().Add(time.Hour), 0))
 	close(g.open)
 	var got []exchange.Event
 	require.Eventually(t, func() bool { got = append(got, f.Exchange.Dequeue(nil)...); return len(got) > 0 }, 10*time.Second, time.Millisecond)
--- a/internal/transport/fastcgi/frontend.go
+++ b/internal/transport/fastcgi/frontend.go
@@ -20,7 +20,7 @@
 
 // Listen accepts at most maxConns connections on the address, as far as the pool has
 // descriptors for them.
-func (f *Frontend) Listen(loop *eventloop.Loop, addr string, maxConns int, pool *fdquota.Pool) error {
+func (f *Frontend) Listen(loop *eventloop.Loop, addr string, maxConns int, pool *fdquota.ConnPool) error {
 	return f.Server.Listen(loop, addr, maxConns, pool, func(raw *eventloop.Conn) *frontend.Conn { return f.newConn(raw).Conn })
 }
 
--- a/internal/transport/frontend/evict.go
+++ b/internal/transport/frontend/evict.go
@@ -92,7 +92,7 @@
 
 // evictIdle closes a connection if it is idle, and reports whether it was.
 func (s *Server) evictIdle(c *Conn, now time.Time) bool {
-	if !c.CloseIdle(now, 0) {
+	if !c.CloseIfIdle(now, 0) {
 		return false
 	}
 	s.forget(c)
--- a/internal/transport/frontend/reap.go
+++ b/internal/transport/frontend/reap.go
@@ -54,11 +54,11 @@
 	}
 }
 
-// CloseIdle closes the connection gracefully if no request has been open for the given time, and
+// CloseIfIdle closes the connection gracefully if no request has been open for the given time, and
 // reports whether it did. A connection with part of a message is not idle; nor is one with unread
 // bytes, which may be a request that was sent long before the close. A draining connection is
 // closed once its requests are answered, and counts as closed from then on.
-func (c *Conn) CloseIdle(now time.Time, idle time.Duration) bool {
+func (c *Conn) CloseIfIdle(now time.Time, idle time.Duration) bool {
 	c.Lock()
 	defer c.Unlock()
 	if c.refusing {
@@ -72,10 +72,10 @@
 	return true
 }
 
-// Reap closes the connections of callers that have stalled, and those that have been idle for the
+// Sweep closes the connections of callers that have stalled, and those that have been idle for the
 // given time. The connection of a caller that reads no answers is aborted. One whose request is
 // overdue is closed, or drained, unless it has unread bytes: the request may be among them.
-func (s *Server) Reap(idle time.Duration) {
+func (s *Server) Sweep(idle time.Duration) {
 	s.mu.Lock()
 	closed := 0
 	now := time.Now()
@@ -85,7 +85,7 @@
 			closed++
 			c.Abort()
 		case stalled:
-			if c.CloseIdle(now, 0) {
+			if c.CloseIfIdle(now, 0) {
 				closed++
 			} else if !c.HasUnread() {
 				closed++
@@ -111,7 +111,7 @@
 	now := time.Now()
 	for c := range s.conns {
 		unsentBytes += c.PendingBytes()
-		if !c.CloseIdle(now, idle) {
+		if !c.CloseIfIdle(now, idle) {
 			remaining++
 		}
 	}
--- a/internal/transport/frontend/server.go
+++ b/internal/transport/frontend/server.go
@@ -27,8 +27,8 @@
 	conns           map[*Conn]struct{}
 	listener        net.Listener
 	maxConns        int
-	pool            *fdquota.Pool // of descriptors, shared with calls and other frontends
-	drainingBacklog bool          // the listener still accepts connections that were made before it was closed
+	pool            *fdquota.ConnPool // of descriptors, shared with calls and other frontends
+	drainingBacklog bool              // the listener still accepts connections that were made before it was closed
 }
 
 // NewServer returns a Server that does not listen yet.
@@ -38,7 +38,7 @@
 // maxConns, or beyond what the pool has, evict others, which leaves descriptors for the sessions
 // with upstream services. Where none can be evicted the new one is closed: nothing runs, and a
 // request that is on its way is sent again elsewhere.
-func (s *Server) Listen(loop *eventloop.Loop, addr string, maxConns int, pool *fdquota.Pool, accept func(*eventloop.Conn) *Conn) error {
+func (s *Server) Listen(loop *eventloop.Loop, addr string, maxConns int, pool *fdquota.ConnPool, accept func(*eventloop.Conn) *Conn) error {
 	s.conns = map[*Conn]struct{}{}
 	s.maxConns = maxConns
 	s.pool = pool
--- a/internal/transport/records/client.go
+++ b/internal/transport/records/client.go
@@ -13,9 +13,9 @@
 // Client is the exchange.DependencyClient that speaks to the records service.
 type Client struct {
 	session.Config
-	addr    string        // "" without a service
-	pool    *fdquota.Pool // of descriptors for connections
-	linger  time.Duration // for which a canceled call still counts at the service
+	addr    string            // "" without a service
+	pool    *fdquota.ConnPool // of descriptors for connections
+	linger  time.Duration     // for which a canceled call still counts at the service
 	calls   map[string]*call
 	queue   []*call // without a connection, oldest first
 	idle    []*conn // the latest used last
@@ -42,7 +42,7 @@
 // them. Without an address each call ends as unreachable. A canceled call may go on counting for
 // linger at a service that several share: a call is sent again only after that, so that each
 // request has one at a time.
-func New(addr string, pool *fdquota.Pool, linger time.Duration, deps session.Config) *Client {
+func New(addr string, pool *fdquota.ConnPool, linger time.Duration, deps session.Config) *Client {
 	return &Client{
 		Config:  deps,
 		addr:    addr,
--- a/internal/transport/records/client_test.go
+++ b/internal/transport/records/client_test.go
@@ -23,7 +23,7 @@
 // the test says so.
 type rig struct {
 	t        *testing.T
-	pool     *fdquota.Pool
+	pool     *fdquota.ConnPool
 	client   *Client
 	exchange *exchange.Exchange
 	calls    chan received // that have reached the service
@@ -37,7 +37,7 @@
 }
 
 func newRig(t *testing.T, most int) *rig {
-	pool := fdquota.NewPool(fdquota.Quotas{Connections: 2 * most, ReservedCalls: most})
+	pool := fdquota.NewConnPool(fdquota.Quotas{Connections: 2 * most, ReservedCalls: most})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { ln.Close() })
