--- a/internal/proxy/exchange/request.go
+++ b/internal/proxy/exchange/request.go
@@ -27,7 +27,7 @@
 	Tenant string
 	// ExpectedWork is the caller's estimate of the work on a standard core; 0 if there is none.
 	ExpectedWork time.Duration
-	// ReservedKB is the memory that the request takes while it is in flight, in KiB.
+	// ReservedKB is the memory that the request takes while it is in flight, in kB.
 	ReservedKB float64
 	// Rank orders requests by their class's value: at least 0, below 1.
 	Rank float64
--- a/internal/transport/ajp/conn.go
+++ b/internal/transport/ajp/conn.go
@@ -57,10 +57,10 @@
 func (c *conn) packet(content []byte) error {
 	c.Lock()
 	open := c.open
-	draining := c.RefusesRequests()
+	refusing := c.RefusesRequests()
 	c.Unlock()
 	switch {
-	case draining:
+	case refusing:
 		return c.Skip(len(content) + frameBytes)
 	case open != nil && !open.complete:
 		return c.bodyChunk(open, content)
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// begin makes open the request of the connection, unless that has begun to drain meanwhile.
+// begin makes open the request of the connection, unless that refuses requests by now.
 func (c *conn) begin(open *openRequest) bool {
 	c.Lock()
 	defer c.Unlock()
--- a/internal/transport/ajp/open_request.go
+++ b/internal/transport/ajp/open_request.go
@@ -12,7 +12,15 @@
 // unknownLength is the remaining length of a body that is sent with a transfer encoding.
 const unknownLength = -1
 
-// call is one request.
+// afterReply says whether a connection goes on after a response.
+type afterReply bool
+
+const (
+	keepOpen   afterReply = true
+	closeAfter afterReply = false
+)
+
+// openRequest is one request.
 type openRequest struct {
 	frontend.OpenRequest
 	conn           *conn
@@ -34,13 +42,13 @@
 	c.RequestArrived()
 	c.Unlock()
 	if open.raw.IsHealthCheck() {
-		c.reply(open, frontend.HealthResponse(c.frontend.Exchange.Healthy()), true)
+		c.reply(open, frontend.HealthResponse(c.frontend.Exchange.Healthy()), keepOpen)
 		return nil
 	}
 	req, err := open.raw.Decode(c.frontend.Classes, time.Now())
 	if err != nil {
 		c.LogFailedRequest(http.StatusBadRequest, err)
-		c.reply(open, frontend.HTTPResponse{Status: http.StatusBadRequest}, true)
+		c.reply(open, frontend.HTTPResponse{Status: http.StatusBadRequest}, keepOpen)
 		return c.CountFault()
 	}
 	req.Body = open.body
@@ -52,7 +60,7 @@
 // submit hands a request over, or rejects it if the process holds too many.
 func (c *conn) submit(open *openRequest, req *exchange.Request) {
 	if !c.Submit(&open.OpenRequest, req) {
-		c.reply(open, frontend.HTTPResponse{Status: http.StatusServiceUnavailable}, true)
+		c.reply(open, frontend.HTTPResponse{Status: http.StatusServiceUnavailable}, keepOpen)
 	}
 }
 
@@ -60,23 +68,23 @@
 // connection can't go on.
 func (c *conn) fail(open *openRequest, status int, err error) {
 	c.LogFailedRequest(status, err)
-	c.reply(open, frontend.HTTPResponse{Status: status}, false)
+	c.reply(open, frontend.HTTPResponse{Status: status}, closeAfter)
 }
 
 // Respond writes the answer to the request. It is called on the dispatcher's goroutine.
 func (open *openRequest) Respond(answer exchange.Response) {
-	open.conn.reply(open, frontend.NewHTTPResponse(answer), true)
+	open.conn.reply(open, frontend.NewHTTPResponse(answer), keepOpen)
 	open.conn.CountAnswer(answer)
 }
 
-// reply writes a response, once. With reuse the connection goes on.
-func (c *conn) reply(open *openRequest, r frontend.HTTPResponse, reuse bool) {
+// reply writes a response, once.
+func (c *conn) reply(open *openRequest, r frontend.HTTPResponse, after afterReply) {
 	headers := []frontend.Header{
 		{Name: headerContentType, Value: contentTypeBytes},
 		{Name: headerContentLength, Value: strconv.Itoa(len(r.Body))},
 	}
 	headers = append(headers, frontend.CommonHeaders(c.frontend.Exchange)...)
 	headers = append(headers, r.Headers...)
-	packets := responsePackets(r.Status, headers, r.Body, reuse)
-	c.WriteResponse(&open.OpenRequest, packets, reuse, func() { c.open = nil })
+	packets := responsePackets(r.Status, headers, r.Body, after == keepOpen)
+	c.WriteResponse(&open.OpenRequest, packets, after == keepOpen, func() { c.open = nil })
 }
--- a/internal/transport/fastcgi/open_request.go
+++ b/internal/transport/fastcgi/open_request.go
@@ -10,7 +10,7 @@
 	"oxbowbridge/internal/transport/frontend"
 )
 
-// call is one request. It is open until it is answered, and stays known until its input has
+// openRequest is one request. It is open until it is answered, and stays known until its input has
 // ended.
 type openRequest struct {
 	frontend.OpenRequest
--- a/internal/transport/frontend/conn.go
+++ b/internal/transport/frontend/conn.go
@@ -42,7 +42,7 @@
 
 	lastActive      time.Time // when a request last ended, or the connection was made; AJP: also when one began
 	openRequests    int       // that have begun and have no answer
-	refusing        bool      // no request begins any more
+	refusing        bool      // no request begins any more; closed once those that are open are answered
 	completeRequest bool      // a complete request, or a keep-alive of the protocol, has arrived
 	partialMessage  bool      // the parser held part of a message after the latest bytes
 	stall           stall
@@ -83,7 +83,8 @@
 	}
 }
 
-// RefusesRequests reports whether the connection takes no further request. The lock is held.
+// RefusesRequests reports whether no request begins on the connection any more, as it is being
+// closed. That may be so without a drain of the service. The lock is held.
 func (c *Conn) RefusesRequests() bool { return c.refusing }
 
 // OpenRequests is the number of requests that have begun and have no answer. The lock is held.
--- a/internal/transport/frontend/doc.go
+++ b/internal/transport/frontend/doc.go
@@ -2,6 +2,23 @@
 // speak: the listener and its connections, the life cycle of a connection, the fields of a
 // request and the response to it. Packages fastcgi and ajp each add a Codec.
 //
+// # Ways to close a connection
+//
+// What happens to bytes that have arrived and are not parsed, to open requests, and to responses
+// that are not sent yet:
+//
+//	                     unparsed bytes      open requests         unsent bytes
+//	Conn.CloseIfIdle     not closed          not closed            not closed
+//	Conn.Drain           begin no request    answered; incomplete  sent
+//	                                         ones are forgotten
+//	closeOnceAnswered    begin no request    completed, answered   sent
+//	CloseGracefully (1)  dropped             not answered          sent
+//	CloseIfQuiet (1)     not closed          not looked at         not closed
+//	Abort (1)            dropped             reported as gone      dropped
+//
+// (1) of eventloop.Conn, which knows no requests. Server.CloseIdle calls CloseIfIdle, and
+// Server.DrainConnections calls Drain, for each connection.
+//
 // # Goroutines
 //
 // Bytes are parsed on the event loop's goroutine (Conn.OnData, Conn.OnClose and the Codec's
--- a/internal/transport/frontend/evict.go
+++ b/internal/transport/frontend/evict.go
@@ -3,11 +3,13 @@
 import (
 	"slices"
 	"time"
+
+	"oxbowbridge/internal/proxy/exchange"
 )
 
 // minFirstRequestTime is how long a new connection has for its first request before it may be
-// evicted: by the protocol a request may take 50 ms to cross a close.
-const minFirstRequestTime = 50 * time.Millisecond
+// evicted: the request may have been sent with the connection.
+const minFirstRequestTime = exchange.MaxCloseRace
 
 // evictOne closes a connection to make room for a new one, and reports whether it found one. The
 // order of candidates, within each group the one inactive for longest first:
@@ -20,6 +22,9 @@
 // A connection with open requests, or with bytes that are not parsed yet, is never evicted: a
 // complete request may be among them, and its caller could not know that nothing ran. Rejecting
 // the new connection is safer then. The lock of the Server is held.
+//
+// evictAny is the whole rule; the two candidates that are tried before it are those that it would
+// try first, found without sorting.
 func (s *Server) evictOne() bool {
 	now := time.Now()
 	fresh, used := s.longestInactive()
@@ -52,11 +57,11 @@
 // evictAny looks at all connections, where those inactive for longest can't be evicted.
 func (s *Server) evictAny(now time.Time) bool {
 	fresh, used := s.byInactivity()
-	tooNew := slices.IndexFunc(fresh, func(c *Conn) bool { return !hadFirstRequestTime(c, now) })
-	if tooNew < 0 {
-		tooNew = len(fresh)
+	firstTooNew := slices.IndexFunc(fresh, func(c *Conn) bool { return !hadFirstRequestTime(c, now) })
+	if firstTooNew < 0 {
+		firstTooNew = len(fresh)
 	}
-	for _, c := range slices.Concat(fresh[:tooNew], used, fresh[tooNew:]) {
+	for _, c := range slices.Concat(fresh[:firstTooNew], used, fresh[firstTooNew:]) {
 		if s.evictIdle(c, now) {
 			return true
 		}
--- a/internal/transport/frontend/headers.go
+++ b/internal/transport/frontend/headers.go
@@ -13,7 +13,7 @@
 	headerBalancerNumber = "Client-No"      // number of the balancer; checked and not used
 	headerIsRetry        = "Is-Retry"       // "1" marks a retry or a hedged request
 	headerExpectedWork   = "Expected-Ms"    // expected work on one core, milliseconds
-	headerMemory         = "Reserve-Kb"     // memory booked for the request, KB
+	headerMemory         = "Reserve-Kb"     // memory reserved for the request, kB
 	headerRank           = "Standing"       // rank, from 0 to under 1
 	headerSubject        = "Lookup-Key"     // subject of a read; absent in writes
 	headerIdempotencyKey = "Replay-Key"     // idempotency key of a deduplicated class
@@ -25,7 +25,7 @@
 const (
 	headerRetryAfter       = "Hold-Off-Ms"     // on a rejection: when to come back, milliseconds
 	headerNoOtherServer    = "No-Other-Server" // on a rejection: "1" asks for no retry at another server
-	headerFeedback         = "Feedback"        // the value that the admission module publishes
+	headerFeedback         = "Feedback"        // the value that the admission controller advertises
 	headerNoOtherServerSet = "1"
 )
 
--- a/internal/transport/frontend/limits.go
+++ b/internal/transport/frontend/limits.go
@@ -12,14 +12,14 @@
 // Limits on one caller, far above what a balancer needs. Beyond the first two the connection is
 // drained; beyond the others, for callers that do not read or that flood, it is aborted.
 const (
-	maxConsecutiveFaults = 16        // faulty requests without a good one between them
+	maxConsecutiveFaults = 16        // faulty requests without a good one between them; one more drains
 	maxSkippedBytes      = 64 << 10  // input that belongs to no request, between two that do
-	maxUnreadAnswerBytes = 192 << 10 // answers that wait to be read: 32 of the longest
+	maxUnreadAnswerBytes = 192 << 10 // answers that wait to be read when more input arrives
 	maxBytesAfterFault   = 1 << 20   // dropped input, while requests before the fault are answered
 )
 
 var (
-	errTooManyFaults = fmt.Errorf("%d faulty requests", maxConsecutiveFaults)
+	errTooManyFaults = fmt.Errorf("more than %d faulty requests in a row", maxConsecutiveFaults)
 	errTooMuchInput  = fmt.Errorf("more than %d bytes that belong to no request", maxSkippedBytes)
 	errAnswersUnread = fmt.Errorf("more than %d bytes of answers not read", maxUnreadAnswerBytes)
 )
--- a/internal/transport/frontend/reap.go
+++ b/internal/transport/frontend/reap.go
@@ -6,8 +6,9 @@
 	"go.uber.org/zap"
 )
 
-// maxStalledSweeps is the number of the dispatcher's sweeps in a row, some 2 s, that a caller may
-// be stalled. Sweeps are counted rather than time, so that a pause of the machine does not count.
+// maxStalledSweeps is the number of sweeps in a row for which a caller may be stalled; the next
+// one closes its connection. With the dispatcher's sweepInterval of 200 ms that is after 2 s.
+// Sweeps are counted rather than time, so that a pause of the machine does not count.
 const maxStalledSweeps = 9
 
 // stall counts for how long a caller has made no progress.
@@ -56,14 +57,13 @@
 
 // CloseIfIdle closes the connection gracefully if no request has been open for the given time, and
 // reports whether it did. A connection with part of a message is not idle; nor is one with unread
-// bytes, which may be a request that was sent long before the close. A draining connection is
-// closed once its requests are answered, and counts as closed from then on.
+// bytes, which may be a request that was sent long before the close. For a connection that refuses
+// requests see finishDrain.
 func (c *Conn) CloseIfIdle(now time.Time, idle time.Duration) bool {
 	c.Lock()
 	defer c.Unlock()
 	if c.refusing {
-		c.closeOnceAnswered()
-		return c.openRequests == 0
+		return c.finishDrain()
 	}
 	if c.hasPartialMessage() || c.openRequests > 0 || now.Sub(c.lastActive) < idle || !c.CloseIfQuiet() {
 		return false
@@ -72,6 +72,13 @@
 	return true
 }
 
+// finishDrain closes a connection that refuses requests if none is open. It reports whether that
+// is so, also while the connection is closing. The lock is held.
+func (c *Conn) finishDrain() (closed bool) {
+	c.closeOnceAnswered()
+	return c.openRequests == 0
+}
+
 // Sweep closes the connections of callers that have stalled, and those that have been idle for the
 // given time. The connection of a caller that reads no answers is aborted. One whose request is
 // overdue is closed, or drained, unless it has unread bytes: the request may be among them.
--- a/internal/transport/frontend/request.go
+++ b/internal/transport/frontend/request.go
@@ -103,13 +103,13 @@
 }
 
 // decodeArrival converts the time of arrival from Unix time to the monotonic clock; an arrival in
-// the future counts as now. Times far from now are rejected: the admission module would mistake
+// the future counts as now. Times far from now are rejected: the admission controller would mistake
 // the long wait for an overload of this process.
 func (r RawRequest) decodeArrival(req *exchange.Request, now time.Time) error {
 	stamp := r.Header(headerAcceptedAt)
 	ms, err := strconv.ParseInt(stamp, 10, 64)
 	if err != nil || ms < now.Add(-maxArrivalAge).UnixMilli() || ms > now.Add(maxArrivalAhead).UnixMilli() {
-		return fmt.Errorf("%s %q: want Unix milliseconds of late", headerAcceptedAt, stamp)
+		return fmt.Errorf("%s %q: want Unix milliseconds, at most %v ago and %v ahead", headerAcceptedAt, stamp, maxArrivalAge, maxArrivalAhead)
 	}
 	waited := max(0, now.Sub(time.UnixMilli(ms)))
 	req.Arrived = now.Add(-waited)
--- a/internal/transport/frontend/response.go
+++ b/internal/transport/frontend/response.go
@@ -34,7 +34,7 @@
 	return response
 }
 
-// CommonHeaders returns the headers of every response: the published value, where the
+// CommonHeaders returns the headers of every response: the advertised value, where the
 // settings have one.
 func CommonHeaders(x *exchange.Exchange) []Header {
 	value, ok := x.Feedback()
