--- a/admission/concurrency.go
+++ b/admission/concurrency.go
@@ -63,7 +63,7 @@
 }
 
 // adjustLimit moves c at a gauge tick. It grows by the free cores, less a part
-// for calls in flight: growth by one a tick would reject requests for seconds
+// for calls in flight: growth by one a gauge tick would reject requests for seconds
 // while cores idle. It shrinks to the cores while they are busy, and
 // below while requests wait long to be read: reading shares the cores, and
 // once it falls behind every request is read too late.
--- a/admission/episodes.go
+++ b/admission/episodes.go
@@ -34,7 +34,7 @@
 )
 
 // arrivalWindow counts the arrivals of the latest gauge ticks, the current one
-// first. A count falls below 0 when an arrival of an earlier tick is withdrawn;
+// first. A count falls below 0 when an arrival of an earlier gauge tick is withdrawn;
 // the sum is right.
 type arrivalWindow [arrivalWindowGaugeTicks]int
 
--- a/admission/idletimeout.go
+++ b/admission/idletimeout.go
@@ -17,7 +17,7 @@
 	growIdleRejections = 0.85
 	// shrinkIdleRejections is the fraction below which it shrinks.
 	shrinkIdleRejections = 0.5
-	// idleGrowthFactor per tick, and idleShrinkDivisor: a tenth per tick.
+	// idleGrowthFactor per gauge tick, and idleShrinkDivisor: a tenth per gauge tick.
 	idleGrowthFactor  = 4
 	idleShrinkDivisor = 10
 )
--- a/admission/timers.go
+++ b/admission/timers.go
@@ -12,7 +12,7 @@
 )
 
 // timerFired forgets the timer if it is the latest one, and takes the gauges if a
-// tick is due.
+// gauge tick is due.
 func (c *Controller) timerFired(e TimerFired) {
 	if e.TimerID == c.timerID {
 		c.timerAt = 0
--- a/internal/proxy/dispatch/runs.go
+++ b/internal/proxy/dispatch/runs.go
@@ -89,9 +89,8 @@
 		d.requeue(r)
 		return
 	default:
-		// The runner takes only trace ids that a balancer has sent: this caller made its up.
-		runnerKnowsNoSuchRequest := o.Result == exchange.ResultNotStarted
-		d.respond(r, exchange.Response{Kind: exchange.Failed, InvalidRequest: runnerKnowsNoSuchRequest})
+		invalid := o.Result == exchange.ResultUnknownRequest // the caller made its trace id up
+		d.respond(r, exchange.Response{Kind: exchange.Failed, InvalidRequest: invalid})
 	}
 	d.forget(r)
 }
@@ -115,7 +114,7 @@
 		return admission.OutcomeOK
 	case exchange.ResultStopped:
 		return admission.OutcomeCanceled
-	case exchange.ResultObsolete, exchange.ResultNotStarted:
+	case exchange.ResultObsolete, exchange.ResultUnknownRequest:
 		return admission.OutcomeNotStarted
 	}
 	return admission.OutcomeInternal
--- a/internal/proxy/exchange/exchange_test.go
+++ b/internal/proxy/exchange/exchange_test.go
@@ -64,7 +64,7 @@
 	for r := ResultOK; r <= ResultConnectionLost; r++ {
 		names[r.String()] = true
 	}
-	require.Len(t, names, 3+3+8)
+	require.Len(t, names, 3+3+9)
 	require.NotContains(t, names, "unknown")
 }
 
--- a/internal/proxy/exchange/job.go
+++ b/internal/proxy/exchange/job.go
@@ -82,8 +82,10 @@
 	ResultStopped
 	// ResultObsolete means that the run was not started, as its request was over.
 	ResultObsolete
-	// ResultNotStarted means that the call was rejected unread, or that the runner knows no
-	// such run. Nothing ran.
+	// ResultUnknownRequest means that the runner knows no such request: no balancer has sent
+	// its trace id. The run was not started.
+	ResultUnknownRequest
+	// ResultNotStarted means that the call was rejected unread. Nothing ran.
 	ResultNotStarted
 	// ResultUnreachable means that there was no connection. Nothing ran.
 	ResultUnreachable
@@ -105,6 +107,8 @@
 		return "stopped"
 	case ResultObsolete:
 		return "obsolete"
+	case ResultUnknownRequest:
+		return "unknown request"
 	case ResultNotStarted:
 		return "not started"
 	case ResultUnreachable:
--- a/internal/transport/engine/golden_test.go
+++ b/internal/transport/engine/golden_test.go
@@ -137,7 +137,7 @@
 	}
 	f.link.Run(exchange.Job{TraceID: trace2, Class: "nom-update"})
 	f.hears(c, "RUN "+trace2+" nom-update 0\r\n\r\n")
-	require.Equal(t, []exchange.Event{exchange.Outcome{TraceID: trace2, Stage: exchange.RunEnded, Result: exchange.ResultNotStarted}},
+	require.Equal(t, []exchange.Event{exchange.Outcome{TraceID: trace2, Stage: exchange.RunEnded, Result: exchange.ResultUnknownRequest}},
 		f.says(c, "NO RUN "+trace2+"\r\n", 1))
 
 	// Another link: what the one before may have lost is sent again after its notices.
--- a/internal/transport/engine/receive.go
+++ b/internal/transport/engine/receive.go
@@ -128,5 +128,5 @@
 	if len(words) < 3 || words[1] != commandRun || s.runs[words[2]] == nil {
 		return
 	}
-	s.finish(words[2], exchange.ResultNotStarted)
+	s.finish(words[2], exchange.ResultUnknownRequest)
 }
