--- a/admission/settings.go
+++ b/admission/settings.go
@@ -192,7 +192,7 @@
 	return nil
 }
 
-// lowerBounds lists the settings that have a least value. simproto.Settings.Validate
+// lowerBounds lists the settings that have a least value. sitesettings.Settings.Validate
 // checks the same bounds, so that its errors name the JSON keys.
 func (s *Settings) lowerBounds() []SettingError {
 	return []SettingError{
--- a/cmd/oxbowbridge/config.go
+++ b/cmd/oxbowbridge/config.go
@@ -8,7 +8,7 @@
 
 	"oxbowbridge/internal/cluster/store"
 	"oxbowbridge/internal/maintenance/agent"
-	"oxbowbridge/internal/simproto"
+	"oxbowbridge/internal/sitesettings"
 )
 
 // The environment variables that the configuration comes from.
@@ -53,7 +53,7 @@
 	} `json:"limits"`
 	// Settings are the service's settings. Those of the store, if there are any, go before
 	// them at the next start.
-	Settings simproto.Settings `json:"settings"`
+	Settings sitesettings.Settings `json:"settings"`
 	// AJP sets up callers and upstreams that speak AJP13. Default: none.
 	AJP *ajpConfig `json:"ajp"`
 	// Store sets up this node of the replicated store. Default: no store.
@@ -101,7 +101,7 @@
 // parseConfig parses and validates a file's text, with what the environment overrides.
 func parseConfig(text []byte, env func(string) string) (*config, error) {
 	var c config
-	if err := simproto.DecodeJSON(text, &c); err != nil {
+	if err := sitesettings.DecodeJSON(text, &c); err != nil {
 		return nil, err
 	}
 	if name := env(envServiceName); name != "" {
--- a/cmd/oxbowbridge/storenode_settings.go
+++ b/cmd/oxbowbridge/storenode_settings.go
@@ -7,7 +7,7 @@
 
 	"oxbowbridge/internal/cluster/store"
 	"oxbowbridge/internal/proxy/dispatch"
-	"oxbowbridge/internal/simproto"
+	"oxbowbridge/internal/sitesettings"
 )
 
 // defaultLevel is the log level without a key in the store.
@@ -67,8 +67,8 @@
 
 // applySettings puts settings of the store into cfg, unless they are not valid.
 func (n *storeNode) applySettings(cfg *config, version store.GoodVersion, lastGood bool) bool {
-	var settings simproto.Settings
-	err := simproto.DecodeJSON(version.Value, &settings)
+	var settings sitesettings.Settings
+	err := sitesettings.DecodeJSON(version.Value, &settings)
 	if err == nil {
 		_, err = dispatch.ControllerSettings(&settings)
 	}
--- a/internal/proxy/dispatch/config.go
+++ b/internal/proxy/dispatch/config.go
@@ -7,7 +7,7 @@
 
 	"oxbowbridge/internal/proxy/exchange"
 	"oxbowbridge/internal/proxy/timerqueue"
-	"oxbowbridge/internal/simproto"
+	"oxbowbridge/internal/sitesettings"
 )
 
 // Frontend accepts the connections of callers, and posts their requests to the exchange.
@@ -69,5 +69,5 @@
 	// Default 0.
 	Seed uint64
 	// SiteSettings are the service's settings as configured.
-	SiteSettings *simproto.Settings
+	SiteSettings *sitesettings.Settings
 }
--- a/internal/proxy/dispatch/drain_test.go
+++ b/internal/proxy/dispatch/drain_test.go
@@ -11,7 +11,7 @@
 	"oxbowbridge/admission"
 	"oxbowbridge/internal/proxy/exchange"
 	"oxbowbridge/internal/proxy/timerqueue"
-	"oxbowbridge/internal/simproto"
+	"oxbowbridge/internal/sitesettings"
 )
 
 // idleRegistry is a Registry that does nothing.
@@ -30,7 +30,7 @@
 // TestDrainCountsFromTheNotice: a notice that a late turn comes to counts from when it came,
 // for the dispatcher and for the controller.
 func TestDrainCountsFromTheNotice(t *testing.T) {
-	var settings simproto.Settings
+	var settings sitesettings.Settings
 	require.NoError(t, json.Unmarshal([]byte(smallSite), &settings))
 	now := 10 * time.Second
 	d, err := New(Config{Exchange: exchange.New(10), Timers: &timerqueue.Queue{}, Registry: idleRegistry{}, Log: zap.NewNop(),
--- a/internal/proxy/dispatch/invariants_test.go
+++ b/internal/proxy/dispatch/invariants_test.go
@@ -16,7 +16,7 @@
 	"oxbowbridge/admission"
 	"oxbowbridge/internal/proxy/exchange"
 	"oxbowbridge/internal/proxy/timerqueue"
-	"oxbowbridge/internal/simproto"
+	"oxbowbridge/internal/sitesettings"
 )
 
 // The classes of invariantSite, by their index.
@@ -158,7 +158,7 @@
 
 func newSurroundings(t *testing.T, seed uint64) *surroundings {
 	preemption := []string{"drop", "pause", "none"}[seed%3]
-	var settings simproto.Settings
+	var settings sitesettings.Settings
 	require.NoError(t, json.Unmarshal(fmt.Appendf(nil, invariantSite, preemption), &settings))
 	s := &surroundings{
 		t:        t,
--- a/internal/proxy/dispatch/settings.go
+++ b/internal/proxy/dispatch/settings.go
@@ -6,7 +6,7 @@
 	"strings"
 
 	"oxbowbridge/admission"
-	"oxbowbridge/internal/simproto"
+	"oxbowbridge/internal/sitesettings"
 )
 
 var (
@@ -18,7 +18,7 @@
 // ControllerSettings returns the controller's settings at a site, or an error that names the
 // field which can't be served. What the protocols have no field for stays unused: results of reads are
 // not shared, and calls are not skipped.
-func ControllerSettings(site *simproto.Settings) (admission.Settings, error) {
+func ControllerSettings(site *sitesettings.Settings) (admission.Settings, error) {
 	settings, err := site.Admission()
 	if err != nil {
 		return settings, err
--- a/internal/simproto/doc.go
+++ b/internal/simproto/doc.go
@@ -7,11 +7,7 @@
 // fields and settings are skipped; a malformed line is reported with its number
 // and field, see [LineError] and [FieldError].
 //
-// The protocol has words of its own for the terms of package admission. In this
-// package they appear in terms.go and in the JSON tags of [Settings] alone.
-//
-// [Settings] is also the type of the service's own settings: the configuration file
-// and the store hold the same JSON object as the simulator's CREATE. Packages that
-// read a Settings before [Settings.Admission] converts it (cmd/oxbowbridge, and
-// transport/ajp for the names of gauges) compare its words themselves.
+// The protocol has words of its own for the terms of package admission; in this
+// package they appear in terms.go alone. The settings of a CREATE are those of
+// package sitesettings.
 package simproto
--- a/internal/simproto/errors.go
+++ b/internal/simproto/errors.go
@@ -2,19 +2,19 @@
 
 import (
 	"errors"
-	"fmt"
 	"strconv"
+
+	"oxbowbridge/internal/sitesettings"
 )
 
-// Errors of lines and settings; they are wrapped in a LineError and a
-// FieldError, or with the name of a setting.
+// Errors of lines; they are wrapped in a LineError and a FieldError.
 var (
 	// ErrMissing: a required field is absent.
 	ErrMissing = errors.New("missing")
 	// ErrOutOfRange: a field is not a number, or not in its range.
 	ErrOutOfRange = errors.New("not a number in range")
-	// ErrUnknownWord: a word of an enumeration is not known.
-	ErrUnknownWord = errors.New("unknown word")
+	// ErrUnknownWord: a word of an enumeration is not known, in a field or in the settings.
+	ErrUnknownWord = sitesettings.ErrUnknownWord
 	// ErrNotBool: a flag is neither 0 nor 1.
 	ErrNotBool = errors.New("want 0 or 1")
 	// ErrNotField: a part of a line is not name=value.
@@ -58,29 +58,6 @@
 // Unwrap returns what is wrong with the field.
 func (e *FieldError) Unwrap() error { return e.Err }
 
-// SettingError names a setting whose value is missing or out of range.
-type SettingError struct {
-	Key   string // path of JSON keys, such as classes.0.aim_ns
-	Value float64
-}
-
-// Error implements error.
-func (e *SettingError) Error() string {
-	return fmt.Sprintf("%s: %g is missing or impossible", e.Key, e.Value)
-}
-
-// TypeError names a JSON field whose value has the wrong type.
-type TypeError struct {
-	Field string // path of JSON keys
-	Want  string // Go type
-	Got   string // JSON type
-}
-
-// Error implements error.
-func (e *TypeError) Error() string {
-	return fmt.Sprintf("%s: want %s, not %s", e.Field, e.Want, e.Got)
-}
-
 // InstanceError wraps what is wrong with the message's instance.
 func (m *Message) InstanceError(err error) error {
 	return &LineError{Line: m.Line, Err: &FieldError{fieldInstance, err}}
--- a/internal/simproto/errors_test.go
+++ b/internal/simproto/errors_test.go
@@ -1,7 +1,6 @@
 package simproto
 
 import (
-	"encoding/json"
 	"io"
 	"strings"
 	"testing"
@@ -46,35 +45,3 @@
 		})
 	}
 }
-
-func TestTypeErrorNamesTheField(t *testing.T) {
-	var s Settings
-	var mismatch *TypeError
-	require.ErrorAs(t, DecodeJSON([]byte(`{"family_info":{"cores":"six"}}`), &s), &mismatch)
-	require.Equal(t, "family_info.cores: want int, not string", mismatch.Error())
-}
-
-// TestValidateNamesTheSetting: a setting out of its range is named by its JSON path.
-func TestValidateNamesTheSetting(t *testing.T) {
-	valid := func() *Settings {
-		var s Settings
-		require.NoError(t, json.Unmarshal([]byte(testSettings), &s))
-		s.Safety.SlowStartMinSpeed = 0.5
-		return &s
-	}
-	require.NoError(t, valid().Validate())
-	for want, change := range map[string]func(*Settings){
-		"tick_ns: -1 is missing or impossible":                 func(s *Settings) { s.MinInterval = -1 },
-		"family_info.memory_kb: 0 is missing or impossible":    func(s *Settings) { s.Server.MemoryKB = 0 },
-		"family_info.run_factor: 0.5 is missing or impossible": func(s *Settings) { s.Server.RunMemoryFactor = 0.5 },
-		"safety.cold_share: 2 is missing or impossible":        func(s *Settings) { s.Safety.SlowStartMinSpeed = 2 },
-		"classes.0.aim_ns: 0 is missing or impossible":         func(s *Settings) { s.Classes[0].LatencyObjective = 0 },
-		"classes.0.late_share: -1 is missing or impossible":    func(s *Settings) { s.Classes[0].LateFraction = -1 },
-		"classes: at least one is needed":                      func(s *Settings) { s.Classes = nil },
-		"tenants.0.allowance_per_s: -3 is impossible":          func(s *Settings) { s.Tenants[0].QuotaPerSecond = -3 },
-	} {
-		s := valid()
-		change(s)
-		require.EqualError(t, s.Validate(), want)
-	}
-}
--- a/internal/simproto/events.go
+++ b/internal/simproto/events.go
@@ -7,6 +7,7 @@
 	"strings"
 
 	"oxbowbridge/admission"
+	"oxbowbridge/internal/sitesettings"
 )
 
 // event reads the event of a message; nil if the message is not known. The fields of an
@@ -68,7 +69,7 @@
 
 // gauges reads name:value pairs set apart by commas.
 func (f *fields) gauges() admission.Gauges {
-	g := unknownGauges()
+	g := sitesettings.UnknownGauges()
 	for rest := f.text(fieldGauges); rest != ""; {
 		var pair string
 		pair, rest, _ = strings.Cut(rest, ",")
@@ -78,7 +79,7 @@
 			f.fail(fieldGauges, fmt.Errorf("%s: %w", name, ErrOutOfRange))
 			return g
 		}
-		setGauge(&g, name, x)
+		sitesettings.SetGauge(&g, name, x)
 	}
 	return g
 }
@@ -92,8 +93,8 @@
 		f.fail(fieldSettings, ErrMissing)
 		return nil
 	}
-	var settings Settings
-	if err := DecodeJSON([]byte(text), &settings); err != nil {
+	var settings sitesettings.Settings
+	if err := sitesettings.DecodeJSON([]byte(text), &settings); err != nil {
 		f.fail(fieldSettings, err)
 		return nil
 	}
--- a/internal/simproto/settings.go
+++ b/internal/sitesettings/settings.go
@@ -1,4 +1,4 @@
-package simproto
+package sitesettings
 
 import (
 	"encoding/json"
@@ -8,10 +8,8 @@
 	"oxbowbridge/admission"
 )
 
-// Settings is the settings object of the protocol as JSON, with the keys that a
-// controller or its host uses; others are skipped. The simulator's CREATE carries
-// it, and so does the configuration of the service. Times are in nanoseconds, an
-// absent key is the zero value.
+// Settings is the settings object as JSON, with the keys that a controller or its host
+// uses; others are skipped. Times are in nanoseconds, an absent key is the zero value.
 type Settings struct {
 	Bounds            Bounds           `json:"bounds"`
 	Classes           []ClassSettings  `json:"classes"` // at least one
@@ -105,10 +103,10 @@
 // Gauges reads values in the order of GaugeNames; what is missing or unreadable
 // is not known.
 func (s *Settings) Gauges(values []float64) admission.Gauges {
-	g := unknownGauges()
+	g := UnknownGauges()
 	for i, name := range s.Server.GaugeNames {
 		if i < len(values) {
-			setGauge(&g, name, values[i])
+			SetGauge(&g, name, values[i])
 		}
 	}
 	return g
--- a/internal/simproto/validate.go
+++ b/internal/sitesettings/validate.go
@@ -1,4 +1,4 @@
-package simproto
+package sitesettings
 
 import (
 	"fmt"
