--- a/internal/simproto/doc.go
+++ b/internal/simproto/doc.go
@@ -7,6 +7,7 @@
 // fields and settings are skipped; a malformed line is reported with its number
 // and field, see [LineError] and [FieldError].
 //
-// The protocol has words of its own for the terms of package admission. They
-// appear in terms.go and in the JSON tags of [Settings], and nowhere else.
+// The protocol has words of its own for the terms of package admission; in this
+// package they appear in terms.go alone. The settings of a CREATE are those of
+// package sitesettings.
 package simproto
