--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -5,6 +5,7 @@
 package main
 
 import (
+	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -26,7 +27,7 @@
 	var reply []byte
 	for {
 		batch, err := reader.Read()
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
--- a/internal/cluster/diskidentity/verdict.go
+++ b/internal/cluster/diskidentity/verdict.go
@@ -42,6 +42,7 @@
 // member's, and joins. The other verdicts are final for one run of Raft.
 type Verdict int
 
+// The verdicts, in the order of their numbers, which are not stored.
 const (
 	VerdictWait      Verdict = iota // for attestations
 	VerdictBootstrap                // make a cluster of all founders
--- a/internal/simproto/reader.go
+++ b/internal/simproto/reader.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"math"
@@ -60,7 +61,7 @@
 	}
 	for instance := ""; ; {
 		line, err := r.readLine()
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return b, r.errorf("input ends inside a batch: %w", io.ErrUnexpectedEOF)
 		}
 		if err != nil {
--- a/tests/stored_test.go
+++ b/tests/stored_test.go
@@ -5,6 +5,7 @@
 	"compress/gzip"
 	"database/sql"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"io/fs"
@@ -328,7 +329,7 @@
 	require.NoError(t, err)
 	for r := tar.NewReader(zip); ; {
 		h, err := r.Next()
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return
 		}
 		require.NoError(t, err)
