--- a/cmd/oxbowbridge/golden_test.go
+++ b/cmd/oxbowbridge/golden_test.go
@@ -114,7 +114,7 @@
 		s := maintenance.Status{Controller: "n1", Budget: maintenance.DefaultDisruptionBudget(), HeadOfQueue: "m2", WaitReason: "1 are out, at most 1", Pause: maintenance.Pause{Paused: true, Reason: "by us"}}
 		for _, name := range []string{"m1", "m2", "m3"} {
 			s.Machines = append(s.Machines, maintenance.Machine{Name: name, Zone: "z1", Cores: 4, Speed: 1, State: maintenance.MachineInService})
-			s.Orders = append(s.Orders, maintenance.OrderStatus{Order: maintenance.Order{Node: name, Reason: "kernel", DurationMS: 60_000, Phase: maintenance.PhaseRequested, PhaseSinceMS: 1000}, WaitReason: "the order is paused"})
+			s.Orders = append(s.Orders, maintenance.OrderStatus{Order: maintenance.Order{Machine: name, Reason: "kernel", DurationMS: 60_000, Phase: maintenance.PhaseRequested, PhaseSinceMS: 1000}, WaitReason: "the order is paused"})
 		}
 		body = s
 	case path == "POST /work":
@@ -134,7 +134,7 @@
 // TestGoldenGuard: the lines that a process with a lease writes to its guard.
 func TestGoldenGuard(t *testing.T) {
 	read, write := io.Pipe()
-	g := &guard{input: write}
+	g := &guardProcess{input: write}
 	go func() {
 		g.sendPID(7)
 		write.Close()
--- a/cmd/oxbowbridge/lease_guard.go
+++ b/cmd/oxbowbridge/lease_guard.go
@@ -27,19 +27,19 @@
 	guardCheckInterval = 10 * time.Millisecond
 )
 
-// guard is a second process that kills the command at the lease's deadline, should this process be
+// guardProcess is a second process that kills the command at the lease's deadline, should this process be
 // suspended or killed. It needs no answer from anybody.
-type guard struct {
+type guardProcess struct {
 	process *exec.Cmd
 	input   io.WriteCloser
 }
 
-func startGuard(deadline time.Time) (*guard, error) {
+func startGuard(deadline time.Time) (*guardProcess, error) {
 	program, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
-	g := &guard{process: exec.Command(program, "lease", "guard")}
+	g := &guardProcess{process: exec.Command(program, "lease", "guard")}
 	g.process.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	g.input, err = g.process.StdinPipe()
 	if err == nil {
@@ -52,17 +52,17 @@
 	return g, nil
 }
 
-func (g *guard) sendPID(pid int) { fmt.Fprintf(g.input, guardPID+"\n", pid) }
+func (g *guardProcess) sendPID(pid int) { fmt.Fprintf(g.input, guardPID+"\n", pid) }
 
 // sendDeadline sends a deadline by the clock that all processes share.
-func (g *guard) sendDeadline(deadline time.Time) {
+func (g *guardProcess) sendDeadline(deadline time.Time) {
 	if now, err := monotonicNanoseconds(); err == nil {
 		fmt.Fprintf(g.input, guardDeadline+"\n", now+time.Until(deadline).Nanoseconds())
 	}
 }
 
 // stop ends the guard, by force if it is suspended.
-func (g *guard) stop() {
+func (g *guardProcess) stop() {
 	fmt.Fprintln(g.input, guardDone)
 	g.input.Close()
 	kill := time.AfterFunc(guardStopTimeout, func() { g.process.Process.Kill() })
--- a/cmd/oxbowbridge/lease_run.go
+++ b/cmd/oxbowbridge/lease_run.go
@@ -63,7 +63,7 @@
 		return fmt.Errorf("start %s: %w", program, err)
 	}
 	guard.sendPID(command.Process.Pid)
-	stopReason := newSupervisor(command, held, guard, s.grace).wait(signals, s.runOptions.ttl)
+	stopReason := newCommandStopper(command, held, guard, s.grace).wait(signals, s.runOptions.ttl)
 	guard.stop()
 	releaseAfterRun(c, held)
 	if stopReason != nil {
@@ -136,26 +136,26 @@
 	return &exitError{code, fmt.Errorf("%s: %v", program, state)}
 }
 
-// supervisor stops a command before its lease ends: with SIGTERM --grace before the deadline, and
+// commandStopper stops a command before its lease ends: with SIGTERM --grace before the deadline, and
 // with SIGKILL at the deadline.
-type supervisor struct {
+type commandStopper struct {
 	command    *exec.Cmd
 	held       *leaseclient.Lease
-	guard      *guard
+	guard      *guardProcess
 	grace      time.Duration
 	deadline   time.Time // of the lease, as far as it is known
 	killAt     time.Time // the deadline when the command was told to stop
 	stopReason error     // nil until it was
 }
 
-func newSupervisor(command *exec.Cmd, held *leaseclient.Lease, guard *guard, grace time.Duration) *supervisor {
+func newCommandStopper(command *exec.Cmd, held *leaseclient.Lease, guard *guardProcess, grace time.Duration) *commandStopper {
 	deadline := held.Deadline()
-	return &supervisor{command: command, held: held, guard: guard, grace: grace, deadline: deadline, killAt: deadline}
+	return &commandStopper{command: command, held: held, guard: guard, grace: grace, deadline: deadline, killAt: deadline}
 }
 
 // wait waits for the command's end, and stops it when the lease can't be kept. Signals that this
 // process gets are passed on. It returns why the command was stopped, or nil.
-func (s *supervisor) wait(signals <-chan os.Signal, ttl time.Duration) error {
+func (s *commandStopper) wait(signals <-chan os.Signal, ttl time.Duration) error {
 	const (
 		checksPerTTL     = 50
 		minCheckInterval = 5 * time.Millisecond
@@ -189,7 +189,7 @@
 
 // refreshDeadline takes over a deadline that keep-alives have moved, as long as the command was not
 // told to stop.
-func (s *supervisor) refreshDeadline() {
+func (s *commandStopper) refreshDeadline() {
 	if deadline := s.held.Deadline(); deadline.After(s.deadline) {
 		s.deadline = deadline
 		s.guard.sendDeadline(deadline)
@@ -199,7 +199,7 @@
 	}
 }
 
-func (s *supervisor) enforceDeadline(now time.Time) {
+func (s *commandStopper) enforceDeadline(now time.Time) {
 	if !now.Before(s.deadline.Add(-s.grace)) {
 		s.stop(fmt.Errorf("%w: %s", leaseclient.ErrExpired, s.held.Name))
 	}
@@ -209,7 +209,7 @@
 }
 
 // stop tells the command to stop, once.
-func (s *supervisor) stop(reason error) {
+func (s *commandStopper) stop(reason error) {
 	if s.stopReason == nil {
 		s.stopReason = reason
 		s.signal(syscall.SIGTERM)
@@ -217,4 +217,4 @@
 }
 
 // signal signals the command's process group.
-func (s *supervisor) signal(sig syscall.Signal) { syscall.Kill(-s.command.Process.Pid, sig) }
+func (s *commandStopper) signal(sig syscall.Signal) { syscall.Kill(-s.command.Process.Pid, sig) }
--- a/cmd/oxbowbridge/runner.go
+++ b/cmd/oxbowbridge/runner.go
@@ -18,14 +18,14 @@
 	exchange.Runner
 	// Open connects.
 	Open()
-	// moveTo connects to the addresses of another configuration. It is called in the
+	// useAddresses connects to the addresses of another configuration. It is called in the
 	// dispatcher's goroutine.
-	moveTo(*config)
+	useAddresses(*config)
 }
 
 type engineRunner struct{ *engine.Session }
 
-func (r engineRunner) moveTo(cfg *config) {
+func (r engineRunner) useAddresses(cfg *config) {
 	if cfg.EngineAddress != "" { // else upstreams are used from the next start
 		r.SetAddress(cfg.EngineAddress)
 	}
@@ -33,7 +33,7 @@
 
 type upstreamRunner struct{ *ajp.UpstreamPool }
 
-func (r upstreamRunner) moveTo(cfg *config) {
+func (r upstreamRunner) useAddresses(cfg *config) {
 	if len(cfg.AJP.UpstreamAddresses) > 0 { // else an engine is used from the next start
 		r.SetAddresses(cfg.AJP.UpstreamAddresses, cfg.AJP.UpstreamSecret)
 	}
--- a/cmd/oxbowbridge/service.go
+++ b/cmd/oxbowbridge/service.go
@@ -38,7 +38,7 @@
 	exchange      *exchange.Exchange
 	log           *zap.Logger
 	frontendAddrs []net.Addr    // in the order of the configuration
-	moveTo        func(*config) // has the client side use other addresses; in the dispatcher's goroutine
+	useAddresses  func(*config) // has the backend side use the addresses of another configuration; in the dispatcher's goroutine
 }
 
 // newService makes the parts, connects them and listens. A notice of the end stops its wait
@@ -91,8 +91,8 @@
 	for _, f := range frontends {
 		s.frontendAddrs = append(s.frontendAddrs, f.listener.Addr())
 	}
-	s.moveTo = func(to *config) {
-		runner.moveTo(to)
+	s.useAddresses = func(to *config) {
+		runner.useAddresses(to)
 		calls.SetAddress(to.RecordsAddress)
 		listing.SetAddress(to.RegistryAddress)
 	}
@@ -107,7 +107,7 @@
 		s.log.Error("configuration rejected", zap.Error(err))
 		return old
 	}
-	s.exchange.Post(exchange.Callback(func() { s.moveTo(cfg) }))
+	s.exchange.Post(exchange.Callback(func() { s.useAddresses(cfg) }))
 	s.log.Info("configuration reloaded", zap.Strings("changed", old.changedFields(cfg, true)),
 		zap.Strings("at_next_start", old.changedFields(cfg, false)))
 	cfg.settingsFromStore = old.settingsFromStore
--- a/cmd/oxbowbridge/work.go
+++ b/cmd/oxbowbridge/work.go
@@ -90,13 +90,13 @@
 		order.LatestStartMS = time.Now().Add(s.within).UnixMilli()
 	}
 	for _, machine := range machines {
-		order.Node = machine
+		order.Machine = machine
 		if err := order.Validate(); err != nil {
 			return usageError(err)
 		}
 	}
 	submit := func(ctx context.Context, client *storeclient.Client, machine string) error {
-		order.Node = machine
+		order.Machine = machine
 		_, err := client.SubmitOrder(ctx, order)
 		return err
 	}
@@ -132,7 +132,7 @@
 	rows := [][]any{{"MACHINE", "STATE", "SINCE", "FOR", "PRIORITY", "REASON", "WHY"}}
 	for _, o := range status.Orders {
 		inPhase := time.Since(time.UnixMilli(o.PhaseSinceMS)).Round(time.Second)
-		rows = append(rows, []any{o.Node, o.Phase, inPhase, milliseconds(o.DurationMS), o.Priority, o.Reason, o.PhaseReason + o.WaitReason})
+		rows = append(rows, []any{o.Machine, o.Phase, inPhase, milliseconds(o.DurationMS), o.Priority, o.Reason, o.PhaseReason + o.WaitReason})
 	}
 	return printTable(out, rows...)
 }
--- a/cmd/oxbowbridge/work_plan.go
+++ b/cmd/oxbowbridge/work_plan.go
@@ -47,7 +47,7 @@
 	out := c.OutOrStdout()
 	rows := [][]any{{"FROM", "TO", "MACHINE", "ZONE", "CORES"}}
 	for _, t := range plan.Schedule {
-		rows = append(rows, []any{t.Start.Round(time.Second), t.End.Round(time.Second), t.Node, t.Zone, t.Capacity})
+		rows = append(rows, []any{t.Start.Round(time.Second), t.End.Round(time.Second), t.Machine, t.Zone, t.Capacity})
 	}
 	if err := printTable(out, rows...); err != nil {
 		return err
--- a/internal/cluster/lease/doc.go
+++ b/internal/cluster/lease/doc.go
@@ -5,7 +5,7 @@
 //
 //   - State is replicated. Grants, releases and expiries are entries of the log, so all nodes
 //     agree on the holder and no token is given twice.
-//   - ExpiryTimer belongs to the leader and is not replicated. It answers keep-alives from
+//   - DeadlineTable belongs to the leader and is not replicated. It answers keep-alives from
 //     memory and says which leases to end, by an entry of the log.
 //   - HolderState belongs to the holder. It says until when the holder may act.
 //
@@ -17,11 +17,11 @@
 //     the request or keep-alive that was answered (HolderState.Deadline). It sends the next
 //     keep-alive TTL/3 after the last one that was answered (HolderState.RenewalDue).
 //   - A leader ends a lease a full TTL after the last keep-alive arrived
-//     (ExpiryTimer.Renew, ExpiryTimer.DueOps). The request was sent before it arrived, so the
+//     (DeadlineTable.Renew, DeadlineTable.DueOps). The request was sent before it arrived, so the
 //     holder stops first, as long as the rates of the two clocks differ by no more than
 //     SafetyMargin covers.
 //   - A new leader does not know which keep-alives its predecessor answered. It gives each
-//     lease a full TTL from its own election (NewExpiryTimer).
+//     lease a full TTL from its own election (NewDeadlineTable).
 //   - A leader answers a keep-alive only after it has made sure, since the keep-alive arrived,
 //     that it still leads.
 //   - A holder that has released a token ignores later answers with that token or an older
--- a/internal/cluster/lease/expiry.go
+++ b/internal/cluster/lease/expiry.go
@@ -13,9 +13,10 @@
 // idleInterval is when DueOps looks at all leases again if nothing is due before.
 const idleInterval = time.Hour
 
-// ExpiryTimer is the leader's record of when leases end, for one term of its leadership. All
+// DeadlineTable is the leader's record of when leases end and when waiters were last heard of, for
+// one term of its leadership. All
 // times are the leader's own, monotonic. It is not safe for concurrent use.
-type ExpiryTimer struct {
+type DeadlineTable struct {
 	expiries  map[string]expiry           // by the lease's name
 	lastHeard map[waiterKey]time.Duration // when each waiter last sent its request
 	electedAt time.Duration
@@ -31,10 +32,10 @@
 	proposed bool // OpExpire may be in the log already: no keep-alive revives the lease
 }
 
-// NewExpiryTimer returns the timer of a leader elected at a time. Each lease that it inherits has
+// NewDeadlineTable returns the table of a leader elected at a time. Each lease that it inherits has
 // its full TTL from then on, as the predecessor may have answered a keep-alive until then.
-func NewExpiryTimer(electedAt time.Duration) *ExpiryTimer {
-	return &ExpiryTimer{
+func NewDeadlineTable(electedAt time.Duration) *DeadlineTable {
+	return &DeadlineTable{
 		expiries:  map[string]expiry{},
 		lastHeard: map[waiterKey]time.Duration{},
 		electedAt: electedAt,
@@ -44,31 +45,31 @@
 
 func (l Lease) ttl() time.Duration { return time.Duration(l.TTLMS) * time.Millisecond }
 
-// expiryOf returns the expiry of a lease. One that the timer does not know has its full TTL from
+// expiryOf returns the expiry of a lease. One that the table does not know has its full TTL from
 // now on, which is never too early.
-func (t *ExpiryTimer) expiryOf(name string, l Lease, now time.Duration) expiry {
-	e, ok := t.expiries[name]
+func (d *DeadlineTable) expiryOf(name string, l Lease, now time.Duration) expiry {
+	e, ok := d.expiries[name]
 	if !ok || e.token != l.Token {
-		e = expiry{token: l.Token, deadline: max(now, t.electedAt) + l.ttl()}
-		t.expiries[name] = e
-		t.nextDue = min(t.nextDue, e.deadline)
+		e = expiry{token: l.Token, deadline: max(now, d.electedAt) + l.ttl()}
+		d.expiries[name] = e
+		d.nextDue = min(d.nextDue, e.deadline)
 	}
 	return e
 }
 
 // Renew extends a lease by a keep-alive. arrivedAt is when that arrived, before this node made
 // sure that it still leads. The error is ErrNotHolder if the lease does not go on.
-func (t *ExpiryTimer) Renew(s *State, name string, token uint64, arrivedAt time.Duration) error {
+func (d *DeadlineTable) Renew(s *State, name string, token uint64, arrivedAt time.Duration) error {
 	l, ok := s.Leases[name]
 	if !ok || l.Token != token {
 		return ErrNotHolder
 	}
-	e := t.expiryOf(name, l, arrivedAt)
+	e := d.expiryOf(name, l, arrivedAt)
 	if e.proposed || l.Revoked {
 		return ErrNotHolder
 	}
 	e.deadline = max(e.deadline, arrivedAt+l.ttl())
-	t.expiries[name] = e
+	d.expiries[name] = e
 	return nil
 }
 
@@ -76,15 +77,15 @@
 // the holder's own lease is renewed, and a lease that another one holds stays as it is, with
 // ErrHeld. Otherwise needsLog is true: the request has to go through the log as OpAcquire.
 // wait reports whether the caller wants a place in the queue.
-func (t *ExpiryTimer) TryAcquire(s *State, name, holder string, wait bool, arrivedAt, now time.Duration) (l Lease, needsLog bool, err error) {
+func (d *DeadlineTable) TryAcquire(s *State, name, holder string, wait bool, arrivedAt, now time.Duration) (l Lease, needsLog bool, err error) {
 	l, held := s.Leases[name]
 	queued := l.isQueued(holder)
 	if queued {
-		t.TouchWaiter(name, holder, now)
+		d.TouchWaiter(name, holder, now)
 	}
 	mine := held && l.Holder == holder && !l.Revoked
 	switch {
-	case mine && t.Renew(s, name, l.Token, arrivedAt) == nil:
+	case mine && d.Renew(s, name, l.Token, arrivedAt) == nil:
 		return l, false, nil
 	case mine: // its OpExpire may be in the log already
 		return l, false, ErrHeld
@@ -95,63 +96,63 @@
 }
 
 // TouchWaiter notes that a waiter has sent its request again.
-func (t *ExpiryTimer) TouchWaiter(name, holder string, now time.Duration) {
-	t.lastHeard[waiterKey{name, holder}] = now
+func (d *DeadlineTable) TouchWaiter(name, holder string, now time.Duration) {
+	d.lastHeard[waiterKey{name, holder}] = now
 }
 
 // Remaining returns how long a lease goes on without a keep-alive, as far as this leader knows.
-func (t *ExpiryTimer) Remaining(name string, l Lease, now time.Duration) time.Duration {
-	return t.expiryOf(name, l, now).deadline - now
+func (d *DeadlineTable) Remaining(name string, l Lease, now time.Duration) time.Duration {
+	return d.expiryOf(name, l, now).deadline - now
 }
 
 // DueOps returns the operations that are due, for the log: OpExpire for leases whose TTL is over,
 // and OpWithdraw for waiters that have sent no request for WaiterTimeout. From then on such a lease can't
 // be renewed any more, as its end may be in the log.
-func (t *ExpiryTimer) DueOps(s *State, now time.Duration) []Op {
-	if now < t.nextDue && s.LastToken == t.seenToken {
+func (d *DeadlineTable) DueOps(s *State, now time.Duration) []Op {
+	if now < d.nextDue && s.LastToken == d.seenToken {
 		return nil
 	}
-	t.seenToken = s.LastToken
-	t.nextDue = now + idleInterval
+	d.seenToken = s.LastToken
+	d.nextDue = now + idleInterval
 	var due []Op
 	waiting := map[waiterKey]bool{}
 	for name, l := range s.Leases {
-		due = t.appendExpiry(due, name, l, now)
+		due = d.appendExpiry(due, name, l, now)
 		for _, w := range l.Waiters {
 			key := waiterKey{name, w.Holder}
 			waiting[key] = true
-			due = t.appendWithdrawal(due, key, now)
+			due = d.appendWithdrawal(due, key, now)
 		}
 	}
-	maps.DeleteFunc(t.expiries, func(name string, _ expiry) bool {
+	maps.DeleteFunc(d.expiries, func(name string, _ expiry) bool {
 		_, held := s.Leases[name]
 		return !held
 	})
-	maps.DeleteFunc(t.lastHeard, func(key waiterKey, _ time.Duration) bool { return !waiting[key] })
+	maps.DeleteFunc(d.lastHeard, func(key waiterKey, _ time.Duration) bool { return !waiting[key] })
 	slices.SortFunc(due, func(a, b Op) int { return strings.Compare(a.Name+" "+a.Holder, b.Name+" "+b.Holder) })
 	return due
 }
 
-func (t *ExpiryTimer) appendExpiry(due []Op, name string, l Lease, now time.Duration) []Op {
-	e := t.expiryOf(name, l, now)
+func (d *DeadlineTable) appendExpiry(due []Op, name string, l Lease, now time.Duration) []Op {
+	e := d.expiryOf(name, l, now)
 	if e.proposed || now >= e.deadline {
 		e.proposed = true
-		t.expiries[name] = e
+		d.expiries[name] = e
 		due = append(due, Op{Kind: OpExpire, Name: name, Token: l.Token})
 	}
-	t.nextDue = min(t.nextDue, e.deadline)
+	d.nextDue = min(d.nextDue, e.deadline)
 	return due
 }
 
-func (t *ExpiryTimer) appendWithdrawal(due []Op, key waiterKey, now time.Duration) []Op {
-	heardAt, known := t.lastHeard[key]
+func (d *DeadlineTable) appendWithdrawal(due []Op, key waiterKey, now time.Duration) []Op {
+	heardAt, known := d.lastHeard[key]
 	if !known {
 		heardAt = now
-		t.lastHeard[key] = heardAt
+		d.lastHeard[key] = heardAt
 	}
 	if now >= heardAt+WaiterTimeout {
 		due = append(due, Op{Kind: OpWithdraw, Name: key.name, Holder: key.holder})
 	}
-	t.nextDue = min(t.nextDue, heardAt+WaiterTimeout)
+	d.nextDue = min(d.nextDue, heardAt+WaiterTimeout)
 	return due
 }
--- a/internal/cluster/lease/golden_test.go
+++ b/internal/cluster/lease/golden_test.go
@@ -38,7 +38,7 @@
 	fmt.Fprintln(&lines, strings.Join(known, "\n"))
 	s := NewState(10)
 	for _, o := range []Op{
-		{Kind: OpAcquire, Name: "job", Holder: "h1", TTLMS: 1000}, {Kind: OpAcquire, Name: "job", Holder: "h2", TTLMS: 1000, Queue: true},
+		{Kind: OpAcquire, Name: "job", Holder: "h1", TTLMS: 1000}, {Kind: OpAcquire, Name: "job", Holder: "h2", TTLMS: 1000, Enqueue: true},
 		{Kind: OpAcquire, Name: "job", Holder: "h3", TTLMS: 1}, {Kind: OpAcquire, Name: "", Holder: "h3", TTLMS: 1000}, {Kind: OpAcquire, Name: "job", Holder: " ", TTLMS: 1000},
 		{Kind: OpRelease, Name: "job", Token: 9}, {Kind: OpHandOver, Name: "job", Token: 11, Holder: "h3"}, {Kind: "steal", Name: "job"}, {Kind: OpRevoke, Name: "job"},
 		{Kind: OpHandOver, Name: "job", Token: 11, Holder: "h2"}, {Kind: OpExpire, Name: "job", Token: 13}, {Kind: OpRevoke, Name: "job"},
--- a/internal/cluster/lease/model_test.go
+++ b/internal/cluster/lease/model_test.go
@@ -124,7 +124,7 @@
 func holderName(i int) string { return fmt.Sprint("h", i+1) }
 
 // decisionParts makes the decision parts of a world; times count from 0, which is now.
-func (w *world) decisionParts() (*State, *ExpiryTimer) {
+func (w *world) decisionParts() (*State, *DeadlineTable) {
 	s := NewState(uint64(w.lastToken))
 	if w.holder > 0 {
 		l := Lease{Holder: holderName(int(w.holder) - 1), Token: uint64(w.token), TTLMS: ttl.Milliseconds(), Revoked: w.revoked}
@@ -133,7 +133,7 @@
 		}
 		s.Leases[name] = l
 	}
-	t := NewExpiryTimer(0)
+	t := NewDeadlineTable(0)
 	if w.timerToken > 0 {
 		t.expiries[name] = expiry{uint64(w.timerToken), w.timerRemaining.duration(), w.expiryProposed}
 	}
@@ -141,7 +141,7 @@
 }
 
 // record takes them back.
-func (w *world) record(s *State, t *ExpiryTimer) {
+func (w *world) record(s *State, t *DeadlineTable) {
 	w.lastToken, w.holder, w.token, w.waiter, w.timerToken, w.timerRemaining, w.expiryProposed, w.revoked = uint16(s.LastToken), 0, 0, 0, 0, 0, false, false
 	number := func(h string) uint8 { return h[1] - '0' }
 	if l, ok := s.Leases[name]; ok {
@@ -172,7 +172,7 @@
 	case acquire:
 		l, needed, err := t.TryAcquire(s, name, holderName(i), w.waiter == 0, -m.arrivedAgo.duration(), 0)
 		if needed {
-			s.Apply(Op{Kind: OpAcquire, Name: name, Holder: holderName(i), TTLMS: ttl.Milliseconds(), Queue: w.waiter == 0})
+			s.Apply(Op{Kind: OpAcquire, Name: name, Holder: holderName(i), TTLMS: ttl.Milliseconds(), Enqueue: w.waiter == 0})
 			l, needed, err = t.TryAcquire(s, name, holderName(i), false, -m.arrivedAgo.duration(), 0)
 		}
 		if m.token = 0; !needed && err == nil {
@@ -240,7 +240,7 @@
 	add("another leader", func(x *world) {
 		x.leaderChanged = r.noLeaderCheck
 		s, _ := x.decisionParts()
-		t := NewExpiryTimer(0)
+		t := NewDeadlineTable(0)
 		if r.noNewLeaderGrace {
 			t.expiries[name] = expiry{token: uint64(x.token)}
 		} else {
--- a/internal/cluster/lease/ops.go
+++ b/internal/cluster/lease/ops.go
@@ -56,7 +56,7 @@
 	Holder   string `json:"holder,omitempty"` // who acquires or withdraws; to whom it is handed over
 	TTLMS    int64  `json:"ttl_ms,omitempty"` // milliseconds, of OpAcquire
 	Token    uint64 `json:"token,omitempty"`  // under which it is released, handed over or expired
-	Queue    bool   `json:"wait,omitempty"`   // of OpAcquire: wait for a lease that another one holds
+	Enqueue  bool   `json:"wait,omitempty"`   // of OpAcquire: wait for a lease that another one holds
 	Priority int    `json:"priority,omitempty"`
 }
 
@@ -93,7 +93,7 @@
 	var err error
 	switch op.Kind {
 	case OpAcquire:
-		l, err = s.Acquire(op.Name, op.Holder, op.TTLMS, op.Queue, op.Priority)
+		l, err = s.Acquire(op.Name, op.Holder, op.TTLMS, op.Enqueue, op.Priority)
 	case OpWithdraw:
 		s.Withdraw(op.Name, op.Holder)
 		l = s.Leases[op.Name]
--- a/internal/cluster/store/freshness.go
+++ b/internal/cluster/store/freshness.go
@@ -154,7 +154,7 @@
 		return 0, err
 	}
 	var answer storeapi.ReadIndexResponse
-	err = s.peers.client.WithLongTimeout().CallNode(ctx, leader.Admin, http.MethodGet, "/index", nil, &answer)
+	err = s.peers.client.WithCommitTimeout().CallNode(ctx, leader.Admin, http.MethodGet, "/index", nil, &answer)
 	return answer.Index, err
 }
 
--- a/internal/cluster/store/lease_requests.go
+++ b/internal/cluster/store/lease_requests.go
@@ -39,7 +39,7 @@
 }
 
 // acquireQueued waits in the lease's queue for MaxWait at most.
-func (s *Store) acquireQueued(ctx context.Context, timer *lease.ExpiryTimer, request LeaseRequest, receivedAt time.Duration) (lease.Lease, error) {
+func (s *Store) acquireQueued(ctx context.Context, timer *lease.DeadlineTable, request LeaseRequest, receivedAt time.Duration) (lease.Lease, error) {
 	defer s.leases.granted(request.Name, request.Holder) // forgets the channel
 	deadline := time.NewTimer(request.MaxWait)
 	defer deadline.Stop()
@@ -75,7 +75,7 @@
 
 // tryAcquire grants a lease if it is free or the holder's already; otherwise the request enters the
 // queue if it waits, and the error is lease.ErrHeld. What changes nothing needs no log entry.
-func (s *Store) tryAcquire(timer *lease.ExpiryTimer, request LeaseRequest, receivedAt time.Duration) (l lease.Lease, err error) {
+func (s *Store) tryAcquire(timer *lease.DeadlineTable, request LeaseRequest, receivedAt time.Duration) (l lease.Lease, err error) {
 	queue := request.MaxWait > 0
 	needsEntry := true
 	check := func(state *lease.State, now time.Duration) {
@@ -84,7 +84,7 @@
 	if lost := s.withLeases(timer, check); lost != nil || !needsEntry {
 		return l, errors.Join(lost, err)
 	}
-	op := lease.Op{Kind: lease.OpAcquire, Name: request.Name, Holder: request.Holder, TTLMS: request.TTLMS, Queue: queue, Priority: request.Priority}
+	op := lease.Op{Kind: lease.OpAcquire, Name: request.Name, Holder: request.Holder, TTLMS: request.TTLMS, Enqueue: queue, Priority: request.Priority}
 	response, err := s.Execute(kv.Request{LeaseOps: []lease.Op{op}})
 	if err != nil {
 		return l, err
--- a/internal/cluster/store/lease_service.go
+++ b/internal/cluster/store/lease_service.go
@@ -24,8 +24,8 @@
 	leaderProver *freshnessProver // proves that this node leads
 
 	mu      sync.Mutex
-	timer   *lease.ExpiryTimer // nil while this node does not lead
-	term    uint64             // of the timer
+	timer   *lease.DeadlineTable // nil while this node does not lead
+	term    uint64               // of the timer
 	waiters map[leaseWaiter]chan struct{}
 }
 
@@ -67,7 +67,7 @@
 	return wake
 }
 
-func (ls *leaseService) setTimer(timer *lease.ExpiryTimer, term uint64) {
+func (ls *leaseService) setTimer(timer *lease.DeadlineTable, term uint64) {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
 	ls.timer = timer
@@ -75,7 +75,7 @@
 }
 
 // currentTimer is the timer of the present term, or ErrNoLeader.
-func (ls *leaseService) currentTimer(inc *incarnation) (*lease.ExpiryTimer, error) {
+func (ls *leaseService) currentTimer(inc *incarnation) (*lease.DeadlineTable, error) {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
 	if ls.timer == nil || !inc.isLeader() || ls.term != inc.raft.CurrentTerm() {
@@ -86,7 +86,7 @@
 
 // withLeases runs a function on a timer, if it still is the current one, and on the leases as this
 // node knows them.
-func (s *Store) withLeases(timer *lease.ExpiryTimer, do func(*lease.State, time.Duration)) error {
+func (s *Store) withLeases(timer *lease.DeadlineTable, do func(*lease.State, time.Duration)) error {
 	ls := s.leases
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
@@ -136,7 +136,7 @@
 
 // beginTimer starts to count all leases anew, in a term in which this node is proven to lead and
 // knows every lease that was granted before.
-func (s *Store) beginTimer(ctx context.Context, inc *incarnation) (*lease.ExpiryTimer, error) {
+func (s *Store) beginTimer(ctx context.Context, inc *incarnation) (*lease.DeadlineTable, error) {
 	term := inc.raft.CurrentTerm()
 	ctx, cancel := context.WithTimeout(ctx, proveTimeout)
 	defer cancel()
@@ -147,13 +147,13 @@
 	if err != nil || inc.raft.CurrentTerm() != term {
 		return nil, errors.Join(ErrNoLeader, err)
 	}
-	timer := lease.NewExpiryTimer(s.leases.now())
+	timer := lease.NewDeadlineTable(s.leases.now())
 	s.leases.setTimer(timer, term)
 	return timer, nil
 }
 
 // commitDueOps ends the leases that are over, some in each log entry.
-func (s *Store) commitDueOps(timer *lease.ExpiryTimer) error {
+func (s *Store) commitDueOps(timer *lease.DeadlineTable) error {
 	var due []lease.Op
 	err := s.withLeases(timer, func(state *lease.State, now time.Duration) { due = timer.DueOps(state, now) })
 	if err != nil {
@@ -191,7 +191,7 @@
 
 // confirmLeadership proves that this node has led since the call, and waits until it knows all that
 // was committed by then. It returns the timer of its term.
-func (s *Store) confirmLeadership(ctx context.Context) (*lease.ExpiryTimer, error) {
+func (s *Store) confirmLeadership(ctx context.Context) (*lease.DeadlineTable, error) {
 	inc, err := s.running()
 	if err != nil {
 		return nil, err
--- a/internal/cluster/store/peer_reports.go
+++ b/internal/cluster/store/peer_reports.go
@@ -106,5 +106,5 @@
 func (p *peers) postJoin(ctx context.Context, addr string, text []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, storeapi.CommitTimeout)
 	defer cancel()
-	return p.client.WithLongTimeout().CallNode(ctx, addr, http.MethodPost, "/members", text, nil)
+	return p.client.WithCommitTimeout().CallNode(ctx, addr, http.MethodPost, "/members", text, nil)
 }
--- a/internal/cluster/store/snapshot_leases_test.go
+++ b/internal/cluster/store/snapshot_leases_test.go
@@ -31,7 +31,7 @@
 		var late []raft.FSMSnapshot
 		for i := uint64(1); i <= 400; i++ {
 			o := lease.Op{Kind: []lease.OpKind{lease.OpAcquire, lease.OpAcquire, lease.OpWithdraw, lease.OpRelease, lease.OpExpire, lease.OpRevoke, lease.OpHandOver}[rng.IntN(7)],
-				Name: fmt.Sprint("job", rng.IntN(3)), Holder: fmt.Sprint("h", rng.IntN(5)), TTLMS: 1000, Queue: rng.IntN(2) == 0, Priority: rng.IntN(2)}
+				Name: fmt.Sprint("job", rng.IntN(3)), Holder: fmt.Sprint("h", rng.IntN(5)), TTLMS: 1000, Enqueue: rng.IntN(2) == 0, Priority: rng.IntN(2)}
 			o.Token = a.data.Leases.Leases[o.Name].Token
 			text, err := json.Marshal(kv.Request{LeaseOps: []lease.Op{o}})
 			require.NoError(t, err)
--- a/internal/cluster/store/write.go
+++ b/internal/cluster/store/write.go
@@ -31,7 +31,7 @@
 	if value == nil {
 		method = http.MethodDelete
 	}
-	return s.peers.client.WithLongTimeout().CallNode(ctx, leader.Admin, method, "/store/"+key, value, nil)
+	return s.peers.client.WithCommitTimeout().CallNode(ctx, leader.Admin, method, "/store/"+key, value, nil)
 }
 
 func (s *Store) applyCommands(ctx context.Context, list ...command) error {
@@ -78,7 +78,7 @@
 	if err != nil {
 		return fmt.Errorf("encode request: %w", err)
 	}
-	return s.peers.client.WithLongTimeout().CallNode(ctx, leader.Admin, http.MethodPost, "/txn", text, nil)
+	return s.peers.client.WithCommitTimeout().CallNode(ctx, leader.Admin, http.MethodPost, "/txn", text, nil)
 }
 
 // propose appends an entry to the log and waits until it is committed and applied. size is the
--- a/internal/cluster/storeadmin/forward.go
+++ b/internal/cluster/storeadmin/forward.go
@@ -18,7 +18,7 @@
 const (
 	forwardTimeout      = storeapi.CommitTimeout + time.Second // for all attempts of one request
 	leaderPollInterval  = 20 * time.Millisecond                // how soon another leader is noticed
-	electionTimeout     = 1500 * time.Millisecond              // for which a request waits while no leader can be asked
+	leaderlessTimeout   = 1500 * time.Millisecond              // for which a request waits while no leader can be asked
 	maxForwardedBytes   = kv.MaxOps * 2 * kv.MaxValueBytes     // of an answer that is relayed
 	maxForwardedError   = 1 << 10                              // bytes of an answer of 503 that are read
 	headerForwarded     = "Forwarded"                          // by the node that forwards a request
@@ -64,7 +64,7 @@
 			leaderlessSince = time.Time{}
 		case leaderlessSince.IsZero():
 			leaderlessSince = time.Now()
-		case time.Since(leaderlessSince) > electionTimeout:
+		case time.Since(leaderlessSince) > leaderlessTimeout:
 			cancel()
 		}
 		if err == nil {
--- a/internal/cluster/storeclient/backup.go
+++ b/internal/cluster/storeclient/backup.go
@@ -32,7 +32,7 @@
 	if _, _, err := backup.Read(bytes.NewReader(text)); err != nil {
 		return restored, err
 	}
-	err = c.withTimeout(storeapi.RestoreTimeout).call(ctx, http.MethodPost, "/restore", text, &restored)
+	err = c.withAttemptTimeout(storeapi.RestoreTimeout).call(ctx, http.MethodPost, "/restore", text, &restored)
 	return restored, err
 }
 
--- a/internal/cluster/storeclient/client.go
+++ b/internal/cluster/storeclient/client.go
@@ -42,12 +42,13 @@
 	}
 }
 
-// WithLongTimeout returns the client with a timeout that outlasts a node's own wait for a majority.
-func (c *Client) WithLongTimeout() *Client {
-	return c.withTimeout(storeapi.CommitTimeout + time.Second)
+// WithCommitTimeout returns the client with a timeout of one attempt that outlasts the leader's wait
+// for a majority (storeapi.CommitTimeout).
+func (c *Client) WithCommitTimeout() *Client {
+	return c.withAttemptTimeout(storeapi.CommitTimeout + time.Second)
 }
 
-func (c *Client) withTimeout(timeout time.Duration) *Client {
+func (c *Client) withAttemptTimeout(timeout time.Duration) *Client {
 	slow := *c
 	slow.HTTP = &http.Client{Transport: c.HTTP.Transport, Timeout: timeout}
 	return &slow
--- a/internal/cluster/storeclient/lease.go
+++ b/internal/cluster/storeclient/lease.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		return status, err
 	}
-	waiting := c.withTimeout(c.HTTP.Timeout + time.Duration(request.WaitMS)*time.Millisecond)
+	waiting := c.withAttemptTimeout(c.HTTP.Timeout + time.Duration(request.WaitMS)*time.Millisecond)
 	res, err := waiting.do(ctx, http.MethodPost, leasePath(name), body)
 	if err != nil {
 		return status, err
--- a/internal/maintenance/agent/agent.go
+++ b/internal/maintenance/agent/agent.go
@@ -58,11 +58,11 @@
 		nodes = []string{localNode}
 	}
 	machine := maintenance.Machine{
-		Name:  name,
-		Zone:  cfg.Zone,
-		Cores: cores,
-		Speed: cfg.speed(),
-		Voter: localNode != "",
+		Name:         name,
+		Zone:         cfg.Zone,
+		Cores:        cores,
+		Speed:        cfg.speed(),
+		HasStoreNode: localNode != "",
 	}
 	return &Agent{
 		cfg:      cfg,
--- a/internal/maintenance/chart/chart.go
+++ b/internal/maintenance/chart/chart.go
@@ -60,7 +60,7 @@
 
 func machineNames(schedule []maintenance.ScheduledTask) (names []string) {
 	for _, t := range schedule {
-		names = append(names, t.Node)
+		names = append(names, t.Machine)
 	}
 	return names
 }
@@ -78,7 +78,7 @@
 	for row, t := range schedule {
 		bar, err := newBar(row, t)
 		if err != nil {
-			return fmt.Errorf("draw %s: %w", t.Node, err)
+			return fmt.Errorf("draw %s: %w", t.Machine, err)
 		}
 		bar.Color = colors[slices.Index(zones, t.Zone)]
 		c.Add(bar)
--- a/internal/maintenance/controller/controller.go
+++ b/internal/maintenance/controller/controller.go
@@ -83,4 +83,4 @@
 	return kv.Put(key, text)
 }
 
-func putOrder(o maintenance.Order) kv.Op { return putJSON(orderPrefix+o.Node, o) }
+func putOrder(o maintenance.Order) kv.Op { return putJSON(orderPrefix+o.Machine, o) }
--- a/internal/maintenance/controller/heartbeats.go
+++ b/internal/maintenance/controller/heartbeats.go
@@ -83,7 +83,7 @@
 	defer c.mu.Unlock()
 	now := time.Now()
 	for _, h := range heartbeats {
-		m := withAge(h, c.observe(h, now), now)
+		m := observedMachine(h, c.observe(h, now), now)
 		if m.State == maintenance.MachineInService && !hasReturned(h, orders) {
 			m.State = maintenance.MachineWarmingUp
 		}
@@ -103,9 +103,10 @@
 	return last
 }
 
-// withAge returns a heartbeat's machine with its age. A machine is unreachable if its heartbeats are
+// observedMachine returns a heartbeat's machine as this node observes it: with the age of the
+// heartbeat and the state that follows from it. A machine is unreachable if its heartbeats are
 // missing, or if only one was observed, which may be old.
-func withAge(h maintenance.Heartbeat, observed observedHeartbeat, now time.Time) maintenance.Machine {
+func observedMachine(h maintenance.Heartbeat, observed observedHeartbeat, now time.Time) maintenance.Machine {
 	m := h.Machine
 	age := now.Sub(observed.observedAt)
 	m.UtilizationAgeMS = age.Milliseconds()
@@ -123,6 +124,6 @@
 // hasReturned returns false if a machine's order says that it has returned, but the heartbeat was sent
 // before that: it names no grant, or an earlier one.
 func hasReturned(h maintenance.Heartbeat, orders []maintenance.Order) bool {
-	i := slices.IndexFunc(orders, func(o maintenance.Order) bool { return o.Node == h.Name })
+	i := slices.IndexFunc(orders, func(o maintenance.Order) bool { return o.Machine == h.Name })
 	return i < 0 || orders[i].Phase != maintenance.PhaseReturned || h.GrantToken == orders[i].GrantToken
 }
--- a/internal/maintenance/controller/orders.go
+++ b/internal/maintenance/controller/orders.go
@@ -21,7 +21,7 @@
 	if err := order.Validate(); err != nil {
 		return order, err
 	}
-	err := c.changeOrder(ctx, order.Node, func(old *maintenance.Order) (orderChange, error) {
+	err := c.changeOrder(ctx, order.Machine, func(old *maintenance.Order) (orderChange, error) {
 		if old != nil && old.Phase.Open() {
 			return orderChange{}, wrongPhase(old)
 		}
--- a/internal/maintenance/controller/run.go
+++ b/internal/maintenance/controller/run.go
@@ -66,13 +66,13 @@
 		If:     []kv.Compare{{Key: pauseKey, Revision: s.pauseRevision}},
 	}
 	for _, t := range decision.Transitions[:min(len(decision.Transitions), maxTransitions)] {
-		o := s.order(t.Node)
+		o := s.order(t.Machine)
 		o.Phase = t.To
 		o.PhaseReason = t.Reason
 		o.PhaseSinceMS = s.observation.NowMS
-		request.If = append(request.If, kv.Compare{Key: orderPrefix + t.Node, Revision: s.orderRevisions[t.Node]})
+		request.If = append(request.If, kv.Compare{Key: orderPrefix + t.Machine, Revision: s.orderRevisions[t.Machine]})
 		request.Then = append(request.Then, putOrder(o))
-		c.log.Info("maintenance order changes phase", zap.String("machine", t.Node), zap.Stringer("phase", t.To), zap.String("reason", t.Reason))
+		c.log.Info("maintenance order changes phase", zap.String("machine", t.Machine), zap.Stringer("phase", t.To), zap.String("reason", t.Reason))
 	}
 	if decision.PauseReason != "" {
 		pause := maintenance.Pause{
--- a/internal/maintenance/controller/snapshot.go
+++ b/internal/maintenance/controller/snapshot.go
@@ -80,14 +80,14 @@
 			return fmt.Errorf("%s: %w", key, err)
 		}
 		s.observation.Orders = append(s.observation.Orders, o)
-		s.orderRevisions[o.Node] = e.ModRevision
+		s.orderRevisions[o.Machine] = e.ModRevision
 	}
-	slices.SortFunc(s.observation.Orders, func(a, b maintenance.Order) int { return strings.Compare(a.Node, b.Node) })
+	slices.SortFunc(s.observation.Orders, func(a, b maintenance.Order) int { return strings.Compare(a.Machine, b.Machine) })
 	return nil
 }
 
 // order returns the order of a machine, which must have one.
 func (s *snapshot) order(machine string) maintenance.Order {
-	i := slices.IndexFunc(s.observation.Orders, func(o maintenance.Order) bool { return o.Node == machine })
+	i := slices.IndexFunc(s.observation.Orders, func(o maintenance.Order) bool { return o.Machine == machine })
 	return s.observation.Orders[i]
 }
--- a/internal/maintenance/controller/status.go
+++ b/internal/maintenance/controller/status.go
@@ -28,7 +28,7 @@
 func failedMachines(orders []maintenance.Order) (machines []string) {
 	for _, o := range orders {
 		if o.Phase == maintenance.PhaseFailed || o.Phase == maintenance.PhaseAbandoned {
-			machines = append(machines, o.Node)
+			machines = append(machines, o.Machine)
 		}
 	}
 	return machines
@@ -55,7 +55,7 @@
 		Machines:    s.observation.Machines,
 	}
 	for _, o := range s.observation.Orders {
-		status.Orders = append(status.Orders, maintenance.OrderStatus{Order: o, WaitReason: decision.WaitReasons[o.Node]})
+		status.Orders = append(status.Orders, maintenance.OrderStatus{Order: o, WaitReason: decision.WaitReasons[o.Machine]})
 	}
 	return status, nil
 }
--- a/internal/maintenance/decide.go
+++ b/internal/maintenance/decide.go
@@ -26,9 +26,9 @@
 
 // Transition moves an order into another phase.
 type Transition struct {
-	Node   string // the machine
-	To     Phase
-	Reason string
+	Machine string // the machine
+	To      Phase
+	Reason  string
 }
 
 // Decision is what is to be done now.
@@ -45,39 +45,39 @@
 	d := Decision{WaitReasons: map[string]string{}}
 	orders := slices.Clone(v.Orders)
 	machines := v.machinesByName()
-	d.applyTimedTransitions(v, orders, machines)
+	d.addTimedTransitions(v, orders, machines)
 	blocked := d.checkPause(v, orders)
 	usage := newBudgetUsage(v, orders, machines)
 	for i, o := range Queue(orders) {
 		reason := blocked
 		if reason == "" {
-			reason = usage.refusalReason(o)
+			reason = usage.waitReason(o)
 		}
 		if reason == "" {
-			d.Transitions = append(d.Transitions, Transition{Node: o.Node, To: PhaseGranted})
-			usage.takeOut(o.Node)
+			d.Transitions = append(d.Transitions, Transition{Machine: o.Machine, To: PhaseGranted})
+			usage.takeOut(o.Machine)
 			continue
 		}
-		d.WaitReasons[o.Node] = reason
+		d.WaitReasons[o.Machine] = reason
 		if d.HeadOfQueue == "" {
-			d.HeadOfQueue = o.Node
+			d.HeadOfQueue = o.Machine
 		}
-		overtaken := i == 0 && usage.isInService(o.Node) && v.NowMS-o.RequestedMS > v.Budget.OvertakingPeriodMS
+		overtaken := i == 0 && usage.isInService(o.Machine) && v.NowMS-o.RequestedMS > v.Budget.OvertakingPeriodMS
 		if blocked == "" && overtaken {
-			blocked = o.Node + " has waited for long and goes first"
+			blocked = o.Machine + " has waited for long and goes first"
 		}
 	}
 	return d
 }
 
 // applyTimedTransitions records the transitions that are due, and applies them to orders.
-func (d *Decision) applyTimedTransitions(v Observation, orders []Order, machines map[string]Machine) {
+func (d *Decision) addTimedTransitions(v Observation, orders []Order, machines map[string]Machine) {
 	for i, o := range orders {
-		to, reason := timedTransition(o, machines[o.Node], v)
+		to, reason := timedTransition(o, machines[o.Machine], v)
 		if to == "" {
 			continue
 		}
-		d.Transitions = append(d.Transitions, Transition{o.Node, to, reason})
+		d.Transitions = append(d.Transitions, Transition{o.Machine, to, reason})
 		orders[i].Phase = to
 		orders[i].PhaseSinceMS = v.NowMS
 	}
@@ -92,7 +92,7 @@
 	failures := 0
 	for _, o := range orders {
 		failed := o.Phase == PhaseFailed || o.Phase == PhaseAbandoned
-		if failed && !slices.Contains(v.Pause.AcknowledgedFailures, o.Node) {
+		if failed && !slices.Contains(v.Pause.AcknowledgedFailures, o.Machine) {
 			failures++
 		}
 	}
@@ -112,7 +112,7 @@
 		}
 	}
 	slices.SortFunc(queue, func(a, b Order) int {
-		return cmp.Or(cmp.Compare(b.Priority, a.Priority), cmp.Compare(a.Ticket, b.Ticket), cmp.Compare(a.Node, b.Node))
+		return cmp.Or(cmp.Compare(b.Priority, a.Priority), cmp.Compare(a.Ticket, b.Ticket), cmp.Compare(a.Machine, b.Machine))
 	})
 	return queue
 }
--- a/internal/maintenance/decide_test.go
+++ b/internal/maintenance/decide_test.go
@@ -23,14 +23,14 @@
 // newMachines is machines in three zones, five of them voters.
 func newMachines(n int) (list []Machine) {
 	for i := range n {
-		list = append(list, Machine{Name: fmt.Sprint("m", i), Zone: fmt.Sprint("z", i%3), Cores: float64(1 + i%4), Speed: 1, State: MachineInService, Utilization: 0.3, Voter: i < 5})
+		list = append(list, Machine{Name: fmt.Sprint("m", i), Zone: fmt.Sprint("z", i%3), Cores: float64(1 + i%4), Speed: 1, State: MachineInService, Utilization: 0.3, HasStoreNode: i < 5})
 	}
 	return list
 }
 
 func newOrders(nodes ...string) (jobs []Order) {
 	for i, n := range nodes {
-		jobs = append(jobs, Order{Node: n, DurationMS: 60_000, Phase: PhaseRequested, Ticket: uint64(i + 1)})
+		jobs = append(jobs, Order{Machine: n, DurationMS: 60_000, Phase: PhaseRequested, Ticket: uint64(i + 1)})
 	}
 	return jobs
 }
@@ -69,7 +69,7 @@
 		change(&v)
 		d := Decide(v)
 		if want == "" {
-			assert.Contains(t, d.Transitions, Transition{Node: "m0", To: PhaseGranted})
+			assert.Contains(t, d.Transitions, Transition{Machine: "m0", To: PhaseGranted})
 		} else {
 			assert.Contains(t, d.WaitReasons["m0"], want)
 			assert.Equal(t, "m0", d.HeadOfQueue)
--- a/internal/maintenance/golden_test.go
+++ b/internal/maintenance/golden_test.go
@@ -34,9 +34,9 @@
 	limits, err := json.Marshal(DefaultDisruptionBudget())
 	require.NoError(t, err)
 	fmt.Fprintln(&lines, string(limits))
-	valid := Order{Node: "m1", DurationMS: 1000}
+	valid := Order{Machine: "m1", DurationMS: 1000}
 	for _, change := range []func(*Order){
-		func(*Order) {}, func(j *Order) { j.Node = "/" }, func(j *Order) { j.DurationMS = 1 }, func(j *Order) { j.Reason = strings.Repeat("x", 201) }, func(j *Order) { j.LatestStartMS = -1 },
+		func(*Order) {}, func(j *Order) { j.Machine = "/" }, func(j *Order) { j.DurationMS = 1 }, func(j *Order) { j.Reason = strings.Repeat("x", 201) }, func(j *Order) { j.LatestStartMS = -1 },
 	} {
 		j := valid
 		change(&j)
--- a/internal/maintenance/machine.go
+++ b/internal/maintenance/machine.go
@@ -24,7 +24,7 @@
 	State            MachineState `json:"state"`
 	Utilization      float64      `json:"busy"`             // share of its capacity in use, 0 to 1
 	UtilizationAgeMS int64        `json:"age_ms"`           // of Utilization; negative if that is not known
-	Voter            bool         `json:"voter"`            // of the store
+	HasStoreNode     bool         `json:"voter"`            // of the store
 	ReplicaGroups    []string     `json:"copies,omitempty"` // groups of which it holds a replica
 }
 
--- a/internal/maintenance/order.go
+++ b/internal/maintenance/order.go
@@ -21,7 +21,7 @@
 
 // Order is a request for maintenance of one machine.
 type Order struct {
-	Node          string `json:"node"` // the machine
+	Machine       string `json:"node"` // the machine
 	Reason        string `json:"reason"`
 	DurationMS    int64  `json:"for_ms"`              // for which the machine is out at most
 	Priority      int    `json:"priority"`            // higher goes first
@@ -36,7 +36,7 @@
 
 // Validate checks an order that is submitted. Its error wraps ErrInvalidOrder.
 func (o Order) Validate() error {
-	if err := ValidateMachineName(o.Node); err != nil {
+	if err := ValidateMachineName(o.Machine); err != nil {
 		return err
 	}
 	switch {
--- a/internal/maintenance/order_duration_test.go
+++ b/internal/maintenance/order_duration_test.go
@@ -24,7 +24,7 @@
 		q.ZoneCapacity[m.Zone] += m.Capacity()
 		s.orders[m.Name].DurationMS = 60_000 + s.rng.Int64N(540_000)
 		length := time.Duration(s.orders[m.Name].DurationMS) * time.Millisecond
-		q.Tasks = append(q.Tasks, PlanTask{Node: m.Name, Zone: m.Zone, Capacity: m.Capacity(), Duration: length})
+		q.Tasks = append(q.Tasks, PlanTask{Machine: m.Name, Zone: m.Zone, Capacity: m.Capacity(), Duration: length})
 		one += length
 		if longest = max(longest, length); (i+1)%l.MaxOut == 0 {
 			batches, longest = batches+longest, 0
@@ -51,7 +51,7 @@
 			v := Observation{Machines: newMachines(n), Budget: simulationBudget(n), NowMS: 1}
 			for i, m := range v.Machines {
 				if i%3 == 0 {
-					v.Orders = append(v.Orders, Order{Node: m.Name, Reason: "kernel", DurationMS: 60_000, Phase: PhaseRequested, Ticket: uint64(i), RequestedMS: 1_800_000_000_000})
+					v.Orders = append(v.Orders, Order{Machine: m.Name, Reason: "kernel", DurationMS: 60_000, Phase: PhaseRequested, Ticket: uint64(i), RequestedMS: 1_800_000_000_000})
 				}
 			}
 			text, err := json.Marshal(v)
--- a/internal/maintenance/plan.go
+++ b/internal/maintenance/plan.go
@@ -17,7 +17,7 @@
 
 // PlanTask is the maintenance of one machine in a plan.
 type PlanTask struct {
-	Node          string        `json:"Node"` // the machine
+	Machine       string        `json:"Node"` // the machine
 	Zone          string        `json:"Zone"`
 	Capacity      float64       `json:"Capacity"` // cores of speed 1
 	Duration      time.Duration `json:"Length"`
@@ -77,7 +77,7 @@
 		}
 	}
 	slices.SortStableFunc(free, func(a, b PlanTask) int {
-		return cmp.Or(cmp.Compare(b.Priority, a.Priority), cmp.Compare(b.Duration, a.Duration), cmp.Compare(a.Node, b.Node))
+		return cmp.Or(cmp.Compare(b.Priority, a.Priority), cmp.Compare(b.Duration, a.Duration), cmp.Compare(a.Machine, b.Machine))
 	})
 	best, err := in.place(fixed, free, math.MaxInt64)
 	if err != nil {
@@ -105,7 +105,7 @@
 		in.ZoneCapacity[m.Zone] += m.Capacity()
 	}
 	for _, o := range status.Orders {
-		task := newPlanTask(o.Order, machines[o.Node])
+		task := newPlanTask(o.Order, machines[o.Machine])
 		switch {
 		case o.Phase == PhaseRequested:
 			in.Tasks = append(in.Tasks, task)
@@ -120,7 +120,7 @@
 
 func newPlanTask(o Order, m Machine) PlanTask {
 	return PlanTask{
-		Node:          o.Node,
+		Machine:       o.Machine,
 		Zone:          m.Zone,
 		Capacity:      m.Capacity(),
 		Duration:      time.Duration(o.DurationMS) * time.Millisecond,
--- a/internal/maintenance/plan_place.go
+++ b/internal/maintenance/plan_place.go
@@ -17,7 +17,7 @@
 	for _, t := range list {
 		start, ok := in.firstStart(p.Schedule, t)
 		if !ok {
-			return p, fmt.Errorf("%w: %s fits at no time within the limits", ErrNoPlan, t.Node)
+			return p, fmt.Errorf("%w: %s fits at no time within the limits", ErrNoPlan, t.Machine)
 		}
 		end := start + t.Duration
 		p.Schedule = append(p.Schedule, ScheduledTask{PlanTask: t, Start: start, End: end})
@@ -27,7 +27,7 @@
 		}
 	}
 	slices.SortStableFunc(p.Schedule, func(a, b ScheduledTask) int {
-		return cmp.Or(cmp.Compare(a.Start, b.Start), cmp.Compare(a.Node, b.Node))
+		return cmp.Or(cmp.Compare(a.Start, b.Start), cmp.Compare(a.Machine, b.Machine))
 	})
 	return p, nil
 }
--- a/internal/maintenance/plan_test.go
+++ b/internal/maintenance/plan_test.go
@@ -22,7 +22,7 @@
 			q.ZoneCapacity[m.Zone] += m.Capacity()
 		}
 		for i := range rapid.IntRange(1, 20).Draw(t, "tasks") {
-			q.Tasks = append(q.Tasks, PlanTask{Node: fmt.Sprint("m", i), Zone: fmt.Sprint("z", rapid.IntRange(0, 2).Draw(t, "zone")),
+			q.Tasks = append(q.Tasks, PlanTask{Machine: fmt.Sprint("m", i), Zone: fmt.Sprint("z", rapid.IntRange(0, 2).Draw(t, "zone")),
 				Capacity: float64(rapid.IntRange(1, 4).Draw(t, "cores")), Duration: time.Duration(rapid.IntRange(1, 50).Draw(t, "length")) * time.Minute})
 		}
 		p, err := ComputePlan(q)
@@ -31,7 +31,7 @@
 		assert.GreaterOrEqual(t, p.Duration, p.LowerBound)
 		for i, x := range p.Schedule {
 			others := append(append([]ScheduledTask(nil), p.Schedule[:i]...), p.Schedule[i+1:]...)
-			assert.True(t, q.fits(others, x.PlanTask, x.Start), x.Node)
+			assert.True(t, q.fits(others, x.PlanTask, x.Start), x.Machine)
 		}
 		order := make([]PlanTask, 0, len(q.Tasks))
 		for _, i := range rand.Perm(len(q.Tasks)) {
@@ -49,13 +49,13 @@
 	q := PlanInput{Budget: DefaultDisruptionBudget(), TotalCapacity: 100, ZoneCapacity: map[string]float64{"z": 100}}
 	q.Budget.MaxOut, q.Budget.MaxOutPerZone = 2, 2
 	q.Windows = []StartWindow{{time.Hour, 2 * time.Hour}, {25 * time.Hour, 26 * time.Hour}}
-	q.Tasks = []PlanTask{{Node: "a", Zone: "z", Capacity: 1, AlreadyOut: true, Remaining: 90 * time.Minute, ReplicaGroups: []string{"r"}},
-		{Node: "b", Zone: "z", Capacity: 1, Duration: time.Hour, ReplicaGroups: []string{"r"}}, {Node: "c", Zone: "z", Capacity: 1, Duration: time.Hour}}
+	q.Tasks = []PlanTask{{Machine: "a", Zone: "z", Capacity: 1, AlreadyOut: true, Remaining: 90 * time.Minute, ReplicaGroups: []string{"r"}},
+		{Machine: "b", Zone: "z", Capacity: 1, Duration: time.Hour, ReplicaGroups: []string{"r"}}, {Machine: "c", Zone: "z", Capacity: 1, Duration: time.Hour}}
 	p, err := ComputePlan(q)
 	require.NoError(t, err)
 	at := map[string]time.Duration{}
 	for _, x := range p.Schedule {
-		at[x.Node] = x.Start
+		at[x.Machine] = x.Start
 	}
 	assert.Equal(t, map[string]time.Duration{"a": 0, "b": 90 * time.Minute, "c": time.Hour}, at)
 	q.Windows = []StartWindow{{0, time.Minute}}
--- a/internal/maintenance/simulation_test.go
+++ b/internal/maintenance/simulation_test.go
@@ -99,7 +99,7 @@
 // write is one transaction: all of it, or nothing if a job has changed.
 func (s *simulation) write(p simDecision) {
 	for _, st := range p.decision.Transitions {
-		if !s.noCompare && s.orders[st.Node].version != p.readVersions[st.Node] {
+		if !s.noCompare && s.orders[st.Machine].version != p.readVersions[st.Machine] {
 			return
 		}
 	}
@@ -107,7 +107,7 @@
 		s.pause = Pause{Paused: true, Reason: p.decision.PauseReason}
 	}
 	for _, st := range p.decision.Transitions {
-		j := s.orders[st.Node]
+		j := s.orders[st.Machine]
 		j.Phase, j.PhaseSinceMS, j.PhaseReason = st.To, s.now, st.Reason
 		j.version++
 		if st.To == PhaseGranted {
@@ -177,7 +177,7 @@
 	s := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 5)), machines: newMachines(n), orders: map[string]*simOrder{}, timesOut: map[string]int{}, token: 1, faultsUntil: 1 << 21, lateShare: 0.05}
 	s.observed = append([]Machine(nil), s.machines...)
 	for i, m := range s.machines {
-		s.orders[m.Name] = &simOrder{Order: Order{Node: m.Name, DurationMS: 60_000, Phase: PhaseRequested, Ticket: uint64(i + 1)}}
+		s.orders[m.Name] = &simOrder{Order: Order{Machine: m.Name, DurationMS: 60_000, Phase: PhaseRequested, Ticket: uint64(i + 1)}}
 	}
 	return s
 }
--- a/internal/maintenance/usage.go
+++ b/internal/maintenance/usage.go
@@ -36,7 +36,7 @@
 		replicaOut:     map[string]string{},
 	}
 	for _, o := range orders {
-		u.abandoned[o.Node] = o.Phase == PhaseAbandoned
+		u.abandoned[o.Machine] = o.Phase == PhaseAbandoned
 	}
 	for _, m := range machines {
 		u.addMachine(m)
@@ -48,7 +48,7 @@
 	}
 	for _, o := range orders {
 		if o.Phase.countsAsOut() {
-			u.takeOut(o.Node)
+			u.takeOut(o.Machine)
 		}
 	}
 	return u
@@ -59,7 +59,7 @@
 	u.zoneCapacity[m.Zone] += m.Capacity()
 	u.capacityIn += m.Capacity()
 	u.capacityInUse += m.Capacity() * u.utilization(m)
-	if m.Voter {
+	if m.HasStoreNode {
 		u.voters++
 		u.votersIn++
 	}
@@ -93,7 +93,7 @@
 	u.zoneOut[m.Zone] += m.Capacity()
 	u.capacityIn -= m.Capacity()
 	u.capacityInUse -= m.Capacity() * u.utilization(m)
-	if m.Voter {
+	if m.HasStoreNode {
 		u.votersIn--
 	}
 	for _, group := range m.ReplicaGroups {
@@ -106,9 +106,9 @@
 	return known && !u.isOut[name]
 }
 
-// refusalReason says why an order can't be granted now, or "".
-func (u *budgetUsage) refusalReason(o Order) string {
-	m, known := u.machines[o.Node]
+// waitReason says why an order can't be granted now, or "".
+func (u *budgetUsage) waitReason(o Order) string {
+	m, known := u.machines[o.Machine]
 	switch {
 	case !known:
 		return "nothing is known of this machine"
@@ -163,7 +163,7 @@
 func (u *budgetUsage) voterShortage(m Machine) string {
 	quorum := u.voters/2 + 1
 	stay := u.votersIn - 1
-	if m.Voter && stay < quorum+u.budget.SpareVoters {
+	if m.HasStoreNode && stay < quorum+u.budget.SpareVoters {
 		return fmt.Sprintf("%d of the store's %d voters would stay, want %d", stay, u.voters, quorum+u.budget.SpareVoters)
 	}
 	return ""
--- a/tests/stored_write_test.go
+++ b/tests/stored_write_test.go
@@ -114,9 +114,9 @@
 		await(t, "settings of the store", func() bool { return strings.Contains(c.nodes[i].log(), `"last_good":false`) })
 	}
 	require.NoError(t, c.client().PauseMaintenance(t.Context(), true, "stored"))
-	_, err = c.client().SubmitOrder(t.Context(), maintenance.Order{Node: "s1", Reason: "kernel", DurationMS: 60000, Priority: 2})
+	_, err = c.client().SubmitOrder(t.Context(), maintenance.Order{Machine: "s1", Reason: "kernel", DurationMS: 60000, Priority: 2})
 	require.NoError(t, err)
-	_, err = c.client().SubmitOrder(t.Context(), maintenance.Order{Node: "s2", Reason: "disk", DurationMS: 30000})
+	_, err = c.client().SubmitOrder(t.Context(), maintenance.Order{Machine: "s2", Reason: "disk", DurationMS: 30000})
 	require.NoError(t, err)
 	for i := range 3 {
 		code, _ := c.grant(i, fmt.Sprint("job/", i), fmt.Sprintf(`{"holder":"h%d","ttl_ms":600000}`, i))
--- a/tests/work_test.go
+++ b/tests/work_test.go
@@ -91,7 +91,7 @@
 	out := map[string]maintenance.Phase{}
 	if st, err := y.client.MaintenanceStatus(t.Context()); err == nil {
 		for _, j := range st.Orders {
-			out[j.Node] = j.Phase
+			out[j.Machine] = j.Phase
 		}
 	}
 	return out
