--- a/admission/episodes.go
+++ b/admission/episodes.go
@@ -34,7 +34,7 @@
 )
 
 // arrivalWindow counts the arrivals of the latest gauge ticks, the current one
-// first. A count falls below 0 when an arrival of an earlier tick is withdrawn;
+// first. A count falls below 0 when an arrival of an earlier gauge tick is withdrawn;
 // the sum is right.
 type arrivalWindow [arrivalWindowGaugeTicks]int
 
@@ -61,7 +61,8 @@
 	return float64(c.concurrencyLimit) * c.runTimes.serviceRate()
 }
 
-// beginEpisode learns Λmax too (appendix H): at least what was just observed.
+// beginEpisode starts an episode of the given length. Λmax is learned too (appendix H):
+// it covers the recent rate, so that the first bound of the episode does.
 func (c *Controller) beginEpisode(length time.Duration) {
 	capacity := c.serviceCapacity()
 	maxRate := math.Max(capacity*maxRateOfCapacity, maxRateOfRecent*c.recentArrivalRate())
--- a/internal/proxy/dispatch/invariants_test.go
+++ b/internal/proxy/dispatch/invariants_test.go
@@ -16,7 +16,7 @@
 	"oxbowbridge/admission"
 	"oxbowbridge/internal/proxy/exchange"
 	"oxbowbridge/internal/proxy/timerqueue"
-	"oxbowbridge/internal/simproto"
+	"oxbowbridge/internal/sitesettings"
 )
 
 // The classes of invariantSite, by their index.
@@ -122,14 +122,14 @@
 // idleFrontend has no connections.
 type idleFrontend struct{ *surroundings }
 
-// Reap does nothing.
-func (idleFrontend) Reap(time.Duration) {}
+// Sweep does nothing.
+func (idleFrontend) Sweep(time.Duration) {}
 
 // noLingering has no connections.
 type noLingering struct{}
 
-// Reap finds nothing.
-func (noLingering) Reap(time.Time) int { return 0 }
+// ReapLingering finds nothing.
+func (noLingering) ReapLingering(time.Time) int { return 0 }
 
 // TestInvariants: whatever callers repeat, however runs and calls end, and whatever actions
 // come, a request has one response, nothing that must run once runs twice, and no rejection
@@ -158,7 +158,7 @@
 
 func newSurroundings(t *testing.T, seed uint64) *surroundings {
 	preemption := []string{"drop", "pause", "none"}[seed%3]
-	var settings simproto.Settings
+	var settings sitesettings.Settings
 	require.NoError(t, json.Unmarshal(fmt.Appendf(nil, invariantSite, preemption), &settings))
 	s := &surroundings{
 		t:        t,
--- a/internal/simproto/events.go
+++ b/internal/simproto/events.go
@@ -7,25 +7,31 @@
 	"strings"
 
 	"oxbowbridge/admission"
+	"oxbowbridge/internal/sitesettings"
 )
 
-// event reads the event of a message; nil if the message is not known.
+// event reads the event of a message; nil if the message is not known. The fields of an
+// unknown message are not even split.
 func (f *fields) event(message string) admission.Event {
 	switch message {
 	case messageArrival:
-		return f.parse().arrival()
+		f.parse()
+		return f.arrival()
 	case messageCompleted:
 		f.parse()
 		return admission.Completed{ID: f.requestID(), Elapsed: f.duration(fieldElapsed), Outcome: f.outcome()}
 	case messageCanceled:
-		return admission.Canceled{ID: f.parse().requestID()}
+		f.parse()
+		return admission.Canceled{ID: f.requestID()}
 	case messageCallNeeded:
-		return admission.CallNeeded{ID: f.parse().requestID()}
+		f.parse()
+		return admission.CallNeeded{ID: f.requestID()}
 	case messageCallCompleted:
 		f.parse()
 		return admission.CallCompleted{ID: f.requestID(), Elapsed: f.duration(fieldElapsed), Outcome: f.outcome()}
 	case messageDrain:
-		return admission.Drain{StopIn: f.parse().duration(fieldTimeLeft)}
+		f.parse()
+		return admission.Drain{StopIn: f.duration(fieldTimeLeft)}
 	case messageTimerFired:
 		f.parse()
 		return admission.TimerFired{TimerID: f.count(fieldTimerID, optional, math.MaxInt64), Gauges: f.gauges()}
@@ -63,7 +69,7 @@
 
 // gauges reads name:value pairs set apart by commas.
 func (f *fields) gauges() admission.Gauges {
-	g := unknownGauges()
+	g := sitesettings.UnknownGauges()
 	for rest := f.text(fieldGauges); rest != ""; {
 		var pair string
 		pair, rest, _ = strings.Cut(rest, ",")
@@ -73,21 +79,22 @@
 			f.fail(fieldGauges, fmt.Errorf("%s: %w", name, ErrOutOfRange))
 			return g
 		}
-		setGauge(&g, name, x)
+		sitesettings.SetGauge(&g, name, x)
 	}
 	return g
 }
 
 // create reads the settings of an instance; nil on an error.
 func (f *fields) create() *Create {
-	seed := f.parse().count(fieldSeed, optional, math.MaxUint64)
+	f.parse()
+	seed := f.count(fieldSeed, optional, math.MaxUint64)
 	text := f.text(fieldSettings)
 	if text == "" {
 		f.fail(fieldSettings, ErrMissing)
 		return nil
 	}
-	var settings Settings
-	if err := DecodeJSON([]byte(text), &settings); err != nil {
+	var settings sitesettings.Settings
+	if err := sitesettings.DecodeJSON([]byte(text), &settings); err != nil {
 		f.fail(fieldSettings, err)
 		return nil
 	}
--- a/internal/transport/eventloop/conn.go
+++ b/internal/transport/eventloop/conn.go
@@ -28,7 +28,8 @@
 // Its descriptor is closed by the loop's goroutine, while that handles the connection's own
 // event. A descriptor that another goroutine closed could be a new connection's before the
 // loop comes to an event that it has fetched already, and the new one would be closed by it.
-// Other goroutines shut the connection down instead, which is such an event.
+// Other goroutines shut the connection down instead: the loop sees that as an event of the
+// connection, and closes it.
 type Conn struct {
 	loop    *Loop
 	nb      *nbio.Conn
@@ -43,7 +44,7 @@
 	pendingBytes  int       // that wait to be sent
 	droppedBytes  int       // that were received after the close was requested
 	closeAt       time.Time // when a connection that was closed is aborted, whatever its peer does
-	lastReapBytes int       // that waited to be sent at the latest Reap since the close was requested
+	lastReapBytes int       // that waited to be sent at the latest ReapLingering since the close was requested
 	requestedAt   time.Time // when the close was requested
 }
 
