--- a/internal/cluster/diskidentity/join.go
+++ b/internal/cluster/diskidentity/join.go
@@ -5,20 +5,21 @@
 	"slices"
 )
 
-// CheckJoin decides on a request to become a member. refusal is "" if it is granted. removed are the
-// names that operators have removed; isUp reports whether a member was heard from recently.
-func CheckJoin(id string, members, removed []string, isUp func(id string) bool, maxMembers int) (refusal string) {
+// CheckJoin decides on a request to become a member. It returns nil if it is granted, and the reason for
+// operators if not. removed are the names that operators have removed; isUp reports whether a member
+// was heard from recently.
+func CheckJoin(id string, members, removed []string, isUp func(id string) bool, maxMembers int) error {
 	name := MemberName(id)
 	if slices.Contains(removed, name) {
-		return fmt.Sprintf("%s was removed: 'store add %s' lets it in again", name, name)
+		return fmt.Errorf("%s was removed: 'store add %s' lets it in again", name, name)
 	}
 	for _, member := range members {
 		if member != id && MemberName(member) == name && isUp(member) {
-			return fmt.Sprintf("%s is there with another disk, %s", name, MemberDisk(member))
+			return fmt.Errorf("%s is there with another disk, %s", name, MemberDisk(member))
 		}
 	}
 	if len(members) >= maxMembers {
-		return fmt.Sprintf("there are %d members already", len(members))
+		return fmt.Errorf("there are %d members already", len(members))
 	}
-	return ""
+	return nil
 }
--- a/internal/cluster/diskidentity/member_id.go
+++ b/internal/cluster/diskidentity/member_id.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// idSeparator parts the name and the disk in a member's ID.
+// idSeparator separates the name and the disk in a member's ID.
 const idSeparator = "@"
 
 // MemberID is the ID of a member: a name and the identity of its disk.
--- a/internal/cluster/diskidentity/verdict.go
+++ b/internal/cluster/diskidentity/verdict.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Attestation is what a node says of its own disk, and of the disk of the node that asks.
+// Attestation is what a node reports of its own disk, and of the disk of the node that asks.
 type Attestation struct {
 	ID               string     `json:"id"`
 	Cluster          string     `json:"cluster,omitempty"`
@@ -38,6 +38,8 @@
 
 // Verdict is what a node may do with its disk.
 //
+// VerdictBootstrap prints as "found", in the sense of to found a cluster.
+//
 // VerdictWait is decided again at the next attestation. After VerdictRenew the disk is another
 // member's, and joins. The other verdicts are final for one run of Raft.
 type Verdict int
@@ -72,8 +74,8 @@
 	if local.Empty {
 		return decideEmpty(local, attestations)
 	}
-	if reason := local.adoptConfiguration(attestations); reason != "" {
-		return VerdictRenew, reason
+	if removed := local.adoptConfiguration(attestations); removed != "" {
+		return VerdictRenew, removed
 	}
 	if reason := local.behindReason(attestations); reason != "" {
 		return VerdictRenew, reason
@@ -104,8 +106,9 @@
 	return d.Cluster != "" && a.Cluster != "" && d.Cluster != a.Cluster
 }
 
-// adoptConfiguration takes over the latest configuration of any peer. It returns a reason if a later
-// one lacks this disk.
+// adoptConfiguration sets d's configuration, which is the caller's copy, to the latest one that a peer
+// reports. It stops and returns a reason at the first peer with a later one that lacks this disk: the
+// disk was removed.
 func (d *LocalDisk) adoptConfiguration(attestations map[string]Attestation) (removed string) {
 	for _, a := range attestations {
 		if a.ConfigIndex <= d.ConfigIndex || d.foreign(a) {
--- a/internal/cluster/diskidentity/verdict_test.go
+++ b/internal/cluster/diskidentity/verdict_test.go
@@ -102,8 +102,8 @@
 func TestMayJoin(t *testing.T) {
 	up := func(id string) bool { return id == "a@1" }
 	members := []string{"a@1", "b@1"}
-	assert.Empty(t, CheckJoin("b@2", members, nil, up, 3), "its old disk is gone")
-	assert.Contains(t, CheckJoin("a@2", members, nil, up, 3), "with another disk")
-	assert.Contains(t, CheckJoin("c@1", members, []string{"c"}, up, 3), "store add c")
-	assert.Contains(t, CheckJoin("c@1", members, nil, up, 2), "2 members already")
+	assert.NoError(t, CheckJoin("b@2", members, nil, up, 3), "its old disk is gone")
+	assert.ErrorContains(t, CheckJoin("a@2", members, nil, up, 3), "with another disk")
+	assert.ErrorContains(t, CheckJoin("c@1", members, []string{"c"}, up, 3), "store add c")
+	assert.ErrorContains(t, CheckJoin("c@1", members, nil, up, 2), "2 members already")
 }
--- a/internal/cluster/membership/choice.go
+++ b/internal/cluster/membership/choice.go
@@ -6,14 +6,14 @@
 	"slices"
 )
 
-// candidate is the learner that gets the next vote: a preferred one, then one of the zone with the
+// promotionCandidate is the learner that gets the next vote: a preferred one, then one of the zone with the
 // fewest voters, then the one that misses the fewest entries, then the lowest ID.
-func (p Policy) candidate(v View, c census) (best Member, found bool) {
+func (p Policy) promotionCandidate(v View, c voterCounts) (best Member, found bool) {
 	for _, m := range v.Members {
 		if m.Role != Learner || m.Leaving || !p.healthy(m) {
 			continue
 		}
-		if !found || c.compareCandidates(m, best) < 0 {
+		if !found || c.comparePromotionCandidates(m, best) < 0 {
 			best = m
 			found = true
 		}
@@ -21,8 +21,8 @@
 	return best, found
 }
 
-// compareCandidates is below 0 if a goes before b.
-func (c census) compareCandidates(a, b Member) int {
+// comparePromotionCandidates is below 0 if a goes before b.
+func (c voterCounts) comparePromotionCandidates(a, b Member) int {
 	return cmp.Or(
 		-compareBool(a.VotePreferred, b.VotePreferred),
 		cmp.Compare(c.zones[a.Zone], c.zones[b.Zone]),
@@ -31,15 +31,15 @@
 	)
 }
 
-// spare is the voter that can give up its vote most easily, never the leader: one that is not
+// demotionCandidate is the voter that gives up its vote first, never the leader: one that is not
 // preferred, then one that is not healthy, then one of the zone with the most voters, then the
 // highest ID.
-func (p Policy) spare(v View, c census) (best Member, found bool) {
+func (p Policy) demotionCandidate(v View, c voterCounts) (best Member, found bool) {
 	for _, m := range v.Members {
-		if m.Role != Voter || m.ID == v.Leader || p.outgoing(m) {
+		if m.Role != Voter || m.ID == v.Leader || p.losesVote(m) {
 			continue
 		}
-		if !found || p.compareSpares(c, m, best) < 0 {
+		if !found || p.compareDemotionCandidates(c, m, best) < 0 {
 			best = m
 			found = true
 		}
@@ -47,8 +47,8 @@
 	return best, found
 }
 
-// compareSpares is below 0 if a goes before b.
-func (p Policy) compareSpares(c census, a, b Member) int {
+// compareDemotionCandidates is below 0 if a goes before b.
+func (p Policy) compareDemotionCandidates(c voterCounts, a, b Member) int {
 	return cmp.Or(
 		compareBool(a.VotePreferred, b.VotePreferred),
 		compareBool(p.healthy(a), p.healthy(b)),
@@ -69,7 +69,7 @@
 }
 
 // zoneRange is the lowest and the highest number of staying voters in a zone.
-func (c census) zoneRange() (fewest, most int) {
+func (c voterCounts) zoneRange() (fewest, most int) {
 	counts := slices.Collect(maps.Values(c.zones))
 	return slices.Min(counts), slices.Max(counts)
 }
--- a/internal/cluster/membership/golden_test.go
+++ b/internal/cluster/membership/golden_test.go
@@ -15,6 +15,6 @@
 		assert.Equal(t, text, k.String())
 	}
 	for text, m := range map[string]Member{"its disk is gone": {DiskLost: true}, "it leaves": {Leaving: true}, "it was down for too long": {}} {
-		assert.Equal(t, text, outgoingReason(m))
+		assert.Equal(t, text, departureReason(m))
 	}
 }
--- a/internal/cluster/membership/step.go
+++ b/internal/cluster/membership/step.go
@@ -23,8 +23,8 @@
 	Reason string // for operators
 }
 
-// rules in the order in which they are asked. The first one with a step decides.
-var rules = [...]func(Policy, View, census) Step{
+// rules in the order in which they are checked. The first one with a step decides.
+var rules = [...]func(Policy, View, voterCounts) Step{
 	Policy.demoteLost,
 	Policy.promoteMissing,
 	Policy.reduceVoters,
@@ -50,45 +50,50 @@
 
 // demoteLost takes the vote of a lost disk at once: it can't come back, and counts against the
 // majority.
-func (p Policy) demoteLost(v View, c census) Step {
+func (p Policy) demoteLost(v View, c voterCounts) Step {
 	for _, m := range v.Members {
 		if m.Role == Voter && m.DiskLost && p.keepsQuorumWithout(c, m) {
-			return Step{Kind: StepDemote, ID: m.ID, Reason: outgoingReason(m)}
+			return Step{Kind: StepDemote, ID: m.ID, Reason: departureReason(m)}
 		}
 	}
 	return Step{}
 }
 
-// promoteMissing gives a learner the vote that is missing. It comes before an outgoing voter loses
-// its own, so that no copy is given up before there is another. One more healthy voter never costs
+// promoteMissing gives a learner the vote that is missing. It comes before another voter loses
+// its own (losesVote), so that no copy is given up before there is another. One more healthy voter never costs
 // the majority, as that grows by one at most.
-func (p Policy) promoteMissing(v View, c census) Step {
+func (p Policy) promoteMissing(v View, c voterCounts) Step {
 	if c.staying >= p.Voters {
 		return Step{}
 	}
-	m, ok := p.candidate(v, c)
+	m, ok := p.promotionCandidate(v, c)
 	if !ok {
 		return Step{}
 	}
 	return Step{Kind: StepPromote, ID: m.ID, Reason: "fewer voters than wanted"}
 }
 
-// reduceVoters takes the votes of outgoing voters, and then those beyond the wanted number.
-func (p Policy) reduceVoters(v View, c census) Step {
-	if step, decided := p.demoteOutgoing(v, c); decided {
+// reduceVoters takes the votes of voters that leave, are lost or were down for too long, and then those
+// beyond the wanted number.
+func (p Policy) reduceVoters(v View, c voterCounts) Step {
+	if step, decided := p.demoteLeavingOrDown(v, c); decided {
 		return step
 	}
 	return p.demoteSurplus(v, c)
 }
 
-// demoteOutgoing takes the votes of outgoing voters once there are enough others. A leaving voter
-// loses its vote also if no learner could have it; one that is merely down keeps its vote until then.
-// An outgoing leader is decided on before anything else: it transfers the leadership, or nothing is
-// done while no voter could take it.
-func (p Policy) demoteOutgoing(v View, c census) (step Step, decided bool) {
-	_, standby := p.candidate(v, c)
+// demoteLeavingOrDown takes the vote of the first voter, in the order of View.Members, that is to lose it
+// (losesVote):
+//
+//   - Once enough other voters stay, any such voter loses its vote.
+//   - While fewer stay than wanted, a leaving voter loses its vote if there is no learner to promote, and
+//     one that is down or lost keeps it.
+//   - If it is the leader, it transfers the leadership first. While no voter can take that, nothing is
+//     done, and no voter after the leader is looked at.
+func (p Policy) demoteLeavingOrDown(v View, c voterCounts) (step Step, decided bool) {
+	_, standby := p.promotionCandidate(v, c)
 	for _, m := range v.Members {
-		if m.Role != Voter || !p.outgoing(m) {
+		if m.Role != Voter || !p.losesVote(m) {
 			continue
 		}
 		if c.staying < p.Voters && (standby || !m.Leaving) {
@@ -98,18 +103,18 @@
 			return p.transfer(v, "the leader leaves"), true
 		}
 		if p.keepsQuorumWithout(c, m) {
-			return Step{Kind: StepDemote, ID: m.ID, Reason: outgoingReason(m)}, true
+			return Step{Kind: StepDemote, ID: m.ID, Reason: departureReason(m)}, true
 		}
 	}
 	return Step{}, false
 }
 
 // demoteSurplus takes one of the votes beyond the wanted number.
-func (p Policy) demoteSurplus(v View, c census) Step {
+func (p Policy) demoteSurplus(v View, c voterCounts) Step {
 	if c.staying <= p.Voters {
 		return Step{}
 	}
-	if m, ok := p.spare(v, c); ok && p.keepsQuorumWithout(c, m) {
+	if m, ok := p.demotionCandidate(v, c); ok && p.keepsQuorumWithout(c, m) {
 		return Step{Kind: StepDemote, ID: m.ID, Reason: "more voters than wanted"}
 	}
 	return Step{}
@@ -117,41 +122,41 @@
 
 // promotePreferred gives a vote to a learner that operators prefer, if another voter can give up
 // its own: reduceVoters takes that next.
-func (p Policy) promotePreferred(v View, c census) Step {
-	m, ok := p.candidate(v, c)
+func (p Policy) promotePreferred(v View, c voterCounts) Step {
+	m, ok := p.promotionCandidate(v, c)
 	if !ok || !m.VotePreferred {
 		return Step{}
 	}
-	spare, ok := p.spare(v, c)
-	if !ok || spare.VotePreferred || !p.keepsQuorumWithout(c, spare) {
+	replaced, ok := p.demotionCandidate(v, c)
+	if !ok || replaced.VotePreferred || !p.keepsQuorumWithout(c, replaced) {
 		return Step{}
 	}
 	return Step{Kind: StepPromote, ID: m.ID, Reason: "an operator wants it to have a vote"}
 }
 
-// balanceZones promotes in the zone with the fewest voters, if another one has two or more in
-// addition: reduceVoters takes a vote there next.
-func (p Policy) balanceZones(v View, c census) Step {
+// balanceZones promotes in the zone with the fewest voters, if another zone has at least two voters
+// more: reduceVoters takes a vote there next.
+func (p Policy) balanceZones(v View, c voterCounts) Step {
 	if len(c.zones) < 2 {
 		return Step{}
 	}
 	fewest, most := c.zoneRange()
-	m, ok := p.candidate(v, c)
+	m, ok := p.promotionCandidate(v, c)
 	if !ok || most-fewest < 2 || c.zones[m.Zone] != fewest {
 		return Step{}
 	}
-	spare, ok := p.spare(v, c)
-	if !ok || spare.VotePreferred || c.zones[spare.Zone]-c.zones[m.Zone] < 2 {
+	replaced, ok := p.demotionCandidate(v, c)
+	if !ok || replaced.VotePreferred || c.zones[replaced.Zone]-c.zones[m.Zone] < 2 {
 		return Step{} // reduceVoters would take the vote elsewhere
 	}
 	return Step{Kind: StepPromote, ID: m.ID, Reason: "its zone has two voters less than another"}
 }
 
 // removeLearner removes learners that leave, whose disk is lost, or that were down for too long.
-func (p Policy) removeLearner(v View, _ census) Step {
+func (p Policy) removeLearner(v View, _ voterCounts) Step {
 	for _, m := range v.Members {
-		if m.Role == Learner && p.forgotten(m) {
-			return Step{Kind: StepRemove, ID: m.ID, Reason: outgoingReason(m)}
+		if m.Role == Learner && p.removable(m) {
+			return Step{Kind: StepRemove, ID: m.ID, Reason: departureReason(m)}
 		}
 	}
 	return Step{}
@@ -160,7 +165,7 @@
 // transfer moves the leadership to a healthy voter that stays.
 func (p Policy) transfer(v View, reason string) Step {
 	for _, m := range v.Members {
-		if m.Role == Voter && m.ID != v.Leader && p.healthy(m) && !p.outgoing(m) {
+		if m.Role == Voter && m.ID != v.Leader && p.healthy(m) && !p.losesVote(m) {
 			return Step{Kind: StepTransfer, ID: m.ID, Reason: reason}
 		}
 	}
--- a/internal/cluster/membership/view.go
+++ b/internal/cluster/membership/view.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Role is what a member is in the committed configuration.
+// Role is what a member is in the latest configuration, which is not committed yet while
+// View.ChangePending.
 type Role int
 
 // The roles.
@@ -30,16 +31,16 @@
 type View struct {
 	Leader        string // member ID
 	Members       []Member
-	ChangePending bool          // the change before is not committed
+	ChangePending bool          // the latest configuration is not committed
 	SinceChange   time.Duration // since the change before, or since this leader was elected
 }
 
 // Policy is what operators set. Its methods decide.
 type Policy struct {
-	Voters           int           // wanted number, odd
+	Voters           int           // wanted number; an even one survives no more failures than the odd one below it
 	ReplaceAfter     time.Duration // a voter that is down for so long gives its vote to a learner
 	ForgetAfter      time.Duration // a learner that is down for so long is removed; 0 is never
-	SettleTime       time.Duration // least time between two changes
+	SettleTime       time.Duration // minimum time between two changes
 	MaxEntriesBehind uint64        // log entries that a healthy member may miss
 }
 
@@ -51,18 +52,18 @@
 	return m.Up && !m.DiskLost && m.EntriesBehind <= p.MaxEntriesBehind
 }
 
-// outgoing reports whether a voter's vote is to go to another member.
-func (p Policy) outgoing(m Member) bool {
+// losesVote reports whether a voter's vote is to go to another member.
+func (p Policy) losesVote(m Member) bool {
 	return m.Leaving || m.DiskLost || !m.Up && m.DownFor >= p.ReplaceAfter
 }
 
-// forgotten reports whether a learner is to be removed.
-func (p Policy) forgotten(m Member) bool {
+// removable reports whether a learner is to be removed.
+func (p Policy) removable(m Member) bool {
 	return m.Leaving || m.DiskLost || !m.Up && p.ForgetAfter > 0 && m.DownFor >= p.ForgetAfter
 }
 
-// outgoingReason is why a member loses its vote or its place.
-func outgoingReason(m Member) string {
+// departureReason is why a member loses its vote or its place.
+func departureReason(m Member) string {
 	switch {
 	case m.DiskLost:
 		return "its disk is gone"
@@ -72,16 +73,16 @@
 	return "it was down for too long"
 }
 
-// census counts the voters of a view.
-type census struct {
+// voterCounts counts the voters of a view.
+type voterCounts struct {
 	voters  int
 	healthy int            // of the voters
-	staying int            // voters that are not outgoing
+	staying int            // voters that keep their vote (not losesVote)
 	zones   map[string]int // staying voters, also of zones that have none and could have one
 }
 
-func (p Policy) count(v View) census {
-	c := census{zones: map[string]int{}}
+func (p Policy) count(v View) voterCounts {
+	c := voterCounts{zones: map[string]int{}}
 	for _, m := range v.Members {
 		if p.healthy(m) && !m.Leaving {
 			c.zones[m.Zone] += 0
@@ -93,7 +94,7 @@
 		if p.healthy(m) {
 			c.healthy++
 		}
-		if !p.outgoing(m) {
+		if !p.losesVote(m) {
 			c.staying++
 			c.zones[m.Zone]++
 		}
@@ -101,8 +102,8 @@
 	return c
 }
 
-// keepsQuorumWithout reports whether the voters but for one still have a healthy majority.
-func (p Policy) keepsQuorumWithout(c census, m Member) bool {
+// keepsQuorumWithout reports whether the voters without one of them still have a healthy majority.
+func (p Policy) keepsQuorumWithout(c voterCounts, m Member) bool {
 	healthy := c.healthy
 	if p.healthy(m) {
 		healthy--
--- a/internal/cluster/raftstorage/fail_stop.go
+++ b/internal/cluster/raftstorage/fail_stop.go
@@ -8,9 +8,12 @@
 	"github.com/hashicorp/raft"
 )
 
-// FailStopStorage is a Storage as Raft is given it. Its first failure is reported to the node, which
-// then ends Raft. Where Raft would end the whole process, as it can't store its term or read its log,
-// the calling goroutine is ended instead.
+// FailStopStorage is a Storage as Raft is given it. Its first failure to write a stable value, or to
+// read or write the log, is reported to the node, which then ends Raft. Where Raft would end the whole
+// process, as it can't store its term or read its log, the calling goroutine is ended instead.
+//
+// The other methods are Storage's own and report nothing: a failed write of a snapshot or of a local
+// value shows in Storage.ReadOnlyReason.
 type FailStopStorage struct {
 	*Storage
 	once     sync.Once
--- a/internal/cluster/raftstorage/fail_stop_test.go
+++ b/internal/cluster/raftstorage/fail_stop_test.go
@@ -32,7 +32,7 @@
 	<-ended
 	require.False(t, went)
 	require.Equal(t, 1, told)
-	require.Error(t, d.Failed())
+	require.Error(t, d.ReadOnlyReason())
 	m, err := d.Watermark()
 	require.NoError(t, err)
 	require.EqualValues(t, 1, m.LastIndex)
--- a/internal/cluster/raftstorage/storage.go
+++ b/internal/cluster/raftstorage/storage.go
@@ -13,15 +13,16 @@
 
 // The prefixes of keys in the durable store.
 const (
-	prefixLog      = "l/" // and the index, of 8 bytes
-	prefixStable   = "c/" // and Raft's key
-	prefixLocal    = "k/" // and the node's key
-	prefixMeta     = "m/" // and the snapshot's ID
-	prefixSnapshot = "s/" // and the snapshot's ID, "/" and the chunk's number, of 8 bytes
+	prefixLog      = "l/" // log entries: the index, of 8 bytes
+	prefixStable   = "c/" // Raft's stable values, such as its current term and its vote: Raft's key
+	prefixLocal    = "k/" // values that the node keeps beside the log (PutLocal): the node's key
+	prefixMeta     = "m/" // descriptions of snapshots: the snapshot's ID
+	prefixSnapshot = "s/" // contents of snapshots: the ID, "/" and the chunk's number, of 8 bytes
 )
 
 const (
-	// maxEntryBytes is of one log entry: all keys of a store, imported at once.
+	// maxEntryBytes bounds one log entry, and one chunk of a snapshot. Entries of today stay far below
+	// it; logs of earlier versions may have an entry with all keys of a store.
 	maxEntryBytes = 80 << 20
 	// appendBatchBytes is after which size of encoded entries a batch is appended.
 	appendBatchBytes = 4 << 20
@@ -76,11 +77,8 @@
 	return s, report, nil
 }
 
-// Close syncs, and lets go of the folder.
+// Close syncs, and releases the folder.
 func (s *Storage) Close() error { return s.store.Close() }
 
-// Stat is the durable store's figures.
-func (s *Storage) Stat() durable.Stats { return s.store.Stats() }
-
-// Failed is why nothing can be written any more, or nil.
-func (s *Storage) Failed() error { return s.store.ReadOnlyError() }
+// ReadOnlyReason is why nothing can be written any more, or nil.
+func (s *Storage) ReadOnlyReason() error { return s.store.ReadOnlyError() }
--- a/internal/cluster/singleton/backup_file.go
+++ b/internal/cluster/singleton/backup_file.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// dueIn is how long until the next backup; 0 is now. A last backup that lies in the future was dated
+// untilNextBackup is how long until the next backup; 0 is now. A last backup that lies in the future was dated
 // by a clock that is ahead, and counts as taken now.
-func dueIn(last, now time.Time, interval time.Duration) time.Duration {
+func untilNextBackup(last, now time.Time, interval time.Duration) time.Duration {
 	if last.IsZero() {
 		return 0
 	}
@@ -27,9 +27,9 @@
 	return fmt.Sprintf("oxbowbridge-%013d-%d.backup", at.UnixMilli(), revision)
 }
 
-// surplus are the files to be removed so that the newest ones are kept. Files with other names are
+// expiredBackups are the files to be removed so that the newest ones are kept. Files with other names are
 // never among them.
-func surplus(names []string, keep int) (old []string) {
+func expiredBackups(names []string, keep int) (old []string) {
 	timesMS := map[string]int64{}
 	var backups []string
 	for _, name := range names {
--- a/internal/cluster/singleton/backup_task.go
+++ b/internal/cluster/singleton/backup_task.go
@@ -22,15 +22,15 @@
 )
 
 const (
-	// KeyBackupNote is the key of the last scheduled backup's note.
-	KeyBackupNote = kv.StatePrefix + "fleet.backup"
+	// KeyLastBackup is the key of the last scheduled backup, a LastBackup.
+	KeyLastBackup = kv.StatePrefix + "fleet.backup"
 
-	// maxScheduleWait bounds the wait between two looks at the note.
+	// maxScheduleWait bounds the wait between two reads of KeyLastBackup.
 	maxScheduleWait = time.Second
 )
 
-// BackupNote is what the store says of the last scheduled backup.
-type BackupNote struct {
+// LastBackup is the record of the last scheduled backup under KeyLastBackup.
+type LastBackup struct {
 	TimeMS   int64  `json:"time_ms"` // Unix milliseconds, by the clock of the node that wrote it
 	Node     string `json:"node"`
 	File     string `json:"file"` // path on that node
@@ -67,7 +67,7 @@
 
 func (b *backupSchedule) run(ctx context.Context, fence lease.FencingToken) error {
 	for {
-		due, err := b.dueIn(ctx)
+		due, err := b.untilNextBackup(ctx)
 		if err != nil {
 			return fmt.Errorf("scheduled backup: %w", err)
 		}
@@ -86,23 +86,23 @@
 	}
 }
 
-// dueIn is how long until the next backup. The read is linearizable, as the note may have been
-// written just now, here or by the holder before.
-func (b *backupSchedule) dueIn(ctx context.Context) (time.Duration, error) {
+// untilNextBackup is how long until the next backup; 0 is now. The read is linearizable: the previous
+// lease holder may have recorded a backup just before this one was granted the lease.
+func (b *backupSchedule) untilNextBackup(ctx context.Context) (time.Duration, error) {
 	if _, err := b.store.WaitFresh(ctx, store.Freshness{}); err != nil {
 		return 0, err
 	}
-	var last BackupNote
-	if e, ok := b.store.Entry(KeyBackupNote); ok {
-		json.Unmarshal(e.Value, &last) // a note that can't be read is none
+	var last LastBackup
+	if e, ok := b.store.Entry(KeyLastBackup); ok {
+		json.Unmarshal(e.Value, &last) // a record that can't be read counts as none
 	}
 	if last.TimeMS == 0 {
 		return 0, nil
 	}
-	return dueIn(time.UnixMilli(last.TimeMS), time.Now(), b.interval), nil
+	return untilNextBackup(time.UnixMilli(last.TimeMS), time.Now(), b.interval), nil
 }
 
-// takeBackup writes a backup, notes it in the store under the lease, and only then removes old ones.
+// takeBackup writes a backup, records it in the store under the lease, and only then removes expired ones.
 func (b *backupSchedule) takeBackup(ctx context.Context, fence lease.FencingToken) error {
 	header, text, err := b.client.Backup(ctx)
 	if err != nil {
@@ -112,11 +112,11 @@
 	if err != nil {
 		return err
 	}
-	if err := b.putNote(ctx, fence, header, path); err != nil {
+	if err := b.putLastBackup(ctx, fence, header, path); err != nil {
 		return err
 	}
 	b.log.Info("scheduled backup", zap.String("file", path), zap.Uint64("revision", header.Revision), zap.Int("keys", header.Keys))
-	return b.removeSurplus()
+	return b.removeExpired()
 }
 
 // writeFile writes a backup, and checks that it can be read again.
@@ -138,10 +138,10 @@
 	return path, nil
 }
 
-// putNote notes the backup under the lease. If that fails, another node may have the task, and the
-// file is removed.
-func (b *backupSchedule) putNote(ctx context.Context, fence lease.FencingToken, header backup.Header, path string) error {
-	note, err := json.Marshal(BackupNote{
+// putLastBackup records the backup under the lease. If that fails, another node may hold the lease, and
+// the file is removed.
+func (b *backupSchedule) putLastBackup(ctx context.Context, fence lease.FencingToken, header backup.Header, path string) error {
+	text, err := json.Marshal(LastBackup{
 		TimeMS:   header.TimeMS,
 		Node:     b.store.Name(),
 		File:     path,
@@ -153,7 +153,7 @@
 	}
 	err = b.store.ExecuteAnywhere(ctx, kv.Request{
 		Fences: []lease.FencingToken{fence},
-		Then:   []kv.Op{{Kind: "put", Key: KeyBackupNote, Value: note}},
+		Then:   []kv.Op{kv.Put(KeyLastBackup, text)},
 	})
 	if err != nil {
 		return errors.Join(err, os.Remove(path))
@@ -161,7 +161,7 @@
 	return nil
 }
 
-func (b *backupSchedule) removeSurplus() error {
+func (b *backupSchedule) removeExpired() error {
 	list, err := os.ReadDir(b.dir)
 	if err != nil {
 		return err
@@ -170,7 +170,7 @@
 	for _, file := range list {
 		names = append(names, file.Name())
 	}
-	for _, name := range surplus(names, b.keep) {
+	for _, name := range expiredBackups(names, b.keep) {
 		err = errors.Join(err, os.Remove(filepath.Join(b.dir, name)))
 	}
 	return err
--- a/internal/cluster/singleton/tasks.go
+++ b/internal/cluster/singleton/tasks.go
@@ -47,7 +47,7 @@
 		sessionTask(s),
 		maintenanceTask(maintenance),
 	}
-	if s.HasSQLRecord() {
+	if s.HasSQLMirror() {
 		list = append(list, mirrorTask(s))
 	}
 	if cfg.Backup.Dir != "" {
--- a/internal/cluster/store/ack_transport.go
+++ b/internal/cluster/store/ack_transport.go
@@ -113,12 +113,21 @@
 	t.updated = make(chan struct{})
 }
 
-// awaitMajority waits until a majority of the voters, this one among them, has answered in a term
-// to requests sent at or after a time: no other leader had been elected by then. It is ErrNoLeader
+// quorumRequest asks for a majority that still follows a leader.
+type quorumRequest struct {
+	leader   raft.ServerID // this node
+	conf     raft.Configuration
+	term     uint64      // in which the voters have to answer
+	after    time.Time   // answers to requests that were sent earlier do not count
+	isLeader func() bool // reports whether this node still leads
+}
+
+// awaitMajority waits until a majority of the voters, this one among them, has answered in the term
+// to requests sent at or after the time: no other leader had been elected by then. It is ErrNoLeader
 // once this node has lost the leadership.
-func (t *ackTransport) awaitMajority(ctx context.Context, self raft.ServerID, conf raft.Configuration, term uint64, after time.Time, isLeader func() bool) error {
-	for isLeader() {
-		voters, following, updated := t.countFollowing(self, conf, term, after)
+func (t *ackTransport) awaitMajority(ctx context.Context, request quorumRequest) error {
+	for request.isLeader() {
+		voters, following, updated := t.countFollowing(request)
 		if 2*following > voters {
 			return nil
 		}
@@ -132,18 +141,18 @@
 	return ErrNoLeader
 }
 
-// countFollowing counts the voters, and those that follow this node in a term since a time. updated
-// is closed at the next answer.
-func (t *ackTransport) countFollowing(self raft.ServerID, conf raft.Configuration, term uint64, after time.Time) (voters, following int, updated <-chan struct{}) {
+// countFollowing counts the voters, and those that follow this node as requested. updated is closed at
+// the next answer.
+func (t *ackTransport) countFollowing(request quorumRequest) (voters, following int, updated <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, server := range conf.Servers {
+	for _, server := range request.conf.Servers {
 		if server.Suffrage != raft.Voter {
 			continue
 		}
 		voters++
 		ack := t.lastAcks[server.ID]
-		if server.ID == self || ack.term == term && !ack.sentAt.Before(after) {
+		if server.ID == request.leader || ack.term == request.term && !ack.sentAt.Before(request.after) {
 			following++
 		}
 	}
--- a/internal/cluster/store/ack_transport_test.go
+++ b/internal/cluster/store/ack_transport_test.go
@@ -23,7 +23,7 @@
 	await := func(isLeader bool) error {
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
 		defer cancel()
-		return a.awaitMajority(ctx, "a", conf, 7, now, func() bool { return isLeader })
+		return a.awaitMajority(ctx, quorumRequest{leader: "a", conf: conf, term: 7, after: now, isLeader: func() bool { return isLeader }})
 	}
 	for _, k := range []struct {
 		id   raft.ServerID
--- a/internal/cluster/store/address.go
+++ b/internal/cluster/store/address.go
@@ -8,7 +8,7 @@
 	"oxbowbridge/internal/cluster/diskidentity"
 )
 
-// addressSeparator parts an address in the cluster's configuration, ID|RAFT|ADMIN|ZONE. The address
+// addressSeparator separates the fields of an address in the cluster's configuration, ID|RAFT|ADMIN|ZONE. The address
 // holds all that others must know of a member, so that it changes in one log entry with the members.
 const addressSeparator = "|"
 
--- a/internal/cluster/store/apply.go
+++ b/internal/cluster/store/apply.go
@@ -26,7 +26,7 @@
 		s.onLeaseGranted(g.name, g.holder)
 	}
 	effects.notify()
-	s.signalDirty()
+	s.signalChanged()
 	return result
 }
 
--- a/internal/cluster/store/restore.go
+++ b/internal/cluster/store/backup_restore.go
@@ -21,9 +21,9 @@
 
 var errNoClusterID = errors.New("the cluster has no id yet")
 
-// Restore writes a backup into the empty store of another cluster; only the leader can. Until it is
-// complete the store admits no other write. A retry with the same backup goes on, or has the answer
-// of the one that was complete.
+// Restore writes a backup into the empty store of another cluster. It returns ErrNoLeader on any node
+// but the leader. Until it is complete the store admits no other write. A retry with the same backup
+// goes on, or has the answer of the one that was complete.
 func (s *Store) Restore(ctx context.Context, header backup.Header, entries []backup.Entry) (storeapi.RestoreResponse, error) {
 	if _, err := s.WaitFresh(ctx, Freshness{}); err != nil {
 		return storeapi.RestoreResponse{}, err
@@ -75,7 +75,7 @@
 		if !kv.IsUserKey(e.Key) {
 			continue // what the old services said of themselves
 		}
-		r.batch = append(r.batch, kv.Op{Kind: "put", Key: e.Key, Value: e.Value})
+		r.batch = append(r.batch, kv.Put(e.Key, e.Value))
 		r.bytes += len(e.Value)
 		r.result.Keys++
 		if len(r.batch) < maxRestoreOps && r.bytes < maxRestoreBytes {
@@ -94,7 +94,7 @@
 	if err != nil {
 		return err
 	}
-	r.batch = append(r.batch, kv.Op{Kind: "delete", Key: kv.RestoreKey}, kv.Op{Kind: "put", Key: restoredKey, Value: text})
+	r.batch = append(r.batch, kv.Delete(kv.RestoreKey), kv.Put(restoredKey, text))
 	return r.flush(ctx)
 }
 
@@ -126,7 +126,7 @@
 	for key := range entries {
 		// Under the first version of the marker it was not known yet whether the store is empty.
 		if marker.Version > 1 && kv.IsUserKey(key) {
-			batch.Then = append(batch.Then, kv.Op{Kind: "delete", Key: key})
+			batch.Then = append(batch.Then, kv.Delete(key))
 		}
 		if len(batch.Then) == maxRestoreOps {
 			if _, err := s.Execute(batch); err != nil {
@@ -135,7 +135,7 @@
 			batch.Then = nil
 		}
 	}
-	batch.Then = append(batch.Then, kv.Op{Kind: "delete", Key: kv.RestoreKey})
+	batch.Then = append(batch.Then, kv.Delete(kv.RestoreKey))
 	_, err := s.Execute(batch)
 	return err
 }
@@ -163,12 +163,12 @@
 		return marker.ModRevision, nil
 	}
 	if used := countUserKeys(entries); used > 0 {
-		_, err = s.Execute(kv.Request{Then: []kv.Op{{Kind: "delete", Key: kv.RestoreKey}}})
+		_, err = s.Execute(kv.Request{Then: []kv.Op{kv.Delete(kv.RestoreKey)}})
 		return 0, errors.Join(fmt.Errorf("%w: it has %d keys", ErrNotEmpty, used), err)
 	}
 	response, err := s.Execute(kv.Request{
 		If:   []kv.Compare{{Key: kv.RestoreKey, Revision: marker.ModRevision}},
-		Then: []kv.Op{{Kind: "put", Key: kv.RestoreKey, Value: value}},
+		Then: []kv.Op{kv.Put(kv.RestoreKey, value)},
 	})
 	if err == nil && !response.Succeeded {
 		err = errRestoreSuperseded
@@ -184,7 +184,7 @@
 func (s *Store) putMarker(ctx context.Context, value json.RawMessage) error {
 	_, err := s.Execute(kv.Request{
 		If:   []kv.Compare{{Key: kv.RestoreKey}},
-		Then: []kv.Op{{Kind: "put", Key: kv.RestoreKey, Value: value}},
+		Then: []kv.Op{kv.Put(kv.RestoreKey, value)},
 	})
 	if err != nil {
 		return err
--- a/internal/cluster/store/cluster_id.go
+++ b/internal/cluster/store/cluster_id.go
@@ -118,7 +118,7 @@
 	_, err = s.Execute(kv.Request{
 		TokenFloor: tokenFloor(0),
 		If:         []kv.Compare{{Key: kv.ClusterKey}},
-		Then:       []kv.Op{{Kind: "put", Key: kv.ClusterKey, Value: id}},
+		Then:       []kv.Op{kv.Put(kv.ClusterKey, id)},
 	})
 	return err
 }
--- a/internal/cluster/store/config.go
+++ b/internal/cluster/store/config.go
@@ -37,7 +37,7 @@
 	ForgetAfterMS int64 `json:"forget_after_ms"`
 	// Attesters is how many other voters must attest, before a node that starts may vote, that
 	// they have observed no more of its disk than it has: 0 is as many as make a majority with
-	// it, -1 is all of them.
+	// it, -1 is all of them. Pages and the file call them vouchers.
 	Attesters int `json:"vouchers"`
 
 	// SQL is the database that mirrors the keys.
@@ -59,12 +59,14 @@
 const (
 	defaultReplaceAfter = time.Minute
 	defaultForgetAfter  = 24 * time.Hour
-	// membershipSettleTime is the least time between two changes of the members.
+	// membershipSettleTime is the minimum time between two membership changes: each is decided on
+	// reports that are newer than the one before (pollInterval).
 	membershipSettleTime = 200 * time.Millisecond
-	// maxPromotionLag is how many entries a learner may miss and still be promoted.
-	maxPromotionLag = 100
-	maxMembers      = 32
-	maxVoters       = 9
+	// maxEntriesBehind is how many log entries a healthy member may miss. A learner with more is not
+	// promoted; a voter with more does not count for the healthy majority that each change needs.
+	maxEntriesBehind = 100
+	maxMembers       = 32
+	maxVoters        = 9
 
 	defaultBackupInterval  = 24 * time.Hour
 	minBackupInterval      = time.Second
@@ -118,6 +120,6 @@
 		ReplaceAfter:     cmp.Or(time.Duration(c.ReplaceAfterMS)*time.Millisecond, defaultReplaceAfter),
 		ForgetAfter:      cmp.Or(time.Duration(c.ForgetAfterMS)*time.Millisecond, defaultForgetAfter),
 		SettleTime:       membershipSettleTime,
-		MaxEntriesBehind: maxPromotionLag,
+		MaxEntriesBehind: maxEntriesBehind,
 	}
 }
--- a/internal/cluster/store/config_check.go
+++ b/internal/cluster/store/config_check.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// namePattern leaves out "@" and "|", which part a member's ID and address.
+// namePattern leaves out reservedIDChars, which separate the fields of a member's ID and address.
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9._-]{1,64}$`)
 
 // Check validates the configuration. Its error names the field at fault.
--- a/internal/cluster/store/node_folder.go
+++ b/internal/cluster/store/disk_state.go
@@ -10,28 +10,29 @@
 	"oxbowbridge/internal/cluster/raftstorage"
 )
 
-// Keys of what a node keeps beside its log. The cluster's ID is kept under kv.ClusterKey, and the
-// good version of a key under that key (SaveLastGood).
+// Keys of the values that a node stores beside its log (raftstorage.PutLocal). The stored names are
+// part of the disk format and stay. The cluster's ID is stored under kv.ClusterKey, and the good
+// version of a key under that key (SaveLastGood).
 const (
-	localDiskID     = "disk"   // the disk's identity
-	localStarts     = "starts" // how often the folder was opened, in decimal
-	localJoiner     = "joiner" // present if the folder took the place of another one
-	localWatermarks = "seen"   // watermarks of other disks, as JSON
-	localDiverged   = "apart"  // present if the state was found to differ from the majority's
+	localDiskID         = "disk"   // the disk's identity
+	localStarts         = "starts" // how often the folder was opened, in decimal
+	localReplacement    = "joiner" // present if the folder replaced another one, or has a new identity
+	localPeerWatermarks = "seen"   // watermarks of the peers' disks, as JSON
+	localDiverged       = "apart"  // present if the state was found to differ from the majority's
 )
 
 // diskIDBytes is the length of a disk's identity before it is written in hexadecimal.
 const diskIDBytes = 8
 
-// nodeFolder is what a node's disk held when an incarnation began. It is not changed after.
-type nodeFolder struct {
+// diskState is what a node's disk held when an incarnation began. It is immutable.
+type diskState struct {
 	storage   *raftstorage.Storage
 	local     diskidentity.LocalDisk
 	addresses map[string]string // of the members in its log, by member ID
 }
 
-// readFolder reads a disk's identity, or gives it one, and counts the start.
-func (s *Store) readFolder(storage *raftstorage.Storage) (*nodeFolder, error) {
+// readDiskState reads a disk's identity, or gives it one, and counts the start.
+func (s *Store) readDiskState(storage *raftstorage.Storage) (*diskState, error) {
 	diskID, err := readDiskID(storage)
 	if err != nil {
 		return nil, err
@@ -40,9 +41,9 @@
 	if err != nil {
 		return nil, err
 	}
-	joiner, err := storage.GetLocal(localJoiner)
+	replacement, err := storage.GetLocal(localReplacement)
 	if err != nil {
-		return nil, fmt.Errorf("marker: %w", err)
+		return nil, fmt.Errorf("joiner flag: %w", err)
 	}
 	local := diskidentity.LocalDisk{
 		ID:        diskidentity.MemberID(s.self.Name, diskID),
@@ -50,7 +51,7 @@
 		Attesters: s.cfg.Attesters,
 	}
 	if local.Watermark, err = storage.Watermark(); err != nil {
-		return nil, fmt.Errorf("mark: %w", err)
+		return nil, fmt.Errorf("watermark: %w", err)
 	}
 	local.Watermark.Starts = starts
 	if local.Cluster == "" {
@@ -59,7 +60,7 @@
 		}
 	}
 	local.Empty = local.Watermark.LastIndex == 0
-	local.Fresh = local.Empty && joiner == nil && local.Cluster == ""
+	local.Fresh = local.Empty && replacement == nil && local.Cluster == ""
 	local.Founders = s.cfg.founders()
 	conf, index, err := storage.Configuration()
 	if err != nil {
@@ -71,7 +72,7 @@
 	if _, ok := findServer(conf, s.self.Name); ok {
 		local.ID = s.self.Name
 	}
-	return &nodeFolder{storage: storage, local: local, addresses: memberAddresses(conf)}, nil
+	return &diskState{storage: storage, local: local, addresses: memberAddresses(conf)}, nil
 }
 
 func readDiskID(storage *raftstorage.Storage) (string, error) {
@@ -109,12 +110,12 @@
 	return starts, nil
 }
 
-// renewIdentity gives a disk a new identity, which ends all that it promised under the old one. Its
-// log stays, as most of it need not be sent again.
+// renewIdentity gives a disk a new identity: votes and acknowledgments under the old one do not count
+// for it. The log stays, as most of it need not be sent again.
 func renewIdentity(storage *raftstorage.Storage, name string) (memberID string, err error) {
 	diskID, err := newDiskID(storage)
 	if err == nil {
-		err = storage.PutLocal(localJoiner, []byte("1"))
+		err = storage.PutLocal(localReplacement, []byte("1"))
 	}
 	return diskidentity.MemberID(name, diskID), err
 }
--- a/internal/cluster/store/doc.go
+++ b/internal/cluster/store/doc.go
@@ -8,9 +8,9 @@
 //
 // A node goes from incarnation to incarnation (incarnation.go). An incarnation opens the
 // storage folder, asks the peers what they have observed of its disk (verdict.go), runs Raft
-// (raft.go) and ends when the disk fails, when the other members have removed this disk, or
-// when the state has diverged from the majority's. A wiped, damaged or outdated disk gets a new
-// identity, and so joins as another member: nothing that the old disk promised is counted for it.
+// (raft.go) and ends for one of the reasons in errors.go. A wiped, damaged or outdated disk gets a new
+// identity, and so joins as another member: votes and acknowledgments of the old identity do not count
+// for the new one.
 //
 // # Goroutines
 //
@@ -20,12 +20,12 @@
 //   - peers has one polling goroutine for each known node, for as long as the Store is open.
 //   - peerTransport accepts connections and has one goroutine for each handshake.
 //   - Raft calls replicatedState.Apply, Snapshot and Restore from its own goroutine.
-//   - freshnessProver runs a goroutine while a reader waits for a proof.
+//   - readIndexBatcher runs a goroutine while a caller waits for a read index.
 //
 // # Ownership
 //
 // Raft's goroutine is the only writer of replicatedState; everybody else reads it under its lock.
-// The pointers current, waitReason and folder of Store are written by the goroutine of run alone.
+// The pointers current, waitReason and disk of Store are written by the goroutine of run alone.
 // Locks are taken in the order leaseService, replicatedState; a leaderView's lock goes before
 // those of peers and replicatedState.
 //
--- a/internal/cluster/store/golden_test.go
+++ b/internal/cluster/store/golden_test.go
@@ -74,7 +74,7 @@
 
 // TestGoldenKept: what a node keeps beside its log.
 func TestGoldenKept(t *testing.T) {
-	assert.Equal(t, []string{"disk", "starts", "joiner", "seen", "apart"}, []string{localDiskID, localStarts, localJoiner, localWatermarks, localDiverged})
+	assert.Equal(t, []string{"disk", "starts", "joiner", "seen", "apart"}, []string{localDiskID, localStarts, localReplacement, localPeerWatermarks, localDiverged})
 	golden(t, watermarks{"n1@5f": {Starts: 1, Term: 2, LastTerm: 3, LastIndex: 4}},
 		`{"n1@5f":{"starts":1,"term":2,"last_term":3,"last_index":4}}`)
 	golden(t, GoodVersion{Revision: 7, Value: json.RawMessage(`{"x":1}`)}, `{"revision":7,"value":{"x":1}}`)
@@ -95,8 +95,8 @@
 
 // TestGoldenGreeting: what two nodes say to each other before Raft's own.
 func TestGoldenGreeting(t *testing.T) {
-	golden(t, greeting{From: "n1@5f", To: "n2@6f", Cluster: "c"}, `{"from":"n1@5f","to":"n2@6f","cluster":"c"}`)
-	golden(t, greeting{From: "n1@5f", To: "n2@6f"}, `{"from":"n1@5f","to":"n2@6f"}`)
+	golden(t, handshakeHeader{From: "n1@5f", To: "n2@6f", Cluster: "c"}, `{"from":"n1@5f","to":"n2@6f","cluster":"c"}`)
+	golden(t, handshakeHeader{From: "n1@5f", To: "n2@6f"}, `{"from":"n1@5f","to":"n2@6f"}`)
 	cluster := func() string { return "c" }
 	w, err := listenPeers("127.0.0.1:0", "n2@6f", cluster, func(string) (Peer, bool) { return Peer{}, false })
 	require.NoError(t, err)
@@ -202,6 +202,6 @@
 		"INSERT INTO oxbowbridge_lease (name, token) VALUES ($1, $2)\n" +
 			`ON CONFLICT (name) DO UPDATE SET token = excluded.token WHERE oxbowbridge_lease.token <= excluded.token`,
 		`UPDATE oxbowbridge_store SET idx = 0`,
-	}, []string{createRecordTable, upsertRecord, selectRecords, createFenceTable, advanceFence, resetIndexes})
+	}, []string{createMirrorTable, upsertRow, selectRows, createFenceTable, advanceFence, resetIndexes})
 	assert.Equal(t, map[string]string{"sqlite": "sqlite", "postgres": "pgx"}, drivers)
 }
--- a/internal/cluster/store/incarnation.go
+++ b/internal/cluster/store/incarnation.go
@@ -25,16 +25,16 @@
 	barrierTerm atomic.Uint64          // the term in which this node, as leader, has committed an entry
 }
 
-// runIncarnation waits until the disk may take part, and runs Raft until the disk fails, this node
-// is removed, or the Store is closed. It closes the storage.
+// runIncarnation waits until the disk may take part, and runs Raft until the incarnation ends (see the
+// reasons in errors.go) or the Store is closed. It closes the storage.
 func (s *Store) runIncarnation(storage *raftstorage.Storage) (err error) {
 	defer func() {
-		s.folder.Store(nil)
+		s.disk.Store(nil)
 		if cerr := storage.Close(); cerr != nil && err == nil && s.ctx.Err() == nil {
 			err = fmt.Errorf("close folder: %w", cerr)
 		}
 	}()
-	f, err := s.loadFolder(storage)
+	f, err := s.loadDiskState(storage)
 	if err != nil {
 		return err
 	}
@@ -45,14 +45,14 @@
 	return s.runRaft(f, verdict)
 }
 
-// loadFolder reads what the disk holds, and has the peers that it knows of polled.
-func (s *Store) loadFolder(storage *raftstorage.Storage) (*nodeFolder, error) {
+// loadDiskState reads what the disk holds, and has the peers that it knows of polled.
+func (s *Store) loadDiskState(storage *raftstorage.Storage) (*diskState, error) {
 	id, err := readClusterID(storage)
 	if err != nil {
 		return nil, err
 	}
 	s.identity.set(id)
-	f, err := s.readFolder(storage)
+	f, err := s.readDiskState(storage)
 	if err != nil {
 		return nil, err
 	}
@@ -62,7 +62,7 @@
 	}
 	s.peers.loadWatermarks(observed)
 	s.peers.forgetReports()
-	s.folder.Store(f)
+	s.disk.Store(f)
 	conf, _, err := storage.Configuration()
 	if err != nil {
 		return nil, err
@@ -107,8 +107,8 @@
 	}
 }
 
-// startFailure is a failure that was reported already, or nil.
-func (inc *incarnation) startFailure() error {
+// takeFailure removes and returns the failure that was reported, or returns nil.
+func (inc *incarnation) takeFailure() error {
 	select {
 	case err := <-inc.failure:
 		return err
@@ -117,8 +117,8 @@
 	}
 }
 
-// hasCommand reports whether the log has a command in a range that the state may not hold yet.
-// Entries that the log no longer has were in the state before they were cut off.
+// hasCommand reports whether the log has a command at an index in a range. Entries that the log no
+// longer has were applied to the state before a snapshot replaced them.
 func (inc *incarnation) hasCommand(from, to uint64) bool {
 	var entry raft.Log
 	for i := to; i >= from; i-- {
--- a/internal/cluster/store/last_good.go
+++ b/internal/cluster/store/last_good.go
@@ -30,7 +30,7 @@
 
 // LastGood is what SaveLastGood was last given. It can be read before Raft runs.
 func (s *Store) LastGood(key string) (good GoodVersion, found bool, err error) {
-	f := s.folder.Load()
+	f := s.disk.Load()
 	if f == nil {
 		return good, false, nil
 	}
--- a/internal/cluster/store/leader_view.go
+++ b/internal/cluster/store/leader_view.go
@@ -14,14 +14,13 @@
 	"oxbowbridge/internal/cluster/storeapi"
 )
 
-// leaderView is what the leader last observed of the members.
+// leaderView is what the leader remembers between two views of the members.
 type leaderView struct {
 	mu          sync.Mutex
 	leaderSince time.Time            // since when this node leads without a break; zero while it does not
 	configIndex uint64               // of the latest configuration
 	changedAt   time.Time            // when that one was first seen
 	downSince   map[string]time.Time // by ID, for members without a recent report
-	view        membership.View
 }
 
 // manageMembers observes the members again and again, and takes the next step while this node
@@ -39,12 +38,13 @@
 			inc.members.reset()
 			continue
 		}
-		step, conf, index := s.observeMembers(inc)
+		observed := s.observeMembers(inc)
+		step := s.cfg.policy().Next(observed.view)
 		if step.Kind == membership.StepNone {
 			continue
 		}
-		s.log.Info("membership change", zap.Stringer("step", step.Kind), zap.String("member", step.ID), zap.String("reason", step.Reason))
-		if err := inc.applyStep(ctx, step, conf, index); err != nil && ctx.Err() == nil {
+		s.log.Info("membership change started", zap.Stringer("step", step.Kind), zap.String("member", step.ID), zap.String("reason", step.Reason))
+		if err := inc.applyStep(ctx, step, observed); err != nil && ctx.Err() == nil {
 			s.log.Warn("membership change failed", zap.Stringer("step", step.Kind), zap.String("member", step.ID), zap.Error(err))
 		}
 	}
@@ -57,29 +57,28 @@
 	v.leaderSince = time.Time{}
 }
 
-// last is the view that was observed last.
-func (v *leaderView) last() membership.View {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	return v.view
+// noteLeadership begins the view if this node was not leader before. It is called with the lock held.
+func (v *leaderView) noteLeadership(index uint64, now time.Time) {
+	if !v.leaderSince.IsZero() {
+		return
+	}
+	v.leaderSince = now
+	v.changedAt = now
+	v.configIndex = index
+	v.downSince = map[string]time.Time{}
 }
 
-// noteConfiguration is called with the lock held.
+// noteConfiguration notes the index of the latest configuration. It is called with the lock held.
 func (v *leaderView) noteConfiguration(index uint64, now time.Time) {
-	if v.leaderSince.IsZero() {
-		v.leaderSince = now
-		v.changedAt = now
-		v.configIndex = index
-		v.downSince = map[string]time.Time{}
-	}
 	if index != v.configIndex {
 		v.configIndex = index
 		v.changedAt = now
 	}
 }
 
-// downFor is for how long a member has been down. It is called with the lock held.
-func (v *leaderView) downFor(id string, now time.Time) time.Duration {
+// markDown notes that a member is down, and returns for how long it has been. It is called with the
+// lock held.
+func (v *leaderView) markDown(id string, now time.Time) time.Duration {
 	since, known := v.downSince[id]
 	if !known {
 		since = now
@@ -88,25 +87,32 @@
 	return now.Sub(since)
 }
 
-// observeMembers makes the leader's view, and returns the next step with the configuration that it
-// was decided on.
-func (s *Store) observeMembers(inc *incarnation) (membership.Step, raft.Configuration, uint64) {
+// observedMembers is the leader's view, and the configuration that it is of.
+type observedMembers struct {
+	view  membership.View
+	conf  raft.Configuration
+	index uint64 // of conf
+}
+
+// observeMembers makes the leader's view of the latest configuration.
+func (s *Store) observeMembers(inc *incarnation) observedMembers {
 	conf, index := inc.configuration()
 	now := time.Now()
 	v := &inc.members
 	v.mu.Lock()
 	defer v.mu.Unlock()
+	v.noteLeadership(index, now)
 	v.noteConfiguration(index, now)
-	v.view = membership.View{
+	view := membership.View{
 		Leader:        inc.memberID,
 		ChangePending: inc.raft.CommitIndex() < index,
 		SinceChange:   now.Sub(v.changedAt),
 	}
 	for _, server := range conf.Servers {
-		v.view.Members = append(v.view.Members, s.observeMember(inc, server, now))
+		view.Members = append(view.Members, s.observeMember(inc, server, now))
 	}
-	s.migrateLegacyMembers(inc, v.view.Members)
-	return s.cfg.policy().Next(v.view), conf, index
+	s.migrateLegacyMembers(inc, view.Members)
+	return observedMembers{view: view, conf: conf, index: index}
 }
 
 // observeMember is one member as the leader sees it. The view's lock is held.
@@ -136,7 +142,7 @@
 		delete(inc.members.downSince, id)
 		return m
 	}
-	m.DownFor = inc.members.downFor(id, now)
+	m.DownFor = inc.members.markDown(id, now)
 	return m
 }
 
@@ -155,7 +161,7 @@
 	next := -1
 	voters := 0
 	for i, m := range members {
-		if !m.Up || m.EntriesBehind > maxPromotionLag || m.ID != inc.memberID && s.reportsLegacy(m.ID) {
+		if !m.Up || m.EntriesBehind > maxEntriesBehind || m.ID != inc.memberID && s.reportsLegacy(m.ID) {
 			return
 		}
 		if m.Role == membership.Voter {
@@ -181,8 +187,9 @@
 
 // applyStep carries one step out. It takes effect only on the configuration that it was decided on:
 // another change, by this leader or another one, makes it fail.
-func (inc *incarnation) applyStep(ctx context.Context, step membership.Step, conf raft.Configuration, index uint64) error {
-	server, ok := findServer(conf, step.ID)
+func (inc *incarnation) applyStep(ctx context.Context, step membership.Step, observed observedMembers) error {
+	index := observed.index
+	server, ok := findServer(observed.conf, step.ID)
 	if !ok {
 		return memberNotFound(step.ID)
 	}
--- a/internal/cluster/store/leader_view_test.go
+++ b/internal/cluster/store/leader_view_test.go
@@ -33,10 +33,10 @@
 	second := r.AddNonvoter("c@1", "c", first.Index(), time.Second)
 	require.NoError(t, second.Error())
 	for _, s := range []membership.Step{{Kind: membership.StepRemove, ID: "b@1"}, {Kind: membership.StepPromote, ID: "b@1"}} {
-		require.ErrorContains(t, l.applyStep(t.Context(), s, conf, first.Index()), "configuration changed")
+		require.ErrorContains(t, l.applyStep(t.Context(), s, observedMembers{conf: conf, index: first.Index()}), "configuration changed")
 	}
-	require.NoError(t, l.applyStep(t.Context(), membership.Step{Kind: membership.StepRemove, ID: "b@1"}, conf, second.Index()))
-	require.ErrorIs(t, l.applyStep(t.Context(), membership.Step{Kind: membership.StepRemove, ID: "x@1"}, conf, 0), ErrMemberNotFound)
+	require.NoError(t, l.applyStep(t.Context(), membership.Step{Kind: membership.StepRemove, ID: "b@1"}, observedMembers{conf: conf, index: second.Index()}))
+	require.ErrorIs(t, l.applyStep(t.Context(), membership.Step{Kind: membership.StepRemove, ID: "x@1"}, observedMembers{conf: conf}), ErrMemberNotFound)
 }
 
 // TestLeadersOldDisk: a leader finds the disk that it had before lost, though it does not poll
--- a/internal/cluster/store/lease_requests.go
+++ b/internal/cluster/store/lease_requests.go
@@ -22,32 +22,32 @@
 }
 
 // AcquireLease grants a lease, or returns lease.ErrHeld with the present one after MaxWait (0 is at
-// once). A request leaves the queue when ctx ends. Only the leader can.
+// once). A request leaves the queue when ctx ends. It returns ErrNoLeader on any node but the leader.
 func (s *Store) AcquireLease(ctx context.Context, request LeaseRequest) (lease.Lease, error) {
 	if err := lease.Validate(request.Name, request.Holder, request.TTLMS); err != nil {
 		return lease.Lease{}, err
 	}
 	receivedAt := s.leases.now()
-	timer, err := s.confirmLeadership(ctx)
+	deadlines, err := s.confirmLeadership(ctx)
 	if err != nil {
 		return lease.Lease{}, err
 	}
 	if request.MaxWait <= 0 {
-		return s.tryAcquire(timer, request, receivedAt)
+		return s.tryAcquire(deadlines, request, receivedAt)
 	}
-	return s.acquireQueued(ctx, timer, request, receivedAt)
+	return s.acquireQueued(ctx, deadlines, request, receivedAt)
 }
 
 // acquireQueued waits in the lease's queue for MaxWait at most.
-func (s *Store) acquireQueued(ctx context.Context, timer *lease.DeadlineTable, request LeaseRequest, receivedAt time.Duration) (lease.Lease, error) {
-	defer s.leases.granted(request.Name, request.Holder) // forgets the channel
+func (s *Store) acquireQueued(ctx context.Context, deadlines *lease.DeadlineTable, request LeaseRequest, receivedAt time.Duration) (lease.Lease, error) {
+	defer s.leases.forgetWaiter(request.Name, request.Holder)
 	deadline := time.NewTimer(request.MaxWait)
 	defer deadline.Stop()
 	refresh := time.NewTicker(waiterRefreshInterval)
 	defer refresh.Stop()
 	for {
 		granted := s.leases.awaitGrant(request.Name, request.Holder) // before the lease is looked at
-		l, err := s.tryAcquire(timer, request, receivedAt)
+		l, err := s.tryAcquire(deadlines, request, receivedAt)
 		if !errors.Is(err, lease.ErrHeld) {
 			return l, err
 		}
@@ -63,7 +63,7 @@
 			return lease.Lease{}, err
 		}
 		request.MaxWait = 0
-		return s.tryAcquire(timer, request, receivedAt) // it may have been granted meanwhile
+		return s.tryAcquire(deadlines, request, receivedAt) // it may have been granted meanwhile
 	}
 }
 
@@ -75,13 +75,13 @@
 
 // tryAcquire grants a lease if it is free or the holder's already; otherwise the request enters the
 // queue if it waits, and the error is lease.ErrHeld. What changes nothing needs no log entry.
-func (s *Store) tryAcquire(timer *lease.DeadlineTable, request LeaseRequest, receivedAt time.Duration) (l lease.Lease, err error) {
+func (s *Store) tryAcquire(deadlines *lease.DeadlineTable, request LeaseRequest, receivedAt time.Duration) (l lease.Lease, err error) {
 	queue := request.MaxWait > 0
 	needsEntry := true
 	check := func(state *lease.State, now time.Duration) {
-		l, needsEntry, err = timer.TryAcquire(state, request.Name, request.Holder, queue, receivedAt, now)
+		l, needsEntry, err = deadlines.TryAcquire(state, request.Name, request.Holder, queue, receivedAt, now)
 	}
-	if lost := s.withLeases(timer, check); lost != nil || !needsEntry {
+	if lost := s.withLeases(deadlines, check); lost != nil || !needsEntry {
 		return l, errors.Join(lost, err)
 	}
 	op := lease.Op{Kind: lease.OpAcquire, Name: request.Name, Holder: request.Holder, TTLMS: request.TTLMS, Enqueue: queue, Priority: request.Priority}
@@ -94,24 +94,24 @@
 		return result.Lease, failure
 	}
 	needsEntry = false
-	if lost := s.withLeases(timer, check); lost != nil || !needsEntry {
+	if lost := s.withLeases(deadlines, check); lost != nil || !needsEntry {
 		return l, errors.Join(lost, err)
 	}
 	return l, lease.ErrHeld // it was ended or passed on just now
 }
 
-// RenewLeases keeps leases alive, and names those whose token is not the current one any more. Only
-// the leader can.
+// RenewLeases keeps leases alive, and names those whose token is not the current one any more. It
+// returns ErrNoLeader on any node but the leader.
 func (s *Store) RenewLeases(ctx context.Context, list []lease.FencingToken) (renewed map[string]lease.Lease, lost []string, err error) {
 	receivedAt := s.leases.now()
-	timer, err := s.confirmLeadership(ctx)
+	deadlines, err := s.confirmLeadership(ctx)
 	if err != nil {
 		return nil, nil, err
 	}
 	renewed = map[string]lease.Lease{}
-	err = s.withLeases(timer, func(state *lease.State, _ time.Duration) {
+	err = s.withLeases(deadlines, func(state *lease.State, _ time.Duration) {
 		for _, token := range list {
-			if timer.Renew(state, token.Name, token.Token, receivedAt) != nil {
+			if deadlines.Renew(state, token.Name, token.Token, receivedAt) != nil {
 				lost = append(lost, token.Name)
 			} else {
 				renewed[token.Name] = state.Leases[token.Name]
@@ -121,8 +121,8 @@
 	return renewed, lost, err
 }
 
-// EndLease releases a lease, hands it over to a waiter (handOverTo), or with token 0 revokes it. Only
-// the leader can.
+// EndLease releases a lease, hands it over to a waiter (handOverTo), or with token 0 revokes it. It
+// returns ErrNoLeader on any node but the leader.
 func (s *Store) EndLease(name string, token uint64, handOverTo string) error {
 	op := lease.Op{Kind: lease.OpRelease, Name: name, Token: token}
 	switch {
@@ -140,19 +140,19 @@
 }
 
 // Leases are the held ones, all of them or the one that is named, and how long each goes on without
-// a keep-alive. Only the leader can.
+// a keep-alive. It returns ErrNoLeader on any node but the leader.
 func (s *Store) Leases(ctx context.Context, only string) (all map[string]lease.Lease, remaining map[string]time.Duration, err error) {
-	timer, err := s.confirmLeadership(ctx)
+	deadlines, err := s.confirmLeadership(ctx)
 	if err != nil {
 		return nil, nil, err
 	}
 	all = map[string]lease.Lease{}
 	remaining = map[string]time.Duration{}
-	err = s.withLeases(timer, func(state *lease.State, now time.Duration) {
+	err = s.withLeases(deadlines, func(state *lease.State, now time.Duration) {
 		for name, l := range state.Leases {
 			if only == "" || only == name {
 				all[name] = l
-				remaining[name] = timer.Remaining(name, l, now)
+				remaining[name] = deadlines.Remaining(name, l, now)
 			}
 		}
 	})
--- a/internal/cluster/store/lease_service.go
+++ b/internal/cluster/store/lease_service.go
@@ -17,16 +17,16 @@
 // leaseExpiryInterval is how often the leader looks which leases are over.
 const leaseExpiryInterval = 20 * time.Millisecond
 
-// leaseService is what a node does for leases while it leads: the timer of its term, and the
-// requests that wait here for a lease.
+// leaseService is what a node does for leases while it leads: the deadlines of all leases in its term
+// (deadlines), and the requests that wait here for a lease.
 type leaseService struct {
-	startedAt    time.Time        // times of the timer are since then, monotonic
-	leaderProver *freshnessProver // proves that this node leads
+	startedAt       time.Time         // the times in deadlines are since then, monotonic
+	leaderReadIndex *readIndexBatcher // confirms that this node leads
 
-	mu      sync.Mutex
-	timer   *lease.DeadlineTable // nil while this node does not lead
-	term    uint64               // of the timer
-	waiters map[leaseWaiter]chan struct{}
+	mu        sync.Mutex
+	deadlines *lease.DeadlineTable // nil while this node does not lead
+	term      uint64               // of the deadlines
+	waiters   map[leaseWaiter]chan struct{}
 }
 
 // leaseWaiter is a request that waits for a lease. Its channel is closed once it may have it.
@@ -34,17 +34,17 @@
 
 func newLeaseService(s *Store) *leaseService {
 	return &leaseService{
-		startedAt:    time.Now(),
-		leaderProver: &freshnessProver{readIndex: s.ReadIndex},
-		waiters:      map[leaseWaiter]chan struct{}{},
+		startedAt:       time.Now(),
+		leaderReadIndex: &readIndexBatcher{readIndex: s.ReadIndex},
+		waiters:         map[leaseWaiter]chan struct{}{},
 	}
 }
 
-// now is the timer's clock.
+// now is the clock of deadlines.
 func (ls *leaseService) now() time.Duration { return time.Since(ls.startedAt) }
 
-// granted wakes the one who waits for a lease, and nobody else.
-func (ls *leaseService) granted(name, holder string) {
+// wakeWaiter wakes the request of a holder that waits for a lease, and no other.
+func (ls *leaseService) wakeWaiter(name, holder string) {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
 	waiter := leaseWaiter{name: name, holder: holder}
@@ -54,7 +54,11 @@
 	}
 }
 
-// awaitGrant is a channel that is closed once the holder has the lease. granted forgets it.
+// forgetWaiter removes a request that waits no longer. Other requests under the same name and holder
+// wake up, and look at the lease again.
+func (ls *leaseService) forgetWaiter(name, holder string) { ls.wakeWaiter(name, holder) }
+
+// awaitGrant is a channel that is closed once the holder has the lease, or by forgetWaiter.
 func (ls *leaseService) awaitGrant(name, holder string) <-chan struct{} {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
@@ -67,44 +71,44 @@
 	return wake
 }
 
-func (ls *leaseService) setTimer(timer *lease.DeadlineTable, term uint64) {
+func (ls *leaseService) setDeadlines(deadlines *lease.DeadlineTable, term uint64) {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
-	ls.timer = timer
+	ls.deadlines = deadlines
 	ls.term = term
 }
 
-// currentTimer is the timer of the present term, or ErrNoLeader.
-func (ls *leaseService) currentTimer(inc *incarnation) (*lease.DeadlineTable, error) {
+// currentDeadlines are those of the current term. Its error is ErrNoLeader.
+func (ls *leaseService) currentDeadlines(inc *incarnation) (*lease.DeadlineTable, error) {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
-	if ls.timer == nil || !inc.isLeader() || ls.term != inc.raft.CurrentTerm() {
+	if ls.deadlines == nil || !inc.isLeader() || ls.term != inc.raft.CurrentTerm() {
 		return nil, ErrNoLeader
 	}
-	return ls.timer, nil
+	return ls.deadlines, nil
 }
 
-// withLeases runs a function on a timer, if it still is the current one, and on the leases as this
-// node knows them.
-func (s *Store) withLeases(timer *lease.DeadlineTable, do func(*lease.State, time.Duration)) error {
+// withLeases runs a function on the leases in this node's state, under the lock, if the deadlines still
+// are the current ones. Its error is ErrNoLeader.
+func (s *Store) withLeases(deadlines *lease.DeadlineTable, do func(*lease.State, time.Duration)) error {
 	ls := s.leases
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
-	if ls.timer != timer || timer == nil {
+	if ls.deadlines != deadlines || deadlines == nil {
 		return ErrNoLeader
 	}
 	s.state.withLeases(func(state *lease.State) { do(state, ls.now()) })
 	return nil
 }
 
-// manageLeases begins a timer when this node is elected, and ends the leases that are over.
+// manageLeases begins new deadlines when this node is elected, and ends the leases that are over.
 func (s *Store) manageLeases(ctx context.Context, inc *incarnation) {
 	ticker := time.NewTicker(leaseExpiryInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			s.leases.setTimer(nil, 0)
+			s.leases.setDeadlines(nil, 0)
 			return
 		case <-ticker.C:
 		}
@@ -116,12 +120,12 @@
 
 func (s *Store) expireLeases(ctx context.Context, inc *incarnation) error {
 	if !inc.isLeader() {
-		s.leases.setTimer(nil, 0)
+		s.leases.setDeadlines(nil, 0)
 		return nil
 	}
-	timer, err := s.leases.currentTimer(inc)
+	deadlines, err := s.leases.currentDeadlines(inc)
 	if err != nil {
-		if timer, err = s.beginTimer(ctx, inc); err != nil {
+		if deadlines, err = s.beginDeadlines(ctx, inc); err != nil {
 			return err
 		}
 	}
@@ -131,14 +135,14 @@
 	if _, ok := s.state.get(kv.LeasesEnabledKey); !ok {
 		return s.enableLeases(inc)
 	}
-	return s.commitDueOps(timer)
+	return s.commitDueOps(deadlines)
 }
 
-// beginTimer starts to count all leases anew, in a term in which this node is proven to lead and
-// knows every lease that was granted before.
-func (s *Store) beginTimer(ctx context.Context, inc *incarnation) (*lease.DeadlineTable, error) {
+// beginDeadlines gives all leases their full TTL anew, in a term in which a read index has confirmed that this
+// node leads, and its state has every lease that was granted before.
+func (s *Store) beginDeadlines(ctx context.Context, inc *incarnation) (*lease.DeadlineTable, error) {
 	term := inc.raft.CurrentTerm()
-	ctx, cancel := context.WithTimeout(ctx, proveTimeout)
+	ctx, cancel := context.WithTimeout(ctx, readIndexTimeout)
 	defer cancel()
 	index, err := s.ReadIndex(ctx)
 	if err == nil {
@@ -147,15 +151,15 @@
 	if err != nil || inc.raft.CurrentTerm() != term {
 		return nil, errors.Join(ErrNoLeader, err)
 	}
-	timer := lease.NewDeadlineTable(s.leases.now())
-	s.leases.setTimer(timer, term)
-	return timer, nil
+	deadlines := lease.NewDeadlineTable(s.leases.now())
+	s.leases.setDeadlines(deadlines, term)
+	return deadlines, nil
 }
 
 // commitDueOps ends the leases that are over, some in each log entry.
-func (s *Store) commitDueOps(timer *lease.DeadlineTable) error {
+func (s *Store) commitDueOps(deadlines *lease.DeadlineTable) error {
 	var due []lease.Op
-	err := s.withLeases(timer, func(state *lease.State, now time.Duration) { due = timer.DueOps(state, now) })
+	err := s.withLeases(deadlines, func(state *lease.State, now time.Duration) { due = deadlines.DueOps(state, now) })
 	if err != nil {
 		return err
 	}
@@ -184,37 +188,38 @@
 	}
 	_, err := s.Execute(kv.Request{
 		If:   []kv.Compare{{Key: kv.LeasesEnabledKey}},
-		Then: []kv.Op{{Kind: "put", Key: kv.LeasesEnabledKey, Value: []byte("true")}},
+		Then: []kv.Op{kv.Put(kv.LeasesEnabledKey, []byte("true"))},
 	})
 	return err
 }
 
-// confirmLeadership proves that this node has led since the call, and waits until it knows all that
-// was committed by then. It returns the timer of its term.
+// confirmLeadership confirms by a read index that this node leads since the call, and waits until its
+// state has all that was committed by then. It returns the deadlines of its term; the error is
+// ErrNoLeader, ErrLeasesUnavailable or that of the read index.
 func (s *Store) confirmLeadership(ctx context.Context) (*lease.DeadlineTable, error) {
 	inc, err := s.running()
 	if err != nil {
 		return nil, err
 	}
-	timer, err := s.leases.currentTimer(inc)
+	deadlines, err := s.leases.currentDeadlines(inc)
 	if err != nil {
 		return nil, err
 	}
 	if _, ok := s.state.get(kv.LeasesEnabledKey); !ok {
 		return nil, ErrLeasesUnavailable
 	}
-	ctx, cancel := context.WithTimeout(ctx, proveTimeout)
+	ctx, cancel := context.WithTimeout(ctx, readIndexTimeout)
 	defer cancel()
-	proof, err := s.leases.leaderProver.prove(ctx)
+	confirmed, err := s.leases.leaderReadIndex.await(ctx)
 	if err == nil {
-		err = s.waitApplied(ctx, proof.index)
+		err = s.waitApplied(ctx, confirmed.index)
 	}
 	if err != nil {
 		return nil, err
 	}
-	// Terms never go back: if the term is the timer's now, it was so all the time.
-	if now, err := s.leases.currentTimer(inc); err != nil || now != timer {
+	// Terms never go back: if the current term is that of the deadlines now, it was so all the time.
+	if now, err := s.leases.currentDeadlines(inc); err != nil || now != deadlines {
 		return nil, ErrNoLeader
 	}
-	return timer, nil
+	return deadlines, nil
 }
--- a/internal/cluster/store/log_entry.go
+++ b/internal/cluster/store/log_entry.go
@@ -36,9 +36,9 @@
 	r := &kv.Request{}
 	for _, c := range list {
 		if c.deletes() {
-			r.Then = append(r.Then, kv.Op{Kind: "delete", Key: c.Key})
+			r.Then = append(r.Then, kv.Delete(c.Key))
 		} else {
-			r.Then = append(r.Then, kv.Op{Kind: "put", Key: c.Key, Value: c.Value})
+			r.Then = append(r.Then, kv.Put(c.Key, c.Value))
 		}
 	}
 	return r
--- a/internal/cluster/store/recovery_report.go
+++ b/internal/cluster/store/majority_loss_report.go
@@ -63,7 +63,7 @@
 		return report, err
 	}
 	s.identity.set(cluster)
-	f, err := s.readFolder(storage)
+	f, err := s.readDiskState(storage)
 	if err != nil {
 		return report, err
 	}
--- a/internal/cluster/store/members.go
+++ b/internal/cluster/store/members.go
@@ -18,15 +18,16 @@
 	"oxbowbridge/internal/cluster/storeapi"
 )
 
-// reservedIDChars part a member's ID and address, so that no part may contain them.
+// reservedIDChars may not stand in a disk's identity or a zone: @ and | separate the fields of a
+// member's ID and address; # is rejected too, although nothing uses it.
 const reservedIDChars = "@|#"
 
 var errChangePending = errors.New("a change of the members is not committed yet")
 
 func memberNotFound(name string) error { return fmt.Errorf("%w: %s", ErrMemberNotFound, name) }
 
-// Join adds a node as a learner; only the leader can. Its error is ErrMemberRejected if the node
-// may not join. A member's request is repeated without effect.
+// Join adds a node as a learner. It returns ErrNoLeader on any node but the leader, and
+// ErrMemberRejected if the node may not join. For a node that is a member already it does nothing.
 func (s *Store) Join(ctx context.Context, request storeapi.JoinRequest) error {
 	p, err := peerOfJoin(request)
 	if err != nil {
@@ -53,10 +54,10 @@
 		return errChangePending
 	}
 	members, _ := memberIDs(conf)
-	if refusal := diskidentity.CheckJoin(request.ID, members, s.removedNames(), s.isUp(inc), maxMembers); refusal != "" {
-		return fmt.Errorf("%w: %s", ErrMemberRejected, refusal)
+	if err := diskidentity.CheckJoin(request.ID, members, s.removedNames(), s.isUp(inc), maxMembers); err != nil {
+		return fmt.Errorf("%w: %w", ErrMemberRejected, err)
 	}
-	s.log.Info("membership change", zap.String("step", "learner"), zap.String("member", request.ID))
+	s.log.Info("membership change started", zap.String("step", "learner"), zap.String("member", request.ID))
 	ctx, cancel := context.WithTimeout(ctx, storeapi.CommitTimeout)
 	defer cancel()
 	address := encodeAddress(p, request.ID)
@@ -101,7 +102,7 @@
 	return names
 }
 
-// Members is the leader's view, and its next step; only the leader can.
+// Members is the leader's view, and its next step. It returns ErrNoLeader on any other node.
 func (s *Store) Members(ctx context.Context) (out storeapi.Members, err error) {
 	inc, err := s.running()
 	if err != nil {
@@ -113,10 +114,11 @@
 	if _, err := s.WaitFresh(ctx, Freshness{}); err != nil {
 		return out, err
 	}
-	step, conf, index := s.observeMembers(inc)
-	out = storeapi.Members{Leader: s.self.Name, ConfigIndex: index, WantedVoters: s.cfg.policy().Voters, Removed: s.removedNames()}
-	for _, m := range inc.members.last().Members {
-		server, _ := findServer(conf, m.ID)
+	observed := s.observeMembers(inc)
+	step := s.cfg.policy().Next(observed.view)
+	out = storeapi.Members{Leader: s.self.Name, ConfigIndex: observed.index, WantedVoters: s.cfg.policy().Voters, Removed: s.removedNames()}
+	for _, m := range observed.view.Members {
+		server, _ := findServer(observed.conf, m.ID)
 		out.Members = append(out.Members, memberRow(m, step, server, inc.memberID))
 	}
 	slices.SortFunc(out.Members, func(a, b storeapi.Member) int { return strings.Compare(a.ID, b.ID) })
@@ -140,9 +142,10 @@
 	return row
 }
 
-// RemoveMember has a node lose its vote and its place, and not join again until AddMember. The
-// intent is in the log, so that the next leader goes on with it.
-func (s *Store) RemoveMember(name string) error {
+// RequestRemoval records that a node is to lose its vote and its membership, and may not join again
+// until AllowRejoin. The intent is in the log, so that any later leader carries it out. It returns
+// ErrNoLeader on any node but the leader.
+func (s *Store) RequestRemoval(name string) error {
 	inc, err := s.running()
 	if err != nil {
 		return err
@@ -161,16 +164,17 @@
 	return s.recordIntent(kv.RemovedPrefix+name, kv.PreferredVoterPrefix+name)
 }
 
-// AddMember lets a node that was removed join again.
-func (s *Store) AddMember(name string) error {
+// AllowRejoin lets a node that was removed join again. It adds no member: the node itself has to
+// request that (Join).
+func (s *Store) AllowRejoin(name string) error {
 	if !namePattern.MatchString(name) {
 		return fmt.Errorf("%w: name: %q", kv.ErrInvalidRequest, name)
 	}
 	return s.recordIntent("", kv.RemovedPrefix+name)
 }
 
-// PromoteMember has a node get a vote rather than one that no operator asked for.
-func (s *Store) PromoteMember(name string) error {
+// PreferAsVoter records that a node is to get a vote before those that no operator prefers.
+func (s *Store) PreferAsVoter(name string) error {
 	inc, err := s.running()
 	if err != nil {
 		return err
@@ -210,10 +214,10 @@
 		if err != nil {
 			return err
 		}
-		r.Then = append(r.Then, kv.Op{Kind: "put", Key: putKey, Value: text})
+		r.Then = append(r.Then, kv.Put(putKey, text))
 	}
 	if deleteKey != "" {
-		r.Then = append(r.Then, kv.Op{Kind: "delete", Key: deleteKey})
+		r.Then = append(r.Then, kv.Delete(deleteKey))
 	}
 	_, err := s.Execute(r)
 	return err
--- a/internal/cluster/store/mirror.go
+++ b/internal/cluster/store/mirror.go
@@ -18,15 +18,17 @@
 const (
 	mirrorInterval   = time.Second     // between two writes, also without a change
 	maxMirrorBackoff = 5 * time.Second // between two attempts while the database fails
-	// mirrorAbandonAfter is after which time without a success another node may try.
+	// mirrorAbandonAfter is after which time without a success the node gives up the mirror's lease: the
+	// database may be out of reach for this node alone, and another one may do better.
 	mirrorAbandonAfter = 30 * time.Second
 )
 
 // drivers are the names in database/sql of the drivers that the configuration may name.
 var drivers = map[string]string{"sqlite": "sqlite", "postgres": "pgx"}
 
-// sqlMirror keeps the SQL record of the keys: the holder of its lease writes whatever the database
-// lacks. While the database fails the store goes on, and the mirror catches up later.
+// sqlMirror is the copy of the keys in a SQL database, which operators also call the store of record:
+// the holder of the mirror's lease writes whatever the database lacks. While the database fails the
+// store goes on, and the mirror catches up later.
 type sqlMirror struct {
 	store *Store
 
@@ -60,15 +62,15 @@
 	return previous
 }
 
-// HasSQLRecord reports whether the node is set up to write the SQL record.
-func (s *Store) HasSQLRecord() bool { return s.mirror != nil }
+// HasSQLMirror reports whether the node is set up to write the SQL mirror.
+func (s *Store) HasSQLMirror() bool { return s.mirror != nil }
 
-// RunMirror writes the SQL record under a lease until ctx ends, another node has taken over, or the
+// RunMirror writes the SQL mirror under a lease until ctx ends, another node has taken over, or the
 // database has failed for too long.
 func (s *Store) RunMirror(ctx context.Context, fence lease.FencingToken) error {
 	db, err := sql.Open(drivers[s.cfg.SQL.Driver], s.cfg.SQL.DSN)
 	if err != nil {
-		return fmt.Errorf("open store of record: %w", err)
+		return fmt.Errorf("open sql mirror: %w", err)
 	}
 	defer db.Close()
 	db.SetMaxOpenConns(1)
@@ -83,7 +85,7 @@
 		if backoff.next(err) {
 			return err
 		}
-		dirty := s.state.dirty
+		dirty := s.state.changed
 		if err != nil {
 			dirty = nil // a change does not end the backoff
 		}
@@ -101,9 +103,9 @@
 	switch {
 	case ctx.Err() != nil:
 	case err != nil && previous == nil:
-		s.log.Warn("sql record unavailable", zap.Error(err))
+		s.log.Warn("sql mirror unavailable", zap.Error(err))
 	case err == nil && previous != nil:
-		s.log.Info("sql record available again")
+		s.log.Info("sql mirror available again")
 	}
 }
 
--- a/internal/cluster/store/mirror_session.go
+++ b/internal/cluster/store/mirror_session.go
@@ -17,13 +17,13 @@
 // sqlTimeout bounds one round of the mirror.
 const sqlTimeout = 5 * time.Second
 
-// The statements of the SQL record.
+// The statements of the SQL mirror.
 const (
-	createRecordTable = `CREATE TABLE IF NOT EXISTS oxbowbridge_store (name TEXT PRIMARY KEY, value TEXT, idx BIGINT NOT NULL)`
+	createMirrorTable = `CREATE TABLE IF NOT EXISTS oxbowbridge_store (name TEXT PRIMARY KEY, value TEXT, idx BIGINT NOT NULL)`
 	// A late write of an older leader does not replace a newer row.
-	upsertRecord = `INSERT INTO oxbowbridge_store (name, value, idx) VALUES ($1, $2, $3)
+	upsertRow = `INSERT INTO oxbowbridge_store (name, value, idx) VALUES ($1, $2, $3)
 ON CONFLICT (name) DO UPDATE SET value = excluded.value, idx = excluded.idx WHERE oxbowbridge_store.idx <= excluded.idx`
-	selectRecords    = `SELECT name, value, idx FROM oxbowbridge_store ORDER BY name`
+	selectRows       = `SELECT name, value, idx FROM oxbowbridge_store ORDER BY name`
 	createFenceTable = `CREATE TABLE IF NOT EXISTS oxbowbridge_lease (name TEXT PRIMARY KEY, token BIGINT NOT NULL)`
 	// No row is affected if the table has a higher token.
 	advanceFence = `INSERT INTO oxbowbridge_lease (name, token) VALUES ($1, $2)
@@ -32,7 +32,7 @@
 	resetIndexes = `UPDATE oxbowbridge_store SET idx = 0`
 )
 
-// mirrorSession is the time for which this node writes the SQL record under one token.
+// mirrorSession is the time for which this node writes the SQL mirror under one token.
 type mirrorSession struct {
 	*sqlMirror
 	db       *sql.DB
@@ -40,8 +40,8 @@
 	imported bool // the first round has succeeded
 }
 
-// record is a row of the SQL record.
-type record struct {
+// mirrorRow is a row of the SQL mirror.
+type mirrorRow struct {
 	key   string
 	value sql.NullString // NULL for a deleted key
 	index uint64
@@ -71,7 +71,7 @@
 }
 
 func (m *mirrorSession) createTables(ctx context.Context) error {
-	for _, create := range []string{createRecordTable, createFenceTable} {
+	for _, create := range []string{createMirrorTable, createFenceTable} {
 		if _, err := m.db.ExecContext(ctx, create); err != nil {
 			return fmt.Errorf("create table: %w", err)
 		}
@@ -118,7 +118,7 @@
 	defer tx.Rollback() // without effect after Commit
 	for key, e := range missing {
 		value := sql.NullString{String: string(e.Value), Valid: !e.Deleted}
-		if _, err := tx.ExecContext(ctx, upsertRecord, key, value, int64(e.ModRevision)); err != nil {
+		if _, err := tx.ExecContext(ctx, upsertRow, key, value, int64(e.ModRevision)); err != nil {
 			return fmt.Errorf("write %s: %w", key, err)
 		}
 		from = max(from, e.ModRevision)
@@ -137,7 +137,7 @@
 	}
 	known := m.store.state.entriesAfter(0)
 	last := m.store.AppliedRevision()
-	rows, err := m.readRecords(ctx)
+	rows, err := m.readRows(ctx)
 	if err != nil {
 		return err
 	}
@@ -157,32 +157,32 @@
 	if len(missing) == 0 {
 		return nil
 	}
-	m.store.log.Info("keys imported from the sql record", zap.Int("keys", len(missing)))
+	m.store.log.Info("keys imported from the sql mirror", zap.Int("keys", len(missing)))
 	for _, r := range missing {
 		if err := m.store.ExecuteAnywhere(ctx, r); err != nil {
-			return fmt.Errorf("take over: %w", err)
+			return fmt.Errorf("import key: %w", err)
 		}
 	}
 	return nil
 }
 
 // importRequest writes a key unless somebody has written it meanwhile.
-func (m *mirrorSession) importRequest(row record) kv.Request {
+func (m *mirrorSession) importRequest(row mirrorRow) kv.Request {
 	return kv.Request{
 		Fences: []lease.FencingToken{m.fence},
 		If:     []kv.Compare{{Key: row.key}},
-		Then:   []kv.Op{{Kind: "put", Key: row.key, Value: json.RawMessage(row.value.String)}},
+		Then:   []kv.Op{kv.Put(row.key, json.RawMessage(row.value.String))},
 	}
 }
 
-func (m *mirrorSession) readRecords(ctx context.Context) (list []record, err error) {
-	rows, err := m.db.QueryContext(ctx, selectRecords)
+func (m *mirrorSession) readRows(ctx context.Context) (list []mirrorRow, err error) {
+	rows, err := m.db.QueryContext(ctx, selectRows)
 	if err != nil {
 		return nil, fmt.Errorf("read rows: %w", err)
 	}
 	defer rows.Close()
 	for rows.Next() {
-		var row record
+		var row mirrorRow
 		var index int64
 		if err := rows.Scan(&row.key, &row.value, &index); err != nil {
 			return nil, fmt.Errorf("read row: %w", err)
--- a/internal/cluster/store/node_state.go
+++ b/internal/cluster/store/node_state.go
@@ -4,7 +4,10 @@
 //
 //	waiting --[the disk may take part]--> joining --[in the configuration]--> serving
 //	waiting --[the disk is a member's]--> serving
+//	serving --[the latest configuration in its log lacks the disk]--> joining
 //	joining, serving --[the incarnation ends]--> waiting
+//
+// A removed member thus is joining until supervise has ended its incarnation.
 type nodeState int
 
 const (
@@ -27,14 +30,14 @@
 	return nodeServing
 }
 
-// What a node tells its peers as storeapi.PeerStatus.State. A joining node counts as serving: it
+// What a node reports to its peers as storeapi.PeerStatus.State. A joining node counts as serving: it
 // replicates the log already.
 const (
 	peerServing = "serving"
 	peerWaiting = "waiting"
 )
 
-// peerState is the state as peers are told of it.
+// peerState is the state as it is reported to peers.
 func (n nodeState) peerState() string {
 	if n == nodeWaiting {
 		return peerWaiting
--- a/internal/cluster/store/peer_reports.go
+++ b/internal/cluster/store/peer_reports.go
@@ -49,25 +49,29 @@
 	return list, voters
 }
 
-// attestations are the recent reports on disks, by name, without those of earlier versions. allPolled
-// reports whether each node was polled at least once, with a report or an error; changed is closed at
-// the next report.
-func (p *peers) attestations() (recent map[string]diskidentity.Attestation, allPolled bool, changed <-chan struct{}) {
+// attestations are what the peers report of disks at one time.
+type attestations struct {
+	recent    map[string]diskidentity.Attestation // by name, without those of earlier versions
+	allPolled bool                                // each node was polled once or more, with a report or an error
+	changed   <-chan struct{}                     // closed at the next report
+}
+
+// attestations are the recent reports on disks.
+func (p *peers) attestations() attestations {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	recent = map[string]diskidentity.Attestation{}
-	allPolled = true
+	out := attestations{recent: map[string]diskidentity.Attestation{}, allPolled: true, changed: p.changed}
 	for name := range p.targets {
 		if r := p.reports[name]; r.receivedAt.IsZero() && r.err == nil {
-			allPolled = false
+			out.allPolled = false
 		}
 	}
 	for name, r := range p.reports {
 		if r.recent() && !r.legacy {
-			recent[name] = r.Attestation
+			out.recent[name] = r.Attestation
 		}
 	}
-	return recent, allPolled, p.changed
+	return out
 }
 
 // servingAddresses are the admin addresses of the peers that serve.
--- a/internal/cluster/store/peer_transport.go
+++ b/internal/cluster/store/peer_transport.go
@@ -13,8 +13,7 @@
 )
 
 const (
-	// maxHandshakes bounds the connections that have not sent their greeting yet, as each holds a
-	// descriptor.
+	// maxHandshakes bounds the connections in the handshake, as each holds a file descriptor.
 	maxHandshakes       = 64
 	acceptRetryInterval = 10 * time.Millisecond
 )
@@ -26,8 +25,8 @@
 	memberID       string
 	clusterID      func() string
 	configuredPeer func(name string) (Peer, bool) // by the configuration file
-	accepted       chan net.Conn                  // that have sent their greeting
-	handshakes     chan struct{}                  // one for each that has not
+	accepted       chan net.Conn                  // connections past the handshake
+	handshakes     chan struct{}                  // semaphore: one token for each connection in the handshake
 	done           chan struct{}                  // closed by Close
 	once           sync.Once
 }
@@ -79,55 +78,55 @@
 // handshake hands a connection on to Accept if this member is meant.
 func (t *peerTransport) handshake(conn net.Conn) {
 	conn.SetDeadline(time.Now().Add(handshakeTimeout))
-	greeted, err := t.identify(conn)
+	identified, err := t.identify(conn)
 	if err != nil {
 		conn.Close()
 		return
 	}
 	conn.SetDeadline(time.Time{})
 	select {
-	case t.accepted <- greeted:
+	case t.accepted <- identified:
 	case <-t.done:
 		conn.Close()
 	}
 }
 
 // identify reads who connects. Members of an earlier version, known by their names alone, send no
-// greeting to each other.
+// handshake to each other.
 func (t *peerTransport) identify(conn net.Conn) (net.Conn, error) {
 	first := make([]byte, 1)
 	if _, err := io.ReadFull(conn, first); err != nil {
 		return nil, err
 	}
-	if first[0] != greetingPrefix[0] {
+	if first[0] != handshakePrefix[0] {
 		if diskidentity.MemberDisk(t.memberID) != "" {
-			return nil, errGreeting
+			return nil, errHandshake
 		}
 		return &replayConn{Conn: conn, unread: first}, nil
 	}
-	if err := t.checkGreeting(conn); err != nil {
-		fmt.Fprintf(conn, "%s%v\n", greetingRejected, err)
+	if err := t.checkHandshake(conn); err != nil {
+		fmt.Fprintf(conn, "%s%v\n", handshakeRejected, err)
 		return nil, err
 	}
 	return &replayConn{Conn: conn}, nil
 }
 
-func (t *peerTransport) checkGreeting(conn net.Conn) error {
-	g, err := readGreeting(conn)
+func (t *peerTransport) checkHandshake(conn net.Conn) error {
+	header, err := readHandshake(conn)
 	if err != nil {
 		return err
 	}
 	switch clusterID := t.clusterID(); {
-	case g.To != t.memberID:
-		return fmt.Errorf("%w: this is %s, not %s", errWrongMember, t.memberID, g.To)
-	case clusterID != "" && g.Cluster != "" && clusterID != g.Cluster:
-		return fmt.Errorf("%w: this is of cluster %s, not of %s", errWrongMember, clusterID, g.Cluster)
+	case header.To != t.memberID:
+		return fmt.Errorf("%w: this is %s, not %s", errWrongMember, t.memberID, header.To)
+	case clusterID != "" && header.Cluster != "" && clusterID != header.Cluster:
+		return fmt.Errorf("%w: this is of cluster %s, not of %s", errWrongMember, clusterID, header.Cluster)
 	}
-	_, err = io.WriteString(conn, greetingAccepted)
+	_, err = io.WriteString(conn, handshakeAccepted)
 	return err
 }
 
-// Accept gives connections that have sent their greeting.
+// Accept returns the next connection past the handshake.
 func (t *peerTransport) Accept() (net.Conn, error) {
 	select {
 	case conn := <-t.accepted:
@@ -161,9 +160,9 @@
 	if err != nil || diskidentity.MemberDisk(id) == "" {
 		return conn, err
 	}
-	if err := sendGreeting(conn, greeting{From: t.memberID, To: id, Cluster: t.clusterID()}, timeout); err != nil {
+	if err := sendHandshake(conn, handshakeHeader{From: t.memberID, To: id, Cluster: t.clusterID()}, timeout); err != nil {
 		conn.Close()
-		return nil, fmt.Errorf("greet %s: %w", id, err)
+		return nil, fmt.Errorf("handshake with %s: %w", id, err)
 	}
 	return conn, conn.SetDeadline(time.Time{})
 }
--- a/internal/cluster/store/peers.go
+++ b/internal/cluster/store/peers.go
@@ -16,9 +16,14 @@
 )
 
 const (
-	pollInterval   = 200 * time.Millisecond
-	pollTimeout    = 500 * time.Millisecond
-	reportLifetime = 1500 * time.Millisecond // a node whose last report is older is down
+	// pollInterval is between two polls of a peer, and between two checks of supervise and
+	// manageMembers.
+	pollInterval = 200 * time.Millisecond
+	pollTimeout  = 500 * time.Millisecond
+	// reportLifetime is the age of its last report at which a node counts as down: three polls that
+	// run into pollTimeout, or seven that fail at once.
+	reportLifetime = 1500 * time.Millisecond
+	// maxPollTargets is above maxMembers, as nodes that were replaced or removed stay polled.
 	maxPollTargets = 2 * maxMembers
 )
 
@@ -116,9 +121,9 @@
 	for {
 		addr, _ := p.adminAddress(name)
 		asker := p.store.memberID()
-		self, legacy, err := p.fetch(addr, asker)
-		p.record(name, asker, self, legacy, err)
-		p.follow(peersOf(self.Addresses))
+		report := p.fetch(addr, asker)
+		p.record(name, asker, report)
+		p.follow(peersOf(report.status.Addresses))
 		select {
 		case <-p.ctx.Done():
 			return
@@ -134,58 +139,66 @@
 	return list
 }
 
+// fetchedReport is the result of one poll.
+type fetchedReport struct {
+	status storeapi.PeerStatus
+	legacy bool // of an earlier version, which reports less
+	err    error
+}
+
 // fetch asks a node for its report. A node of an earlier version only has a status.
-func (p *peers) fetch(addr, asker string) (self storeapi.PeerStatus, legacy bool, err error) {
+func (p *peers) fetch(addr, asker string) (report fetchedReport) {
 	ctx, cancel := context.WithTimeout(p.ctx, pollTimeout)
 	defer cancel()
-	err = p.client.CallNode(ctx, addr, http.MethodGet, "/self?from="+url.QueryEscape(asker), nil, &self)
+	report.err = p.client.CallNode(ctx, addr, http.MethodGet, "/self?from="+url.QueryEscape(asker), nil, &report.status)
 	var status *storeapi.StatusError
-	if !errors.As(err, &status) || status.StatusCode != http.StatusNotFound {
-		return self, false, err
+	if !errors.As(report.err, &status) || status.StatusCode != http.StatusNotFound {
+		return report
 	}
+	report.legacy = true
 	var st storeapi.Status
-	if err = p.client.CallNode(ctx, addr, http.MethodGet, "/status", nil, &st); err != nil {
-		return self, true, err
-	}
-	self.ID = st.Node
-	self.Cluster = st.Cluster
-	self.State = peerServing
-	self.Watermark.LastIndex = st.LastIndex
-	self.AppliedIndex = st.AppliedIndex
-	return self, true, nil
+	if report.err = p.client.CallNode(ctx, addr, http.MethodGet, "/status", nil, &st); report.err != nil {
+		return report
+	}
+	report.status.ID = st.Node
+	report.status.Cluster = st.Cluster
+	report.status.State = peerServing
+	report.status.Watermark.LastIndex = st.LastIndex
+	report.status.AppliedIndex = st.AppliedIndex
+	return report
 }
 
 // record keeps a report. One that was requested under another member ID of this node is dropped.
-func (p *peers) record(name, asker string, self storeapi.PeerStatus, legacy bool, err error) {
+func (p *peers) record(name, asker string, fetched fetchedReport) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if asker != p.store.memberID() {
 		return
 	}
 	defer p.signalChanged()
-	if err != nil {
+	if fetched.err != nil {
 		report := p.reports[name]
-		report.err = err
+		report.err = fetched.err
 		p.reports[name] = report
 		return
 	}
-	p.observe(name, self)
-	p.reports[name] = peerReport{PeerStatus: self, receivedAt: time.Now(), legacy: legacy}
+	p.observe(name, fetched.status)
+	p.reports[name] = peerReport{PeerStatus: fetched.status, receivedAt: time.Now(), legacy: fetched.legacy}
 }
 
 // observe notes how far a peer's disk is, or that it belongs to another cluster. It is called with
 // the lock held.
-func (p *peers) observe(name string, self storeapi.PeerStatus) {
-	own := p.store.identity.get()
-	if own != "" && self.Cluster != "" && own != self.Cluster {
-		p.store.identity.addForeign(name, self.Cluster, p.store.log)
+func (p *peers) observe(name string, report storeapi.PeerStatus) {
+	local := p.store.identity.get()
+	if local != "" && report.Cluster != "" && local != report.Cluster {
+		p.store.identity.addForeign(name, report.Cluster, p.store.log)
 		return
 	}
 	p.store.identity.removeForeign(name)
-	if diskidentity.MemberDisk(self.ID) == "" {
+	if diskidentity.MemberDisk(report.ID) == "" {
 		return
 	}
-	if p.observed.observe(self.ID, self.Watermark) {
+	if p.observed.observe(report.ID, report.Watermark) {
 		p.unsaved = true
 	}
 }
--- a/internal/cluster/store/raft.go
+++ b/internal/cluster/store/raft.go
@@ -17,7 +17,8 @@
 )
 
 const (
-	// electionTimeout also serves as heartbeat timeout and leader lease. All links are local.
+	// electionTimeout also serves as heartbeat timeout and leader lease. It is small, as all nodes talk
+	// over loopback (checkLoopback).
 	electionTimeout = 500 * time.Millisecond
 	// snapshotThreshold is after how many log entries a snapshot is taken.
 	snapshotThreshold = 1024
@@ -32,7 +33,7 @@
 var errStartRaft = errors.New("start raft")
 
 // runRaft starts Raft under a verdict, and returns why the incarnation is over.
-func (s *Store) runRaft(f *nodeFolder, verdict diskidentity.Verdict) error {
+func (s *Store) runRaft(f *diskState, verdict diskidentity.Verdict) error {
 	inc := &incarnation{store: s, memberID: f.local.ID, storage: f.storage, failure: make(chan error, 1)}
 	listener, err := listenPeers(s.self.Raft, inc.memberID, s.identity.get, s.cfg.configuredPeer)
 	if err != nil {
@@ -80,14 +81,14 @@
 	}
 	s.state.reset()
 	started := make(chan error, 1)
-	go func() { // which a failing storage may end
+	go func() { // a failing storage may end this goroutine
 		defer close(started)
 		var err error
 		inc.raft, err = raft.NewRaft(conf, s.state, storage, storage, storage, inc.transport)
 		started <- err
 	}()
 	if err, ok := <-started; err != nil || !ok {
-		return errors.Join(errStartRaft, err, inc.startFailure())
+		return errors.Join(errStartRaft, err, inc.takeFailure())
 	}
 	term := inc.raft.CurrentTerm
 	inc.transport.currentTerm.Store(&term)
--- /dev/null
+++ b/internal/cluster/store/read_index.go
@@ -0,0 +1,160 @@
+package store
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"sync"
+	"time"
+
+	"github.com/hashicorp/raft"
+
+	"oxbowbridge/internal/cluster/storeapi"
+)
+
+// readIndexResult says that the cluster had committed no more than index at a time.
+type readIndexResult struct {
+	index uint64
+	at    time.Time
+}
+
+// readIndexBatcher requests the leader's read index (section 6.4 of the Raft dissertation) for many
+// callers at once. Callers that come while a round runs share the next one: only a round that began
+// after a call is valid for it.
+type readIndexBatcher struct {
+	readIndex func(context.Context) (index uint64, err error)
+
+	mu      sync.Mutex
+	running bool
+	next    *readIndexRound // the round that has not begun, nil if no caller waits for one
+}
+
+// readIndexRound is one request for the read index, for all callers that wait for it.
+type readIndexRound struct {
+	done   chan struct{} // closed once result and err are set
+	result readIndexResult
+	err    error
+}
+
+// await returns a read index that was requested after the call.
+func (p *readIndexBatcher) await(ctx context.Context) (readIndexResult, error) {
+	r := p.join()
+	select {
+	case <-r.done:
+		return r.result, r.err
+	case <-ctx.Done():
+		return readIndexResult{}, ctx.Err()
+	}
+}
+
+// join is the round that begins next.
+func (p *readIndexBatcher) join() *readIndexRound {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.next == nil {
+		p.next = &readIndexRound{done: make(chan struct{})}
+	}
+	if !p.running {
+		p.running = true
+		go p.run()
+	}
+	return p.next
+}
+
+// run carries out rounds until no caller waits for one.
+func (p *readIndexBatcher) run() {
+	for {
+		r := p.begin()
+		if r == nil {
+			return
+		}
+		ctx, cancel := context.WithTimeout(context.Background(), readIndexTimeout)
+		r.result.at = time.Now()
+		r.result.index, r.err = p.readIndex(ctx)
+		cancel()
+		close(r.done)
+	}
+}
+
+// begin returns the next round, which no caller joins any more; nil if there is none.
+func (p *readIndexBatcher) begin() *readIndexRound {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	r := p.next
+	p.next = nil
+	if r == nil {
+		p.running = false
+	}
+	return r
+}
+
+// committedIndex is the read index of the leader, this node or another one.
+func (s *Store) committedIndex(ctx context.Context) (uint64, error) {
+	if s.IsLeader() {
+		return s.ReadIndex(ctx)
+	}
+	leader, err := s.remoteLeader()
+	if err != nil {
+		if _, stopped := s.running(); stopped != nil {
+			return 0, stopped
+		}
+		return 0, err
+	}
+	var answer storeapi.ReadIndexResponse
+	err = s.peers.client.WithCommitTimeout().CallNode(ctx, leader.Admin, http.MethodGet, "/index", nil, &answer)
+	return answer.Index, err
+}
+
+// ReadIndex is the index of the last entry that was committed when this was called. It returns once a
+// majority of the voters has followed this leader since then, and ErrNoLeader on any other node.
+func (s *Store) ReadIndex(ctx context.Context) (uint64, error) {
+	inc, err := s.running()
+	if err != nil {
+		return 0, err
+	}
+	term := inc.raft.CurrentTerm()
+	if !inc.isLeader() {
+		return 0, ErrNoLeader
+	}
+	if err := inc.awaitBarrier(ctx, term); err != nil {
+		return 0, err
+	}
+	index := inc.raft.CommitIndex()
+	readAt := time.Now()
+	// VerifyLeader sends a heartbeat to all voters at once. Its own result may rest on answers to
+	// earlier ones, so that awaitMajority checks them again.
+	if err := awaitFuture(ctx, inc.raft.VerifyLeader()); err != nil {
+		return 0, err
+	}
+	conf, _ := inc.configuration()
+	err = inc.transport.awaitMajority(ctx, quorumRequest{
+		leader:   raft.ServerID(inc.memberID),
+		conf:     conf,
+		term:     term,
+		after:    readAt,
+		isLeader: inc.isLeader,
+	})
+	if err != nil {
+		return 0, fmt.Errorf("most voters' answers: %w", err)
+	}
+	if inc.raft.CurrentTerm() != term {
+		return 0, ErrNoLeader
+	}
+	return index, nil
+}
+
+// awaitBarrier commits an entry in a new leader's term: until then it does not know how far its
+// predecessors had committed.
+func (inc *incarnation) awaitBarrier(ctx context.Context, term uint64) error {
+	if inc.barrierTerm.Load() == term {
+		return nil
+	}
+	if err := awaitFuture(ctx, inc.raft.Barrier(storeapi.CommitTimeout)); err != nil {
+		return fmt.Errorf("first entry of term %d: %w", term, err)
+	}
+	if inc.raft.CurrentTerm() != term {
+		return ErrNoLeader
+	}
+	inc.barrierTerm.Store(term)
+	return nil
+}
--- a/internal/cluster/store/replicated_state.go
+++ b/internal/cluster/store/replicated_state.go
@@ -28,7 +28,7 @@
 	checksums kv.ChecksumHistory // recent ones, to be compared with other voters'
 	listeners []changeListener
 	advanced  chan struct{} // closed when an entry was applied
-	dirty     chan struct{} // of one place: something changed since the mirror last looked
+	changed   chan struct{} // capacity 1: holds a token if an entry was applied since the mirror last took it
 
 	// onLeaseGranted is called, without the lock, for a lease that went to one who waited.
 	onLeaseGranted func(name, holder string)
@@ -41,7 +41,7 @@
 		data:           kv.New(),
 		history:        watch.NewHistory(historyLimits, 0),
 		advanced:       make(chan struct{}),
-		dirty:          make(chan struct{}, 1),
+		changed:        make(chan struct{}, 1),
 		onLeaseGranted: func(string, string) {},
 	}
 }
@@ -76,9 +76,9 @@
 	s.advanced = make(chan struct{})
 }
 
-func (s *replicatedState) signalDirty() {
+func (s *replicatedState) signalChanged() {
 	select {
-	case s.dirty <- struct{}{}:
+	case s.changed <- struct{}{}:
 	default:
 	}
 }
--- a/internal/cluster/store/snapshot.go
+++ b/internal/cluster/store/snapshot.go
@@ -47,7 +47,7 @@
 		return fmt.Errorf("read snapshot: %w", err)
 	}
 	s.replace(restored).notify()
-	s.signalDirty()
+	s.signalChanged()
 	return nil
 }
 
--- a/internal/cluster/store/status.go
+++ b/internal/cluster/store/status.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"fmt"
 
 	"oxbowbridge/internal/cluster/kv"
 	"oxbowbridge/internal/cluster/storeapi"
@@ -38,14 +37,14 @@
 // PeerStatus is what the node tells a peer, whose member ID is asker: its own state, and what it has
 // observed of the asker's disk. It is ErrNotServing until the node knows its own disk.
 func (s *Store) PeerStatus(asker string) (storeapi.PeerStatus, error) {
-	f := s.folder.Load()
+	f := s.disk.Load()
 	if f == nil {
-		return storeapi.PeerStatus{}, fmt.Errorf("%w: it waits for %s", ErrNotServing, *s.waitReason.Load())
+		return storeapi.PeerStatus{}, s.notServingError()
 	}
 	inc := s.current.Load()
 	out := storeapi.PeerStatus{RaftAddress: s.self.Raft, AdminAddress: s.self.Admin, Zone: s.self.Zone, SupportsLeases: true}
 	out.State = nodeStateOf(inc != nil, inc != nil).peerState()
-	s.describeFolder(&out, f)
+	s.describeDisk(&out, f)
 	if inc != nil {
 		s.describeIncarnation(&out, inc, f)
 	}
@@ -56,8 +55,8 @@
 	return out, nil
 }
 
-// describeFolder fills in what the disk held when the incarnation began.
-func (s *Store) describeFolder(out *storeapi.PeerStatus, f *nodeFolder) {
+// describeDisk fills in what the disk held when the incarnation began.
+func (s *Store) describeDisk(out *storeapi.PeerStatus, f *diskState) {
 	out.ID = f.local.ID
 	out.Cluster = s.identity.get()
 	out.Watermark = f.local.Watermark
@@ -69,7 +68,7 @@
 }
 
 // describeIncarnation replaces what has changed since Raft runs.
-func (s *Store) describeIncarnation(out *storeapi.PeerStatus, inc *incarnation, f *nodeFolder) {
+func (s *Store) describeIncarnation(out *storeapi.PeerStatus, inc *incarnation, f *diskState) {
 	out.AppliedIndex = inc.raft.AppliedIndex()
 	out.Checksums = s.state.recentChecksums()
 	if mark, err := inc.storage.Watermark(); err == nil {
--- a/internal/cluster/store/storage.go
+++ b/internal/cluster/store/storage.go
@@ -13,7 +13,7 @@
 
 // openStorage opens the node's folder, or makes it. One that is damaged, or whose state has
 // diverged, is moved aside as a whole, and a new one takes its place. That one never bootstraps a
-// cluster: what the old one promised, the other members must know.
+// cluster: the other members must know the votes and acknowledgments of the old one.
 func (s *Store) openStorage() (*raftstorage.Storage, error) {
 	storage, err := s.tryOpenStorage()
 	if !errors.Is(err, durable.ErrDamaged) && !errors.Is(err, errDiverged) {
@@ -25,9 +25,9 @@
 	if storage, err = s.tryOpenStorage(); err != nil {
 		return nil, err
 	}
-	if err := storage.PutLocal(localJoiner, []byte("1")); err != nil {
+	if err := storage.PutLocal(localReplacement, []byte("1")); err != nil {
 		storage.Close()
-		return nil, fmt.Errorf("mark new folder: %w", err)
+		return nil, fmt.Errorf("joiner flag of the new folder: %w", err)
 	}
 	return storage, nil
 }
--- a/internal/cluster/store/store.go
+++ b/internal/cluster/store/store.go
@@ -16,11 +16,14 @@
 	// CloseTimeout is how long Close takes at most.
 	CloseTimeout = time.Second
 
-	stepDownTimeout     = time.Second // for another node to become leader
-	reopenRetryInterval = time.Second // between two attempts to open a disk that failed
+	stepDownTimeout = time.Second // for another node to become leader
+	// reopenRetryInterval is between two attempts to open a storage folder that can't be opened. After
+	// an incarnation that ended, the folder is opened again at once.
+	reopenRetryInterval = time.Second
 )
 
-// firstWaitReason is what a new node waits for.
+// firstWaitReason is the wait reason of a new node, until another one replaces it: also while the
+// peers have not all been polled yet, and while Raft replays the log.
 const firstWaitReason = "its disk to be opened"
 
 // Store is one node.
@@ -29,13 +32,13 @@
 	self   Peer
 	log    *zap.Logger
 	state  *replicatedState
-	mirror *sqlMirror // nil without a SQL record
+	mirror *sqlMirror // nil without a SQL mirror
 	peers  *peers
 	leases *leaseService
 
-	pending    pendingWrites
-	readProver *freshnessProver
-	identity   clusterIdentity
+	pending   pendingWrites
+	readIndex *readIndexBatcher
+	identity  clusterIdentity
 
 	ctx     context.Context // ends with Close
 	cancel  context.CancelFunc
@@ -43,11 +46,11 @@
 	onClose []func()
 
 	current    atomic.Pointer[incarnation] // nil while Raft does not run
-	waitReason atomic.Pointer[string]      // what the node waits for while current is nil
-	folder     atomic.Pointer[nodeFolder]  // what the disk held when this incarnation began
+	waitReason atomic.Pointer[string]      // see WaitReason; of use while current is nil
+	disk       atomic.Pointer[diskState]   // what the disk held when this incarnation began
 
 	freshMu sync.Mutex
-	freshAt time.Time // when this node last knew all that was committed
+	freshAt time.Time // at this time the state had all that was committed
 }
 
 // New makes a node that does nothing until Start. Its error names the field of cfg at fault.
@@ -58,10 +61,10 @@
 	s := &Store{cfg: cfg, log: log, state: newReplicatedState(), done: make(chan struct{})}
 	s.self, _ = cfg.self()
 	s.ctx, s.cancel = context.WithCancel(context.Background())
-	s.readProver = &freshnessProver{readIndex: s.committedIndex}
+	s.readIndex = &readIndexBatcher{readIndex: s.committedIndex}
 	s.peers = newPeers(s.ctx, s)
 	s.leases = newLeaseService(s)
-	s.state.onLeaseGranted = s.leases.granted
+	s.state.onLeaseGranted = s.leases.wakeWaiter
 	first := firstWaitReason
 	s.waitReason.Store(&first)
 	return s, nil
@@ -98,7 +101,7 @@
 	defer close(s.done)
 	for s.ctx.Err() == nil {
 		if err := s.runIncarnation(storage); err != nil && s.ctx.Err() == nil {
-			s.log.Error("node gave up its vote", zap.Error(err))
+			s.log.Error("incarnation ended", zap.Stringer("reason_kind", endReasonOf(err)), zap.Error(err))
 			s.setWaitReason(err.Error())
 		}
 		storage = s.reopenStorage()
@@ -131,7 +134,8 @@
 	}
 }
 
-// WaitReason is what keeps this node from running Raft, or "".
+// WaitReason is what keeps this node from running Raft: a noun phrase for what it waits for, or the
+// error that ended the last incarnation. It is "" while Raft runs.
 func (s *Store) WaitReason() string {
 	if s.current.Load() != nil {
 		return ""
@@ -163,12 +167,17 @@
 	if inc := s.current.Load(); inc != nil {
 		return inc, nil
 	}
-	return nil, fmt.Errorf("%w: it waits for %s", ErrNotServing, *s.waitReason.Load())
+	return nil, s.notServingError()
+}
+
+// notServingError is ErrNotServing with the wait reason.
+func (s *Store) notServingError() error {
+	return fmt.Errorf("%w: it waits for %s", ErrNotServing, *s.waitReason.Load())
 }
 
 // memberID is this node's name and disk; the name alone while the disk is not known.
 func (s *Store) memberID() string {
-	if f := s.folder.Load(); f != nil {
+	if f := s.disk.Load(); f != nil {
 		return f.local.ID
 	}
 	return s.self.Name
--- a/internal/cluster/store/supervise.go
+++ b/internal/cluster/store/supervise.go
@@ -15,8 +15,9 @@
 
 const (
 	joinRetryInterval = 500 * time.Millisecond
-	// removedConfirmations is how many checks in a row must find that this disk is no member
-	// before the node believes it: a report may be older than the configuration.
+	// removedConfirmations is how many checks in a row, one each pollInterval, must find that this disk
+	// is no member before the node believes it: this node's log and the peers' reports are read at
+	// different times, so that a single check may compare an older one with a newer one.
 	removedConfirmations = 3
 )
 
@@ -30,8 +31,7 @@
 }
 
 // supervise requests to join while this disk is no member, saves what was observed of others, and
-// returns why the incarnation has to end: a failed disk, a removed member, a diverged state, a
-// cluster that was recovered as another, or ctx.
+// returns why the incarnation has to end: one of the errors in errors.go, or that of ctx.
 func (s *Store) supervise(ctx context.Context, inc *incarnation, verdict diskidentity.Verdict) error {
 	inc.wasMember.Store(beginsAsMember(verdict))
 	sup := &supervisor{store: s, inc: inc}
@@ -42,7 +42,7 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case err := <-inc.failure:
-			return fmt.Errorf("disk: %w", err)
+			return fmt.Errorf("%w: %w", errDiskFailed, err)
 		case <-ticker.C:
 		}
 		if err := sup.check(ctx); err != nil {
@@ -54,15 +54,14 @@
 // check is one round of supervise; its error ends the incarnation.
 func (sup *supervisor) check(ctx context.Context) error {
 	s, inc := sup.store, sup.inc
-	if err := inc.storage.Failed(); err != nil {
-		return fmt.Errorf("disk: %w", err)
+	if err := inc.storage.ReadOnlyReason(); err != nil {
+		return fmt.Errorf("%w: %w", errDiskFailed, err)
 	}
 	if time.Since(sup.savedAt) >= watermarkSaveInterval {
 		sup.savedAt = time.Now()
 		s.peers.saveWatermarks(inc)
 	}
-	attestations, _, _ := s.peers.attestations()
-	if successor := diskidentity.Successor(s.identity.get(), attestations); successor != "" {
+	if successor := diskidentity.Successor(s.identity.get(), s.peers.attestations().recent); successor != "" {
 		return fmt.Errorf("%w: it is %s now", errClusterReplaced, successor)
 	}
 	conf, index := inc.configuration()
@@ -91,7 +90,7 @@
 	if !diverged {
 		return nil
 	}
-	// The mark has openStorage set the folder aside.
+	// localDiverged has openStorage move the folder aside.
 	err := inc.storage.PutLocal(localDiverged, []byte("1"))
 	return errors.Join(fmt.Errorf("%w: at entry %d of the log", errDiverged, index), err)
 }
@@ -119,9 +118,8 @@
 	if _, isMember := findServer(conf, inc.memberID); !isMember {
 		return true
 	}
-	attestations, _, _ := s.peers.attestations()
-	for _, a := range attestations {
-		if own := s.identity.get(); own != "" && a.Cluster != own {
+	for _, a := range s.peers.attestations().recent {
+		if local := s.identity.get(); local != "" && a.Cluster != local {
 			continue
 		}
 		if a.ConfigIndex > index && len(a.Members) > 0 && !slices.Contains(a.Members, inc.memberID) {
@@ -131,7 +129,7 @@
 	return false
 }
 
-// tryJoin requests to be a member, and logs a new reason for which it is not.
+// tryJoin requests to be a member, and logs each new reason for which that is not granted.
 func (s *Store) tryJoin(ctx context.Context, inc *incarnation) {
 	err := s.peers.requestJoin(ctx, inc)
 	if err == nil || ctx.Err() != nil {
@@ -139,6 +137,6 @@
 	}
 	refusal := err.Error()
 	if old := inc.joinRefusal.Swap(&refusal); old == nil || *old != refusal {
-		s.log.Warn("store not serving", zap.String("reason", "a place among the members"), zap.Error(err))
+		s.log.Warn("join request not granted", zap.Error(err))
 	}
 }
--- a/internal/cluster/store/verdict.go
+++ b/internal/cluster/store/verdict.go
@@ -18,23 +18,25 @@
 	s.peers.follow(list)
 }
 
-// awaitVerdict polls the peers until it is known what the disk may do. It carries a VerdictRenew
-// out itself, and then returns VerdictJoin with the folder under its new identity.
-func (s *Store) awaitVerdict(f *nodeFolder) (*nodeFolder, diskidentity.Verdict, error) {
+// awaitVerdict waits until the reports of the pollers (peers.poll) tell what the disk may do. Until
+// each peer was polled once it returns no verdict but VerdictRenew, as a peer that was not polled may
+// have observed more of this disk; the wait reason then stays as it was. It carries a VerdictRenew out
+// itself, and then returns VerdictJoin with the disk under its new identity.
+func (s *Store) awaitVerdict(f *diskState) (*diskState, diskidentity.Verdict, error) {
 	for {
-		attestations, allPolled, changed := s.peers.attestations()
-		verdict, reason := diskidentity.Decide(f.local, attestations)
-		if !allPolled && verdict != diskidentity.VerdictRenew {
+		reports := s.peers.attestations()
+		verdict, reason := diskidentity.Decide(f.local, reports.recent)
+		if !reports.allPolled && verdict != diskidentity.VerdictRenew {
 			verdict = diskidentity.VerdictWait
 		}
 		if verdict == diskidentity.VerdictWait {
-			if allPolled {
+			if reports.allPolled {
 				s.setWaitReason(reason)
 			}
 		} else {
 			s.log.Info("disk verdict", zap.String("member", f.local.ID), zap.Stringer("verdict", verdict), zap.String("reason", reason))
 			if verdict == diskidentity.VerdictRenew {
-				renewed, err := s.renewFolder(f, reason)
+				renewed, err := s.renewDisk(f, reason)
 				return renewed, diskidentity.VerdictJoin, err
 			}
 			return f, verdict, nil
@@ -42,14 +44,14 @@
 		select {
 		case <-s.ctx.Done():
 			return f, verdict, s.ctx.Err()
-		case <-changed:
+		case <-reports.changed:
 		case <-time.After(pollInterval): // reports expire
 		}
 	}
 }
 
-// renewFolder gives a disk that can't be trusted with its vote a new identity.
-func (s *Store) renewFolder(f *nodeFolder, reason string) (*nodeFolder, error) {
+// renewDisk gives a disk that can't be trusted with its vote a new identity.
+func (s *Store) renewDisk(f *diskState, reason string) (*diskState, error) {
 	id, err := renewIdentity(f.storage, s.self.Name)
 	if err != nil {
 		return f, err
@@ -57,6 +59,6 @@
 	s.log.Warn("disk identity renewed", zap.String("previous_member", f.local.ID), zap.String("member", id), zap.String("reason", reason))
 	renewed := *f // others read the first one
 	renewed.local.ID = id
-	s.folder.Store(&renewed)
+	s.disk.Store(&renewed)
 	return &renewed, nil
 }
--- a/internal/cluster/store/watermarks.go
+++ b/internal/cluster/store/watermarks.go
@@ -13,7 +13,9 @@
 
 const (
 	watermarkSaveInterval = time.Second
-	maxWatermarks         = 256 // disks of which one is kept
+	// maxWatermarks is of how many disks a watermark is remembered. This node does not notice an older
+	// copy of a disk beyond them.
+	maxWatermarks = 256
 )
 
 // watermarks is how far this node has observed other disks, by member ID.
@@ -33,12 +35,12 @@
 // readWatermarks reads what saveWatermarks wrote.
 func readWatermarks(storage *raftstorage.Storage) (watermarks, error) {
 	w := watermarks{}
-	text, err := storage.GetLocal(localWatermarks)
+	text, err := storage.GetLocal(localPeerWatermarks)
 	if err == nil && text != nil {
 		err = json.Unmarshal(text, &w)
 	}
 	if err != nil {
-		return nil, fmt.Errorf("marks of other disks: %w", err)
+		return nil, fmt.Errorf("watermarks of peers: %w", err)
 	}
 	return w, nil
 }
@@ -58,7 +60,7 @@
 	if text == nil {
 		return
 	}
-	if err := inc.storage.PutLocalUnsynced(localWatermarks, text); err != nil {
+	if err := inc.storage.PutLocalUnsynced(localPeerWatermarks, text); err != nil {
 		p.store.log.Warn("peer watermarks not saved", zap.Error(err))
 	}
 }
--- a/internal/cluster/store/write.go
+++ b/internal/cluster/store/write.go
@@ -47,8 +47,9 @@
 	return err
 }
 
-// Execute commits a request; only the leader can. After an error that is none of kv's the request
-// may have taken effect, or may still: retried in its session, it takes effect once.
+// Execute commits a request. It returns ErrNoLeader on any node but the leader. After any other error
+// that is none of kv's the request may have taken effect, or may still: retried in its session, it
+// takes effect once.
 func (s *Store) Execute(r kv.Request) (kv.Response, error) {
 	if err := errors.Join(r.ValidateSize(), r.Validate()); err != nil {
 		return kv.Response{}, err
--- a/internal/cluster/storeadmin/server.go
+++ b/internal/cluster/storeadmin/server.go
@@ -124,9 +124,9 @@
 		// Members.
 		"GET /members":           s.listMembers,
 		"POST /members":          s.joinMember,
-		"PUT /members/{name}":    s.changeMember(s.store.AddMember),
-		"DELETE /members/{name}": s.changeMember(s.store.RemoveMember),
-		"POST /members/{name}":   s.changeMember(s.store.PromoteMember),
+		"PUT /members/{name}":    s.changeMember(s.store.AllowRejoin),
+		"DELETE /members/{name}": s.changeMember(s.store.RequestRemoval),
+		"POST /members/{name}":   s.changeMember(s.store.PreferAsVoter),
 		// Leases.
 		"GET /lease":              s.listLeases,
 		"PUT /lease":              s.renewLeases,
--- a/tests/disks_test.go
+++ b/tests/disks_test.go
@@ -307,7 +307,7 @@
 	section := c.StoreConfig(3)
 	section["peers"], section["voters"] = c.Peers[alone:alone+1], 3
 	c.Launch(3, section)
-	await(t, "a line", func() bool { return strings.Contains(c.nodes[3].log(), "a place among the members") })
+	await(t, "a line", func() bool { return strings.Contains(c.nodes[3].log(), `"msg":"join request not granted"`) })
 	code, text := c.Request(3, "GET", "/store/note/1", "")
 	assert.Equal(t, 503, code, text)
 	for i := range 3 {
@@ -390,11 +390,11 @@
 			if !leads {
 				bad, good = (lead+1)%3, lead
 			}
-			lines := strings.Count(c.nodes[bad].log(), "gave up its vote")
+			lines := strings.Count(c.nodes[bad].log(), `"msg":"incarnation ended"`)
 			c.InjectFault(bad, cue)
 			await(t, "a line on its disk", func() bool {
 				c.Request(good, "PUT", "/store/poke", "1")
-				return strings.Count(c.nodes[bad].log(), "gave up its vote") > lines
+				return strings.Count(c.nodes[bad].log(), `"msg":"incarnation ended"`) > lines
 			})
 			c.WaitForLeader(bad)
 			c.Put(good, fmt.Sprint("note/", n), fmt.Sprint(n))
--- a/tests/store_test.go
+++ b/tests/store_test.go
@@ -137,7 +137,7 @@
 	var at *service // the one that has the lease
 	await(t, "a line", func() bool {
 		for _, n := range c.nodes {
-			if strings.Contains(n.log(), "sql record unavailable") {
+			if strings.Contains(n.log(), "sql mirror unavailable") {
 				at = n
 			}
 		}
@@ -146,7 +146,7 @@
 	pg := newPostgres(t, addr)
 	c.Put(1, "note/later", `2`)
 	await(t, "both rows", func() bool { return pg.get("note/early") == `{"n":1}` && pg.get("note/later") == "2" })
-	await(t, "a line", func() bool { return strings.Contains(at.log(), "sql record available again") })
+	await(t, "a line", func() bool { return strings.Contains(at.log(), "sql mirror available again") })
 	for i := range 3 {
 		c.Kill(i)
 		c.Dirs[i] = t.TempDir()
