--- a/cmd/oxbowbridge/maintenance.go
+++ b/cmd/oxbowbridge/maintenance.go
@@ -14,8 +14,8 @@
 	"oxbowbridge/internal/proxy/exchange"
 )
 
-// utilizationTimeout is for the dispatcher to answer how much of the cores is in use.
-const utilizationTimeout = 200 * time.Millisecond
+// loadTimeout is for the dispatcher to answer how busy the service is.
+const loadTimeout = 200 * time.Millisecond
 
 // maintenanceAgent is the service's part in maintenance. Without its section in the configuration it
 // does nothing.
@@ -46,26 +46,19 @@
 	return m
 }
 
-// dispatcherLoad is what the dispatcher says of itself.
-type dispatcherLoad struct {
-	utilization float64
-	known       bool
-	warm        bool
-}
-
-// Utilization asks the dispatcher for the share of its cores in use.
-func (m *maintenanceAgent) Utilization() (share float64, known, warm bool) {
-	answer := make(chan dispatcherLoad, 1)
+// Load asks the dispatcher how busy the service is. Without an answer in time that is not known.
+func (m *maintenanceAgent) Load() agent.Load {
+	answer := make(chan agent.Load, 1)
 	m.service.exchange.Post(exchange.Callback(func() {
-		var l dispatcherLoad
-		l.utilization, l.known, l.warm = m.service.dispatcher.Load()
-		answer <- l
+		var load agent.Load
+		load.Utilization, load.Known, load.Warm = m.service.dispatcher.Load()
+		answer <- load
 	}))
 	select {
-	case l := <-answer:
-		return l.utilization, l.known, l.warm
-	case <-time.After(utilizationTimeout):
-		return 1, false, false
+	case load := <-answer:
+		return load
+	case <-time.After(loadTimeout):
+		return agent.Load{}
 	}
 }
 
--- a/internal/maintenance/agent/agent.go
+++ b/internal/maintenance/agent/agent.go
@@ -28,13 +28,19 @@
 
 // Service is what the agent needs of the service that it is part of.
 type Service interface {
-	// Utilization is the share of the service's cores in use, whether that is known, and whether
-	// the service has warmed up.
-	Utilization() (share float64, known, warm bool)
+	// Load returns how busy the service is now.
+	Load() Load
 	// StartDrain starts a graceful shutdown of the service, as on SIGTERM.
 	StartDrain()
 }
 
+// Load is how busy a service is.
+type Load struct {
+	Utilization float64 // fraction of the service's cores in use, 0 to 1
+	Known       bool    // Utilization was measured
+	Warm        bool    // the service has warmed up
+}
+
 // Agent is one machine's.
 type Agent struct {
 	cfg     Config
@@ -117,9 +123,9 @@
 
 // sendHeartbeat reports what the machine is, and returns its order; nil if there is none.
 func (a *Agent) sendHeartbeat(ctx context.Context) (*maintenance.Order, error) {
-	utilization, known, warm := a.service.Utilization()
-	if !known {
-		utilization = unknownUtilization
+	load := a.service.Load()
+	if !load.Known {
+		load.Utilization = unknownUtilization
 	}
 	a.sequence++
 	heartbeat := maintenance.Heartbeat{
@@ -128,9 +134,9 @@
 		Sequence:   a.sequence,
 		GrantToken: a.returnedGrant,
 	}
-	heartbeat.Utilization = utilization
+	heartbeat.Utilization = load.Utilization
 	heartbeat.State = maintenance.MachineWarmingUp
-	if warm {
+	if load.Warm {
 		heartbeat.State = maintenance.MachineInService
 	}
 	ctx, cancel := context.WithTimeout(ctx, max(a.cfg.heartbeatInterval(), minHeartbeatTimeout))
--- a/internal/maintenance/controller/controller.go
+++ b/internal/maintenance/controller/controller.go
@@ -23,7 +23,7 @@
 
 // Names of leases.
 const (
-	ControllerLease    = "work/order"    // held by the process that decides
+	ControllerLease    = "work/order"    // held by the process that decides; the name is on the wire
 	MachineLeasePrefix = "work/machine/" // and a machine's name: held by the machine while it drains
 )
 
--- a/internal/maintenance/controller/heartbeats.go
+++ b/internal/maintenance/controller/heartbeats.go
@@ -20,7 +20,7 @@
 )
 
 // observedHeartbeat is when this node noticed a machine's last heartbeat, by its own monotonic
-// clock: clocks of two machines are never compared.
+// clock: for the age of a heartbeat, clocks of two machines are never compared.
 type observedHeartbeat struct {
 	sequence   uint64
 	observedAt time.Time
@@ -59,7 +59,7 @@
 			continue // without machines, the other nodes are not asked for anything
 		}
 		if _, err := c.store.WaitFresh(ctx, store.Freshness{MaxStaleness: maxHeartbeatStaleness}); err == nil {
-			c.machines(c.heartbeats(), nil)
+			c.observeAll(c.heartbeats())
 		}
 	}
 }
@@ -79,11 +79,9 @@
 
 // machines returns the machines of heartbeats, with what this node knows of their age, sorted by name.
 func (c *Controller) machines(heartbeats []maintenance.Heartbeat, orders []maintenance.Order) (list []maintenance.Machine) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	now := time.Now()
-	for _, h := range heartbeats {
-		m := observedMachine(h, c.observe(h, now), now)
+	observed, now := c.observeAll(heartbeats)
+	for i, h := range heartbeats {
+		m := observedMachine(h, observed[i], now)
 		if m.State == maintenance.MachineInService && !hasReturned(h, orders) {
 			m.State = maintenance.MachineWarmingUp
 		}
@@ -93,6 +91,18 @@
 	return list
 }
 
+// observeAll notes those heartbeats that are new, at the present time, which it returns, and returns the
+// observation of each.
+func (c *Controller) observeAll(heartbeats []maintenance.Heartbeat) (observed []observedHeartbeat, now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	now = time.Now()
+	for _, h := range heartbeats {
+		observed = append(observed, c.observe(h, now))
+	}
+	return observed, now
+}
+
 // observe notes a heartbeat, if it is new. The lock is held.
 func (c *Controller) observe(h maintenance.Heartbeat, now time.Time) observedHeartbeat {
 	last, known := c.observed[h.Name]
--- a/internal/maintenance/controller/run.go
+++ b/internal/maintenance/controller/run.go
@@ -20,7 +20,9 @@
 	maxTransitions = kv.MaxOps / 2
 )
 
-// Run decides under ControllerLease until ctx ends or the lease is lost, which is kv.ErrFenced.
+// Run decides under ControllerLease until ctx, which ends with the lease, ends. On the leader a write that
+// finds the lease lost ends it at once, with kv.ErrFenced. On another node that is an answer with
+// status 412 (*storeapi.StatusError), which is logged and tried again like any failure.
 func (c *Controller) Run(ctx context.Context, fence lease.FencingToken) error {
 	tick := time.NewTicker(decisionInterval)
 	defer tick.Stop()
@@ -30,7 +32,7 @@
 				return err
 			}
 			c.log.Warn("maintenance decision failed", zap.Int64("retry_in_ms", decisionInterval.Milliseconds()), zap.Error(err))
-			time.Sleep(decisionInterval)
+			time.Sleep(decisionInterval) // besides the wait for the next tick
 		}
 		select {
 		case <-ctx.Done():
@@ -40,7 +42,8 @@
 	}
 }
 
-// decideOnce carries out what is to be done now.
+// decideOnce carries out what is to be done now. If anything that was decided on has changed meanwhile,
+// the store changes nothing, and the next tick decides anew.
 func (c *Controller) decideOnce(ctx context.Context, fence lease.FencingToken) error {
 	if !c.hasOrders() {
 		return nil
@@ -55,24 +58,25 @@
 	if len(decision.Transitions) == 0 && decision.PauseReason == "" {
 		return nil
 	}
-	return c.store.ExecuteAnywhere(ctx, c.requestFor(decision, s, fence))
+	decision.Transitions = decision.Transitions[:min(len(decision.Transitions), maxTransitions)]
+	c.logDecision(decision)
+	return c.store.ExecuteAnywhere(ctx, requestFor(decision, s, fence))
 }
 
 // requestFor returns a decision as a request, which is carried out only if the lease is held and nothing
 // that was decided on has changed.
-func (c *Controller) requestFor(decision maintenance.Decision, s snapshot, fence lease.FencingToken) kv.Request {
+func requestFor(decision maintenance.Decision, s snapshot, fence lease.FencingToken) kv.Request {
 	request := kv.Request{
 		Fences: []lease.FencingToken{fence},
 		If:     []kv.Compare{{Key: pauseKey, Revision: s.pauseRevision}},
 	}
-	for _, t := range decision.Transitions[:min(len(decision.Transitions), maxTransitions)] {
+	for _, t := range decision.Transitions {
 		o := s.order(t.Machine)
 		o.Phase = t.To
 		o.PhaseReason = t.Reason
 		o.PhaseSinceMS = s.observation.NowMS
 		request.If = append(request.If, kv.Compare{Key: orderPrefix + t.Machine, Revision: s.orderRevisions[t.Machine]})
 		request.Then = append(request.Then, putOrder(o))
-		c.log.Info("maintenance order changes phase", zap.String("machine", t.Machine), zap.Stringer("phase", t.To), zap.String("reason", t.Reason))
 	}
 	if decision.PauseReason != "" {
 		pause := maintenance.Pause{
@@ -81,11 +85,20 @@
 			AcknowledgedFailures: s.observation.Pause.AcknowledgedFailures,
 		}
 		request.Then = append(request.Then, putJSON(pauseKey, pause))
-		c.log.Error("maintenance paused", zap.String("reason", decision.PauseReason))
 	}
 	return request
 }
 
+// logDecision logs a decision before it is carried out: the store may still refuse it.
+func (c *Controller) logDecision(decision maintenance.Decision) {
+	for _, t := range decision.Transitions {
+		c.log.Info("maintenance order changes phase", zap.String("machine", t.Machine), zap.Stringer("phase", t.To), zap.String("reason", t.Reason))
+	}
+	if decision.PauseReason != "" {
+		c.log.Error("maintenance paused", zap.String("reason", decision.PauseReason))
+	}
+}
+
 // hasOrders reports whether there is any order in this node's state, which may be behind.
 func (c *Controller) hasOrders() bool {
 	entries, _ := c.store.Entries()
--- a/internal/maintenance/decide.go
+++ b/internal/maintenance/decide.go
@@ -46,7 +46,10 @@
 	orders := slices.Clone(v.Orders)
 	machines := v.machinesByName()
 	d.addTimedTransitions(v, orders, machines)
-	blocked := d.checkPause(v, orders)
+	if !v.Pause.Paused {
+		d.PauseReason = tooManyFailures(v, orders)
+	}
+	blocked := blockedByPause(v.Pause, d.PauseReason)
 	usage := newBudgetUsage(v, orders, machines)
 	for i, o := range Queue(orders) {
 		reason := blocked
@@ -70,7 +73,7 @@
 	return d
 }
 
-// applyTimedTransitions records the transitions that are due, and applies them to orders.
+// addTimedTransitions adds the transitions that are due, and applies them to orders.
 func (d *Decision) addTimedTransitions(v Observation, orders []Order, machines map[string]Machine) {
 	for i, o := range orders {
 		to, reason := timedTransition(o, machines[o.Machine], v)
@@ -83,12 +86,9 @@
 	}
 }
 
-// checkPause tells why nothing is granted now, or "". Too many failures that no operator has
-// acknowledged pause maintenance.
-func (d *Decision) checkPause(v Observation, orders []Order) (blocked string) {
-	if v.Pause.Paused {
-		return "the order is paused: " + v.Pause.Reason
-	}
+// tooManyFailures says why maintenance is to pause, or "": MaxFailures failures that no operator has
+// acknowledged.
+func tooManyFailures(v Observation, orders []Order) string {
 	failures := 0
 	for _, o := range orders {
 		failed := o.Phase == PhaseFailed || o.Phase == PhaseAbandoned
@@ -99,8 +99,18 @@
 	if failures < v.Budget.MaxFailures {
 		return ""
 	}
-	d.PauseReason = fmt.Sprintf("%d machines failed to return", failures)
-	return "the order is paused: " + d.PauseReason
+	return fmt.Sprintf("%d machines failed to return", failures)
+}
+
+// blockedByPause says why no order is granted, or "": maintenance is paused, or is to pause now.
+func blockedByPause(pause Pause, pauseNow string) string {
+	switch {
+	case pause.Paused:
+		return "the order is paused: " + pause.Reason
+	case pauseNow != "":
+		return "the order is paused: " + pauseNow
+	}
+	return ""
 }
 
 // Queue returns the orders that wait for a grant, the next one first: by priority, then in the order of
--- a/internal/maintenance/machine.go
+++ b/internal/maintenance/machine.go
@@ -22,9 +22,9 @@
 	Cores            float64      `json:"cores"`
 	Speed            float64      `json:"speed"` // of a core, relative to others
 	State            MachineState `json:"state"`
-	Utilization      float64      `json:"busy"`             // share of its capacity in use, 0 to 1
+	Utilization      float64      `json:"busy"`             // fraction of its capacity in use, 0 to 1
 	UtilizationAgeMS int64        `json:"age_ms"`           // of Utilization; negative if that is not known
-	HasStoreNode     bool         `json:"voter"`            // of the store
+	HasStoreNode     bool         `json:"voter"`            // a node of the store runs on it; it counts as a voter, also if it is a learner
 	ReplicaGroups    []string     `json:"copies,omitempty"` // groups of which it holds a replica
 }
 
--- a/internal/maintenance/order.go
+++ b/internal/maintenance/order.go
@@ -19,7 +19,9 @@
 
 var validMachineName = regexp.MustCompile(`^[A-Za-z0-9._-]{1,64}$`)
 
-// Order is a request for maintenance of one machine.
+// Order is a request for maintenance of one machine. Its times are of the clocks of the nodes that wrote
+// them; timeouts compare them with the clock of the node that decides, so a skew of the clocks
+// shortens or lengthens them.
 type Order struct {
 	Machine       string `json:"node"` // the machine
 	Reason        string `json:"reason"`
@@ -29,8 +31,8 @@
 	Phase         Phase  `json:"state"`
 	Ticket        uint64 `json:"ticket"`             // grows in the order of arrival
 	GrantToken    uint64 `json:"grant,omitempty"`    // token of the machine's lease under which it left; each is used once
-	RequestedMS   int64  `json:"asked_ms,omitempty"` // Unix time
-	PhaseSinceMS  int64  `json:"since_ms"`           // Unix time
+	RequestedMS   int64  `json:"asked_ms,omitempty"` // Unix time, by the clock of the leader that took it
+	PhaseSinceMS  int64  `json:"since_ms"`           // Unix time, by the clock of the node that wrote the phase
 	PhaseReason   string `json:"why,omitempty"`      // why it is in its phase
 }
 
@@ -76,7 +78,8 @@
 	WaitReason string `json:"waits,omitempty"` // why it is not granted yet
 }
 
-// Status is all orders and machines as operators see them.
+// Status is all orders and machines as operators see them. On the wire, "order" is the holder of the
+// controller's lease and "jobs" are the orders.
 type Status struct {
 	Controller  string           `json:"order"` // holder of the controller's lease
 	Pause       Pause            `json:"pause"`
--- a/internal/maintenance/phase.go
+++ b/internal/maintenance/phase.go
@@ -80,7 +80,8 @@
 }
 
 // ApplyReport returns the order after a report. A report that is repeated, as its answer was lost,
-// changes nothing. The error is ErrWrongPhase.
+// changes nothing; without a token, as from an operator, the phase alone tells. The error is
+// ErrWrongPhase.
 func (o Order) ApplyReport(report PhaseReport) (next Order, changed bool, err error) {
 	sameGrant := report.GrantToken == o.GrantToken
 	if o.Phase == report.Phase && (report.GrantToken == 0 || sameGrant) {
--- a/internal/maintenance/plan.go
+++ b/internal/maintenance/plan.go
@@ -61,7 +61,9 @@
 }
 
 // ComputePlan makes a schedule by list scheduling: it gives each task of a list the first time at
-// which it fits. The list with the longest tasks first is improved by a local search or, for a few
+// which it fits within the budget's places, zones, capacity shares and replica groups. It knows nothing of
+// spare capacity, voters and machines that are not in service, so Decide may let a machine wait for
+// longer. The list with the longest tasks first is improved by a local search or, for a few
 // tasks, by trying all lists (branch and bound). Tasks that are out already stay where they are; a
 // task of a higher priority is before others in any list.
 func ComputePlan(in PlanInput) (Plan, error) {
--- a/internal/maintenance/usage.go
+++ b/internal/maintenance/usage.go
@@ -142,7 +142,8 @@
 }
 
 // capacityShortage checks the capacity that would be out, and what would stay. A single machine may
-// go whatever its share is, or a small fleet would never be maintained.
+// go whatever its share is, or a small fleet would never be maintained, but not the last capacity in
+// service: the text is then that of the share.
 func (u *budgetUsage) capacityShortage(m Machine) string {
 	b := u.budget
 	out := u.capacityOut + m.Capacity()
@@ -159,7 +160,8 @@
 	return ""
 }
 
-// voterShortage checks the store's voters that would stay.
+// voterShortage checks the store's voters that would stay. Each machine with a node of the store counts
+// as one.
 func (u *budgetUsage) voterShortage(m Machine) string {
 	quorum := u.voters/2 + 1
 	stay := u.votersIn - 1
