--- a/internal/proxy/dispatch/drain.go
+++ b/internal/proxy/dispatch/drain.go
@@ -12,8 +12,8 @@
 // The drain, from the notice (SIGTERM) to the end of the process. All times count from the
 // notice, also where it is handled late.
 //
-//   - At once: the registry lists the service as unavailable, and the controller is told of a
-//     stop that is answerLead earlier. Requests are still taken, as balancers learn of a drain
+//   - At once: the registry lists the service as unavailable, and the controller gets a stop time
+//     that is answerLead earlier. Requests are still taken, as balancers learn of a drain
 //     late.
 //   - After DrainGracePeriod (settings), at the latest answerLead before the stop: listeners
 //     close, and connections close once they are idle.
@@ -23,7 +23,7 @@
 //
 // Two more times stand elsewhere: the controller rejects what arrives after DrainGracePeriod,
 // which it does not cut at a near stop, and answers all by answerBeforeStop before the stop
-// that it was told (admission/drain.go); a service with a store is stopped earlier, to close
+// time that it got (admission/drain.go); a service with a store is stopped earlier, to close
 // the store (cmd/oxbowbridge).
 const (
 	// answerLead is kept of the drain timeout for the last responses and closes.
--- a/internal/proxy/dispatch/state.go
+++ b/internal/proxy/dispatch/state.go
@@ -42,7 +42,7 @@
 	sendCall                          // the controller has the call made
 	callSucceeded                     // the reply goes to the runner
 	callFailed                        // the run waits until the controller fails the request
-	stopRun                           // the runner is told to stop the run, and reports its end later
+	stopRun                           // Runner.Stop is called; the runner reports the end later
 	requeueRun                        // a preempted run has ended without its progress
 	pauseRun                          // a preempted run has ended, and its progress is kept
 	joinOriginalRun                   // the controller has the request answered with the original's result
--- a/internal/transport/ajp/upstream_pool.go
+++ b/internal/transport/ajp/upstream_pool.go
@@ -41,7 +41,7 @@
 	exchange.Job
 	began       time.Duration
 	sends       int // of its request: it may have run as often
-	failedDials int // connections that were made for it in vain
+	failedDials int // for it
 	conn        *upstreamConn
 }
 
