--- a/bench/durable/compaction.go
+++ b/bench/durable/compaction.go
@@ -35,7 +35,7 @@
 // compaction compares puts while maintenance compacts and checkpoints with puts while
 // nothing is due, in turns.
 func (b *bench) compaction() error {
-	fmt.Print("\n## A put while upkeep works\n\n| quantile | at rest, ms | at work, ms | ratio |\n| --- | --- | --- | --- |\n")
+	fmt.Print("\n## A put during maintenance\n\n| quantile | idle, ms | compacting, ms | ratio |\n| --- | --- | --- | --- |\n")
 	f := compactionFigures{
 		idle:    make([][]float64, len(compactionQuantiles)),
 		working: make([][]float64, len(compactionQuantiles)),
--- a/bench/store/figures.go
+++ b/bench/store/figures.go
@@ -38,7 +38,7 @@
 // print prints a table, with the builds beside each other.
 func (f figures) print() {
 	slices.SortStableFunc(f, func(a, b *figure) int { return cmp.Compare(a.measured, b.measured) })
-	fmt.Print("| measured | build | times | median | p99 | least | most |\n| --- | --- | --- | --- | --- | --- | --- |\n")
+	fmt.Print("| measured | build | times | median | p99 | min | max |\n| --- | --- | --- | --- | --- | --- | --- |\n")
 	for _, x := range f {
 		fmt.Printf("| %s | %s | %d | %d | %d | %d | %d |\n", x.measured, x.build, x.values.TotalCount(),
 			x.values.ValueAtQuantile(50), x.values.ValueAtQuantile(99), x.values.Min(), x.values.Max())
--- a/bench/store/leases.go
+++ b/bench/store/leases.go
@@ -42,7 +42,7 @@
 	})
 }
 
-func (l *leaseBench) note(measured string, value float64) {
+func (l *leaseBench) record(measured string, value float64) {
 	l.figures.add(measured, l.built.name, value)
 }
 
@@ -63,7 +63,7 @@
 			return err
 		}
 		measured := fmt.Sprintf("ms from a holder's SIGKILL to the next grant, TTL %d", handoverTTL.Milliseconds())
-		l.note(measured, float64(elapsed.Milliseconds()))
+		l.record(measured, float64(elapsed.Milliseconds()))
 	}
 	return nil
 }
@@ -145,13 +145,13 @@
 		err = handle.Release(context.Background(), "")
 		mu.Lock()
 		defer mu.Unlock()
-		l.note("us to acquire, "+situation, float64(acquired.Sub(began).Microseconds()))
-		l.note("us to release, "+situation, float64(time.Since(acquired).Microseconds()))
+		l.record("us to acquire, "+situation, float64(acquired.Sub(began).Microseconds()))
+		l.record("us to release, "+situation, float64(time.Since(acquired).Microseconds()))
 		return err
 	})
 	if err != nil {
 		return err
 	}
-	l.note("grants/s, "+situation, rate)
+	l.record("grants/s, "+situation, rate)
 	return nil
 }
--- a/bench/store/many_leases.go
+++ b/bench/store/many_leases.go
@@ -50,14 +50,14 @@
 	cpuSeconds := (cpuTime(l.pids[leader]) - cpuBefore).Seconds()
 	memoryGrowth := residentBytes(l.pids[leader]) - memoryBefore
 	entriesPerSecond := float64(after.Last-before.Last) / seconds
-	l.note("log entries in 100 s, 10000 leases of 300 holders kept alive", entriesPerSecond*logEntriesPeriodSeconds)
-	l.note("leader's CPU in thousandths of a core, 10000 leases of 300 holders kept alive", cpuSeconds/seconds*1000)
-	l.note("leader's resident bytes a lease, 10000 leases", float64(memoryGrowth)/manyLeaseCount)
+	l.record("log entries in 100 s, 10000 leases of 300 holders kept alive", entriesPerSecond*logEntriesPeriodSeconds)
+	l.record("leader's CPU in thousandths of a core, 10000 leases of 300 holders kept alive", cpuSeconds/seconds*1000)
+	l.record("leader's resident bytes a lease, 10000 leases", float64(memoryGrowth)/manyLeaseCount)
 	held, err := l.countHeld(leader)
 	if err != nil {
 		return err
 	}
-	l.note("of 10000 leases held at the end", float64(held))
+	l.record("of 10000 leases held at the end", float64(held))
 	return nil
 }
 
--- a/bench/store/proc.go
+++ b/bench/store/proc.go
@@ -11,7 +11,7 @@
 // programs.
 const clockTicks = 100
 
-// cpuTime is the CPU time that a process has used; 0 if it is gone.
+// cpuTime is the CPU time that a process has used; 0 if it has ended.
 func cpuTime(pid int) time.Duration {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -26,7 +26,7 @@
 	return time.Duration(user+system) * time.Second / clockTicks
 }
 
-// residentBytes is the resident memory of a process; 0 if it is gone.
+// residentBytes is the resident memory of a process; 0 if it has ended.
 func residentBytes(pid int) int64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
--- a/bench/store/store.go
+++ b/bench/store/store.go
@@ -48,12 +48,12 @@
 	})
 }
 
-func (s *storeBench) note(measured string, value float64) {
+func (s *storeBench) record(measured string, value float64) {
 	s.figures.add(measured, s.buildName, value)
 }
 
-func (s *storeBench) noteMillis(measured string, since time.Time) {
-	s.note(measured, float64(time.Since(since).Milliseconds()))
+func (s *storeBench) recordMillis(measured string, since time.Time) {
+	s.record(measured, float64(time.Since(since).Milliseconds()))
 }
 
 // hundredDigits is a JSON string that ends with a number.
@@ -69,7 +69,7 @@
 		if err != nil {
 			return err
 		}
-		s.note(fmt.Sprintf("writes/s, %02d clients", clients), rate)
+		s.record(fmt.Sprintf("writes/s, %02d clients", clients), rate)
 	}
 	follower := s.cluster.Peers[(leader+1)%storeNodes]
 	for _, query := range []string{"", "?local=1"} {
@@ -79,13 +79,13 @@
 		if err != nil {
 			return err
 		}
-		s.note(fmt.Sprintf("reads/s at a follower, %d clients, GET%s", readClients, query), rate)
+		s.record(fmt.Sprintf("reads/s at a follower, %d clients, GET%s", readClients, query), rate)
 	}
 	return nil
 }
 
 // outage loses the leader, and measures until a write at another node is acknowledged.
-func (s *storeBench) outage(measured string, lose, bringBack func(node int)) {
+func (s *storeBench) outage(measured string, lose, restore func(node int)) {
 	leader := s.cluster.WaitForLeader()
 	time.Sleep(leaderSettleTime)
 	lose(leader)
@@ -93,9 +93,9 @@
 	for attempt := 1; s.put(s.cluster, (leader+1+attempt%2)%storeNodes, "after", "1") != nil; attempt++ {
 		time.Sleep(retryPause)
 	}
-	s.noteMillis(measured, began)
-	bringBack(leader)
-	testrig.Await(s.cluster.T, "the node to be back", func() bool {
+	s.recordMillis(measured, began)
+	restore(leader)
+	testrig.Await(s.cluster.T, "the node to be up to date", func() bool {
 		return s.cluster.GetJSON(leader, "/store/after", new(int))
 	})
 }
@@ -113,16 +113,16 @@
 	s.writeDuring("while a node catches up", leader, func() {
 		began := time.Now()
 		s.cluster.Start(node)
-		testrig.Await(s.cluster.T, "it to be up to date", func() bool {
+		testrig.Await(s.cluster.T, "the node to be up to date", func() bool {
 			return s.cluster.GetJSON(node, "/store/beside", new(int))
 		})
-		s.noteMillis(fmt.Sprintf("ms from the start of a node that misses %d writes to a fresh read", s.missedWrites), began)
+		s.recordMillis(fmt.Sprintf("ms from the start of a node that misses %d writes to a fresh read", s.missedWrites), began)
 	})
 	s.writeDuring("while a lost disk is replaced", leader, func() {
 		began := time.Now()
 		s.cluster.ReplaceDisk(node)
 		s.cluster.WaitForVoters(0, 1, 2)
-		s.noteMillis("ms from a lost disk to full strength", began)
+		s.recordMillis("ms from a lost disk to full strength", began)
 	})
 	return nil
 }
@@ -157,7 +157,7 @@
 			}
 			began := time.Now()
 			if s.put(s.cluster, leader, "beside", "1") == nil {
-				s.note("us of a write "+situation, float64(time.Since(began).Microseconds()))
+				s.record("us of a write "+situation, float64(time.Since(began).Microseconds()))
 			}
 			time.Sleep(retryPause)
 		}
--- a/cmd/oxbowbridge/durable_load.go
+++ b/cmd/oxbowbridge/durable_load.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// maxInFlightPuts bounds the puts that wait for the disk.
+	// maxInFlightPuts bounds the puts that were submitted and not printed yet.
 	maxInFlightPuts = 256
 	// readBufferBytes is the length of reads of the input.
 	readBufferBytes = 64 << 10
@@ -22,7 +22,7 @@
 	err error
 }
 
-// loader puts lines into a store, and prints the keys in their order.
+// loader puts lines into a store, and prints the keys in the order of the lines.
 type loader struct {
 	store    *durable.Store
 	asHex    bool
@@ -96,14 +96,14 @@
 	var firstErr error
 	for result := range l.results {
 		<-l.inFlight
-		isLast := len(l.results) == 0
+		moreWaiting := len(l.results) > 0
 		if firstErr == nil {
 			firstErr = result.err
 		}
 		if firstErr == nil {
 			fmt.Fprintf(w, "ok %s\n", result.key)
 		}
-		if !isLast {
+		if moreWaiting {
 			continue
 		}
 		if err := w.Flush(); err != nil && firstErr == nil {
--- a/internal/standin/caller.go
+++ b/internal/standin/caller.go
@@ -32,13 +32,13 @@
 	maxShortLen = 127
 )
 
-// memoryReserveKB is the memory that a request declares.
+// memoryReserveKB is the memory that a request declares, in KB.
 const memoryReserveKB = "24.5"
 
-// maxResponseBytes bounds the response that is kept.
+// maxResponseBytes is the length from which on the rest of a response is dropped.
 const maxResponseBytes = 2 * maxBodyBytes
 
-// Request is one that is sent.
+// Request is a request to the service.
 type Request struct {
 	Class string
 	// IdempotencyKey makes a request of a class with duplicate detection idempotent, the
@@ -51,15 +51,15 @@
 // Response is the service's response.
 type Response struct {
 	Status int // as in HTTP
-	// RetryAfterMillis is when a rejected request may be sent again, as it was sent; ""
-	// if the service gave none.
+	// RetryAfterMillis is the delay in ms after which a rejected request may be sent
+	// again, in decimal digits as on the wire; "" if the service gave none.
 	RetryAfterMillis string
 	Body             string
 }
 
 // Call sends one request over FastCGI, on a connection of its own. The context bounds
 // the whole call.
-func Call(ctx context.Context, addr string, q Request) (Response, error) {
+func Call(ctx context.Context, addr string, request Request) (Response, error) {
 	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return Response{}, err
@@ -67,35 +67,35 @@
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
-	if _, err := conn.Write(encodeRequest(q)); err != nil {
+	if _, err := conn.Write(encodeRequest(request)); err != nil {
 		return Response{}, err
 	}
 	return readResponse(conn)
 }
 
 // encodeRequest is the request as FastCGI records.
-func encodeRequest(q Request) []byte {
+func encodeRequest(request Request) []byte {
 	out := appendRecord(nil, recordBegin, beginResponder)
-	out = appendRecord(out, recordParams, encodeParams(q))
+	out = appendRecord(out, recordParams, encodeParams(request))
 	out = appendRecord(out, recordParams, "")
-	if q.Body != "" {
-		out = appendRecord(out, recordStdin, q.Body[:min(len(q.Body), maxBodyBytes-1)])
+	if request.Body != "" {
+		out = appendRecord(out, recordStdin, request.Body[:min(len(request.Body), maxBodyBytes-1)])
 	}
 	return appendRecord(out, recordStdin, "")
 }
 
-func encodeParams(q Request) string {
+func encodeParams(request Request) string {
 	traceID := make([]byte, 8)
 	rand.Read(traceID)
 	params := []struct{ name, value string }{
-		{"SCRIPT_NAME", "/call/" + q.Class},
+		{"SCRIPT_NAME", "/call/" + request.Class},
 		{"REQUEST_METHOD", "POST"},
 		{"HTTP_TRACE_ID", hex.EncodeToString(traceID)},
 		{"HTTP_RESERVE_KB", memoryReserveKB},
 		{"HTTP_ACCEPTED_AT_MS", strconv.FormatInt(time.Now().UnixMilli(), 10)},
 	}
-	if q.IdempotencyKey != "" {
-		key := q.IdempotencyKey[:min(len(q.IdempotencyKey), maxShortLen)]
+	if request.IdempotencyKey != "" {
+		key := request.IdempotencyKey[:min(len(request.IdempotencyKey), maxShortLen)]
 		params = append(params, struct{ name, value string }{"HTTP_REPLAY_KEY", key})
 	}
 	var encoded []byte
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// upstreamReplyTimeout ends the wait for the reply to a run's call. The service has
-// halted the run long before.
+// upstreamReplyTimeout bounds the wait for the reply to a run's call. The wait of a run
+// that was halted meanwhile ends with it too.
 const upstreamReplyTimeout = time.Minute
 
 // Engine runs requests, each for the same time. Requests that find no core free wait
@@ -29,7 +29,7 @@
 
 	mu      sync.Mutex
 	conn    net.Conn               // the attached one
-	notices []string               // all that were sent, to be sent again on a new connection
+	notices []string               // all that were sent; those not received are sent again
 	replies map[string]chan []byte // by run: where the reply to its call arrives
 	cores   chan struct{}          // one element for each core in use
 	started time.Time
@@ -136,7 +136,7 @@
 // nextNotice is the number of the next notice, from 1. The lock is held.
 func (e *Engine) nextNotice() int { return len(e.notices) + 1 }
 
-// notify sends a notice and keeps it. The lock is held.
+// notify sends a notice and stores it for a new connection. The lock is held.
 func (e *Engine) notify(notice string) {
 	e.notices = append(e.notices, notice)
 	io.WriteString(e.conn, notice)
--- a/internal/testrig/await.go
+++ b/internal/testrig/await.go
@@ -15,7 +15,7 @@
 	awaitInterval = 5 * time.Millisecond
 )
 
-// T is what the rig needs of a test, or of a tool.
+// T is the part of testing.TB that this package uses; benchmarks have their own.
 type T interface {
 	Helper()
 	Fatalf(format string, args ...any)
@@ -44,13 +44,14 @@
 	portsPerProcess = 97
 )
 
-var portsGiven atomic.Uint32
+// portsTried counts the ports that FreeAddr has tried.
+var portsTried atomic.Uint32
 
-// FreeAddr returns a loopback address that nothing listens on. Each is given once in a
-// process.
+// FreeAddr returns a loopback address that nothing listens on. A process gets each
+// address once.
 func FreeAddr(t T) string {
 	for range portCount {
-		n := portsGiven.Add(1) + uint32(os.Getpid())*portsPerProcess
+		n := portsTried.Add(1) + uint32(os.Getpid())*portsPerProcess
 		addr := fmt.Sprintf("127.0.0.1:%d", firstPort+n%portCount)
 		if listener, err := net.Listen("tcp", addr); err == nil {
 			listener.Close()
--- a/internal/testrig/cluster.go
+++ b/internal/testrig/cluster.go
@@ -26,7 +26,7 @@
 	Zone  string `json:"zone,omitempty"`
 }
 
-// Cluster is a number of services with a replicated store. Nodes are named by their
+// Cluster is a number of services with a replicated store. Methods take a node as its
 // index in Peers.
 type Cluster struct {
 	T     T
--- a/internal/testrig/cluster_folders.go
+++ b/internal/testrig/cluster_folders.go
@@ -8,15 +8,16 @@
 // WipeFolder removes a node's folder. The node must not run.
 func (c *Cluster) WipeFolder(node int) {
 	if err := os.RemoveAll(c.Dirs[node]); err != nil {
-		c.T.Fatalf("wipe: %v", err)
+		c.T.Fatalf("wipe folder: %v", err)
 	}
 }
 
 // InjectFault has a node's folder fail, in a process that was built with the tag
-// faults. The fault is one of package faultfs: "full", "write" or "sync", or "" to end it.
+// faults. The fault is faultfs.DiskFull, FailWrites or FailSyncs, or "" to end it. The
+// process reads it from the file DIR.fault.
 func (c *Cluster) InjectFault(node int, fault string) {
 	if err := os.WriteFile(c.Dirs[node]+".fault", []byte(fault), 0o600); err != nil {
-		c.T.Fatalf("cue: %v", err)
+		c.T.Fatalf("inject fault: %v", err)
 	}
 }
 
@@ -26,7 +27,7 @@
 	defer c.Resume(node)
 	dir = filepath.Join(c.T.TempDir(), "copy")
 	if err := os.CopyFS(dir, os.DirFS(c.Dirs[node])); err != nil {
-		c.T.Fatalf("copy: %v", err)
+		c.T.Fatalf("copy folder: %v", err)
 	}
 	return dir
 }
@@ -35,7 +36,7 @@
 func (c *Cluster) RestoreFolder(node int, dir string) {
 	c.WipeFolder(node)
 	if err := os.CopyFS(c.Dirs[node], os.DirFS(dir)); err != nil {
-		c.T.Fatalf("bring back: %v", err)
+		c.T.Fatalf("restore folder: %v", err)
 	}
 }
 
--- a/internal/testrig/golden/golden.go
+++ b/internal/testrig/golden/golden.go
@@ -37,6 +37,12 @@
 		fmt.Fprintf(&lines, "%s %s\n", sample.Name, text)
 	}
 	Text(t, path, lines.String())
+	requireDecoded(t, path, samples)
+}
+
+// requireDecoded decodes the lines of a golden file and compares them with the samples.
+func requireDecoded(t *testing.T, path string, samples []Sample) {
+	t.Helper()
 	stored, err := os.ReadFile(path)
 	require.NoError(t, err)
 	for i, line := range strings.Split(strings.TrimSuffix(string(stored), "\n"), "\n") {
--- a/internal/testrig/history.go
+++ b/internal/testrig/history.go
@@ -15,7 +15,8 @@
 	Expected string // the value that a compare-and-set needs to find; "" for a plain write
 }
 
-// CompareFailed is the result of a compare-and-set that found another value.
+// CompareFailed is the result of a compare-and-set that found another value. No
+// written value equals it, as they are JSON strings.
 const CompareFailed = "Unequal"
 
 // compareSucceeded is the result of a compare-and-set that wrote.
@@ -56,7 +57,7 @@
 	started    time.Time
 
 	Writes   int // acknowledged, or failed comparisons
-	Reads    int
+	Reads    int // that returned a value, or that there is none
 	Unknown  int // writes of unknown outcome
 	Rejected int // failed reads
 }
@@ -64,7 +65,8 @@
 // NewHistory returns an empty history that begins now.
 func NewHistory() *History { return &History{started: time.Now()} }
 
-// NeverReturned is when an operation of unknown outcome ends.
+// NeverReturned is the end of an operation of unknown outcome, in nanoseconds: later
+// than that of any other.
 const NeverReturned = int64(1) << 60
 
 // Add records one operation with its result, from call to end in nanoseconds since
@@ -79,11 +81,12 @@
 func (h *History) Elapsed() time.Duration { return time.Since(h.started) }
 
 const (
-	// minWrites and minReads are what a check needs to mean something.
+	// minWrites and minReads are the operations that must have succeeded for a
+	// meaningful check.
 	minWrites = 50
 	minReads  = 100
-	// busyAllowance is the further time that a busy machine gets for it.
-	busyAllowance = 2 * AwaitTimeout
+	// maxExtraDuration is how much longer than planned the clients may run to get there.
+	maxExtraDuration = 2 * AwaitTimeout
 )
 
 // HasEnough reports whether enough operations have succeeded for a meaningful check,
@@ -91,7 +94,7 @@
 func (h *History) HasEnough(minDuration time.Duration) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.Writes > minWrites && h.Reads > minReads || time.Since(h.started) > minDuration+busyAllowance
+	return h.Writes > minWrites && h.Reads > minReads || time.Since(h.started) > minDuration+maxExtraDuration
 }
 
 // checkTimeout bounds a check; a history that takes longer counts as not linearizable.
--- a/internal/testrig/history_client.go
+++ b/internal/testrig/history_client.go
@@ -20,6 +20,10 @@
 	clientRetryDelay = 50 * time.Millisecond
 	// registerCount is how many keys the clients share.
 	registerCount = 5
+	// writeOdds and compareOdds: one operation in writeOdds is a write, and one write in
+	// compareOdds of a key that was read is a compare-and-set.
+	writeOdds   = 3
+	compareOdds = 2
 )
 
 // taggedValue is a value that was read, with its entity tag.
@@ -61,13 +65,13 @@
 func (c *historyClient) drawOp(n int) RegisterOp {
 	in := RegisterOp{
 		Key:   fmt.Sprint("reg/", c.rng.IntN(registerCount)),
-		Write: c.rng.IntN(3) == 0,
+		Write: c.rng.IntN(writeOdds) == 0,
 		Value: fmt.Sprintf("%q", fmt.Sprintf("%d-%d", c.id, n)),
 	}
 	if !in.Write {
 		return in
 	}
-	if last, ok := c.lastRead[in.Key]; ok && c.rng.IntN(2) == 0 {
+	if last, ok := c.lastRead[in.Key]; ok && c.rng.IntN(compareOdds) == 0 {
 		in.Expected = last.value
 	}
 	return in
@@ -122,7 +126,7 @@
 	return res.StatusCode, text, err
 }
 
-// isOutcome: the status code says what came of the operation.
+// isOutcome reports whether a status code tells if the operation took effect.
 func isOutcome(in RegisterOp, code int) bool {
 	switch code {
 	case http.StatusOK, http.StatusNoContent:
@@ -148,7 +152,7 @@
 	return text
 }
 
-// count counts an operation, which has a known outcome or not.
+// count counts an operation; ok says whether its outcome is known.
 func (h *History) count(in RegisterOp, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/testrig/link.go
+++ b/internal/testrig/link.go
@@ -19,7 +19,8 @@
 	Delay time.Duration
 	// BytesPerSecond bounds the rate, each way; 0 is no bound.
 	BytesPerSecond int
-	// ResetBurst resets connections for that long in each ResetInterval.
+	// ResetBurst is how long connections are reset at the begin of each ResetInterval;
+	// 0 is never.
 	ResetBurst    time.Duration
 	ResetInterval time.Duration
 }
@@ -31,7 +32,7 @@
 
 // Link is a TCP proxy between one caller and one port.
 type Link struct {
-	Addr string // where the caller has to connect
+	Addr string // loopback address that the caller connects to
 
 	target   string
 	started  time.Time
@@ -90,7 +91,7 @@
 	}
 }
 
-// isDown: connections are reset now. The lock is held.
+// isDown reports whether connections are reset now. The lock is held.
 func (l *Link) isDown() bool {
 	m := l.mode
 	if m.Cut {
--- a/internal/testrig/prober.go
+++ b/internal/testrig/prober.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	proberTimeout = 500 * time.Millisecond
-	proberPause   = 5 * time.Millisecond
+	proberTimeout = 500 * time.Millisecond // of one write
+	proberPause   = 5 * time.Millisecond   // between two writes
 )
 
-// interval is the time of one write.
+// interval is the time from the begin of a write to its acknowledgment.
 type interval struct{ began, ended time.Time }
 
 // Prober writes one key without pause, at all nodes in turn, and records when writes
--- a/internal/testrig/resource.go
+++ b/internal/testrig/resource.go
@@ -33,9 +33,9 @@
 	unfenced bool
 
 	mu       sync.Mutex
-	highest  uint64
+	highest  uint64 // token that was received
 	actions  []Action
-	rejected int
+	rejected int // actions
 }
 
 // NewResource starts a resource; one without a fence accepts any token.
@@ -109,7 +109,7 @@
 		case a.Token < last.Token:
 			violations = append(violations, fmt.Sprintf("token %d of %s after %d of %s", a.Token, a.Holder, last.Token, last.Holder))
 		case a.Holder != last.Holder && a.Begin.Before(last.End):
-			violations = append(violations, fmt.Sprintf("acts of %s and %s overlap", a.Holder, last.Holder))
+			violations = append(violations, fmt.Sprintf("actions of %s and %s overlap", a.Holder, last.Holder))
 		}
 		last = a
 	}
@@ -143,7 +143,7 @@
 	return ok && a.Begin.After(at)
 }
 
-// LongestGap is the longest time since a time in which nothing took effect.
+// LongestGap is the longest time between two actions that took effect, after a time.
 func (r *Resource) LongestGap(since time.Time) (longest time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/testrig/schedule.go
+++ b/internal/testrig/schedule.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Fault is something that is done to one node, and undone.
+// Fault is a fault of one node that can be injected and ended.
 type Fault struct {
 	Name string
-	// IsolatesLeader: the others lose a leader that this is done to.
+	// IsolatesLeader reports whether the others lose their leader if it is the node.
 	IsolatesLeader bool
 	Inject         func(node int)
 	Recover        func(node int)
@@ -26,11 +26,12 @@
 // other uses of the same seed.
 const scheduleStream = 11
 
-// quietDivisor: the quiet time is at least this part of the shortest duration.
+// quietDivisor is the part of the shortest duration that the quiet time before a fault
+// is at least.
 const quietDivisor = 5
 
-// Schedule draws faults from a seed, without end: all of them in an order that is drawn
-// again for each round. The same seed gives the same faults.
+// Schedule draws faults from a seed, without end. Each round has all of them once, in
+// a random order. The same seed gives the same faults.
 type Schedule struct {
 	Seed        uint64
 	rng         *rand.Rand
