--- a/internal/maintenance/agent/agent.go
+++ b/internal/maintenance/agent/agent.go
@@ -21,20 +21,26 @@
 const (
 	machineLeaseTTL     = 10 * time.Second
 	reportTimeout       = 10 * time.Second // for one report, with its retries
-	releaseTimeout      = time.Second      // to give the machine's lease back
+	releaseTimeout      = time.Second      // to give the machine's lease back; if it fails, the lease expires after machineLeaseTTL
 	minHeartbeatTimeout = 2 * time.Second  // for one heartbeat; the interval if that is longer
 	unknownUtilization  = 1                // what is not known counts as in use
 )
 
 // Service is what the agent needs of the service that it is part of.
 type Service interface {
-	// Utilization is the share of the service's cores in use, whether that is known, and whether
-	// the service has warmed up.
-	Utilization() (share float64, known, warm bool)
+	// Load returns how busy the service is now.
+	Load() Load
 	// StartDrain starts a graceful shutdown of the service, as on SIGTERM.
 	StartDrain()
 }
 
+// Load is how busy a service is.
+type Load struct {
+	Utilization float64 // fraction of the service's cores in use, 0 to 1
+	Known       bool    // Utilization was measured
+	Warm        bool    // the service has warmed up
+}
+
 // Agent is one machine's.
 type Agent struct {
 	cfg     Config
@@ -117,9 +123,9 @@
 
 // sendHeartbeat reports what the machine is, and returns its order; nil if there is none.
 func (a *Agent) sendHeartbeat(ctx context.Context) (*maintenance.Order, error) {
-	utilization, known, warm := a.service.Utilization()
-	if !known {
-		utilization = unknownUtilization
+	load := a.service.Load()
+	if !load.Known {
+		load.Utilization = unknownUtilization
 	}
 	a.sequence++
 	heartbeat := maintenance.Heartbeat{
@@ -128,9 +134,9 @@
 		Sequence:   a.sequence,
 		GrantToken: a.returnedGrant,
 	}
-	heartbeat.Utilization = utilization
+	heartbeat.Utilization = load.Utilization
 	heartbeat.State = maintenance.MachineWarmingUp
-	if warm {
+	if load.Warm {
 		heartbeat.State = maintenance.MachineInService
 	}
 	ctx, cancel := context.WithTimeout(ctx, max(a.cfg.heartbeatInterval(), minHeartbeatTimeout))
@@ -144,7 +150,7 @@
 	case maintenance.PhaseGranted:
 		return a.confirm(ctx)
 	case maintenance.PhaseDraining, maintenance.PhaseOut, maintenance.PhaseFailed:
-		// An earlier process has left by this order; this one is its successor.
+		// The process that confirmed this order has ended, so this start is the machine's return.
 		report := maintenance.PhaseReport{Phase: maintenance.PhaseReturned, GrantToken: order.GrantToken}
 		if err := a.client.ReportPhase(ctx, a.machine.Name, report); err != nil {
 			return err
@@ -179,6 +185,5 @@
 func (a *Agent) release(lease *leaseclient.Lease) error {
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
-	const anyWaiter = ""
-	return lease.Release(ctx, anyWaiter)
+	return lease.Release(ctx, "") // to the next waiter, if any
 }
