--- a/internal/cluster/raftstorage/configuration.go
+++ b/internal/cluster/raftstorage/configuration.go
@@ -7,13 +7,18 @@
 	"github.com/hashicorp/raft"
 )
 
+// Configuration is a configuration of the cluster, and the index of its log entry: 0 if there is none.
+type Configuration struct {
+	raft.Configuration
+	Index uint64
+}
+
 // configurationCache is the last configuration in the log, or in the snapshot below it, once it was
 // looked up.
 type configurationCache struct {
 	mu    sync.Mutex
 	known bool
-	conf  raft.Configuration
-	index uint64
+	conf  Configuration
 }
 
 // forget has the configuration looked up again.
@@ -24,10 +29,9 @@
 }
 
 // set is called with the lock held.
-func (c *configurationCache) set(conf raft.Configuration, index uint64) {
+func (c *configurationCache) set(conf Configuration) {
 	c.known = true
 	c.conf = conf
-	c.index = index
 }
 
 // noteStored takes over a configuration among appended entries.
@@ -36,46 +40,45 @@
 	defer c.mu.Unlock()
 	for _, entry := range entries {
 		if entry.Type == raft.LogConfiguration {
-			c.set(raft.DecodeConfiguration(entry.Data), entry.Index)
+			c.set(Configuration{raft.DecodeConfiguration(entry.Data), entry.Index})
 		}
 	}
 }
 
-// Configuration is the last one in the log or, below it, in the newest snapshot, and its index. It
-// may not be committed yet.
-func (s *Storage) Configuration() (raft.Configuration, uint64, error) {
+// Configuration is the last one in the log or, below it, in the newest snapshot. It may not be
+// committed yet.
+func (s *Storage) Configuration() (Configuration, error) {
 	s.conf.mu.Lock()
 	defer s.conf.mu.Unlock()
 	if s.conf.known {
-		return s.conf.conf, s.conf.index, nil
+		return s.conf.conf, nil
 	}
-	conf, index, err := s.findConfiguration()
+	conf, err := s.findConfiguration()
 	if err != nil {
-		return conf, 0, err
+		return Configuration{Configuration: conf.Configuration}, err
 	}
-	s.conf.set(conf, index)
-	return conf, index, nil
+	s.conf.set(conf)
+	return conf, nil
 }
 
-func (s *Storage) findConfiguration() (conf raft.Configuration, index uint64, err error) {
+func (s *Storage) findConfiguration() (conf Configuration, err error) {
 	metas, err := s.List()
 	if err != nil {
-		return conf, 0, err
+		return conf, err
 	}
 	if len(metas) > 0 {
-		conf = metas[0].Configuration
-		index = metas[0].ConfigurationIndex
+		conf = Configuration{metas[0].Configuration, metas[0].ConfigurationIndex}
 	}
 	first, last := s.log.Bounds()
-	for i := last; i >= first && i > index; i-- {
+	for i := last; i >= first && i > conf.Index; i-- {
 		var entry raft.Log
 		switch err := s.GetLog(i, &entry); {
 		case errors.Is(err, raft.ErrLogNotFound): // cut off meanwhile
 		case err != nil:
-			return conf, 0, err
+			return conf, err
 		case entry.Type == raft.LogConfiguration:
-			return raft.DecodeConfiguration(entry.Data), i, nil
+			return Configuration{raft.DecodeConfiguration(entry.Data), i}, nil
 		}
 	}
-	return conf, index, nil
+	return conf, nil
 }
--- a/internal/cluster/singleton/tasks.go
+++ b/internal/cluster/singleton/tasks.go
@@ -1,5 +1,5 @@
 // Package singleton runs the tasks that one node of the store does for the whole cluster: it writes
-// the SQL record, takes scheduled backups, decides on orders of maintenance, and ends idle sessions.
+// the SQL mirror, takes scheduled backups, decides on orders of maintenance, and ends idle sessions.
 // For each task a lease settles which node does it; whatever the task writes is fenced by the lease's
 // token.
 //
@@ -27,7 +27,8 @@
 )
 
 const (
-	// CloseTimeout is how long Close takes at most.
+	// CloseTimeout is how long Close takes at most. It is short: a lease that is not released by then
+	// goes to another node leaseTTL later.
 	CloseTimeout = 300 * time.Millisecond
 
 	// leaseTTL is after which silence of a node another one takes its tasks over.
--- a/internal/cluster/store/configuration.go
+++ b/internal/cluster/store/configuration.go
@@ -1,9 +1,13 @@
 package store
 
-import "github.com/hashicorp/raft"
+import (
+	"github.com/hashicorp/raft"
+
+	"oxbowbridge/internal/cluster/raftstorage"
+)
 
 // memberIDs are the members of a configuration, and those of them that vote.
-func memberIDs(conf raft.Configuration) (members, voters []string) {
+func memberIDs(conf raftstorage.Configuration) (members, voters []string) {
 	for _, server := range conf.Servers {
 		members = append(members, string(server.ID))
 		if server.Suffrage == raft.Voter {
@@ -14,7 +18,7 @@
 }
 
 // memberAddresses are the members' addresses by ID, as the configuration holds them.
-func memberAddresses(conf raft.Configuration) map[string]string {
+func memberAddresses(conf raftstorage.Configuration) map[string]string {
 	out := map[string]string{}
 	for _, server := range conf.Servers {
 		out[string(server.ID)] = string(server.Address)
@@ -23,7 +27,7 @@
 }
 
 // findServer is a member's entry in a configuration.
-func findServer(conf raft.Configuration, id string) (raft.Server, bool) {
+func findServer(conf raftstorage.Configuration, id string) (raft.Server, bool) {
 	for _, server := range conf.Servers {
 		if string(server.ID) == id {
 			return server, true
--- a/internal/cluster/store/disk_state.go
+++ b/internal/cluster/store/disk_state.go
@@ -62,11 +62,11 @@
 	local.Empty = local.Watermark.LastIndex == 0
 	local.Fresh = local.Empty && replacement == nil && local.Cluster == ""
 	local.Founders = s.cfg.founders()
-	conf, index, err := storage.Configuration()
+	conf, err := storage.Configuration()
 	if err != nil {
 		return nil, fmt.Errorf("members: %w", err)
 	}
-	local.ConfigIndex = index
+	local.ConfigIndex = conf.Index
 	local.Members, local.Voters = memberIDs(conf)
 	// A log that an earlier version began knows members by their names alone.
 	if _, ok := findServer(conf, s.self.Name); ok {
--- a/internal/cluster/store/doc.go
+++ b/internal/cluster/store/doc.go
@@ -37,6 +37,18 @@
 //   - A member's ID holds the identity of its disk; a disk whose watermark is behind what a peer
 //     has observed never votes.
 //
+// # Earlier formats
+//
+// Each of these places can go once no node and no folder of such a version is left:
+//
+//   - Members known by a name alone, without a disk: decodePeer, readDiskState, migrateLegacyMembers,
+//     peerTransport.identify, diskidentity.MemberDisk.
+//   - Nodes without GET /self: peers.fetch, peerReport.legacy.
+//   - Nodes without leases: Store.enableLeases, ErrLeasesUnavailable.
+//   - Log entries that are lists of commands: command, requestFromCommands. Store.Set still writes them.
+//   - Snapshots that are a bare map of entries, or have no checksum: decodeSnapshot.
+//   - Folders with a log of bbolt: raftstorage.ErrLegacyFormat.
+//
 // # Errors
 //
 // The sentinel errors in errors.go, and those of kv and lease that a request may come to, are
--- a/internal/cluster/store/incarnation.go
+++ b/internal/cluster/store/incarnation.go
@@ -63,7 +63,7 @@
 	s.peers.loadWatermarks(observed)
 	s.peers.forgetReports()
 	s.disk.Store(f)
-	conf, _, err := storage.Configuration()
+	conf, err := storage.Configuration()
 	if err != nil {
 		return nil, err
 	}
@@ -74,19 +74,20 @@
 // isLeader reports whether Raft considers this node the leader.
 func (inc *incarnation) isLeader() bool { return inc.raft.State() == raft.Leader }
 
-// configuration is the latest one in the log, with its index, which Raft itself does not tell. It
-// may not be committed yet.
-func (inc *incarnation) configuration() (raft.Configuration, uint64) {
-	conf, index, err := inc.storage.Configuration()
+// configuration is the latest one in the log, with its index, which Raft itself does not tell. It may
+// not be committed yet. Its index is 0 if the disk fails, which ends the
+// incarnation.
+func (inc *incarnation) configuration() raftstorage.Configuration {
+	conf, err := inc.storage.Configuration()
 	if err != nil {
 		inc.reportFailure(err)
 	}
-	return conf, index
+	return conf
 }
 
 // isMember reports whether the latest configuration has this disk.
 func (inc *incarnation) isMember() bool {
-	conf, _ := inc.configuration()
+	conf := inc.configuration()
 	_, ok := findServer(conf, inc.memberID)
 	return ok
 }
--- a/internal/cluster/store/leader.go
+++ b/internal/cluster/store/leader.go
@@ -57,7 +57,7 @@
 		return s.self
 	}
 	p := Peer{Name: name}
-	conf, _ := inc.configuration()
+	conf := inc.configuration()
 	if server, ok := findServer(conf, id); ok {
 		p = decodePeer(server.ID, server.Address)
 	}
--- a/internal/cluster/store/leader_view.go
+++ b/internal/cluster/store/leader_view.go
@@ -11,6 +11,7 @@
 	"oxbowbridge/internal/cluster/diskidentity"
 	"oxbowbridge/internal/cluster/kv"
 	"oxbowbridge/internal/cluster/membership"
+	"oxbowbridge/internal/cluster/raftstorage"
 	"oxbowbridge/internal/cluster/storeapi"
 )
 
@@ -44,7 +45,7 @@
 			continue
 		}
 		s.log.Info("membership change started", zap.Stringer("step", step.Kind), zap.String("member", step.ID), zap.String("reason", step.Reason))
-		if err := inc.applyStep(ctx, step, observed); err != nil && ctx.Err() == nil {
+		if err := inc.applyStep(ctx, step, observed.conf); err != nil && ctx.Err() == nil {
 			s.log.Warn("membership change failed", zap.Stringer("step", step.Kind), zap.String("member", step.ID), zap.Error(err))
 		}
 	}
@@ -89,30 +90,29 @@
 
 // observedMembers is the leader's view, and the configuration that it is of.
 type observedMembers struct {
-	view  membership.View
-	conf  raft.Configuration
-	index uint64 // of conf
+	view membership.View
+	conf raftstorage.Configuration
 }
 
 // observeMembers makes the leader's view of the latest configuration.
 func (s *Store) observeMembers(inc *incarnation) observedMembers {
-	conf, index := inc.configuration()
+	conf := inc.configuration()
 	now := time.Now()
 	v := &inc.members
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.noteLeadership(index, now)
-	v.noteConfiguration(index, now)
+	v.noteLeadership(conf.Index, now)
+	v.noteConfiguration(conf.Index, now)
 	view := membership.View{
 		Leader:        inc.memberID,
-		ChangePending: inc.raft.CommitIndex() < index,
+		ChangePending: inc.raft.CommitIndex() < conf.Index,
 		SinceChange:   now.Sub(v.changedAt),
 	}
 	for _, server := range conf.Servers {
 		view.Members = append(view.Members, s.observeMember(inc, server, now))
 	}
 	s.migrateLegacyMembers(inc, view.Members)
-	return observedMembers{view: view, conf: conf, index: index}
+	return observedMembers{view: view, conf: conf}
 }
 
 // observeMember is one member as the leader sees it. The view's lock is held.
@@ -187,9 +187,8 @@
 
 // applyStep carries one step out. It takes effect only on the configuration that it was decided on:
 // another change, by this leader or another one, makes it fail.
-func (inc *incarnation) applyStep(ctx context.Context, step membership.Step, observed observedMembers) error {
-	index := observed.index
-	server, ok := findServer(observed.conf, step.ID)
+func (inc *incarnation) applyStep(ctx context.Context, step membership.Step, conf raftstorage.Configuration) error {
+	server, ok := findServer(conf, step.ID)
 	if !ok {
 		return memberNotFound(step.ID)
 	}
@@ -197,11 +196,11 @@
 	defer cancel()
 	switch step.Kind {
 	case membership.StepPromote:
-		return awaitFuture(ctx, inc.raft.AddVoter(server.ID, server.Address, index, storeapi.CommitTimeout))
+		return awaitFuture(ctx, inc.raft.AddVoter(server.ID, server.Address, conf.Index, storeapi.CommitTimeout))
 	case membership.StepDemote:
-		return awaitFuture(ctx, inc.raft.DemoteVoter(server.ID, index, storeapi.CommitTimeout))
+		return awaitFuture(ctx, inc.raft.DemoteVoter(server.ID, conf.Index, storeapi.CommitTimeout))
 	case membership.StepRemove:
-		return awaitFuture(ctx, inc.raft.RemoveServer(server.ID, index, storeapi.CommitTimeout))
+		return awaitFuture(ctx, inc.raft.RemoveServer(server.ID, conf.Index, storeapi.CommitTimeout))
 	case membership.StepTransfer:
 		return awaitFuture(ctx, inc.raft.LeadershipTransferToServer(server.ID, server.Address))
 	}
--- a/internal/cluster/store/leader_view_test.go
+++ b/internal/cluster/store/leader_view_test.go
@@ -11,6 +11,7 @@
 	"go.uber.org/zap"
 
 	"oxbowbridge/internal/cluster/membership"
+	"oxbowbridge/internal/cluster/raftstorage"
 )
 
 // TestStepNeedsItsConfiguration: a step that was decided on a configuration which has changed
@@ -33,10 +34,10 @@
 	second := r.AddNonvoter("c@1", "c", first.Index(), time.Second)
 	require.NoError(t, second.Error())
 	for _, s := range []membership.Step{{Kind: membership.StepRemove, ID: "b@1"}, {Kind: membership.StepPromote, ID: "b@1"}} {
-		require.ErrorContains(t, l.applyStep(t.Context(), s, observedMembers{conf: conf, index: first.Index()}), "configuration changed")
+		require.ErrorContains(t, l.applyStep(t.Context(), s, raftstorage.Configuration{Configuration: conf, Index: first.Index()}), "configuration changed")
 	}
-	require.NoError(t, l.applyStep(t.Context(), membership.Step{Kind: membership.StepRemove, ID: "b@1"}, observedMembers{conf: conf, index: second.Index()}))
-	require.ErrorIs(t, l.applyStep(t.Context(), membership.Step{Kind: membership.StepRemove, ID: "x@1"}, observedMembers{conf: conf}), ErrMemberNotFound)
+	require.NoError(t, l.applyStep(t.Context(), membership.Step{Kind: membership.StepRemove, ID: "b@1"}, raftstorage.Configuration{Configuration: conf, Index: second.Index()}))
+	require.ErrorIs(t, l.applyStep(t.Context(), membership.Step{Kind: membership.StepRemove, ID: "x@1"}, raftstorage.Configuration{Configuration: conf}), ErrMemberNotFound)
 }
 
 // TestLeadersOldDisk: a leader finds the disk that it had before lost, though it does not poll
--- a/internal/cluster/store/lease_requests.go
+++ b/internal/cluster/store/lease_requests.go
@@ -9,7 +9,8 @@
 	"oxbowbridge/internal/cluster/lease"
 )
 
-// waiterRefreshInterval is how often the leader notes that a waiting request is still there.
+// waiterRefreshInterval is how often the leader notes that a waiting request is still there. A
+// waiter that misses three of them (lease.WaiterTimeout) leaves the queue.
 const waiterRefreshInterval = time.Second
 
 // LeaseRequest is a request for a lease.
@@ -76,15 +77,15 @@
 // tryAcquire grants a lease if it is free or the holder's already; otherwise the request enters the
 // queue if it waits, and the error is lease.ErrHeld. What changes nothing needs no log entry.
 func (s *Store) tryAcquire(deadlines *lease.DeadlineTable, request LeaseRequest, receivedAt time.Duration) (l lease.Lease, err error) {
-	queue := request.MaxWait > 0
-	needsEntry := true
+	enqueue := request.MaxWait > 0
+	needsLogEntry := true
 	check := func(state *lease.State, now time.Duration) {
-		l, needsEntry, err = deadlines.TryAcquire(state, request.Name, request.Holder, queue, receivedAt, now)
+		l, needsLogEntry, err = deadlines.TryAcquire(state, request.Name, request.Holder, enqueue, receivedAt, now)
 	}
-	if lost := s.withLeases(deadlines, check); lost != nil || !needsEntry {
+	if lost := s.withLeases(deadlines, check); lost != nil || !needsLogEntry {
 		return l, errors.Join(lost, err)
 	}
-	op := lease.Op{Kind: lease.OpAcquire, Name: request.Name, Holder: request.Holder, TTLMS: request.TTLMS, Enqueue: queue, Priority: request.Priority}
+	op := lease.Op{Kind: lease.OpAcquire, Name: request.Name, Holder: request.Holder, TTLMS: request.TTLMS, Enqueue: enqueue, Priority: request.Priority}
 	response, err := s.Execute(kv.Request{LeaseOps: []lease.Op{op}})
 	if err != nil {
 		return l, err
@@ -93,8 +94,8 @@
 	if failure := result.Err(); failure != nil && !errors.Is(failure, lease.ErrHeld) {
 		return result.Lease, failure
 	}
-	needsEntry = false
-	if lost := s.withLeases(deadlines, check); lost != nil || !needsEntry {
+	needsLogEntry = false
+	if lost := s.withLeases(deadlines, check); lost != nil || !needsLogEntry {
 		return l, errors.Join(lost, err)
 	}
 	return l, lease.ErrHeld // it was ended or passed on just now
--- a/internal/cluster/store/lease_service.go
+++ b/internal/cluster/store/lease_service.go
@@ -175,7 +175,7 @@
 
 // enableLeases admits leases to the store, for good, once all members know them.
 func (s *Store) enableLeases(inc *incarnation) error {
-	conf, _ := inc.configuration()
+	conf := inc.configuration()
 	for _, server := range conf.Servers {
 		id := string(server.ID)
 		if id == inc.memberID {
--- a/internal/cluster/store/members.go
+++ b/internal/cluster/store/members.go
@@ -46,11 +46,11 @@
 	if _, ok := s.state.get(kv.LeasesEnabledKey); ok && !request.SupportsLeases {
 		return fmt.Errorf("%w: this cluster has leases, which %s does not know", ErrMemberRejected, request.ID)
 	}
-	conf, index := inc.configuration()
+	conf := inc.configuration()
 	if _, ok := findServer(conf, request.ID); ok {
 		return nil
 	}
-	if inc.raft.CommitIndex() < index {
+	if inc.raft.CommitIndex() < conf.Index {
 		return errChangePending
 	}
 	members, _ := memberIDs(conf)
@@ -61,7 +61,7 @@
 	ctx, cancel := context.WithTimeout(ctx, storeapi.CommitTimeout)
 	defer cancel()
 	address := encodeAddress(p, request.ID)
-	return awaitFuture(ctx, inc.raft.AddNonvoter(raft.ServerID(request.ID), address, index, storeapi.CommitTimeout))
+	return awaitFuture(ctx, inc.raft.AddNonvoter(raft.ServerID(request.ID), address, conf.Index, storeapi.CommitTimeout))
 }
 
 // peerOfJoin checks a request to join. Its error is kv.ErrInvalidRequest.
@@ -116,7 +116,7 @@
 	}
 	observed := s.observeMembers(inc)
 	step := s.cfg.policy().Next(observed.view)
-	out = storeapi.Members{Leader: s.self.Name, ConfigIndex: observed.index, WantedVoters: s.cfg.policy().Voters, Removed: s.removedNames()}
+	out = storeapi.Members{Leader: s.self.Name, ConfigIndex: observed.conf.Index, WantedVoters: s.cfg.policy().Voters, Removed: s.removedNames()}
 	for _, m := range observed.view.Members {
 		server, _ := findServer(observed.conf, m.ID)
 		out.Members = append(out.Members, memberRow(m, step, server, inc.memberID))
@@ -153,7 +153,7 @@
 	if !inc.isLeader() {
 		return ErrNoLeader
 	}
-	conf, _ := inc.configuration()
+	conf := inc.configuration()
 	members, voters := memberIDs(conf)
 	switch {
 	case !hasName(members, name):
@@ -179,7 +179,7 @@
 	if err != nil {
 		return err
 	}
-	conf, _ := inc.configuration()
+	conf := inc.configuration()
 	members, _ := memberIDs(conf)
 	if !hasName(members, name) {
 		return memberNotFound(name)
--- a/internal/cluster/store/peer_reports.go
+++ b/internal/cluster/store/peer_reports.go
@@ -12,6 +12,7 @@
 
 	"oxbowbridge/internal/cluster/diskidentity"
 	"oxbowbridge/internal/cluster/kv"
+	"oxbowbridge/internal/cluster/raftstorage"
 	"oxbowbridge/internal/cluster/storeapi"
 )
 
@@ -34,7 +35,7 @@
 
 // checksums are those that the other voters of a configuration reported of their states, and how
 // many voters there are.
-func (p *peers) checksums(conf raft.Configuration, self string) (list []kv.ChecksumHistory, voters int) {
+func (p *peers) checksums(conf raftstorage.Configuration, self string) (list []kv.ChecksumHistory, voters int) {
 	for _, server := range conf.Servers {
 		id := string(server.ID)
 		if server.Suffrage != raft.Voter {
--- a/internal/cluster/store/read_index.go
+++ b/internal/cluster/store/read_index.go
@@ -126,10 +126,10 @@
 	if err := awaitFuture(ctx, inc.raft.VerifyLeader()); err != nil {
 		return 0, err
 	}
-	conf, _ := inc.configuration()
+	conf := inc.configuration()
 	err = inc.transport.awaitMajority(ctx, quorumRequest{
 		leader:   raft.ServerID(inc.memberID),
-		conf:     conf,
+		conf:     conf.Configuration,
 		term:     term,
 		after:    readAt,
 		isLeader: inc.isLeader,
--- a/internal/cluster/store/status.go
+++ b/internal/cluster/store/status.go
@@ -74,8 +74,8 @@
 	if mark, err := inc.storage.Watermark(); err == nil {
 		out.Watermark = mark.Max(f.local.Watermark)
 	}
-	conf, index := inc.configuration()
-	out.ConfigIndex = index
+	conf := inc.configuration()
+	out.ConfigIndex = conf.Index
 	out.Members, out.Voters = memberIDs(conf)
 	out.Addresses = memberAddresses(conf)
 	out.Fresh = f.local.Fresh && out.Watermark.LastIndex == 0
--- a/internal/cluster/store/supervise.go
+++ b/internal/cluster/store/supervise.go
@@ -7,10 +7,10 @@
 	"slices"
 	"time"
 
-	"github.com/hashicorp/raft"
 	"go.uber.org/zap"
 
 	"oxbowbridge/internal/cluster/diskidentity"
+	"oxbowbridge/internal/cluster/raftstorage"
 )
 
 const (
@@ -64,7 +64,7 @@
 	if successor := diskidentity.Successor(s.identity.get(), s.peers.attestations().recent); successor != "" {
 		return fmt.Errorf("%w: it is %s now", errClusterReplaced, successor)
 	}
-	conf, index := inc.configuration()
+	conf := inc.configuration()
 	s.followMembers(conf)
 	if err := sup.checkDivergence(conf); err != nil {
 		return err
@@ -80,11 +80,11 @@
 		}
 		return nil
 	}
-	return sup.checkRemoved(conf, index)
+	return sup.checkRemoved(conf)
 }
 
 // checkDivergence compares checksums of the state with those of the other voters.
-func (sup *supervisor) checkDivergence(conf raft.Configuration) error {
+func (sup *supervisor) checkDivergence(conf raftstorage.Configuration) error {
 	s, inc := sup.store, sup.inc
 	index, diverged := s.state.recentChecksums().Diverged(s.peers.checksums(conf, inc.memberID))
 	if !diverged {
@@ -96,8 +96,8 @@
 }
 
 // checkRemoved ends the incarnation of a removed member, and gives its disk a new identity.
-func (sup *supervisor) checkRemoved(conf raft.Configuration, index uint64) error {
-	if !sup.store.isRemoved(sup.inc, conf, index) {
+func (sup *supervisor) checkRemoved(conf raftstorage.Configuration) error {
+	if !sup.store.isRemoved(sup.inc, conf) {
 		sup.removedCount = 0
 		return nil
 	}
@@ -111,7 +111,7 @@
 
 // isRemoved reports whether this log, or a peer with a later configuration, says that this disk is
 // no member.
-func (s *Store) isRemoved(inc *incarnation, conf raft.Configuration, index uint64) bool {
+func (s *Store) isRemoved(inc *incarnation, conf raftstorage.Configuration) bool {
 	if inc.isLeader() {
 		return false
 	}
@@ -122,7 +122,7 @@
 		if local := s.identity.get(); local != "" && a.Cluster != local {
 			continue
 		}
-		if a.ConfigIndex > index && len(a.Members) > 0 && !slices.Contains(a.Members, inc.memberID) {
+		if a.ConfigIndex > conf.Index && len(a.Members) > 0 && !slices.Contains(a.Members, inc.memberID) {
 			return true
 		}
 	}
--- a/internal/cluster/store/verdict.go
+++ b/internal/cluster/store/verdict.go
@@ -3,14 +3,14 @@
 import (
 	"time"
 
-	"github.com/hashicorp/raft"
 	"go.uber.org/zap"
 
 	"oxbowbridge/internal/cluster/diskidentity"
+	"oxbowbridge/internal/cluster/raftstorage"
 )
 
 // followMembers has all members of a configuration polled from now on.
-func (s *Store) followMembers(conf raft.Configuration) {
+func (s *Store) followMembers(conf raftstorage.Configuration) {
 	var list []Peer
 	for _, server := range conf.Servers {
 		list = append(list, decodePeer(server.ID, server.Address))
