--- a/internal/storage/durable/batch_header.go
+++ b/internal/storage/durable/batch_header.go
@@ -11,6 +11,16 @@
 	checksummedHeaderLen = batchHeaderLen - checksumLen
 )
 
+// Offsets of a batch header's fields, in bytes.
+const (
+	batchPayloadLenOffset       = 4
+	batchSeqOffset              = 8
+	batchSyncedSeqOffset        = 16
+	batchOpCountOffset          = 24
+	batchPreviousChecksumOffset = 28
+	batchPayloadChecksumOffset  = 32
+)
+
 // batchHeader is the header of one batch in the log.
 type batchHeader struct {
 	payloadLen       uint32 // bytes
@@ -29,12 +39,12 @@
 	h.payloadChecksum = checksum(salt, payload)
 	e := binary.LittleEndian
 	e.PutUint32(b, batchMagic)
-	e.PutUint32(b[4:], h.payloadLen)
-	e.PutUint64(b[8:], h.seq)
-	e.PutUint64(b[16:], h.syncedSeq)
-	e.PutUint32(b[24:], h.opCount)
-	e.PutUint32(b[28:], h.previousChecksum)
-	e.PutUint32(b[32:], h.payloadChecksum)
+	e.PutUint32(b[batchPayloadLenOffset:], h.payloadLen)
+	e.PutUint64(b[batchSeqOffset:], h.seq)
+	e.PutUint64(b[batchSyncedSeqOffset:], h.syncedSeq)
+	e.PutUint32(b[batchOpCountOffset:], h.opCount)
+	e.PutUint32(b[batchPreviousChecksumOffset:], h.previousChecksum)
+	e.PutUint32(b[batchPayloadChecksumOffset:], h.payloadChecksum)
 	h.checksum = checksum(salt, b[:checksummedHeaderLen])
 	e.PutUint32(b[checksummedHeaderLen:], h.checksum)
 	return h.checksum
@@ -53,12 +63,12 @@
 		return h, false
 	}
 	return batchHeader{
-		payloadLen:       e.Uint32(b[4:]),
-		seq:              e.Uint64(b[8:]),
-		syncedSeq:        e.Uint64(b[16:]),
-		opCount:          e.Uint32(b[24:]),
-		previousChecksum: e.Uint32(b[28:]),
-		payloadChecksum:  e.Uint32(b[32:]),
+		payloadLen:       e.Uint32(b[batchPayloadLenOffset:]),
+		seq:              e.Uint64(b[batchSeqOffset:]),
+		syncedSeq:        e.Uint64(b[batchSyncedSeqOffset:]),
+		opCount:          e.Uint32(b[batchOpCountOffset:]),
+		previousChecksum: e.Uint32(b[batchPreviousChecksumOffset:]),
+		payloadChecksum:  e.Uint32(b[batchPayloadChecksumOffset:]),
 		checksum:         e.Uint32(b[checksummedHeaderLen:]),
 	}, true
 }
--- a/internal/storage/durable/checkpoint_header.go
+++ b/internal/storage/durable/checkpoint_header.go
@@ -2,8 +2,6 @@
 
 import "encoding/binary"
 
-const checkpointMagic = "oxbwCKP\n"
-
 // A checkpoint is a header and blocks: the length of the block's payload, the
 // checksum that continues the one before, and the payload, whose first byte is the
 // kind of the block.
@@ -13,25 +11,34 @@
 	blockEnd         = 'E'      // the number of entries
 	blockEndLen      = 1 + 8    // bytes
 	targetBlockBytes = 32 << 10 // at which a block of entries is closed
-	maxBlockBytes    = 1 << 20  // readers take longer blocks for damage
+	maxBlockBytes    = 1 << 20  // longer blocks count as damage
+)
+
+// Offsets of a checkpoint header's fields, in bytes.
+const (
+	checkpointNumberOffset  = 20
+	checkpointSeqOffset     = 24
+	checkpointSegmentOffset = 32
+	checkpointLogOffset     = 36 // the offset in that segment
+	checkpointChainOffset   = 44
 )
 
 // checkpointHeader is at the start of a checkpoint.
 type checkpointHeader struct {
 	storeID     uint64
 	number      uint32
-	logPosition position // where the log goes on
+	logPosition position // behind the last batch that the checkpoint covers
 }
 
 func (h *checkpointHeader) encode() []byte {
-	b := newFileHeader(headerLen, checkpointMagic, h.storeID)
+	b := checkpointFormat.newHeader(headerLen, h.storeID)
 	e := binary.LittleEndian
-	e.PutUint32(b[20:], h.number)
-	e.PutUint64(b[24:], h.logPosition.seq)
-	e.PutUint32(b[32:], h.logPosition.segment)
-	e.PutUint64(b[36:], uint64(h.logPosition.offset))
-	e.PutUint32(b[44:], h.logPosition.chain)
-	sealFileHeader(b, checkpointKind, h.number)
+	e.PutUint32(b[checkpointNumberOffset:], h.number)
+	e.PutUint64(b[checkpointSeqOffset:], h.logPosition.seq)
+	e.PutUint32(b[checkpointSegmentOffset:], h.logPosition.segment)
+	e.PutUint64(b[checkpointLogOffset:], uint64(h.logPosition.offset))
+	e.PutUint32(b[checkpointChainOffset:], h.logPosition.chain)
+	checkpointFormat.sealHeader(b, h.number)
 	return b
 }
 
@@ -41,18 +48,18 @@
 	}
 	b = b[:headerLen]
 	e := binary.LittleEndian
-	number := e.Uint32(b[20:])
-	if err := checkFileHeader(b, checkpointMagic, checkpointKind, number, name, "a checkpoint"); err != nil {
+	number := e.Uint32(b[checkpointNumberOffset:])
+	if err := checkpointFormat.checkHeader(b, number, name); err != nil {
 		return checkpointHeader{}, err
 	}
 	return checkpointHeader{
 		storeID: e.Uint64(b[headerStoreOffset:]),
 		number:  number,
 		logPosition: position{
-			segment: e.Uint32(b[32:]),
-			offset:  int64(e.Uint64(b[36:])),
-			seq:     e.Uint64(b[24:]),
-			chain:   e.Uint32(b[44:]),
+			segment: e.Uint32(b[checkpointSegmentOffset:]),
+			offset:  int64(e.Uint64(b[checkpointLogOffset:])),
+			seq:     e.Uint64(b[checkpointSeqOffset:]),
+			chain:   e.Uint32(b[checkpointChainOffset:]),
 		},
 	}, nil
 }
--- a/internal/storage/durable/checksum.go
+++ b/internal/storage/durable/checksum.go
@@ -10,19 +10,13 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// checksum continues a CRC-32C from seed over b.
+// checksum continues a CRC-32C over b from a seed.
 func checksum(seed uint32, b []byte) uint32 { return crc32.Update(seed, castagnoli, b) }
 
-// fileKind is the kind of a file as it goes into the salt of its checksums.
+// fileKind is the kind of a file in the salt of its checksums, see fileFormat.
 type fileKind = byte
 
-const (
-	segmentKind    fileKind = 'l'
-	checkpointKind fileKind = 'c'
-	manifestKind   fileKind = 'm'
-)
-
-// saltOf seeds the checksums of one file, so that bytes of another file, another
+// saltOf returns the seed of the checksums of one file, so that bytes of another file, another
 // store or an earlier use of the same disk block are not accepted.
 func saltOf(storeID uint64, kind fileKind, number uint32) uint32 {
 	b := binary.LittleEndian.AppendUint64([]byte{kind}, storeID)
--- a/internal/storage/durable/compaction.go
+++ b/internal/storage/durable/compaction.go
@@ -9,9 +9,19 @@
 type compaction struct {
 	segment *segment
 	offset  int64  // of the next batch
-	payload []byte // of the last batch that was read
+	payload []byte // of the last batch that was read; reused for the next
 }
 
+// loggedBatch is a batch as it was read from the log. The payload is valid until the
+// next one is read.
+type loggedBatch struct {
+	header  batchHeader
+	payload []byte
+}
+
+// size is the length in the log, in bytes.
+func (b *loggedBatch) size() int64 { return batchHeaderLen + int64(len(b.payload)) }
+
 // moveWriter collects moves and writes them in batches.
 type moveWriter struct {
 	store   *Store
@@ -55,7 +65,7 @@
 			}
 			return read + moves.written, true, err
 		}
-		header, payload, ok, err := c.readBatch(size)
+		batch, ok, err := c.readBatch(size)
 		if err != nil {
 			return read + moves.written, true, err
 		}
@@ -63,12 +73,11 @@
 			c.offset = size // recovery truncated the log here, or repair did
 			continue
 		}
-		batchLen := batchHeaderLen + int64(len(payload))
-		read += batchLen
-		if err := s.moveLive(c, moves, header, payload); err != nil {
+		read += batch.size()
+		if err := s.moveLive(c, moves, &batch); err != nil {
 			return read + moves.written, true, err
 		}
-		c.offset += batchLen
+		c.offset += batch.size()
 	}
 	err = moves.flush()
 	return read + moves.written, false, err
@@ -91,8 +100,8 @@
 }
 
 // moveLive adds a move for each operation of a batch that the index refers to.
-func (s *Store) moveLive(c *compaction, moves *moveWriter, h batchHeader, payload []byte) error {
-	return forEachOp(payload, h.opCount, func(o op) error {
+func (s *Store) moveLive(c *compaction, moves *moveWriter, batch *loggedBatch) error {
+	return forEachOp(batch.payload, batch.header.opCount, func(o op) error {
 		if !o.kind.storesValue() {
 			return nil
 		}
@@ -110,25 +119,26 @@
 	})
 }
 
-// readBatch reads the batch at the offset, if it is complete.
-func (c *compaction) readBatch(size int64) (h batchHeader, payload []byte, ok bool, err error) {
+// readBatch reads the batch at the offset. It is not ok if no complete batch is there,
+// before the segment's length in bytes.
+func (c *compaction) readBatch(size int64) (batch loggedBatch, ok bool, err error) {
 	if size-c.offset < batchHeaderLen {
-		return h, nil, false, nil
+		return batch, false, nil
 	}
-	var header [batchHeaderLen]byte
-	if err := readFull(c.segment.file, header[:], c.offset); err != nil {
-		return h, nil, false, fmt.Errorf("compaction: %s: %w", segmentName(c.segment.number), err)
+	var encoded [batchHeaderLen]byte
+	if err := readFull(c.segment.file, encoded[:], c.offset); err != nil {
+		return batch, false, fmt.Errorf("compaction: %s: %w", segmentName(c.segment.number), err)
 	}
-	h, ok = parseBatchHeader(header[:], c.segment.salt)
+	h, ok := parseBatchHeader(encoded[:], c.segment.salt)
 	if !ok || int64(h.payloadLen) > size-c.offset-batchHeaderLen {
-		return h, nil, false, nil
+		return batch, false, nil
 	}
 	if cap(c.payload) < int(h.payloadLen) {
 		c.payload = make([]byte, h.payloadLen)
 	}
-	payload = c.payload[:h.payloadLen]
+	payload := c.payload[:h.payloadLen]
 	if err := readFull(c.segment.file, payload, c.offset+batchHeaderLen); err != nil {
-		return h, nil, false, fmt.Errorf("compaction: %s: %w", segmentName(c.segment.number), err)
+		return batch, false, fmt.Errorf("compaction: %s: %w", segmentName(c.segment.number), err)
 	}
-	return h, payload, h.matches(payload, c.segment.salt), nil
+	return loggedBatch{h, payload}, h.matches(payload, c.segment.salt), nil
 }
--- a/internal/storage/durable/doc.go
+++ b/internal/storage/durable/doc.go
@@ -11,7 +11,7 @@
 // # Files
 //
 // A store is one folder: numbered log segments, the two newest checkpoints of the
-// index, a manifest that says which of them count, a reserve file and a lock
+// index, a manifest that names those in use, a reserve file and a lock
 // file. docs/design/durable-store.md has the byte layouts.
 //
 // # Goroutines and ownership
--- a/internal/storage/durable/manifest.go
+++ b/internal/storage/durable/manifest.go
@@ -8,16 +8,33 @@
 )
 
 const (
-	manifestMagic = "oxbwMAN\n"
 	// manifestLen is the length of the manifest in bytes.
 	manifestLen = 128
 	// retainedCheckpoints is how many checkpoints are kept, oldest first in the
 	// manifest: if the newest can't be read, the log behind the other one still can.
 	retainedCheckpoints = 2
 	newestCheckpoint    = retainedCheckpoints - 1
+	// manifestNumber stands in the manifest's checksum for the number that other files
+	// have.
+	manifestNumber = 0
+)
 
-	manifestCheckpointsOffset = 44
-	checkpointRefLen          = 24 // bytes
+// Offsets of the manifest's fields, in bytes.
+const (
+	manifestGenerationOffset    = 20
+	manifestActiveSegmentOffset = 28
+	manifestSyncedSeqOffset     = 32
+	manifestFirstSegmentOffset  = 40
+	manifestCheckpointsOffset   = 44
+)
+
+// Offsets of a checkpointRef's fields in the manifest, and its length, in bytes.
+const (
+	refNumberOffset  = 0
+	refSeqOffset     = 4
+	refSizeOffset    = 12
+	refSegmentOffset = 20
+	checkpointRefLen = 24
 )
 
 // checkpointRef is what the manifest knows of a checkpoint; number 0 is none.
@@ -39,20 +56,20 @@
 }
 
 func (m *manifest) encode() []byte {
-	b := newFileHeader(manifestLen, manifestMagic, m.storeID)
+	b := manifestFormat.newHeader(manifestLen, m.storeID)
 	e := binary.LittleEndian
-	e.PutUint64(b[20:], m.generation)
-	e.PutUint32(b[28:], m.activeSegment)
-	e.PutUint64(b[32:], m.syncedSeq)
-	e.PutUint32(b[40:], m.firstSegment)
+	e.PutUint64(b[manifestGenerationOffset:], m.generation)
+	e.PutUint32(b[manifestActiveSegmentOffset:], m.activeSegment)
+	e.PutUint64(b[manifestSyncedSeqOffset:], m.syncedSeq)
+	e.PutUint32(b[manifestFirstSegmentOffset:], m.firstSegment)
 	for i, ref := range m.checkpoints {
 		field := b[manifestCheckpointsOffset+checkpointRefLen*i:]
-		e.PutUint32(field, ref.number)
-		e.PutUint64(field[4:], ref.seq)
-		e.PutUint64(field[12:], uint64(ref.size))
-		e.PutUint32(field[20:], ref.segment)
+		e.PutUint32(field[refNumberOffset:], ref.number)
+		e.PutUint64(field[refSeqOffset:], ref.seq)
+		e.PutUint64(field[refSizeOffset:], uint64(ref.size))
+		e.PutUint32(field[refSegmentOffset:], ref.segment)
 	}
-	sealFileHeader(b, manifestKind, 0)
+	manifestFormat.sealHeader(b, manifestNumber)
 	return b
 }
 
@@ -60,24 +77,24 @@
 	if len(b) != manifestLen {
 		return nil, newFault(manifestName, 0, "%d bytes long, want %d", len(b), manifestLen)
 	}
-	if err := checkFileHeader(b, manifestMagic, manifestKind, 0, manifestName, "a manifest"); err != nil {
+	if err := manifestFormat.checkHeader(b, manifestNumber, manifestName); err != nil {
 		return nil, err
 	}
 	e := binary.LittleEndian
 	m := &manifest{
 		storeID:       e.Uint64(b[headerStoreOffset:]),
-		generation:    e.Uint64(b[20:]),
-		activeSegment: e.Uint32(b[28:]),
-		syncedSeq:     e.Uint64(b[32:]),
-		firstSegment:  e.Uint32(b[40:]),
+		generation:    e.Uint64(b[manifestGenerationOffset:]),
+		activeSegment: e.Uint32(b[manifestActiveSegmentOffset:]),
+		syncedSeq:     e.Uint64(b[manifestSyncedSeqOffset:]),
+		firstSegment:  e.Uint32(b[manifestFirstSegmentOffset:]),
 	}
 	for i := range m.checkpoints {
 		field := b[manifestCheckpointsOffset+checkpointRefLen*i:]
 		m.checkpoints[i] = checkpointRef{
-			number:  e.Uint32(field),
-			seq:     e.Uint64(field[4:]),
-			size:    int64(e.Uint64(field[12:])),
-			segment: e.Uint32(field[20:]),
+			number:  e.Uint32(field[refNumberOffset:]),
+			seq:     e.Uint64(field[refSeqOffset:]),
+			size:    int64(e.Uint64(field[refSizeOffset:])),
+			segment: e.Uint32(field[refSegmentOffset:]),
 		}
 	}
 	return m, nil
--- a/internal/storage/durable/options.go
+++ b/internal/storage/durable/options.go
@@ -1,6 +1,7 @@
 package durable
 
 import (
+	"cmp"
 	"errors"
 	"fmt"
 	"math"
@@ -39,6 +40,7 @@
 	ManualMaintenance bool
 }
 
+// Bounds of Options, in bytes: keys have a length of 16 bits in the index.
 const (
 	maxKeyBytesLimit    = math.MaxUint16
 	maxBatchBytesLimit  = 1 << 28
@@ -60,40 +62,41 @@
 	}
 }
 
-// withDefaults sets what is zero, and checks the rest.
+// withDefaults replaces zero values by those of DefaultOptions. It fails if an option
+// is out of its range.
 func (o Options) withDefaults() (Options, error) {
 	defaults := DefaultOptions()
-	for _, field := range []struct {
-		value        *int
-		defaultValue int
-	}{
-		{&o.MaxKeyBytes, defaults.MaxKeyBytes},
-		{&o.MaxValueBytes, defaults.MaxValueBytes},
-		{&o.MaxBatchBytes, defaults.MaxBatchBytes},
-		{&o.MaxInlineBytes, defaults.MaxInlineBytes},
-		{&o.MaxQueuedBatches, defaults.MaxQueuedBatches},
-		{&o.MaxGroupBytes, defaults.MaxGroupBytes},
-		{&o.MaxSnapshots, defaults.MaxSnapshots},
-		{&o.ReserveBytes, defaults.ReserveBytes},
-	} {
-		if *field.value == 0 {
-			*field.value = field.defaultValue
-		}
-		if *field.value < 0 {
-			return o, errors.New("a limit is negative")
-		}
+	o.MaxKeyBytes = cmp.Or(o.MaxKeyBytes, defaults.MaxKeyBytes)
+	o.MaxValueBytes = cmp.Or(o.MaxValueBytes, defaults.MaxValueBytes)
+	o.MaxBatchBytes = cmp.Or(o.MaxBatchBytes, defaults.MaxBatchBytes)
+	o.MaxInlineBytes = cmp.Or(o.MaxInlineBytes, defaults.MaxInlineBytes)
+	o.MaxQueuedBatches = cmp.Or(o.MaxQueuedBatches, defaults.MaxQueuedBatches)
+	o.MaxGroupBytes = cmp.Or(o.MaxGroupBytes, defaults.MaxGroupBytes)
+	o.MaxSnapshots = cmp.Or(o.MaxSnapshots, defaults.MaxSnapshots)
+	o.ReserveBytes = cmp.Or(o.ReserveBytes, defaults.ReserveBytes)
+	if err := o.validate(); err != nil {
+		return o, err
 	}
+	var err error
+	o.Maintenance, err = o.Maintenance.WithDefaults()
+	return o, err
+}
+
+// validate checks the ranges of options that have their defaults, but for Maintenance.
+func (o *Options) validate() error {
+	smallest := min(o.MaxKeyBytes, o.MaxValueBytes, o.MaxBatchBytes, o.MaxInlineBytes,
+		o.MaxQueuedBatches, o.MaxGroupBytes, o.MaxSnapshots, o.ReserveBytes)
 	switch {
+	case smallest < 0:
+		return errors.New("a limit is negative")
 	case o.MaxKeyBytes > maxKeyBytesLimit:
-		return o, fmt.Errorf("keys of %d bytes are too long, want at most %d", o.MaxKeyBytes, maxKeyBytesLimit)
+		return fmt.Errorf("keys of %d bytes are too long, want at most %d", o.MaxKeyBytes, maxKeyBytesLimit)
 	case o.MaxBatchBytes > maxBatchBytesLimit:
-		return o, fmt.Errorf("batches of %d bytes are too long, want at most %d", o.MaxBatchBytes, maxBatchBytesLimit)
+		return fmt.Errorf("batches of %d bytes are too long, want at most %d", o.MaxBatchBytes, maxBatchBytesLimit)
 	case o.MaxValueBytes+o.MaxKeyBytes+maxOpOverhead > o.MaxBatchBytes:
-		return o, errors.New("a batch must hold a key and a value of full length")
+		return errors.New("a batch must hold a key and a value of full length")
 	case o.MaxInlineBytes > maxInlineBytesLimit:
-		return o, fmt.Errorf("at most %d bytes are held in memory with a key", maxInlineBytesLimit)
+		return fmt.Errorf("at most %d bytes are held in memory with a key", maxInlineBytesLimit)
 	}
-	var err error
-	o.Maintenance, err = o.Maintenance.WithDefaults()
-	return o, err
+	return nil
 }
--- a/internal/storage/durable/plan/limits.go
+++ b/internal/storage/durable/plan/limits.go
@@ -1,6 +1,7 @@
 package plan
 
 import (
+	"cmp"
 	"errors"
 	"time"
 )
@@ -58,49 +59,44 @@
 	}
 }
 
-// segmentBytesLimit bounds MaxSegmentBytes.
+// segmentBytesLimit bounds Limits.MaxSegmentBytes.
 const segmentBytesLimit = 1 << 30
 
-// WithDefaults sets what is zero, and checks the rest.
+// WithDefaults replaces zero values by those of DefaultLimits. It fails if a limit is
+// out of its range.
 func (l Limits) WithDefaults() (Limits, error) {
 	defaults := DefaultLimits()
-	for _, field := range []struct{ value, defaultValue *int64 }{
-		{&l.MaxBytes, &defaults.MaxBytes},
-		{&l.MinSegmentBytes, &defaults.MinSegmentBytes},
-		{&l.MaxSegmentBytes, &defaults.MaxSegmentBytes},
-		{&l.MinCheckpointLogBytes, &defaults.MinCheckpointLogBytes},
-		{&l.BytesPerSecond, &defaults.BytesPerSecond},
-		{&l.MaxStepBytes, &defaults.MaxStepBytes},
-		{(*int64)(&l.MaxUnsyncedAge), (*int64)(&defaults.MaxUnsyncedAge)},
-		{(*int64)(&l.IdleCheckpointDelay), (*int64)(&defaults.IdleCheckpointDelay)},
-		{(*int64)(&l.RetryDelay), (*int64)(&defaults.RetryDelay)},
-	} {
-		if *field.value == 0 {
-			*field.value = *field.defaultValue
-		}
-		if *field.value < 0 {
-			return l, errors.New("maintenance: a limit is negative")
-		}
-	}
-	for _, field := range []struct{ value, defaultValue *float64 }{
-		{&l.CheckpointLogRatio, &defaults.CheckpointLogRatio},
-		{&l.GarbageRatio, &defaults.GarbageRatio},
-		{&l.PendingDropRatio, &defaults.PendingDropRatio},
-	} {
-		if *field.value == 0 {
-			*field.value = *field.defaultValue
-		}
-		if !(*field.value > 0) { // also false for NaN
-			return l, errors.New("maintenance: a ratio is not above 0")
-		}
-	}
+	l.MaxBytes = cmp.Or(l.MaxBytes, defaults.MaxBytes)
+	l.MinSegmentBytes = cmp.Or(l.MinSegmentBytes, defaults.MinSegmentBytes)
+	l.MaxSegmentBytes = cmp.Or(l.MaxSegmentBytes, defaults.MaxSegmentBytes)
+	l.MinCheckpointLogBytes = cmp.Or(l.MinCheckpointLogBytes, defaults.MinCheckpointLogBytes)
+	l.CheckpointLogRatio = cmp.Or(l.CheckpointLogRatio, defaults.CheckpointLogRatio)
+	l.GarbageRatio = cmp.Or(l.GarbageRatio, defaults.GarbageRatio)
+	l.PendingDropRatio = cmp.Or(l.PendingDropRatio, defaults.PendingDropRatio)
+	l.BytesPerSecond = cmp.Or(l.BytesPerSecond, defaults.BytesPerSecond)
+	l.MaxStepBytes = cmp.Or(l.MaxStepBytes, defaults.MaxStepBytes)
+	l.MaxUnsyncedAge = cmp.Or(l.MaxUnsyncedAge, defaults.MaxUnsyncedAge)
+	l.IdleCheckpointDelay = cmp.Or(l.IdleCheckpointDelay, defaults.IdleCheckpointDelay)
+	l.RetryDelay = cmp.Or(l.RetryDelay, defaults.RetryDelay)
+	return l, l.validate()
+}
+
+// validate checks the ranges of limits that have their defaults.
+func (l *Limits) validate() error {
+	smallestBytes := min(l.MaxBytes, l.MinSegmentBytes, l.MaxSegmentBytes, l.MinCheckpointLogBytes, l.BytesPerSecond, l.MaxStepBytes)
+	shortestDelay := min(l.MaxUnsyncedAge, l.IdleCheckpointDelay, l.RetryDelay)
+	smallestRatio := min(l.CheckpointLogRatio, l.GarbageRatio, l.PendingDropRatio) // NaN if one of them is
 	switch {
+	case smallestBytes < 0 || shortestDelay < 0:
+		return errors.New("maintenance: a limit is negative")
+	case !(smallestRatio > 0):
+		return errors.New("maintenance: a ratio is not above 0")
 	case l.MinSegmentBytes > l.MaxSegmentBytes:
-		return l, errors.New("maintenance: the shortest segment is longer than the longest")
+		return errors.New("maintenance: the shortest segment is longer than the longest")
 	case l.MaxSegmentBytes > segmentBytesLimit:
-		return l, errors.New("maintenance: segments are at most 1 GiB long")
+		return errors.New("maintenance: segments are at most 1 GiB long")
 	}
-	return l, nil
+	return nil
 }
 
 // segmentsOfLiveData is the number of segments that the live data would fill: a
--- a/internal/storage/durable/recover.go
+++ b/internal/storage/durable/recover.go
@@ -147,7 +147,7 @@
 			number: n,
 			file:   f,
 			size:   r.files[name],
-			salt:   saltOf(r.manifest.storeID, segmentKind, n),
+			salt:   saltOf(r.manifest.storeID, segmentFormat.kind, n),
 			sealed: true,
 		}
 	}
--- a/internal/storage/durable/rotate.go
+++ b/internal/storage/durable/rotate.go
@@ -27,7 +27,7 @@
 		number:     header.number,
 		file:       file,
 		size:       headerLen,
-		salt:       saltOf(header.storeID, segmentKind, header.number),
+		salt:       saltOf(header.storeID, segmentFormat.kind, header.number),
 		emptiedSeq: end.seq,
 	}
 	s.mu.Lock()
--- a/internal/storage/durable/segment.go
+++ b/internal/storage/durable/segment.go
@@ -7,8 +7,6 @@
 	"oxbowbridge/internal/storage/durable/vfs"
 )
 
-const segmentMagic = "oxbwLOG\n"
-
 // Offsets of a segment header's fields, in bytes.
 const (
 	segmentNumberOffset        = 20
@@ -49,13 +47,13 @@
 }
 
 func (h *segmentHeader) encode() []byte {
-	b := newFileHeader(headerLen, segmentMagic, h.storeID)
+	b := segmentFormat.newHeader(headerLen, h.storeID)
 	e := binary.LittleEndian
 	e.PutUint32(b[segmentNumberOffset:], h.number)
 	e.PutUint64(b[segmentPreviousSizeOffset:], uint64(h.previousSize))
 	e.PutUint64(b[segmentPreviousSeqOffset:], h.previousSeq)
 	e.PutUint32(b[segmentPreviousChainOffset:], h.previousChain)
-	h.checksum = sealFileHeader(b, segmentKind, h.number)
+	h.checksum = segmentFormat.sealHeader(b, h.number)
 	return b
 }
 
@@ -66,7 +64,7 @@
 	b = b[:headerLen]
 	e := binary.LittleEndian
 	number := e.Uint32(b[segmentNumberOffset:])
-	if err := checkFileHeader(b, segmentMagic, segmentKind, number, name, "a segment of a log"); err != nil {
+	if err := segmentFormat.checkHeader(b, number, name); err != nil {
 		return segmentHeader{}, err
 	}
 	return segmentHeader{
--- a/internal/storage/durable/verify.go
+++ b/internal/storage/durable/verify.go
@@ -7,7 +7,7 @@
 	"oxbowbridge/internal/storage/durable/vfs"
 )
 
-// Verify reads every byte that counts: the manifest, both checkpoints, all batches of
+// Verify reads every byte in use: the manifest, both checkpoints, all batches of
 // all segments, and each value where the index refers to. What is wrong is in the
 // view's report; the error is one of the device.
 func (v *View) Verify(fsys vfs.FS) error {
