--- a/cmd/oxbowbridge/config.go
+++ b/cmd/oxbowbridge/config.go
@@ -35,12 +35,14 @@
 	// RecordsAddress is where the records service takes the calls of runs. Default: calls
 	// fail.
 	RecordsAddress string `json:"records"`
-	// Seed seeds the admission controller's random draws: up to 16 hex digits. Default 0.
+	// Seed varies the slow start of AJP upstreams between processes: up to 16 hex digits.
+	// Default 0. The admission controller is given it too, and draws nothing from it.
 	Seed string `json:"seed"`
 	// DrainTimeoutMS is the time from the notice (SIGTERM) until the process is stopped
 	// from outside, in ms: at least 500, with a store at least 2000.
 	DrainTimeoutMS int64 `json:"stop_ms"`
-	// Limits are the resources of the process. They bound it; nothing is measured.
+	// Limits are the resources of the process. They are declared, not
+	// measured.
 	Limits struct {
 		// Cores is how many cores the process may use; required with work. Default 0: not
 		// known.
--- a/cmd/oxbowbridge/config_changes.go
+++ b/cmd/oxbowbridge/config_changes.go
@@ -10,25 +10,31 @@
 	followed bool // without a restart
 }
 
-// changed tells whether the versions differ.
+// changed reports whether the versions differ.
 func (f configField) changed() bool { return !reflect.DeepEqual(f.old, f.new) }
 
-// changedFields names the fields that differ in another version of the configuration:
-// those that are followed without a restart, or those that wait for the next start.
-func (c *config) changedFields(to *config, followed bool) []string {
-	names := []string{}
+// changedFields names the fields that differ in another version of the configuration: those
+// that are followed without a restart, and those that wait for the next start. Neither is nil.
+func (c *config) changedFields(to *config) (now, atNextStart []string) {
+	now = []string{}
+	atNextStart = []string{}
 	for _, f := range c.comparedWith(to) {
 		if f.name == "settings" && c.settingsFromStore {
 			continue // the file's are not in force
 		}
-		if f.followed == followed && f.changed() {
-			names = append(names, f.name)
+		switch {
+		case !f.changed():
+		case f.followed:
+			now = append(now, f.name)
+		default:
+			atNextStart = append(atNextStart, f.name)
 		}
 	}
-	return names
+	return now, atNextStart
 }
 
-// comparedWith has the fields in the order in which the log names them.
+// comparedWith returns the fields in the order in which the log names them. `seed` and `work` are not
+// compared: a change of them waits for the next start, and the log does not name it.
 func (c *config) comparedWith(to *config) []configField {
 	// A change from an engine to upstreams, or back, waits for the next start.
 	sameRunner := (c.EngineAddress == "") == (to.EngineAddress == "")
--- a/cmd/oxbowbridge/lease.go
+++ b/cmd/oxbowbridge/lease.go
@@ -25,10 +25,16 @@
 	grace          time.Duration
 }
 
+// Values of --wait that are no limit.
+const (
+	noWait      time.Duration = 0
+	waitForever time.Duration = -1
+)
+
 // leaseOptions is what a lease is acquired with.
 type leaseOptions struct {
 	ttl      time.Duration
-	wait     time.Duration // 0 is not at all; negative is for as long as it takes
+	wait     time.Duration // for a lease that another holder has: noWait, waitForever or any other negative, or a limit
 	holder   string
 	priority int
 }
@@ -60,13 +66,13 @@
 	add("list", "Show all leases that are held, and who waits for them", cobra.NoArgs, s.list)
 	add("show NAME", "Show one", cobra.ExactArgs(1), s.show)
 	acquire := add("acquire NAME", "Take a lease, once: nothing keeps it alive", cobra.ExactArgs(1), s.acquire)
-	s.acquireOptions.addFlags(acquire, 5*time.Second, 0, "for which to wait if another has it, up to 30s")
+	s.acquireOptions.addFlags(acquire, 5*time.Second, noWait, "for which to wait if another has it, up to 30s")
 	release := add("release NAME", "Give a lease back", cobra.ExactArgs(1), s.release)
 	release.Flags().Uint64Var(&s.token, "token", 0, "under which it is held")
 	release.Flags().StringVar(&s.to, "to", "", "the one who is to have it, of those who wait")
 	add("revoke NAME", "Have a lease go on no further than the time that its holder was given", cobra.ExactArgs(1), s.revoke)
 	run := add("run NAME -- COMMAND ARGS", "Run a command while holding a lease, and stop it before the lease is over", cobra.MinimumNArgs(2), s.run)
-	s.runOptions.addFlags(run, 10*time.Second, -1, "for which to wait if another has it; by default for as long as it takes")
+	s.runOptions.addFlags(run, 10*time.Second, waitForever, "for which to wait if another has it; by default for as long as it takes")
 	run.Flags().DurationVar(&s.grace, "grace", 0, "between SIGTERM and SIGKILL, which comes before the lease is over; by default a fifth of --ttl")
 	c.AddCommand(guardCommand())
 	return c
--- a/cmd/oxbowbridge/lease_run.go
+++ b/cmd/oxbowbridge/lease_run.go
@@ -26,10 +26,10 @@
 )
 
 const (
-	releaseTimeout     = 2 * time.Second
-	defaultGraceOfTTL  = 5   // the default of --grace is one part in so many of --ttl
-	maxGraceOfTTL      = 4   // and its maximum
-	signalExitCodeBase = 128 // plus the signal's number: exit code of a command that a signal ended
+	releaseTimeout      = 2 * time.Second // to give the lease back; if that fails, it expires
+	defaultGraceDivisor = 5               // --grace is --ttl/5 by default,
+	maxGraceDivisor     = 4               // and at most --ttl/4
+	signalExitCodeBase  = 128             // plus the signal's number: exit code of a command that a signal ended
 )
 
 // run acquires a lease, runs a command, and stops it in time if the lease can't be kept.
@@ -78,9 +78,9 @@
 		return "", err
 	}
 	ttl := s.runOptions.ttl
-	s.grace = cmp.Or(s.grace, ttl/defaultGraceOfTTL)
-	if s.grace < 0 || s.grace > ttl/maxGraceOfTTL {
-		return "", usageError(fmt.Errorf("--grace: want at most a quarter of --ttl, %v", ttl/maxGraceOfTTL))
+	s.grace = cmp.Or(s.grace, ttl/defaultGraceDivisor)
+	if s.grace < 0 || s.grace > ttl/maxGraceDivisor {
+		return "", usageError(fmt.Errorf("--grace: want at most a quarter of --ttl, %v", ttl/maxGraceDivisor))
 	}
 	path, err = exec.LookPath(program)
 	return path, usageError(err)
@@ -108,7 +108,7 @@
 		Name:     name,
 		TTL:      options.ttl,
 		Priority: options.priority,
-		Wait:     options.wait != 0,
+		Wait:     options.wait != noWait,
 	})
 	if errors.Is(err, context.DeadlineExceeded) {
 		err = fmt.Errorf("%w for all of %v", lease.ErrHeld, options.wait)
--- a/cmd/oxbowbridge/runner.go
+++ b/cmd/oxbowbridge/runner.go
@@ -40,13 +40,13 @@
 }
 
 // newRunner returns the engine, or the AJP upstreams if there are any.
-func newRunner(cfg *config, env session.Config) runner {
+func newRunner(cfg *config, sessionConfig session.Config) runner {
 	info := &cfg.Settings.Server
 	if len(cfg.AJP.UpstreamAddresses) == 0 {
-		return engineRunner{engine.New(cfg.EngineAddress, info.Preemption == preemptionPause, env)}
+		return engineRunner{engine.New(cfg.EngineAddress, info.Preemption == preemptionPause, sessionConfig)}
 	}
 	return upstreamRunner{ajp.NewUpstreamPool(cfg.AJP.UpstreamAddresses, cfg.AJP.UpstreamSecret, info.GaugeNames,
-		slowStartConfig(cfg), upstreamSeed(cfg), env)}
+		slowStartConfig(cfg), upstreamSeed(cfg), sessionConfig)}
 }
 
 func slowStartConfig(cfg *config) slowstart.Config {
--- a/cmd/oxbowbridge/serve.go
+++ b/cmd/oxbowbridge/serve.go
@@ -55,7 +55,7 @@
 	// and a reload counts also while the service drains, as requests in flight may need the
 	// new addresses.
 	go reloadOnHangup(s, hangup, &current, env)
-	go drainOnNotice(s, notice, machine, node, &current)
+	go drainOnNotice(notice, s, machine, node, &current)
 	s.dispatcher.Run()
 	return machine.finish(notice)
 }
@@ -81,7 +81,7 @@
 
 // drainOnNotice starts the drain at the first notice: a signal, or an order of maintenance.
 // The store's shutdown is part of the drain timeout.
-func drainOnNotice(s *service, notice context.Context, machine *maintenanceAgent, node *storeNode, current *atomic.Pointer[config]) {
+func drainOnNotice(notice context.Context, s *service, machine *maintenanceAgent, node *storeNode, current *atomic.Pointer[config]) {
 	select {
 	case <-notice.Done():
 	case <-machine.drainRequested:
--- a/cmd/oxbowbridge/service.go
+++ b/cmd/oxbowbridge/service.go
@@ -51,27 +51,27 @@
 		return nil, err
 	}
 	started := time.Now()
-	env := session.Config{
+	sessionConfig := session.Config{
 		Exchange: exchange.New(maxOpenRequests(cfg)),
 		Loop:     loop,
 		Timers:   &timerqueue.Queue{},
 		Now:      func() time.Duration { return time.Since(started) },
 		Log:      log,
 	}
-	runner := newRunner(cfg, env)
-	calls := records.New(cfg.RecordsAddress, pool, callLinger(cfg), env)
-	listing := registry.New(cfg.RegistryAddress, cfg.Name, env)
-	frontends := newFrontends(cfg, env.Exchange, log)
+	runner := newRunner(cfg, sessionConfig)
+	calls := records.New(cfg.RecordsAddress, pool, callLinger(cfg), sessionConfig)
+	listing := registry.New(cfg.RegistryAddress, cfg.Name, sessionConfig)
+	frontends := newFrontends(cfg, sessionConfig.Exchange, log)
 	seed, _ := cfg.parsedSeed() // valid, as validate parsed it
 	d := dispatch.Config{
-		Exchange:               env.Exchange,
-		Timers:                 env.Timers,
+		Exchange:               sessionConfig.Exchange,
+		Timers:                 sessionConfig.Timers,
 		Runner:                 runner,
 		Dependency:             calls,
 		Registry:               listing,
 		Lingering:              loop,
 		MaxIdempotencyKeyBytes: maxIdempotencyKeyBytes(cfg),
-		Now:                    env.Now,
+		Now:                    sessionConfig.Now,
 		Log:                    log,
 		Seed:                   seed,
 		SiteSettings:           &cfg.Settings,
@@ -87,7 +87,7 @@
 		return nil, err
 	}
 	runner.Open()
-	s := &service{dispatcher: dispatcher, exchange: env.Exchange, log: log}
+	s := &service{dispatcher: dispatcher, exchange: sessionConfig.Exchange, log: log}
 	for _, f := range frontends {
 		s.frontendAddrs = append(s.frontendAddrs, f.listener.Addr())
 	}
@@ -108,8 +108,8 @@
 		return old
 	}
 	s.exchange.Post(exchange.Callback(func() { s.useAddresses(cfg) }))
-	s.log.Info("configuration reloaded", zap.Strings("changed", old.changedFields(cfg, true)),
-		zap.Strings("at_next_start", old.changedFields(cfg, false)))
+	now, atNextStart := old.changedFields(cfg)
+	s.log.Info("configuration reloaded", zap.Strings("changed", now), zap.Strings("at_next_start", atNextStart))
 	cfg.settingsFromStore = old.settingsFromStore
 	return cfg
 }
--- a/cmd/oxbowbridge/store_keys.go
+++ b/cmd/oxbowbridge/store_keys.go
@@ -102,6 +102,7 @@
 	if s.asJSON {
 		return printJSON(c.OutOrStdout(), response)
 	}
+	// HELD: the compares held. It says nothing of leases.
 	rows := [][]any{{"HELD", "REVISION", "KEY", "KEY REVISION", "VALUE"}}
 	for _, r := range response.Results {
 		rows = append(rows, []any{response.Succeeded, response.Revision, r.Key, r.Revision, string(r.Value)})
--- a/cmd/oxbowbridge/storenode_settings.go
+++ b/cmd/oxbowbridge/store_node_settings.go
@@ -42,8 +42,7 @@
 		return
 	}
 	version := store.GoodVersion{Revision: e.ModRevision, Value: e.Value}
-	const lastGood = false
-	if !n.applySettings(cfg, version, lastGood) {
+	if !n.applySettings(cfg, version, presentSettings) {
 		n.loadLastGoodSettings(cfg)
 		return
 	}
@@ -60,13 +59,21 @@
 	case err != nil:
 		n.log.Error("reading last good settings failed, using settings of configuration file", zap.Error(err))
 	case ok:
-		const lastGood = true
-		n.applySettings(cfg, version, lastGood)
+		n.applySettings(cfg, version, lastGoodSettings)
 	}
 }
 
-// applySettings puts settings of the store into cfg, unless they are not valid.
-func (n *storeNode) applySettings(cfg *config, version store.GoodVersion, lastGood bool) bool {
+// settingsOrigin tells which of the store's settings are applied.
+type settingsOrigin int
+
+const (
+	presentSettings  settingsOrigin = iota // those that the store has now
+	lastGoodSettings                       // those with which this node last started
+)
+
+// applySettings puts settings of the store into cfg, and reports whether they are valid; if not, cfg
+// stays as it is.
+func (n *storeNode) applySettings(cfg *config, version store.GoodVersion, origin settingsOrigin) bool {
 	var settings sitesettings.Settings
 	err := sitesettings.DecodeJSON(version.Value, &settings)
 	if err == nil {
@@ -78,6 +85,6 @@
 	}
 	cfg.Settings = settings
 	cfg.settingsFromStore = true
-	n.log.Info("settings loaded from store", zap.Uint64("revision", version.Revision), zap.Bool("last_good", lastGood))
+	n.log.Info("settings loaded from store", zap.Uint64("revision", version.Revision), zap.Bool("last_good", origin == lastGoodSettings))
 	return true
 }
