--- a/internal/cluster/store/errors.go
+++ b/internal/cluster/store/errors.go
@@ -2,7 +2,7 @@
 
 import "errors"
 
-// The texts of the exported errors below are HTTP bodies (internal/cluster/storeadmin) and must not
+// The texts of the exported errors are part of HTTP answers (internal/cluster/storeadmin) and must not
 // change.
 
 // Errors of the node's part in the cluster.
@@ -62,7 +62,7 @@
 type endReason int
 
 const (
-	endStartFailed endReason = iota // it did not start, or its folder can't be closed
+	endStartFailed endReason = iota // it did not start, also if its disk failed by then; or its folder can't be closed
 	endDiskFailed
 	endRemoved
 	endDiverged
--- a/internal/cluster/store/golden_test.go
+++ b/internal/cluster/store/golden_test.go
@@ -93,8 +93,8 @@
 	assert.Equal(t, Peer{Name: "n1", Raft: "127.0.0.1:1"}, decodePeer("n1", "127.0.0.1:1"))
 }
 
-// TestGoldenGreeting: what two nodes say to each other before Raft's own.
-func TestGoldenGreeting(t *testing.T) {
+// TestGoldenHandshake: what two nodes say to each other before Raft's own.
+func TestGoldenHandshake(t *testing.T) {
 	golden(t, handshakeHeader{From: "n1@5f", To: "n2@6f", Cluster: "c"}, `{"from":"n1@5f","to":"n2@6f","cluster":"c"}`)
 	golden(t, handshakeHeader{From: "n1@5f", To: "n2@6f"}, `{"from":"n1@5f","to":"n2@6f"}`)
 	cluster := func() string { return "c" }
@@ -191,8 +191,8 @@
 	golden(t, s.Status(), `{"node":"a","state":"Waiting","leader":"","applied":0,"last":0,"mirrored":0,"watchers":0,"id":"a","waits":"its disk to be opened"}`)
 }
 
-// TestGoldenRecord: the statements of the store of record.
-func TestGoldenRecord(t *testing.T) {
+// TestGoldenMirror: the statements of the SQL mirror.
+func TestGoldenMirror(t *testing.T) {
 	assert.Equal(t, []string{
 		`CREATE TABLE IF NOT EXISTS oxbowbridge_store (name TEXT PRIMARY KEY, value TEXT, idx BIGINT NOT NULL)`,
 		"INSERT INTO oxbowbridge_store (name, value, idx) VALUES ($1, $2, $3)\n" +
--- a/internal/cluster/store/mirror.go
+++ b/internal/cluster/store/mirror.go
@@ -85,14 +85,14 @@
 		if backoff.next(err) {
 			return err
 		}
-		dirty := s.state.changed
+		changed := s.state.changed
 		if err != nil {
-			dirty = nil // a change does not end the backoff
+			changed = nil // a change does not end the backoff
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-dirty:
+		case <-changed:
 		case <-time.After(backoff.wait):
 		}
 	}
--- a/internal/cluster/store/verdict.go
+++ b/internal/cluster/store/verdict.go
@@ -26,19 +26,17 @@
 	for {
 		reports := s.peers.attestations()
 		verdict, reason := diskidentity.Decide(f.local, reports.recent)
-		if !reports.allPolled && verdict != diskidentity.VerdictRenew {
+		switch {
+		case verdict == diskidentity.VerdictRenew:
+			s.logVerdict(f, verdict, reason)
+			renewed, err := s.renewDisk(f, reason)
+			return renewed, diskidentity.VerdictJoin, err
+		case !reports.allPolled:
 			verdict = diskidentity.VerdictWait
-		}
-		if verdict == diskidentity.VerdictWait {
-			if reports.allPolled {
-				s.setWaitReason(reason)
-			}
-		} else {
-			s.log.Info("disk verdict", zap.String("member", f.local.ID), zap.Stringer("verdict", verdict), zap.String("reason", reason))
-			if verdict == diskidentity.VerdictRenew {
-				renewed, err := s.renewDisk(f, reason)
-				return renewed, diskidentity.VerdictJoin, err
-			}
+		case verdict == diskidentity.VerdictWait:
+			s.setWaitReason(reason)
+		default:
+			s.logVerdict(f, verdict, reason)
 			return f, verdict, nil
 		}
 		select {
@@ -50,6 +48,10 @@
 	}
 }
 
+func (s *Store) logVerdict(f *diskState, verdict diskidentity.Verdict, reason string) {
+	s.log.Info("disk verdict", zap.String("member", f.local.ID), zap.Stringer("verdict", verdict), zap.String("reason", reason))
+}
+
 // renewDisk gives a disk that can't be trusted with its vote a new identity.
 func (s *Store) renewDisk(f *diskState, reason string) (*diskState, error) {
 	id, err := renewIdentity(f.storage, s.self.Name)
