--- a/bench/store/leases.go
+++ b/bench/store/leases.go
@@ -88,7 +88,7 @@
 		handle, err := next.Acquire(context.Background(), options)
 		granted <- err
 		if err == nil {
-			handle.Release(context.Background(), "")
+			handle.Release(context.Background())
 		}
 	}()
 	time.Sleep(waiterHeadStart)
@@ -142,7 +142,7 @@
 			return err
 		}
 		acquired := time.Now()
-		err = handle.Release(context.Background(), "")
+		err = handle.Release(context.Background())
 		mu.Lock()
 		defer mu.Unlock()
 		l.record("us to acquire, "+situation, float64(acquired.Sub(began).Microseconds()))
--- a/cmd/oxbowbridge/lease_guard.go
+++ b/cmd/oxbowbridge/lease_guard.go
@@ -85,8 +85,8 @@
 	}}
 }
 
-// guardedCommand is what a guard knows of the command.
-type guardedCommand struct {
+// guardTarget is what a guard knows of the command that it may have to kill.
+type guardTarget struct {
 	pid      int   // 0 until it is known
 	deadline int64 // nanoseconds of CLOCK_MONOTONIC; 0 until it is known
 }
@@ -100,7 +100,7 @@
 			lines <- scanner.Text()
 		}
 	}()
-	var command guardedCommand
+	var command guardTarget
 	for {
 		now, err := monotonicNanoseconds()
 		if err != nil {
@@ -128,14 +128,14 @@
 }
 
 // update reads guardPID or guardDeadline.
-func (g *guardedCommand) update(line string) {
+func (g *guardTarget) update(line string) {
 	if matched, _ := fmt.Sscanf(line, guardPID, &g.pid); matched == 0 {
 		fmt.Sscanf(line, guardDeadline, &g.deadline)
 	}
 }
 
 // kill kills the command's process group, if it is known.
-func (g *guardedCommand) kill() {
+func (g *guardTarget) kill() {
 	if g.pid > 1 {
 		syscall.Kill(-g.pid, syscall.SIGKILL)
 	}
--- a/cmd/oxbowbridge/lease_run.go
+++ b/cmd/oxbowbridge/lease_run.go
@@ -119,7 +119,7 @@
 func releaseAfterRun(c *cobra.Command, held *leaseclient.Lease) {
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
-	if err := held.Release(ctx, ""); err != nil {
+	if err := held.Release(ctx); err != nil {
 		fmt.Fprintln(c.ErrOrStderr(), "oxbowbridge: lease not given back, it ends by itself:", err)
 	}
 }
--- a/cmd/oxbowbridge/work_plan.go
+++ b/cmd/oxbowbridge/work_plan.go
@@ -12,7 +12,8 @@
 	"oxbowbridge/internal/maintenance/chart"
 )
 
-// plan prints a schedule of all orders that wait, as they are now.
+// plan prints a schedule of all orders that wait, as they are now. It is no promise: see
+// maintenance.ComputePlan for what it leaves out.
 func (s *workCLI) plan(c *cobra.Command, _ []string) error {
 	windows, err := parseWindows(s.windows)
 	if err != nil {
--- a/internal/cluster/leaseclient/lease.go
+++ b/internal/cluster/leaseclient/lease.go
@@ -63,9 +63,9 @@
 	l.cancel(fmt.Errorf("%w: %s", cause, l.Name))
 }
 
-// Release gives the lease back; if to is not empty, to that waiter. All that was done under the
+// Release gives the lease back; the first waiter, if any, has it next. All that was done under the
 // lease must have ended. It retries until the store answers or ctx ends.
-func (l *Lease) Release(ctx context.Context, to string) error {
+func (l *Lease) Release(ctx context.Context) error {
 	m := l.manager
 	m.mu.Lock()
 	if l.state.Token == 0 {
@@ -77,7 +77,7 @@
 	m.mu.Unlock()
 	defer m.forget(l) // it is not acquired again before the store has released it, or ctx has ended
 	for failed := 0; ; failed++ {
-		err := m.node(failed > 0).ReleaseLease(ctx, l.Name, token, to)
+		err := m.node(failed > 0).ReleaseLease(ctx, l.Name, token, "")
 		switch {
 		case err == nil, isNotHeld(err): // released by an attempt whose answer was lost, or expired
 			return nil
--- a/internal/cluster/leaseclient/manager.go
+++ b/internal/cluster/leaseclient/manager.go
@@ -62,7 +62,7 @@
 	defer cancel()
 	var released sync.WaitGroup
 	for _, l := range leases {
-		released.Go(func() { l.Release(ctx, "") })
+		released.Go(func() { l.Release(ctx) })
 	}
 	released.Wait()
 	m.stop()
--- a/internal/cluster/leaseclient/task.go
+++ b/internal/cluster/leaseclient/task.go
@@ -65,6 +65,6 @@
 	cancel(nil)
 	releaseCtx, done := context.WithTimeout(context.WithoutCancel(ctx), releaseTimeout)
 	defer done()
-	l.Release(releaseCtx, "") // if this fails, others wait until it expires
+	l.Release(releaseCtx) // if this fails, others wait until it expires
 	return err
 }
--- a/internal/cluster/storeclient/kv.go
+++ b/internal/cluster/storeclient/kv.go
@@ -29,7 +29,7 @@
 }
 
 // List reads all keys, and the store's revision at that time: a Watch from the next revision on
-// misses nothing. It is 0 from nodes of the previous version, which do not send it.
+// misses nothing. It is 0 from a node that does not send storeapi.HeaderRevision.
 func (c *Client) List(ctx context.Context, query string) (values map[string]json.RawMessage, revision uint64, err error) {
 	res, err := c.do(ctx, http.MethodGet, "/store"+query, nil)
 	switch {
--- a/internal/maintenance/agent/agent.go
+++ b/internal/maintenance/agent/agent.go
@@ -185,5 +185,5 @@
 func (a *Agent) release(lease *leaseclient.Lease) error {
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
-	return lease.Release(ctx, "") // to the next waiter, if any
+	return lease.Release(ctx)
 }
--- a/internal/maintenance/decide_test.go
+++ b/internal/maintenance/decide_test.go
@@ -37,21 +37,21 @@
 
 // TestRefusalReasons: each limit by itself keeps a machine in, and says so.
 func TestRefusalReasons(t *testing.T) {
-	loose := DisruptionBudget{MaxOut: 100, MaxOutPerZone: 100, MaxCapacityShare: 1, MaxZoneCapacityShare: 1, MaxUtilizationAgeMS: 1000, ConfirmTimeoutMS: 1000, OverrunAllowanceMS: 1000, WarmUpTimeoutMS: 1000, MaxFailures: 2, OvertakingPeriodMS: 1000}
+	loose := DisruptionBudget{MaxOut: 100, MaxOutPerZone: 100, MaxCapacityFraction: 1, MaxZoneCapacityFraction: 1, MaxUtilizationAgeMS: 1000, ConfirmTimeoutMS: 1000, OverrunAllowanceMS: 1000, WarmUpTimeoutMS: 1000, MaxFailures: 2, OvertakingPeriodMS: 1000}
 	require.NoError(t, loose.Validate())
 	for want, change := range map[string]func(v *Observation){
 		"":                       func(*Observation) {},
 		"1 are out, at most 1":   func(v *Observation) { v.Budget.MaxOut = 1; v.Orders[1].Phase = PhaseOut },
 		`1 are out in zone "z0"`: func(v *Observation) { v.Budget.MaxOutPerZone = 1; v.Orders[2].Phase = PhaseFailed },
-		"at most 9%":             func(v *Observation) { v.Budget.MaxCapacityShare = 0.09; v.Orders[1].Phase = PhaseDraining },
+		"at most 9%":             func(v *Observation) { v.Budget.MaxCapacityFraction = 0.09; v.Orders[1].Phase = PhaseDraining },
 		`cores of zone "z0" would`: func(v *Observation) {
-			v.Budget.MaxZoneCapacityShare = 0.2
+			v.Budget.MaxZoneCapacityFraction = 0.2
 			v.Orders[2].Phase, v.Machines[3].State = PhaseReturned, MachineWarmingUp
 		},
-		"are kept spare": func(v *Observation) { v.Budget.SpareCapacityShare = 0.9 },
+		"are kept spare": func(v *Observation) { v.Budget.SpareCapacityFraction = 0.9 },
 		"12.5 cores are in use": func(v *Observation) {
 			v.Machines[7].UtilizationAgeMS = 5000
-			v.Budget.SpareCapacityShare = 0.6
+			v.Budget.SpareCapacityFraction = 0.6
 			v.Machines[8].UtilizationAgeMS = -1
 		},
 		"3 of the store's 5 voters": func(v *Observation) { v.Budget.SpareVoters = 1; v.Machines[1].State = MachineUnreachable },
@@ -105,7 +105,7 @@
 // TestOvertakingPeriod: one that could go if others did not overtake it is not overtaken for ever.
 func TestOvertakingPeriod(t *testing.T) {
 	v := Observation{Machines: newMachines(30), Orders: newOrders("m3", "m10", "m11"), Budget: DefaultDisruptionBudget(), NowMS: 1}
-	v.Budget.MaxOut, v.Budget.MaxCapacityShare, v.Budget.SpareCapacityShare, v.Budget.MaxOutPerZone = 3, 1, 0, 3
+	v.Budget.MaxOut, v.Budget.MaxCapacityFraction, v.Budget.SpareCapacityFraction, v.Budget.MaxOutPerZone = 3, 1, 0, 3
 	v.Machines[3].ReplicaGroups, v.Machines[4].ReplicaGroups = []string{"r"}, []string{"r"}
 	v.Machines[4].State = MachineUnreachable
 	d := Decide(v)
--- a/internal/maintenance/golden_test.go
+++ b/internal/maintenance/golden_test.go
@@ -43,8 +43,8 @@
 		fmt.Fprintln(&lines, j.Validate())
 	}
 	for _, change := range []func(*DisruptionBudget){
-		func(*DisruptionBudget) {}, func(l *DisruptionBudget) { l.MaxOut = 0 }, func(l *DisruptionBudget) { l.MaxOutPerZone = 0 }, func(l *DisruptionBudget) { l.MaxCapacityShare = 0 }, func(l *DisruptionBudget) { l.MaxZoneCapacityShare = 2 },
-		func(l *DisruptionBudget) { l.SpareCapacityShare = 1 }, func(l *DisruptionBudget) { l.MaxFailures = 0 }, func(l *DisruptionBudget) { l.WarmUpTimeoutMS = 0 }, func(l *DisruptionBudget) { l.AbandonAfterMS = -1 }, func(l *DisruptionBudget) { l.SpareVoters = -1 },
+		func(*DisruptionBudget) {}, func(l *DisruptionBudget) { l.MaxOut = 0 }, func(l *DisruptionBudget) { l.MaxOutPerZone = 0 }, func(l *DisruptionBudget) { l.MaxCapacityFraction = 0 }, func(l *DisruptionBudget) { l.MaxZoneCapacityFraction = 2 },
+		func(l *DisruptionBudget) { l.SpareCapacityFraction = 1 }, func(l *DisruptionBudget) { l.MaxFailures = 0 }, func(l *DisruptionBudget) { l.WarmUpTimeoutMS = 0 }, func(l *DisruptionBudget) { l.AbandonAfterMS = -1 }, func(l *DisruptionBudget) { l.SpareVoters = -1 },
 	} {
 		l := DefaultDisruptionBudget()
 		change(&l)
@@ -61,12 +61,12 @@
 		func(*Observation) {},
 		func(v *Observation) { v.Budget.MaxOut = 1; v.Orders[1].Phase = PhaseOut },
 		func(v *Observation) { v.Budget.MaxOutPerZone = 1; v.Orders[2].Phase = PhaseFailed },
-		func(v *Observation) { v.Budget.MaxCapacityShare = 0.09; v.Orders[1].Phase = PhaseDraining },
+		func(v *Observation) { v.Budget.MaxCapacityFraction = 0.09; v.Orders[1].Phase = PhaseDraining },
 		func(v *Observation) {
-			v.Budget.MaxZoneCapacityShare = 0.2
+			v.Budget.MaxZoneCapacityFraction = 0.2
 			v.Orders[2].Phase, v.Machines[3].State = PhaseReturned, MachineWarmingUp
 		},
-		func(v *Observation) { v.Budget.SpareCapacityShare = 0.9 },
+		func(v *Observation) { v.Budget.SpareCapacityFraction = 0.9 },
 		func(v *Observation) { v.Budget.SpareVoters = 1; v.Machines[1].State = MachineUnreachable },
 		func(v *Observation) {
 			v.Machines[0].ReplicaGroups, v.Machines[1].ReplicaGroups, v.Orders[1].Phase = []string{"r7"}, []string{"r7"}, PhaseOut
@@ -89,7 +89,7 @@
 		},
 	} {
 		v := Observation{Machines: newMachines(12), Orders: newOrders("m0", "m1", "m3"), Budget: DefaultDisruptionBudget()}
-		v.Budget.MaxOut, v.Budget.MaxOutPerZone, v.Budget.MaxCapacityShare, v.Budget.MaxZoneCapacityShare, v.Budget.SpareVoters = 3, 3, 1, 1, 0
+		v.Budget.MaxOut, v.Budget.MaxOutPerZone, v.Budget.MaxCapacityFraction, v.Budget.MaxZoneCapacityFraction, v.Budget.SpareVoters = 3, 3, 1, 1, 0
 		v.Orders[0].Priority = 1
 		change(&v)
 		d := Decide(v)
@@ -112,7 +112,7 @@
 			v.Orders = append(v.Orders, j)
 		}
 		s := Status{Machines: v.Machines, Budget: DefaultDisruptionBudget()}
-		s.Budget.MaxOut, s.Budget.MaxOutPerZone, s.Budget.MaxCapacityShare = 3, 2, 0.3
+		s.Budget.MaxOut, s.Budget.MaxOutPerZone, s.Budget.MaxCapacityFraction = 3, 2, 0.3
 		for _, j := range v.Orders {
 			s.Orders = append(s.Orders, OrderStatus{Order: j})
 		}
--- a/internal/maintenance/plan_place.go
+++ b/internal/maintenance/plan_place.go
@@ -71,7 +71,7 @@
 }
 
 // fitsAt checks the budget at one moment at which a task is out. A single machine may go whatever
-// its share of the capacity is.
+// its fraction of the capacity is.
 func (in PlanInput) fitsAt(schedule []ScheduledTask, t PlanTask, moment time.Duration) bool {
 	out, zoneOut := 1, 1
 	capacityOut, zoneCapacityOut := t.Capacity, t.Capacity
@@ -93,9 +93,9 @@
 	switch {
 	case out > b.MaxOut, zoneOut > b.MaxOutPerZone:
 		return false
-	case out > 1 && capacityOut > b.MaxCapacityShare*in.TotalCapacity:
+	case out > 1 && capacityOut > b.MaxCapacityFraction*in.TotalCapacity:
 		return false
-	case zoneOut > 1 && zoneCapacityOut > b.MaxZoneCapacityShare*in.ZoneCapacity[t.Zone]:
+	case zoneOut > 1 && zoneCapacityOut > b.MaxZoneCapacityFraction*in.ZoneCapacity[t.Zone]:
 		return false
 	}
 	return true
@@ -125,7 +125,7 @@
 	for _, zoneTotal := range zoneTotals {
 		bound = max(bound, time.Duration(zoneTotal/float64(in.Budget.MaxOutPerZone)))
 	}
-	capacityLimit := in.Budget.MaxCapacityShare * in.TotalCapacity
+	capacityLimit := in.Budget.MaxCapacityFraction * in.TotalCapacity
 	if capacityLimit > 0 {
 		largest := 0.0
 		for _, t := range free {
--- a/internal/maintenance/simulation_test.go
+++ b/internal/maintenance/simulation_test.go
@@ -184,7 +184,7 @@
 
 func simulationBudget(n int) DisruptionBudget {
 	l := DefaultDisruptionBudget()
-	l.MaxOut, l.MaxOutPerZone, l.MaxCapacityShare, l.MaxZoneCapacityShare, l.SpareVoters = n/10, n/20, 0.3, 0.4, 1
+	l.MaxOut, l.MaxOutPerZone, l.MaxCapacityFraction, l.MaxZoneCapacityFraction, l.SpareVoters = n/10, n/20, 0.3, 0.4, 1
 	return l
 }
 
@@ -245,7 +245,7 @@
 			s.load = []float64{0.3, 0.64}
 			leave(s)
 			l := simulationBudget(60)
-			l.MaxOut, l.MaxOutPerZone, l.SpareCapacityShare, l.MaxFailures, l.SpareVoters = 1, 1, 0.3, 1000, 0
+			l.MaxOut, l.MaxOutPerZone, l.SpareCapacityFraction, l.MaxFailures, l.SpareVoters = 1, 1, 0.3, 1000, 0
 			s.finish(l)
 			twice := false
 			for _, n := range s.timesOut {
--- a/internal/maintenance/usage.go
+++ b/internal/maintenance/usage.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// utilization returns a machine's share in use. One that is not known, or too old, counts as 1.
+// utilization returns the fraction of a machine's capacity in use. One that is not known, or too old, counts as 1.
 func (u *budgetUsage) utilization(m Machine) float64 {
 	if m.UtilizationAgeMS < 0 || m.UtilizationAgeMS > u.budget.MaxUtilizationAgeMS {
 		return 1
@@ -142,20 +142,20 @@
 }
 
 // capacityShortage checks the capacity that would be out, and what would stay. A single machine may
-// go whatever its share is, or a small fleet would never be maintained, but not the last capacity in
-// service: the text is then that of the share.
+// go whatever its fraction is, or a small fleet would never be maintained, but not the last capacity in
+// service: the text is then that of MaxCapacityFraction.
 func (u *budgetUsage) capacityShortage(m Machine) string {
 	b := u.budget
 	out := u.capacityOut + m.Capacity()
 	zoneOut := u.zoneOut[m.Zone] + m.Capacity()
 	in := u.capacityIn - m.Capacity()
 	switch {
-	case out > b.MaxCapacityShare*u.totalCapacity && u.placesUsed > 0 || in <= 0:
-		return fmt.Sprintf("%.1f of %.1f cores would be out, at most %.0f%%", out, u.totalCapacity, 100*b.MaxCapacityShare)
-	case zoneOut > b.MaxZoneCapacityShare*u.zoneCapacity[m.Zone] && u.zonePlacesUsed[m.Zone] > 0:
-		return fmt.Sprintf("%.1f of %.1f cores of zone %q would be out, at most %.0f%%", zoneOut, u.zoneCapacity[m.Zone], m.Zone, 100*b.MaxZoneCapacityShare)
-	case u.capacityInUse > (1-b.SpareCapacityShare)*in:
-		return fmt.Sprintf("%.1f cores are in use, and %.1f would stay, of which %.0f%% are kept spare", u.capacityInUse, in, 100*b.SpareCapacityShare)
+	case out > b.MaxCapacityFraction*u.totalCapacity && u.placesUsed > 0 || in <= 0:
+		return fmt.Sprintf("%.1f of %.1f cores would be out, at most %.0f%%", out, u.totalCapacity, 100*b.MaxCapacityFraction)
+	case zoneOut > b.MaxZoneCapacityFraction*u.zoneCapacity[m.Zone] && u.zonePlacesUsed[m.Zone] > 0:
+		return fmt.Sprintf("%.1f of %.1f cores of zone %q would be out, at most %.0f%%", zoneOut, u.zoneCapacity[m.Zone], m.Zone, 100*b.MaxZoneCapacityFraction)
+	case u.capacityInUse > (1-b.SpareCapacityFraction)*in:
+		return fmt.Sprintf("%.1f cores are in use, and %.1f would stay, of which %.0f%% are kept spare", u.capacityInUse, in, 100*b.SpareCapacityFraction)
 	}
 	return ""
 }
--- a/tests/work_test.go
+++ b/tests/work_test.go
@@ -81,10 +81,10 @@
 // limits writes those of the yard, changed.
 func (y *yard) limits(t *testing.T, change func(*maintenance.DisruptionBudget)) {
 	l := maintenance.DefaultDisruptionBudget()
-	l.MaxOut, l.MaxOutPerZone, l.MaxCapacityShare, l.MaxZoneCapacityShare, l.SpareCapacityShare = 2, 1, 0.5, 1, 0
+	l.MaxOut, l.MaxOutPerZone, l.MaxCapacityFraction, l.MaxZoneCapacityFraction, l.SpareCapacityFraction = 2, 1, 0.5, 1, 0
 	change(&l)
 	y.Put(0, "config/work", fmt.Sprintf(`{"most":%d,"most_zone":%d,"share":%g,"share_zone":%g,"spare":%g,"over_ms":%d,"warm_ms":%d,"failures":%d}`,
-		l.MaxOut, l.MaxOutPerZone, l.MaxCapacityShare, l.MaxZoneCapacityShare, l.SpareCapacityShare, l.OverrunAllowanceMS, l.WarmUpTimeoutMS, l.MaxFailures))
+		l.MaxOut, l.MaxOutPerZone, l.MaxCapacityFraction, l.MaxZoneCapacityFraction, l.SpareCapacityFraction, l.OverrunAllowanceMS, l.WarmUpTimeoutMS, l.MaxFailures))
 }
 
 func (y *yard) states(t *testing.T) map[string]maintenance.Phase {
