--- a/bench/store/leases.go
+++ b/bench/store/leases.go
@@ -52,6 +52,10 @@
 	handoverName = "killed"
 	// waiterHeadStart is the time in which the next holder has begun to wait.
 	waiterHeadStart = 200 * time.Millisecond
+	// handoverStepMillis and handoverSpreadMillis spread the kills over a second of the
+	// lease: each comes a step later than the one before, modulo the spread.
+	handoverStepMillis   = 137
+	handoverSpreadMillis = 1000
 )
 
 // handovers kills a holder, again and again, and measures until the next one has the
@@ -80,7 +84,8 @@
 	testrig.Await(l.cluster.T, "the holder", func() bool {
 		return l.cluster.GetJSON(0, "/lease/"+handoverName, &struct{}{})
 	})
-	time.Sleep(handoverTTL/2 + time.Duration(n*137%1000)*time.Millisecond)
+	offsetMillis := n * handoverStepMillis % handoverSpreadMillis
+	time.Sleep(handoverTTL/2 + time.Duration(offsetMillis)*time.Millisecond)
 	next := leaseclient.New(l.admins, leaseclient.NewHolderName())
 	granted := make(chan error, 1)
 	go func() {
@@ -103,12 +108,17 @@
 	return elapsed, nil
 }
 
-// contention has contenders acquire and release a lease, one for all or one each.
+// contention measures contenders that acquire and release a lease: one for all of them,
+// or one each.
 func (l *leaseBench) contention() error {
 	for _, c := range []struct {
 		contenders int
 		oneName    bool
-	}{{1, true}, {64, true}, {64, false}} {
+	}{
+		{contenders: 1, oneName: true},
+		{contenders: 64, oneName: true},
+		{contenders: 64, oneName: false},
+	} {
 		if err := l.contend(c.contenders, c.oneName); err != nil {
 			return err
 		}
@@ -119,6 +129,7 @@
 // contentionTTL is well above the time that a lease is held.
 const contentionTTL = 10 * time.Second
 
+// contend measures one number of contenders.
 func (l *leaseBench) contend(contenders int, oneName bool) error {
 	situation := fmt.Sprintf("%02d contenders, a name each", contenders)
 	if oneName {
@@ -133,7 +144,7 @@
 	rate, err := l.load(contenders, 2*l.loadDuration, func(id, _ int) error {
 		name := "contended"
 		if !oneName {
-			name = fmt.Sprint("own/", id)
+			name = fmt.Sprint("contender/", id)
 		}
 		began := time.Now()
 		options := leaseclient.AcquireOptions{Name: name, TTL: contentionTTL, Wait: true}
--- a/internal/storage/durable/checkpoint.go
+++ b/internal/storage/durable/checkpoint.go
@@ -45,8 +45,8 @@
 	return m.store.enterReadOnly(fmt.Errorf("checkpoint: %w", err))
 }
 
-// continueCheckpoint writes about budget bytes, and takes the checkpoint into use
-// when it is complete.
+// continueCheckpoint writes about budget bytes, and has the manifest name the
+// checkpoint when it is complete.
 func (m *maintainer) continueCheckpoint(budget int64) error {
 	s := m.store
 	w := m.checkpoint
--- a/internal/storage/durable/commit.go
+++ b/internal/storage/durable/commit.go
@@ -13,7 +13,7 @@
 type logTail struct {
 	segment     *segment
 	end         position
-	buffer      []byte // of the group that is written
+	buffer      []byte // encoded batches of the group that is written
 	hasUnsynced bool   // something was written since the last sync
 }
 
@@ -28,10 +28,10 @@
 	}
 }
 
-// collectGroup takes what is queued, up to MaxGroupBytes. A function is run in its
-// place, after the batches before it were committed.
+// collectGroup dequeues requests up to MaxGroupBytes. A request to run a function is
+// carried out here, after the batches before it were committed.
 func (s *Store) collectGroup(group []*request, first *request) []*request {
-	bytes := 0
+	groupBytes := 0
 	for r := first; r != nil; r = s.nextQueued() {
 		if r.run != nil {
 			s.commitGroup(group)
@@ -40,8 +40,8 @@
 			continue
 		}
 		group = append(group, r)
-		bytes += r.batch.Bytes()
-		if bytes >= s.options.MaxGroupBytes {
+		groupBytes += r.batch.Bytes()
+		if groupBytes >= s.options.MaxGroupBytes {
 			break
 		}
 	}
--- a/internal/storage/durable/manifest.go
+++ b/internal/storage/durable/manifest.go
@@ -10,12 +10,13 @@
 const (
 	// manifestLen is the length of the manifest in bytes.
 	manifestLen = 128
-	// retainedCheckpoints is how many checkpoints are kept, oldest first in the
-	// manifest: if the newest can't be read, the log behind the other one still can.
+	// retainedCheckpoints is how many checkpoints the manifest names, oldest first. If
+	// the newest can't be read, recovery loads the other one and replays more of the log.
 	retainedCheckpoints = 2
-	newestCheckpoint    = retainedCheckpoints - 1
-	// manifestNumber stands in the manifest's checksum for the number that other files
-	// have.
+	// newestCheckpoint is the index of the newest one in manifest.checkpoints.
+	newestCheckpoint = retainedCheckpoints - 1
+	// manifestNumber is the manifest's file number in the salt of its checksum; segments
+	// and checkpoints are numbered from 1.
 	manifestNumber = 0
 )
 
--- a/internal/storage/durable/model_test.go
+++ b/internal/storage/durable/model_test.go
@@ -94,9 +94,9 @@
 	})
 }
 
-// FuzzFrame: nothing that a log may hold makes recovery panic, take what no writer
+// FuzzBatch: nothing that a log may hold makes recovery panic, accept what no writer
 // wrote, or read on after it.
-func FuzzFrame(f *testing.F) {
+func FuzzBatch(f *testing.F) {
 	var b Batch
 	b.Put([]byte("key"), []byte("value"), 7)
 	b.Delete([]byte("other"))
--- a/internal/storage/durable/write.go
+++ b/internal/storage/durable/write.go
@@ -16,8 +16,8 @@
 type request struct {
 	batch        *Batch
 	level        Level
-	maintenance  bool         // of the store itself: may use all space, as plan.Limits.Admits says
-	run          func() error // in place of a batch
+	maintenance  bool         // of the store itself: written without plan.Limits.Admits
+	run          func() error // to run in place of writing a batch; nil for a batch
 	done         func(seq uint64, err error)
 	header       batchHeader // as it was written
 	bufferOffset int         // of the batch, in the group's buffer
--- a/internal/testrig/resource.go
+++ b/internal/testrig/resource.go
@@ -26,11 +26,11 @@
 // that it has received, and rejects lower ones, also of actions during which a higher
 // one arrived.
 type Resource struct {
-	URL            string
+	URL            string // of the server, without /act
 	ActionDuration time.Duration
 
-	server   *httptest.Server
-	unfenced bool
+	server *httptest.Server
+	fenced bool // rejects stale tokens
 
 	mu       sync.Mutex
 	highest  uint64 // token that was received
@@ -40,7 +40,7 @@
 
 // NewResource starts a resource; one without a fence accepts any token.
 func NewResource(t T, fenced bool) *Resource {
-	r := &Resource{ActionDuration: defaultActionDuration, unfenced: !fenced}
+	r := &Resource{ActionDuration: defaultActionDuration, fenced: fenced}
 	r.server = httptest.NewServer(r)
 	t.Cleanup(r.server.Close)
 	r.URL = r.server.URL
@@ -52,13 +52,13 @@
 	token, err := strconv.ParseUint(q.URL.Query().Get("token"), 10, 64)
 	action := Action{Holder: q.URL.Query().Get("holder"), Token: token, Begin: time.Now()}
 	if err != nil || !r.admit(token) {
-		http.Error(w, "a higher token was here", http.StatusPreconditionFailed)
+		http.Error(w, "a higher token was received before", http.StatusPreconditionFailed)
 		return
 	}
 	time.Sleep(r.ActionDuration)
 	action.End = time.Now()
 	if !r.commit(action) {
-		http.Error(w, "a higher token came meanwhile", http.StatusPreconditionFailed)
+		http.Error(w, "a higher token was received meanwhile", http.StatusPreconditionFailed)
 	}
 }
 
@@ -86,7 +86,7 @@
 
 // rejectStale reports whether the fence rejects a token, and counts it. The lock is held.
 func (r *Resource) rejectStale(token uint64) bool {
-	if r.unfenced || token >= r.highest {
+	if !r.fenced || token >= r.highest {
 		return false
 	}
 	r.rejected++
