--- a/internal/cluster/diskidentity/verdict.go
+++ b/internal/cluster/diskidentity/verdict.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Attestation is what a node reports of its own disk, and of the disk of the node that asks.
+// Attestation is what a node reports of its disk, and of the disk of the node that asks.
 type Attestation struct {
 	ID               string     `json:"id"`
 	Cluster          string     `json:"cluster,omitempty"`
@@ -19,7 +19,7 @@
 	LastObserved     *Watermark `json:"seen,omitempty"`    // of the asker's disk; nil if it never was
 }
 
-// LocalDisk is what a node knows of its own disk when it starts.
+// LocalDisk is what a node knows of its disk when it starts.
 type LocalDisk struct {
 	ID            string
 	Cluster       string // "" if it is not known for sure
--- a/internal/cluster/membership/step.go
+++ b/internal/cluster/membership/step.go
@@ -60,7 +60,7 @@
 }
 
 // promoteMissing gives a learner the vote that is missing. It comes before another voter loses
-// its own (losesVote), so that no copy is given up before there is another. One more healthy voter never costs
+// its own (losesVote), so that the number of voters does not fall below the wanted one meanwhile. One more healthy voter never costs
 // the majority, as that grows by one at most.
 func (p Policy) promoteMissing(v View, c voterCounts) Step {
 	if c.staying >= p.Voters {
--- a/internal/cluster/raftstorage/doc.go
+++ b/internal/cluster/raftstorage/doc.go
@@ -1,5 +1,5 @@
-// Package raftstorage keeps what a Raft node must not forget in one durable store: the log, the
-// stable keys (term and vote), the snapshots, and values of the node's own.
+// Package raftstorage stores what a Raft node must not forget in one durable store: the log, the
+// stable keys (term and vote), the snapshots, and values of the node itself.
 //
 // Storage implements raft.LogStore, raft.StableStore and raft.SnapshotStore; all its methods may be
 // called from any goroutine. FailStopStorage is a Storage as Raft is given it.
--- a/internal/cluster/raftstorage/local.go
+++ b/internal/cluster/raftstorage/local.go
@@ -8,10 +8,10 @@
 
 func localKey(key string) []byte { return []byte(prefixLocal + key) }
 
-// PutLocal writes a value of the node's own, of which Raft knows nothing, synced.
+// PutLocal writes and syncs a value of the node, which is not Raft's.
 func (s *Storage) PutLocal(key string, value []byte) error { return s.store.Put(localKey(key), value) }
 
-// PutLocalUnsynced writes a value of the node's own that need not survive a loss of power.
+// PutLocalUnsynced writes a value of the node that need not survive a loss of power.
 func (s *Storage) PutLocalUnsynced(key string, value []byte) error {
 	var b durable.Batch
 	b.Put(localKey(key), value, 0)
@@ -19,7 +19,7 @@
 	return err
 }
 
-// GetLocal reads a value of the node's own; nil if it was never written.
+// GetLocal reads a value of the node; nil if it was never written.
 func (s *Storage) GetLocal(key string) ([]byte, error) {
 	v, err := s.store.Get(localKey(key), 0)
 	if errors.Is(err, durable.ErrNotFound) {
--- a/internal/cluster/singleton/sessions.go
+++ b/internal/cluster/singleton/sessions.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// expireSessions commits empty requests, whose time moves the log's time on while nobody writes. Idle
+// expireSessions commits empty requests, whose time moves the log's time on while there is no other write. Idle
 // sessions end by it.
 func expireSessions(ctx context.Context, s *store.Store, fence lease.FencingToken) error {
 	ticker := time.NewTicker(sessionExpiryInterval)
--- a/internal/cluster/store/apply.go
+++ b/internal/cluster/store/apply.go
@@ -9,7 +9,7 @@
 	"oxbowbridge/internal/cluster/watch"
 )
 
-// applyResult is what Apply returns to whoever proposed the entry.
+// applyResult is what Apply returns to the goroutine that proposed the entry.
 type applyResult struct {
 	answer kv.Response
 	err    error
--- a/internal/cluster/store/backup_restore.go
+++ b/internal/cluster/store/backup_restore.go
@@ -15,7 +15,7 @@
 const (
 	maxRestoreOps   = kv.MaxOps / 2 // keys that one log entry restores
 	maxRestoreBytes = 256 << 10     // of their values
-	// restoredKey tells which backup the store began with, as a storeapi.RestoreResponse.
+	// restoredKey has which backup the store began with, as a storeapi.RestoreResponse.
 	restoredKey = kv.ReservedPrefix + "restored"
 )
 
@@ -73,7 +73,7 @@
 func (r *restoreRun) write(ctx context.Context, entries []backup.Entry) error {
 	for _, e := range entries {
 		if !kv.IsUserKey(e.Key) {
-			continue // what the old services said of themselves
+			continue // state that the old cluster's services published
 		}
 		r.batch = append(r.batch, kv.Put(e.Key, e.Value))
 		r.bytes += len(e.Value)
--- a/internal/cluster/store/last_good.go
+++ b/internal/cluster/store/last_good.go
@@ -11,7 +11,7 @@
 	Value    json.RawMessage `json:"value"`
 }
 
-// SaveLastGood keeps the good version of a key on this node's own disk, for a start at which no
+// SaveLastGood stores the good version of a key on this node's disk, for a start at which no
 // majority can be reached.
 func (s *Store) SaveLastGood(key string, good GoodVersion) error {
 	inc, err := s.running()
--- a/internal/cluster/store/majority_loss_report.go
+++ b/internal/cluster/store/majority_loss_report.go
@@ -95,15 +95,15 @@
 
 // compare notes how far the other members were, and what they had besides.
 func (r *RecoveryReport) compare(observed watermarks) {
-	own := r.Watermark
+	local := r.Watermark
 	for id, mark := range observed {
 		if !slices.Contains(r.Members, id) {
 			continue
 		}
 		r.LastObserved[id] = mark
-		if mark.CompareLog(own) > 0 {
+		if mark.CompareLog(local) > 0 {
 			r.Missing = append(r.Missing, fmt.Sprintf("%s had entries up to %d of term %d, this node up to %d of term %d",
-				id, mark.LastIndex, mark.LastTerm, own.LastIndex, own.LastTerm))
+				id, mark.LastIndex, mark.LastTerm, local.LastIndex, local.LastTerm))
 		}
 	}
 	slices.Sort(r.Missing)
--- a/internal/cluster/store/member_state.go
+++ b/internal/cluster/store/member_state.go
@@ -11,7 +11,7 @@
 type memberState int
 
 const (
-	memberLost    memberState = iota // its disk is gone: the node has another one
+	memberLost    memberState = iota // its disk is lost: the node has another one
 	memberLeaving                    // it is to be removed
 	memberLeader
 	memberUp
--- a/internal/cluster/store/mirror.go
+++ b/internal/cluster/store/mirror.go
@@ -53,7 +53,7 @@
 	m.writtenIndex = index
 }
 
-// noteResult keeps the result of an attempt, and returns the one before.
+// noteResult stores the result of an attempt, and returns the one before.
 func (m *sqlMirror) noteResult(err error) (previous error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/cluster/store/peer_transport.go
+++ b/internal/cluster/store/peer_transport.go
@@ -18,8 +18,8 @@
 	acceptRetryInterval = 10 * time.Millisecond
 )
 
-// peerTransport is Raft's network. Whoever connects names itself, the member that it means and its
-// cluster: a node whose disk is another one, or of another cluster, is not taken for the member.
+// peerTransport is Raft's network. The node that connects names itself, the member that it connects to
+// and its cluster; a node with another disk, or of another cluster, rejects the connection.
 type peerTransport struct {
 	listener       net.Listener
 	memberID       string
--- a/internal/cluster/store/peers.go
+++ b/internal/cluster/store/peers.go
@@ -28,8 +28,8 @@
 )
 
 // peers polls the other nodes for what they are. The leader decides on members by the reports;
-// every node keeps how far it has observed the others' disks; and a node that starts learns
-// whether its own disk is behind.
+// every node records how far it has observed the others' disks; and a node that starts learns
+// whether its disk is behind.
 type peers struct {
 	store   *Store
 	client  *storeclient.Client
@@ -168,7 +168,7 @@
 	return report
 }
 
-// record keeps a report. One that was requested under another member ID of this node is dropped.
+// record stores a report. One that was requested under another member ID of this node is dropped.
 func (p *peers) record(name, asker string, fetched fetchedReport) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/cluster/store/read_index.go
+++ b/internal/cluster/store/read_index.go
@@ -12,7 +12,7 @@
 	"oxbowbridge/internal/cluster/storeapi"
 )
 
-// readIndexResult says that the cluster had committed no more than index at a time.
+// readIndexResult is an answer: at the time at, the cluster had committed no entry above index.
 type readIndexResult struct {
 	index uint64
 	at    time.Time
--- a/internal/cluster/store/status.go
+++ b/internal/cluster/store/status.go
@@ -7,7 +7,7 @@
 	"oxbowbridge/internal/cluster/storeapi"
 )
 
-// Status is what the node tells operators of itself.
+// Status is the node's answer to GET /status.
 func (s *Store) Status() storeapi.Status {
 	st := storeapi.Status{Node: s.self.Name, Cluster: s.identity.get(), ForeignPeers: s.identity.foreignNames(), ID: s.memberID()}
 	inc := s.current.Load()
@@ -34,7 +34,7 @@
 	return st
 }
 
-// PeerStatus is what the node tells a peer, whose member ID is asker: its own state, and what it has
+// PeerStatus is the node's report to a peer, whose member ID is asker: its own state, and what it has
 // observed of the asker's disk. It is ErrNotServing until the node knows its own disk.
 func (s *Store) PeerStatus(asker string) (storeapi.PeerStatus, error) {
 	f := s.disk.Load()
