--- a/internal/cluster/membership/step.go
+++ b/internal/cluster/membership/step.go
@@ -59,9 +59,9 @@
 	return Step{}
 }
 
-// promoteMissing gives a learner the vote that is missing. It comes before another voter loses
-// its own (losesVote), so that the number of voters does not fall below the wanted one meanwhile. One more healthy voter never costs
-// the majority, as that grows by one at most.
+// promoteMissing gives a learner the vote that is missing. It comes before the demotion of a voter that
+// is to lose its vote (losesVote), so that the replacement votes first. One more healthy voter never
+// costs the majority, as that grows by one at most.
 func (p Policy) promoteMissing(v View, c voterCounts) Step {
 	if c.staying >= p.Voters {
 		return Step{}
