--- a/cmd/oxbowbridge/store_members.go
+++ b/cmd/oxbowbridge/store_members.go
@@ -51,7 +51,8 @@
 	add("remove NAME", "Take a node's vote and its place, and don't let it in again", cobra.ExactArgs(1), changeMember(http.MethodDelete, "is to leave"))
 	add("promote NAME", "Have a node have a vote rather than one that nobody asked for", cobra.ExactArgs(1), changeMember(http.MethodPost, "is to have a vote"))
 	var cluster string
-	recoverCommand := add("recover CONFIG", "Of a stopped node, with the others lost for good: show what it has, and with --cluster make a cluster of one of it",
+	recoverCommand := add("recover CONFIG",
+		"Of a stopped node, with the others lost for good: show what it has, and with --cluster make a cluster of one of it",
 		cobra.ExactArgs(1), func(c *cobra.Command, _ *storeclient.Client, args []string) error {
 			return s.recover(c, args[0], cluster)
 		})
--- a/internal/cluster/store/ack_transport.go
+++ b/internal/cluster/store/ack_transport.go
@@ -49,7 +49,12 @@
 }
 
 // AppendEntries sends entries or a heartbeat, and records the answer.
-func (t *ackTransport) AppendEntries(id raft.ServerID, addr raft.ServerAddress, request *raft.AppendEntriesRequest, response *raft.AppendEntriesResponse) error {
+func (t *ackTransport) AppendEntries(
+	id raft.ServerID,
+	addr raft.ServerAddress,
+	request *raft.AppendEntriesRequest,
+	response *raft.AppendEntriesResponse,
+) error {
 	if err := t.checkTerm(request.Term); err != nil {
 		return err
 	}
--- a/internal/maintenance/controller/orders.go
+++ b/internal/maintenance/controller/orders.go
@@ -84,7 +84,12 @@
 
 // changeOrder changes a machine's order; old is nil if there is none. The error is ErrConflict if it
 // was changed meanwhile.
-func (c *Controller) changeOrder(ctx context.Context, machine string, change func(old *maintenance.Order) (orderChange, error), fences ...lease.FencingToken) error {
+func (c *Controller) changeOrder(
+	ctx context.Context,
+	machine string,
+	change func(old *maintenance.Order) (orderChange, error),
+	fences ...lease.FencingToken,
+) error {
 	if _, err := c.store.WaitFresh(ctx, store.Freshness{}); err != nil {
 		return err
 	}
