--- a/admission/admit.go
+++ b/admission/admit.go
@@ -19,7 +19,7 @@
 // admitted too, as that frees its core.
 func (c *Controller) decide(r *request) {
 	if r.duplicateOf != 0 {
-		c.answerDuplicate(r)
+		c.decideDuplicate(r)
 		return
 	}
 	free := c.freeMemory()
--- a/admission/answers.go
+++ b/admission/answers.go
@@ -5,18 +5,20 @@
 // Answers: every request gets one answer by its deadline. One that never ran may
 // be rejected; one that ran, or may have, can only fail.
 
-// answerLeadIntervals is how long before its deadline a request is answered, in
+// deadlineLeadIntervals is how long before its deadline a request is answered, in
 // multiples of MinInterval: the timer may be late by one.
-const answerLeadIntervals = 2
+const deadlineLeadIntervals = 2
 
-// answerLead is how long before its deadline a request is answered.
-func (c *Controller) answerLead() time.Duration { return answerLeadIntervals * c.settings.MinInterval }
+// deadlineLead is how long before its deadline a request is answered.
+func (c *Controller) deadlineLead() time.Duration {
+	return deadlineLeadIntervals * c.settings.MinInterval
+}
 
 // expiry is the clock time at which a request is answered, whatever its phase. A
 // queued one is answered when half of a mean run no longer fits before its
 // objective.
 func (c *Controller) expiry(r *request) time.Duration {
-	expiry := r.deadline - c.answerLead()
+	expiry := r.deadline - c.deadlineLead()
 	if r.phase == phaseQueued {
 		halfRun := time.Duration(c.runTimes.meanSeconds[r.class] / 2 * float64(time.Second))
 		expiry = min(expiry, r.objective-halfRun)
@@ -27,7 +29,7 @@
 // answerExpired answers the requests that have reached their expiry.
 func (c *Controller) answerExpired() {
 	for _, r := range c.requests {
-		if r.answered || r.phase == phaseFinished || r.phase == phaseUndecided {
+		if r.settled || r.phase == phaseFinished || r.phase == phaseUndecided {
 			continue
 		}
 		if c.now >= c.expiry(r) {
@@ -50,7 +52,7 @@
 func (c *Controller) reject(r *request) {
 	c.countRejection()
 	c.evictUnrunKey(r)
-	r.answered = true
+	r.settled = true
 	doNotRetry := !c.draining && c.retriesFutile()
 	c.emit(Reject{ID: r.id, RetryAfter: c.retryAfter(r.class), DoNotRetry: doNotRetry})
 	c.advance(r, stepFinish)
@@ -59,7 +61,7 @@
 // fail answers a request that ran, or may have. One at a call stays until Completed
 // reports the end of its run.
 func (c *Controller) fail(r *request) {
-	r.answered = true
+	r.settled = true
 	c.emit(Fail{r.id})
 	switch r.phase {
 	case phaseRunning:
@@ -80,7 +82,7 @@
 	if !r.ran {
 		c.withdraw(r)
 	}
-	r.answered = true
+	r.settled = true
 	switch r.phase {
 	case phaseRunning:
 		c.stopRun(r)
@@ -105,14 +107,14 @@
 		c.withdraw(r)
 	}
 	c.learnFrom(r, e)
-	r.answered = true
+	r.settled = true
 	c.advance(r, stepFinish)
 }
 
 // confirmsPreemption reports whether the event says that Preempt took effect on a
 // request that still needs an answer: it is paused then, not over.
 func confirmsPreemption(r *request, e Completed) bool {
-	return r.preempted && e.Outcome == OutcomeCanceled && !r.answered
+	return r.preempted && e.Outcome == OutcomeCanceled && !r.settled
 }
 
 // learnFrom updates the estimates of run times, success and calls at the end of a run.
@@ -127,6 +129,6 @@
 		c.calls.abandon(c.now)
 	}
 	if r.phase != phaseAwaitingResult && e.Outcome != OutcomeNotStarted {
-		c.runTimes.observeSuccess(r.class, e.Outcome == OutcomeOK && !r.answered)
+		c.runTimes.observeSuccess(r.class, e.Outcome == OutcomeOK && !r.settled)
 	}
 }
--- a/admission/arrival.go
+++ b/admission/arrival.go
@@ -28,7 +28,7 @@
 	if c.draining {
 		r.deadline = min(r.deadline, c.lastAnswerTime())
 	}
-	smooth(&c.readDelay, math.Min(1, float64(e.Age)/float64(class.LatencyObjective)))
+	smooth(&c.readDelayFraction, math.Min(1, float64(e.Age)/float64(class.LatencyObjective)))
 	c.observeArrival(e.Retry)
 	c.requests = append(c.requests, r)
 	c.byID[r.id] = r
@@ -60,7 +60,7 @@
 // could not be started. It guards the policy against callers that send requests by
 // the hundred and cancel them.
 func (c *Controller) withdraw(r *request) {
-	if r.duplicateOf != 0 || r.answered {
+	if r.duplicateOf != 0 || r.settled {
 		return
 	}
 	c.recentArrivals[0]--
--- a/admission/calls.go
+++ b/admission/calls.go
@@ -15,7 +15,8 @@
 	// slowCallFraction, of the objective, is how long a call takes that shows an
 	// overloaded dependency.
 	slowCallFraction = 0.1
-	// callLimitDecrease is how many calls in flight are given up for each slow or rejected call.
+	// callLimitDecrease is by how many calls the limit falls for each slow or rejected
+	// call: four of them take one call away.
 	callLimitDecrease = 0.25
 	// minCallTime is the shortest timeout with which a call is made.
 	minCallTime = 20 * time.Millisecond
@@ -73,8 +74,9 @@
 }
 
 // observe moves the limit: the quota is a ceiling, not a target. A call that is
-// rejected or slow lowers it; others raise it by one for each limit of calls. A
-// call that did not reach the dependency says nothing.
+// rejected or slow lowers it; each other call raises it by 1/limit, by one call for as
+// many calls as the limit (additive increase). A call that did not reach the dependency
+// changes nothing.
 func (l *callLimiter) observe(outcome Outcome, seconds, slowSeconds float64) {
 	if outcome == OutcomeResourceExhausted || seconds > slowSeconds {
 		l.limit = math.Max(1, l.limit-callLimitDecrease)
@@ -87,7 +89,7 @@
 // beyond it are skipped where a degraded answer earns something, and wait otherwise.
 func (c *Controller) startCalls() {
 	for _, r := range c.requests {
-		if !stepStartCall.allows(r.phase) || r.answered {
+		if !stepStartCall.allows(r.phase) || r.settled {
 			continue
 		}
 		if !c.mayCall() {
@@ -116,7 +118,7 @@
 // callDeadline is the clock time at which a call that starts now is abandoned:
 // answerLead before its request's deadline, for the answer.
 func (c *Controller) callDeadline(r *request) time.Duration {
-	deadline := r.deadline - c.answerLead()
+	deadline := r.deadline - c.deadlineLead()
 	if c.settings.Dependency == DependencyShared && c.calls.quota < 1 {
 		deadline = min(deadline, c.now+c.calls.maxCallTime())
 	}
@@ -158,7 +160,7 @@
 	if e.Outcome == OutcomeDeadlineExceeded || e.Outcome == OutcomeAborted {
 		c.calls.abandon(c.now)
 	}
-	if !r.answered && !c.degrade(r) {
+	if !r.settled && !c.degrade(r) {
 		c.fail(r)
 	}
 }
--- a/admission/concurrency.go
+++ b/admission/concurrency.go
@@ -71,7 +71,7 @@
 	cores := c.settings.Cores
 	free := int(float64(cores) - g.RunQueue - callCoreWeight*float64(c.phaseCounts[phaseInCall]))
 	switch {
-	case c.readDelay > maxReadDelay:
+	case c.readDelayFraction > maxReadDelay:
 		floor := max(1, cores/starvedCoresDivisor)
 		c.concurrencyLimit = max(floor, c.concurrencyLimit-1)
 	case c.concurrencyLimit < cores:
--- a/admission/concurrency_test.go
+++ b/admission/concurrency_test.go
@@ -28,7 +28,7 @@
 	if r.controller.concurrencyLimit != 2 {
 		t.Errorf("c %d while requests wait to be read, want a third of the cores", r.controller.concurrencyLimit)
 	}
-	r.controller.readDelay = 0
+	r.controller.readDelayFraction = 0
 	for i := 0; i < 8; i++ {
 		r.at(gaugeInterval, TimerFired{TimerID: r.controller.timerID, Gauges: Gauges{CPUUtilization: 1, RunQueue: 12}})
 	}
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -28,10 +28,10 @@
 	classWeights   []float64 // R(i) of the policy, by class
 	lastLogged     string    // text of the latest LogMessage
 
-	concurrencyLimit int     // c
-	limitReached     bool    // a request found c reached since the last gauge tick
-	readDelay        float64 // fraction of its objective that a request waits to be read, lately
-	calls            callLimiter
+	concurrencyLimit  int     // c
+	limitReached      bool    // a request found c reached since the last gauge tick
+	readDelayFraction float64 // fraction of its objective that a request waits to be read, lately
+	calls             callLimiter
 
 	rejectedFraction float64 // of the requests read lately
 	retryFraction    float64 // of the requests read lately, marked as retries
--- a/admission/duplicates.go
+++ b/admission/duplicates.go
@@ -20,12 +20,12 @@
 	until time.Duration // clock time
 }
 
-// answerDuplicate answers a request that repeats a stored one, its original. An
+// decideDuplicate answers a request that repeats a stored one, its original. An
 // original of the same batch is decided first. The duplicate is rejected if the
 // original ended without a run in this batch, and fails if memory has run out or
 // its own time has. Otherwise it shares the result, also of an original that the
 // controller has forgotten: the server still has the result of that one's key.
-func (c *Controller) answerDuplicate(r *request) {
+func (c *Controller) decideDuplicate(r *request) {
 	original := c.byID[r.duplicateOf]
 	if original != nil && original.phase == phaseUndecided {
 		c.decide(original)
--- a/admission/health.go
+++ b/admission/health.go
@@ -16,7 +16,7 @@
 // is starved turns unhealthy is above the one at which it turns healthy again, so that
 // the answer does not flap.
 func (c *Controller) updateHealth() {
-	starved := c.readDelay > unhealthyReadDelay || !c.healthy && c.readDelay > maxReadDelay
+	starved := c.readDelayFraction > unhealthyReadDelay || !c.healthy && c.readDelayFraction > maxReadDelay
 	healthy := !c.draining && c.runTimes.missedRuns() < unhealthyAfterMissedRuns && !starved
 	if healthy != c.healthy {
 		c.healthy = healthy
--- a/admission/preempt.go
+++ b/admission/preempt.go
@@ -14,7 +14,7 @@
 		return false
 	}
 	for _, r := range c.requests {
-		if r.phase == phaseRunning && !r.answered && !r.preempted &&
+		if r.phase == phaseRunning && !r.settled && !r.preempted &&
 			c.runningFor(r).Seconds() > preemptAfterMeanRuns*c.runTimes.meanSeconds[r.class] {
 			r.preempted = true
 			c.emit(Preempt{r.id})
--- a/admission/request.go
+++ b/admission/request.go
@@ -97,7 +97,7 @@
 	ran       bool // was started
 	preempted bool // Preempt was sent and is not yet confirmed, or it is paused
 	keyStored bool
-	answered  bool // or canceled by its caller
+	settled   bool // answered, or canceled by its caller
 
 	coreTime     time.Duration // on the cores, before onCoresSince
 	onCoresSince time.Duration // clock time; of a running request
--- a/admission/runtimes.go
+++ b/admission/runtimes.go
@@ -62,9 +62,9 @@
 
 // observeSuccess notes whether a run answered its client. A class whose calls
 // fail must not crowd out the others.
-func (t *runTimes) observeSuccess(class int, answered bool) {
+func (t *runTimes) observeSuccess(class int, servedCaller bool) {
 	success := minSuccessFraction
-	if answered {
+	if servedCaller {
 		success = 1
 	}
 	smooth(&t.success[class], success)
--- a/admission/timers.go
+++ b/admission/timers.go
@@ -33,7 +33,7 @@
 	c.updateAdvert()
 	c.updateIdleTimeout()
 	if c.recentArrivals[0] == 0 {
-		c.readDelay *= 1 - requestSmoothing // decays without arrivals, so that health recovers
+		c.readDelayFraction *= 1 - requestSmoothing // decays without arrivals, so that health recovers
 	}
 	c.recentArrivals.nextTick()
 }
@@ -43,7 +43,7 @@
 func (c *Controller) armTimer() {
 	next := c.nextGaugeAt
 	for _, r := range c.requests {
-		if !r.answered {
+		if !r.settled {
 			next = min(next, c.expiry(r))
 		}
 	}
--- a/cmd/oxbowbridge/serve.go
+++ b/cmd/oxbowbridge/serve.go
@@ -48,16 +48,16 @@
 		return err
 	}
 	node.publishState(stateOpen)
-	machine := openMaintenanceAgent(notice, cfg, node, s, log)
+	agent := openMaintenanceAgent(notice, cfg, node, s, log)
 	var current atomic.Pointer[config]
 	current.Store(cfg)
 	// Neither waits for the other: a file that takes long to read must not delay the drain,
 	// and a reload counts also while the service drains, as requests in flight may need the
 	// new addresses.
 	go reloadOnHangup(s, hangup, &current, env)
-	go drainOnNotice(notice, s, machine, node, &current)
+	go drainOnNotice(notice, s, agent, node, &current)
 	s.dispatcher.Run()
-	return machine.finish(notice)
+	return agent.finish(notice)
 }
 
 // handleSignals takes over all signals, from the start of the process to its end: a SIGHUP
--- a/internal/cluster/store/backup_restore.go
+++ b/internal/cluster/store/backup_restore.go
@@ -28,7 +28,7 @@
 	if _, err := s.WaitFresh(ctx, Freshness{}); err != nil {
 		return storeapi.RestoreResponse{}, err
 	}
-	clusterID := s.identity.get()
+	clusterID := s.clusterID.get()
 	switch clusterID {
 	case "":
 		return storeapi.RestoreResponse{}, errNoClusterID
--- a/internal/cluster/store/cluster_id.go
+++ b/internal/cluster/store/cluster_id.go
@@ -22,35 +22,35 @@
 	clusterIDBytes        = 16 // before they are written in hexadecimal
 )
 
-// clusterIdentity is which cluster this node belongs to, and which peers belong to another one. A
+// learnedClusterID is which cluster this node belongs to, and which peers belong to another one. A
 // new node belongs to none until it has the key from the others, and to that one for good.
-type clusterIdentity struct {
+type learnedClusterID struct {
 	mu           sync.Mutex
 	id           string
 	foreignPeers map[string]string // their cluster IDs, by name
 }
 
-func (c *clusterIdentity) get() string {
+func (c *learnedClusterID) get() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.id
 }
 
-func (c *clusterIdentity) set(id string) {
+func (c *learnedClusterID) set(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.id = id
 }
 
 // foreignNames are the peers of other clusters, separated by spaces.
-func (c *clusterIdentity) foreignNames() string {
+func (c *learnedClusterID) foreignNames() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return strings.Join(slices.Sorted(maps.Keys(c.foreignPeers)), " ")
 }
 
 // addForeign notes a peer of another cluster, and logs it once.
-func (c *clusterIdentity) addForeign(name, clusterID string, log *zap.Logger) {
+func (c *learnedClusterID) addForeign(name, clusterID string, log *zap.Logger) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.foreignPeers[name] != clusterID {
@@ -62,19 +62,19 @@
 	c.foreignPeers[name] = clusterID
 }
 
-func (c *clusterIdentity) removeForeign(name string) {
+func (c *learnedClusterID) removeForeign(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.foreignPeers, name)
 }
 
 // ClusterID is the cluster's ID, or "" while it is not known.
-func (s *Store) ClusterID() string { return s.identity.get() }
+func (s *Store) ClusterID() string { return s.clusterID.get() }
 
 // maintainClusterID learns the cluster's ID, or as the leader of a new cluster gives it one, and
 // saves it beside the log.
 func (s *Store) maintainClusterID(ctx context.Context, inc *incarnation) {
-	for s.identity.get() == "" && ctx.Err() == nil {
+	for s.clusterID.get() == "" && ctx.Err() == nil {
 		if err := s.learnClusterID(ctx, inc); err != nil && ctx.Err() == nil {
 			s.log.Debug("cluster id not known yet", zap.Error(err))
 		}
@@ -100,7 +100,7 @@
 	if err := inc.storage.PutLocal(kv.ClusterKey, []byte(id)); err != nil {
 		return fmt.Errorf("keep cluster id: %w", err)
 	}
-	s.identity.set(id)
+	s.clusterID.set(id)
 	s.log.Info("cluster id", zap.String("cluster", id))
 	return nil
 }
--- a/internal/cluster/store/disk_state.go
+++ b/internal/cluster/store/disk_state.go
@@ -47,7 +47,7 @@
 	}
 	local := diskidentity.LocalDisk{
 		ID:        diskidentity.MemberID(s.self.Name, diskID),
-		Cluster:   s.identity.get(),
+		Cluster:   s.clusterID.get(),
 		Attesters: s.cfg.Attesters,
 	}
 	if local.Watermark, err = storage.Watermark(); err != nil {
@@ -110,9 +110,9 @@
 	return starts, nil
 }
 
-// renewIdentity gives a disk a new identity: votes and acknowledgments under the old one do not count
+// renewDiskID gives a disk a new identity: votes and acknowledgments under the old one do not count
 // for it. The log stays, as most of it need not be sent again.
-func renewIdentity(storage *raftstorage.Storage, name string) (memberID string, err error) {
+func renewDiskID(storage *raftstorage.Storage, name string) (memberID string, err error) {
 	diskID, err := newDiskID(storage)
 	if err == nil {
 		err = storage.PutLocal(localReplacement, []byte("1"))
--- a/internal/cluster/store/incarnation.go
+++ b/internal/cluster/store/incarnation.go
@@ -51,7 +51,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s.identity.set(id)
+	s.clusterID.set(id)
 	f, err := s.readDiskState(storage)
 	if err != nil {
 		return nil, err
--- a/internal/cluster/store/lease_requests.go
+++ b/internal/cluster/store/lease_requests.go
@@ -29,7 +29,7 @@
 		return lease.Lease{}, err
 	}
 	receivedAt := s.leases.now()
-	deadlines, err := s.confirmLeadership(ctx)
+	deadlines, err := s.confirmedDeadlines(ctx)
 	if err != nil {
 		return lease.Lease{}, err
 	}
@@ -47,7 +47,7 @@
 	refresh := time.NewTicker(waiterRefreshInterval)
 	defer refresh.Stop()
 	for {
-		granted := s.leases.awaitGrant(request.Name, request.Holder) // before the lease is looked at
+		granted := s.leases.grantSignal(request.Name, request.Holder) // before the lease is looked at
 		l, err := s.tryAcquire(deadlines, request, receivedAt)
 		if !errors.Is(err, lease.ErrHeld) {
 			return l, err
@@ -105,7 +105,7 @@
 // returns ErrNoLeader on any node but the leader.
 func (s *Store) RenewLeases(ctx context.Context, list []lease.FencingToken) (renewed map[string]lease.Lease, lost []string, err error) {
 	receivedAt := s.leases.now()
-	deadlines, err := s.confirmLeadership(ctx)
+	deadlines, err := s.confirmedDeadlines(ctx)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -143,7 +143,7 @@
 // Leases are the held ones, all of them or the one that is named, and how long each goes on without
 // a keep-alive. It returns ErrNoLeader on any node but the leader.
 func (s *Store) Leases(ctx context.Context, only string) (all map[string]lease.Lease, remaining map[string]time.Duration, err error) {
-	deadlines, err := s.confirmLeadership(ctx)
+	deadlines, err := s.confirmedDeadlines(ctx)
 	if err != nil {
 		return nil, nil, err
 	}
--- a/internal/cluster/store/lease_service.go
+++ b/internal/cluster/store/lease_service.go
@@ -58,8 +58,8 @@
 // wake up, and look at the lease again.
 func (ls *leaseService) forgetWaiter(name, holder string) { ls.wakeWaiter(name, holder) }
 
-// awaitGrant is a channel that is closed once the holder has the lease, or by forgetWaiter.
-func (ls *leaseService) awaitGrant(name, holder string) <-chan struct{} {
+// grantSignal returns a channel that is closed once the holder has the lease, or by forgetWaiter.
+func (ls *leaseService) grantSignal(name, holder string) <-chan struct{} {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
 	waiter := leaseWaiter{name: name, holder: holder}
@@ -193,10 +193,10 @@
 	return err
 }
 
-// confirmLeadership confirms by a read index that this node leads since the call, and waits until its
+// confirmedDeadlines confirms by a read index that this node leads since the call, and waits until its
 // state has all that was committed by then. It returns the deadlines of its term; the error is
 // ErrNoLeader, ErrLeasesUnavailable or that of the read index.
-func (s *Store) confirmLeadership(ctx context.Context) (*lease.DeadlineTable, error) {
+func (s *Store) confirmedDeadlines(ctx context.Context) (*lease.DeadlineTable, error) {
 	inc, err := s.running()
 	if err != nil {
 		return nil, err
--- a/internal/cluster/store/majority_loss.go
+++ b/internal/cluster/store/majority_loss.go
@@ -36,7 +36,7 @@
 		return report, fmt.Errorf("%w: this is of cluster %q", ErrNotConfirmed, report.Cluster)
 	}
 	self, _ := cfg.self()
-	id, err := renewIdentity(node.storage, self.Name)
+	id, err := renewDiskID(node.storage, self.Name)
 	if err != nil {
 		return report, err
 	}
--- a/internal/cluster/store/majority_loss_report.go
+++ b/internal/cluster/store/majority_loss_report.go
@@ -62,7 +62,7 @@
 	if err != nil {
 		return report, err
 	}
-	s.identity.set(cluster)
+	s.clusterID.set(cluster)
 	f, err := s.readDiskState(storage)
 	if err != nil {
 		return report, err
--- a/internal/cluster/store/peers.go
+++ b/internal/cluster/store/peers.go
@@ -189,12 +189,12 @@
 // observe notes how far a peer's disk is, or that it belongs to another cluster. It is called with
 // the lock held.
 func (p *peers) observe(name string, report storeapi.PeerStatus) {
-	local := p.store.identity.get()
+	local := p.store.clusterID.get()
 	if local != "" && report.Cluster != "" && local != report.Cluster {
-		p.store.identity.addForeign(name, report.Cluster, p.store.log)
+		p.store.clusterID.addForeign(name, report.Cluster, p.store.log)
 		return
 	}
-	p.store.identity.removeForeign(name)
+	p.store.clusterID.removeForeign(name)
 	if diskidentity.MemberDisk(report.ID) == "" {
 		return
 	}
--- a/internal/cluster/store/raft.go
+++ b/internal/cluster/store/raft.go
@@ -35,7 +35,7 @@
 // runRaft starts Raft under a verdict, and returns why the incarnation is over.
 func (s *Store) runRaft(f *diskState, verdict diskidentity.Verdict) error {
 	inc := &incarnation{store: s, memberID: f.local.ID, storage: f.storage, failure: make(chan error, 1)}
-	listener, err := listenPeers(s.self.Raft, inc.memberID, s.identity.get, s.cfg.configuredPeer)
+	listener, err := listenPeers(s.self.Raft, inc.memberID, s.clusterID.get, s.cfg.configuredPeer)
 	if err != nil {
 		return err
 	}
--- a/internal/cluster/store/status.go
+++ b/internal/cluster/store/status.go
@@ -9,7 +9,7 @@
 
 // Status is the node's answer to GET /status.
 func (s *Store) Status() storeapi.Status {
-	st := storeapi.Status{Node: s.self.Name, Cluster: s.identity.get(), ForeignPeers: s.identity.foreignNames(), ID: s.memberID()}
+	st := storeapi.Status{Node: s.self.Name, Cluster: s.clusterID.get(), ForeignPeers: s.clusterID.foreignNames(), ID: s.memberID()}
 	inc := s.current.Load()
 	switch state := nodeStateOf(inc != nil, inc != nil && inc.isMember()); state {
 	case nodeWaiting:
@@ -58,7 +58,7 @@
 // describeDisk fills in what the disk held when the incarnation began.
 func (s *Store) describeDisk(out *storeapi.PeerStatus, f *diskState) {
 	out.ID = f.local.ID
-	out.Cluster = s.identity.get()
+	out.Cluster = s.clusterID.get()
 	out.Watermark = f.local.Watermark
 	out.Fresh = f.local.Fresh
 	out.ConfigIndex = f.local.ConfigIndex
--- a/internal/cluster/store/store.go
+++ b/internal/cluster/store/store.go
@@ -38,7 +38,7 @@
 
 	pending   pendingWrites
 	readIndex *readIndexBatcher
-	identity  clusterIdentity
+	clusterID learnedClusterID
 
 	ctx     context.Context // ends with Close
 	cancel  context.CancelFunc
--- a/internal/cluster/store/supervise.go
+++ b/internal/cluster/store/supervise.go
@@ -61,7 +61,7 @@
 		sup.savedAt = time.Now()
 		s.peers.saveWatermarks(inc)
 	}
-	if successor := diskidentity.Successor(s.identity.get(), s.peers.attestations().recent); successor != "" {
+	if successor := diskidentity.Successor(s.clusterID.get(), s.peers.attestations().recent); successor != "" {
 		return fmt.Errorf("%w: it is %s now", errClusterReplaced, successor)
 	}
 	conf := inc.configuration()
@@ -105,7 +105,7 @@
 	if sup.removedCount < removedConfirmations {
 		return nil
 	}
-	_, err := renewIdentity(sup.inc.storage, sup.store.self.Name)
+	_, err := renewDiskID(sup.inc.storage, sup.store.self.Name)
 	return errors.Join(errRemoved, err)
 }
 
@@ -119,7 +119,7 @@
 		return true
 	}
 	for _, a := range s.peers.attestations().recent {
-		if local := s.identity.get(); local != "" && a.Cluster != local {
+		if local := s.clusterID.get(); local != "" && a.Cluster != local {
 			continue
 		}
 		if a.ConfigIndex > conf.Index && len(a.Members) > 0 && !slices.Contains(a.Members, inc.memberID) {
--- a/internal/cluster/store/verdict.go
+++ b/internal/cluster/store/verdict.go
@@ -54,7 +54,7 @@
 
 // renewDisk gives a disk that can't be trusted with its vote a new identity.
 func (s *Store) renewDisk(f *diskState, reason string) (*diskState, error) {
-	id, err := renewIdentity(f.storage, s.self.Name)
+	id, err := renewDiskID(f.storage, s.self.Name)
 	if err != nil {
 		return f, err
 	}
--- a/internal/proxy/dispatch/actions.go
+++ b/internal/proxy/dispatch/actions.go
@@ -29,7 +29,7 @@
 		// The idempotency table learns from the requests when a key is first used, and when
 		// it is free again.
 	case admission.Advertise:
-		d.Exchange.SetFeedback(a.Value)
+		d.Exchange.SetAdvertisedValue(a.Value)
 	case admission.SetHealth:
 		d.setHealthy(a.Healthy)
 	case admission.SetIdleTimeout:
@@ -61,11 +61,11 @@
 }
 
 // setHealthy sets the answer to health checks, and the listing where the settings have one.
-func (d *Dispatcher) setHealthy(active bool) {
-	d.controllerHealthy = active
+func (d *Dispatcher) setHealthy(healthy bool) {
+	d.controllerHealthy = healthy
 	d.updateHealth()
 	if d.SiteSettings.Server.Readiness {
-		d.Registry.SetAvailable(active)
+		d.Registry.SetAvailable(healthy)
 	}
-	d.Log.Info("health check status set", zap.Bool("healthy", active))
+	d.Log.Info("health check status set", zap.Bool("healthy", healthy))
 }
--- a/internal/proxy/dispatch/drain.go
+++ b/internal/proxy/dispatch/drain.go
@@ -13,9 +13,9 @@
 // notice, also where it is handled late.
 //
 //   - At once: the registry lists the service as unavailable, and the controller gets a stop time
-//     that is answerLead earlier. Requests are still taken, as balancers learn of a drain
+//     that is stopReserve earlier. Requests are still taken, as balancers learn of a drain
 //     late.
-//   - After DrainGracePeriod (settings), at the latest answerLead before the stop: listeners
+//   - After DrainGracePeriod (settings), at the latest stopReserve before the stop: listeners
 //     close, and connections close once they are idle.
 //   - drainConnectionsLead before the stop: DrainConnections, which drops incomplete messages.
 //   - The process ends when no connection, unsent byte or unanswered request has been left
@@ -26,8 +26,8 @@
 // time that it got (admission/drain.go); a service with a store is stopped earlier, to close
 // the store (cmd/oxbowbridge).
 const (
-	// answerLead is kept of the drain timeout for the last responses and closes.
-	answerLead = 250 * time.Millisecond
+	// stopReserve is kept of the drain timeout for the last responses and closes.
+	stopReserve = 250 * time.Millisecond
 	// exitLead is how long before the stop the process ends, whatever is left.
 	exitLead = 100 * time.Millisecond
 	// closeRaceWindow is for how long nothing must be left before the process ends: a request
@@ -60,7 +60,7 @@
 	stopAt := noticedAt + timeout
 	d.drain.started = true
 	d.drain.stopAt = stopAt
-	d.drain.closeAt = min(noticedAt+d.controllerSettings.DrainGracePeriod, stopAt-answerLead)
+	d.drain.closeAt = min(noticedAt+d.controllerSettings.DrainGracePeriod, stopAt-stopReserve)
 	remaining := stopAt - d.Now()
 	d.Log.Info("drain started", zap.Int64("stop_in_ms", remaining.Milliseconds()), zap.Int("open_requests", len(d.byID)))
 	if d.SiteSettings.Server.Readiness {
@@ -68,7 +68,7 @@
 	} else {
 		d.Registry.Deregister()
 	}
-	d.report(admission.Drain{StopIn: max(0, remaining-answerLead), Age: waited})
+	d.report(admission.Drain{StopIn: max(0, remaining-stopReserve), Age: waited})
 	d.pollDrain()
 }
 
--- a/internal/proxy/dispatch/drain_test.go
+++ b/internal/proxy/dispatch/drain_test.go
@@ -40,5 +40,5 @@
 	d.Drain(waited, stop)
 	require.Equal(t, now-waited+stop, d.drain.stopAt)
 	require.Equal(t, now-waited+2500*time.Millisecond, d.drain.closeAt)
-	require.Equal(t, []admission.Event{admission.Drain{StopIn: stop - waited - answerLead, Age: waited}}, d.pendingEvents)
+	require.Equal(t, []admission.Event{admission.Drain{StopIn: stop - waited - stopReserve, Age: waited}}, d.pendingEvents)
 }
--- a/internal/proxy/exchange/exchange.go
+++ b/internal/proxy/exchange/exchange.go
@@ -14,9 +14,9 @@
 	openRequests int // submitted and not released
 	maxRequests  int
 
-	wake     chan struct{}
-	healthy  atomic.Bool
-	feedback atomic.Pointer[float64]
+	wake            chan struct{}
+	healthy         atomic.Bool
+	advertisedValue atomic.Pointer[float64]
 }
 
 // New returns an Exchange for at most maxRequests open requests.
@@ -89,13 +89,13 @@
 // Healthy is the answer to health checks; false until SetHealthy is called.
 func (x *Exchange) Healthy() bool { return x.healthy.Load() }
 
-// SetFeedback sets the value that responses and health checks carry from now on. The
+// SetAdvertisedValue sets the value that responses and health checks carry from now on. The
 // settings (family_info.advert) say how callers read it.
-func (x *Exchange) SetFeedback(value float64) { x.feedback.Store(&value) }
+func (x *Exchange) SetAdvertisedValue(value float64) { x.advertisedValue.Store(&value) }
 
-// Feedback returns the value of SetFeedback, if there is one.
-func (x *Exchange) Feedback() (value float64, ok bool) {
-	v := x.feedback.Load()
+// AdvertisedValue returns the value of SetAdvertisedValue, if there is one.
+func (x *Exchange) AdvertisedValue() (value float64, ok bool) {
+	v := x.advertisedValue.Load()
 	if v == nil {
 		return 0, false
 	}
--- a/internal/proxy/exchange/exchange_test.go
+++ b/internal/proxy/exchange/exchange_test.go
@@ -42,12 +42,12 @@
 func TestStatus(t *testing.T) {
 	x := New(1)
 	require.False(t, x.Healthy())
-	_, ok := x.Feedback()
+	_, ok := x.AdvertisedValue()
 	require.False(t, ok)
 	x.SetHealthy(true)
-	x.SetFeedback(0.5)
+	x.SetAdvertisedValue(0.5)
 	require.True(t, x.Healthy())
-	value, ok := x.Feedback()
+	value, ok := x.AdvertisedValue()
 	require.True(t, ok)
 	require.Equal(t, 0.5, value)
 }
--- a/internal/transport/ajp/golden_test.go
+++ b/internal/transport/ajp/golden_test.go
@@ -88,7 +88,7 @@
 	x.SetHealthy(true)
 	requireBytes(t, send("/ping", "s3"), "AB\x00\x49\x04\x00\xc8\x00\x02OK\x00\x00\x02"+contentType+
 		"\x00\x0eContent-Length\x00\x00\x010\x00"+endReuse, "a good health check")
-	x.SetFeedback(0.25)
+	x.SetAdvertisedValue(0.25)
 	requireBytes(t, answered(served), "AB\x00\x5b\x04\x00\xc8\x00\x02OK\x00\x00\x03"+contentType+
 		"\x00\x0eContent-Length\x00\x00\x013\x00"+"\x00\x08Feedback\x00\x00\x040.25\x00"+"AB\x00\x07\x03\x00\x03abc\x00"+endReuse, "a published value")
 
--- a/internal/transport/ajp/upstream_conn.go
+++ b/internal/transport/ajp/upstream_conn.go
@@ -234,13 +234,13 @@
 
 // receive handles the content of a packet.
 func (c *upstreamConn) receive(content []byte) {
-	if err := c.packet(content); err != nil && c.state != upstreamClosed {
+	if err := c.handlePacket(content); err != nil && c.state != upstreamClosed {
 		c.pool.Log.Warn("malformed AJP of an upstream", zap.Error(err))
 		c.lost(err)
 	}
 }
 
-func (c *upstreamConn) packet(content []byte) error {
+func (c *upstreamConn) handlePacket(content []byte) error {
 	if c.state == upstreamClosed {
 		return nil
 	}
--- a/internal/transport/engine/receive.go
+++ b/internal/transport/engine/receive.go
@@ -107,7 +107,7 @@
 // whose request is not answered, stays known: it may be resumed.
 func (s *Session) receiveCompletion(m lineproto.Message) {
 	done, ok := parseCompletion(m)
-	if !ok {
+	if !ok { // the run counts as failed all the same, see parseCompletion
 		s.logNotUnderstood(m.Words)
 	}
 	r := s.runs[done.traceID]
--- a/internal/transport/eventloop/close.go
+++ b/internal/transport/eventloop/close.go
@@ -66,7 +66,7 @@
 	due := c.registered && c.state == connFlushing && c.pendingBytes <= 0
 	if due {
 		c.state = c.state.next(flushed)
-		c.closeAt = time.Now().Add(maxLinger)
+		c.abortAt = time.Now().Add(maxLinger)
 	}
 	c.mu.Unlock()
 	if due {
--- a/internal/transport/eventloop/conn.go
+++ b/internal/transport/eventloop/conn.go
@@ -37,15 +37,15 @@
 
 	writing sync.Mutex // orders writers; taken before nbio's lock, and that before mu
 
-	mu            sync.Mutex // the innermost lock: taken after nbio's and after the loop's
-	state         connState
-	registered    bool      // the loop has the connection
-	abortedAt     time.Time // of the first Abort, else zero
-	pendingBytes  int       // that wait to be sent
-	droppedBytes  int       // that were received after the close was requested
-	closeAt       time.Time // when a connection that was closed is aborted, whatever its peer does
-	lastReapBytes int       // that waited to be sent at the latest ReapLingering since the close was requested
-	requestedAt   time.Time // when the close was requested
+	mu               sync.Mutex // the innermost lock: taken after nbio's and after the loop's
+	state            connState
+	registered       bool      // the loop has the connection
+	abortedAt        time.Time // of the first Abort, else zero
+	pendingBytes     int       // that wait to be sent
+	droppedBytes     int       // that were received after the close was requested
+	abortAt          time.Time // when a connection that was closed is aborted, whatever its peer does
+	lastReapBytes    int       // that waited to be sent at the latest ReapLingering since the close was requested
+	closeRequestedAt time.Time // when the close was requested
 }
 
 // Write sends b, or queues it without blocking. A connection that can't take it is aborted.
--- a/internal/transport/eventloop/linger.go
+++ b/internal/transport/eventloop/linger.go
@@ -24,8 +24,8 @@
 func (l *Loop) linger(c *Conn) {
 	now := time.Now()
 	c.mu.Lock()
-	c.requestedAt = now
-	c.closeAt = now.Add(maxLinger)
+	c.closeRequestedAt = now
+	c.abortAt = now.Add(maxLinger)
 	c.lastReapBytes = c.pendingBytes
 	c.mu.Unlock()
 	l.mu.Lock()
@@ -42,7 +42,7 @@
 func (l *Loop) evictLingering(now time.Time) []*Conn {
 	n := 0
 	for remaining := len(l.lingering); remaining > l.maxLingering; remaining-- {
-		recent := now.Sub(l.lingering[n].requestedAt) < minLinger
+		recent := now.Sub(l.lingering[n].closeRequestedAt) < minLinger
 		if recent && remaining <= lingerOvercommit*l.maxLingering {
 			break
 		}
@@ -82,10 +82,10 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.pendingBytes < c.lastReapBytes {
-		c.closeAt = now.Add(maxLinger)
+		c.abortAt = now.Add(maxLinger)
 	}
 	c.lastReapBytes = c.pendingBytes
-	return !now.Before(c.closeAt)
+	return !now.Before(c.abortAt)
 }
 
 // stuckAborted returns the connections that were aborted long ago and that no event has closed.
--- a/internal/transport/fastcgi/golden_test.go
+++ b/internal/transport/fastcgi/golden_test.go
@@ -59,7 +59,7 @@
 	for _, a := range answers {
 		requireBytes(t, ask(a.answer), a.want, a.name)
 	}
-	f.Exchange.SetFeedback(0.25)
+	f.Exchange.SetAdvertisedValue(0.25)
 	requireBytes(t, ask(answers[0].answer),
 		"\x01\x06\x00\x01\x00\x4a\x00\x00Status: 200\r\nContent-Type: application/octet-stream\r\nFeedback: 0.25\r\n\r\nabc"+endComplete, "a published value")
 }
--- a/internal/transport/frontend/golden_test.go
+++ b/internal/transport/frontend/golden_test.go
@@ -83,7 +83,7 @@
 func TestGoldenReplies(t *testing.T) {
 	x := exchange.New(1)
 	require.Empty(t, CommonHeaders(x))
-	x.SetFeedback(0.125)
+	x.SetAdvertisedValue(0.125)
 	require.Equal(t, []Header{{"Feedback", "0.125"}}, CommonHeaders(x))
 	require.Equal(t, HTTPResponse{Status: 200}, HealthResponse(true))
 	require.Equal(t, HTTPResponse{Status: 503}, HealthResponse(false))
--- a/internal/transport/frontend/response.go
+++ b/internal/transport/frontend/response.go
@@ -37,7 +37,7 @@
 // CommonHeaders returns the headers of every response: the advertised value, where the
 // settings have one.
 func CommonHeaders(x *exchange.Exchange) []Header {
-	value, ok := x.Feedback()
+	value, ok := x.AdvertisedValue()
 	if !ok {
 		return nil
 	}
