--- a/internal/cluster/singleton/backup_task.go
+++ b/internal/cluster/singleton/backup_task.go
@@ -79,7 +79,7 @@
 		if due > 0 {
 			continue
 		}
-		if err := b.takeBackup(ctx, fence); err != nil {
+		if err := b.writeBackup(ctx, fence); err != nil {
 			b.log.Error("scheduled backup failed", zap.Error(err))
 			return fmt.Errorf("scheduled backup: %w", err)
 		}
@@ -103,7 +103,7 @@
 }
 
 // takeBackup writes a backup, records it in the store under the lease, and only then removes expired ones.
-func (b *backupSchedule) takeBackup(ctx context.Context, fence lease.FencingToken) error {
+func (b *backupSchedule) writeBackup(ctx context.Context, fence lease.FencingToken) error {
 	header, text, err := b.client.Backup(ctx)
 	if err != nil {
 		return err
--- a/internal/cluster/store/incarnation.go
+++ b/internal/cluster/store/incarnation.go
@@ -108,8 +108,8 @@
 	}
 }
 
-// takeFailure removes and returns the failure that was reported, or returns nil.
-func (inc *incarnation) takeFailure() error {
+// popFailure removes and returns the failure that was reported, or returns nil.
+func (inc *incarnation) popFailure() error {
 	select {
 	case err := <-inc.failure:
 		return err
--- a/internal/cluster/store/raft.go
+++ b/internal/cluster/store/raft.go
@@ -88,7 +88,7 @@
 		started <- err
 	}()
 	if err, ok := <-started; err != nil || !ok {
-		return errors.Join(errStartRaft, err, inc.takeFailure())
+		return errors.Join(errStartRaft, err, inc.popFailure())
 	}
 	term := inc.raft.CurrentTerm
 	inc.transport.currentTerm.Store(&term)
--- a/internal/cluster/store/supervise.go
+++ b/internal/cluster/store/supervise.go
@@ -23,11 +23,11 @@
 
 // supervisor watches over one incarnation until it has to end.
 type supervisor struct {
-	store        *Store
-	inc          *incarnation
-	savedAt      time.Time // when the watermarks were last saved
-	joinAskedAt  time.Time
-	removedCount int // checks in a row that found this disk removed
+	store           *Store
+	inc             *incarnation
+	savedAt         time.Time // when the watermarks were last saved
+	joinRequestedAt time.Time
+	removedCount    int // checks in a row that found this disk removed
 }
 
 // supervise requests to join while this disk is no member, saves what was observed of others, and
@@ -74,8 +74,8 @@
 		s.log.Info("joined the cluster", zap.String("member", inc.memberID))
 	}
 	if !inc.wasMember.Load() {
-		if time.Since(sup.joinAskedAt) >= joinRetryInterval {
-			sup.joinAskedAt = time.Now()
+		if time.Since(sup.joinRequestedAt) >= joinRetryInterval {
+			sup.joinRequestedAt = time.Now()
 			s.tryJoin(ctx, inc)
 		}
 		return nil
--- a/internal/cluster/store/watermarks.go
+++ b/internal/cluster/store/watermarks.go
@@ -56,7 +56,7 @@
 
 // saveWatermarks writes what was observed to this node's disk, if it has changed.
 func (p *peers) saveWatermarks(inc *incarnation) {
-	text := p.takeUnsaved()
+	text := p.popUnsaved()
 	if text == nil {
 		return
 	}
@@ -65,7 +65,7 @@
 	}
 }
 
-func (p *peers) takeUnsaved() []byte {
+func (p *peers) popUnsaved() []byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.unsaved {
--- a/internal/cluster/storeadmin/eventstream.go
+++ b/internal/cluster/storeadmin/eventstream.go
@@ -21,14 +21,14 @@
 
 // eventStream is the answer to one watcher: server-sent events.
 type eventStream struct {
-	w       http.ResponseWriter
+	writer  http.ResponseWriter
 	control *http.ResponseController
 	buffer  bytes.Buffer
 	started bool // the header has been sent
 }
 
 func newEventStream(w http.ResponseWriter) *eventStream {
-	return &eventStream{w: w, control: http.NewResponseController(w)}
+	return &eventStream{writer: w, control: http.NewResponseController(w)}
 }
 
 func (s *eventStream) writeEvent(eventType storeapi.EventType, id uint64, data any) {
@@ -60,9 +60,9 @@
 		s.flush()
 		return
 	}
-	s.w.Header().Set("Content-Type", "application/json")
-	s.w.WriteHeader(http.StatusGone)
-	json.NewEncoder(s.w).Encode(body)
+	s.writer.Header().Set("Content-Type", "application/json")
+	s.writer.WriteHeader(http.StatusGone)
+	json.NewEncoder(s.writer).Encode(body)
 }
 
 // flush sends what has been written, and reports whether the watcher is still there.
@@ -72,11 +72,11 @@
 	}
 	if !s.started {
 		s.started = true
-		s.w.Header().Set("Content-Type", "text/event-stream")
-		s.w.Header().Set("Cache-Control", "no-store")
+		s.writer.Header().Set("Content-Type", "text/event-stream")
+		s.writer.Header().Set("Cache-Control", "no-store")
 	}
 	s.control.SetWriteDeadline(time.Now().Add(watcherWriteTimeout))
-	_, err := s.w.Write(s.buffer.Bytes())
+	_, err := s.writer.Write(s.buffer.Bytes())
 	s.buffer.Reset()
 	if s.buffer.Cap() > maxIdleBufferPages*watchPage.MaxBytes {
 		s.buffer = bytes.Buffer{}
--- a/internal/cluster/storeadmin/forward.go
+++ b/internal/cluster/storeadmin/forward.go
@@ -84,7 +84,7 @@
 	defer options.slots.release()
 	ctx, cancel := context.WithTimeout(r.Context(), options.timeout)
 	defer cancel()
-	answer, err := s.askLeaders(ctx, r, body, options.idempotent)
+	answer, err := s.requestFromLeaders(ctx, r, body, options.idempotent)
 	switch {
 	case errors.Is(err, errBecameLeader):
 		return false, nil
@@ -95,13 +95,13 @@
 	return true, nil
 }
 
-// askLeaders sends a request to the leader, and an idempotent one again until a leader answers it with
+// requestFromLeaders sends a request to the leader, and an idempotent one again until a leader answers it with
 // something else than 503. It gives up when ctx ends, or when no leader could be asked for
 // leaderlessTimeout. The error is errBecameLeader if this node leads by now.
-func (s *server) askLeaders(ctx context.Context, r *http.Request, body []byte, idempotent bool) (*http.Response, error) {
+func (s *server) requestFromLeaders(ctx context.Context, r *http.Request, body []byte, idempotent bool) (*http.Response, error) {
 	var leaderlessSince time.Time // since when no leader could be asked; zero if the last one was
 	for {
-		res, sent, err := s.askLeader(ctx, r, body)
+		res, sent, err := s.requestFromLeader(ctx, r, body)
 		if err == nil {
 			retry := res.StatusCode == http.StatusServiceUnavailable && idempotent && ctx.Err() == nil
 			if !retry {
@@ -144,9 +144,9 @@
 	return nil
 }
 
-// askLeader sends a request to the present leader and waits for the answer until another node
+// requestFromLeader sends a request to the present leader and waits for the answer until another node
 // leads. sent is false if nothing can have reached a leader.
-func (s *server) askLeader(ctx context.Context, r *http.Request, body []byte) (res *http.Response, sent bool, err error) {
+func (s *server) requestFromLeader(ctx context.Context, r *http.Request, body []byte) (res *http.Response, sent bool, err error) {
 	leader, leaderID, ok := s.store.Leader()
 	if !ok || leader.Name == s.store.Name() {
 		return nil, false, store.ErrNoLeader
--- a/internal/transport/ajp/conn.go
+++ b/internal/transport/ajp/conn.go
@@ -134,7 +134,7 @@
 
 // bodyChunk takes a piece of the body. An empty one ends a body of unknown length.
 func (c *conn) bodyChunk(open *openRequest, content []byte) error {
-	r := reader{b: content}
+	r := reader{rest: content}
 	n := 0
 	if len(content) > 0 {
 		n = int(r.uint16())
--- a/internal/transport/ajp/message.go
+++ b/internal/transport/ajp/message.go
@@ -18,7 +18,7 @@
 
 // readForwardRequest reads a FORWARD_REQUEST behind its code.
 func readForwardRequest(content []byte) (forwardRequest, error) {
-	r := reader{b: content}
+	r := reader{rest: content}
 	var f forwardRequest
 	method := r.uint8()
 	if int(method) > 0 && int(method) < len(methodNames) {
--- a/internal/transport/ajp/upstream_conn.go
+++ b/internal/transport/ajp/upstream_conn.go
@@ -247,7 +247,7 @@
 	if len(content) == 0 {
 		return errShort
 	}
-	r := reader{b: content[1:]}
+	r := reader{rest: content[1:]}
 	switch code := content[0]; {
 	case code == codeCPong && c.state == upstreamChecking:
 		c.pong()
--- a/internal/transport/ajp/values.go
+++ b/internal/transport/ajp/values.go
@@ -15,18 +15,18 @@
 
 // reader takes the values of a packet one after the other; the first error sticks.
 type reader struct {
-	b   []byte
-	err error
+	rest []byte
+	err  error
 }
 
 // bytes takes n bytes. After an error it returns zeros, enough for any number.
 func (r *reader) bytes(n int) []byte {
-	if r.err != nil || n > len(r.b) {
+	if r.err != nil || n > len(r.rest) {
 		r.err = errShort
 		return make([]byte, min(n, 2))
 	}
-	v := r.b[:n]
-	r.b = r.b[n:]
+	v := r.rest[:n]
+	r.rest = r.rest[n:]
 	return v
 }
 
