--- a/tests/stored_test.go
+++ b/tests/stored_test.go
@@ -147,6 +147,9 @@
 	return out
 }
 
+// publishedState is what a service that is open writes of itself.
+var publishedState = regexp.MustCompile(`^\{"since_ms":\d{13},"state":"open"\}$`)
+
 // TestStoredMembers: three nodes go on from the folders that an earlier version wrote, with
 // every key and its revision, their members, leases with their tokens, the order of work, the
 // settings that were good last, the store of record and the note of the last backup.
@@ -164,9 +167,12 @@
 		var st storeapi.Status
 		require.True(t, c.GetJSON(i, "/status", &st))
 		assert.Equal(t, site.Cluster, st.Cluster)
+		c.nodes[i].ready() // the store answers before the service listens
 		assert.Equal(t, 200, (&world{service: c.nodes[i]}).status("stored-class", "ok"))
-		_, text := c.sure(i, "GET", fmt.Sprint("/store/state/s", i), "")
-		assert.Regexp(t, `^\{"since_ms":\d{13},"state":"open"\}$`, strings.TrimSpace(text))
+		await(t, "the state of the service", func() bool {
+			_, text := c.sure(i, "GET", fmt.Sprint("/store/state/s", i), "")
+			return publishedState.MatchString(strings.TrimSpace(text))
+		})
 	}
 	c.hasMembers(t, site.Members)
 	c.hasLeases(t, site.Leases)
