--- a/internal/testrig/golden/golden.go
+++ b/internal/testrig/golden/golden.go
@@ -7,11 +7,14 @@
 	"encoding/json"
 	"flag"
 	"fmt"
+	"io"
+	"net"
 	"os"
 	"path/filepath"
 	"reflect"
 	"strings"
 	"testing"
+	"time"
 
 	"github.com/stretchr/testify/require"
 )
@@ -68,6 +71,19 @@
 	require.Equal(t, string(stored), text, path)
 }
 
+// readTimeout is how long ReadBytes waits for all bytes.
+const readTimeout = 10 * time.Second
+
+// ReadBytes reads as many bytes from a connection as are wanted, and compares them.
+func ReadBytes(t *testing.T, peer net.Conn, want, what string) {
+	t.Helper()
+	require.NoError(t, peer.SetReadDeadline(time.Now().Add(readTimeout)))
+	got := make([]byte, len(want))
+	n, err := io.ReadFull(peer, got)
+	require.Equal(t, want, string(got[:n]), what)
+	require.NoError(t, err, what)
+}
+
 // Fill sets each exported field that a pointer leads to, to a value that is not zero and
 // differs from all others. Slices and maps get one element.
 func Fill(pointer any) {
