--- a/internal/transport/ajp/golden_test.go
+++ b/internal/transport/ajp/golden_test.go
@@ -22,7 +22,7 @@
 const (
 	contentType = "\x00\x0cContent-Type\x00\x00\x18application/octet-stream\x00"
 	endReuse    = "AB\x00\x02\x05\x01"
-	endClose    = "AB\x00\x02\x05\x01"
+	endClose    = "AB\x00\x02\x05\x00"
 )
 
 // TestGoldenAnswers: the bytes of an answer of each result, and of health checks.
