--- a/rules/api.go
+++ b/admission/api.go
@@ -1,4 +1,4 @@
-// Package rules decides, inside one server, which requests are admitted, run,
+// Package admission decides, inside one server, which requests are admitted, run,
 // refused or failed when there is more work than the server can do.
 //
 // A server owns one Controller. It tells the controller what happened with
@@ -10,7 +10,7 @@
 // or answers it; a request for which no action comes simply stays held. Each
 // Take that starts a run, and each Share, is followed by one Completed.
 // Defer asks for one Due event, which must carry the server's gauges.
-package rules
+package admission
 
 import (
 	"fmt"
--- a/rules/invariants_test.go
+++ b/admission/invariants_test.go
@@ -1,4 +1,4 @@
-package rules
+package admission
 
 import (
 	"math/rand"
--- a/rules/rules.go
+++ b/admission/rules.go
@@ -1,6 +1,6 @@
 // The types, events and actions that this file decides on stand in api.go.
 
-package rules
+package admission
 
 import (
 	"math"
--- a/bench/durable/engines.go
+++ b/bench/durable/engines.go
@@ -8,8 +8,8 @@
 	"go.etcd.io/bbolt"
 	_ "modernc.org/sqlite"
 
-	"oxbowbridge/internal/durable"
-	"oxbowbridge/internal/durable/vfs"
+	"oxbowbridge/internal/storage/durable"
+	"oxbowbridge/internal/storage/durable/vfs"
 )
 
 // engine is a store that is measured: each put returns once it is on disk.
--- a/bench/durable/main.go
+++ b/bench/durable/main.go
@@ -1,4 +1,4 @@
-// Durable measures internal/durable side by side with bbolt and SQLite (both with
+// Durable measures internal/storage/durable side by side with bbolt and SQLite (both with
 // every write synced), and its index with a plain map and a sorted slice:
 //
 //	go run ./bench/durable                 all tables, as Markdown
--- a/bench/durable/writes.go
+++ b/bench/durable/writes.go
@@ -12,9 +12,9 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"oxbowbridge/internal/durable"
-	"oxbowbridge/internal/durable/plan"
-	"oxbowbridge/internal/durable/vfs"
+	"oxbowbridge/internal/storage/durable"
+	"oxbowbridge/internal/storage/durable/plan"
+	"oxbowbridge/internal/storage/durable/vfs"
 )
 
 // puts counts synced puts a second, the engines taking turns in each round.
--- a/bench/store/leases.go
+++ b/bench/store/leases.go
@@ -11,14 +11,14 @@
 	"syscall"
 	"time"
 
-	"oxbowbridge/internal/leaseclient"
-	"oxbowbridge/internal/rig"
+	"oxbowbridge/internal/cluster/leaseclient"
+	"oxbowbridge/internal/testrig"
 )
 
 // leaseBench is what is measured of leases, at five nodes.
 type leaseBench struct {
 	*bench
-	c     *rig.Cluster
+	c     *testrig.Cluster
 	x     build
 	pids  []int
 	nodes []string
@@ -26,7 +26,7 @@
 
 // leases measures one build.
 func (b *bench) leases(x build) (err error) {
-	return b.onCluster(x, 5, func(t *tool, c *rig.Cluster) error {
+	return b.onCluster(x, 5, func(t *tool, c *testrig.Cluster) error {
 		l := &leaseBench{bench: b, c: c, x: x}
 		for i, p := range c.Peers {
 			l.nodes = append(l.nodes, p.Admin)
@@ -50,7 +50,7 @@
 		if err := holder.Start(); err != nil {
 			return err
 		}
-		rig.Await(l.c.T, "the holder", func() bool { return l.c.Ask(0, "/lease/killed", &struct{}{}) })
+		testrig.Await(l.c.T, "the holder", func() bool { return l.c.Ask(0, "/lease/killed", &struct{}{}) })
 		time.Sleep(ttl/2 + time.Duration(n*137%1000)*time.Millisecond)
 		next := leaseclient.New(l.nodes, leaseclient.HolderName())
 		got := make(chan error, 1)
--- a/bench/store/main.go
+++ b/bench/store/main.go
@@ -27,7 +27,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"oxbowbridge/internal/rig"
+	"oxbowbridge/internal/testrig"
 )
 
 type build struct{ name, path string }
@@ -137,7 +137,7 @@
 func (p process) Log() string                { return "" }
 
 // onCluster runs something on a new cluster of a build.
-func (b *bench) onCluster(x build, nodes int, do func(*tool, *rig.Cluster) error) (err error) {
+func (b *bench) onCluster(x build, nodes int, do func(*tool, *testrig.Cluster) error) (err error) {
 	t := &tool{}
 	if t.dir, err = os.MkdirTemp("", "store-bench"); err != nil {
 		return err
@@ -151,18 +151,18 @@
 			err = fmt.Errorf("%v", r)
 		}
 	}()
-	c := rig.NewCluster(t, nodes, nodes)
-	c.Launch = func(node int, store map[string]any) rig.Process { return b.launch(t, c, x, node, store) }
+	c := testrig.NewCluster(t, nodes, nodes)
+	c.Launch = func(node int, store map[string]any) testrig.Process { return b.launch(t, c, x, node, store) }
 	defer c.KillAll()
 	c.Begin()
 	return do(t, c)
 }
 
 func (b *bench) measure(x build) error {
-	return b.onCluster(x, 3, func(_ *tool, c *rig.Cluster) error { return b.measureStore(x, c) })
+	return b.onCluster(x, 3, func(_ *tool, c *testrig.Cluster) error { return b.measureStore(x, c) })
 }
 
-func (b *bench) measureStore(x build, c *rig.Cluster) error {
+func (b *bench) measureStore(x build, c *testrig.Cluster) error {
 	lead := c.Leader()
 	for _, clients := range []int{1, 8, 64} {
 		n, err := b.load(clients, b.span, func(id, i int) error { return b.put(c, lead, fmt.Sprint("k", id), fmt.Sprintf(`"%0100d"`, i)) })
@@ -190,12 +190,12 @@
 	return nil
 }
 
-func (b *bench) launch(t *tool, c *rig.Cluster, x build, node int, store map[string]any) rig.Process {
+func (b *bench) launch(t *tool, c *testrig.Cluster, x build, node int, store map[string]any) testrig.Process {
 	var cfg map[string]any
 	if err := json.Unmarshal(b.config, &cfg); err != nil {
 		t.Fatalf("configuration: %v", err)
 	}
-	cfg["name"], cfg["listen"], cfg["engine"], cfg["store"] = c.Peers[node].Name, rig.FreePort(t), rig.FreePort(t), store
+	cfg["name"], cfg["listen"], cfg["engine"], cfg["store"] = c.Peers[node].Name, testrig.FreePort(t), testrig.FreePort(t), store
 	text, err := json.Marshal(cfg)
 	path := filepath.Join(t.dir, fmt.Sprint(node, ".json"))
 	if err == nil {
@@ -213,7 +213,7 @@
 }
 
 // outage loses the leader, and measures until a write at another node is acknowledged.
-func (b *bench) outage(c *rig.Cluster, name string, lose, back func(int)) {
+func (b *bench) outage(c *testrig.Cluster, name string, lose, back func(int)) {
 	lead := c.Leader()
 	time.Sleep(300 * time.Millisecond) // it has told the others
 	lose(lead)
@@ -223,12 +223,12 @@
 	}
 	b.note(name, float64(time.Since(began).Milliseconds()))
 	back(lead)
-	rig.Await(c.T, "the node to be back", func() bool { return c.Ask(lead, "/store/after", new(int)) })
+	testrig.Await(c.T, "the node to be back", func() bool { return c.Ask(lead, "/store/after", new(int)) })
 }
 
 // comeBack has a node miss writes and return, and another one lose its disk, while a
 // client goes on.
-func (b *bench) comeBack(c *rig.Cluster, x build) error {
+func (b *bench) comeBack(c *testrig.Cluster, x build) error {
 	lead := c.Leader()
 	lost := (lead + 1) % 3
 	during := func(name string, do func()) {
@@ -267,7 +267,7 @@
 	during("while a node catches up", func() {
 		began := time.Now()
 		c.Start(lost)
-		rig.Await(c.T, "it to be up to date", func() bool { return c.Ask(lost, "/store/beside", new(int)) })
+		testrig.Await(c.T, "it to be up to date", func() bool { return c.Ask(lost, "/store/beside", new(int)) })
 		b.note(fmt.Sprintf("ms from the start of a node that misses %d writes to a fresh read|%s", b.behind, x.name), float64(time.Since(began).Milliseconds()))
 	})
 	during("while a lost disk is replaced", func() {
@@ -279,7 +279,7 @@
 	return nil
 }
 
-func (b *bench) put(c *rig.Cluster, node int, key, value string) error {
+func (b *bench) put(c *testrig.Cluster, node int, key, value string) error {
 	return b.ask("PUT", "http://"+c.Peers[node].Admin+"/store/"+key, value)
 }
 
--- a/cmd/oxbowbridge/config.go
+++ b/cmd/oxbowbridge/config.go
@@ -8,10 +8,10 @@
 	"reflect"
 	"strconv"
 
-	"oxbowbridge/internal/core"
-	"oxbowbridge/internal/store"
-	"oxbowbridge/internal/wire"
-	"oxbowbridge/internal/workagent"
+	"oxbowbridge/internal/cluster/store"
+	"oxbowbridge/internal/maintenance/agent"
+	"oxbowbridge/internal/proxy/dispatch"
+	"oxbowbridge/internal/simproto"
 )
 
 // config is the file that BALANCER_CONFIG names.
@@ -28,10 +28,10 @@
 		MemoryMB int64   `json:"memory_mb"`
 		Sockets  int     `json:"sockets"`
 	} `json:"limits"`
-	Settings wire.Settings     `json:"settings"`
+	Settings simproto.Settings `json:"settings"`
 	AJP      *ajpConfig        `json:"ajp"`   // absent on the platform
 	Store    *store.Config     `json:"store"` // absent on the platform
-	Work     *workagent.Config `json:"work"`  // absent on the platform
+	Work     *agent.Config     `json:"work"`  // absent on the platform
 	stored   bool              // the settings in force are those of the store
 }
 
@@ -65,7 +65,7 @@
 
 func parseConfig(text []byte, env func(string) string) (*config, error) {
 	var c config
-	if err := wire.Decode(text, &c); err != nil {
+	if err := simproto.Decode(text, &c); err != nil {
 		return nil, err
 	}
 	if v := env("BALANCER_NAME"); v != "" {
@@ -141,7 +141,7 @@
 			return fault("ajp.secret", "needed unless ajp.listen is a loopback address")
 		}
 	}
-	if _, err := core.Check(&c.Settings); err != nil {
+	if _, err := dispatch.Check(&c.Settings); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	if c.Store != nil {
--- a/cmd/oxbowbridge/durable.go
+++ b/cmd/oxbowbridge/durable.go
@@ -12,8 +12,8 @@
 
 	"github.com/spf13/cobra"
 
-	"oxbowbridge/internal/durable"
-	"oxbowbridge/internal/durable/vfs"
+	"oxbowbridge/internal/storage/durable"
+	"oxbowbridge/internal/storage/durable/vfs"
 )
 
 func durableCommand() *cobra.Command {
--- a/cmd/oxbowbridge/keeper.go
+++ b/cmd/oxbowbridge/keeper.go
@@ -9,11 +9,11 @@
 
 	"go.uber.org/zap"
 
-	"oxbowbridge/internal/core"
-	"oxbowbridge/internal/fleet"
-	"oxbowbridge/internal/store"
-	"oxbowbridge/internal/storeadmin"
-	"oxbowbridge/internal/wire"
+	"oxbowbridge/internal/cluster/singleton"
+	"oxbowbridge/internal/cluster/store"
+	"oxbowbridge/internal/cluster/storeadmin"
+	"oxbowbridge/internal/proxy/dispatch"
+	"oxbowbridge/internal/simproto"
 )
 
 // The keys of the store that the program reads and writes.
@@ -37,7 +37,7 @@
 	name  string
 	log   *zap.Logger
 	says  chan string
-	tasks *fleet.Tasks
+	tasks *singleton.Tasks
 
 	caught atomic.Bool // this node has read all that was committed when it started
 }
@@ -50,7 +50,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w: store: %w", errConfig, err)
 	}
-	tasks, err := fleet.Start(s, order, *cfg.Store, log.Named("fleet"))
+	tasks, err := singleton.Start(s, order, *cfg.Store, log.Named("fleet"))
 	if err != nil {
 		s.Close()
 		return nil, fmt.Errorf("%w: store: %w", errConfig, err)
@@ -107,10 +107,10 @@
 // use takes settings of the store, unless they would not start, and keeps them as
 // good.
 func (k *keeper) use(cfg *config, g store.Good, last bool) bool {
-	var w wire.Settings
-	err := wire.Decode(g.Value, &w)
+	var w simproto.Settings
+	err := simproto.Decode(g.Value, &w)
 	if err == nil {
-		_, err = core.Check(&w)
+		_, err = dispatch.Check(&w)
 	}
 	if err != nil {
 		k.log.Error("settings of the store are not usable", zap.Uint64("revision", g.Revision), zap.Error(err))
@@ -158,7 +158,7 @@
 	if k.store == nil {
 		return 0
 	}
-	return store.CloseTime + fleet.CloseTime
+	return store.CloseTime + singleton.CloseTime
 }
 
 func (k *keeper) tell() {
--- a/cmd/oxbowbridge/lease.go
+++ b/cmd/oxbowbridge/lease.go
@@ -8,10 +8,10 @@
 
 	"github.com/spf13/cobra"
 
-	"oxbowbridge/internal/lease"
-	"oxbowbridge/internal/leaseclient"
-	"oxbowbridge/internal/storeapi"
-	"oxbowbridge/internal/storeclient"
+	"oxbowbridge/internal/cluster/lease"
+	"oxbowbridge/internal/cluster/leaseclient"
+	"oxbowbridge/internal/cluster/storeapi"
+	"oxbowbridge/internal/cluster/storeclient"
 )
 
 // leaseCLI is what the sub-commands of lease share.
--- a/cmd/oxbowbridge/leaserun.go
+++ b/cmd/oxbowbridge/leaserun.go
@@ -18,8 +18,8 @@
 	"github.com/spf13/cobra"
 	"golang.org/x/sys/unix"
 
-	"oxbowbridge/internal/lease"
-	"oxbowbridge/internal/leaseclient"
+	"oxbowbridge/internal/cluster/lease"
+	"oxbowbridge/internal/cluster/leaseclient"
 )
 
 // What a command that runs under a lease finds in its environment.
--- a/cmd/oxbowbridge/members.go
+++ b/cmd/oxbowbridge/members.go
@@ -9,8 +9,8 @@
 
 	"github.com/spf13/cobra"
 
-	"oxbowbridge/internal/store"
-	"oxbowbridge/internal/storeclient"
+	"oxbowbridge/internal/cluster/store"
+	"oxbowbridge/internal/cluster/storeclient"
 )
 
 // members prints the members, as the leader sees them.
--- a/cmd/oxbowbridge/serve.go
+++ b/cmd/oxbowbridge/serve.go
@@ -17,20 +17,20 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zapcore"
 
-	"oxbowbridge/internal/ajp"
-	"oxbowbridge/internal/core"
-	"oxbowbridge/internal/deadline"
-	"oxbowbridge/internal/descriptors"
-	"oxbowbridge/internal/directory"
-	"oxbowbridge/internal/engine"
-	"oxbowbridge/internal/exchange"
-	"oxbowbridge/internal/fastcgi"
-	"oxbowbridge/internal/front"
-	"oxbowbridge/internal/link"
 	"oxbowbridge/internal/logsink"
-	"oxbowbridge/internal/ramp"
-	"oxbowbridge/internal/records"
-	"oxbowbridge/internal/socket"
+	"oxbowbridge/internal/proxy/dispatch"
+	"oxbowbridge/internal/proxy/exchange"
+	"oxbowbridge/internal/proxy/fdquota"
+	"oxbowbridge/internal/proxy/slowstart"
+	"oxbowbridge/internal/proxy/timerqueue"
+	"oxbowbridge/internal/transport/ajp"
+	"oxbowbridge/internal/transport/engine"
+	"oxbowbridge/internal/transport/eventloop"
+	"oxbowbridge/internal/transport/fastcgi"
+	"oxbowbridge/internal/transport/frontend"
+	"oxbowbridge/internal/transport/records"
+	"oxbowbridge/internal/transport/registry"
+	"oxbowbridge/internal/transport/session"
 )
 
 const (
@@ -106,7 +106,7 @@
 
 // service is the program's parts once they are connected.
 type service struct {
-	core  *core.Core
+	core  *dispatch.Core
 	x     *exchange.Exchange
 	log   *zap.Logger
 	addrs []net.Addr    // of the fronts, in the order of the configuration
@@ -131,34 +131,34 @@
 // wireUp makes the parts and connects them. A notice ends its wait for an address.
 func wireUp(notice context.Context, cfg *config, log *zap.Logger) (*service, error) {
 	shares := divideDescriptors(cfg, log)
-	pool := descriptors.NewPool(shares)
-	loop, err := socket.New(shares.Ended)
+	pool := fdquota.NewPool(shares)
+	loop, err := eventloop.New(shares.Ended)
 	if err != nil {
 		return nil, err
 	}
 	began := time.Now()
 	seed, _ := cfg.seed() // readConfig tried it
 	x := exchange.New(int(cfg.Limits.MemoryMB) << 10 / requestKB / requestShare)
-	classes := map[string]front.Class{}
+	classes := map[string]frontend.Class{}
 	for i, k := range cfg.Settings.Classes {
-		classes[k.Name] = front.Class{Index: i, Keyed: k.Effect == "deduplicated"}
+		classes[k.Name] = frontend.Class{Index: i, Keyed: k.Effect == "deduplicated"}
 	}
-	p := core.Parts{Exchange: x, Endings: loop, KeysMost: int(cfg.Limits.MemoryMB) << 20 / keysShare, Deadlines: &deadline.Set{}, Log: log, Seed: seed, Settings: &cfg.Settings,
+	p := dispatch.Parts{Exchange: x, Endings: loop, KeysMost: int(cfg.Limits.MemoryMB) << 20 / keysShare, Deadlines: &timerqueue.Set{}, Log: log, Seed: seed, Settings: &cfg.Settings,
 		Now: func() time.Duration { return time.Since(began) }}
-	env := link.Env{Exchange: x, Loop: loop, Due: p.Deadlines, Now: p.Now, Log: log}
+	env := session.Env{Exchange: x, Loop: loop, Due: p.Deadlines, Now: p.Now, Log: log}
 	runner := runnerOf(cfg, env)
 	var lingers time.Duration
 	if cfg.Settings.Info.Below == "shared" {
 		lingers = cfg.Settings.Info.Linger
 	}
 	calls := records.New(cfg.Records, pool, lingers, env)
-	list := directory.New(cfg.Lookup, cfg.Name, env)
+	list := registry.New(cfg.Lookup, cfg.Name, env)
 	p.Runner, p.Calls, p.Directory = runner, calls, list
 	fronts := frontsOf(cfg, x, classes, log)
 	for _, f := range fronts {
 		p.Fronts = append(p.Fronts, f.front)
 	}
-	c, err := core.New(p)
+	c, err := dispatch.New(p)
 	if err != nil {
 		return nil, fmt.Errorf("%w: settings: %w", errConfig, err)
 	}
@@ -183,8 +183,8 @@
 }
 
 // divideDescriptors divides what the configuration and the system allow.
-func divideDescriptors(cfg *config, log *zap.Logger) descriptors.Shares {
-	use := descriptors.Use{Limit: cfg.Limits.Sockets, Open: openDescriptors()}
+func divideDescriptors(cfg *config, log *zap.Logger) fdquota.Shares {
+	use := fdquota.Use{Limit: cfg.Limits.Sockets, Open: openDescriptors()}
 	var system syscall.Rlimit
 	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &system) == nil && system.Cur < uint64(use.Limit) {
 		use.Limit = int(system.Cur)
@@ -197,7 +197,7 @@
 	if cfg.Store != nil {
 		use.Others = use.Limit / storeShare
 	}
-	shares := descriptors.Divide(use)
+	shares := fdquota.Divide(use)
 	if shares.Short {
 		log.Warn("few descriptors are left for connections", zap.Int("limit", use.Limit), zap.Int("open", use.Open))
 	}
@@ -237,10 +237,10 @@
 	}
 }
 
-func runnerOf(cfg *config, env link.Env) runner {
+func runnerOf(cfg *config, env session.Env) runner {
 	if len(cfg.AJP.Upstreams) > 0 {
 		info, safety := &cfg.Settings.Info, &cfg.Settings.Safety
-		limits := ramp.Limits{Cores: info.Cores, Multiple: safety.FallMultiple, ColdShare: safety.ColdShare, Cold: safety.Cold,
+		limits := slowstart.Limits{Cores: info.Cores, Multiple: safety.FallMultiple, ColdShare: safety.ColdShare, Cold: safety.Cold,
 			Window: safety.Fall, Processes: cfg.Settings.Servers}
 		return upstreamRunner{ajp.NewUpstreams(cfg.AJP.Upstreams, cfg.AJP.UpstreamSecret, info.OwnStats, limits, upstreamSeed(cfg), env)}
 	}
@@ -258,8 +258,8 @@
 // listener is a front before it listens.
 type listener struct {
 	front interface {
-		core.Front
-		Listen(loop *socket.Loop, addr string, most int, pool *descriptors.Pool) error
+		dispatch.Front
+		Listen(loop *eventloop.Loop, addr string, most int, pool *fdquota.Pool) error
 		Addr() net.Addr
 	}
 	field string // of the configuration
@@ -268,7 +268,7 @@
 
 // listen opens the front's address. Another process that holds it may be this one's
 // predecessor, which is gone once its own stop_ms are over: until then it tries again.
-func (f listener) listen(notice context.Context, loop *socket.Loop, most int, pool *descriptors.Pool, wait time.Duration, log *zap.Logger) error {
+func (f listener) listen(notice context.Context, loop *eventloop.Loop, most int, pool *fdquota.Pool, wait time.Duration, log *zap.Logger) error {
 	deadline := time.Now().Add(wait)
 	for warned := false; ; warned = true {
 		err := f.front.Listen(loop, f.addr, most, pool)
@@ -286,7 +286,7 @@
 	}
 }
 
-func frontsOf(cfg *config, x *exchange.Exchange, classes map[string]front.Class, log *zap.Logger) []listener {
+func frontsOf(cfg *config, x *exchange.Exchange, classes map[string]frontend.Class, log *zap.Logger) []listener {
 	var fronts []listener
 	if cfg.Listen != "" {
 		fronts = append(fronts, listener{fastcgi.New(x, classes, log), "listen", cfg.Listen})
--- a/cmd/oxbowbridge/store.go
+++ b/cmd/oxbowbridge/store.go
@@ -15,11 +15,11 @@
 
 	"github.com/spf13/cobra"
 
-	"oxbowbridge/internal/files"
-	"oxbowbridge/internal/kv"
-	"oxbowbridge/internal/storeapi"
-	"oxbowbridge/internal/storeclient"
-	"oxbowbridge/internal/watch"
+	"oxbowbridge/internal/cluster/kv"
+	"oxbowbridge/internal/cluster/storeapi"
+	"oxbowbridge/internal/cluster/storeclient"
+	"oxbowbridge/internal/cluster/watch"
+	"oxbowbridge/internal/storage/atomicfile"
 )
 
 // storeCLI is what the sub-commands of store share.
@@ -218,7 +218,7 @@
 	if err != nil {
 		return err
 	}
-	if err := files.WriteNew(args[0], text); err != nil {
+	if err := atomicfile.WriteNew(args[0], text); err != nil {
 		return err
 	}
 	if s.asJSON {
--- a/cmd/oxbowbridge/try.go
+++ b/cmd/oxbowbridge/try.go
@@ -15,8 +15,8 @@
 	"github.com/spf13/cobra"
 	"go.uber.org/zap"
 
-	"oxbowbridge/internal/exchange"
-	"oxbowbridge/internal/toy"
+	"oxbowbridge/internal/proxy/exchange"
+	"oxbowbridge/internal/standin"
 )
 
 //go:embed try.json
@@ -66,8 +66,8 @@
 		return err
 	}
 	defer records.Close()
-	go (&toy.Engine{Cores: tryCores, Work: tryWork, Calls: []string{"nom-submit"}}).Serve(engine)
-	go (&toy.Records{Work: tryCall}).Serve(records)
+	go (&standin.Engine{Cores: tryCores, Work: tryWork, Calls: []string{"nom-submit"}}).Serve(engine)
+	go (&standin.Records{Work: tryCall}).Serve(records)
 	cfg.Engine, cfg.Records = engine.Addr().String(), records.Addr().String()
 	s, err := wireUp(ctx, cfg, zap.NewNop())
 	if err != nil {
@@ -111,7 +111,7 @@
 		go func() {
 			defer wg.Done()
 			sent := time.Now()
-			a, err := toy.Call(ctx, addr, toy.Request{Class: k.class, Body: fmt.Sprint("request ", i)})
+			a, err := standin.Call(ctx, addr, standin.Request{Class: k.class, Body: fmt.Sprint("request ", i)})
 			mu.Lock()
 			defer mu.Unlock()
 			k.sent++
--- a/cmd/oxbowbridge/work.go
+++ b/cmd/oxbowbridge/work.go
@@ -15,9 +15,9 @@
 
 	"github.com/spf13/cobra"
 
-	"oxbowbridge/internal/storeclient"
-	"oxbowbridge/internal/work"
-	"oxbowbridge/internal/workchart"
+	"oxbowbridge/internal/cluster/storeclient"
+	"oxbowbridge/internal/maintenance"
+	"oxbowbridge/internal/maintenance/chart"
 )
 
 // workCLI is what the sub-commands of work share.
@@ -53,7 +53,7 @@
 	pause.Flags().StringVar(&s.why, "reason", "by an operator", "why")
 	add("resume", "Have the order go on; what has failed by now is seen", cobra.NoArgs, s.pause(false))
 	add("back MACHINE ...", "Say for machines that they are back", cobra.MinimumNArgs(1), s.each(func(c *storeclient.Client, ctx context.Context, node string) error {
-		return c.SayWork(ctx, node, work.Report{Phase: work.Back})
+		return c.SayWork(ctx, node, maintenance.Report{Phase: maintenance.Back})
 	}))
 	watch := add("watch", "Show the order again and again, until it is done or interrupted", cobra.NoArgs, s.watch)
 	watch.Flags().DurationVar(&s.every, "every", time.Second, "how often")
@@ -76,7 +76,7 @@
 }
 
 func (s *workCLI) ask(c *cobra.Command, nodes []string) error {
-	j := work.Job{Reason: s.reason, ForMS: s.length.Milliseconds(), Priority: s.priority}
+	j := maintenance.Job{Reason: s.reason, ForMS: s.length.Milliseconds(), Priority: s.priority}
 	if s.latest > 0 {
 		j.LatestMS = time.Now().Add(s.latest).UnixMilli()
 	}
@@ -108,7 +108,7 @@
 	return showWork(c.OutOrStdout(), st)
 }
 
-func showWork(out io.Writer, st work.Status) error {
+func showWork(out io.Writer, st maintenance.Status) error {
 	fmt.Fprintf(out, "order settled by %s; most out at once %d, %d in a zone\n", cmp.Or(st.Order, "nobody yet"), st.Limits.Most, st.Limits.MostZone)
 	if st.Pause.Paused {
 		fmt.Fprintf(out, "PAUSED: %s ('work resume' has it go on)\n", st.Pause.Why)
@@ -146,7 +146,7 @@
 			if err := showWork(out, st); err != nil {
 				return err
 			}
-			if !slices.ContainsFunc(st.Jobs, func(r work.Row) bool { return r.Phase.Open() }) {
+			if !slices.ContainsFunc(st.Jobs, func(r maintenance.Row) bool { return r.Phase.Open() }) {
 				return nil
 			}
 		}
@@ -171,14 +171,14 @@
 	if err != nil {
 		return err
 	}
-	q := work.QuestionFrom(st, time.Now().UnixMilli())
+	q := maintenance.QuestionFrom(st, time.Now().UnixMilli())
 	q.Windows, q.Seed = windows, s.seed
-	p, err := work.MakePlan(q)
+	p, err := maintenance.MakePlan(q)
 	if err != nil {
 		return err
 	}
 	if s.chart != "" {
-		if err := workchart.Draw(s.chart, p, q.Total); err != nil {
+		if err := chart.Draw(s.chart, p, q.Total); err != nil {
 			return err
 		}
 	}
@@ -196,7 +196,7 @@
 	return err
 }
 
-func parseWindows(texts []string) (list []work.Window, err error) {
+func parseWindows(texts []string) (list []maintenance.Window, err error) {
 	for _, t := range texts {
 		from, to, ok := strings.Cut(t, "-")
 		a, err1 := time.ParseDuration(from)
@@ -204,7 +204,7 @@
 		if err := errors.Join(err1, err2); err != nil || !ok || a < 0 || b <= a {
 			return nil, errors.Join(fmt.Errorf("--window: %q is not FROM-TO, such as 1h-5h", t), err)
 		}
-		list = append(list, work.Window{From: a, To: b})
+		list = append(list, maintenance.Window{From: a, To: b})
 	}
 	return list, nil
 }
--- a/cmd/oxbowbridge/worker.go
+++ b/cmd/oxbowbridge/worker.go
@@ -10,15 +10,15 @@
 
 	"go.uber.org/zap"
 
-	"oxbowbridge/internal/exchange"
-	"oxbowbridge/internal/workagent"
+	"oxbowbridge/internal/maintenance/agent"
+	"oxbowbridge/internal/proxy/exchange"
 )
 
 const gaugeWait = 200 * time.Millisecond // for the core to say how busy it is
 
 // worker is the service's part in an order of work. Without its section it does nothing.
 type worker struct {
-	agent  *workagent.Agent
+	agent  *agent.Agent
 	s      *service
 	kept   *keeper
 	leaves chan struct{} // closed when it is to leave
@@ -37,7 +37,7 @@
 	if kept.store != nil {
 		own = kept.store.AdminAddress()
 	}
-	w.agent = workagent.New(*cfg.Work, cfg.Name, cfg.Limits.Cores, own, w, log)
+	w.agent = agent.New(*cfg.Work, cfg.Name, cfg.Limits.Cores, own, w, log)
 	go func() {
 		defer close(w.ended)
 		w.left = w.agent.Run(ctx)
--- a/examples/toy/main.go
+++ b/examples/standin/main.go
@@ -1,8 +1,8 @@
 // Toy is a small engine to try oxbowbridge with, and a caller:
 //
-//	go run ./examples/toy                       the engine, on 127.0.0.1:6100
-//	go run ./examples/toy -call nom-submit hi   one request to 127.0.0.1:9090
-//	go run ./examples/toy -call nom-update -key K hi   one of a class that may come again
+//	go run ./examples/standin                       the engine, on 127.0.0.1:6100
+//	go run ./examples/standin -call nom-submit hi   one request to 127.0.0.1:9090
+//	go run ./examples/standin -call nom-update -key K hi   one of a class that may come again
 //
 // The engine runs four requests at a time, 300 ms each; more wait for a core.
 package main
@@ -16,7 +16,7 @@
 	"strings"
 	"time"
 
-	"oxbowbridge/internal/toy"
+	"oxbowbridge/internal/standin"
 )
 
 func main() {
@@ -27,7 +27,7 @@
 	flag.Parse()
 	var err error
 	if *class != "" {
-		err = call(*service, toy.Request{Class: *class, Key: *key, Body: strings.Join(flag.Args(), " ")})
+		err = call(*service, standin.Request{Class: *class, Key: *key, Body: strings.Join(flag.Args(), " ")})
 	} else {
 		err = serve(*addr)
 	}
@@ -42,12 +42,12 @@
 		return err
 	}
 	log.Println("toy engine on", ln.Addr())
-	return (&toy.Engine{Cores: 4, Work: 300 * time.Millisecond,
+	return (&standin.Engine{Cores: 4, Work: 300 * time.Millisecond,
 		Began: func(class, body string) { log.Printf("run: %s %s", class, body) }}).Serve(ln)
 }
 
-func call(addr string, q toy.Request) error {
-	a, err := toy.Call(context.Background(), addr, q)
+func call(addr string, q standin.Request) error {
+	a, err := standin.Call(context.Background(), addr, q)
 	if err != nil {
 		return err
 	}
--- a/internal/backup/backup.go
+++ b/internal/cluster/backup/backup.go
@@ -12,7 +12,7 @@
 	"fmt"
 	"io"
 
-	"oxbowbridge/internal/kv"
+	"oxbowbridge/internal/cluster/kv"
 )
 
 // Most is the largest backup: as many keys as a store may hold, each as large as may be.
--- a/internal/identity/golden_test.go
+++ b/internal/cluster/diskidentity/golden_test.go
@@ -1,4 +1,4 @@
-package identity
+package diskidentity
 
 import (
 	"encoding/json"
--- a/internal/identity/identity.go
+++ b/internal/cluster/diskidentity/identity.go
@@ -1,4 +1,4 @@
-// Package identity decides what a node of the replicated store may do with the disk
+// Package diskidentity decides what a node of the replicated store may do with the disk
 // that it finds when it starts: what it and its peers know goes in, a verdict comes
 // out. It does no I/O and reads no clock.
 //
@@ -7,7 +7,7 @@
 // promises of the old one (votes, acknowledged entries) are never counted for it. A
 // folder that went back in time has its old identity; it is told by the marks that
 // others have seen of it.
-package identity
+package diskidentity
 
 import (
 	"cmp"
--- a/internal/kv/kv.go
+++ b/internal/cluster/kv/kv.go
@@ -11,7 +11,7 @@
 	"slices"
 	"strings"
 
-	"oxbowbridge/internal/lease"
+	"oxbowbridge/internal/cluster/lease"
 )
 
 // Limits of the state. What it holds is small.
--- a/internal/leaseclient/leaseclient.go
+++ b/internal/cluster/leaseclient/leaseclient.go
@@ -1,6 +1,6 @@
 // Package leaseclient holds leases of the replicated store for one process: it asks for
 // them, keeps all of them alive together, and ends a context in time when one can't be
-// kept. What may be done when is decided by internal/lease.
+// kept. What may be done when is decided by internal/cluster/lease.
 package leaseclient
 
 import (
@@ -15,9 +15,9 @@
 	"sync"
 	"time"
 
-	"oxbowbridge/internal/lease"
-	"oxbowbridge/internal/storeapi"
-	"oxbowbridge/internal/storeclient"
+	"oxbowbridge/internal/cluster/lease"
+	"oxbowbridge/internal/cluster/storeapi"
+	"oxbowbridge/internal/cluster/storeclient"
 )
 
 var (
--- a/internal/raftdisk/conf.go
+++ b/internal/cluster/raftstorage/conf.go
@@ -1,4 +1,4 @@
-package raftdisk
+package raftstorage
 
 import (
 	"sync"
--- a/internal/raftdisk/disk.go
+++ b/internal/cluster/raftstorage/disk.go
@@ -1,7 +1,7 @@
-// Package raftdisk keeps what a Raft node must not forget in one durable store: the
+// Package raftstorage keeps what a Raft node must not forget in one durable store: the
 // log (an entry a number, cut at either end), the stable keys (term and vote), and
 // the snapshots (chunks, which count once their meta key is there).
-package raftdisk
+package raftstorage
 
 import (
 	"encoding/binary"
@@ -13,9 +13,9 @@
 
 	"github.com/hashicorp/raft"
 
-	"oxbowbridge/internal/durable"
-	"oxbowbridge/internal/durable/stream"
-	"oxbowbridge/internal/durable/vfs"
+	"oxbowbridge/internal/storage/durable"
+	"oxbowbridge/internal/storage/durable/stream"
+	"oxbowbridge/internal/storage/durable/vfs"
 )
 
 // The prefixes of keys.
--- a/internal/raftdisk/guard.go
+++ b/internal/cluster/raftstorage/guard.go
@@ -1,4 +1,4 @@
-package raftdisk
+package raftstorage
 
 import (
 	"errors"
@@ -8,8 +8,8 @@
 
 	"github.com/hashicorp/raft"
 
-	"oxbowbridge/internal/durable"
-	"oxbowbridge/internal/identity"
+	"oxbowbridge/internal/cluster/diskidentity"
+	"oxbowbridge/internal/storage/durable"
 )
 
 // Guard is a Disk as Raft uses it. The first failure is told to the node, which ends
@@ -74,7 +74,7 @@
 }
 
 // Mark is how far the disk has come, but for the starts.
-func (d *Disk) Mark() (m identity.Mark, err error) {
+func (d *Disk) Mark() (m diskidentity.Mark, err error) {
 	if m.Term, err = d.GetUint64([]byte("CurrentTerm")); err != nil { // Raft's name for it
 		return m, fmt.Errorf("term: %w", err)
 	}
--- a/internal/raftdisk/snapshot.go
+++ b/internal/cluster/raftstorage/snapshot.go
@@ -1,4 +1,4 @@
-package raftdisk
+package raftstorage
 
 import (
 	"encoding/binary"
@@ -12,7 +12,7 @@
 
 	"github.com/hashicorp/raft"
 
-	"oxbowbridge/internal/durable"
+	"oxbowbridge/internal/storage/durable"
 )
 
 const (
--- a/internal/fleet/fleet.go
+++ b/internal/cluster/singleton/fleet.go
@@ -1,7 +1,7 @@
-// Package fleet does what one node of the store does for all: it writes the store of
+// Package singleton does what one node of the store does for all: it writes the store of
 // record, takes backups on schedule, and ends dead sessions. Which node does which is
 // settled by leases.
-package fleet
+package singleton
 
 import (
 	"bytes"
@@ -16,14 +16,14 @@
 
 	"go.uber.org/zap"
 
-	"oxbowbridge/internal/backup"
-	"oxbowbridge/internal/files"
-	"oxbowbridge/internal/kv"
-	"oxbowbridge/internal/lease"
-	"oxbowbridge/internal/leaseclient"
-	"oxbowbridge/internal/store"
-	"oxbowbridge/internal/storeclient"
-	"oxbowbridge/internal/workorder"
+	"oxbowbridge/internal/cluster/backup"
+	"oxbowbridge/internal/cluster/kv"
+	"oxbowbridge/internal/cluster/lease"
+	"oxbowbridge/internal/cluster/leaseclient"
+	"oxbowbridge/internal/cluster/store"
+	"oxbowbridge/internal/cluster/storeclient"
+	"oxbowbridge/internal/maintenance/controller"
+	"oxbowbridge/internal/storage/atomicfile"
 )
 
 // Names of the leases.
@@ -49,13 +49,13 @@
 }
 
 // Start has a node take part in the tasks that it is set up for.
-func Start(s *store.Store, order *workorder.Order, cfg store.Config, log *zap.Logger) (*Tasks, error) {
+func Start(s *store.Store, order *controller.Order, cfg store.Config, log *zap.Logger) (*Tasks, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	t := &Tasks{cancel: cancel, keeper: leaseclient.New([]string{s.AdminAddress()}, s.Name()+":"+leaseclient.HolderName())}
 	list := []leaseclient.Task{{Name: LeaseSessions, TTL: ttl, Do: func(ctx context.Context, h *leaseclient.Held) error {
 		return endSessions(ctx, s, h)
 	}}}
-	list = append(list, leaseclient.Task{Name: workorder.LeaseOrder, TTL: ttl, Do: func(ctx context.Context, h *leaseclient.Held) error {
+	list = append(list, leaseclient.Task{Name: controller.LeaseOrder, TTL: ttl, Do: func(ctx context.Context, h *leaseclient.Held) error {
 		return order.Run(ctx, h.Fence())
 	}})
 	if s.HasRecord() {
@@ -174,7 +174,7 @@
 		return err
 	}
 	path := filepath.Join(b.dir, fileName(time.UnixMilli(head.TimeMS), head.Revision))
-	if err := files.WriteNew(path, text); err != nil {
+	if err := atomicfile.WriteNew(path, text); err != nil {
 		return err
 	}
 	onDisk, err := os.ReadFile(path)
--- a/internal/fleet/golden_test.go
+++ b/internal/cluster/singleton/golden_test.go
@@ -1,4 +1,4 @@
-package fleet
+package singleton
 
 import (
 	"encoding/json"
--- a/internal/store/backup.go
+++ b/internal/cluster/store/backup.go
@@ -7,9 +7,9 @@
 	"errors"
 	"fmt"
 
-	"oxbowbridge/internal/backup"
-	"oxbowbridge/internal/kv"
-	"oxbowbridge/internal/storeapi"
+	"oxbowbridge/internal/cluster/backup"
+	"oxbowbridge/internal/cluster/kv"
+	"oxbowbridge/internal/cluster/storeapi"
 )
 
 const (
--- a/internal/store/cluster.go
+++ b/internal/cluster/store/cluster.go
@@ -14,8 +14,8 @@
 
 	"go.uber.org/zap"
 
-	"oxbowbridge/internal/kv"
-	"oxbowbridge/internal/lease"
+	"oxbowbridge/internal/cluster/kv"
+	"oxbowbridge/internal/cluster/lease"
 )
 
 const identityLook = 100 * time.Millisecond
--- a/internal/store/config.go
+++ b/internal/cluster/store/config.go
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"oxbowbridge/internal/membership"
+	"oxbowbridge/internal/cluster/membership"
 )
 
 // Peer is one node of the store.
--- a/internal/store/disk.go
+++ b/internal/cluster/store/disk.go
@@ -12,10 +12,10 @@
 	"github.com/hashicorp/raft"
 	"go.uber.org/zap"
 
-	"oxbowbridge/internal/durable"
-	"oxbowbridge/internal/identity"
-	"oxbowbridge/internal/kv"
-	"oxbowbridge/internal/raftdisk"
+	"oxbowbridge/internal/cluster/diskidentity"
+	"oxbowbridge/internal/cluster/kv"
+	"oxbowbridge/internal/cluster/raftstorage"
+	"oxbowbridge/internal/storage/durable"
 )
 
 // What a node keeps beside its log.
@@ -31,7 +31,7 @@
 // openDisk opens the node's folder, or makes it. One that is damaged, or whose state differs,
 // is set aside, whole, and a new one is begun that never makes a cluster: what it promised,
 // others must know.
-func (s *Store) openDisk() (*raftdisk.Disk, error) {
+func (s *Store) openDisk() (*raftstorage.Disk, error) {
 	disk, err := s.tryDisk()
 	if !errors.Is(err, durable.ErrDamaged) && !errors.Is(err, errApart) {
 		return disk, err
@@ -57,7 +57,7 @@
 	return disk, nil
 }
 
-func (s *Store) tryDisk() (*raftdisk.Disk, error) {
+func (s *Store) tryDisk() (*raftstorage.Disk, error) {
 	if err := os.MkdirAll(s.cfg.Dir, 0o750); err != nil {
 		return nil, fmt.Errorf("dir: %w", err)
 	}
@@ -79,13 +79,13 @@
 
 // folder is what a node knows of its disk when it starts.
 type folder struct {
-	disk      *raftdisk.Disk
-	own       identity.Own
+	disk      *raftstorage.Disk
+	own       diskidentity.Own
 	addresses map[string]string // of the members in its log
 }
 
 // readFolder reads a disk's identity, or gives it one, and counts the start.
-func (s *Store) readFolder(disk *raftdisk.Disk) (*folder, error) {
+func (s *Store) readFolder(disk *raftstorage.Disk) (*folder, error) {
 	f := &folder{disk: disk}
 	id, err := disk.Kept(keptDisk)
 	if err != nil {
@@ -114,7 +114,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("marker: %w", err)
 	}
-	f.own = identity.Own{ID: identity.ID(s.self.Name, string(id)), Cluster: s.cluster.id(), Vouchers: s.cfg.Vouchers}
+	f.own = diskidentity.Own{ID: diskidentity.ID(s.self.Name, string(id)), Cluster: s.cluster.id(), Vouchers: s.cfg.Vouchers}
 	if f.own.Mark, err = disk.Mark(); err != nil {
 		return nil, fmt.Errorf("mark: %w", err)
 	}
@@ -145,7 +145,7 @@
 	return f, nil
 }
 
-func newDiskID(disk *raftdisk.Disk) ([]byte, error) {
+func newDiskID(disk *raftstorage.Disk) ([]byte, error) {
 	b := make([]byte, diskBytes)
 	rand.Read(b)
 	id := []byte(hex.EncodeToString(b))
@@ -157,12 +157,12 @@
 
 // renew gives a disk a new identity: what it promised before is not counted for it any
 // more. Its log stays, as most of it saves being sent again.
-func renew(disk *raftdisk.Disk, name string) (id string, err error) {
+func renew(disk *raftstorage.Disk, name string) (id string, err error) {
 	text, err := newDiskID(disk)
 	if err == nil {
 		err = disk.Keep(keptJoiner, []byte("1"))
 	}
-	return identity.ID(name, string(text)), err
+	return diskidentity.ID(name, string(text)), err
 }
 
 func idsOf(conf raft.Configuration) (members, voters []string) {
@@ -194,9 +194,9 @@
 }
 
 // ledger is what this node has seen of other disks, the highest of each.
-type ledger map[string]identity.Mark
+type ledger map[string]diskidentity.Mark
 
-func readLedger(disk *raftdisk.Disk) (ledger, error) {
+func readLedger(disk *raftstorage.Disk) (ledger, error) {
 	l := ledger{}
 	text, err := disk.Kept(keptSeen)
 	if err == nil && text != nil {
@@ -209,7 +209,7 @@
 }
 
 // readClusterID recalls the cluster that the folder is of, "" if it was not kept yet.
-func readClusterID(disk *raftdisk.Disk) (string, error) {
+func readClusterID(disk *raftstorage.Disk) (string, error) {
 	id, err := disk.Kept(kv.ClusterKey)
 	if err != nil {
 		return "", fmt.Errorf("cluster id: %w", err)
@@ -219,7 +219,7 @@
 
 // loggedCluster is the cluster's id in the log of a node that ended before it had kept
 // it. It may not have been committed.
-func loggedCluster(disk *raftdisk.Disk) (string, error) {
+func loggedCluster(disk *raftstorage.Disk) (string, error) {
 	s := newState()
 	if err := replay(disk, s); err != nil {
 		return "", fmt.Errorf("cluster id: %w", err)
--- /dev/null
+++ b/internal/cluster/store/folder.go
@@ -0,0 +1,10 @@
+//go:build !faults
+
+package store
+
+import (
+	"oxbowbridge/internal/cluster/raftstorage"
+	"oxbowbridge/internal/storage/durable"
+)
+
+func openFolder(dir string) (*raftstorage.Disk, *durable.Report, error) { return raftstorage.Open(dir) }
--- a/internal/store/fresh.go
+++ b/internal/cluster/store/fresh.go
@@ -10,7 +10,7 @@
 
 	"github.com/hashicorp/raft"
 
-	"oxbowbridge/internal/storeapi"
+	"oxbowbridge/internal/cluster/storeapi"
 )
 
 // Freshness is what a reader asks for.
--- a/internal/store/leases.go
+++ b/internal/cluster/store/leases.go
@@ -9,9 +9,9 @@
 
 	"go.uber.org/zap"
 
-	"oxbowbridge/internal/identity"
-	"oxbowbridge/internal/kv"
-	"oxbowbridge/internal/lease"
+	"oxbowbridge/internal/cluster/diskidentity"
+	"oxbowbridge/internal/cluster/kv"
+	"oxbowbridge/internal/cluster/lease"
 )
 
 const (
@@ -157,7 +157,7 @@
 	conf, _ := l.conf()
 	for _, x := range conf.Servers {
 		if id := string(x.ID); id != l.id {
-			if h, now := s.peers.last(identity.Name(id)); !now || h.ID != id || !h.Leases {
+			if h, now := s.peers.last(diskidentity.Name(id)); !now || h.ID != id || !h.Leases {
 				return fmt.Errorf("%w: not known of %s", ErrNoLeases, id)
 			}
 		}
--- a/internal/store/life.go
+++ b/internal/cluster/store/life.go
@@ -14,8 +14,8 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zapio"
 
-	"oxbowbridge/internal/identity"
-	"oxbowbridge/internal/raftdisk"
+	"oxbowbridge/internal/cluster/diskidentity"
+	"oxbowbridge/internal/cluster/raftstorage"
 )
 
 const (
@@ -32,7 +32,7 @@
 type life struct {
 	s      *Store
 	id     string // this member
-	disk   *raftdisk.Disk
+	disk   *raftstorage.Disk
 	raft   *raft.Raft
 	joined atomic.Bool            // it was a member once, in this life
 	refuse atomic.Pointer[string] // why it is not one yet
@@ -85,7 +85,7 @@
 
 // live waits until the disk may take part, and has it do so until it fails, this node is
 // removed, or the store ends. It closes the disk.
-func (s *Store) live(disk *raftdisk.Disk) (err error) {
+func (s *Store) live(disk *raftstorage.Disk) (err error) {
 	defer func() {
 		s.started.Store(nil)
 		if cerr := disk.Close(); cerr != nil && err == nil && s.ctx.Err() == nil {
@@ -130,22 +130,22 @@
 }
 
 // decide asks the others until it is known what the disk may do.
-func (s *Store) decide(f *folder) (*folder, identity.Verdict, error) {
+func (s *Store) decide(f *folder) (*folder, diskidentity.Verdict, error) {
 	for {
 		words, all, news := s.peers.words()
-		verdict, why := identity.Decide(f.own, words)
-		if !all && verdict != identity.Renew {
-			verdict, why = identity.Wait, "the other nodes to be asked"
+		verdict, why := diskidentity.Decide(f.own, words)
+		if !all && verdict != diskidentity.Renew {
+			verdict, why = diskidentity.Wait, "the other nodes to be asked"
 		}
-		if verdict != identity.Wait {
+		if verdict != diskidentity.Wait {
 			s.log.Info("disk looked at", zap.String("id", f.own.ID), zap.Stringer("verdict", verdict), zap.String("why", why))
 		}
 		switch verdict {
-		case identity.Wait:
+		case diskidentity.Wait:
 			if all {
 				s.waiting(why)
 			}
-		case identity.Renew:
+		case diskidentity.Renew:
 			id, err := renew(f.disk, s.self.Name)
 			if err != nil {
 				return f, verdict, err
@@ -154,7 +154,7 @@
 			g := *f // others look at the first
 			g.own.ID = id
 			s.started.Store(&g)
-			return &g, identity.Join, nil
+			return &g, diskidentity.Join, nil
 		default:
 			return f, verdict, nil
 		}
@@ -168,7 +168,7 @@
 }
 
 // take starts Raft under a verdict, and returns when the life is over.
-func (s *Store) take(f *folder, verdict identity.Verdict) error {
+func (s *Store) take(f *folder, verdict diskidentity.Verdict) error {
 	l := &life{s: s, id: f.own.ID, disk: f.disk, failed: make(chan error, 1)}
 	guard := f.disk.Guarded(l.fail)
 	w, err := listenWire(s.self.Raft, l.id, s.cluster.id, s.cfg.peer)
@@ -187,7 +187,7 @@
 		Timeout: transportTime, Logger: rc.Logger}))
 	l.acks = transport
 	defer func() { transport.Close(); transport.CloseStreams() }()
-	if verdict == identity.Found {
+	if verdict == diskidentity.Found {
 		conf, err := s.founding(l)
 		if err == nil {
 			err = raft.BootstrapCluster(rc, guard, guard, guard, transport, conf)
@@ -245,7 +245,7 @@
 			if !now || !h.Fresh {
 				return conf, fmt.Errorf("%s is not new any more", p.Name)
 			}
-			if id, p.Raft, p.Admin, p.Zone = h.ID, h.Raft, h.Admin, h.Zone; identity.Name(id) != p.Name {
+			if id, p.Raft, p.Admin, p.Zone = h.ID, h.Raft, h.Admin, h.Zone; diskidentity.Name(id) != p.Name {
 				return conf, fmt.Errorf("%s says that it is %s", p.Name, id)
 			}
 		}
@@ -256,8 +256,8 @@
 
 // tend watches over a life until it has to end: it joins, keeps what was seen of others,
 // and notices that the disk failed or that the others have removed it.
-func (s *Store) tend(ctx context.Context, l *life, verdict identity.Verdict) error {
-	l.joined.Store(verdict == identity.Resume || verdict == identity.Found)
+func (s *Store) tend(ctx context.Context, l *life, verdict diskidentity.Verdict) error {
+	l.joined.Store(verdict == diskidentity.Resume || verdict == diskidentity.Found)
 	tick := time.NewTicker(askEvery)
 	defer tick.Stop()
 	var kept, asked time.Time
@@ -278,7 +278,7 @@
 			s.peers.keep(l)
 		}
 		words, _, _ := s.peers.words()
-		if by := identity.Replaced(s.cluster.id(), words); by != "" {
+		if by := diskidentity.Replaced(s.cluster.id(), words); by != "" {
 			return fmt.Errorf("%w: it is %s now", errReplaced, by)
 		}
 		conf, index := l.conf()
--- a/internal/store/members.go
+++ b/internal/cluster/store/members.go
@@ -13,10 +13,10 @@
 	"github.com/hashicorp/raft"
 	"go.uber.org/zap"
 
-	"oxbowbridge/internal/identity"
-	"oxbowbridge/internal/kv"
-	"oxbowbridge/internal/membership"
-	"oxbowbridge/internal/storeapi"
+	"oxbowbridge/internal/cluster/diskidentity"
+	"oxbowbridge/internal/cluster/kv"
+	"oxbowbridge/internal/cluster/membership"
+	"oxbowbridge/internal/cluster/storeapi"
 )
 
 // ErrRefused means that a member is not taken in; nothing was done.
@@ -104,7 +104,7 @@
 	}
 	h, heard := s.peers.last(p.Name)
 	m.Up = heard && h.ID == id && h.State == stateServing
-	m.Lost = heard && h.ID != id && (identity.Disk(h.ID) != "" || identity.Disk(id) != "") && identity.Name(h.ID) == p.Name
+	m.Lost = heard && h.ID != id && (diskidentity.Disk(h.ID) != "" || diskidentity.Disk(id) != "") && diskidentity.Name(h.ID) == p.Name
 	if m.Up {
 		m.Behind = l.raft.LastIndex() - min(l.raft.LastIndex(), h.Mark.LastIndex)
 		delete(l.view.down, id)
@@ -124,13 +124,13 @@
 func (s *Store) convert(l *life, members []membership.Member) {
 	next, voters := -1, 0
 	for i, m := range members {
-		if h, _ := s.peers.last(identity.Name(m.ID)); !m.Up || m.Behind > lagMost || m.ID != l.id && h.old {
+		if h, _ := s.peers.last(diskidentity.Name(m.ID)); !m.Up || m.Behind > lagMost || m.ID != l.id && h.old {
 			return
 		}
 		if m.Role == membership.Voter {
 			voters++
 		}
-		if identity.Disk(m.ID) == "" && (next < 0 || members[next].ID == l.id) {
+		if diskidentity.Disk(m.ID) == "" && (next < 0 || members[next].ID == l.id) {
 			next = i
 		}
 	}
@@ -163,11 +163,11 @@
 
 // Join takes a node in as a learner; only the leader can.
 func (s *Store) Join(ctx context.Context, j storeapi.Join) error {
-	p := Peer{Name: identity.Name(j.ID), Raft: j.Raft, Admin: j.Admin, Zone: j.Zone}
+	p := Peer{Name: diskidentity.Name(j.ID), Raft: j.Raft, Admin: j.Admin, Zone: j.Zone}
 	if err := p.check(); err != nil {
 		return fmt.Errorf("%w: %w", kv.ErrRequest, err)
 	}
-	if disk := identity.Disk(j.ID); disk == "" || strings.ContainsAny(disk+p.Zone, "@|#") || len(j.ID)+len(p.Zone) > kv.KeyBytes {
+	if disk := diskidentity.Disk(j.ID); disk == "" || strings.ContainsAny(disk+p.Zone, "@|#") || len(j.ID)+len(p.Zone) > kv.KeyBytes {
 		return fmt.Errorf("%w: id: want a name, @ and a disk; zone: no |", kv.ErrRequest)
 	}
 	l, err := s.alive()
@@ -192,10 +192,10 @@
 	}
 	members, _ := idsOf(conf)
 	up := func(id string) bool {
-		h, now := s.peers.last(identity.Name(id))
+		h, now := s.peers.last(diskidentity.Name(id))
 		return id == l.id || now && h.ID == id
 	}
-	if why := identity.MayJoin(j.ID, members, s.removedNames(), up, membersMost); why != "" {
+	if why := diskidentity.MayJoin(j.ID, members, s.removedNames(), up, membersMost); why != "" {
 		return fmt.Errorf("%w: %s", ErrRefused, why)
 	}
 	s.log.Info("members change", zap.String("step", "learner"), zap.String("member", j.ID))
@@ -234,7 +234,7 @@
 	out = storeapi.Members{Leader: s.self.Name, Index: index, Voters: s.cfg.policy().Voters, Removed: s.removedNames()}
 	for _, m := range view.Members {
 		x, _ := serverOf(conf, m.ID)
-		row := storeapi.Member{Name: identity.Name(m.ID), ID: m.ID, Zone: m.Zone, Role: m.Role.String(), Behind: m.Behind,
+		row := storeapi.Member{Name: diskidentity.Name(m.ID), ID: m.ID, Zone: m.Zone, Role: m.Role.String(), Behind: m.Behind,
 			State: stateOf(m, l.id), Admin: peerOf(x.ID, x.Address).Admin}
 		if step.ID == m.ID {
 			row.Next, row.Why = step.Kind.String(), step.Why
@@ -272,7 +272,7 @@
 	conf, _ := l.conf()
 	members, voters := idsOf(conf)
 	has := func(list []string) bool {
-		return slices.ContainsFunc(list, func(id string) bool { return identity.Name(id) == name })
+		return slices.ContainsFunc(list, func(id string) bool { return diskidentity.Name(id) == name })
 	}
 	switch {
 	case !has(members):
@@ -299,7 +299,7 @@
 	}
 	conf, _ := l.conf()
 	members, _ := idsOf(conf)
-	if !slices.ContainsFunc(members, func(id string) bool { return identity.Name(id) == name }) {
+	if !slices.ContainsFunc(members, func(id string) bool { return diskidentity.Name(id) == name }) {
 		return fmt.Errorf("%w: %s", ErrNoMember, name)
 	}
 	wanted := 0
--- a/internal/store/mirror.go
+++ b/internal/cluster/store/mirror.go
@@ -14,8 +14,8 @@
 	"go.uber.org/zap"
 	_ "modernc.org/sqlite" // driver "sqlite"
 
-	"oxbowbridge/internal/kv"
-	"oxbowbridge/internal/lease"
+	"oxbowbridge/internal/cluster/kv"
+	"oxbowbridge/internal/cluster/lease"
 )
 
 const (
--- a/internal/store/peers.go
+++ b/internal/cluster/store/peers.go
@@ -14,10 +14,10 @@
 	"github.com/hashicorp/raft"
 	"go.uber.org/zap"
 
-	"oxbowbridge/internal/identity"
-	"oxbowbridge/internal/kv"
-	"oxbowbridge/internal/storeapi"
-	"oxbowbridge/internal/storeclient"
+	"oxbowbridge/internal/cluster/diskidentity"
+	"oxbowbridge/internal/cluster/kv"
+	"oxbowbridge/internal/cluster/storeapi"
+	"oxbowbridge/internal/cluster/storeclient"
 )
 
 const (
@@ -149,7 +149,7 @@
 		p.s.cluster.found(name, self.Cluster, p.s.log)
 	} else {
 		p.s.cluster.lost(name)
-		if disk := identity.Disk(self.ID); disk != "" {
+		if disk := diskidentity.Disk(self.ID); disk != "" {
 			was, known := p.seen[self.ID]
 			if now := was.Max(self.Mark); now != was && (known || len(p.seen) < ledgerMost) {
 				p.seen[self.ID], p.dirty = now, true
@@ -182,7 +182,7 @@
 			continue
 		}
 		voters++
-		if h, now := p.last(identity.Name(id)); id != own && now && h.ID == id {
+		if h, now := p.last(diskidentity.Name(id)); id != own && now && h.ID == id {
 			list = append(list, h.Checks)
 		}
 	}
@@ -191,10 +191,10 @@
 
 // words are the answers that count at a start; all tells whether each node was asked at
 // least once, and answered or could not.
-func (p *peers) words() (words map[string]identity.Word, all bool, news <-chan struct{}) {
+func (p *peers) words() (words map[string]diskidentity.Word, all bool, news <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	words, all = map[string]identity.Word{}, true
+	words, all = map[string]diskidentity.Word{}, true
 	for name := range p.asking {
 		if h := p.said[name]; h.at.IsZero() && h.err == nil {
 			all = false
@@ -209,7 +209,7 @@
 }
 
 // of is the most that was seen of a disk.
-func (p *peers) of(id string) *identity.Mark {
+func (p *peers) of(id string) *diskidentity.Mark {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if m, ok := p.seen[id]; ok {
--- a/internal/store/recover.go
+++ b/internal/cluster/store/recover.go
@@ -14,21 +14,21 @@
 	"github.com/hashicorp/raft"
 	"go.uber.org/zap"
 
-	"oxbowbridge/internal/identity"
-	"oxbowbridge/internal/kv"
-	"oxbowbridge/internal/raftdisk"
+	"oxbowbridge/internal/cluster/diskidentity"
+	"oxbowbridge/internal/cluster/kv"
+	"oxbowbridge/internal/cluster/raftstorage"
 )
 
 // Left is what a stopped node has of a cluster whose majority is lost for good.
 type Left struct {
-	Node    string                   `json:"node"`
-	ID      string                   `json:"id"`
-	Cluster string                   `json:"cluster"`
-	Mark    identity.Mark            `json:"mark"`
-	Keys    int                      `json:"keys"`
-	Members []string                 `json:"members"`
-	Voters  []string                 `json:"voters"`
-	Seen    map[string]identity.Mark `json:"seen"` // the most that this node saw of the others' disks
+	Node    string                       `json:"node"`
+	ID      string                       `json:"id"`
+	Cluster string                       `json:"cluster"`
+	Mark    diskidentity.Mark            `json:"mark"`
+	Keys    int                          `json:"keys"`
+	Members []string                     `json:"members"`
+	Voters  []string                     `json:"voters"`
+	Seen    map[string]diskidentity.Mark `json:"seen"` // the most that this node saw of the others' disks
 	// Missing is what others had that this node has not, as far as it knows.
 	Missing []string `json:"missing,omitempty"`
 	New     string   `json:"new_cluster,omitempty"` // once it was recovered
@@ -83,7 +83,7 @@
 }
 
 type leftover struct {
-	disk *raftdisk.Disk
+	disk *raftstorage.Disk
 	left Left
 }
 
@@ -123,7 +123,7 @@
 	}
 	all, _ := state.all()
 	r.left = Left{Node: self.Name, ID: f.own.ID, Cluster: cmp.Or(cluster, f.own.Logged), Mark: f.own.Mark, Keys: len(all), Members: f.own.Members,
-		Voters: f.own.Voters, Seen: map[string]identity.Mark{}}
+		Voters: f.own.Voters, Seen: map[string]diskidentity.Mark{}}
 	for id, m := range seen {
 		if !slices.Contains(f.own.Members, id) {
 			continue
@@ -139,7 +139,7 @@
 }
 
 // replay reads the newest snapshot and the log above it.
-func replay(disk *raftdisk.Disk, to *state) error {
+func replay(disk *raftstorage.Disk, to *state) error {
 	from := uint64(1)
 	metas, err := disk.List()
 	if err != nil {
--- a/internal/store/state.go
+++ b/internal/cluster/store/state.go
@@ -11,9 +11,9 @@
 
 	"github.com/hashicorp/raft"
 
-	"oxbowbridge/internal/kv"
-	"oxbowbridge/internal/lease"
-	"oxbowbridge/internal/watch"
+	"oxbowbridge/internal/cluster/kv"
+	"oxbowbridge/internal/cluster/lease"
+	"oxbowbridge/internal/cluster/watch"
 )
 
 // What is kept for those who watch.
--- a/internal/store/store.go
+++ b/internal/cluster/store/store.go
@@ -1,7 +1,7 @@
 // Package store is a node of the small replicated store of the service's configuration
 // and administrative state: Raft between the nodes, and a SQL database as store of
-// record. It is never on the path of a request. Its admin port is internal/storeadmin,
-// the client of that internal/storeclient.
+// record. It is never on the path of a request. Its admin port is internal/cluster/storeadmin,
+// the client of that internal/cluster/storeclient.
 package store
 
 import (
@@ -16,11 +16,11 @@
 	"github.com/hashicorp/raft"
 	"go.uber.org/zap"
 
-	"oxbowbridge/internal/identity"
-	"oxbowbridge/internal/kv"
-	"oxbowbridge/internal/raftdisk"
-	"oxbowbridge/internal/storeapi"
-	"oxbowbridge/internal/watch"
+	"oxbowbridge/internal/cluster/diskidentity"
+	"oxbowbridge/internal/cluster/kv"
+	"oxbowbridge/internal/cluster/raftstorage"
+	"oxbowbridge/internal/cluster/storeapi"
+	"oxbowbridge/internal/cluster/watch"
 )
 
 // CloseTime is how long Close takes at most.
@@ -113,7 +113,7 @@
 
 // run goes from life to life: one ends when the disk fails, or when this node is no
 // member any more.
-func (s *Store) run(disk *raftdisk.Disk) {
+func (s *Store) run(disk *raftstorage.Disk) {
 	defer close(s.ended)
 	for s.ctx.Err() == nil {
 		if err := s.live(disk); err != nil && s.ctx.Err() == nil {
@@ -220,7 +220,7 @@
 
 // where is how this node reaches a member.
 func (s *Store) where(l *life, id string) Peer {
-	name := identity.Name(id)
+	name := diskidentity.Name(id)
 	if name == s.self.Name {
 		return s.self
 	}
--- a/internal/store/write.go
+++ b/internal/cluster/store/write.go
@@ -9,8 +9,8 @@
 	"sync"
 	"time"
 
-	"oxbowbridge/internal/kv"
-	"oxbowbridge/internal/storeapi"
+	"oxbowbridge/internal/cluster/kv"
+	"oxbowbridge/internal/cluster/storeapi"
 )
 
 // What a node holds of writes that are not committed yet.
--- a/internal/storeadmin/admin.go
+++ b/internal/cluster/storeadmin/admin.go
@@ -15,10 +15,10 @@
 
 	"go.uber.org/zap"
 
-	"oxbowbridge/internal/kv"
-	"oxbowbridge/internal/store"
-	"oxbowbridge/internal/storeapi"
-	"oxbowbridge/internal/workorder"
+	"oxbowbridge/internal/cluster/kv"
+	"oxbowbridge/internal/cluster/store"
+	"oxbowbridge/internal/cluster/storeapi"
+	"oxbowbridge/internal/maintenance/controller"
 )
 
 const (
@@ -42,18 +42,18 @@
 	forwards chan struct{} // one for each write that is passed on
 	waits    chan struct{} // one for each request for a lease
 
-	order     *workorder.Order
+	order     *controller.Order
 	restoring sync.Mutex
 }
 
 // Open starts a node with its admin port. It finds the others by itself, and what it
 // missed. With it comes the node's part in orders of work.
-func Open(cfg store.Config, log *zap.Logger) (*store.Store, *workorder.Order, error) {
+func Open(cfg store.Config, log *zap.Logger) (*store.Store, *controller.Order, error) {
 	s, err := store.New(cfg, log)
 	if err != nil {
 		return nil, nil, err
 	}
-	order := workorder.New(s, log.Named("work"))
+	order := controller.New(s, log.Named("work"))
 	s.OnClose(order.Close)
 	if err := serve(s, order); err != nil {
 		order.Close()
@@ -66,7 +66,7 @@
 	return s, order, nil
 }
 
-func serve(s *store.Store, order *workorder.Order) error {
+func serve(s *store.Store, order *controller.Order) error {
 	a := &admin{store: s, client: &http.Client{Timeout: storeapi.ApplyTime + time.Second}, patient: &http.Client{Timeout: storeapi.RestoreTime},
 		watchers: make(chan struct{}, watchersMost), forwards: make(chan struct{}, forwardedMost),
 		waits: make(chan struct{}, leaseMost), order: order}
--- a/internal/storeadmin/backup.go
+++ b/internal/cluster/storeadmin/backup.go
@@ -10,10 +10,10 @@
 	"strings"
 	"time"
 
-	"oxbowbridge/internal/backup"
-	"oxbowbridge/internal/kv"
-	"oxbowbridge/internal/store"
-	"oxbowbridge/internal/storeapi"
+	"oxbowbridge/internal/cluster/backup"
+	"oxbowbridge/internal/cluster/kv"
+	"oxbowbridge/internal/cluster/store"
+	"oxbowbridge/internal/cluster/storeapi"
 )
 
 // backup answers with all keys as they were at one revision.
--- a/internal/storeadmin/forward.go
+++ b/internal/cluster/storeadmin/forward.go
@@ -10,9 +10,9 @@
 	"strings"
 	"time"
 
-	"oxbowbridge/internal/kv"
-	"oxbowbridge/internal/store"
-	"oxbowbridge/internal/storeapi"
+	"oxbowbridge/internal/cluster/kv"
+	"oxbowbridge/internal/cluster/store"
+	"oxbowbridge/internal/cluster/storeapi"
 )
 
 const (
--- a/internal/storeadmin/leases.go
+++ b/internal/cluster/storeadmin/leases.go
@@ -10,10 +10,10 @@
 	"strconv"
 	"time"
 
-	"oxbowbridge/internal/kv"
-	"oxbowbridge/internal/lease"
-	"oxbowbridge/internal/store"
-	"oxbowbridge/internal/storeapi"
+	"oxbowbridge/internal/cluster/kv"
+	"oxbowbridge/internal/cluster/lease"
+	"oxbowbridge/internal/cluster/store"
+	"oxbowbridge/internal/cluster/storeapi"
 )
 
 const (
--- a/internal/storeadmin/members.go
+++ b/internal/cluster/storeadmin/members.go
@@ -3,7 +3,7 @@
 import (
 	"net/http"
 
-	"oxbowbridge/internal/storeapi"
+	"oxbowbridge/internal/cluster/storeapi"
 )
 
 const joinMost = 4 << 10 // bytes of a request for a place
--- a/internal/storeadmin/watch.go
+++ b/internal/cluster/storeadmin/watch.go
@@ -10,9 +10,9 @@
 	"strconv"
 	"time"
 
-	"oxbowbridge/internal/kv"
-	"oxbowbridge/internal/storeapi"
-	"oxbowbridge/internal/watch"
+	"oxbowbridge/internal/cluster/kv"
+	"oxbowbridge/internal/cluster/storeapi"
+	"oxbowbridge/internal/cluster/watch"
 )
 
 const watcherSlow = 5 * time.Second // a write that takes longer ends the stream
--- a/internal/storeadmin/work.go
+++ b/internal/cluster/storeadmin/work.go
@@ -3,8 +3,8 @@
 import (
 	"net/http"
 
-	"oxbowbridge/internal/storeapi"
-	"oxbowbridge/internal/work"
+	"oxbowbridge/internal/cluster/storeapi"
+	"oxbowbridge/internal/maintenance"
 )
 
 const workMost = 8 << 10 // bytes of a request about work
@@ -41,7 +41,7 @@
 
 // askWork is POST /work.
 func (a *admin) askWork(w http.ResponseWriter, r *http.Request) {
-	atLeader(a, w, r, func(j work.Job) (any, error) { return a.order.Ask(r.Context(), j) })
+	atLeader(a, w, r, func(j maintenance.Job) (any, error) { return a.order.Ask(r.Context(), j) })
 }
 
 // cancelWork is DELETE /work/NODE.
@@ -52,18 +52,18 @@
 // pauseWork is POST /work/pause and /work/resume.
 func (a *admin) pauseWork(paused bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		atLeader(a, w, r, func(q work.Why) (any, error) { return nil, a.order.SetPause(r.Context(), paused, q.Why) })
+		atLeader(a, w, r, func(q maintenance.Why) (any, error) { return nil, a.order.SetPause(r.Context(), paused, q.Why) })
 	}
 }
 
 // sayWork is PUT /work/NODE.
 func (a *admin) sayWork(w http.ResponseWriter, r *http.Request) {
-	atLeader(a, w, r, func(q work.Report) (any, error) { return nil, a.order.Say(r.Context(), r.PathValue("node"), q) })
+	atLeader(a, w, r, func(q maintenance.Report) (any, error) { return nil, a.order.Say(r.Context(), r.PathValue("node"), q) })
 }
 
 // beatWork is PUT /work/NODE/beat.
 func (a *admin) beatWork(w http.ResponseWriter, r *http.Request) {
-	atLeader(a, w, r, func(b work.Beat) (any, error) {
+	atLeader(a, w, r, func(b maintenance.Beat) (any, error) {
 		b.Name = r.PathValue("node")
 		j, err := a.order.Beat(r.Context(), b)
 		return j, err // null, if nothing is asked for
--- a/internal/storeadmin/write.go
+++ b/internal/cluster/storeadmin/write.go
@@ -11,12 +11,12 @@
 	"strconv"
 	"strings"
 
-	"oxbowbridge/internal/kv"
-	"oxbowbridge/internal/lease"
-	"oxbowbridge/internal/store"
-	"oxbowbridge/internal/storeapi"
-	"oxbowbridge/internal/work"
-	"oxbowbridge/internal/workorder"
+	"oxbowbridge/internal/cluster/kv"
+	"oxbowbridge/internal/cluster/lease"
+	"oxbowbridge/internal/cluster/store"
+	"oxbowbridge/internal/cluster/storeapi"
+	"oxbowbridge/internal/maintenance"
+	"oxbowbridge/internal/maintenance/controller"
 )
 
 const txnMost = 1 << 20 // bytes of a transaction's text
@@ -24,17 +24,17 @@
 // fail answers with what an error means to the caller.
 func fail(w http.ResponseWriter, err error) {
 	switch {
-	case errors.Is(err, kv.ErrRequest), errors.Is(err, lease.ErrRequest), errors.Is(err, work.ErrAsk):
+	case errors.Is(err, kv.ErrRequest), errors.Is(err, lease.ErrRequest), errors.Is(err, maintenance.ErrAsk):
 		http.Error(w, err.Error(), http.StatusBadRequest)
 	case errors.Is(err, kv.ErrSession), errors.Is(err, lease.ErrGone):
 		http.Error(w, err.Error(), http.StatusGone)
 	case errors.Is(err, store.ErrRefused):
 		http.Error(w, err.Error(), http.StatusForbidden)
-	case errors.Is(err, store.ErrNoMember), errors.Is(err, workorder.ErrNone):
+	case errors.Is(err, store.ErrNoMember), errors.Is(err, controller.ErrNone):
 		http.Error(w, err.Error(), http.StatusNotFound)
 	case errors.Is(err, kv.ErrFenced):
 		http.Error(w, err.Error(), http.StatusPreconditionFailed)
-	case errors.Is(err, kv.ErrNumber), errors.Is(err, lease.ErrNoWaiter), errors.Is(err, workorder.ErrBusy):
+	case errors.Is(err, kv.ErrNumber), errors.Is(err, lease.ErrNoWaiter), errors.Is(err, controller.ErrBusy):
 		http.Error(w, err.Error(), http.StatusConflict)
 	case errors.Is(err, kv.ErrFull):
 		http.Error(w, err.Error(), http.StatusInsufficientStorage)
@@ -144,7 +144,7 @@
 	}
 	q.Fence = append(q.Fence, held...)
 	for _, o := range slices.Concat(q.Then, q.Else) {
-		if err := notReserved(o.Key); o.Do != "get" && err != nil && !workorder.Owns(q.Fence, o.Key) {
+		if err := notReserved(o.Key); o.Do != "get" && err != nil && !controller.Owns(q.Fence, o.Key) {
 			fail(w, err)
 			return
 		}
--- a/internal/storeapi/storeapi.go
+++ b/internal/cluster/storeapi/storeapi.go
@@ -1,5 +1,5 @@
 // Package storeapi holds the words of the store's admin port, which its HTTP surface
-// (internal/storeadmin) says and its client (internal/storeclient) understands.
+// (internal/cluster/storeadmin) says and its client (internal/cluster/storeclient) understands.
 package storeapi
 
 import (
@@ -11,9 +11,9 @@
 	"strings"
 	"time"
 
-	"oxbowbridge/internal/identity"
-	"oxbowbridge/internal/kv"
-	"oxbowbridge/internal/lease"
+	"oxbowbridge/internal/cluster/diskidentity"
+	"oxbowbridge/internal/cluster/kv"
+	"oxbowbridge/internal/cluster/lease"
 )
 
 // Fields of requests and answers.
@@ -54,14 +54,14 @@
 // Self is what a node tells another one: of itself, and of what it has seen of the
 // asker's disk.
 type Self struct {
-	identity.Word
-	State   string        `json:"state"` // serving, waiting, failed
-	Mark    identity.Mark `json:"mark"`
-	Applied uint64        `json:"applied"`
-	Raft    string        `json:"raft"`
-	Admin   string        `json:"admin"`
-	Zone    string        `json:"zone,omitempty"`
-	Leases  bool          `json:"leases,omitempty"` // the node knows them
+	diskidentity.Word
+	State   string            `json:"state"` // serving, waiting, failed
+	Mark    diskidentity.Mark `json:"mark"`
+	Applied uint64            `json:"applied"`
+	Raft    string            `json:"raft"`
+	Admin   string            `json:"admin"`
+	Zone    string            `json:"zone,omitempty"`
+	Leases  bool              `json:"leases,omitempty"` // the node knows them
 	// Checks are checksums of its state, to be compared.
 	Checks kv.Checks `json:"checks,omitempty"`
 	// Addresses of the members, for one that does not know of all of them.
--- a/internal/storeclient/backup.go
+++ b/internal/cluster/storeclient/backup.go
@@ -6,8 +6,8 @@
 	"io"
 	"net/http"
 
-	"oxbowbridge/internal/backup"
-	"oxbowbridge/internal/storeapi"
+	"oxbowbridge/internal/cluster/backup"
+	"oxbowbridge/internal/cluster/storeapi"
 )
 
 // Backup reads a backup, and gives it only if it is whole.
--- a/internal/storeclient/client.go
+++ b/internal/cluster/storeclient/client.go
@@ -15,9 +15,9 @@
 	"sync"
 	"time"
 
-	"oxbowbridge/internal/backup"
-	"oxbowbridge/internal/kv"
-	"oxbowbridge/internal/storeapi"
+	"oxbowbridge/internal/cluster/backup"
+	"oxbowbridge/internal/cluster/kv"
+	"oxbowbridge/internal/cluster/storeapi"
 )
 
 // Client speaks to the admin ports of a store: to any of them, until one answers. In
--- a/internal/storeclient/lease.go
+++ b/internal/cluster/storeclient/lease.go
@@ -9,8 +9,8 @@
 	"strconv"
 	"time"
 
-	"oxbowbridge/internal/lease"
-	"oxbowbridge/internal/storeapi"
+	"oxbowbridge/internal/cluster/lease"
+	"oxbowbridge/internal/cluster/storeapi"
 )
 
 func leasePath(name string) string { return "/lease/" + (&url.URL{Path: name}).EscapedPath() }
--- a/internal/storeclient/watch.go
+++ b/internal/cluster/storeclient/watch.go
@@ -14,8 +14,8 @@
 	"strconv"
 	"time"
 
-	"oxbowbridge/internal/storeapi"
-	"oxbowbridge/internal/watch"
+	"oxbowbridge/internal/cluster/storeapi"
+	"oxbowbridge/internal/cluster/watch"
 )
 
 const watchSilence = 3 * storeapi.WatchProgress // after which a client takes its node for lost
--- a/internal/storeclient/work.go
+++ b/internal/cluster/storeclient/work.go
@@ -6,13 +6,13 @@
 	"net/http"
 	"net/url"
 
-	"oxbowbridge/internal/work"
+	"oxbowbridge/internal/maintenance"
 )
 
 func workPath(node string) string { return "/work/" + url.PathEscape(node) }
 
 // AskWork asks for work on a machine.
-func (c *Client) AskWork(ctx context.Context, j work.Job) (out work.Job, err error) {
+func (c *Client) AskWork(ctx context.Context, j maintenance.Job) (out maintenance.Job, err error) {
 	body, err := json.Marshal(j)
 	if err != nil {
 		return out, err
@@ -21,7 +21,7 @@
 }
 
 // Work is the whole order.
-func (c *Client) Work(ctx context.Context) (s work.Status, err error) {
+func (c *Client) Work(ctx context.Context) (s maintenance.Status, err error) {
 	return s, c.ask(ctx, http.MethodGet, "/work", nil, &s)
 }
 
@@ -32,7 +32,7 @@
 
 // PauseWork pauses the order, or has it go on.
 func (c *Client) PauseWork(ctx context.Context, paused bool, why string) error {
-	body, err := json.Marshal(work.Why{Why: why})
+	body, err := json.Marshal(maintenance.Why{Why: why})
 	if err != nil {
 		return err
 	}
@@ -44,7 +44,7 @@
 }
 
 // SayWork notes what a machine says of its work; it may be said again.
-func (c *Client) SayWork(ctx context.Context, node string, r work.Report) error {
+func (c *Client) SayWork(ctx context.Context, node string, r maintenance.Report) error {
 	body, err := json.Marshal(r)
 	if err != nil {
 		return err
@@ -53,7 +53,7 @@
 }
 
 // Beat notes what a machine is, once, and gives its job if there is one.
-func (c *Client) Beat(ctx context.Context, b work.Beat) (j *work.Job, err error) {
+func (c *Client) Beat(ctx context.Context, b maintenance.Beat) (j *maintenance.Job, err error) {
 	body, err := json.Marshal(b)
 	if err != nil {
 		return nil, err
--- a/internal/workagent/workagent.go
+++ b/internal/maintenance/agent/workagent.go
@@ -1,6 +1,6 @@
-// Package workagent is one machine's part in an order of work: it says what the machine is,
+// Package agent is one machine's part in an order of work: it says what the machine is,
 // leaves when it is its turn and it can prove that it still is, and comes back.
-package workagent
+package agent
 
 import (
 	"context"
@@ -13,10 +13,10 @@
 
 	"go.uber.org/zap"
 
-	"oxbowbridge/internal/leaseclient"
-	"oxbowbridge/internal/storeclient"
-	"oxbowbridge/internal/work"
-	"oxbowbridge/internal/workorder"
+	"oxbowbridge/internal/cluster/leaseclient"
+	"oxbowbridge/internal/cluster/storeclient"
+	"oxbowbridge/internal/maintenance"
+	"oxbowbridge/internal/maintenance/controller"
 )
 
 // Config sets it up.
@@ -129,13 +129,13 @@
 }
 
 // beat says once what the machine is, and hears of its job.
-func (a *Agent) beat(ctx context.Context) (*work.Job, error) {
+func (a *Agent) beat(ctx context.Context) (*maintenance.Job, error) {
 	busy, known, warm := a.service.Gauge()
 	a.number++
-	b := work.Beat{EveryMS: a.every().Milliseconds(), Number: a.number, Grant: a.grant}
-	b.Machine = work.Machine{Name: a.name, Zone: a.cfg.Zone, Cores: a.cores, Speed: a.cfg.Speed, State: work.Cold, Busy: busy, Voter: a.voter}
+	b := maintenance.Beat{EveryMS: a.every().Milliseconds(), Number: a.number, Grant: a.grant}
+	b.Machine = maintenance.Machine{Name: a.name, Zone: a.cfg.Zone, Cores: a.cores, Speed: a.cfg.Speed, State: maintenance.Cold, Busy: busy, Voter: a.voter}
 	if warm {
-		b.State = work.In
+		b.State = maintenance.In
 	}
 	if !known {
 		b.Busy = 1
@@ -146,18 +146,18 @@
 }
 
 // act does what the job asks for next.
-func (a *Agent) act(ctx context.Context, j *work.Job) error {
+func (a *Agent) act(ctx context.Context, j *maintenance.Job) error {
 	switch j.Phase {
-	case work.Granted:
+	case maintenance.Granted:
 		return a.confirm(ctx)
-	case work.Draining, work.Out, work.Failed:
+	case maintenance.Draining, maintenance.Out, maintenance.Failed:
 		// This process has not left by this job: it is one that came after.
-		if err := a.client.SayWork(ctx, a.name, work.Report{Phase: work.Back, Grant: j.Grant}); err != nil {
+		if err := a.client.SayWork(ctx, a.name, maintenance.Report{Phase: maintenance.Back, Grant: j.Grant}); err != nil {
 			return err
 		}
 		a.log.Info("work: back", zap.Uint64("grant", j.Grant))
 		a.grant = j.Grant
-	case work.Back: // also after an answer that was lost
+	case maintenance.Back: // also after an answer that was lost
 		a.grant = j.Grant
 	}
 	return nil
@@ -167,11 +167,11 @@
 func (a *Agent) confirm(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, sayTime)
 	defer cancel()
-	h, err := a.keeper.Acquire(ctx, leaseclient.Wish{Name: workorder.LeaseNode + a.name, TTL: leaseTTL})
+	h, err := a.keeper.Acquire(ctx, leaseclient.Wish{Name: controller.LeaseNode + a.name, TTL: leaseTTL})
 	if err != nil {
 		return fmt.Errorf("lease of this machine: %w", err)
 	}
-	if err := a.client.SayWork(ctx, a.name, work.Report{Phase: work.Draining, Grant: h.Token}); err != nil {
+	if err := a.client.SayWork(ctx, a.name, maintenance.Report{Phase: maintenance.Draining, Grant: h.Token}); err != nil {
 		// It may have been heard all the same: then it says that it is back.
 		give, done := context.WithTimeout(context.Background(), time.Second)
 		defer done()
@@ -186,7 +186,7 @@
 // there is one. It tells whether the service is to start again.
 func (a *Agent) Out() (again bool, err error) {
 	grant := a.held.Token
-	if err := a.say(work.Report{Phase: work.Out, Grant: grant}); err != nil {
+	if err := a.say(maintenance.Report{Phase: maintenance.Out, Grant: grant}); err != nil {
 		a.log.Error("work: out, and the store does not know it", zap.Error(err)) // the order counts it as draining
 	}
 	give, done := context.WithTimeout(context.Background(), time.Second)
@@ -198,12 +198,12 @@
 	}
 	if err := a.command(grant); err != nil {
 		a.log.Error("work: command failed", zap.Error(err))
-		return false, errors.Join(err, a.say(work.Report{Phase: work.Failed, Grant: grant, Why: err.Error()}))
+		return false, errors.Join(err, a.say(maintenance.Report{Phase: maintenance.Failed, Grant: grant, Why: err.Error()}))
 	}
 	return true, nil
 }
 
-func (a *Agent) say(r work.Report) error {
+func (a *Agent) say(r maintenance.Report) error {
 	ctx, cancel := context.WithTimeout(context.Background(), sayTime)
 	defer cancel()
 	return a.client.SayWork(ctx, a.name, r)
--- a/internal/workchart/workchart.go
+++ b/internal/maintenance/chart/workchart.go
@@ -1,6 +1,6 @@
-// Package workchart draws a plan of work: who is out when, by zone, and what capacity is
+// Package chart draws a plan of work: who is out when, by zone, and what capacity is
 // left meanwhile.
-package workchart
+package chart
 
 import (
 	"fmt"
@@ -12,7 +12,7 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
 
-	"oxbowbridge/internal/work"
+	"oxbowbridge/internal/maintenance"
 )
 
 const (
@@ -24,12 +24,12 @@
 
 // Draw writes a chart of a plan to a file, as SVG or PNG by its ending. total is the
 // capacity of all machines, in cores.
-func Draw(path string, p work.Plan, total float64) error {
+func Draw(path string, p maintenance.Plan, total float64) error {
 	c := plot.New()
 	c.Title.Text = fmt.Sprintf("Machines out for work: %v in all", p.Length)
 	c.X.Label.Text, c.Y.Label.Text = "minutes from now", "machine, by zone"
 	placed := slices.Clone(p.Placed)
-	slices.SortStableFunc(placed, func(a, b work.Placed) int {
+	slices.SortStableFunc(placed, func(a, b maintenance.Placed) int {
 		if a.Zone != b.Zone {
 			if a.Zone < b.Zone {
 				return -1
@@ -75,7 +75,7 @@
 }
 
 // capacity is what is left over time, as steps, scaled so that all of it is height.
-func capacity(p work.Plan, total, height float64) (line plotter.XYs) {
+func capacity(p maintenance.Plan, total, height float64) (line plotter.XYs) {
 	type change struct{ at, by float64 }
 	changes := []change{{0, 0}}
 	for _, x := range p.Placed {
--- a/internal/work/times_test.go
+++ b/internal/maintenance/times_test.go
@@ -1,4 +1,4 @@
-package work
+package maintenance
 
 import (
 	"encoding/json"
--- a/internal/work/words.go
+++ b/internal/maintenance/words.go
@@ -1,4 +1,4 @@
-package work
+package maintenance
 
 // Beat is what a machine says of itself, again and again.
 type Beat struct {
--- a/internal/work/work.go
+++ b/internal/maintenance/work.go
@@ -1,7 +1,7 @@
-// Package work decides which machines may be taken out for work, when, and why the others
+// Package maintenance decides which machines may be taken out for work, when, and why the others
 // wait. It does no I/O and reads no clock: what is known goes in, what is to be done comes
 // out, and anybody who knows the same decides the same.
-package work
+package maintenance
 
 import (
 	"cmp"
--- a/internal/core/actions.go
+++ b/internal/proxy/dispatch/actions.go
@@ -1,4 +1,4 @@
-package core
+package dispatch
 
 import (
 	"fmt"
@@ -6,63 +6,63 @@
 
 	"go.uber.org/zap"
 
-	"oxbowbridge/internal/exchange"
-	"oxbowbridge/rules"
+	"oxbowbridge/admission"
+	"oxbowbridge/internal/proxy/exchange"
 )
 
 // carryOut does what the module decided.
-func (c *Core) carryOut(now time.Duration, a rules.Action) {
+func (c *Core) carryOut(now time.Duration, a admission.Action) {
 	switch a := a.(type) {
-	case rules.Take:
+	case admission.Take:
 		if r := c.byID[a.ID]; r != nil {
 			c.start(now, r)
 		} else {
-			c.tellSoon(rules.Completed{ID: a.ID, Outcome: rules.TooLate})
+			c.tellSoon(admission.Completed{ID: a.ID, Outcome: admission.TooLate})
 		}
-	case rules.Suspend:
+	case admission.Suspend:
 		r := c.byID[a.ID]
 		atCall := r != nil && (r.phase == standing || r.phase == calling)
 		// A pause takes runs off the cores: one at its call goes on, unless it is over.
-		if r != nil && (r.phase == running || atCall && (c.set.Halt != rules.HaltPause || r.answered)) {
+		if r != nil && (r.phase == running || atCall && (c.set.Halt != admission.HaltPause || r.answered)) {
 			r.suspended = true
 			c.end(r)
 		}
-	case rules.Refuse:
+	case admission.Refuse:
 		if r := c.byID[a.ID]; r != nil {
 			c.refuse(r, a)
 		}
-	case rules.Abort:
+	case admission.Abort:
 		if r := c.byID[a.ID]; r != nil {
 			c.settle(r, exchange.Answer{Result: exchange.Failed})
 			if r.phase == standing || r.phase == calling {
 				c.end(r)
 			}
 		}
-	case rules.Call:
+	case admission.Call:
 		if r := c.byID[a.ID]; r != nil && r.phase == standing && !r.answered {
 			c.call(now, r, a.Expire)
 		}
-	case rules.Share:
+	case admission.Share:
 		if r := c.byID[a.ID]; r != nil {
 			c.share(now, r)
 		}
-	case rules.RecordKey, rules.Evict:
+	case admission.RecordKey, admission.Evict:
 		// The table of replay keys knows when a key is first used, and when its request
 		// has ended unrun, without being told.
-	case rules.Publish:
+	case admission.Publish:
 		c.Exchange.Publish(a.Amount)
-	case rules.Status:
+	case admission.Status:
 		c.active = a.Active
 		c.health()
 		if c.Settings.Info.Readiness {
 			c.Directory.Serves(a.Active)
 		}
 		c.Log.Info("health", zap.Bool("good", a.Active))
-	case rules.Idle:
+	case admission.Idle:
 		c.idle = a.Lifetime
-	case rules.Defer:
+	case admission.Defer:
 		c.after(now, a)
-	case rules.Remark:
+	case admission.Remark:
 		c.Log.Info("module", zap.String("says", a.Text))
 	default:
 		c.Log.Error("action is not for this site", zap.String("type", fmt.Sprintf("%T", a)))
@@ -71,9 +71,9 @@
 
 // refuse gives an answer that promises that nothing ran. Guards against one that
 // isn't true, whoever decided it.
-func (c *Core) refuse(r *request, a rules.Refuse) {
+func (c *Core) refuse(r *request, a admission.Refuse) {
 	answer := exchange.Answer{Result: exchange.Refused, HoldOff: a.RetryIn, Stay: a.Terminal}
-	if c.set.Classes[r.Class].Effect != rules.Idempotent && (r.ran || r.other != nil && r.other.Ran) {
+	if c.set.Classes[r.Class].Effect != admission.Idempotent && (r.ran || r.other != nil && r.other.Ran) {
 		answer = exchange.Answer{Result: exchange.Failed}
 	}
 	c.settle(r, answer)
@@ -83,7 +83,7 @@
 func (c *Core) health() { c.Exchange.SetHealthy(c.active && c.readyAt > 0) }
 
 // after sets a timer of the module, with gauges that are fresh when it is due.
-func (c *Core) after(now time.Duration, d rules.Defer) {
+func (c *Core) after(now time.Duration, d admission.Defer) {
 	if d.Span > gaugeLead {
 		c.Deadlines.At(now+d.Span-gaugeLead, c.Runner.AskGauges)
 	}
@@ -91,6 +91,6 @@
 		if c.Now()-c.gauged > gaugesMost { // guards against a link that is down, or an engine that hangs
 			c.gauges = c.Settings.Gauges(nil)
 		}
-		c.tell(rules.Due{Ref: d.Ref, Gauges: c.gauges})
+		c.tell(admission.Due{Ref: d.Ref, Gauges: c.gauges})
 	})
 }
--- a/internal/core/core.go
+++ b/internal/proxy/dispatch/core.go
@@ -1,7 +1,7 @@
-// Package core is the service without any wire: requests come in, attempts go
+// Package dispatch is the service without any wire: requests come in, attempts go
 // out, outcomes come back. One goroutine runs it and owns the decision module,
 // the links and the deadlines. It decides nothing itself.
-package core
+package dispatch
 
 import (
 	"fmt"
@@ -10,11 +10,11 @@
 
 	"go.uber.org/zap"
 
-	"oxbowbridge/internal/deadline"
-	"oxbowbridge/internal/dedup"
-	"oxbowbridge/internal/exchange"
-	"oxbowbridge/internal/wire"
-	"oxbowbridge/rules"
+	"oxbowbridge/admission"
+	"oxbowbridge/internal/proxy/exchange"
+	"oxbowbridge/internal/proxy/idempotency"
+	"oxbowbridge/internal/proxy/timerqueue"
+	"oxbowbridge/internal/simproto"
 )
 
 const (
@@ -60,7 +60,7 @@
 // Parts are what the core is wired to.
 type Parts struct {
 	Exchange  *exchange.Exchange
-	Deadlines *deadline.Set
+	Deadlines *timerqueue.Set
 	Runner    exchange.Runner
 	Calls     exchange.Caller
 	Directory Directory
@@ -70,26 +70,26 @@
 	Now       func() time.Duration // monotonic, since the start of the process
 	Log       *zap.Logger
 	Seed      uint64
-	Settings  *wire.Settings
+	Settings  *simproto.Settings
 }
 
 // Core is the service.
 type Core struct {
 	Parts
-	set     rules.Settings
-	control *rules.Controller
+	set     admission.Settings
+	control *admission.Controller
 	fresh   bool
 	readyAt time.Duration // since when the engine is there; 0 before
 	warmAt  time.Duration
 	byID    map[uint32]*request
 	byTrace map[string]*request
 	spent   map[string]struct{} // traces that ran and must not run twice
-	keys    *dedup.Table
+	keys    *idempotency.Table
 	active  bool // the module would have health checks good
 	lastID  uint32
-	events  []rules.Event
+	events  []admission.Event
 	batch   []exchange.Event
-	gauges  rules.Gauges
+	gauges  admission.Gauges
 	gauged  time.Duration // when they came
 	idle    time.Duration // how long connections may stay unused
 	tenants map[string]int
@@ -105,7 +105,7 @@
 
 // Check tells what of the settings can't be served. What they allow and the protocol
 // has no word for is left unused: results of reads are not shared, calls not left out.
-func Check(w *wire.Settings) (rules.Settings, error) {
+func Check(w *simproto.Settings) (admission.Settings, error) {
 	set, err := w.Rules()
 	if err == nil {
 		err = w.Check()
@@ -128,7 +128,7 @@
 		set.Classes[i].SkipWorth = 0
 	}
 	set.ShareFor = 0
-	_, err = rules.New(set, 0)
+	_, err = admission.New(set, 0)
 	return set, err
 }
 
@@ -139,8 +139,8 @@
 		return nil, err
 	}
 	for _, k := range set.Classes {
-		if k.Effect == rules.Deduplicated { // the module's memory is full when the table is
-			set.KeyKB = max(set.KeyKB, set.MemoryKB/float64(max(1, p.KeysMost/dedup.EntryMost)))
+		if k.Effect == admission.Deduplicated { // the module's memory is full when the table is
+			set.KeyKB = max(set.KeyKB, set.MemoryKB/float64(max(1, p.KeysMost/idempotency.EntryMost)))
 		}
 	}
 	tenants := map[string]int{}
@@ -148,7 +148,7 @@
 		tenants[t.Name] = i
 	}
 	return &Core{Parts: p, set: set, fresh: set.Fresh, byID: map[uint32]*request{}, byTrace: map[string]*request{},
-		spent: map[string]struct{}{}, keys: dedup.New(p.KeysMost), gauges: p.Settings.Gauges(nil), idle: set.IdleMax, tenants: tenants}, nil
+		spent: map[string]struct{}{}, keys: idempotency.New(p.KeysMost), gauges: p.Settings.Gauges(nil), idle: set.IdleMax, tenants: tenants}, nil
 }
 
 // Run turns until the service has drained.
@@ -207,7 +207,7 @@
 func (c *Core) decide() {
 	if c.control == nil {
 		c.set.Fresh = c.fresh
-		control, err := rules.New(c.set, c.Seed)
+		control, err := admission.New(c.set, c.Seed)
 		if err != nil {
 			panic(err) // New tried the same settings
 		}
@@ -215,7 +215,7 @@
 	}
 	now := c.Now()
 	for i, e := range c.events {
-		if a, ok := e.(rules.Arrive); ok {
+		if a, ok := e.(admission.Arrive); ok {
 			a.Waited = max(0, now-a.Waited) // noted as the time of arrival
 			if a.TimeLeft != 0 {
 				a.TimeLeft = max(1, a.TimeLeft-now) // noted as the time at which it ends; 0 would be none
@@ -231,7 +231,7 @@
 	}
 }
 
-func (c *Core) tell(e rules.Event) { c.events = append(c.events, e) }
+func (c *Core) tell(e admission.Event) { c.events = append(c.events, e) }
 
 // Load tells what share of the cores is in use, if that is known, and whether the service
 // is warm. It belongs into a step of the exchange.
@@ -258,14 +258,14 @@
 		}
 		c.health()
 		c.Directory.Open()
-		c.tell(rules.Due{Gauges: c.gauges}) // a first event: the module starts
+		c.tell(admission.Due{Gauges: c.gauges}) // a first event: the module starts
 	case exchange.Step:
 		e()
 	}
 }
 
 // tellSoon has the module told in a turn that surely comes.
-func (c *Core) tellSoon(e rules.Event) {
+func (c *Core) tellSoon(e admission.Event) {
 	c.tell(e)
 	c.Exchange.Post(exchange.Step(func() {}))
 }
--- a/internal/core/drain.go
+++ b/internal/proxy/dispatch/drain.go
@@ -1,11 +1,11 @@
-package core
+package dispatch
 
 import (
 	"time"
 
 	"go.uber.org/zap"
 
-	"oxbowbridge/rules"
+	"oxbowbridge/admission"
 )
 
 // Drain takes the notice, which came so long ago, that the process will be stopped after
@@ -25,7 +25,7 @@
 	} else {
 		c.Directory.Shut()
 	}
-	c.tell(rules.Drain{TimeLeft: max(0, left-stopLead), Waited: waited})
+	c.tell(admission.Drain{TimeLeft: max(0, left-stopLead), Waited: waited})
 	c.drainTick()
 }
 
--- a/internal/core/keys.go
+++ b/internal/proxy/dispatch/keys.go
@@ -1,28 +1,28 @@
-package core
+package dispatch
 
 import (
 	"time"
 
 	"go.uber.org/zap"
 
-	"oxbowbridge/internal/dedup"
-	"oxbowbridge/internal/exchange"
-	"oxbowbridge/rules"
+	"oxbowbridge/admission"
+	"oxbowbridge/internal/proxy/exchange"
+	"oxbowbridge/internal/proxy/idempotency"
 )
 
 // claim finds the replay key's place for a try, or answers it if there is none.
 func (c *Core) claim(r *request) bool {
 	now := c.Now()
-	e, verdict := c.keys.Claim(now, dedup.Request{Key: r.Replay, Class: r.Class, Body: r.Body}, r.id)
+	e, verdict := c.keys.Claim(now, idempotency.Request{Key: r.Replay, Class: r.Class, Body: r.Body}, r.id)
 	switch verdict {
-	case dedup.First:
+	case idempotency.First:
 		r.own = e
-	case dedup.Repeat:
+	case idempotency.Repeat:
 		r.other = e
-	case dedup.Differs:
+	case idempotency.Differs:
 		c.Log.Warn("replay key of another request", zap.String("trace", r.Trace))
 		c.turnDown(r.Request, exchange.Answer{Result: exchange.Failed, Fault: true})
-	case dedup.Full:
+	case idempotency.Full:
 		// Guards the memory, and every key that is inside its window.
 		c.Log.Warn("request turned down: no room for its replay key", zap.Int("keys", c.keys.Len()))
 		next, _ := c.keys.Next()
@@ -62,10 +62,10 @@
 	if r == nil || r.phase != sharing {
 		return
 	}
-	a, out := exchange.Answer{Result: exchange.Failed}, rules.Internal
+	a, out := exchange.Answer{Result: exchange.Failed}, admission.Internal
 	if r.other.Result != nil {
-		a, out = exchange.Answer{Result: exchange.Served, Body: r.other.Result}, rules.OK
+		a, out = exchange.Answer{Result: exchange.Served, Body: r.other.Result}, admission.OK
 	}
-	c.tellSoon(rules.Completed{ID: r.id, Took: c.Now() - r.began, Outcome: out})
+	c.tellSoon(admission.Completed{ID: r.id, Took: c.Now() - r.began, Outcome: out})
 	c.settle(r, a)
 }
--- a/internal/core/request.go
+++ b/internal/proxy/dispatch/request.go
@@ -1,14 +1,14 @@
-package core
+package dispatch
 
 import (
 	"time"
 
 	"go.uber.org/zap"
 
-	"oxbowbridge/internal/deadline"
-	"oxbowbridge/internal/dedup"
-	"oxbowbridge/internal/exchange"
-	"oxbowbridge/rules"
+	"oxbowbridge/admission"
+	"oxbowbridge/internal/proxy/exchange"
+	"oxbowbridge/internal/proxy/idempotency"
+	"oxbowbridge/internal/proxy/timerqueue"
 )
 
 type phase uint8
@@ -29,14 +29,14 @@
 	phase     phase
 	answered  bool
 	ran       bool
-	suspended bool          // by the module: its end puts it back in the hold
-	arrived   time.Duration // at the machine
-	own       *dedup.Entry  // of its replay key, if it is the first try
-	other     *dedup.Entry  // the same, if another try is
-	began     time.Duration // of the run, then of the call
+	suspended bool               // by the module: its end puts it back in the hold
+	arrived   time.Duration      // at the machine
+	own       *idempotency.Entry // of its replay key, if it is the first try
+	other     *idempotency.Entry // the same, if another try is
+	began     time.Duration      // of the run, then of the call
 	called    time.Duration
 	need      []byte // the body of the call that it stands at
-	expire    *deadline.Entry
+	expire    *timerqueue.Entry
 }
 
 func (c *Core) arrive(q *exchange.Request) {
@@ -51,11 +51,11 @@
 	for c.lastID++; c.lastID == 0 || c.byID[c.lastID] != nil; c.lastID++ {
 	}
 	r := &request{Request: q, id: c.lastID, arrived: c.Now() - time.Since(q.Arrived)}
-	if c.set.Classes[r.Class].Effect == rules.Deduplicated && !c.claim(r) {
+	if c.set.Classes[r.Class].Effect == admission.Deduplicated && !c.claim(r) {
 		return
 	}
 	c.byID[r.id], c.byTrace[r.Trace] = r, r
-	a := rules.Arrive{ID: r.id, Class: q.Class, Tenant: c.tenants[q.Tenant], Hint: q.Hint, Waited: r.arrived, HeldKB: q.HeldKB,
+	a := admission.Arrive{ID: r.id, Class: q.Class, Tenant: c.tenants[q.Tenant], Hint: q.Hint, Waited: r.arrived, HeldKB: q.HeldKB,
 		Keyed: q.Keyed, Repeat: q.Repeat, Place: q.Place}
 	if c.Settings.Info.PassesDeadline && q.Wait > 0 { // else its class's deadline counts
 		a.TimeLeft = r.arrived + q.Wait
@@ -80,7 +80,7 @@
 		return
 	}
 	c.settle(r, exchange.Answer{Result: exchange.Failed})
-	c.tell(rules.Lapsed{ID: r.id})
+	c.tell(admission.Lapsed{ID: r.id})
 	if r.phase == standing || r.phase == calling {
 		c.end(r)
 	}
@@ -113,7 +113,7 @@
 		c.keys.Leave(r.other, r.id)
 	}
 	c.keep(r, nil)
-	if !r.ran || c.set.Classes[r.Class].Effect == rules.Idempotent {
+	if !r.ran || c.set.Classes[r.Class].Effect == admission.Idempotent {
 		return
 	}
 	trace := r.Trace
--- a/internal/core/runs.go
+++ b/internal/proxy/dispatch/runs.go
@@ -1,10 +1,10 @@
-package core
+package dispatch
 
 import (
 	"time"
 
-	"oxbowbridge/internal/exchange"
-	"oxbowbridge/rules"
+	"oxbowbridge/admission"
+	"oxbowbridge/internal/proxy/exchange"
 )
 
 // end stops a run that stands at a call and whose answer is given.
@@ -14,7 +14,7 @@
 	}
 	c.Deadlines.Cancel(r.expire)
 	r.phase = running
-	if c.set.Halt != rules.HaltNone { // else the engine ends it at its call, being told of the answer
+	if c.set.Halt != admission.HaltNone { // else the engine ends it at its call, being told of the answer
 		c.Runner.Halt(r.Trace, r.answered)
 	}
 }
@@ -36,7 +36,7 @@
 			return
 		}
 		r.phase, r.need = standing, o.Body
-		c.tell(rules.Awaiting{ID: r.id})
+		c.tell(admission.Awaiting{ID: r.id})
 	case exchange.Called:
 		if r.phase == calling {
 			c.replied(r, o)
@@ -51,13 +51,13 @@
 	if r.phase == calling {
 		c.Calls.GiveUp(r.Trace)
 	}
-	outcomes := map[exchange.End]rules.Outcome{exchange.OK: rules.OK, exchange.Stopped: rules.Cancelled,
-		exchange.Moot: rules.TooLate, exchange.NotBegun: rules.TooLate}
+	outcomes := map[exchange.End]admission.Outcome{exchange.OK: admission.OK, exchange.Stopped: admission.Cancelled,
+		exchange.Moot: admission.TooLate, exchange.NotBegun: admission.TooLate}
 	out, ok := outcomes[o.End]
 	if !ok {
-		out = rules.Internal
+		out = admission.Internal
 	}
-	c.tell(rules.Completed{ID: r.id, Took: c.Now() - r.began, Outcome: out})
+	c.tell(admission.Completed{ID: r.id, Took: c.Now() - r.began, Outcome: out})
 	switch { // a run that the engine ended by itself is answered, not held for ever
 	case o.End == exchange.OK:
 		c.settle(r, exchange.Answer{Result: exchange.Served, Body: o.Body})
@@ -67,7 +67,7 @@
 		// a paused one goes on when it is taken.
 		c.Deadlines.Cancel(r.expire)
 		r.phase, r.suspended = held, false
-		if c.set.Halt == rules.HaltPause {
+		if c.set.Halt == admission.HaltPause {
 			r.phase = paused
 		}
 		return
@@ -79,23 +79,23 @@
 
 func (c *Core) replied(r *request, o exchange.Outcome) {
 	c.Deadlines.Cancel(r.expire)
-	outcomes := map[exchange.End]rules.Outcome{exchange.OK: rules.OK, exchange.NotBegun: rules.Full,
-		exchange.Unreachable: rules.Unreachable, exchange.OutOfTime: rules.DeadlineExceeded, exchange.Broken: rules.Broken}
+	outcomes := map[exchange.End]admission.Outcome{exchange.OK: admission.OK, exchange.NotBegun: admission.Full,
+		exchange.Unreachable: admission.Unreachable, exchange.OutOfTime: admission.DeadlineExceeded, exchange.Broken: admission.Broken}
 	out, ok := outcomes[o.End]
 	if !ok {
-		out = rules.Internal
+		out = admission.Internal
 	}
-	if out == rules.OK {
+	if out == admission.OK {
 		r.phase = running
 		c.Runner.Feed(r.Trace, o.Body)
 	} else {
 		r.phase = standing
 	}
-	c.tell(rules.Replied{ID: r.id, Took: c.Now() - r.called, Outcome: out})
+	c.tell(admission.Replied{ID: r.id, Took: c.Now() - r.called, Outcome: out})
 }
 
 func (c *Core) start(now time.Duration, r *request) {
-	unsafe := c.set.Classes[r.Class].Effect != rules.Idempotent
+	unsafe := c.set.Classes[r.Class].Effect != admission.Idempotent
 	if r.phase == paused {
 		r.phase = running
 		c.Runner.Resume(r.Trace)
@@ -116,7 +116,7 @@
 		expire = now + c.set.Classes[r.Class].Deadline
 	}
 	r.phase, r.called = calling, now
-	safe := c.set.Classes[r.Class].Effect == rules.Idempotent
+	safe := c.set.Classes[r.Class].Effect == admission.Idempotent
 	c.Calls.Call(exchange.Attempt{Trace: r.Trace, Safe: safe, Wait: expire - now, Body: r.need})
 	r.expire = c.Deadlines.At(expire+callSlack, func() { // guards against a service below that says nothing
 		c.Calls.GiveUp(r.Trace)
--- a/internal/descriptors/descriptors.go
+++ b/internal/proxy/fdquota/descriptors.go
@@ -1,6 +1,6 @@
-// Package descriptors divides a process's file descriptors among what the service opens, so
+// Package fdquota divides a process's file descriptors among what the service opens, so
 // that callers can never take those that it needs for its own links. It does no I/O.
-package descriptors
+package fdquota
 
 import "sync"
 
--- a/internal/dedup/dedup.go
+++ b/internal/proxy/idempotency/dedup.go
@@ -1,9 +1,9 @@
-// Package dedup is the table of replay keys: which request has been claimed by which
+// Package idempotency is the table of replay keys: which request has been claimed by which
 // try, whether it ran, and what came of it. It is bounded in bytes. An entry stays
 // for as long as something is owed for it, and, once its request has run, until no
 // other try of it may come any more; it is never forgotten to make room. The table
 // has no clock and no I/O.
-package dedup
+package idempotency
 
 import (
 	"container/heap"
--- a/internal/ramp/ramp.go
+++ b/internal/proxy/slowstart/ramp.go
@@ -1,8 +1,8 @@
-// Package ramp decides how many runs one process may have at a server that has just
+// Package slowstart decides how many runs one process may have at a server that has just
 // started, so that the sum over all processes stays within what such a server survives. It
 // does no I/O and reads no clock. The processes don't talk to each other: each knows the
 // settings, how many processes there are, and when it learned of the start.
-package ramp
+package slowstart
 
 import (
 	"math"
--- a/internal/deadline/deadline.go
+++ b/internal/proxy/timerqueue/deadline.go
@@ -1,6 +1,6 @@
-// Package deadline holds everything that is due at some time in one sorted
+// Package timerqueue holds everything that is due at some time in one sorted
 // list. It belongs to one goroutine, which sweeps it each turn.
-package deadline
+package timerqueue
 
 import (
 	"cmp"
--- a/internal/deadline/deadline_test.go
+++ b/internal/proxy/timerqueue/deadline_test.go
@@ -1,4 +1,4 @@
-package deadline
+package timerqueue
 
 import (
 	"testing"
--- a/internal/wire/print.go
+++ b/internal/simproto/print.go
@@ -1,11 +1,11 @@
-package wire
+package simproto
 
 import (
 	"fmt"
 	"strconv"
 	"strings"
 
-	"oxbowbridge/rules"
+	"oxbowbridge/admission"
 )
 
 // AppendSpeaking names the instance of the actions that follow.
@@ -42,13 +42,13 @@
 }
 
 // AppendAction prints one action as a line.
-func AppendAction(b []byte, a rules.Action) []byte {
+func AppendAction(b []byte, a admission.Action) []byte {
 	switch a := a.(type) {
-	case rules.Take:
+	case admission.Take:
 		b = appendOp(b, "TAKE", a.ID)
-	case rules.Suspend:
+	case admission.Suspend:
 		b = appendOp(b, "SUSPEND", a.ID)
-	case rules.Refuse:
+	case admission.Refuse:
 		b = appendOp(b, "OVERLOAD_REPLY", a.ID)
 		if a.Terminal {
 			b = appendInt(b, "terminal", 1)
@@ -56,29 +56,29 @@
 		if a.RetryIn > 0 {
 			b = appendInt(b, "retry_in_ns", int64(a.RetryIn))
 		}
-	case rules.Abort:
+	case admission.Abort:
 		b = appendOp(b, "ABORT", a.ID)
-	case rules.Call:
+	case admission.Call:
 		b = appendInt(appendOp(b, "GO_CALL", a.ID), "expire_at_ns", int64(a.Expire))
-	case rules.Degrade:
+	case admission.Degrade:
 		b = appendOp(b, "DEGRADE", a.ID)
-	case rules.RecordKey:
+	case admission.RecordKey:
 		b = appendInt(appendOp(b, "RECORD_KEY", a.ID), "lifetime_ns", int64(a.Lifetime))
-	case rules.Evict:
+	case admission.Evict:
 		b = appendOp(b, "EVICT", a.ID)
-	case rules.Share:
+	case admission.Share:
 		b = appendOp(b, "SHARE", a.ID)
-	case rules.Status:
+	case admission.Status:
 		b = appendInt(append(b, "STATUS"...), "active", flag(a.Active))
 		b = appendInt(b, "light", flag(a.Light))
-	case rules.Publish:
+	case admission.Publish:
 		b = strconv.AppendFloat(append(b, "PUBLISH\tamount="...), a.Amount, 'f', -1, 64)
-	case rules.Idle:
+	case admission.Idle:
 		b = appendInt(append(b, "IDLE"...), "lifetime_ns", int64(a.Lifetime))
-	case rules.Defer:
+	case admission.Defer:
 		b = appendInt(append(b, "DEFER"...), "span_ns", int64(a.Span))
 		b = appendInt(b, "ref", int64(a.Ref))
-	case rules.Remark:
+	case admission.Remark:
 		return appendText(b, "REMARK", a.Text)
 	default:
 		panic(fmt.Sprintf("wire: action %T can't be printed", a))
--- a/internal/toy/engine.go
+++ b/internal/standin/engine.go
@@ -1,6 +1,6 @@
-// Package toy has the smallest engine, records service and caller that the service
+// Package standin has the smallest engine, records service and caller that the service
 // works with: for trying it out, not for use.
-package toy
+package standin
 
 import (
 	"bufio"
--- a/internal/toy/records.go
+++ b/internal/standin/records.go
@@ -1,4 +1,4 @@
-package toy
+package standin
 
 import (
 	"fmt"
--- a/internal/files/files.go
+++ b/internal/storage/atomicfile/files.go
@@ -1,5 +1,5 @@
-// Package files writes files that are there whole, on disk, or not at all.
-package files
+// Package atomicfile writes files that are there whole, on disk, or not at all.
+package atomicfile
 
 import (
 	"errors"
--- a/internal/durable/checkpoint.go
+++ b/internal/storage/durable/checkpoint.go
@@ -8,7 +8,7 @@
 
 	"github.com/tidwall/btree"
 
-	"oxbowbridge/internal/durable/vfs"
+	"oxbowbridge/internal/storage/durable/vfs"
 )
 
 const (
--- a/internal/durable/doc.go
+++ b/internal/storage/durable/doc.go
@@ -9,7 +9,7 @@
 //
 // Time is given in by the caller wherever an expiry counts; nothing here reads a
 // clock but the loop that paces upkeep. What upkeep does next is decided in
-// internal/durable/plan, and all files are reached through internal/durable/vfs.
+// internal/storage/durable/plan, and all files are reached through internal/storage/durable/vfs.
 //
 // docs/design/durable-store.md has the format on disk, what is promised, and what
 // is not.
--- a/internal/durable/faultfs/faultfs.go
+++ b/internal/storage/durable/faultfs/faultfs.go
@@ -12,7 +12,7 @@
 	"sync"
 	"syscall"
 
-	"oxbowbridge/internal/durable/vfs"
+	"oxbowbridge/internal/storage/durable/vfs"
 )
 
 const sector = 512 // bytes that a disk writes whole or not at all
--- a/internal/durable/faultfs/over.go
+++ b/internal/storage/durable/faultfs/over.go
@@ -5,7 +5,7 @@
 	"io"
 	"syscall"
 
-	"oxbowbridge/internal/durable/vfs"
+	"oxbowbridge/internal/storage/durable/vfs"
 )
 
 // Cues for Over.
--- a/internal/durable/files.go
+++ b/internal/storage/durable/files.go
@@ -8,7 +8,7 @@
 	"strconv"
 	"strings"
 
-	"oxbowbridge/internal/durable/vfs"
+	"oxbowbridge/internal/storage/durable/vfs"
 )
 
 // LockName is the file whose lock is that of the folder.
--- a/internal/durable/index.go
+++ b/internal/storage/durable/index.go
@@ -5,7 +5,7 @@
 
 	"github.com/tidwall/btree"
 
-	"oxbowbridge/internal/durable/vfs"
+	"oxbowbridge/internal/storage/durable/vfs"
 )
 
 type place uint8
--- a/internal/durable/inspect.go
+++ b/internal/storage/durable/inspect.go
@@ -5,7 +5,7 @@
 	"io/fs"
 	"strings"
 
-	"oxbowbridge/internal/durable/vfs"
+	"oxbowbridge/internal/storage/durable/vfs"
 )
 
 // View is what a folder would recover to, read without changing anything.
--- a/internal/durable/options.go
+++ b/internal/storage/durable/options.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"math"
 
-	"oxbowbridge/internal/durable/plan"
+	"oxbowbridge/internal/storage/durable/plan"
 )
 
 // Options are a store's limits. Zero values take what Defaults gives.
--- a/internal/durable/recover.go
+++ b/internal/storage/durable/recover.go
@@ -11,7 +11,7 @@
 	"math"
 	"slices"
 
-	"oxbowbridge/internal/durable/vfs"
+	"oxbowbridge/internal/storage/durable/vfs"
 )
 
 // recovered is what a folder comes to. Reading it changes nothing.
--- a/internal/durable/repair.go
+++ b/internal/storage/durable/repair.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"oxbowbridge/internal/durable/vfs"
+	"oxbowbridge/internal/storage/durable/vfs"
 )
 
 // Repair makes a damaged folder one that opens, with the last consistent state that
--- a/internal/durable/store.go
+++ b/internal/storage/durable/store.go
@@ -9,8 +9,8 @@
 	"sync"
 	"sync/atomic"
 
-	"oxbowbridge/internal/durable/plan"
-	"oxbowbridge/internal/durable/vfs"
+	"oxbowbridge/internal/storage/durable/plan"
+	"oxbowbridge/internal/storage/durable/vfs"
 )
 
 // Store is an open store. All its methods may be called at once from many
--- a/internal/durable/stream/stream.go
+++ b/internal/storage/durable/stream/stream.go
@@ -10,7 +10,7 @@
 	"fmt"
 	"sync"
 
-	"oxbowbridge/internal/durable"
+	"oxbowbridge/internal/storage/durable"
 )
 
 var (
--- a/internal/durable/upkeep.go
+++ b/internal/storage/durable/upkeep.go
@@ -10,7 +10,7 @@
 	"sync/atomic"
 	"time"
 
-	"oxbowbridge/internal/durable/plan"
+	"oxbowbridge/internal/storage/durable/plan"
 )
 
 // upkeep carries out what the plan decides, one step at a time, beside the writes.
--- a/internal/durable/vfs/vfs.go
+++ b/internal/storage/durable/vfs/vfs.go
@@ -1,6 +1,6 @@
 // Package vfs is the only way in which the durable store reaches files: one flat
 // folder, positioned reads and writes, and the two kinds of sync that durability
-// rests on. Dir is a real folder; internal/durable/faultfs fails on cue.
+// rests on. Dir is a real folder; internal/storage/durable/faultfs fails on cue.
 package vfs
 
 import (
--- a/internal/rig/cluster.go
+++ b/internal/testrig/cluster.go
@@ -1,8 +1,8 @@
-// Package rig plays faults on several processes of the program: links between any two
+// Package testrig plays faults on several processes of the program: links between any two
 // of them that are cut, held, delayed, slowed and healed, processes that are killed,
 // stopped and continued, folders that are taken away or brought back as they were, and a
 // schedule of all that from a seed.
-package rig
+package testrig
 
 import (
 	"encoding/json"
--- a/internal/rig/history.go
+++ b/internal/testrig/history.go
@@ -1,4 +1,4 @@
-package rig
+package testrig
 
 import (
 	"fmt"
--- a/internal/ajp/upstream.go
+++ b/internal/transport/ajp/upstream.go
@@ -11,11 +11,11 @@
 
 	"go.uber.org/zap"
 
-	"oxbowbridge/internal/deadline"
-	"oxbowbridge/internal/exchange"
-	"oxbowbridge/internal/link"
-	"oxbowbridge/internal/ramp"
-	"oxbowbridge/internal/socket"
+	"oxbowbridge/internal/proxy/exchange"
+	"oxbowbridge/internal/proxy/slowstart"
+	"oxbowbridge/internal/proxy/timerqueue"
+	"oxbowbridge/internal/transport/eventloop"
+	"oxbowbridge/internal/transport/session"
 )
 
 const (
@@ -36,7 +36,7 @@
 // a time on a connection. All of it runs in the core's goroutine, but for the
 // parsing of what arrives.
 type Upstreams struct {
-	link.Env
+	session.Env
 	addrs  []string
 	secret string
 	gauges []string // names, in the order in which they are reported
@@ -47,7 +47,7 @@
 	ready  bool
 
 	servers map[string]*upServer // by address
-	limits  ramp.Limits          // of a server that has just started
+	limits  slowstart.Limits     // of a server that has just started
 	seed    uint64
 	waiting []*upRun // for a slot at a server that is warming up, oldest first
 	looking bool     // a look at those that wait is due
@@ -56,10 +56,10 @@
 // upServer is what is known of the server at one address.
 type upServer struct {
 	addr    string
-	conns   int        // that are made or being made
-	running int        // runs on them
-	away    bool       // it refused the latest connection
-	ramp    *ramp.Ramp // since its start was learned of, nil once it is warm
+	conns   int             // that are made or being made
+	running int             // runs on them
+	away    bool            // it refused the latest connection
+	ramp    *slowstart.Ramp // since its start was learned of, nil once it is warm
 }
 
 // upRun is a run that has not ended.
@@ -76,7 +76,7 @@
 	up     *Upstreams
 	addr   string
 	server *upServer
-	sock   *socket.Conn
+	sock   *eventloop.Conn
 	parser parser
 	bad    bool
 
@@ -87,13 +87,13 @@
 	body   []byte // of the request, still to be sent
 	status int
 	result []byte
-	timer  *deadline.Entry
+	timer  *timerqueue.Entry
 	closed bool
 }
 
 // NewUpstreams returns a runner that isn't connected. The limits hold for each of the
 // servers; seed differs between processes.
-func NewUpstreams(addrs []string, secret string, gauges []string, limits ramp.Limits, seed uint64, env link.Env) *Upstreams {
+func NewUpstreams(addrs []string, secret string, gauges []string, limits slowstart.Limits, seed uint64, env session.Env) *Upstreams {
 	return &Upstreams{Env: env, addrs: addrs, secret: secret, cores: limits.Cores, gauges: gauges, runs: map[string]*upRun{},
 		servers: map[string]*upServer{}, limits: limits, seed: seed}
 }
@@ -135,7 +135,7 @@
 
 // started notes that a server has just started, by all that this process can know.
 func (u *Upstreams) started(s *upServer) {
-	s.ramp = ramp.New(u.limits, u.seed, u.Now())
+	s.ramp = slowstart.New(u.limits, u.seed, u.Now())
 	u.Log.Info("upstream started, its load grows with it", zap.String("address", s.addr))
 }
 
@@ -208,7 +208,7 @@
 	if r != nil {
 		c.take(r)
 	}
-	u.Dial(addr, c, func(sock *socket.Conn, err error) { c.opened(addr, sock, err) })
+	u.Dial(addr, c, func(sock *eventloop.Conn, err error) { c.opened(addr, sock, err) })
 }
 
 // take has the connection carry a run.
@@ -248,7 +248,7 @@
 	u.Due.At(u.Now()+probeEvery, func() { u.probe(s) })
 }
 
-func (c *upConn) opened(addr string, sock *socket.Conn, err error) {
+func (c *upConn) opened(addr string, sock *eventloop.Conn, err error) {
 	c.sock = sock
 	c.up.reached(c.server, err)
 	switch {
--- a/internal/engine/engine.go
+++ b/internal/transport/engine/engine.go
@@ -11,11 +11,11 @@
 
 	"go.uber.org/zap"
 
-	"oxbowbridge/internal/deadline"
-	"oxbowbridge/internal/exchange"
-	"oxbowbridge/internal/lines"
-	"oxbowbridge/internal/link"
-	"oxbowbridge/internal/socket"
+	"oxbowbridge/internal/proxy/exchange"
+	"oxbowbridge/internal/proxy/timerqueue"
+	"oxbowbridge/internal/transport/eventloop"
+	"oxbowbridge/internal/transport/lineproto"
+	"oxbowbridge/internal/transport/session"
 )
 
 const (
@@ -47,12 +47,12 @@
 // Link is the exchange.Runner that speaks to the engine. Its connections are
 // numbered: what older ones than the present one report is skipped.
 type Link struct {
-	link.Env
+	session.Env
 	addr    string
-	conn    *socket.Conn
+	conn    *eventloop.Conn
 	present int // number of conn, 0 without one
 	dialed  int // number of the latest attempt
-	again   *deadline.Entry
+	again   *timerqueue.Entry
 	up      bool
 	ready   bool // said so once
 	last    uint64
@@ -65,7 +65,7 @@
 }
 
 // New returns a Link that isn't connected. pauses tells what HALT does to a run.
-func New(addr string, pauses bool, env link.Env) *Link {
+func New(addr string, pauses bool, env session.Env) *Link {
 	return &Link{Env: env, addr: addr, pauses: pauses, retry: retryFirst, runs: map[string]*run{}}
 }
 
@@ -75,10 +75,10 @@
 	l.Due.Cancel(l.again)
 	l.dialed++
 	n := l.dialed
-	l.Dial(l.addr, &link.Lines{Env: l.Env, Parser: lines.Parser{Long: long}, Read: l.read,
+	l.Dial(l.addr, &session.Lines{Env: l.Env, Parser: lineproto.Parser{Long: long}, Read: l.read,
 		Lost: func(err error) { l.lost(n, err) },
 		Live: func() bool { return n == l.present || n == l.dialed }},
-		func(c *socket.Conn, err error) { l.opened(n, c, err) })
+		func(c *eventloop.Conn, err error) { l.opened(n, c, err) })
 }
 
 // Move goes on at another address. Runs and numbers of notices stay as they are:
@@ -91,7 +91,7 @@
 	l.Open()
 }
 
-func (l *Link) opened(n int, c *socket.Conn, err error) {
+func (l *Link) opened(n int, c *eventloop.Conn, err error) {
 	switch {
 	case err != nil:
 		l.lost(n, err)
@@ -133,7 +133,7 @@
 
 func (l *Link) write(line string, payload []byte, long bool) {
 	if l.conn != nil {
-		l.conn.Write(lines.Append(nil, line, payload, long))
+		l.conn.Write(lineproto.Append(nil, line, payload, long))
 	}
 }
 
@@ -229,7 +229,7 @@
 func long(words []string) bool { return words[0] == "DONE" || words[0] == "NEED" }
 
 // read handles one message of the engine.
-func (l *Link) read(m lines.Message) {
+func (l *Link) read(m lineproto.Message) {
 	w := m.Words
 	l.quiet = 0
 	switch {
--- a/internal/socket/socket.go
+++ b/internal/transport/eventloop/socket.go
@@ -1,6 +1,6 @@
-// Package socket is the event loop under all connections: nbio, with one
+// Package eventloop is the event loop under all connections: nbio, with one
 // handler for each connection and closing after what was written has left.
-package socket
+package eventloop
 
 import (
 	"errors"
--- a/internal/socket/socket_test.go
+++ b/internal/transport/eventloop/socket_test.go
@@ -1,4 +1,4 @@
-package socket
+package eventloop
 
 import (
 	"errors"
--- a/internal/front/front.go
+++ b/internal/transport/frontend/front.go
@@ -1,7 +1,7 @@
-// Package front holds what the fronts share: how a request's fields are read
+// Package frontend holds what the fronts share: how a request's fields are read
 // and its answer is worded, whatever protocol carried them, and the set of
 // connections that a front has open.
-package front
+package frontend
 
 import (
 	"errors"
@@ -16,9 +16,9 @@
 
 	"go.uber.org/zap"
 
-	"oxbowbridge/internal/descriptors"
-	"oxbowbridge/internal/exchange"
-	"oxbowbridge/internal/socket"
+	"oxbowbridge/internal/proxy/exchange"
+	"oxbowbridge/internal/proxy/fdquota"
+	"oxbowbridge/internal/transport/eventloop"
 )
 
 // BodyMost is the longest body of a request.
@@ -205,7 +205,7 @@
 // connection too, but for what belongs to the loop's goroutine.
 type Base struct {
 	sync.Mutex
-	*socket.Conn
+	*eventloop.Conn
 	Used    time.Time // when a request last began or ended
 	Open    int       // requests that have begun and are not answered
 	Shut    bool      // by this side: no request begins any more
@@ -343,7 +343,7 @@
 	conns map[Conn]struct{}
 	ln    net.Listener
 	most  int
-	pool  *descriptors.Pool // of connections, with calls and other fronts
+	pool  *fdquota.Pool // of connections, with calls and other fronts
 	log   *zap.Logger
 
 	closing bool // the listener is, and still takes what has come
@@ -351,12 +351,12 @@
 
 // Listen opens the listener. Connections beyond so many, or beyond what the pool has, take
 // the place of others, which leaves descriptors for the links of the client side.
-func (s *Conns) Listen(loop *socket.Loop, addr string, most int, pool *descriptors.Pool, log *zap.Logger, handle func(*socket.Conn) interface {
+func (s *Conns) Listen(loop *eventloop.Loop, addr string, most int, pool *fdquota.Pool, log *zap.Logger, handle func(*eventloop.Conn) interface {
 	Conn
-	socket.Handler
+	eventloop.Handler
 }) error {
 	s.conns, s.most, s.pool, s.log = map[Conn]struct{}{}, most, pool, log
-	ln, err := loop.Listen(addr, func(c *socket.Conn) socket.Handler {
+	ln, err := loop.Listen(addr, func(c *eventloop.Conn) eventloop.Handler {
 		h := handle(c)
 		s.mu.Lock()
 		defer s.mu.Unlock()
--- a/internal/front/front_test.go
+++ b/internal/transport/frontend/front_test.go
@@ -1,4 +1,4 @@
-package front
+package frontend
 
 import (
 	"strconv"
--- a/internal/lines/lines.go
+++ b/internal/transport/lineproto/lines.go
@@ -1,6 +1,6 @@
-// Package lines parses the protocols of words: lines that end in CR LF, some of
+// Package lineproto parses the protocols of words: lines that end in CR LF, some of
 // them followed by as many bytes as their last word says and another CR LF.
-package lines
+package lineproto
 
 import (
 	"bytes"
--- a/internal/records/records.go
+++ b/internal/transport/records/records.go
@@ -11,12 +11,12 @@
 
 	"go.uber.org/zap"
 
-	"oxbowbridge/internal/deadline"
-	"oxbowbridge/internal/descriptors"
-	"oxbowbridge/internal/exchange"
-	"oxbowbridge/internal/lines"
-	"oxbowbridge/internal/link"
-	"oxbowbridge/internal/socket"
+	"oxbowbridge/internal/proxy/exchange"
+	"oxbowbridge/internal/proxy/fdquota"
+	"oxbowbridge/internal/proxy/timerqueue"
+	"oxbowbridge/internal/transport/eventloop"
+	"oxbowbridge/internal/transport/lineproto"
+	"oxbowbridge/internal/transport/session"
 )
 
 const (
@@ -47,8 +47,8 @@
 	conn   *conn         // nil while it waits for one
 	until  time.Duration // the service need not try longer
 	sends  int
-	dials  int             // that were refused
-	redial *deadline.Entry // the next one
+	dials  int               // that were refused
+	redial *timerqueue.Entry // the next one
 }
 
 // conn is a connection. It carries one call at a time: after a spoilt reply a
@@ -56,20 +56,20 @@
 type conn struct {
 	link  *Link
 	addr  string
-	sock  *socket.Conn // nil until it is open
-	call  *call        // nil while it is free
-	last  string       // the trace of its latest call, of which copies may still come
+	sock  *eventloop.Conn // nil until it is open
+	call  *call           // nil while it is free
+	last  string          // the trace of its latest call, of which copies may still come
 	gone  bool
 	stray int           // replies that belong to no call, since its latest
 	sent  time.Duration // when its call was
-	due   *deadline.Entry
+	due   *timerqueue.Entry
 }
 
 // Link is the exchange.Caller that speaks to the records service.
 type Link struct {
-	link.Env
+	session.Env
 	addr    string
-	pool    *descriptors.Pool // of connections, as many as calls in hand; further ones wait
+	pool    *fdquota.Pool // of connections, as many as calls in hand; further ones wait
 	lingers time.Duration
 	calls   map[string]*call
 	waiting []*call       // without a connection, oldest first
@@ -82,7 +82,7 @@
 // them. Without an address no call is made. What is given up may stay in the hands of
 // a service that all share for as long as lingers says, and counts there: a call is
 // made again only after that, so that each request has one at a time.
-func New(addr string, pool *descriptors.Pool, lingers time.Duration, env link.Env) *Link {
+func New(addr string, pool *fdquota.Pool, lingers time.Duration, env session.Env) *Link {
 	return &Link{Env: env, addr: addr, pool: pool, lingers: lingers, calls: map[string]*call{}, mean: firstGuess, dev: firstGuess / 2}
 }
 
@@ -153,11 +153,11 @@
 func (l *Link) connect(k *call) {
 	c := &conn{link: l, addr: l.addr, call: k}
 	k.conn = c
-	l.Dial(c.addr, &link.Lines{Env: l.Env, Parser: lines.Parser{Long: long}, Read: c.read, Lost: c.lost,
+	l.Dial(c.addr, &session.Lines{Env: l.Env, Parser: lineproto.Parser{Long: long}, Read: c.read, Lost: c.lost,
 		Live: func() bool { return !c.gone }}, c.opened)
 }
 
-func (c *conn) opened(s *socket.Conn, err error) {
+func (c *conn) opened(s *eventloop.Conn, err error) {
 	switch {
 	case err != nil && !c.gone:
 		c.refused(err)
@@ -188,7 +188,7 @@
 	c.call, c.last, c.stray, c.sent, k.conn = k, k.Trace, 0, l.Now(), c
 	k.sends++
 	line := fmt.Sprintf("OP %s %d %d", k.Trace, max(1, (k.until-c.sent).Milliseconds()), len(k.Body))
-	c.sock.Write(lines.Append(nil, line, k.Body, true))
+	c.sock.Write(lineproto.Append(nil, line, k.Body, true))
 	// Guards against replies that never come, or never end.
 	if k.again() {
 		c.due = l.Due.At(c.sent+l.patience(), func() { c.lost(errLate) })
@@ -225,7 +225,7 @@
 	c := k.conn
 	c.call = nil
 	if c.sock != nil {
-		c.sock.Write(lines.Append(nil, "UNOP "+trace, nil, false))
+		c.sock.Write(lineproto.Append(nil, "UNOP "+trace, nil, false))
 	}
 	c.end(exchange.Unreachable)
 }
@@ -293,7 +293,7 @@
 
 func long(words []string) bool { return len(words) == 3 && words[1] == "DONE" }
 
-func (c *conn) read(m lines.Message) {
+func (c *conn) read(m lineproto.Message) {
 	ends := map[string]exchange.End{"DONE": exchange.OK, "WAIT": exchange.NotBegun, "ERROR": exchange.Error,
 		"PAST": exchange.OutOfTime, "EMPTY": exchange.NotBegun}
 	w := m.Words
--- a/internal/directory/directory.go
+++ b/internal/transport/registry/directory.go
@@ -1,14 +1,14 @@
-// Package directory reports to the directory that lists this service.
-package directory
+// Package registry reports to the directory that lists this service.
+package registry
 
 import (
 	"time"
 
 	"go.uber.org/zap"
 
-	"oxbowbridge/internal/deadline"
-	"oxbowbridge/internal/link"
-	"oxbowbridge/internal/socket"
+	"oxbowbridge/internal/proxy/timerqueue"
+	"oxbowbridge/internal/transport/eventloop"
+	"oxbowbridge/internal/transport/session"
 )
 
 // An entry lapses 3 s after its last report. Where one in four is lost, that is
@@ -23,11 +23,11 @@
 
 // Link sends the reports.
 type Link struct {
-	link.Env
+	session.Env
 	addr string
 	name string
 	sock *sock
-	next *deadline.Entry
+	next *timerqueue.Entry
 	open bool   // there are reports
 	shut bool   // for good
 	says string // what they say
@@ -36,10 +36,10 @@
 
 // sock is the socket to one address, nil until it is open; a Link that has moved
 // leaves it.
-type sock struct{ *socket.Datagrams }
+type sock struct{ *eventloop.Datagrams }
 
 // New returns a Link that reports nothing yet, and never without an address.
-func New(addr, name string, env link.Env) *Link {
+func New(addr, name string, env session.Env) *Link {
 	return &Link{Env: env, addr: addr, name: name, says: open}
 }
 
@@ -59,7 +59,7 @@
 	}
 	s := &sock{}
 	l.sock = s
-	l.DialDatagrams(l.addr, func(d *socket.Datagrams, err error) {
+	l.DialDatagrams(l.addr, func(d *eventloop.Datagrams, err error) {
 		switch {
 		case err != nil && l.sock == s:
 			l.sock = nil // the next report opens another
--- a/internal/link/link.go
+++ b/internal/transport/session/link.go
@@ -1,15 +1,15 @@
-// Package link holds what the links of the client side share.
-package link
+// Package session holds what the links of the client side share.
+package session
 
 import (
 	"time"
 
 	"go.uber.org/zap"
 
-	"oxbowbridge/internal/deadline"
-	"oxbowbridge/internal/exchange"
-	"oxbowbridge/internal/lines"
-	"oxbowbridge/internal/socket"
+	"oxbowbridge/internal/proxy/exchange"
+	"oxbowbridge/internal/proxy/timerqueue"
+	"oxbowbridge/internal/transport/eventloop"
+	"oxbowbridge/internal/transport/lineproto"
 )
 
 const dialTimeout = time.Second
@@ -18,23 +18,23 @@
 // happens on its connections is brought there as a Step.
 type Env struct {
 	Exchange *exchange.Exchange
-	Loop     *socket.Loop
-	Due      *deadline.Set
+	Loop     *eventloop.Loop
+	Due      *timerqueue.Set
 	Now      func() time.Duration
 	Log      *zap.Logger
 }
 
 // Dial connects and has opened called in the core's goroutine.
-func (e Env) Dial(addr string, h socket.Handler, opened func(*socket.Conn, error)) {
-	e.Loop.Dial(addr, dialTimeout, func(*socket.Conn) socket.Handler { return h }, func(c *socket.Conn, err error) {
+func (e Env) Dial(addr string, h eventloop.Handler, opened func(*eventloop.Conn, error)) {
+	e.Loop.Dial(addr, dialTimeout, func(*eventloop.Conn) eventloop.Handler { return h }, func(c *eventloop.Conn, err error) {
 		e.Exchange.Post(exchange.Step(func() { opened(c, err) }))
 	})
 }
 
 // DialDatagrams opens a socket for datagrams and has opened called in the core's
 // goroutine.
-func (e Env) DialDatagrams(addr string, opened func(*socket.Datagrams, error)) {
-	socket.DialDatagrams(addr, dialTimeout, func(d *socket.Datagrams, err error) {
+func (e Env) DialDatagrams(addr string, opened func(*eventloop.Datagrams, error)) {
+	eventloop.DialDatagrams(addr, dialTimeout, func(d *eventloop.Datagrams, err error) {
 		e.Exchange.Post(exchange.Step(func() { opened(d, err) }))
 	})
 }
@@ -44,9 +44,9 @@
 // once Live says that the link has left the connection.
 type Lines struct {
 	Env    Env
-	Parser lines.Parser
+	Parser lineproto.Parser
 	Live   func() bool
-	Read   func(lines.Message)
+	Read   func(lineproto.Message)
 	Lost   func(error)
 	bad    bool
 }
@@ -65,7 +65,7 @@
 	if l.bad {
 		return
 	}
-	if err := l.Parser.Feed(b, func(m lines.Message) { l.step(func() { l.Read(m) }) }); err != nil {
+	if err := l.Parser.Feed(b, func(m lineproto.Message) { l.step(func() { l.Read(m) }) }); err != nil {
 		l.bad = true
 		l.Closed(err)
 	}
