--- a/bench/store/leases.go
+++ b/bench/store/leases.go
@@ -52,10 +52,10 @@
 		}
 		testrig.Await(l.c.T, "the holder", func() bool { return l.c.Ask(0, "/lease/killed", &struct{}{}) })
 		time.Sleep(ttl/2 + time.Duration(n*137%1000)*time.Millisecond)
-		next := leaseclient.New(l.nodes, leaseclient.HolderName())
+		next := leaseclient.New(l.nodes, leaseclient.NewHolderName())
 		got := make(chan error, 1)
 		go func() {
-			h, err := next.Acquire(context.Background(), leaseclient.Wish{Name: "killed", TTL: ttl, Wait: true})
+			h, err := next.Acquire(context.Background(), leaseclient.AcquireOptions{Name: "killed", TTL: ttl, Wait: true})
 			if err == nil {
 				got <- nil
 				h.Release(context.Background(), "")
@@ -87,7 +87,7 @@
 			if one {
 				what = fmt.Sprintf("%02d contenders, one name|%s", clients, l.x.name)
 			}
-			keepers := make([]*leaseclient.Keeper, clients)
+			keepers := make([]*leaseclient.Manager, clients)
 			for i := range keepers {
 				keepers[i] = leaseclient.New(l.nodes, fmt.Sprintf("bench-%d-%v-%d", clients, one, i))
 				defer keepers[i].Close()
@@ -99,7 +99,7 @@
 					name = fmt.Sprint("own/", id)
 				}
 				began := time.Now()
-				h, err := keepers[id].Acquire(context.Background(), leaseclient.Wish{Name: name, TTL: 10 * time.Second, Wait: true})
+				h, err := keepers[id].Acquire(context.Background(), leaseclient.AcquireOptions{Name: name, TTL: 10 * time.Second, Wait: true})
 				if err != nil {
 					return err
 				}
@@ -130,7 +130,7 @@
 func (l *leaseBench) many() error {
 	lead := l.c.Leader()
 	before := memoryOf(l.pids[lead])
-	keepers := make([]*leaseclient.Keeper, manyHolders)
+	keepers := make([]*leaseclient.Manager, manyHolders)
 	var all sync.WaitGroup
 	failed := make(chan error, manyHolders)
 	slots := make(chan struct{}, 32)
@@ -140,7 +140,7 @@
 		all.Go(func() {
 			for n := i; n < manyLeases; n += manyHolders {
 				slots <- struct{}{}
-				_, err := keepers[i].Acquire(context.Background(), leaseclient.Wish{Name: fmt.Sprint("many/", n), TTL: manyTTL, Wait: true})
+				_, err := keepers[i].Acquire(context.Background(), leaseclient.AcquireOptions{Name: fmt.Sprint("many/", n), TTL: manyTTL, Wait: true})
 				<-slots
 				if err != nil {
 					failed <- err
--- a/cmd/oxbowbridge/config.go
+++ b/cmd/oxbowbridge/config.go
@@ -150,7 +150,7 @@
 		}
 	}
 	if c.Work != nil {
-		if err := c.Work.Check(); err != nil {
+		if err := c.Work.Validate(); err != nil {
 			return fmt.Errorf("work.%w", err)
 		}
 	}
--- a/cmd/oxbowbridge/keeper.go
+++ b/cmd/oxbowbridge/keeper.go
@@ -66,7 +66,7 @@
 	if s.Caught(first) {
 		k.caughtUp(level)
 		if e, ok := s.Entry(keySettings); ok {
-			if !k.use(cfg, store.Good{Revision: e.Index, Value: e.Value}, false) {
+			if !k.use(cfg, store.Good{Revision: e.ModRevision, Value: e.Value}, false) {
 				k.useLast(cfg)
 			}
 		}
--- a/cmd/oxbowbridge/members.go
+++ b/cmd/oxbowbridge/members.go
@@ -24,7 +24,7 @@
 	}
 	rows := [][]any{{"NAME", "ID", "ZONE", "ROLE", "BEHIND", "STATE", "ADMIN", "NEXT", "WHY"}}
 	for _, x := range m.Members {
-		rows = append(rows, []any{x.Name, x.ID, x.Zone, x.Role, x.Behind, x.State, x.Admin, x.Next, x.Why})
+		rows = append(rows, []any{x.Name, x.ID, x.Zone, x.Role, x.EntriesBehind, x.State, x.AdminAddress, x.NextStep, x.Reason})
 	}
 	for _, name := range m.Removed {
 		rows = append(rows, []any{name, "", "", "", "", "removed", "", "", "'store add " + name + "' lets it in again"})
--- a/cmd/oxbowbridge/store.go
+++ b/cmd/oxbowbridge/store.go
@@ -108,11 +108,11 @@
 			up++
 		}
 		lines = append(lines, l)
-		wrong := l.Away + st.Waits + st.SQLError
-		if st.Foreign != "" {
-			wrong = strings.TrimSpace(wrong + " of another cluster: " + st.Foreign)
+		wrong := l.Away + st.WaitingFor + st.SQLError
+		if st.ForeignPeers != "" {
+			wrong = strings.TrimSpace(wrong + " of another cluster: " + st.ForeignPeers)
 		}
-		rows = append(rows, []any{addr, st.Node, st.State, st.Leader, st.Applied, st.Last, st.Cluster, wrong})
+		rows = append(rows, []any{addr, st.Node, st.State, st.Leader, st.AppliedIndex, st.LastIndex, st.Cluster, wrong})
 	}
 	err := error(nil)
 	if s.asJSON {
@@ -176,7 +176,7 @@
 		}
 		for _, k := range r.Changes {
 			value := string(k.Value)
-			if k.Gone {
+			if k.Deleted {
 				value = "(deleted)"
 			}
 			if _, err := fmt.Fprintf(out, "%d\t%s\t%s\n", r.Number, k.Key, value); err != nil {
@@ -247,7 +247,7 @@
 	if s.asJSON {
 		return printJSON(c.OutOrStdout(), out)
 	}
-	return table(c.OutOrStdout(), []any{"CLUSTER", "KEYS", "TAKEN FROM"}, []any{out.Cluster, out.Keys, out.From})
+	return table(c.OutOrStdout(), []any{"CLUSTER", "KEYS", "TAKEN FROM"}, []any{out.Cluster, out.Keys, out.SourceCluster})
 }
 
 func (s *storeCLI) condition(c *cobra.Command) *uint64 {
@@ -282,7 +282,7 @@
 }
 
 // told prints what a write came to.
-func (s *storeCLI) told(c *cobra.Command, a kv.Answer, err error) error {
+func (s *storeCLI) told(c *cobra.Command, a kv.Response, err error) error {
 	if err != nil {
 		return err
 	}
@@ -291,7 +291,7 @@
 	}
 	rows := [][]any{{"HELD", "REVISION", "KEY", "KEY REVISION", "VALUE"}}
 	for _, r := range a.Results {
-		rows = append(rows, []any{a.Held, a.Revision, r.Key, r.Revision, string(r.Value)})
+		rows = append(rows, []any{a.Succeeded, a.Revision, r.Key, r.Revision, string(r.Value)})
 	}
 	return table(c.OutOrStdout(), rows...)
 }
--- a/cmd/oxbowbridge/work.go
+++ b/cmd/oxbowbridge/work.go
@@ -48,12 +48,12 @@
 	plan.Flags().StringVar(&s.chart, "chart", "", "also draw it, to a file that ends in .svg or .png")
 	plan.Flags().StringSliceVar(&s.windows, "window", nil, "only begin from FROM to TO from now, such as 1h-5h; may be given again")
 	plan.Flags().Uint64Var(&s.seed, "seed", 1, "of the search")
-	add("cancel MACHINE ...", "Take requests back; one that failed loses its place", cobra.MinimumNArgs(1), s.each((*storeclient.Client).CancelWork))
+	add("cancel MACHINE ...", "Take requests back; one that failed loses its place", cobra.MinimumNArgs(1), s.each((*storeclient.Client).CancelOrder))
 	pause := add("pause", "Have nobody new go", cobra.NoArgs, s.pause(true))
 	pause.Flags().StringVar(&s.why, "reason", "by an operator", "why")
 	add("resume", "Have the order go on; what has failed by now is seen", cobra.NoArgs, s.pause(false))
 	add("back MACHINE ...", "Say for machines that they are back", cobra.MinimumNArgs(1), s.each(func(c *storeclient.Client, ctx context.Context, node string) error {
-		return c.SayWork(ctx, node, maintenance.Report{Phase: maintenance.Back})
+		return c.ReportPhase(ctx, node, maintenance.PhaseReport{Phase: maintenance.PhaseReturned})
 	}))
 	watch := add("watch", "Show the order again and again, until it is done or interrupted", cobra.NoArgs, s.watch)
 	watch.Flags().DurationVar(&s.every, "every", time.Second, "how often")
@@ -76,29 +76,31 @@
 }
 
 func (s *workCLI) ask(c *cobra.Command, nodes []string) error {
-	j := maintenance.Job{Reason: s.reason, ForMS: s.length.Milliseconds(), Priority: s.priority}
+	j := maintenance.Order{Reason: s.reason, DurationMS: s.length.Milliseconds(), Priority: s.priority}
 	if s.latest > 0 {
-		j.LatestMS = time.Now().Add(s.latest).UnixMilli()
+		j.LatestStartMS = time.Now().Add(s.latest).UnixMilli()
 	}
 	for _, n := range nodes {
 		j.Node = n
-		if err := j.Check(); err != nil {
+		if err := j.Validate(); err != nil {
 			return badCall(err)
 		}
 	}
 	return s.each(func(client *storeclient.Client, ctx context.Context, node string) error {
 		j.Node = node
-		_, err := client.AskWork(ctx, j)
+		_, err := client.SubmitOrder(ctx, j)
 		return err
 	})(c, nodes)
 }
 
 func (s *workCLI) pause(paused bool) func(*cobra.Command, []string) error {
-	return func(c *cobra.Command, _ []string) error { return s.client().PauseWork(c.Context(), paused, s.why) }
+	return func(c *cobra.Command, _ []string) error {
+		return s.client().PauseMaintenance(c.Context(), paused, s.why)
+	}
 }
 
 func (s *workCLI) list(c *cobra.Command, _ []string) error {
-	st, err := s.client().Work(c.Context())
+	st, err := s.client().MaintenanceStatus(c.Context())
 	if err != nil {
 		return err
 	}
@@ -109,17 +111,17 @@
 }
 
 func showWork(out io.Writer, st maintenance.Status) error {
-	fmt.Fprintf(out, "order settled by %s; most out at once %d, %d in a zone\n", cmp.Or(st.Order, "nobody yet"), st.Limits.Most, st.Limits.MostZone)
+	fmt.Fprintf(out, "order settled by %s; most out at once %d, %d in a zone\n", cmp.Or(st.Controller, "nobody yet"), st.Budget.MaxOut, st.Budget.MaxOutPerZone)
 	if st.Pause.Paused {
-		fmt.Fprintf(out, "PAUSED: %s ('work resume' has it go on)\n", st.Pause.Why)
+		fmt.Fprintf(out, "PAUSED: %s ('work resume' has it go on)\n", st.Pause.Reason)
 	}
-	if st.First != "" {
-		fmt.Fprintf(out, "next is %s: %s\n", st.First, cmp.Or(st.Why, "now"))
+	if st.HeadOfQueue != "" {
+		fmt.Fprintf(out, "next is %s: %s\n", st.HeadOfQueue, cmp.Or(st.WaitReason, "now"))
 	}
 	rows := [][]any{{"MACHINE", "STATE", "SINCE", "FOR", "PRIORITY", "REASON", "WHY"}}
-	for _, j := range st.Jobs {
-		since := time.Since(time.UnixMilli(j.SinceMS)).Round(time.Second)
-		rows = append(rows, []any{j.Node, j.Phase, since, time.Duration(j.ForMS) * time.Millisecond, j.Priority, j.Reason, j.Why + j.Waits})
+	for _, j := range st.Orders {
+		since := time.Since(time.UnixMilli(j.PhaseSinceMS)).Round(time.Second)
+		rows = append(rows, []any{j.Node, j.Phase, since, time.Duration(j.DurationMS) * time.Millisecond, j.Priority, j.Reason, j.PhaseReason + j.WaitReason})
 	}
 	return table(out, rows...)
 }
@@ -135,7 +137,7 @@
 		}
 	}
 	for {
-		st, err := client.Work(ctx)
+		st, err := client.MaintenanceStatus(ctx)
 		if ctx.Err() != nil {
 			return nil // interrupted
 		}
@@ -146,7 +148,7 @@
 			if err := showWork(out, st); err != nil {
 				return err
 			}
-			if !slices.ContainsFunc(st.Jobs, func(r maintenance.Row) bool { return r.Phase.Open() }) {
+			if !slices.ContainsFunc(st.Orders, func(r maintenance.OrderStatus) bool { return r.Phase.Open() }) {
 				return nil
 			}
 		}
@@ -167,18 +169,18 @@
 	if s.chart != "" && !strings.HasSuffix(s.chart, ".svg") && !strings.HasSuffix(s.chart, ".png") {
 		return badCall(errors.New("--chart: want a file that ends in .svg or .png"))
 	}
-	st, err := s.client().Work(c.Context())
+	st, err := s.client().MaintenanceStatus(c.Context())
 	if err != nil {
 		return err
 	}
-	q := maintenance.QuestionFrom(st, time.Now().UnixMilli())
+	q := maintenance.PlanInputFrom(st, time.Now().UnixMilli())
 	q.Windows, q.Seed = windows, s.seed
-	p, err := maintenance.MakePlan(q)
+	p, err := maintenance.ComputePlan(q)
 	if err != nil {
 		return err
 	}
 	if s.chart != "" {
-		if err := chart.Draw(s.chart, p, q.Total); err != nil {
+		if err := chart.Draw(s.chart, p, q.TotalCapacity); err != nil {
 			return err
 		}
 	}
@@ -186,17 +188,17 @@
 		return printJSON(c.OutOrStdout(), p)
 	}
 	rows := [][]any{{"FROM", "TO", "MACHINE", "ZONE", "CORES"}}
-	for _, x := range p.Placed {
-		rows = append(rows, []any{x.From.Round(time.Second), x.To.Round(time.Second), x.Node, x.Zone, x.Capacity})
+	for _, x := range p.Schedule {
+		rows = append(rows, []any{x.Start.Round(time.Second), x.End.Round(time.Second), x.Node, x.Zone, x.Capacity})
 	}
 	if err := table(c.OutOrStdout(), rows...); err != nil {
 		return err
 	}
-	_, err = fmt.Fprintf(c.OutOrStdout(), "%v in all; no plan within the limits is shorter than %v\n", p.Length.Round(time.Second), p.Bound.Round(time.Second))
+	_, err = fmt.Fprintf(c.OutOrStdout(), "%v in all; no plan within the limits is shorter than %v\n", p.Duration.Round(time.Second), p.LowerBound.Round(time.Second))
 	return err
 }
 
-func parseWindows(texts []string) (list []maintenance.Window, err error) {
+func parseWindows(texts []string) (list []maintenance.StartWindow, err error) {
 	for _, t := range texts {
 		from, to, ok := strings.Cut(t, "-")
 		a, err1 := time.ParseDuration(from)
@@ -204,7 +206,7 @@
 		if err := errors.Join(err1, err2); err != nil || !ok || a < 0 || b <= a {
 			return nil, errors.Join(fmt.Errorf("--window: %q is not FROM-TO, such as 1h-5h", t), err)
 		}
-		list = append(list, maintenance.Window{From: a, To: b})
+		list = append(list, maintenance.StartWindow{From: a, To: b})
 	}
 	return list, nil
 }
--- a/cmd/oxbowbridge/worker.go
+++ b/cmd/oxbowbridge/worker.go
@@ -45,8 +45,8 @@
 	return w
 }
 
-// Gauge asks the core.
-func (w *worker) Gauge() (busy float64, known, warm bool) {
+// Utilization asks the core.
+func (w *worker) Utilization() (busy float64, known, warm bool) {
 	said := make(chan func() (float64, bool, bool), 1)
 	w.s.x.Post(exchange.Step(func() {
 		b, k, i := w.s.core.Load()
@@ -60,8 +60,8 @@
 	}
 }
 
-// Leave has the service drain, as on SIGTERM, and another node lead the store.
-func (w *worker) Leave() {
+// StartDrain has the service drain, as on SIGTERM, and another node lead the store.
+func (w *worker) StartDrain() {
 	if w.kept.store != nil {
 		w.kept.store.StepDown()
 	}
@@ -82,7 +82,7 @@
 		return nil
 	}
 	<-w.ended
-	again, err := w.agent.Out()
+	again, err := w.agent.PerformMaintenance()
 	w.agent.Close()
 	if err != nil || !again || ctx.Err() != nil {
 		return err
--- a/internal/cluster/lease/holder.go
+++ b/internal/cluster/lease/holder.go
@@ -2,61 +2,63 @@
 
 import "time"
 
-// Holder is the holder's side of one lease. Times are its own, monotonic.
-type Holder struct {
+// HolderState is the holder's side of one lease. Times are its own, monotonic.
+type HolderState struct {
 	Token uint64
 	TTL   time.Duration
 	until time.Duration
 	given uint64 // the last token that it gave back
 }
 
-// Granted notes an answer to a request that was sent at a time: the lease counts from
+// RecordGrant notes an answer to a request that was sent at a time: the lease counts from
 // then on. A token that it gave back doesn't count any more: its release may still be on
 // its way, and overtaken by a request that was given the same token again.
-func (h *Holder) Granted(token uint64, sent time.Duration) {
+func (h *HolderState) RecordGrant(token uint64, sent time.Duration) {
 	if token <= h.given {
 		return
 	}
 	if token != h.Token {
 		h.Token, h.until = token, 0
 	}
-	h.until = max(h.until, sent+time.Duration(float64(h.TTL)*(1-Margin)))
+	h.until = max(h.until, sent+time.Duration(float64(h.TTL)*(1-SafetyMargin)))
 }
 
 // Release gives the lease back: what is to be told to the store is the token.
-func (h *Holder) Release() (token uint64) {
+func (h *HolderState) Release() (token uint64) {
 	h.given = max(h.given, h.Token)
 	token, h.Token, h.until = h.Token, 0, 0
 	return token
 }
 
-// Lost notes that the lease is not its any more.
-func (h *Holder) Lost() { h.Token, h.until = 0, 0 }
+// MarkLost notes that the lease is not its any more.
+func (h *HolderState) MarkLost() { h.Token, h.until = 0, 0 }
 
-// Until is when it must have stopped acting, if no answer comes before.
-func (h *Holder) Until() time.Duration { return h.until }
+// Deadline is when it must have stopped acting, if no answer comes before.
+func (h *HolderState) Deadline() time.Duration { return h.until }
 
-// May tells whether it may act at a time. Between this and the act it may stand still for
+// MayAct tells whether it may act at a time. Between this and the act it may stand still for
 // any time: what matters goes through a fence.
-func (h *Holder) May(now time.Duration) bool { return h.Token != 0 && now < h.until }
+func (h *HolderState) MayAct(now time.Duration) bool { return h.Token != 0 && now < h.until }
 
-// RenewAt is when a keep-alive is due: a third of its time after the last.
-func (h *Holder) RenewAt() time.Duration {
-	return h.until - time.Duration(float64(h.TTL)*(1-Margin)) + h.TTL/3
+// RenewalDue is when a keep-alive is due: a third of its time after the last.
+func (h *HolderState) RenewalDue() time.Duration {
+	return h.until - time.Duration(float64(h.TTL)*(1-SafetyMargin)) + h.TTL/3
 }
 
-// Renew tells whether it is time for a keep-alive.
-func (h *Holder) Renew(now time.Duration) bool { return h.Token != 0 && now >= h.RenewAt() }
+// ShouldRenew tells whether it is time for a keep-alive.
+func (h *HolderState) ShouldRenew(now time.Duration) bool {
+	return h.Token != 0 && now >= h.RenewalDue()
+}
 
-// Fence is what an outside resource does with tokens: it keeps the highest that it has
+// FencedResource is what an outside resource does with tokens: it keeps the highest that it has
 // seen, and refuses lower ones.
-type Fence struct{ Highest uint64 }
+type FencedResource struct{ HighestToken uint64 }
 
 // Admit tells whether an act under a token may take effect.
-func (f *Fence) Admit(token uint64) bool {
-	if token < f.Highest {
+func (f *FencedResource) Admit(token uint64) bool {
+	if token < f.HighestToken {
 		return false
 	}
-	f.Highest = token
+	f.HighestToken = token
 	return true
 }
--- a/internal/cluster/leaseclient/task.go
+++ b/internal/cluster/leaseclient/task.go
@@ -18,15 +18,15 @@
 	TTL  time.Duration
 	// Do goes on until ctx ends, which it does when the lease can't be kept, or returns
 	// earlier: the lease is given back then, and after a failure another one may have it.
-	Do func(ctx context.Context, h *Held) error
+	Run func(ctx context.Context, h *Lease) error
 }
 
-// Run does a task whenever this process has its lease, until ctx ends.
-func (k *Keeper) Run(ctx context.Context, t Task, log *zap.Logger) {
+// RunTask does a task whenever this process has its lease, until ctx ends.
+func (k *Manager) RunTask(ctx context.Context, t Task, log *zap.Logger) {
 	log = log.With(zap.String("lease", t.Name))
 	pause := againLeast
 	for ctx.Err() == nil {
-		h, err := k.Acquire(ctx, Wish{Name: t.Name, TTL: t.TTL, Wait: true})
+		h, err := k.Acquire(ctx, AcquireOptions{Name: t.Name, TTL: t.TTL, Wait: true})
 		if err == nil {
 			log.Info("lease taken", zap.Uint64("token", h.Token))
 			began := time.Now()
@@ -46,10 +46,10 @@
 	}
 }
 
-func (k *Keeper) do(ctx context.Context, t Task, h *Held) error {
+func (k *Manager) do(ctx context.Context, t Task, h *Lease) error {
 	both, cancel := context.WithCancelCause(h.Context())
 	stop := context.AfterFunc(ctx, func() { cancel(ctx.Err()) })
-	err := t.Do(both, h)
+	err := t.Run(both, h)
 	stop()
 	if both.Err() != nil {
 		err = context.Cause(both)
--- a/internal/cluster/singleton/fleet.go
+++ b/internal/cluster/singleton/fleet.go
@@ -38,29 +38,29 @@
 	sessionsEvery = 30 * time.Second
 	lookEvery     = time.Second
 	// KeyBackup is where the last scheduled backup is noted.
-	KeyBackup = kv.StatePart + "fleet.backup"
+	KeyBackup = kv.StatePrefix + "fleet.backup"
 )
 
 // Tasks are those of one node.
 type Tasks struct {
 	cancel context.CancelFunc
 	ended  sync.WaitGroup
-	keeper *leaseclient.Keeper
+	keeper *leaseclient.Manager
 }
 
 // Start has a node take part in the tasks that it is set up for.
-func Start(s *store.Store, order *controller.Order, cfg store.Config, log *zap.Logger) (*Tasks, error) {
+func Start(s *store.Store, order *controller.Controller, cfg store.Config, log *zap.Logger) (*Tasks, error) {
 	ctx, cancel := context.WithCancel(context.Background())
-	t := &Tasks{cancel: cancel, keeper: leaseclient.New([]string{s.AdminAddress()}, s.Name()+":"+leaseclient.HolderName())}
-	list := []leaseclient.Task{{Name: LeaseSessions, TTL: ttl, Do: func(ctx context.Context, h *leaseclient.Held) error {
+	t := &Tasks{cancel: cancel, keeper: leaseclient.New([]string{s.AdminAddress()}, s.Name()+":"+leaseclient.NewHolderName())}
+	list := []leaseclient.Task{{Name: LeaseSessions, TTL: ttl, Run: func(ctx context.Context, h *leaseclient.Lease) error {
 		return endSessions(ctx, s, h)
 	}}}
-	list = append(list, leaseclient.Task{Name: controller.LeaseOrder, TTL: ttl, Do: func(ctx context.Context, h *leaseclient.Held) error {
-		return order.Run(ctx, h.Fence())
+	list = append(list, leaseclient.Task{Name: controller.ControllerLease, TTL: ttl, Run: func(ctx context.Context, h *leaseclient.Lease) error {
+		return order.Run(ctx, h.FencingToken())
 	}})
 	if s.HasRecord() {
-		list = append(list, leaseclient.Task{Name: LeaseMirror, TTL: ttl, Do: func(ctx context.Context, h *leaseclient.Held) error {
-			return s.Mirror(ctx, h.Fence())
+		list = append(list, leaseclient.Task{Name: LeaseMirror, TTL: ttl, Run: func(ctx context.Context, h *leaseclient.Lease) error {
+			return s.Mirror(ctx, h.FencingToken())
 		}})
 	}
 	if cfg.Backup.Dir != "" {
@@ -71,10 +71,10 @@
 			return nil, err
 		}
 		b := &backups{store: s, client: storeclient.New([]string{s.AdminAddress()}), dir: cfg.Backup.Dir, every: every, keep: cfg.Backup.Kept(), log: log}
-		list = append(list, leaseclient.Task{Name: LeaseBackup, TTL: ttl, Do: b.run})
+		list = append(list, leaseclient.Task{Name: LeaseBackup, TTL: ttl, Run: b.run})
 	}
 	for _, x := range list {
-		t.ended.Go(func() { t.keeper.Run(ctx, x, log) })
+		t.ended.Go(func() { t.keeper.RunTask(ctx, x, log) })
 	}
 	return t, nil
 }
@@ -98,7 +98,7 @@
 }
 
 // endSessions moves the log's time on while nobody writes: idle sessions end by it.
-func endSessions(ctx context.Context, s *store.Store, h *leaseclient.Held) error {
+func endSessions(ctx context.Context, s *store.Store, h *leaseclient.Lease) error {
 	tick := time.NewTicker(sessionsEvery)
 	defer tick.Stop()
 	for {
@@ -110,7 +110,7 @@
 		if s.Sessions() == 0 {
 			continue
 		}
-		if err := s.DoAnywhere(ctx, kv.Request{Fence: []lease.Held{h.Fence()}}); err != nil {
+		if err := s.DoAnywhere(ctx, kv.Request{Fences: []lease.FencingToken{h.FencingToken()}}); err != nil {
 			return fmt.Errorf("end sessions: %w", err)
 		}
 	}
@@ -126,7 +126,7 @@
 	log    *zap.Logger
 }
 
-func (b *backups) run(ctx context.Context, h *leaseclient.Held) error {
+func (b *backups) run(ctx context.Context, h *leaseclient.Lease) error {
 	for {
 		wait, err := b.wait(ctx)
 		if err != nil {
@@ -165,7 +165,7 @@
 
 // take writes one, reads it again, notes it in the store under the lease, and only then
 // removes old ones.
-func (b *backups) take(ctx context.Context, h *leaseclient.Held) error {
+func (b *backups) take(ctx context.Context, h *leaseclient.Lease) error {
 	head, text, err := b.client.Backup(ctx)
 	if err != nil {
 		return err
@@ -188,7 +188,7 @@
 	if err != nil {
 		return err
 	}
-	if err := b.store.DoAnywhere(ctx, kv.Request{Fence: []lease.Held{h.Fence()}, Then: []kv.Op{{Do: "put", Key: KeyBackup, Value: note}}}); err != nil {
+	if err := b.store.DoAnywhere(ctx, kv.Request{Fences: []lease.FencingToken{h.FencingToken()}, Then: []kv.Op{{Kind: "put", Key: KeyBackup, Value: note}}}); err != nil {
 		return errors.Join(err, os.Remove(path)) // another one may be at it
 	}
 	b.log.Info("scheduled backup", zap.String("file", path), zap.Uint64("revision", head.Revision), zap.Int("keys", head.Keys))
--- a/internal/cluster/store/cluster.go
+++ b/internal/cluster/store/cluster.go
@@ -96,8 +96,8 @@
 		b := make([]byte, 16)
 		rand.Read(b)
 		id, _ := json.Marshal(hex.EncodeToString(b))
-		_, err := s.Do(kv.Request{Floor: tokenFloor(0), If: []kv.Compare{{Key: kv.ClusterKey}},
-			Then: []kv.Op{{Do: "put", Key: kv.ClusterKey, Value: id}}})
+		_, err := s.Do(kv.Request{TokenFloor: tokenFloor(0), If: []kv.Compare{{Key: kv.ClusterKey}},
+			Then: []kv.Op{{Kind: "put", Key: kv.ClusterKey, Value: id}}})
 		return err
 	}
 	id, err := clusterOf(e)
@@ -123,5 +123,5 @@
 // tokenFloor is what fencing tokens of a cluster that begins anew are above: what the old
 // one gave for certain, and what it can have given by now, as it began by this rule too.
 func tokenFloor(known uint64) uint64 {
-	return max(known, uint64(time.Now().UnixMilli())*lease.PerMS)
+	return max(known, uint64(time.Now().UnixMilli())*lease.TokensPerMS)
 }
--- a/internal/cluster/store/fresh.go
+++ b/internal/cluster/store/fresh.go
@@ -103,7 +103,7 @@
 	// Guards against a leader that is new: until an entry of its own term is
 	// committed, it doesn't know how far its predecessors had come.
 	if l.barred.Load() != term {
-		if err := done(ctx, l.raft.Barrier(storeapi.ApplyTime)); err != nil {
+		if err := done(ctx, l.raft.Barrier(storeapi.CommitTimeout)); err != nil {
 			return 0, fmt.Errorf("first entry of term %d: %w", term, err)
 		}
 		if l.raft.CurrentTerm() != term {
@@ -150,8 +150,8 @@
 		}
 		return 0, ErrNoLeader
 	}
-	var at storeapi.ReadIndex
-	err := s.peers.client.Patient().One(ctx, p.Admin, http.MethodGet, "/index", nil, &at)
+	var at storeapi.ReadIndexResponse
+	err := s.peers.client.WithLongTimeout().CallNode(ctx, p.Admin, http.MethodGet, "/index", nil, &at)
 	return at.Index, err
 }
 
--- a/internal/cluster/store/leases.go
+++ b/internal/cluster/store/leases.go
@@ -30,7 +30,7 @@
 	own  *prover   // that this node leads
 
 	mu      sync.Mutex
-	timer   *lease.Timer
+	timer   *lease.ExpiryTimer
 	term    uint64
 	waiting map[[2]string]chan struct{} // by name and holder; closed once it has the lease
 }
@@ -66,7 +66,7 @@
 }
 
 // with runs something on the timer and the leases as this node knows them.
-func (s *Store) withLeases(t *lease.Timer, do func(*lease.State, time.Duration)) error {
+func (s *Store) withLeases(t *lease.ExpiryTimer, do func(*lease.State, time.Duration)) error {
 	x := s.leases
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -96,14 +96,14 @@
 	}
 }
 
-func (x *leases) begin(t *lease.Timer, term uint64) {
+func (x *leases) begin(t *lease.ExpiryTimer, term uint64) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.timer, x.term = t, term
 }
 
 // current is the timer of the present term.
-func (x *leases) current(l *life) (*lease.Timer, error) {
+func (x *leases) current(l *life) (*lease.ExpiryTimer, error) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if x.timer == nil || !l.leads() || x.term != l.raft.CurrentTerm() {
@@ -129,22 +129,22 @@
 		if err != nil || l.raft.CurrentTerm() != term {
 			return errors.Join(ErrNoLeader, err)
 		}
-		t = lease.NewTimer(s.leases.now())
+		t = lease.NewExpiryTimer(s.leases.now())
 		s.leases.begin(t, term)
 	}
 	if _, ok := s.state.get(kv.ClusterKey); !ok {
 		return nil // tokens begin where the id does
 	}
-	if _, ok := s.state.get(kv.LeasesKey); !ok {
+	if _, ok := s.state.get(kv.LeasesEnabledKey); !ok {
 		return s.allowLeases(l)
 	}
 	var due []lease.Op
-	if err := s.withLeases(t, func(st *lease.State, now time.Duration) { due = t.Due(st, now) }); err != nil {
+	if err := s.withLeases(t, func(st *lease.State, now time.Duration) { due = t.DueOps(st, now) }); err != nil {
 		return err
 	}
 	for len(due) > 0 {
-		n := min(len(due), lease.Ops)
-		if _, err := s.Do(kv.Request{Leases: due[:n]}); err != nil {
+		n := min(len(due), lease.MaxOpsPerEntry)
+		if _, err := s.Do(kv.Request{LeaseOps: due[:n]}); err != nil {
 			return err
 		}
 		due = due[n:]
@@ -157,19 +157,19 @@
 	conf, _ := l.conf()
 	for _, x := range conf.Servers {
 		if id := string(x.ID); id != l.id {
-			if h, now := s.peers.last(diskidentity.Name(id)); !now || h.ID != id || !h.Leases {
+			if h, now := s.peers.last(diskidentity.Name(id)); !now || h.ID != id || !h.SupportsLeases {
 				return fmt.Errorf("%w: not known of %s", ErrNoLeases, id)
 			}
 		}
 	}
-	_, err := s.Do(kv.Request{If: []kv.Compare{{Key: kv.LeasesKey}},
-		Then: []kv.Op{{Do: "put", Key: kv.LeasesKey, Value: []byte("true")}}})
+	_, err := s.Do(kv.Request{If: []kv.Compare{{Key: kv.LeasesEnabledKey}},
+		Then: []kv.Op{{Kind: "put", Key: kv.LeasesEnabledKey, Value: []byte("true")}}})
 	return err
 }
 
 // sure makes sure that this node has led since the call, and that it knows all that was
 // committed by then. It gives the timer of its term.
-func (s *Store) sure(ctx context.Context) (*lease.Timer, error) {
+func (s *Store) sure(ctx context.Context) (*lease.ExpiryTimer, error) {
 	l, err := s.alive()
 	if err != nil {
 		return nil, err
@@ -178,7 +178,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if _, ok := s.state.get(kv.LeasesKey); !ok {
+	if _, ok := s.state.get(kv.LeasesEnabledKey); !ok {
 		return nil, ErrNoLeases
 	}
 	ctx, cancel := context.WithTimeout(ctx, proveTimeout)
@@ -209,7 +209,7 @@
 // AcquireLease gives a lease, or who has it with lease.ErrHeld; only the leader can.
 // Those who wait leave the queue when ctx ends.
 func (s *Store) AcquireLease(ctx context.Context, w Wish) (lease.Lease, error) {
-	if err := lease.Check(w.Name, w.Holder, w.TTLMS); err != nil {
+	if err := lease.Validate(w.Name, w.Holder, w.TTLMS); err != nil {
 		return lease.Lease{}, err
 	}
 	came := s.leases.now()
@@ -239,7 +239,7 @@
 		case <-end.C:
 		case <-ctx.Done():
 		}
-		if _, err := s.Do(kv.Request{Leases: []lease.Op{{Do: lease.Withdraw, Name: w.Name, Holder: w.Holder}}}); err != nil {
+		if _, err := s.Do(kv.Request{LeaseOps: []lease.Op{{Kind: lease.OpWithdraw, Name: w.Name, Holder: w.Holder}}}); err != nil {
 			return lease.Lease{}, err
 		}
 		w.Wait = 0 // it may have been given meanwhile
@@ -249,20 +249,20 @@
 
 // ask gives a lease if it is free or the holder's already, and puts the holder into the
 // queue if it waits. What changes nothing needs no entry of the log.
-func (s *Store) ask(t *lease.Timer, w Wish, came time.Duration) (l lease.Lease, err error) {
+func (s *Store) ask(t *lease.ExpiryTimer, w Wish, came time.Duration) (l lease.Lease, err error) {
 	needed := true
 	look := func(st *lease.State, now time.Duration) {
-		l, needed, err = t.Ask(st, w.Name, w.Holder, w.Wait > 0, came, now)
+		l, needed, err = t.TryAcquire(st, w.Name, w.Holder, w.Wait > 0, came, now)
 	}
 	if e := s.withLeases(t, look); e != nil || !needed {
 		return l, errors.Join(e, err)
 	}
-	a, err := s.Do(kv.Request{Leases: []lease.Op{{Do: lease.Acquire, Name: w.Name, Holder: w.Holder, TTLMS: w.TTLMS,
-		Wait: w.Wait > 0, Priority: w.Priority}}})
+	a, err := s.Do(kv.Request{LeaseOps: []lease.Op{{Kind: lease.OpAcquire, Name: w.Name, Holder: w.Holder, TTLMS: w.TTLMS,
+		Queue: w.Wait > 0, Priority: w.Priority}}})
 	if err != nil {
 		return l, err
 	}
-	if r := a.Leases[0]; r.Err() != nil && !errors.Is(r.Err(), lease.ErrHeld) {
+	if r := a.LeaseResults[0]; r.Err() != nil && !errors.Is(r.Err(), lease.ErrHeld) {
 		return r.Lease, r.Err()
 	}
 	needed = false
@@ -274,7 +274,7 @@
 
 // RenewLeases has leases go on, and names those that are not the caller's any more. Only
 // the leader can.
-func (s *Store) RenewLeases(ctx context.Context, list []lease.Held) (kept map[string]lease.Lease, gone []string, err error) {
+func (s *Store) RenewLeases(ctx context.Context, list []lease.FencingToken) (kept map[string]lease.Lease, gone []string, err error) {
 	came := s.leases.now()
 	t, err := s.sure(ctx)
 	if err != nil {
@@ -296,18 +296,18 @@
 // EndLease releases a lease, hands it over to one that waits (to), or, with token 0,
 // revokes it; only the leader can.
 func (s *Store) EndLease(name string, token uint64, to string) error {
-	o := lease.Op{Do: lease.Release, Name: name, Token: token}
+	o := lease.Op{Kind: lease.OpRelease, Name: name, Token: token}
 	switch {
 	case token == 0:
-		o.Do = lease.Revoke
+		o.Kind = lease.OpRevoke
 	case to != "":
-		o.Do, o.Holder = lease.HandOver, to
+		o.Kind, o.Holder = lease.OpHandOver, to
 	}
-	a, err := s.Do(kv.Request{Leases: []lease.Op{o}})
+	a, err := s.Do(kv.Request{LeaseOps: []lease.Op{o}})
 	if err != nil {
 		return err
 	}
-	return a.Leases[0].Err()
+	return a.LeaseResults[0].Err()
 }
 
 // Leases are all that are held, or one, and for how long they go on if nobody keeps them
@@ -321,7 +321,7 @@
 	err = s.withLeases(t, func(st *lease.State, now time.Duration) {
 		for name, l := range st.Leases {
 			if only == "" || only == name {
-				all[name], left[name] = l, t.Left(name, l, now)
+				all[name], left[name] = l, t.Remaining(name, l, now)
 			}
 		}
 	})
@@ -332,5 +332,5 @@
 func (s *Store) LastToken() uint64 {
 	s.state.mu.Lock()
 	defer s.state.mu.Unlock()
-	return s.state.kv.Leases.Last
+	return s.state.kv.Leases.LastToken
 }
--- a/internal/cluster/store/life.go
+++ b/internal/cluster/store/life.go
@@ -245,7 +245,7 @@
 			if !now || !h.Fresh {
 				return conf, fmt.Errorf("%s is not new any more", p.Name)
 			}
-			if id, p.Raft, p.Admin, p.Zone = h.ID, h.Raft, h.Admin, h.Zone; diskidentity.Name(id) != p.Name {
+			if id, p.Raft, p.Admin, p.Zone = h.ID, h.RaftAddress, h.AdminAddress, h.Zone; diskidentity.Name(id) != p.Name {
 				return conf, fmt.Errorf("%s says that it is %s", p.Name, id)
 			}
 		}
@@ -283,7 +283,7 @@
 		}
 		conf, index := l.conf()
 		s.followAll(conf)
-		if at, apart := s.state.checked().Apart(s.peers.checks(conf, l.id)); apart {
+		if at, apart := s.state.checked().Diverged(s.peers.checks(conf, l.id)); apart {
 			return errors.Join(fmt.Errorf("%w: at entry %d of the log", errApart, at), l.disk.Keep(keptApart, []byte("1")))
 		}
 		_, in := serverOf(conf, l.id)
--- a/internal/cluster/store/mirror.go
+++ b/internal/cluster/store/mirror.go
@@ -69,7 +69,7 @@
 func (s *Store) HasRecord() bool { return s.mirror != nil }
 
 // Mirror writes to the store of record under a lease until ctx ends, or it fails.
-func (s *Store) Mirror(ctx context.Context, held lease.Held) error {
+func (s *Store) Mirror(ctx context.Context, held lease.FencingToken) error {
 	m := s.mirror
 	db, err := sql.Open(drivers[s.cfg.SQL.Driver], s.cfg.SQL.DSN)
 	if err != nil {
@@ -118,7 +118,7 @@
 type mirrorRun struct {
 	*mirror
 	db   *sql.DB
-	held lease.Held
+	held lease.FencingToken
 }
 
 // begin starts a transaction, unless the database knows a higher token. Until it ends, no
@@ -170,11 +170,11 @@
 	}
 	defer tx.Rollback()
 	for key, e := range missing {
-		value := sql.NullString{String: string(e.Value), Valid: !e.Gone}
-		if _, err := tx.ExecContext(ctx, upsertRow, key, value, int64(e.Index)); err != nil {
+		value := sql.NullString{String: string(e.Value), Valid: !e.Deleted}
+		if _, err := tx.ExecContext(ctx, upsertRow, key, value, int64(e.ModRevision)); err != nil {
 			return fmt.Errorf("write %s: %w", key, err)
 		}
-		from = max(from, e.Index)
+		from = max(from, e.ModRevision)
 	}
 	if err := tx.Commit(); err != nil {
 		return fmt.Errorf("commit: %w", err)
@@ -206,9 +206,9 @@
 			return fmt.Errorf("read row: %w", err)
 		}
 		earlier = earlier || uint64(index) > last
-		if _, ok := known[key]; !ok && value.Valid && !strings.HasPrefix(key, kv.Reserved) {
-			missing = append(missing, kv.Request{Fence: []lease.Held{m.held}, If: []kv.Compare{{Key: key}},
-				Then: []kv.Op{{Do: "put", Key: key, Value: json.RawMessage(value.String)}}})
+		if _, ok := known[key]; !ok && value.Valid && !strings.HasPrefix(key, kv.ReservedPrefix) {
+			missing = append(missing, kv.Request{Fences: []lease.FencingToken{m.held}, If: []kv.Compare{{Key: key}},
+				Then: []kv.Op{{Kind: "put", Key: key, Value: json.RawMessage(value.String)}}})
 		}
 	}
 	if err := rows.Err(); err != nil {
--- a/internal/cluster/store/peers.go
+++ b/internal/cluster/store/peers.go
@@ -30,7 +30,7 @@
 
 // heard is the last that a peer said.
 type heard struct {
-	storeapi.Self
+	storeapi.PeerStatus
 	at  time.Time // of the answer; zero if there was none
 	old bool      // of the version before, which says less
 	err error
@@ -112,24 +112,24 @@
 }
 
 // one asks a node for itself. One of the version before only tells its status.
-func (p *peers) one(addr, id string) (self storeapi.Self, old bool, err error) {
+func (p *peers) one(addr, id string) (self storeapi.PeerStatus, old bool, err error) {
 	ctx, cancel := context.WithTimeout(p.ctx, askTime)
 	defer cancel()
-	err = p.client.One(ctx, addr, http.MethodGet, "/self?from="+url.QueryEscape(id), nil, &self)
+	err = p.client.CallNode(ctx, addr, http.MethodGet, "/self?from="+url.QueryEscape(id), nil, &self)
 	var said *storeapi.StatusError
-	if !errors.As(err, &said) || said.Code != http.StatusNotFound {
+	if !errors.As(err, &said) || said.StatusCode != http.StatusNotFound {
 		return self, false, err
 	}
 	var st storeapi.Status
-	if err = p.client.One(ctx, addr, http.MethodGet, "/status", nil, &st); err != nil {
+	if err = p.client.CallNode(ctx, addr, http.MethodGet, "/status", nil, &st); err != nil {
 		return self, true, err
 	}
 	self.ID, self.Cluster, self.State = st.Node, st.Cluster, stateServing
-	self.Mark.LastIndex, self.Applied = st.Last, st.Applied
+	self.Mark.LastIndex, self.AppliedIndex = st.LastIndex, st.AppliedIndex
 	return self, true, nil
 }
 
-func (p *peers) take(name, asker string, self storeapi.Self, old bool, err error) {
+func (p *peers) take(name, asker string, self storeapi.PeerStatus, old bool, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if asker != p.s.id() {
@@ -156,7 +156,7 @@
 			}
 		}
 	}
-	p.said[name] = heard{Self: self, at: time.Now(), old: old}
+	p.said[name] = heard{PeerStatus: self, at: time.Now(), old: old}
 }
 
 // forget drops what was said of a disk that this node no longer has.
@@ -175,7 +175,7 @@
 }
 
 // checks are what the other voters said of their states of late, and how many voters there are.
-func (p *peers) checks(conf raft.Configuration, own string) (list []kv.Checks, voters int) {
+func (p *peers) checks(conf raft.Configuration, own string) (list []kv.ChecksumHistory, voters int) {
 	for _, x := range conf.Servers {
 		id := string(x.ID)
 		if x.Suffrage != raft.Voter {
@@ -183,7 +183,7 @@
 		}
 		voters++
 		if h, now := p.last(diskidentity.Name(id)); id != own && now && h.ID == id {
-			list = append(list, h.Checks)
+			list = append(list, h.Checksums)
 		}
 	}
 	return list, voters
@@ -246,7 +246,7 @@
 
 // join asks the cluster for a place, at each node that serves until one says yes.
 func (p *peers) join(ctx context.Context, l *life) error {
-	ask := storeapi.Join{ID: l.id, Raft: p.s.self.Raft, Admin: p.s.self.Admin, Zone: p.s.self.Zone, Leases: true}
+	ask := storeapi.JoinRequest{ID: l.id, RaftAddress: p.s.self.Raft, AdminAddress: p.s.self.Admin, Zone: p.s.self.Zone, SupportsLeases: true}
 	text, err := json.Marshal(ask)
 	if err != nil {
 		return err
@@ -261,8 +261,8 @@
 	p.mu.Unlock()
 	var refused []string
 	for _, addr := range addrs {
-		one, cancel := context.WithTimeout(ctx, storeapi.ApplyTime)
-		err := p.client.Patient().One(one, addr, http.MethodPost, "/members", text, nil)
+		one, cancel := context.WithTimeout(ctx, storeapi.CommitTimeout)
+		err := p.client.WithLongTimeout().CallNode(one, addr, http.MethodPost, "/members", text, nil)
 		cancel()
 		if err == nil {
 			return nil
--- a/internal/cluster/store/recover.go
+++ b/internal/cluster/store/recover.go
@@ -179,17 +179,17 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	k := r.kv.Clone()
-	k.Leases.Floor(tokenFloor(0)) // what the others gave may be missing
+	k.Leases.RaiseTokenFloor(tokenFloor(0)) // what the others gave may be missing
 	var was []string
-	if e, ok := k.Entries[kv.WasKey]; ok {
+	if e, ok := k.Entries[kv.PreviousClustersKey]; ok {
 		json.Unmarshal(e.Value, &was) // this package wrote it
 	}
-	for key, v := range map[string]any{kv.ClusterKey: r.id, kv.WasKey: append(was, r.was)} {
+	for key, v := range map[string]any{kv.ClusterKey: r.id, kv.PreviousClustersKey: append(was, r.was)} {
 		text, err := json.Marshal(v)
 		if err != nil {
 			return nil, err
 		}
-		k.Entries[key] = kv.Entry{Value: text, Index: k.Applied, Created: k.Applied, Version: 1}
+		k.Entries[key] = kv.Entry{Value: text, ModRevision: k.Applied, CreateRevision: k.Applied, Version: 1}
 	}
 	return &snapshot{k}, nil
 }
--- a/internal/cluster/store/state.go
+++ b/internal/cluster/store/state.go
@@ -17,7 +17,7 @@
 )
 
 // What is kept for those who watch.
-var historyLimits = watch.Limits{Revisions: 4096, Bytes: 8 << 20}
+var historyLimits = watch.Limits{MaxRevisions: 4096, MaxBytes: 8 << 20}
 
 // command sets or deletes a key. An entry of the log is a list of them, which come
 // into force together, or a kv.Request. Lists are what the version before wrote, and
@@ -47,9 +47,9 @@
 	r := &kv.Request{}
 	for _, c := range list {
 		if c.Value == nil || string(c.Value) == "null" {
-			r.Then = append(r.Then, kv.Op{Do: "delete", Key: c.Key})
+			r.Then = append(r.Then, kv.Op{Kind: "delete", Key: c.Key})
 		} else {
-			r.Then = append(r.Then, kv.Op{Do: "put", Key: c.Key, Value: c.Value})
+			r.Then = append(r.Then, kv.Op{Kind: "put", Key: c.Key, Value: c.Value})
 		}
 	}
 	return r
@@ -57,7 +57,7 @@
 
 // outcome is what Apply gives to whoever proposed the entry.
 type outcome struct {
-	answer kv.Answer
+	answer kv.Response
 	err    error
 }
 
@@ -70,11 +70,11 @@
 	changed  chan struct{}
 	moved    chan struct{}             // closed when a command was applied
 	given    func(name, holder string) // called for a lease that went to one who waited
-	checks   kv.Checks
+	checks   kv.ChecksumHistory
 }
 
 func newState() *state {
-	return &state{kv: kv.New(), history: watch.New(historyLimits, 0), changed: make(chan struct{}, 1), moved: make(chan struct{}),
+	return &state{kv: kv.New(), history: watch.NewHistory(historyLimits, 0), changed: make(chan struct{}, 1), moved: make(chan struct{}),
 		given: func(string, string) {}}
 }
 
@@ -88,7 +88,7 @@
 }
 
 // checked are the checksums of the state of late.
-func (s *state) checked() kv.Checks {
+func (s *state) checked() kv.ChecksumHistory {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.checks)
@@ -118,14 +118,14 @@
 func (s *state) bytes() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.kv.Bytes()
+	return s.kv.ValueBytes()
 }
 
 func (s *state) get(key string) (entry, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e, ok := s.kv.Entries[key]
-	return e, ok && !e.Gone
+	return e, ok && !e.Deleted
 }
 
 // since are the entries set after the index.
@@ -133,7 +133,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := maps.Clone(s.kv.Entries)
-	maps.DeleteFunc(out, func(_ string, e entry) bool { return e.Index <= index })
+	maps.DeleteFunc(out, func(_ string, e entry) bool { return e.ModRevision <= index })
 	return out
 }
 
@@ -151,7 +151,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	entries = maps.Clone(s.kv.Entries)
-	maps.DeleteFunc(entries, func(_ string, e entry) bool { return e.Gone })
+	maps.DeleteFunc(entries, func(_ string, e entry) bool { return e.Deleted })
 	return entries, s.kv.Applied
 }
 
@@ -164,22 +164,22 @@
 	if err != nil {
 		err = fmt.Errorf("log entry %d: %w", l.Index, err)
 	}
-	s.checks = s.checks.Before(l.Index, s.kv)
-	out.answer, changed, out.err = s.kv.Carry(l.Index, l.Data, r, err)
+	s.checks = s.checks.RecordBefore(l.Index, s.kv)
+	out.answer, changed, out.err = s.kv.ApplyEntry(l.Index, l.Data, r, err)
 	changes := make([]watch.Change, len(changed))
 	for i, key := range changed {
 		e := s.kv.Entries[key]
-		changes[i] = watch.Change{Key: key, Value: e.Value, Gone: e.Gone}
+		changes[i] = watch.Change{Key: key, Value: e.Value, Deleted: e.Deleted}
 	}
 	s.history.Add(l.Index, changes)
 	s.advance()
 	watchers, given := s.watchers, s.given
 	var holders []string
-	for _, name := range out.answer.Given {
+	for _, name := range out.answer.GrantedLeases {
 		holders = append(holders, s.kv.Leases.Leases[name].Holder)
 	}
 	s.mu.Unlock()
-	for i, name := range out.answer.Given {
+	for i, name := range out.answer.GrantedLeases {
 		given(name, holders[i])
 	}
 	for _, c := range changes {
@@ -215,14 +215,14 @@
 	}
 	from := kv.New()
 	var form struct {
-		Applied *uint64 `json:"applied"`
-		Sum     *kv.Sum `json:"sum"`
+		Applied *uint64      `json:"applied"`
+		Sum     *kv.Checksum `json:"sum"`
 	}
 	if json.Unmarshal(text, &form) == nil && form.Applied != nil {
 		err = json.Unmarshal(text, from)
 	} else if err = json.Unmarshal(text, &from.Entries); err == nil {
 		for _, e := range from.Entries {
-			from.Applied = max(from.Applied, e.Index)
+			from.Applied = max(from.Applied, e.ModRevision)
 		}
 	}
 	if err != nil {
@@ -232,7 +232,7 @@
 		from.Leases = lease.NewState(0)
 	}
 	if form.Sum == nil { // of a version that kept none
-		from.Sum = kv.Sum{From: from.Applied}
+		from.Checksum = kv.Checksum{StartIndex: from.Applied}
 	}
 	s.mu.Lock()
 	s.kv, s.checks = from, nil
--- a/internal/cluster/storeadmin/admin.go
+++ b/internal/cluster/storeadmin/admin.go
@@ -42,13 +42,13 @@
 	forwards chan struct{} // one for each write that is passed on
 	waits    chan struct{} // one for each request for a lease
 
-	order     *controller.Order
+	order     *controller.Controller
 	restoring sync.Mutex
 }
 
 // Open starts a node with its admin port. It finds the others by itself, and what it
 // missed. With it comes the node's part in orders of work.
-func Open(cfg store.Config, log *zap.Logger) (*store.Store, *controller.Order, error) {
+func Open(cfg store.Config, log *zap.Logger) (*store.Store, *controller.Controller, error) {
 	s, err := store.New(cfg, log)
 	if err != nil {
 		return nil, nil, err
@@ -66,8 +66,8 @@
 	return s, order, nil
 }
 
-func serve(s *store.Store, order *controller.Order) error {
-	a := &admin{store: s, client: &http.Client{Timeout: storeapi.ApplyTime + time.Second}, patient: &http.Client{Timeout: storeapi.RestoreTime},
+func serve(s *store.Store, order *controller.Controller) error {
+	a := &admin{store: s, client: &http.Client{Timeout: storeapi.CommitTimeout + time.Second}, patient: &http.Client{Timeout: storeapi.RestoreTimeout},
 		watchers: make(chan struct{}, watchersMost), forwards: make(chan struct{}, forwardedMost),
 		waits: make(chan struct{}, leaseMost), order: order}
 	ln, err := net.Listen("tcp", s.AdminAddress())
@@ -76,7 +76,7 @@
 	}
 	mux := http.NewServeMux()
 	for pattern, do := range map[string]http.HandlerFunc{
-		"GET /status":             func(w http.ResponseWriter, _ *http.Request) { storeapi.Answer(w, a.status()) },
+		"GET /status":             func(w http.ResponseWriter, _ *http.Request) { storeapi.WriteJSON(w, a.status()) },
 		"GET /self":               a.self,
 		"GET /index":              a.index,
 		"GET /store":              a.list,
@@ -121,9 +121,9 @@
 // was meant for another.
 func (a *admin) sameCluster(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		own, theirs := a.store.Cluster(), r.Header.Get(storeapi.HeadCluster)
+		own, theirs := a.store.Cluster(), r.Header.Get(storeapi.HeaderCluster)
 		if own != "" {
-			w.Header().Set(storeapi.HeadCluster, own)
+			w.Header().Set(storeapi.HeaderCluster, own)
 		}
 		if own != "" && theirs != "" && own != theirs {
 			http.Error(w, fmt.Sprintf("this node is of cluster %s, not of %s", own, theirs), http.StatusMisdirectedRequest)
@@ -146,7 +146,7 @@
 		fail(w, err)
 		return
 	}
-	storeapi.Answer(w, out)
+	storeapi.WriteJSON(w, out)
 }
 
 func (a *admin) list(w http.ResponseWriter, r *http.Request) {
@@ -156,12 +156,12 @@
 	entries, revision := a.store.All()
 	all := map[string]json.RawMessage{}
 	for key, e := range entries {
-		if !strings.HasPrefix(key, kv.Reserved) {
+		if !strings.HasPrefix(key, kv.ReservedPrefix) {
 			all[key] = e.Value
 		}
 	}
-	w.Header().Set(storeapi.HeadRevision, strconv.FormatUint(revision, 10))
-	storeapi.Answer(w, all)
+	w.Header().Set(storeapi.HeaderRevision, strconv.FormatUint(revision, 10))
+	storeapi.WriteJSON(w, all)
 }
 
 func (a *admin) get(w http.ResponseWriter, r *http.Request) {
@@ -173,9 +173,9 @@
 		http.Error(w, "no such key", http.StatusNotFound)
 		return
 	}
-	w.Header().Set("ETag", storeapi.Tag(e.Index))
+	w.Header().Set("ETag", storeapi.FormatETag(e.ModRevision))
 	w.Header().Set("Key-Version", strconv.FormatUint(e.Version, 10)) // puts since it was made
-	storeapi.Answer(w, e.Value)
+	storeapi.WriteJSON(w, e.Value)
 }
 
 // fresh makes sure that what is read next is as fresh as the request asks for:
@@ -219,13 +219,13 @@
 		unavailable(w, err)
 		return
 	}
-	storeapi.Answer(w, storeapi.ReadIndex{Index: index})
+	storeapi.WriteJSON(w, storeapi.ReadIndexResponse{Index: index})
 }
 
 func (a *admin) put(w http.ResponseWriter, r *http.Request) {
 	var value json.RawMessage
 	if r.Method == http.MethodPut {
-		text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, kv.ValueBytes))
+		text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, kv.MaxValueBytes))
 		if err != nil || !json.Valid(text) {
 			http.Error(w, "the value must be JSON of at most 64 KiB", http.StatusBadRequest)
 			return
--- a/internal/cluster/storeadmin/backup.go
+++ b/internal/cluster/storeadmin/backup.go
@@ -26,15 +26,15 @@
 		return
 	}
 	entries, revision := a.store.All()
-	var keys []backup.Key
+	var keys []backup.Entry
 	for key, e := range entries {
-		if !strings.HasPrefix(key, kv.Reserved) {
-			keys = append(keys, backup.Key{Key: key, Revision: e.Index, Value: e.Value})
+		if !strings.HasPrefix(key, kv.ReservedPrefix) {
+			keys = append(keys, backup.Entry{Key: key, Revision: e.ModRevision, Value: e.Value})
 		}
 	}
-	slices.SortFunc(keys, func(a, b backup.Key) int { return strings.Compare(a.Key, b.Key) })
+	slices.SortFunc(keys, func(a, b backup.Entry) int { return strings.Compare(a.Key, b.Key) })
 	var text bytes.Buffer
-	if _, err := backup.Write(&text, backup.Head{Cluster: a.store.Cluster(), Revision: revision, TimeMS: time.Now().UnixMilli(),
+	if _, err := backup.Write(&text, backup.Header{Cluster: a.store.Cluster(), Revision: revision, TimeMS: time.Now().UnixMilli(),
 		Token: a.store.LastToken()}, keys); err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
@@ -46,8 +46,8 @@
 // restore puts a backup back into an empty store of another cluster. One that was cut
 // off goes on when it is asked for again; until it is done, nothing is read or written.
 func (a *admin) restore(w http.ResponseWriter, r *http.Request) {
-	http.NewResponseController(w).SetReadDeadline(time.Now().Add(storeapi.RestoreTime))
-	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, backup.Most+1<<10))
+	http.NewResponseController(w).SetReadDeadline(time.Now().Add(storeapi.RestoreTimeout))
+	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, backup.MaxBytes+1<<10))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -73,7 +73,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), storeapi.RestoreTime)
+	ctx, cancel := context.WithTimeout(r.Context(), storeapi.RestoreTimeout)
 	defer cancel()
 	switch out, err := a.store.Restore(ctx, head, keys); {
 	case errors.Is(err, store.ErrNotEmpty):
@@ -81,6 +81,6 @@
 	case err != nil:
 		fail(w, err)
 	default:
-		storeapi.Answer(w, out)
+		storeapi.WriteJSON(w, out)
 	}
 }
--- a/internal/cluster/storeadmin/forward.go
+++ b/internal/cluster/storeadmin/forward.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	forwardTime = storeapi.ApplyTime + time.Second // for all attempts of one request
-	forwardLook = 20 * time.Millisecond            // how soon another leader is noticed
-	electTime   = 1500 * time.Millisecond          // while no leader is known, a request waits so long for one
+	forwardTime = storeapi.CommitTimeout + time.Second // for all attempts of one request
+	forwardLook = 20 * time.Millisecond                // how soon another leader is noticed
+	electTime   = 1500 * time.Millisecond              // while no leader is known, a request waits so long for one
 )
 
 var errForwards = errors.New("too many requests wait here")
@@ -72,13 +72,13 @@
 			defer res.Body.Close()
 			copyFields(w.Header(), res.Header, "ETag", "Retry-After", "Content-Type")
 			w.WriteHeader(res.StatusCode)
-			io.Copy(w, io.LimitReader(res.Body, kv.Ops*2*kv.ValueBytes))
+			io.Copy(w, io.LimitReader(res.Body, kv.MaxOps*2*kv.MaxValueBytes))
 			return true
 		}
 		if err == nil {
 			text, _ := io.ReadAll(io.LimitReader(res.Body, 1<<10))
 			res.Body.Close()
-			err = storeapi.Refused(res.StatusCode, text)
+			err = storeapi.NewStatusError(res.StatusCode, text)
 		}
 		if sent && !repeat || ctx.Err() != nil {
 			unavailable(w, fmt.Errorf("ask leader: %w", err))
@@ -128,11 +128,11 @@
 		return nil, false, err
 	}
 	if id := a.store.Cluster(); id != "" {
-		req.Header.Set(storeapi.HeadCluster, id)
+		req.Header.Set(storeapi.HeaderCluster, id)
 	}
-	copyFields(req.Header, r.Header, "If-Match", "If-None-Match", storeapi.HeadSession, storeapi.HeadNumber)
-	for _, l := range r.Header.Values(storeapi.HeadLease) {
-		req.Header.Add(storeapi.HeadLease, l)
+	copyFields(req.Header, r.Header, "If-Match", "If-None-Match", storeapi.HeaderSession, storeapi.HeaderRequestNumber)
+	for _, l := range r.Header.Values(storeapi.HeaderLease) {
+		req.Header.Add(storeapi.HeaderLease, l)
 	}
 	req.Header.Set("Forwarded", "by="+a.store.Name())
 	client := a.client
--- a/internal/cluster/storeadmin/members.go
+++ b/internal/cluster/storeadmin/members.go
@@ -18,12 +18,12 @@
 		fail(w, err)
 		return
 	}
-	storeapi.Answer(w, out)
+	storeapi.WriteJSON(w, out)
 }
 
 // join takes a node in as a learner.
 func (a *admin) join(w http.ResponseWriter, r *http.Request) {
-	var j storeapi.Join
+	var j storeapi.JoinRequest
 	text, err := decode(w, r, joinMost, &j)
 	if err != nil {
 		fail(w, err)
--- a/internal/cluster/storeadmin/work.go
+++ b/internal/cluster/storeadmin/work.go
@@ -30,7 +30,7 @@
 	case out == nil:
 		w.WriteHeader(http.StatusNoContent)
 	default:
-		storeapi.Answer(w, out)
+		storeapi.WriteJSON(w, out)
 	}
 }
 
@@ -41,7 +41,7 @@
 
 // askWork is POST /work.
 func (a *admin) askWork(w http.ResponseWriter, r *http.Request) {
-	atLeader(a, w, r, func(j maintenance.Job) (any, error) { return a.order.Ask(r.Context(), j) })
+	atLeader(a, w, r, func(j maintenance.Order) (any, error) { return a.order.Submit(r.Context(), j) })
 }
 
 // cancelWork is DELETE /work/NODE.
@@ -52,20 +52,24 @@
 // pauseWork is POST /work/pause and /work/resume.
 func (a *admin) pauseWork(paused bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		atLeader(a, w, r, func(q maintenance.Why) (any, error) { return nil, a.order.SetPause(r.Context(), paused, q.Why) })
+		atLeader(a, w, r, func(q maintenance.PauseRequest) (any, error) {
+			return nil, a.order.SetPause(r.Context(), paused, q.Reason)
+		})
 	}
 }
 
 // sayWork is PUT /work/NODE.
 func (a *admin) sayWork(w http.ResponseWriter, r *http.Request) {
-	atLeader(a, w, r, func(q maintenance.Report) (any, error) { return nil, a.order.Say(r.Context(), r.PathValue("node"), q) })
+	atLeader(a, w, r, func(q maintenance.PhaseReport) (any, error) {
+		return nil, a.order.Report(r.Context(), r.PathValue("node"), q)
+	})
 }
 
 // beatWork is PUT /work/NODE/beat.
 func (a *admin) beatWork(w http.ResponseWriter, r *http.Request) {
-	atLeader(a, w, r, func(b maintenance.Beat) (any, error) {
+	atLeader(a, w, r, func(b maintenance.Heartbeat) (any, error) {
 		b.Name = r.PathValue("node")
-		j, err := a.order.Beat(r.Context(), b)
+		j, err := a.order.RecordHeartbeat(r.Context(), b)
 		return j, err // null, if nothing is asked for
 	})
 }
--- a/internal/cluster/storeclient/backup.go
+++ b/internal/cluster/storeclient/backup.go
@@ -11,20 +11,20 @@
 )
 
 // Backup reads a backup, and gives it only if it is whole.
-func (c *Client) Backup(ctx context.Context) (backup.Head, []byte, error) {
+func (c *Client) Backup(ctx context.Context) (backup.Header, []byte, error) {
 	res, text, err := c.do(ctx, http.MethodGet, "/backup", nil)
 	if err != nil {
-		return backup.Head{}, nil, err
+		return backup.Header{}, nil, err
 	}
 	if res.StatusCode != http.StatusOK {
-		return backup.Head{}, nil, storeapi.Refused(res.StatusCode, text)
+		return backup.Header{}, nil, storeapi.NewStatusError(res.StatusCode, text)
 	}
 	head, _, err := backup.Read(bytes.NewReader(text))
 	return head, text, err
 }
 
 // Restore puts a backup back. It may be asked for again until it is done.
-func (c *Client) Restore(ctx context.Context, r io.Reader) (out storeapi.Restored, err error) {
+func (c *Client) Restore(ctx context.Context, r io.Reader) (out storeapi.RestoreResponse, err error) {
 	text, err := io.ReadAll(r)
 	if err != nil {
 		return out, err
@@ -33,7 +33,7 @@
 		return out, err // without a word to anybody
 	}
 	slow := *c
-	slow.HTTP = &http.Client{Transport: c.HTTP.Transport, Timeout: storeapi.RestoreTime}
+	slow.HTTP = &http.Client{Transport: c.HTTP.Transport, Timeout: storeapi.RestoreTimeout}
 	return out, slow.ask(ctx, http.MethodPost, "/restore", text, &out)
 }
 
@@ -41,7 +41,7 @@
 func (c *Client) UndoRestore(ctx context.Context) error {
 	res, text, err := c.do(ctx, http.MethodDelete, "/restore", nil)
 	if err == nil && res.StatusCode >= 300 {
-		err = storeapi.Refused(res.StatusCode, text)
+		err = storeapi.NewStatusError(res.StatusCode, text)
 	}
 	return err
 }
--- a/internal/cluster/storeclient/lease.go
+++ b/internal/cluster/storeclient/lease.go
@@ -15,8 +15,8 @@
 
 func leasePath(name string) string { return "/lease/" + (&url.URL{Path: name}).EscapedPath() }
 
-// Acquire asks for a lease. What comes with lease.ErrHeld says who has it.
-func (c *Client) Acquire(ctx context.Context, name string, q storeapi.Acquire) (l storeapi.Lease, err error) {
+// AcquireLease asks for a lease. What comes with lease.ErrHeld says who has it.
+func (c *Client) AcquireLease(ctx context.Context, name string, q storeapi.AcquireRequest) (l storeapi.LeaseStatus, err error) {
 	body, err := json.Marshal(q)
 	if err != nil {
 		return l, err
@@ -28,7 +28,7 @@
 		return l, err
 	}
 	if res.StatusCode != http.StatusOK && res.StatusCode != http.StatusConflict {
-		return l, storeapi.Refused(res.StatusCode, text)
+		return l, storeapi.NewStatusError(res.StatusCode, text)
 	}
 	if err := json.Unmarshal(text, &l); err != nil {
 		return l, fmt.Errorf("answer can't be read: %w", err)
@@ -39,20 +39,20 @@
 	return l, nil
 }
 
-// Renew keeps leases alive, and names those that are lost.
-func (c *Client) Renew(ctx context.Context, list []lease.Held) (gone []string, err error) {
-	body, err := json.Marshal(storeapi.Renew{Leases: list})
+// RenewLeases keeps leases alive, and names those that are lost.
+func (c *Client) RenewLeases(ctx context.Context, list []lease.FencingToken) (gone []string, err error) {
+	body, err := json.Marshal(storeapi.RenewRequest{Leases: list})
 	if err != nil {
 		return nil, err
 	}
-	var g storeapi.Gone
+	var g storeapi.RenewResponse
 	err = c.ask(ctx, http.MethodPut, "/lease", body, &g)
-	return g.Gone, err
+	return g.Lost, err
 }
 
-// Release gives a lease back, to one that waits for it unless to is "". One that is not
+// ReleaseLease gives a lease back, to one that waits for it unless to is "". One that is not
 // held under the token any more is given back already.
-func (c *Client) Release(ctx context.Context, name string, token uint64, to string) error {
+func (c *Client) ReleaseLease(ctx context.Context, name string, token uint64, to string) error {
 	q := url.Values{"token": {strconv.FormatUint(token, 10)}}
 	if to != "" {
 		q.Set("to", to)
@@ -60,8 +60,8 @@
 	return c.end(ctx, name, q)
 }
 
-// Revoke has a lease end when its time is over, whatever its holder does.
-func (c *Client) Revoke(ctx context.Context, name string) error {
+// RevokeLease has a lease end when its time is over, whatever its holder does.
+func (c *Client) RevokeLease(ctx context.Context, name string) error {
 	return c.end(ctx, name, url.Values{"revoke": {"1"}})
 }
 
@@ -69,12 +69,12 @@
 	return c.ask(ctx, http.MethodDelete, leasePath(name)+"?"+q.Encode(), nil, nil)
 }
 
-// Leases are all that are held.
-func (c *Client) Leases(ctx context.Context) (list []storeapi.Lease, err error) {
+// ListLeases are all that are held.
+func (c *Client) ListLeases(ctx context.Context) (list []storeapi.LeaseStatus, err error) {
 	return list, c.ask(ctx, http.MethodGet, "/lease", nil, &list)
 }
 
-// Lease is one of them.
-func (c *Client) Lease(ctx context.Context, name string) (l storeapi.Lease, err error) {
+// GetLease is one of them.
+func (c *Client) GetLease(ctx context.Context, name string) (l storeapi.LeaseStatus, err error) {
 	return l, c.ask(ctx, http.MethodGet, leasePath(name), nil, &l)
 }
--- a/internal/cluster/storeclient/work.go
+++ b/internal/cluster/storeclient/work.go
@@ -11,8 +11,8 @@
 
 func workPath(node string) string { return "/work/" + url.PathEscape(node) }
 
-// AskWork asks for work on a machine.
-func (c *Client) AskWork(ctx context.Context, j maintenance.Job) (out maintenance.Job, err error) {
+// SubmitOrder asks for work on a machine.
+func (c *Client) SubmitOrder(ctx context.Context, j maintenance.Order) (out maintenance.Order, err error) {
 	body, err := json.Marshal(j)
 	if err != nil {
 		return out, err
@@ -20,19 +20,19 @@
 	return out, c.ask(ctx, http.MethodPost, "/work", body, &out)
 }
 
-// Work is the whole order.
-func (c *Client) Work(ctx context.Context) (s maintenance.Status, err error) {
+// MaintenanceStatus is the whole order.
+func (c *Client) MaintenanceStatus(ctx context.Context) (s maintenance.Status, err error) {
 	return s, c.ask(ctx, http.MethodGet, "/work", nil, &s)
 }
 
-// CancelWork takes a request back.
-func (c *Client) CancelWork(ctx context.Context, node string) error {
+// CancelOrder takes a request back.
+func (c *Client) CancelOrder(ctx context.Context, node string) error {
 	return c.ask(ctx, http.MethodDelete, workPath(node), nil, nil)
 }
 
-// PauseWork pauses the order, or has it go on.
-func (c *Client) PauseWork(ctx context.Context, paused bool, why string) error {
-	body, err := json.Marshal(maintenance.Why{Why: why})
+// PauseMaintenance pauses the order, or has it go on.
+func (c *Client) PauseMaintenance(ctx context.Context, paused bool, why string) error {
+	body, err := json.Marshal(maintenance.PauseRequest{Reason: why})
 	if err != nil {
 		return err
 	}
@@ -43,8 +43,8 @@
 	return c.ask(ctx, http.MethodPost, path, body, nil)
 }
 
-// SayWork notes what a machine says of its work; it may be said again.
-func (c *Client) SayWork(ctx context.Context, node string, r maintenance.Report) error {
+// ReportPhase notes what a machine says of its work; it may be said again.
+func (c *Client) ReportPhase(ctx context.Context, node string, r maintenance.PhaseReport) error {
 	body, err := json.Marshal(r)
 	if err != nil {
 		return err
@@ -52,8 +52,8 @@
 	return c.ask(ctx, http.MethodPut, workPath(node), body, nil)
 }
 
-// Beat notes what a machine is, once, and gives its job if there is one.
-func (c *Client) Beat(ctx context.Context, b maintenance.Beat) (j *maintenance.Job, err error) {
+// SendHeartbeat notes what a machine is, once, and gives its job if there is one.
+func (c *Client) SendHeartbeat(ctx context.Context, b maintenance.Heartbeat) (j *maintenance.Order, err error) {
 	body, err := json.Marshal(b)
 	if err != nil {
 		return nil, err
--- a/internal/cluster/watch/watch.go
+++ b/internal/cluster/watch/watch.go
@@ -13,9 +13,9 @@
 
 // Change is one key of a revision.
 type Change struct {
-	Key   string          `json:"key"`
-	Value json.RawMessage `json:"value,omitempty"` // none if it was deleted
-	Gone  bool            `json:"gone,omitempty"`
+	Key     string          `json:"key"`
+	Value   json.RawMessage `json:"value,omitempty"` // none if it was deleted
+	Deleted bool            `json:"gone,omitempty"`
 }
 
 // Revision is what one entry of the log changed, all at once.
@@ -35,24 +35,24 @@
 
 // Limits of a history. What is beyond them is dropped, the oldest first.
 type Limits struct {
-	Revisions int
-	Bytes     int
+	MaxRevisions int
+	MaxBytes     int
 }
 
 // Page bounds what one Since gives, and looks at.
 type Page struct {
-	Revisions int // looked at
-	Bytes     int // given; one revision may have more
+	MaxRevisions int // looked at
+	MaxBytes     int // given; one revision may have more
 }
 
 // CompactedError says that a position is gone. The follower has to read the keys
 // anew and follow from there.
 type CompactedError struct {
-	Oldest uint64 // position that can still be followed from
+	OldestRevision uint64 // position that can still be followed from
 }
 
 func (e *CompactedError) Error() string {
-	return fmt.Sprintf("compacted: the oldest revision kept is %d", e.Oldest)
+	return fmt.Sprintf("compacted: the oldest revision kept is %d", e.OldestRevision)
 }
 
 // History is the latest revisions, in order. It is not safe for concurrent use.
@@ -64,8 +64,8 @@
 	at     uint64 // all up to here is known
 }
 
-// New is a history that begins after a revision.
-func New(l Limits, after uint64) *History { return &History{limits: l, floor: after, at: after} }
+// NewHistory is a history that begins after a revision.
+func NewHistory(l Limits, after uint64) *History { return &History{limits: l, floor: after, at: after} }
 
 // Add takes the next revision, which may have changed nothing. Numbers may leave
 // gaps, and never go back.
@@ -81,7 +81,7 @@
 	h.list = append(h.list, r)
 	h.bytes += r.size()
 	drop := 0
-	for len(h.list)-drop > h.limits.Revisions || h.bytes > h.limits.Bytes {
+	for len(h.list)-drop > h.limits.MaxRevisions || h.bytes > h.limits.MaxBytes {
 		h.floor = h.list[drop].Number
 		h.bytes -= h.list[drop].size()
 		h.list[drop] = Revision{} // lets go of the values
@@ -98,13 +98,13 @@
 // that nothing has come yet. A position ahead of all that is known is waited for.
 func (h *History) Since(from uint64, prefix string, p Page) (out []Revision, next uint64, err error) {
 	if from <= h.floor {
-		return nil, from, &CompactedError{Oldest: h.floor + 1}
+		return nil, from, &CompactedError{OldestRevision: h.floor + 1}
 	}
 	first := sort.Search(len(h.list), func(i int) bool { return h.list[i].Number >= from })
 	next = max(from, h.at+1)
 	size := 0
 	for i, r := range h.list[first:] {
-		if i >= p.Revisions || size >= p.Bytes {
+		if i >= p.MaxRevisions || size >= p.MaxBytes {
 			return out, r.Number, nil
 		}
 		if part := r.under(prefix); len(part.Changes) > 0 {
--- a/internal/maintenance/agent/workagent.go
+++ b/internal/maintenance/agent/workagent.go
@@ -21,12 +21,12 @@
 
 // Config sets it up.
 type Config struct {
-	Nodes     []string `json:"nodes"`      // admin addresses of the store; empty is this service's own
-	Zone      string   `json:"zone"`       // what fails together with it
-	Speed     float64  `json:"speed"`      // of a core, against others'; 0 is 1
-	EveryMS   int64    `json:"every_ms"`   // between two signs of life; 0 is 2000
-	Command   []string `json:"command"`    // run while the machine is out, after which it comes back by itself
-	CommandMS int64    `json:"command_ms"` // for which the command may run; 0 is 10 minutes
+	Nodes               []string `json:"nodes"`      // admin addresses of the store; empty is this service's own
+	Zone                string   `json:"zone"`       // what fails together with it
+	Speed               float64  `json:"speed"`      // of a core, against others'; 0 is 1
+	HeartbeatIntervalMS int64    `json:"every_ms"`   // between two signs of life; 0 is 2000
+	Command             []string `json:"command"`    // run while the machine is out, after which it comes back by itself
+	CommandTimeoutMS    int64    `json:"command_ms"` // for which the command may run; 0 is 10 minutes
 }
 
 const (
@@ -37,14 +37,14 @@
 	tailMost       = 200              // bytes of a failed command's output in its reason
 )
 
-// Check names the field at fault.
-func (c *Config) Check() error {
+// Validate names the field at fault.
+func (c *Config) Validate() error {
 	switch {
-	case c.EveryMS != 0 && (c.EveryMS < 50 || c.EveryMS > 600_000):
+	case c.HeartbeatIntervalMS != 0 && (c.HeartbeatIntervalMS < 50 || c.HeartbeatIntervalMS > 600_000):
 		return errors.New("every_ms: want 50 to 600000")
 	case c.Speed < 0:
 		return errors.New("speed: below 0")
-	case c.CommandMS < 0:
+	case c.CommandTimeoutMS < 0:
 		return errors.New("command_ms: below 0")
 	case len(c.Command) > 0 && c.Command[0] == "":
 		return errors.New("command: no program")
@@ -55,9 +55,9 @@
 // Service is what the agent needs of the one that it is a part of.
 type Service interface {
 	// Gauge is the share of its cores in use, if that is known, and whether it is warm.
-	Gauge() (busy float64, known, warm bool)
+	Utilization() (busy float64, known, warm bool)
 	// Leave has it take nothing new and end all that it has, as on SIGTERM.
-	Leave()
+	StartDrain()
 }
 
 // Agent is one machine's.
@@ -68,10 +68,10 @@
 	voter   bool
 	service Service
 	client  *storeclient.Client
-	keeper  *leaseclient.Keeper
+	keeper  *leaseclient.Manager
 	log     *zap.Logger
-	held    *leaseclient.Held // under which it has confirmed that it leaves
-	grant   uint64            // of the job that it came back from
+	held    *leaseclient.Lease // under which it has confirmed that it leaves
+	grant   uint64             // of the job that it came back from
 	number  uint64
 }
 
@@ -85,14 +85,14 @@
 		cfg.Speed = 1
 	}
 	return &Agent{cfg: cfg, name: name, cores: cores, voter: own != "", service: s, log: log, client: storeclient.New(nodes),
-		keeper: leaseclient.New(nodes, leaseclient.HolderName()), number: uint64(time.Now().UnixNano())}
+		keeper: leaseclient.New(nodes, leaseclient.NewHolderName()), number: uint64(time.Now().UnixNano())}
 }
 
 func (a *Agent) every() time.Duration {
-	if a.cfg.EveryMS == 0 {
+	if a.cfg.HeartbeatIntervalMS == 0 {
 		return everyDefault
 	}
-	return time.Duration(a.cfg.EveryMS) * time.Millisecond
+	return time.Duration(a.cfg.HeartbeatIntervalMS) * time.Millisecond
 }
 
 // Run says what the machine is until ctx ends or it leaves; true is that it has confirmed
@@ -116,7 +116,7 @@
 				a.log.Warn("work: turn not taken", zap.Error(err))
 			}
 			if a.held != nil {
-				a.service.Leave()
+				a.service.StartDrain()
 				return true
 			}
 		}
@@ -129,36 +129,36 @@
 }
 
 // beat says once what the machine is, and hears of its job.
-func (a *Agent) beat(ctx context.Context) (*maintenance.Job, error) {
-	busy, known, warm := a.service.Gauge()
+func (a *Agent) beat(ctx context.Context) (*maintenance.Order, error) {
+	busy, known, warm := a.service.Utilization()
 	a.number++
-	b := maintenance.Beat{EveryMS: a.every().Milliseconds(), Number: a.number, Grant: a.grant}
-	b.Machine = maintenance.Machine{Name: a.name, Zone: a.cfg.Zone, Cores: a.cores, Speed: a.cfg.Speed, State: maintenance.Cold, Busy: busy, Voter: a.voter}
+	b := maintenance.Heartbeat{IntervalMS: a.every().Milliseconds(), Sequence: a.number, GrantToken: a.grant}
+	b.Machine = maintenance.Machine{Name: a.name, Zone: a.cfg.Zone, Cores: a.cores, Speed: a.cfg.Speed, State: maintenance.MachineWarmingUp, Utilization: busy, Voter: a.voter}
 	if warm {
-		b.State = maintenance.In
+		b.State = maintenance.MachineInService
 	}
 	if !known {
-		b.Busy = 1
+		b.Utilization = 1
 	}
 	ctx, cancel := context.WithTimeout(ctx, max(a.every(), 2*time.Second))
 	defer cancel()
-	return a.client.Beat(ctx, b)
+	return a.client.SendHeartbeat(ctx, b)
 }
 
 // act does what the job asks for next.
-func (a *Agent) act(ctx context.Context, j *maintenance.Job) error {
+func (a *Agent) act(ctx context.Context, j *maintenance.Order) error {
 	switch j.Phase {
-	case maintenance.Granted:
+	case maintenance.PhaseGranted:
 		return a.confirm(ctx)
-	case maintenance.Draining, maintenance.Out, maintenance.Failed:
+	case maintenance.PhaseDraining, maintenance.PhaseOut, maintenance.PhaseFailed:
 		// This process has not left by this job: it is one that came after.
-		if err := a.client.SayWork(ctx, a.name, maintenance.Report{Phase: maintenance.Back, Grant: j.Grant}); err != nil {
+		if err := a.client.ReportPhase(ctx, a.name, maintenance.PhaseReport{Phase: maintenance.PhaseReturned, GrantToken: j.GrantToken}); err != nil {
 			return err
 		}
-		a.log.Info("work: back", zap.Uint64("grant", j.Grant))
-		a.grant = j.Grant
-	case maintenance.Back: // also after an answer that was lost
-		a.grant = j.Grant
+		a.log.Info("work: back", zap.Uint64("grant", j.GrantToken))
+		a.grant = j.GrantToken
+	case maintenance.PhaseReturned: // also after an answer that was lost
+		a.grant = j.GrantToken
 	}
 	return nil
 }
@@ -167,11 +167,11 @@
 func (a *Agent) confirm(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, sayTime)
 	defer cancel()
-	h, err := a.keeper.Acquire(ctx, leaseclient.Wish{Name: controller.LeaseNode + a.name, TTL: leaseTTL})
+	h, err := a.keeper.Acquire(ctx, leaseclient.AcquireOptions{Name: controller.MachineLeasePrefix + a.name, TTL: leaseTTL})
 	if err != nil {
 		return fmt.Errorf("lease of this machine: %w", err)
 	}
-	if err := a.client.SayWork(ctx, a.name, maintenance.Report{Phase: maintenance.Draining, Grant: h.Token}); err != nil {
+	if err := a.client.ReportPhase(ctx, a.name, maintenance.PhaseReport{Phase: maintenance.PhaseDraining, GrantToken: h.Token}); err != nil {
 		// It may have been heard all the same: then it says that it is back.
 		give, done := context.WithTimeout(context.Background(), time.Second)
 		defer done()
@@ -182,11 +182,11 @@
 	return nil
 }
 
-// Out says that the machine is out, once all that it had has ended, and runs the command if
+// PerformMaintenance says that the machine is out, once all that it had has ended, and runs the command if
 // there is one. It tells whether the service is to start again.
-func (a *Agent) Out() (again bool, err error) {
+func (a *Agent) PerformMaintenance() (again bool, err error) {
 	grant := a.held.Token
-	if err := a.say(maintenance.Report{Phase: maintenance.Out, Grant: grant}); err != nil {
+	if err := a.say(maintenance.PhaseReport{Phase: maintenance.PhaseOut, GrantToken: grant}); err != nil {
 		a.log.Error("work: out, and the store does not know it", zap.Error(err)) // the order counts it as draining
 	}
 	give, done := context.WithTimeout(context.Background(), time.Second)
@@ -198,22 +198,22 @@
 	}
 	if err := a.command(grant); err != nil {
 		a.log.Error("work: command failed", zap.Error(err))
-		return false, errors.Join(err, a.say(maintenance.Report{Phase: maintenance.Failed, Grant: grant, Why: err.Error()}))
+		return false, errors.Join(err, a.say(maintenance.PhaseReport{Phase: maintenance.PhaseFailed, GrantToken: grant, Reason: err.Error()}))
 	}
 	return true, nil
 }
 
-func (a *Agent) say(r maintenance.Report) error {
+func (a *Agent) say(r maintenance.PhaseReport) error {
 	ctx, cancel := context.WithTimeout(context.Background(), sayTime)
 	defer cancel()
-	return a.client.SayWork(ctx, a.name, r)
+	return a.client.ReportPhase(ctx, a.name, r)
 }
 
 // command runs what is done while the machine is out.
 func (a *Agent) command(grant uint64) error {
 	most := commandDefault
-	if a.cfg.CommandMS > 0 {
-		most = time.Duration(a.cfg.CommandMS) * time.Millisecond
+	if a.cfg.CommandTimeoutMS > 0 {
+		most = time.Duration(a.cfg.CommandTimeoutMS) * time.Millisecond
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), most)
 	defer cancel()
--- a/internal/maintenance/chart/workchart.go
+++ b/internal/maintenance/chart/workchart.go
@@ -26,17 +26,17 @@
 // capacity of all machines, in cores.
 func Draw(path string, p maintenance.Plan, total float64) error {
 	c := plot.New()
-	c.Title.Text = fmt.Sprintf("Machines out for work: %v in all", p.Length)
+	c.Title.Text = fmt.Sprintf("Machines out for work: %v in all", p.Duration)
 	c.X.Label.Text, c.Y.Label.Text = "minutes from now", "machine, by zone"
-	placed := slices.Clone(p.Placed)
-	slices.SortStableFunc(placed, func(a, b maintenance.Placed) int {
+	placed := slices.Clone(p.Schedule)
+	slices.SortStableFunc(placed, func(a, b maintenance.ScheduledTask) int {
 		if a.Zone != b.Zone {
 			if a.Zone < b.Zone {
 				return -1
 			}
 			return 1
 		}
-		return int(a.From - b.From)
+		return int(a.Start - b.Start)
 	})
 	var zones, names []string
 	for _, x := range placed {
@@ -47,7 +47,7 @@
 	}
 	colors := moreland.SmoothBlueRed().Palette(max(len(zones), 2)).Colors()
 	for i, x := range placed {
-		from, to, y := x.From.Minutes(), x.To.Minutes(), float64(i)
+		from, to, y := x.Start.Minutes(), x.End.Minutes(), float64(i)
 		box, err := plotter.NewPolygon(plotter.XYs{{X: from, Y: y - bar/2}, {X: to, Y: y - bar/2}, {X: to, Y: y + bar/2}, {X: from, Y: y + bar/2}})
 		if err != nil {
 			return fmt.Errorf("draw %s: %w", x.Node, err)
@@ -78,8 +78,8 @@
 func capacity(p maintenance.Plan, total, height float64) (line plotter.XYs) {
 	type change struct{ at, by float64 }
 	changes := []change{{0, 0}}
-	for _, x := range p.Placed {
-		changes = append(changes, change{x.From.Minutes(), -x.Capacity}, change{x.To.Minutes(), x.Capacity})
+	for _, x := range p.Schedule {
+		changes = append(changes, change{x.Start.Minutes(), -x.Capacity}, change{x.End.Minutes(), x.Capacity})
 	}
 	slices.SortStableFunc(changes, func(a, b change) int {
 		if a.at < b.at {
