--- /dev/null
+++ b/internal/cluster/storeadmin/eventstream.go
@@ -0,0 +1,85 @@
+package storeadmin
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net/http"
+	"time"
+
+	"oxbowbridge/internal/cluster/storeapi"
+)
+
+const (
+	// watcherWriteTimeout is for one write; a watcher that does not read is cut off by it, and
+	// holds no more than one page until then.
+	watcherWriteTimeout = 5 * time.Second
+	// maxIdleBufferPages is how many pages of buffer a stream keeps between two writes.
+	maxIdleBufferPages = 4
+)
+
+// eventStream is the answer to one watcher: server-sent events.
+type eventStream struct {
+	w       http.ResponseWriter
+	control *http.ResponseController
+	buffer  bytes.Buffer
+	started bool // the header has been sent
+}
+
+func newEventStream(w http.ResponseWriter) *eventStream {
+	return &eventStream{w: w, control: http.NewResponseController(w)}
+}
+
+func (s *eventStream) writeEvent(eventType storeapi.EventType, id uint64, data any) {
+	text, _ := json.Marshal(data) // values in the store are JSON
+	fmt.Fprintf(&s.buffer, "id: %d\nevent: %s\ndata: %s\n\n", id, eventType, text)
+}
+
+// progressData is the data of storeapi.EventProgress.
+type progressData struct {
+	Revision uint64 `json:"revision"`
+}
+
+// writeProgress announces the position to continue from, so that the watcher can do so at another
+// node.
+func (s *eventStream) writeProgress(next uint64) {
+	s.writeEvent(storeapi.EventProgress, next-1, progressData{Revision: next - 1})
+}
+
+// writeKeepAlive writes a comment, which clients ignore.
+func (s *eventStream) writeKeepAlive() { s.buffer.WriteString(":\n\n") }
+
+// writeCompacted says that the position is not available any more: as the answer, or as the last
+// event of a stream.
+func (s *eventStream) writeCompacted(oldestRevision uint64) {
+	body := storeapi.CompactedResponse{Error: storeapi.CompactedCode, OldestRevision: oldestRevision}
+	if s.started {
+		text, _ := json.Marshal(body)
+		fmt.Fprintf(&s.buffer, "event: %s\ndata: %s\n\n", storeapi.EventCompacted, text)
+		s.flush()
+		return
+	}
+	s.w.Header().Set("Content-Type", "application/json")
+	s.w.WriteHeader(http.StatusGone)
+	json.NewEncoder(s.w).Encode(body)
+}
+
+// flush sends what has been written, and tells whether the watcher is still there.
+func (s *eventStream) flush() bool {
+	if s.started && s.buffer.Len() == 0 {
+		return true
+	}
+	if !s.started {
+		s.started = true
+		s.w.Header().Set("Content-Type", "text/event-stream")
+		s.w.Header().Set("Cache-Control", "no-store")
+	}
+	s.control.SetWriteDeadline(time.Now().Add(watcherWriteTimeout))
+	_, err := s.w.Write(s.buffer.Bytes())
+	s.buffer.Reset()
+	if s.buffer.Cap() > maxIdleBufferPages*watchPage.MaxBytes {
+		s.buffer = bytes.Buffer{}
+	}
+	return errors.Join(err, s.control.Flush()) == nil
+}
--- /dev/null
+++ b/internal/cluster/storeadmin/server.go
@@ -0,0 +1,166 @@
+// Package storeadmin is the HTTP server of a store node's admin port, on a loopback address. It
+// serves operators and lease holders, and the other nodes. A request that only the leader can
+// answer is forwarded to it. Types and header fields are in package storeapi.
+package storeadmin
+
+import (
+	"fmt"
+	"net"
+	"net/http"
+	"sync"
+	"time"
+
+	"go.uber.org/zap"
+
+	"oxbowbridge/internal/cluster/store"
+	"oxbowbridge/internal/cluster/storeapi"
+	"oxbowbridge/internal/maintenance/controller"
+)
+
+// Limits that guard memory and file descriptors.
+const (
+	maxWatchers      = 64
+	maxForwards      = 256 // requests that are forwarded at a time
+	maxLeaseRequests = 512 // requests that wait for a lease at a time, here or forwarded
+)
+
+// Timeouts for reading a request. Handlers of requests that take longer lift readTimeout.
+const (
+	readHeaderTimeout = time.Second
+	readTimeout       = 5 * time.Second
+)
+
+// server is the admin port of one node.
+type server struct {
+	store       *store.Store
+	controller  *controller.Controller
+	client      *http.Client // for forwarded requests
+	slowClient  *http.Client // for forwarded requests that may take longer
+	watchers    slots
+	forwards    slots
+	leaseWaits  slots
+	restoreLock sync.Mutex // held while a backup is being restored through this node
+}
+
+// slots limits how many of something there are at a time.
+type slots chan struct{}
+
+func newSlots(count int) slots { return make(slots, count) }
+
+func (s slots) tryAcquire() bool {
+	select {
+	case s <- struct{}{}:
+		return true
+	default:
+		return false
+	}
+}
+
+func (s slots) release() { <-s }
+
+// Open starts a node of the store with its admin port and its maintenance controller. The node
+// finds the others by itself and catches up in the background. Closing the store closes all three.
+func Open(cfg store.Config, log *zap.Logger) (*store.Store, *controller.Controller, error) {
+	node, err := store.New(cfg, log)
+	if err != nil {
+		return nil, nil, err
+	}
+	maintenanceController := controller.New(node, log.Named("work"))
+	node.OnClose(maintenanceController.Close)
+	if err := serve(node, maintenanceController); err != nil {
+		maintenanceController.Close()
+		return nil, nil, err
+	}
+	if err := node.Start(); err != nil {
+		node.Close()
+		return nil, nil, err
+	}
+	return node, maintenanceController, nil
+}
+
+func serve(node *store.Store, maintenanceController *controller.Controller) error {
+	s := &server{
+		store:      node,
+		controller: maintenanceController,
+		client:     &http.Client{Timeout: storeapi.CommitTimeout + time.Second},
+		slowClient: &http.Client{Timeout: storeapi.RestoreTimeout},
+		watchers:   newSlots(maxWatchers),
+		forwards:   newSlots(maxForwards),
+		leaseWaits: newSlots(maxLeaseRequests),
+	}
+	listener, err := net.Listen("tcp", node.AdminAddress())
+	if err != nil {
+		return fmt.Errorf("admin address: %w", err)
+	}
+	httpServer := &http.Server{
+		Handler:           s.checkCluster(s.routes()),
+		ReadHeaderTimeout: readHeaderTimeout,
+		ReadTimeout:       readTimeout,
+		ErrorLog:          zap.NewStdLog(node.Log()),
+	}
+	go httpServer.Serve(listener)
+	node.OnClose(func() { httpServer.Close() })
+	return nil
+}
+
+func (s *server) routes() *http.ServeMux {
+	mux := http.NewServeMux()
+	for pattern, handle := range map[string]handler{
+		// This node.
+		"GET /status": s.getStatus,
+		"GET /self":   s.getSelf,
+		"GET /index":  s.getIndex,
+		// Keys.
+		"GET /store":             s.listKeys,
+		"GET /store/{key...}":    s.getKey,
+		"PUT /store/{key...}":    s.writeKey,
+		"DELETE /store/{key...}": s.writeKey,
+		"GET /watch":             s.watch,
+		"POST /session":          s.openSession,
+		"POST /txn":              s.txn,
+		"GET /backup":            s.takeBackup,
+		"POST /restore":          s.restore,
+		"DELETE /restore":        s.restore,
+		// Members.
+		"GET /members":           s.listMembers,
+		"POST /members":          s.joinMember,
+		"PUT /members/{name}":    s.changeMember(s.store.AddMember),
+		"DELETE /members/{name}": s.changeMember(s.store.RemoveMember),
+		"POST /members/{name}":   s.changeMember(s.store.PromoteMember),
+		// Leases.
+		"GET /lease":              s.listLeases,
+		"PUT /lease":              s.renewLeases,
+		"GET /lease/{name...}":    s.getLease,
+		"POST /lease/{name...}":   s.acquireLease,
+		"PUT /lease/{name...}":    s.renewLease,
+		"DELETE /lease/{name...}": s.endLease,
+		// Maintenance.
+		"GET /work":             s.maintenanceStatus,
+		"POST /work":            s.submitOrder,
+		"POST /work/pause":      s.setPause(true),
+		"POST /work/resume":     s.setPause(false),
+		"DELETE /work/{node}":   s.cancelOrder,
+		"PUT /work/{node}":      s.reportPhase,
+		"PUT /work/{node}/beat": s.recordHeartbeat,
+	} {
+		mux.Handle(pattern, handle)
+	}
+	return mux
+}
+
+// checkCluster names this node's cluster in each answer, and rejects requests that are meant for
+// another cluster.
+func (s *server) checkCluster(next http.Handler) http.Handler {
+	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		local := s.store.ClusterID()
+		wanted := r.Header.Get(storeapi.HeaderCluster)
+		if local != "" {
+			w.Header().Set(storeapi.HeaderCluster, local)
+		}
+		if local != "" && wanted != "" && local != wanted {
+			http.Error(w, fmt.Sprintf("this node is of cluster %s, not of %s", local, wanted), http.StatusMisdirectedRequest)
+			return
+		}
+		next.ServeHTTP(w, r)
+	})
+}
