--- a/cmd/oxbowbridge/lease.go
+++ b/cmd/oxbowbridge/lease.go
@@ -41,7 +41,7 @@
 	c.Flags().StringVar(&o.holder, "holder", "", "a name that nobody else goes by; by default one of this process")
 }
 
-// holderName is --holder, or a name of this process.
+// holderName returns --holder, or a name of this process.
 func (o *leaseOptions) holderName() string {
 	if o.holder == "" {
 		o.holder = leaseclient.NewHolderName()
--- a/cmd/oxbowbridge/lease_guard.go
+++ b/cmd/oxbowbridge/lease_guard.go
@@ -70,14 +70,14 @@
 	kill.Stop()
 }
 
-// monotonicNanoseconds is the machine's monotonic clock.
+// monotonicNanoseconds returns the machine's monotonic clock.
 func monotonicNanoseconds() (int64, error) {
 	var ts unix.Timespec
 	err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &ts)
 	return ts.Nano(), err
 }
 
-// guardCommand is the guard's process.
+// guardCommand returns the guard's process.
 func guardCommand() *cobra.Command {
 	return &cobra.Command{Use: "guard", Hidden: true, Args: noArgs, RunE: func(c *cobra.Command, _ []string) error {
 		signal.Ignore(os.Interrupt, syscall.SIGTERM)
--- a/cmd/oxbowbridge/lease_run.go
+++ b/cmd/oxbowbridge/lease_run.go
@@ -124,7 +124,7 @@
 	}
 }
 
-// commandError is the end of a command as an error with its exit code; nil if it succeeded.
+// commandError returns the end of a command as an error with its exit code; nil if it succeeded.
 func commandError(program string, state *os.ProcessState) error {
 	code := state.ExitCode()
 	if status, ok := state.Sys().(syscall.WaitStatus); ok && status.Signaled() {
--- a/cmd/oxbowbridge/maintenance.go
+++ b/cmd/oxbowbridge/maintenance.go
@@ -14,7 +14,7 @@
 	"oxbowbridge/internal/proxy/exchange"
 )
 
-// utilizationTimeout is for the dispatcher to say how much of the cores is in use.
+// utilizationTimeout is for the dispatcher to answer how much of the cores is in use.
 const utilizationTimeout = 200 * time.Millisecond
 
 // maintenanceAgent is the service's part in maintenance. Without its section in the configuration it
@@ -69,7 +69,8 @@
 	}
 }
 
-// StartDrain has the service drain, as on SIGTERM, and another node lead the store.
+// StartDrain starts a graceful shutdown of the service, as on SIGTERM, and hands the leadership of the
+// store to another node.
 func (m *maintenanceAgent) StartDrain() {
 	if m.node.store != nil {
 		m.node.store.StepDown()
--- a/cmd/oxbowbridge/members.go
+++ b/cmd/oxbowbridge/members.go
@@ -33,7 +33,7 @@
 	return printTable(c.OutOrStdout(), rows...)
 }
 
-// changeMember is the command add, remove or promote; outcome is what it prints of the member.
+// changeMember returns the command add, remove or promote; outcome is what it prints of the member.
 func changeMember(method, outcome string) storeRun {
 	return func(c *cobra.Command, client *storeclient.Client, args []string) error {
 		if err := client.ChangeMember(c.Context(), method, args[0]); err != nil {
--- a/cmd/oxbowbridge/store.go
+++ b/cmd/oxbowbridge/store.go
@@ -25,7 +25,7 @@
 // addCommand adds a sub-command whose bad arguments are a usage error.
 type addCommand func(use, short string, args cobra.PositionalArgs, run func(*cobra.Command, []string) error) *cobra.Command
 
-// nodesCommand is a command whose sub-commands ask the admin ports of a store's nodes, and what adds
+// nodesCommand returns a command whose sub-commands ask the admin ports of a store's nodes, and what adds
 // one.
 func nodesCommand(use, short string, nodes *[]string, asJSON *bool) (*cobra.Command, addCommand) {
 	c := &cobra.Command{Use: use, Short: short}
@@ -82,7 +82,7 @@
 	Error string `json:"away,omitempty"` // why the node did not answer
 }
 
-// problem is all that is wrong with a node.
+// problem returns all that is wrong with a node.
 func (n nodeStatus) problem() string {
 	problem := n.Error + n.WaitingFor + n.SQLError
 	if n.ForeignPeers != "" {
--- a/cmd/oxbowbridge/store_keys.go
+++ b/cmd/oxbowbridge/store_keys.go
@@ -18,7 +18,7 @@
 
 const maxTxnBytes = 1 << 20 // of standard input
 
-// readQuery is the query of a read, by the flags of get.
+// readQuery returns the query of a read, by the flags of get.
 func (s *storeCLI) readQuery() string {
 	switch {
 	case s.local:
@@ -60,7 +60,7 @@
 	return printTable(c.OutOrStdout(), rows...)
 }
 
-// condition is --if-revision; nil if it is not given.
+// condition returns --if-revision; nil if it is not given.
 func (s *storeCLI) condition(c *cobra.Command) *uint64 {
 	if !c.Flags().Changed("if-revision") {
 		return nil
--- a/cmd/oxbowbridge/store_watch.go
+++ b/cmd/oxbowbridge/store_watch.go
@@ -53,7 +53,7 @@
 	return err
 }
 
-// listAsRevision is all keys with a prefix as one revision.
+// listAsRevision returns all keys with a prefix as one revision.
 func listAsRevision(ctx context.Context, client *storeclient.Client, prefix string) (watch.Revision, error) {
 	values, number, err := client.List(ctx, "")
 	if err != nil {
--- a/cmd/oxbowbridge/storenode.go
+++ b/cmd/oxbowbridge/storenode.go
@@ -95,7 +95,7 @@
 	return n, nil
 }
 
-// publishState has the service's state written to the store as soon as that is possible. Only the
+// publishState writes the service's state to the store in the background, as soon as that is possible. Only the
 // last state counts.
 func (n *storeNode) publishState(state serviceState) {
 	if n.store == nil {
@@ -123,14 +123,14 @@
 	}
 }
 
-// tryPublish writes the service's report once, and tells whether that succeeded.
+// tryPublish writes the service's report once, and reports whether that succeeded.
 func (n *storeNode) tryPublish(report json.RawMessage) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), publishTimeout)
 	defer cancel()
 	return n.store.Set(ctx, keyState+n.serviceName, report) == nil
 }
 
-// closeTimeout is the part of the drain timeout that close may take.
+// closeTimeout returns the part of the drain timeout that close may take.
 func (n *storeNode) closeTimeout() time.Duration {
 	if n.store == nil {
 		return 0
--- a/cmd/oxbowbridge/work.go
+++ b/cmd/oxbowbridge/work.go
@@ -168,7 +168,7 @@
 	}
 }
 
-// clearSequence is what clears the screen, if that is where the output goes.
+// clearSequence returns what clears the screen, if that is where the output goes.
 func clearSequence(out io.Writer) string {
 	const cursorHomeAndClear = "\x1b[H\x1b[2J"
 	file, ok := out.(*os.File)
--- a/internal/cluster/backup/backup.go
+++ b/internal/cluster/backup/backup.go
@@ -45,7 +45,7 @@
 	Value    json.RawMessage `json:"value"`
 }
 
-// checksum is the value of SHA256 for a header and the lines of its entries.
+// checksum returns the value of SHA256 for a header and the lines of its entries.
 func (h Header) checksum(entries []byte) string {
 	h.SHA256 = ""
 	line, _ := json.Marshal(h) // texts and numbers can be encoded
--- a/internal/cluster/kv/checksum.go
+++ b/internal/cluster/kv/checksum.go
@@ -74,7 +74,7 @@
 	return c[max(0, len(c)-maxChecksumPoints):]
 }
 
-// Diverged compares a node's points with those of the other voters. It tells whether a majority
+// Diverged compares a node's points with those of the other voters. It reports whether a majority
 // of all voters agrees on another checksum, and at which log index. Only the newest index on which
 // a majority is known to agree counts.
 func (c ChecksumHistory) Diverged(others []ChecksumHistory, voters int) (index uint64, diverged bool) {
--- a/internal/cluster/kv/errors.go
+++ b/internal/cluster/kv/errors.go
@@ -6,7 +6,7 @@
 	// ErrFull means that nothing was done, as MaxKeys or MaxSessions is reached.
 	ErrFull = errors.New("store is full")
 	// ErrSessionNotFound means that the session does not exist any more. Whether an earlier
-	// request of it was carried out can't be told from this.
+	// request of it was carried out is not known from this.
 	ErrSessionNotFound = errors.New("no such session")
 	// ErrStaleRequest means that a later request of the session was carried out, and the response
 	// to this one, if there was one, is not cached any more. Nothing was done now.
--- a/internal/cluster/kv/keys.go
+++ b/internal/cluster/kv/keys.go
@@ -14,7 +14,7 @@
 	StatePrefix          = "state/"                    // what services report of themselves; a restore leaves it out
 )
 
-// IsUserKey tells whether a key belongs to users: it is neither the store's own nor a report of
+// IsUserKey reports whether a key belongs to users: it is neither the store's own nor a report of
 // a service.
 func IsUserKey(key string) bool {
 	return !strings.HasPrefix(key, ReservedPrefix) && !strings.HasPrefix(key, StatePrefix)
--- a/internal/cluster/kv/request.go
+++ b/internal/cluster/kv/request.go
@@ -32,13 +32,13 @@
 	Value json.RawMessage `json:"value,omitempty"` // of OpPut
 }
 
-// Put is an operation that writes a key.
+// Put returns an operation that writes a key.
 func Put(key string, value json.RawMessage) Op { return Op{Kind: OpPut, Key: key, Value: value} }
 
-// Delete is an operation that deletes a key, if it exists.
+// Delete returns an operation that deletes a key, if it exists.
 func Delete(key string) Op { return Op{Kind: OpDelete, Key: key} }
 
-// Get is an operation that reads a key.
+// Get returns an operation that reads a key.
 func Get(key string) Op { return Op{Kind: OpGet, Key: key} }
 
 // Compare holds if the key has the revision. The revision of a key that does not exist is 0.
--- a/internal/cluster/kv/state.go
+++ b/internal/cluster/kv/state.go
@@ -43,7 +43,7 @@
 
 const bytesUnknown = -1
 
-// New is an empty state.
+// New returns an empty state.
 func New() *State {
 	return &State{
 		Entries:    map[string]Entry{},
@@ -53,7 +53,7 @@
 	}
 }
 
-// Clone is a copy that shares only the values, which nothing changes.
+// Clone returns a copy that shares only the values, which nothing changes.
 func (s *State) Clone() *State {
 	c := &State{
 		Applied:    s.Applied,
@@ -70,7 +70,7 @@
 	return c
 }
 
-// ValueBytes is the size of all values in bytes.
+// ValueBytes returns the size of all values in bytes.
 func (s *State) ValueBytes() int {
 	if s.valueBytes == bytesUnknown {
 		s.valueBytes = 0
@@ -152,7 +152,7 @@
 	return response
 }
 
-// isBlockedByRestore tells whether a request writes users' keys while a backup is being
+// isBlockedByRestore reports whether a request writes users' keys while a backup is being
 // restored, without being part of the restore: the restore's own requests compare its marker.
 func (s *State) isBlockedByRestore(r *Request) bool {
 	marker := s.Revision(RestoreKey)
--- a/internal/cluster/kv/txn.go
+++ b/internal/cluster/kv/txn.go
@@ -70,7 +70,7 @@
 	return Result{Key: op.Key}
 }
 
-// lookup is a key as the transaction has left it so far.
+// lookup returns a key as the transaction has left it so far.
 func (t *txn) lookup(key string) (entry Entry, known bool) {
 	if entry, known = t.pending[key]; known {
 		return entry, true
--- a/internal/cluster/lease/errors.go
+++ b/internal/cluster/lease/errors.go
@@ -36,7 +36,7 @@
 	CodeWaiterNotFound: ErrWaiterNotFound,
 }
 
-// codeOf is the code of an error that wraps one of the sentinel errors; "" for any other.
+// codeOf returns the code of an error that wraps one of the sentinel errors; "" for any other.
 func codeOf(err error) ErrorCode {
 	for code, sentinel := range errorsByCode {
 		if errors.Is(err, sentinel) {
--- a/internal/cluster/lease/expiry.go
+++ b/internal/cluster/lease/expiry.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// WaiterTimeout is how long a waiter stays in a queue without asking again.
+// WaiterTimeout is how long a waiter stays in a queue without a new request.
 const WaiterTimeout = 3 * time.Second
 
 // idleInterval is when DueOps looks at all leases again if nothing is due before.
@@ -17,7 +17,7 @@
 // times are the leader's own, monotonic. It is not safe for concurrent use.
 type ExpiryTimer struct {
 	expiries  map[string]expiry           // by the lease's name
-	lastHeard map[waiterKey]time.Duration // when each waiter last asked
+	lastHeard map[waiterKey]time.Duration // when each waiter last sent its request
 	electedAt time.Duration
 	seenToken uint64        // State.LastToken when DueOps last looked at all leases
 	nextDue   time.Duration // nothing is due earlier, unless a token or ticket was given since
@@ -31,7 +31,7 @@
 	proposed bool // OpExpire may be in the log already: no keep-alive revives the lease
 }
 
-// NewExpiryTimer is the timer of a leader elected at a time. Each lease that it inherits has
+// NewExpiryTimer returns the timer of a leader elected at a time. Each lease that it inherits has
 // its full TTL from then on, as the predecessor may have answered a keep-alive until then.
 func NewExpiryTimer(electedAt time.Duration) *ExpiryTimer {
 	return &ExpiryTimer{
@@ -44,7 +44,7 @@
 
 func (l Lease) ttl() time.Duration { return time.Duration(l.TTLMS) * time.Millisecond }
 
-// expiryOf is the expiry of a lease. One that the timer does not know has its full TTL from
+// expiryOf returns the expiry of a lease. One that the timer does not know has its full TTL from
 // now on, which is never too early.
 func (t *ExpiryTimer) expiryOf(name string, l Lease, now time.Duration) expiry {
 	e, ok := t.expiries[name]
@@ -75,7 +75,7 @@
 // TryAcquire answers a request for a lease without an entry of the log, if that is possible:
 // the holder's own lease is renewed, and a lease that another one holds stays as it is, with
 // ErrHeld. Otherwise needsLog is true: the request has to go through the log as OpAcquire.
-// wait tells whether the caller wants a place in the queue.
+// wait reports whether the caller wants a place in the queue.
 func (t *ExpiryTimer) TryAcquire(s *State, name, holder string, wait bool, arrivedAt, now time.Duration) (l Lease, needsLog bool, err error) {
 	l, held := s.Leases[name]
 	queued := l.isQueued(holder)
@@ -94,18 +94,18 @@
 	return l, true, nil
 }
 
-// TouchWaiter notes that a waiter has asked again.
+// TouchWaiter notes that a waiter has sent its request again.
 func (t *ExpiryTimer) TouchWaiter(name, holder string, now time.Duration) {
 	t.lastHeard[waiterKey{name, holder}] = now
 }
 
-// Remaining is how long a lease goes on without a keep-alive, as far as this leader knows.
+// Remaining returns how long a lease goes on without a keep-alive, as far as this leader knows.
 func (t *ExpiryTimer) Remaining(name string, l Lease, now time.Duration) time.Duration {
 	return t.expiryOf(name, l, now).deadline - now
 }
 
-// DueOps are the operations that are due, for the log: OpExpire for leases whose TTL is over,
-// and OpWithdraw for waiters that did not ask for WaiterTimeout. From then on such a lease can't
+// DueOps returns the operations that are due, for the log: OpExpire for leases whose TTL is over,
+// and OpWithdraw for waiters that have sent no request for WaiterTimeout. From then on such a lease can't
 // be renewed any more, as its end may be in the log.
 func (t *ExpiryTimer) DueOps(s *State, now time.Duration) []Op {
 	if now < t.nextDue && s.LastToken == t.seenToken {
--- a/internal/cluster/lease/fence.go
+++ b/internal/cluster/lease/fence.go
@@ -6,7 +6,7 @@
 	Token uint64 `json:"token"`
 }
 
-// Holds tells whether a lease is held under a token now. Writes that depend on a lease are
+// Holds reports whether a lease is held under a token now. Writes that depend on a lease are
 // carried out only if it does.
 func (s *State) Holds(name string, token uint64) bool {
 	l, ok := s.Leases[name]
--- a/internal/cluster/lease/holder.go
+++ b/internal/cluster/lease/holder.go
@@ -6,7 +6,7 @@
 // is not safe for concurrent use.
 type HolderState struct {
 	Token uint64        // 0 if the lease is not held
-	TTL   time.Duration // as it was asked for
+	TTL   time.Duration // as it was requested
 
 	deadline      time.Duration
 	releasedToken uint64 // the last token that was given back
@@ -15,7 +15,7 @@
 // renewalsPerTTL is how many keep-alives are due in one TTL.
 const renewalsPerTTL = 3
 
-// usableTTL is the part of the TTL in which the holder may act.
+// usableTTL returns the part of the TTL in which the holder may act.
 func (h *HolderState) usableTTL() time.Duration {
 	return time.Duration(float64(h.TTL) * (1 - SafetyMargin))
 }
@@ -48,20 +48,20 @@
 	h.deadline = 0
 }
 
-// Deadline is when the holder must have stopped acting, unless a keep-alive is answered before.
+// Deadline returns when the holder must have stopped acting, unless a keep-alive is answered before.
 func (h *HolderState) Deadline() time.Duration { return h.deadline }
 
-// MayAct tells whether the holder may act now. The process may be suspended between this and
+// MayAct reports whether the holder may act now. The process may be suspended between this and
 // the act; what matters needs the fencing token as well.
 func (h *HolderState) MayAct(now time.Duration) bool { return h.Token != 0 && now < h.deadline }
 
-// RenewalDue is when the next keep-alive is due: a third of the TTL after the last one that was
+// RenewalDue returns when the next keep-alive is due: a third of the TTL after the last one that was
 // answered.
 func (h *HolderState) RenewalDue() time.Duration {
 	return h.deadline - h.usableTTL() + h.TTL/renewalsPerTTL
 }
 
-// ShouldRenew tells whether a keep-alive is due.
+// ShouldRenew reports whether a keep-alive is due.
 func (h *HolderState) ShouldRenew(now time.Duration) bool {
 	return h.Token != 0 && now >= h.RenewalDue()
 }
--- a/internal/cluster/lease/ops.go
+++ b/internal/cluster/lease/ops.go
@@ -12,7 +12,7 @@
 	StatusRevoked               // its holder keeps it for what is left of its TTL
 )
 
-// String is the state as operators see it.
+// String returns the state as operators see it.
 func (s Status) String() string {
 	switch s {
 	case StatusFree:
@@ -25,7 +25,7 @@
 	return fmt.Sprintf("Status(%d)", uint8(s))
 }
 
-// Status is the lease's state.
+// Status returns the lease's state.
 func (l Lease) Status() Status {
 	switch {
 	case l.Token == 0:
@@ -67,7 +67,7 @@
 	Detail string    `json:"why,omitempty"`
 }
 
-// Err is the error of the operation, which wraps a sentinel error; nil if it succeeded.
+// Err returns the error of the operation, which wraps a sentinel error; nil if it succeeded.
 func (r Result) Err() error {
 	if sentinel, ok := errorsByCode[r.Code]; ok {
 		return fmt.Errorf("%w: %s", sentinel, r.Detail)
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// Apply carries out an operation, and tells whether it granted the lease to a waiter. These
+// Apply carries out an operation, and reports whether it granted the lease to a waiter. These
 // are all transitions of a lease; an operation that a cell does not name leaves it as it is.
 //
 //	           free        held                                 revoked
--- a/internal/cluster/lease/state.go
+++ b/internal/cluster/lease/state.go
@@ -32,13 +32,13 @@
 	Leases      map[string]Lease `json:"leases"` // by name; only those that are held
 }
 
-// NewState is a state without a lease. Its tokens are all above tokenFloor, so that a store
+// NewState returns a state without a lease. Its tokens are all above tokenFloor, so that a store
 // restored from a backup does not repeat those of the old one.
 func NewState(tokenFloor uint64) *State {
 	return &State{LastToken: tokenFloor, Leases: map[string]Lease{}}
 }
 
-// Clone is a deep copy.
+// Clone returns a deep copy.
 func (s *State) Clone() *State {
 	c := &State{LastToken: s.LastToken, WaiterCount: s.WaiterCount, Leases: maps.Clone(s.Leases)}
 	for name, l := range c.Leases {
@@ -48,7 +48,7 @@
 	return c
 }
 
-// RaiseTokenFloor has all later tokens be above a number. A cluster that was recovered, or
+// RaiseTokenFloor makes all later tokens greater than floor. A cluster that was recovered, or
 // restored from a backup, must not give a token of its predecessor again.
 func (s *State) RaiseTokenFloor(floor uint64) {
 	const highestFloor = math.MaxInt64 >> 1 // leaves enough tokens above it
@@ -159,7 +159,7 @@
 	return next, err
 }
 
-// revoke has a lease end when the TTL that its holder was given is over.
+// revoke ends a lease when the TTL of its last keep-alive is over.
 func (s *State) revoke(name string) (Lease, error) {
 	l, ok := s.Leases[name]
 	if !ok {
--- a/internal/cluster/leaseclient/acquire.go
+++ b/internal/cluster/leaseclient/acquire.go
@@ -11,7 +11,7 @@
 	"oxbowbridge/internal/cluster/storeclient"
 )
 
-// AcquireOptions is what a lease is asked for with.
+// AcquireOptions are the parameters of Acquire.
 type AcquireOptions struct {
 	Name     string
 	TTL      time.Duration // lease.MinTTLMS to lease.MaxTTLMS
@@ -72,7 +72,7 @@
 }
 
 // confirm renews a lease whose grant came after a long wait: its time is counted from the
-// renewal. It tells whether the holder may act.
+// renewal. It reports whether the holder may act.
 func (m *Manager) confirm(ctx context.Context, node *storeclient.Client, l *Lease, token uint64) bool {
 	sentAt := m.now()
 	lost, err := node.RenewLeases(ctx, []lease.FencingToken{{Name: l.Name, Token: token}})
--- a/internal/cluster/leaseclient/errors.go
+++ b/internal/cluster/leaseclient/errors.go
@@ -18,13 +18,13 @@
 	ErrAlreadyHeld = errors.New("this process has the lease already")
 )
 
-// isRejected tells whether the store has refused a request in a way that a retry does not change.
+// isRejected reports whether the store has refused a request in a way that a retry does not change.
 func isRejected(err error) bool {
 	var status *storeapi.StatusError
 	return errors.As(err, &status) && status.StatusCode < http.StatusInternalServerError
 }
 
-// isNotHeld tells whether the store says that a lease is not held under the token any more.
+// isNotHeld reports whether the store says that a lease is not held under the token any more.
 func isNotHeld(err error) bool {
 	var status *storeapi.StatusError
 	return errors.As(err, &status) && status.StatusCode == http.StatusGone
--- a/internal/cluster/leaseclient/lease.go
+++ b/internal/cluster/leaseclient/lease.go
@@ -27,12 +27,12 @@
 // and acting; what matters needs the fencing token as well.
 func (l *Lease) Context() context.Context { return l.ctx }
 
-// FencingToken is what a write to the store that depends on the lease names.
+// FencingToken returns the fencing token for writes that depend on the lease.
 func (l *Lease) FencingToken() lease.FencingToken {
 	return lease.FencingToken{Name: l.Name, Token: l.Token}
 }
 
-// Deadline is when the holder must have stopped acting, unless a keep-alive is answered before.
+// Deadline returns when the holder must have stopped acting, unless a keep-alive is answered before.
 func (l *Lease) Deadline() time.Time {
 	l.manager.mu.Lock()
 	defer l.manager.mu.Unlock()
--- a/internal/cluster/leaseclient/manager.go
+++ b/internal/cluster/leaseclient/manager.go
@@ -31,7 +31,7 @@
 	nodeIndex int               // the node that answered last
 }
 
-// New is a manager for the store whose nodes have the given admin addresses. No other process may
+// New returns a manager for the store whose nodes have the given admin addresses. No other process may
 // use the holder's name. Close ends it.
 func New(nodes []string, holder string) *Manager {
 	m := &Manager{
@@ -47,7 +47,7 @@
 	return m
 }
 
-// Holder is the holder's name.
+// Holder returns the holder's name.
 func (m *Manager) Holder() string { return m.holder }
 
 // Close releases all leases, for releaseTimeout at most, and ends the manager.
@@ -84,7 +84,7 @@
 	}
 }
 
-// node is a client of a single node: the one that answered last, or the next one.
+// node returns a client of a single node: the one that answered last, or the next one.
 func (m *Manager) node(next bool) *storeclient.Client {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -96,7 +96,7 @@
 	return &client
 }
 
-// retryPause is the pause after a number of failed attempts. It stays short, as a lease's time
+// retryPause returns the pause after a number of failed attempts. It stays short, as a lease's time
 // runs meanwhile.
 func (m *Manager) retryPause(failed int) time.Duration {
 	const (
--- a/internal/cluster/leaseclient/renew.go
+++ b/internal/cluster/leaseclient/renew.go
@@ -51,7 +51,7 @@
 	idle    time.Duration // until the next look, if there are no leases to renew
 }
 
-// dueRenewals are the leases whose keep-alive is due, with those whose keep-alive is due so soon
+// dueRenewals returns the leases whose keep-alive is due, with those whose keep-alive is due so soon
 // that it may go with them.
 func (m *Manager) dueRenewals() renewalBatch {
 	m.mu.Lock()
@@ -80,7 +80,7 @@
 	return batch
 }
 
-// renew sends one keep-alive, and tells whether it was answered. After a failure the next node is
+// renew sends one keep-alive, and reports whether it was answered. After a failure the next node is
 // asked.
 func (m *Manager) renew(leases []lease.FencingToken, timeout time.Duration, nextNode bool) bool {
 	ctx, cancel := context.WithTimeout(m.ctx, timeout)
--- a/internal/cluster/storeadmin/backup.go
+++ b/internal/cluster/storeadmin/backup.go
@@ -16,7 +16,7 @@
 	"oxbowbridge/internal/cluster/storeapi"
 )
 
-// takeBackup is GET /backup: all keys but the reserved ones, as they were at one revision.
+// takeBackup serves GET /backup: all keys but the reserved ones, as they were at one revision.
 func (s *server) takeBackup(w http.ResponseWriter, r *http.Request) error {
 	if err := s.waitFresh(w, r); err != nil {
 		return err
@@ -51,7 +51,7 @@
 	return list
 }
 
-// restore is POST /restore: it restores a backup into an empty store of another cluster. One that
+// restore serves POST /restore: it restores a backup into an empty store of another cluster. One that
 // was interrupted continues when it is requested again; until it is complete, users' keys are
 // neither read nor written. DELETE /restore empties a store in which one was interrupted.
 func (s *server) restore(w http.ResponseWriter, r *http.Request) error {
--- a/internal/cluster/storeadmin/errors.go
+++ b/internal/cluster/storeadmin/errors.go
@@ -47,16 +47,16 @@
 func (e *httpError) Error() string { return e.err.Error() }
 func (e *httpError) Unwrap() error { return e.err }
 
-// withStatus is an error with a status code of its own.
+// withStatus returns an error with a status code of its own.
 func withStatus(code int, err error) error { return &httpError{code, err} }
 
-// unavailable is an error that is answered with 503.
+// unavailable returns an error that is answered with 503.
 func unavailable(err error) error { return withStatus(http.StatusServiceUnavailable, err) }
 
 func statusCodeOf(err error) int {
-	var own *httpError
-	if errors.As(err, &own) {
-		return own.code
+	var withCode *httpError
+	if errors.As(err, &withCode) {
+		return withCode.code
 	}
 	for _, known := range statusCodes {
 		if errors.Is(err, known.err) {
--- a/internal/cluster/storeadmin/eventstream.go
+++ b/internal/cluster/storeadmin/eventstream.go
@@ -65,7 +65,7 @@
 	json.NewEncoder(s.w).Encode(body)
 }
 
-// flush sends what has been written, and tells whether the watcher is still there.
+// flush sends what has been written, and reports whether the watcher is still there.
 func (s *eventStream) flush() bool {
 	if s.started && s.buffer.Len() == 0 {
 		return true
--- a/internal/cluster/storeadmin/forward.go
+++ b/internal/cluster/storeadmin/forward.go
@@ -29,7 +29,7 @@
 // errLeaderChanged cancels a forwarded request when another node leads.
 var errLeaderChanged = errors.New("another node leads now; whether this was carried out is not known")
 
-// forward has the leader answer a request, if that is another node; done tells whether it did. The
+// forward has the leader answer a request, if that is another node; done reports whether it did. The
 // answer is not waited for once another node leads. A request that is repeatable, such as a write
 // in a session, is then sent to the next leader until forwardTimeout; of any other it is unknown
 // whether it was carried out. If done is false and there is no error, this node leads.
@@ -37,7 +37,7 @@
 	return s.forwardWithin(w, r, body, repeatable, forwardTimeout)
 }
 
-// forwardWithin is forward with another timeout for all attempts. A longer one is for requests
+// forwardWithin forwards a request with another timeout for all attempts. A longer one is for requests
 // that wait for a lease.
 func (s *server) forwardWithin(w http.ResponseWriter, r *http.Request, body []byte, repeatable bool, timeout time.Duration) (done bool, err error) {
 	if s.store.IsLeader() {
@@ -149,7 +149,7 @@
 	}
 }
 
-// forwardedRequest is a copy of a request, for the leader's admin address.
+// forwardedRequest returns a copy of a request, for the leader's admin address.
 func (s *server) forwardedRequest(ctx context.Context, r *http.Request, address string, body []byte) (*http.Request, error) {
 	req, err := http.NewRequestWithContext(ctx, r.Method, "http://"+address+r.URL.RequestURI(), bytes.NewReader(body))
 	if err != nil {
@@ -174,7 +174,7 @@
 	io.Copy(w, io.LimitReader(res.Body, maxForwardedBytes))
 }
 
-// readError is the leader's answer as an error.
+// readError returns the leader's answer as an error.
 func readError(res *http.Response) error {
 	defer res.Body.Close()
 	body, _ := io.ReadAll(io.LimitReader(res.Body, maxForwardedError))
--- a/internal/cluster/storeadmin/leases.go
+++ b/internal/cluster/storeadmin/leases.go
@@ -26,7 +26,7 @@
 	return storeapi.LeaseStatus{Name: name, Holder: l.Holder, Token: l.Token, TTLMS: l.TTLMS, Revoked: l.Revoked}
 }
 
-// acquireLease is POST /lease/NAME. The leader may have it wait in the lease's queue.
+// acquireLease serves POST /lease/NAME. The leader may have it wait in the lease's queue.
 func (s *server) acquireLease(w http.ResponseWriter, r *http.Request) error {
 	var request storeapi.AcquireRequest
 	body, err := decodeJSON(w, r, maxAcquireBytes, &request)
@@ -75,7 +75,7 @@
 	return lease.Validate(name, request.Holder, request.TTLMS)
 }
 
-// renewLeases is PUT /lease: keep-alives of many leases.
+// renewLeases serves PUT /lease: keep-alives of many leases.
 func (s *server) renewLeases(w http.ResponseWriter, r *http.Request) error {
 	var request storeapi.RenewRequest
 	body, err := decodeJSON(w, r, maxRenewBytes, &request)
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// renewLease is PUT /lease/NAME: a keep-alive of one lease. Without a name it is renewLeases.
+// renewLease serves PUT /lease/NAME: a keep-alive of one lease. Without a name it is renewLeases.
 func (s *server) renewLease(w http.ResponseWriter, r *http.Request) error {
 	name := r.PathValue("name")
 	if name == "" {
@@ -124,7 +124,7 @@
 	return nil
 }
 
-// endLease is DELETE /lease/NAME?token=T to release a lease, with &to=HOLDER in favour of that
+// endLease serves DELETE /lease/NAME?token=T to release a lease, with &to=HOLDER in favour of that
 // waiter; or ?revoke=1, for operators.
 func (s *server) endLease(w http.ResponseWriter, r *http.Request) error {
 	query := r.URL.Query()
@@ -140,7 +140,7 @@
 	return noContent(w, s.store.EndLease(r.PathValue("name"), token, query.Get("to")))
 }
 
-// listLeases is GET /lease.
+// listLeases serves GET /lease.
 func (s *server) listLeases(w http.ResponseWriter, r *http.Request) error {
 	if done, err := s.forward(w, r, nil, true); done || err != nil {
 		return err
@@ -154,7 +154,7 @@
 	return nil
 }
 
-// getLease is GET /lease/NAME.
+// getLease serves GET /lease/NAME.
 func (s *server) getLease(w http.ResponseWriter, r *http.Request) error {
 	if done, err := s.forward(w, r, nil, true); done || err != nil {
 		return err
@@ -170,7 +170,7 @@
 	return nil
 }
 
-// heldLeases are all leases that are held, or one of a name, sorted by name.
+// heldLeases returns all leases that are held, or one of a name, sorted by name.
 func (s *server) heldLeases(r *http.Request, name string) ([]storeapi.LeaseStatus, error) {
 	held, remaining, err := s.store.Leases(r.Context(), name)
 	leases := make([]storeapi.LeaseStatus, 0, len(held))
--- a/internal/cluster/storeadmin/maintenance.go
+++ b/internal/cluster/storeadmin/maintenance.go
@@ -35,26 +35,26 @@
 // none is the body of requests without one.
 type none struct{}
 
-// maintenanceStatus is GET /work.
+// maintenanceStatus serves GET /work.
 func (s *server) maintenanceStatus(w http.ResponseWriter, r *http.Request) error {
 	return answerAtLeader(s, w, r, func(none) (any, error) { return s.controller.Status(r.Context()) })
 }
 
-// submitOrder is POST /work.
+// submitOrder serves POST /work.
 func (s *server) submitOrder(w http.ResponseWriter, r *http.Request) error {
 	return answerAtLeader(s, w, r, func(order maintenance.Order) (any, error) {
 		return s.controller.Submit(r.Context(), order)
 	})
 }
 
-// cancelOrder is DELETE /work/MACHINE.
+// cancelOrder serves DELETE /work/MACHINE.
 func (s *server) cancelOrder(w http.ResponseWriter, r *http.Request) error {
 	return answerAtLeader(s, w, r, func(none) (any, error) {
 		return nil, s.controller.Cancel(r.Context(), r.PathValue("node"))
 	})
 }
 
-// setPause is POST /work/pause and /work/resume.
+// setPause serves POST /work/pause and /work/resume.
 func (s *server) setPause(paused bool) handler {
 	return func(w http.ResponseWriter, r *http.Request) error {
 		return answerAtLeader(s, w, r, func(request maintenance.PauseRequest) (any, error) {
@@ -63,14 +63,14 @@
 	}
 }
 
-// reportPhase is PUT /work/MACHINE.
+// reportPhase serves PUT /work/MACHINE.
 func (s *server) reportPhase(w http.ResponseWriter, r *http.Request) error {
 	return answerAtLeader(s, w, r, func(report maintenance.PhaseReport) (any, error) {
 		return nil, s.controller.Report(r.Context(), r.PathValue("node"), report)
 	})
 }
 
-// recordHeartbeat is PUT /work/MACHINE/beat. The answer is the machine's order, or null.
+// recordHeartbeat serves PUT /work/MACHINE/beat. The answer is the machine's order, or null.
 func (s *server) recordHeartbeat(w http.ResponseWriter, r *http.Request) error {
 	return answerAtLeader(s, w, r, func(heartbeat maintenance.Heartbeat) (any, error) {
 		heartbeat.Name = r.PathValue("node")
--- a/internal/cluster/storeadmin/members.go
+++ b/internal/cluster/storeadmin/members.go
@@ -8,7 +8,7 @@
 
 const maxJoinBytes = 4 << 10 // of the body of POST /members
 
-// listMembers is GET /members: the members as the leader sees them.
+// listMembers serves GET /members: the members as the leader sees them.
 func (s *server) listMembers(w http.ResponseWriter, r *http.Request) error {
 	if done, err := s.forward(w, r, nil, true); done || err != nil {
 		return err
@@ -21,7 +21,7 @@
 	return nil
 }
 
-// joinMember is POST /members: a node becomes a learner.
+// joinMember serves POST /members: a node becomes a learner.
 func (s *server) joinMember(w http.ResponseWriter, r *http.Request) error {
 	var request storeapi.JoinRequest
 	body, err := decodeJSON(w, r, maxJoinBytes, &request)
@@ -34,7 +34,7 @@
 	return noContent(w, s.store.Join(r.Context(), request))
 }
 
-// changeMember is PUT, DELETE or POST /members/NAME.
+// changeMember serves PUT, DELETE or POST /members/NAME.
 func (s *server) changeMember(change func(name string) error) handler {
 	return func(w http.ResponseWriter, r *http.Request) error {
 		if done, err := s.forward(w, r, nil, true); done || err != nil {
--- a/internal/cluster/storeadmin/read.go
+++ b/internal/cluster/storeadmin/read.go
@@ -19,7 +19,7 @@
 	headerAge        = "Age-Ms"      // of the state that a stale read shows, milliseconds
 )
 
-// getStatus is GET /status.
+// getStatus serves GET /status.
 func (s *server) getStatus(w http.ResponseWriter, _ *http.Request) error {
 	status := s.store.Status()
 	status.Watchers = len(s.watchers)
@@ -27,7 +27,7 @@
 	return nil
 }
 
-// getSelf is GET /self?from=ID: this node's status for another node.
+// getSelf serves GET /self?from=ID: this node's status for another node.
 func (s *server) getSelf(w http.ResponseWriter, r *http.Request) error {
 	status, err := s.store.Self(r.URL.Query().Get("from"))
 	if err != nil {
@@ -37,7 +37,7 @@
 	return nil
 }
 
-// getIndex is GET /index: the committed log index, for a node that wants to prove that its state
+// getIndex serves GET /index: the committed log index, for a node that wants to prove that its state
 // is fresh.
 func (s *server) getIndex(w http.ResponseWriter, r *http.Request) error {
 	index, err := s.store.ReadIndex(r.Context())
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// listKeys is GET /store: all keys but the reserved ones.
+// listKeys serves GET /store: all keys but the reserved ones.
 func (s *server) listKeys(w http.ResponseWriter, r *http.Request) error {
 	if err := s.waitFresh(w, r); err != nil {
 		return err
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// getKey is GET /store/KEY.
+// getKey serves GET /store/KEY.
 func (s *server) getKey(w http.ResponseWriter, r *http.Request) error {
 	if err := s.waitFresh(w, r); err != nil {
 		return err
--- a/internal/cluster/storeadmin/watch.go
+++ b/internal/cluster/storeadmin/watch.go
@@ -16,7 +16,7 @@
 // watchPage bounds what one watcher takes at a time, and so the memory that it holds.
 var watchPage = watch.Page{MaxRevisions: 512, MaxBytes: 64 << 10}
 
-// watch is GET /watch?prefix=P&from=REVISION, or with Last-Event-ID: a stream of the changes to
+// watch serves GET /watch?prefix=P&from=REVISION, or with Last-Event-ID: a stream of the changes to
 // keys with a prefix as server-sent events, from a revision on or else from now. Each event is one
 // revision. Its id is that revision: a watch continues after it.
 func (s *server) watch(w http.ResponseWriter, r *http.Request) error {
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// parsePosition is the revision to watch from; 0 is from now.
+// parsePosition returns the revision to watch from; 0 is from now.
 func parsePosition(r *http.Request) (uint64, error) {
 	if last := r.Header.Get(storeapi.HeaderLastEventID); last != "" {
 		revision, err := strconv.ParseUint(last, 10, 63)
--- a/internal/cluster/storeadmin/write.go
+++ b/internal/cluster/storeadmin/write.go
@@ -16,7 +16,7 @@
 
 const maxTxnBytes = 1 << 20 // of a transaction's body
 
-// writeKey is PUT and DELETE /store/KEY. With conditions, in a session or with a lease it is a
+// writeKey serves PUT and DELETE /store/KEY. With conditions, in a session or with a lease it is a
 // transaction; otherwise it is repeated by the node until it is known to be carried out.
 func (s *server) writeKey(w http.ResponseWriter, r *http.Request) error {
 	value, err := readValue(w, r)
@@ -74,7 +74,7 @@
 	return noContent(w, nil)
 }
 
-// openSession is POST /session.
+// openSession serves POST /session.
 func (s *server) openSession(w http.ResponseWriter, r *http.Request) error {
 	if done, err := s.forward(w, r, nil, true); done || err != nil {
 		return err
@@ -82,7 +82,7 @@
 	return s.execute(w, kv.Request{OpenSession: true})
 }
 
-// txn is POST /txn: {"if": [{"key", "revision"}], "then": [{"do", "key", "value"}],
+// txn serves POST /txn: {"if": [{"key", "revision"}], "then": [{"do", "key", "value"}],
 // "else": [...], "session": N, "number": N}.
 func (s *server) txn(w http.ResponseWriter, r *http.Request) error {
 	var request kv.Request
--- a/internal/cluster/storeapi/lease.go
+++ b/internal/cluster/storeapi/lease.go
@@ -20,7 +20,7 @@
 	Waiters     []lease.Waiter `json:"waiters,omitempty"` // the next holder first
 }
 
-// Status is the lease's state.
+// Status returns the lease's state.
 func (l LeaseStatus) Status() lease.Status {
 	return lease.Lease{Token: l.Token, Revoked: l.Revoked}.Status()
 }
--- a/internal/cluster/storeapi/limits.go
+++ b/internal/cluster/storeapi/limits.go
@@ -8,7 +8,7 @@
 
 // Header fields of requests and answers.
 const (
-	HeaderCluster       = "Cluster"        // id of the cluster that is asked, or answers
+	HeaderCluster       = "Cluster"        // id of the cluster that a request is meant for, or that answers
 	HeaderSession       = "Session"        // of a write
 	HeaderRequestNumber = "Request-Number" // of a write in its session
 	HeaderLease         = "Lease"          // NAME/TOKEN: the write is done only while that lease is held under that token
@@ -18,7 +18,7 @@
 
 // Limits that server and client share.
 const (
-	WatchProgressInterval = 2 * time.Second                  // between two signs of life of a watch stream
+	WatchProgressInterval = 2 * time.Second                  // between two events or comments of a watch stream
 	MaxEventBytes         = 2 * kv.MaxOps * kv.MaxValueBytes // of one event of a watch
 	RestoreTimeout        = time.Minute
 	CommitTimeout         = 3 * time.Second  // for which a leader waits for a majority
--- a/internal/cluster/storeapi/node.go
+++ b/internal/cluster/storeapi/node.go
@@ -5,7 +5,7 @@
 	"oxbowbridge/internal/cluster/kv"
 )
 
-// Status is the answer to GET /status: what a node says of itself to operators.
+// Status is the answer to GET /status: a node as operators see it.
 type Status struct {
 	Node          string `json:"node"`
 	State         string `json:"state"`           // Raft's state, or what the node waits for
@@ -21,8 +21,8 @@
 	WaitingFor    string `json:"waits,omitempty"`   // why the node does not take part yet
 }
 
-// PeerStatus is the answer to GET /self: what a node says to another node, of itself and of what
-// it has observed of the other one's disk.
+// PeerStatus is the answer to GET /self: a node as another node sees it, with what it has observed of
+// the other one's disk.
 type PeerStatus struct {
 	diskidentity.Attestation
 	State          string                 `json:"state"` // serving, waiting or failed
--- a/internal/cluster/storeapi/store.go
+++ b/internal/cluster/storeapi/store.go
@@ -46,15 +46,15 @@
 
 func (e *StatusError) Error() string { return fmt.Sprintf("%s (%d)", e.Text, e.StatusCode) }
 
-// NewStatusError is a *StatusError of an answer's status code and body.
+// NewStatusError returns a *StatusError of an answer's status code and body.
 func NewStatusError(code int, body []byte) error {
 	return &StatusError{code, string(bytes.TrimSpace(body))}
 }
 
-// FormatETag is a revision as an entity tag.
+// FormatETag returns a revision as an entity tag.
 func FormatETag(revision uint64) string { return strconv.Quote(strconv.FormatUint(revision, 10)) }
 
-// ParseETag is the revision of an entity tag. Its error wraps kv.ErrInvalidRequest.
+// ParseETag returns the revision of an entity tag. Its error wraps kv.ErrInvalidRequest.
 func ParseETag(text string) (uint64, error) {
 	inner, opened := strings.CutPrefix(text, `"`)
 	inner, closed := strings.CutSuffix(inner, `"`)
--- a/internal/cluster/storeclient/client.go
+++ b/internal/cluster/storeclient/client.go
@@ -19,7 +19,7 @@
 
 var errNoNode = errors.New("no node is known")
 
-// Client asks the nodes of a store, one after the other until one answers. Its writes are part of
+// Client sends requests to the nodes of a store, one after the other until one answers. Its writes are part of
 // a session, so that a write that is sent again takes effect once. A client is not safe for
 // concurrent writes.
 type Client struct {
@@ -32,7 +32,7 @@
 	cluster       *pinnedCluster
 }
 
-// New is a client for the nodes with the given admin addresses.
+// New returns a client for the nodes with the given admin addresses.
 func New(nodes []string) *Client {
 	return &Client{
 		Nodes:   nodes,
@@ -42,7 +42,7 @@
 	}
 }
 
-// WithLongTimeout is the client with a timeout that outlasts a node's own wait for a majority.
+// WithLongTimeout returns the client with a timeout that outlasts a node's own wait for a majority.
 func (c *Client) WithLongTimeout() *Client {
 	return c.withTimeout(storeapi.CommitTimeout + time.Second)
 }
@@ -65,7 +65,7 @@
 	return RetryPolicy{MaxRetries: 12, MinBackoff: 50 * time.Millisecond, MaxBackoff: time.Second}
 }
 
-// Backoff is the pause before a retry, counted from 1. It doubles from MinBackoff to MaxBackoff;
+// Backoff returns the pause before a retry, counted from 1. It doubles from MinBackoff to MaxBackoff;
 // jitter, from 0 to 1, takes it between half of that and all of it.
 func (p RetryPolicy) Backoff(retry int, jitter float64) time.Duration {
 	pause := p.MinBackoff
@@ -114,13 +114,13 @@
 	}
 }
 
-// Status asks one node for its status, once.
+// Status requests the status of one node, once.
 func (c *Client) Status(ctx context.Context, node string) (status storeapi.Status, err error) {
 	err = c.CallNode(ctx, node, http.MethodGet, "/status", nil, &status)
 	return status, err
 }
 
-// Members asks for the members, as the leader sees them.
+// Members requests the members, as the leader sees them.
 func (c *Client) Members(ctx context.Context) (members storeapi.Members, err error) {
 	err = c.call(ctx, http.MethodGet, "/members", nil, &members)
 	return members, err
--- a/internal/cluster/storeclient/kv.go
+++ b/internal/cluster/storeclient/kv.go
@@ -29,7 +29,7 @@
 }
 
 // List reads all keys, and the store's revision at that time: a Watch from the next revision on
-// misses nothing. Nodes of the previous version do not tell it: it is 0 then.
+// misses nothing. It is 0 from nodes of the previous version, which do not send it.
 func (c *Client) List(ctx context.Context, query string) (values map[string]json.RawMessage, revision uint64, err error) {
 	res, err := c.do(ctx, http.MethodGet, "/store"+query, nil)
 	switch {
--- a/internal/cluster/storeclient/lease.go
+++ b/internal/cluster/storeclient/lease.go
@@ -15,7 +15,7 @@
 
 func leasePath(name string) string { return "/lease/" + (&url.URL{Path: name}).EscapedPath() }
 
-// AcquireLease asks for a lease. If another holder has it, the error is lease.ErrHeld and the
+// AcquireLease requests a lease. If another holder has it, the error is lease.ErrHeld and the
 // status says who.
 func (c *Client) AcquireLease(ctx context.Context, name string, request storeapi.AcquireRequest) (status storeapi.LeaseStatus, err error) {
 	body, err := json.Marshal(request)
@@ -57,7 +57,7 @@
 	return c.endLease(ctx, name, query)
 }
 
-// RevokeLease has a lease end when its TTL is over, whatever its holder does.
+// RevokeLease ends a lease when its TTL is over, whatever its holder does.
 func (c *Client) RevokeLease(ctx context.Context, name string) error {
 	return c.endLease(ctx, name, url.Values{"revoke": {"1"}})
 }
--- a/internal/cluster/storeclient/maintenance.go
+++ b/internal/cluster/storeclient/maintenance.go
@@ -10,7 +10,7 @@
 
 func orderPath(machine string) string { return "/work/" + url.PathEscape(machine) }
 
-// SubmitOrder asks for maintenance of a machine.
+// SubmitOrder requests maintenance of a machine.
 func (c *Client) SubmitOrder(ctx context.Context, order maintenance.Order) (submitted maintenance.Order, err error) {
 	err = c.callJSON(ctx, http.MethodPost, "/work", order, &submitted)
 	return submitted, err
--- a/internal/cluster/storeclient/transport.go
+++ b/internal/cluster/storeclient/transport.go
@@ -24,7 +24,7 @@
 	body       []byte
 }
 
-// statusError is the answer as an error.
+// statusError returns the answer as an error.
 func (r *response) statusError() error { return storeapi.NewStatusError(r.statusCode, r.body) }
 
 // do sends a request to one node after the other until one gives a final answer, that is any but
@@ -75,8 +75,8 @@
 	return answer, nil
 }
 
-// call is do with an answer that is decoded into out, unless that is nil. An answer that is no
-// success is a *storeapi.StatusError.
+// call sends a request like do, and decodes the answer into out, unless that is nil. An answer that
+// is no success is a *storeapi.StatusError.
 func (c *Client) call(ctx context.Context, method, path string, body []byte, out any) error {
 	res, err := c.do(ctx, method, path, body)
 	if err != nil {
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// callJSON is call with a body as JSON.
+// callJSON sends a request like call, with in as its JSON body.
 func (c *Client) callJSON(ctx context.Context, method, path string, in, out any) error {
 	body, err := json.Marshal(in)
 	if err != nil {
--- a/internal/cluster/storeclient/watch.go
+++ b/internal/cluster/storeclient/watch.go
@@ -64,7 +64,7 @@
 	handle func(watch.Revision) error
 }
 
-// follow watches at one node, and tells whether any event was received.
+// follow watches at one node, and reports whether any event was received.
 func (w *watcher) follow(ctx context.Context, node string) (received bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -126,7 +126,7 @@
 	return nil
 }
 
-// watchError is the error of an answer that is no stream. Only 503 is worth another attempt.
+// watchError returns the error of an answer that is no stream. Only 503 is worth another attempt.
 func watchError(statusCode int, body []byte) error {
 	var compacted storeapi.CompactedResponse
 	switch {
--- a/internal/cluster/watch/history.go
+++ b/internal/cluster/watch/history.go
@@ -39,7 +39,7 @@
 	latest    uint64 // the number of the last revision that was added
 }
 
-// NewHistory is a history that starts after a revision.
+// NewHistory returns a history that starts after a revision.
 func NewHistory(limits Limits, after uint64) *History {
 	return &History{limits: limits, compacted: after, latest: after}
 }
--- a/internal/cluster/watch/revision.go
+++ b/internal/cluster/watch/revision.go
@@ -21,7 +21,7 @@
 // changeOverheadBytes is the memory that a change takes beside its key and value.
 const changeOverheadBytes = 64
 
-// size is the memory of a revision in bytes.
+// size returns the memory of a revision in bytes.
 func (r Revision) size() int {
 	bytes := 0
 	for _, c := range r.Changes {
@@ -30,7 +30,7 @@
 	return bytes
 }
 
-// filter is the part of a revision whose keys have a prefix.
+// filter returns the part of a revision whose keys have a prefix.
 func (r Revision) filter(prefix string) Revision {
 	if prefix == "" {
 		return r
--- a/internal/maintenance/agent/agent.go
+++ b/internal/maintenance/agent/agent.go
@@ -31,7 +31,7 @@
 	// Utilization is the share of the service's cores in use, whether that is known, and whether
 	// the service has warmed up.
 	Utilization() (share float64, known, warm bool)
-	// StartDrain has the service accept nothing new and end all that it has, as on SIGTERM.
+	// StartDrain starts a graceful shutdown of the service, as on SIGTERM.
 	StartDrain()
 }
 
@@ -50,7 +50,7 @@
 	unreachable   bool               // the store, at the last heartbeat
 }
 
-// New is the agent of a machine with a name and a number of cores. localNode is the admin address of
+// New returns the agent of a machine with a name and a number of cores. localNode is the admin address of
 // the service's own node of the store; "" if it has none. Close ends the agent.
 func New(cfg Config, name string, cores float64, localNode string, service Service, log *zap.Logger) *Agent {
 	nodes := cfg.Nodes
--- a/internal/maintenance/agent/command.go
+++ b/internal/maintenance/agent/command.go
@@ -26,7 +26,7 @@
 )
 
 // PerformMaintenance reports that the machine is out, once the service has drained, and runs the
-// command if there is one. It tells whether the service is to start again.
+// command if there is one. It reports whether the service is to start again.
 func (a *Agent) PerformMaintenance() (restart bool, err error) {
 	grant := a.lease.Token
 	if err := a.report(maintenance.PhaseReport{Phase: maintenance.PhaseOut, GrantToken: grant}); err != nil {
--- a/internal/maintenance/budget.go
+++ b/internal/maintenance/budget.go
@@ -26,7 +26,7 @@
 	OvertakingPeriodMS   int64   `json:"patience_ms"` // for which the head of the queue may be overtaken; default 600 s
 }
 
-// DefaultDisruptionBudget is in force until operators set another one.
+// DefaultDisruptionBudget returns the budget in force until operators set another one.
 func DefaultDisruptionBudget() DisruptionBudget {
 	return DisruptionBudget{
 		MaxOut:               1,
--- a/internal/maintenance/chart/chart.go
+++ b/internal/maintenance/chart/chart.go
@@ -116,7 +116,7 @@
 	cores  float64
 }
 
-// capacitySteps is the capacity that stays over time, as steps, scaled so that totalCapacity is
+// capacitySteps returns the capacity that stays over time, as steps, scaled so that totalCapacity is
 // height.
 func capacitySteps(plan maintenance.Plan, totalCapacity, height float64) (line plotter.XYs) {
 	changes := []capacityChange{{}}
--- a/internal/maintenance/controller/controller.go
+++ b/internal/maintenance/controller/controller.go
@@ -55,7 +55,7 @@
 	observed map[string]observedHeartbeat // by machine
 }
 
-// New is a node's controller. It observes the machines' heartbeats from now on, so that it knows
+// New returns a node's controller. It observes the machines' heartbeats from now on, so that it knows
 // how old they are. Close ends it.
 func New(s *store.Store, log *zap.Logger) *Controller {
 	ctx, stop := context.WithCancel(context.Background())
@@ -70,7 +70,7 @@
 	c.loop.Wait()
 }
 
-// MayWrite tells whether a request may write a reserved key: it is one of the controller's, and the
+// MayWrite reports whether a request may write a reserved key: it is one of the controller's, and the
 // request depends on ControllerLease.
 func MayWrite(fences []lease.FencingToken, key string) bool {
 	return strings.HasPrefix(key, reservedPrefix) &&
--- a/internal/maintenance/controller/heartbeats.go
+++ b/internal/maintenance/controller/heartbeats.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// heartbeats are the machines' last heartbeats in this node's state. One that can't be decoded is
+// heartbeats returns the machines' last heartbeats in this node's state. One that can't be decoded is
 // ignored.
 func (c *Controller) heartbeats() (list []maintenance.Heartbeat) {
 	entries, _ := c.store.Entries()
@@ -77,7 +77,7 @@
 	return list
 }
 
-// machines are the machines of heartbeats, with what this node knows of their age, sorted by name.
+// machines returns the machines of heartbeats, with what this node knows of their age, sorted by name.
 func (c *Controller) machines(heartbeats []maintenance.Heartbeat, orders []maintenance.Order) (list []maintenance.Machine) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -103,7 +103,7 @@
 	return last
 }
 
-// withAge is a heartbeat's machine with its age. A machine is unreachable if its heartbeats are
+// withAge returns a heartbeat's machine with its age. A machine is unreachable if its heartbeats are
 // missing, or if only one was observed, which may be old.
 func withAge(h maintenance.Heartbeat, observed observedHeartbeat, now time.Time) maintenance.Machine {
 	m := h.Machine
@@ -120,7 +120,7 @@
 	return m
 }
 
-// hasReturned is false if a machine's order says that it has returned, but the heartbeat was sent
+// hasReturned returns false if a machine's order says that it has returned, but the heartbeat was sent
 // before that: it names no grant, or an earlier one.
 func hasReturned(h maintenance.Heartbeat, orders []maintenance.Order) bool {
 	i := slices.IndexFunc(orders, func(o maintenance.Order) bool { return o.Node == h.Name })
--- a/internal/maintenance/controller/orders.go
+++ b/internal/maintenance/controller/orders.go
@@ -12,7 +12,7 @@
 	"oxbowbridge/internal/maintenance"
 )
 
-// Submit asks for maintenance of a machine that has no open order. Errors wrap
+// Submit requests maintenance of a machine that has no open order. Errors wrap
 // maintenance.ErrInvalidOrder, maintenance.ErrWrongPhase or ErrConflict.
 func (c *Controller) Submit(ctx context.Context, order maintenance.Order) (maintenance.Order, error) {
 	order.Phase = maintenance.PhaseRequested
@@ -68,7 +68,7 @@
 	return fmt.Errorf("%w: %s", maintenance.ErrWrongPhase, o.Phase)
 }
 
-// fencesFor are the leases that a report depends on.
+// fencesFor returns the leases that a report depends on.
 func fencesFor(machine string, report maintenance.PhaseReport) []lease.FencingToken {
 	if report.Phase != maintenance.PhaseDraining {
 		return nil
--- a/internal/maintenance/controller/run.go
+++ b/internal/maintenance/controller/run.go
@@ -58,7 +58,7 @@
 	return c.store.ExecuteAnywhere(ctx, c.requestFor(decision, s, fence))
 }
 
-// requestFor is a decision as a request, which is carried out only if the lease is held and nothing
+// requestFor returns a decision as a request, which is carried out only if the lease is held and nothing
 // that was decided on has changed.
 func (c *Controller) requestFor(decision maintenance.Decision, s snapshot, fence lease.FencingToken) kv.Request {
 	request := kv.Request{
@@ -86,7 +86,7 @@
 	return request
 }
 
-// hasOrders tells whether there is any order in this node's state, which may be behind.
+// hasOrders reports whether there is any order in this node's state, which may be behind.
 func (c *Controller) hasOrders() bool {
 	entries, _ := c.store.Entries()
 	for key := range entries {
--- a/internal/maintenance/controller/snapshot.go
+++ b/internal/maintenance/controller/snapshot.go
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// order is the order of a machine, which must have one.
+// order returns the order of a machine, which must have one.
 func (s *snapshot) order(machine string) maintenance.Order {
 	i := slices.IndexFunc(s.observation.Orders, func(o maintenance.Order) bool { return o.Node == machine })
 	return s.observation.Orders[i]
--- a/internal/maintenance/controller/status.go
+++ b/internal/maintenance/controller/status.go
@@ -34,7 +34,7 @@
 	return machines
 }
 
-// Status is all orders and machines, and why the orders that wait do.
+// Status returns all orders and machines, and why the orders that wait do.
 func (c *Controller) Status(ctx context.Context) (status maintenance.Status, err error) {
 	s, err := c.readSnapshot(ctx)
 	if err != nil {
--- a/internal/maintenance/decide.go
+++ b/internal/maintenance/decide.go
@@ -103,7 +103,7 @@
 	return "the order is paused: " + d.PauseReason
 }
 
-// Queue is the orders that wait for a grant, the next one first: by priority, then in the order of
+// Queue returns the orders that wait for a grant, the next one first: by priority, then in the order of
 // arrival.
 func Queue(orders []Order) (queue []Order) {
 	for _, o := range orders {
--- a/internal/maintenance/doc.go
+++ b/internal/maintenance/doc.go
@@ -2,7 +2,7 @@
 // others wait. It does no I/O and reads no clock: an Observation goes in, a Decision comes out, and
 // everybody with the same observation decides the same.
 //
-// An Order asks for maintenance of one machine. Its Phase moves from requested over granted,
+// An Order is a request for maintenance of one machine. Its Phase moves from requested over granted,
 // draining, out and returned to completed (see Phase for all transitions). How many machines may be
 // out at a time, and how much capacity, is the DisruptionBudget, which operators set. Orders wait
 // in a Queue by priority and then in the order of arrival; one that does not fit into the budget is
--- a/internal/maintenance/machine.go
+++ b/internal/maintenance/machine.go
@@ -12,7 +12,7 @@
 	MachineUnreachable MachineState = "away"
 )
 
-// String is the state as it is stored.
+// String returns the state as it is stored.
 func (s MachineState) String() string { return string(s) }
 
 // Machine is what is known of a machine.
@@ -28,7 +28,7 @@
 	ReplicaGroups    []string     `json:"copies,omitempty"` // groups of which it holds a replica
 }
 
-// Capacity is the machine's capacity in cores of speed 1.
+// Capacity returns the machine's capacity in cores of speed 1.
 func (m Machine) Capacity() float64 { return m.Cores * m.Speed }
 
 // Heartbeat is what a machine reports of itself at an interval.
--- a/internal/maintenance/order.go
+++ b/internal/maintenance/order.go
@@ -19,7 +19,7 @@
 
 var validMachineName = regexp.MustCompile(`^[A-Za-z0-9._-]{1,64}$`)
 
-// Order asks for maintenance of one machine.
+// Order is a request for maintenance of one machine.
 type Order struct {
 	Node          string `json:"node"` // the machine
 	Reason        string `json:"reason"`
--- a/internal/maintenance/phase.go
+++ b/internal/maintenance/phase.go
@@ -47,15 +47,15 @@
 // ErrWrongPhase means that an order's phase does not allow a report, a cancellation or a new order.
 var ErrWrongPhase = errors.New("the machine's work is further on")
 
-// String is the phase as it is stored.
+// String returns the phase as it is stored.
 func (p Phase) String() string { return string(p) }
 
-// Open tells whether there is anything left to be done.
+// Open reports whether there is anything left to be done.
 func (p Phase) Open() bool {
 	return p != PhaseCompleted && p != PhaseAbandoned && p != PhaseExpired
 }
 
-// countsAsOut tells whether an order in this phase uses the disruption budget.
+// countsAsOut reports whether an order in this phase uses the disruption budget.
 func (p Phase) countsAsOut() bool {
 	switch p {
 	case PhaseGranted, PhaseDraining, PhaseOut, PhaseReturned, PhaseFailed:
@@ -79,7 +79,7 @@
 	Reason     string `json:"why,omitempty"`
 }
 
-// ApplyReport is the order after a report. A report that is repeated, as its answer was lost,
+// ApplyReport returns the order after a report. A report that is repeated, as its answer was lost,
 // changes nothing. The error is ErrWrongPhase.
 func (o Order) ApplyReport(report PhaseReport) (next Order, changed bool, err error) {
 	sameGrant := report.GrantToken == o.GrantToken
@@ -105,7 +105,7 @@
 	return next, true, nil
 }
 
-// Cancel is the order after a cancellation; nil if it is to be deleted. The error is ErrWrongPhase.
+// Cancel returns the order after a cancellation; nil if it is to be deleted. The error is ErrWrongPhase.
 func (o Order) Cancel() (*Order, error) {
 	switch o.Phase {
 	case PhaseFailed:
@@ -117,7 +117,7 @@
 	return nil, ErrWrongPhase
 }
 
-// timedTransition is the phase into which an order moves because of the time that it has spent in
+// timedTransition returns the phase into which an order moves because of the time that it has spent in
 // its phase, or because of its machine's state; "" if it stays.
 func timedTransition(o Order, machine Machine, v Observation) (to Phase, reason string) {
 	budget := v.Budget
--- a/internal/maintenance/plan.go
+++ b/internal/maintenance/plan.go
@@ -94,7 +94,7 @@
 	return best, nil
 }
 
-// PlanInputFrom is the input for a plan of all orders at a time (Unix milliseconds): machines that
+// PlanInputFrom returns the input for a plan of all orders at a time (Unix milliseconds): machines that
 // are out stay out for what remains of their duration, and those that wait follow.
 func PlanInputFrom(status Status, nowMS int64) PlanInput {
 	in := PlanInput{Budget: status.Budget, ZoneCapacity: map[string]float64{}}
--- a/internal/maintenance/plan_place.go
+++ b/internal/maintenance/plan_place.go
@@ -32,7 +32,7 @@
 	return p, nil
 }
 
-// firstStart is the first time at which a task fits. Only the plan's start, the end of another task
+// firstStart returns the first time at which a task fits. Only the plan's start, the end of another task
 // and the start of a window can be that.
 func (in PlanInput) firstStart(schedule []ScheduledTask, t PlanTask) (time.Duration, bool) {
 	candidates := []time.Duration{0}
@@ -55,7 +55,7 @@
 	return len(in.Windows) == 0 || slices.ContainsFunc(in.Windows, func(w StartWindow) bool { return w.From <= start && start < w.To })
 }
 
-// fits tells whether a task fits at a time. It checks the budget when the task starts, and each time
+// fits reports whether a task fits at a time. It checks the budget when the task starts, and each time
 // that another one starts meanwhile.
 func (in PlanInput) fits(schedule []ScheduledTask, t PlanTask, start time.Duration) bool {
 	if !in.fitsAt(schedule, t, start) {
@@ -105,7 +105,7 @@
 	return slices.ContainsFunc(a.ReplicaGroups, func(group string) bool { return slices.Contains(b.ReplicaGroups, group) })
 }
 
-// lowerBound is a duration that no plan can be below: the longest task, the sum of all tasks by the
+// lowerBound returns a duration that no plan can be below: the longest task, the sum of all tasks by the
 // places that there are, whole and in each zone, and by the capacity that may be out.
 func (in PlanInput) lowerBound(fixed, free []PlanTask) time.Duration {
 	var bound time.Duration
--- a/internal/maintenance/plan_search.go
+++ b/internal/maintenance/plan_search.go
@@ -75,13 +75,13 @@
 	}
 }
 
-// searchSchedules is how many schedules a local search tries.
+// searchSchedules returns how many schedules a local search tries.
 func (in PlanInput) searchSchedules(tasks int) int {
 	affordable := searchWork / (tasks * tasks)
 	return cmp.Or(in.MaxSchedules, min(max(affordable, minSearchSchedules), maxSearchSchedules))
 }
 
-// neighbor is a list with two tasks swapped, or one moved; nil if the drawn change is none, or
+// neighbor returns a list with two tasks swapped, or one moved; nil if the drawn change is none, or
 // breaks the order of priorities.
 func neighbor(rng *rand.Rand, list []PlanTask) []PlanTask {
 	from := rng.IntN(len(list))
--- a/internal/maintenance/usage.go
+++ b/internal/maintenance/usage.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// utilization is a machine's share in use. One that is not known, or too old, counts as 1.
+// utilization returns a machine's share in use. One that is not known, or too old, counts as 1.
 func (u *budgetUsage) utilization(m Machine) float64 {
 	if m.UtilizationAgeMS < 0 || m.UtilizationAgeMS > u.budget.MaxUtilizationAgeMS {
 		return 1
