--- a/internal/cluster/kv/checksum.go
+++ b/internal/cluster/kv/checksum.go
@@ -9,12 +9,13 @@
 	checksumInterval  = 16   // log entries between two points of a ChecksumHistory
 	maxChecksumPoints = 64   // points that a ChecksumHistory keeps
 	checksumPeriod    = 4096 // log entries after which the running checksum starts anew
+	outcomeBytes      = 64   // enough for the outcome of an entry, as it is encoded for the checksum
 )
 
 var checksumTable = crc64.MakeTable(crc64.ECMA)
 
-// Checksum is a running CRC-64 over the log entries and their outcomes. States that made the same
-// of the same log have the same checksum. It starts anew every checksumPeriod entries, so that
+// Checksum is a running CRC-64 over the log entries and their outcomes. Replicas that
+// applied the same entries with the same outcomes have the same checksum. It starts anew every checksumPeriod entries, so that
 // states that started at different entries, as from a snapshot of a version without checksums,
 // can be compared again.
 type Checksum struct {
@@ -27,7 +28,7 @@
 	if index/checksumPeriod > s.Checksum.StartIndex/checksumPeriod {
 		s.Checksum = Checksum{StartIndex: index / checksumPeriod * checksumPeriod}
 	}
-	outcome := make([]byte, 0, 64)
+	outcome := make([]byte, 0, outcomeBytes)
 	outcome = binary.BigEndian.AppendUint64(outcome, index)
 	outcome = binary.BigEndian.AppendUint64(outcome, s.Leases.LastToken)
 	outcome = binary.BigEndian.AppendUint64(outcome, uint64(s.TimeMS))
--- a/internal/cluster/kv/keys.go
+++ b/internal/cluster/kv/keys.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// Keys and prefixes with a meaning of their own.
+// Keys and prefixes with a meaning of their own. Their texts are stored, so they stay as they are.
 const (
 	ReservedPrefix       = "_cluster/"                 // what the store records about itself; clients may not write it
 	ClusterKey           = ReservedPrefix + "id"       // the cluster's id, for its whole life
--- a/internal/cluster/kv/request.go
+++ b/internal/cluster/kv/request.go
@@ -62,8 +62,8 @@
 	Else          []Op                 `json:"else,omitempty"`
 }
 
-// ValidateSize checks the number of operations of a request from outside; a store of record may
-// hand over more. Its error wraps ErrInvalidRequest.
+// ValidateSize checks the number of operations of a request before it enters the log. Apply does not
+// check it: entries of earlier versions may have more. Its error wraps ErrInvalidRequest.
 func (r *Request) ValidateSize() error {
 	if len(r.LeaseOps) > lease.MaxOpsPerEntry || len(r.Fences) > MaxOps || len(r.If) > MaxOps || len(r.Then) > MaxOps || len(r.Else) > MaxOps {
 		return fmt.Errorf("%w: more than %d compares or operations", ErrInvalidRequest, MaxOps)
@@ -120,7 +120,7 @@
 
 // Response is the outcome of a request.
 type Response struct {
-	Succeeded     bool           `json:"held"`              // all compares held, and Then was carried out
+	Succeeded     bool           `json:"held"`              // all compares held (nothing to do with leases), and Then was carried out
 	Revision      uint64         `json:"revision"`          // the log entry's index
 	Session       uint64         `json:"session,omitempty"` // that was opened
 	Results       []Result       `json:"results,omitempty"` // one for each operation
--- a/internal/cluster/lease/expiry.go
+++ b/internal/cluster/lease/expiry.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// WaiterTimeout is how long a waiter stays in a queue without a new request.
+// WaiterTimeout is how long a waiter stays in a queue without a new request. A request that waits at
+// the leader counts as sent again each second (store.waiterRefreshInterval).
 const WaiterTimeout = 3 * time.Second
 
 // idleInterval is when DueOps looks at all leases again if nothing is due before.
@@ -75,9 +76,9 @@
 
 // TryAcquire answers a request for a lease without an entry of the log, if that is possible:
 // the holder's own lease is renewed, and a lease that another one holds stays as it is, with
-// ErrHeld. Otherwise needsLog is true: the request has to go through the log as OpAcquire.
-// wait reports whether the caller wants a place in the queue.
-func (d *DeadlineTable) TryAcquire(s *State, name, holder string, wait bool, arrivedAt, now time.Duration) (l Lease, needsLog bool, err error) {
+// ErrHeld. Otherwise needsLogEntry is true: the request has to go through the log as
+// OpAcquire. enqueue reports whether the caller wants a place in the queue.
+func (d *DeadlineTable) TryAcquire(s *State, name, holder string, enqueue bool, arrivedAt, now time.Duration) (l Lease, needsLogEntry bool, err error) {
 	l, held := s.Leases[name]
 	queued := l.isQueued(holder)
 	if queued {
@@ -89,7 +90,7 @@
 		return l, false, nil
 	case mine: // its OpExpire may be in the log already
 		return l, false, ErrHeld
-	case held && (queued || !wait):
+	case held && (queued || !enqueue):
 		return l, false, ErrHeld
 	}
 	return l, true, nil
--- a/internal/cluster/lease/limits.go
+++ b/internal/cluster/lease/limits.go
@@ -16,12 +16,14 @@
 )
 
 // TokensPerMS is how many tokens a new cluster skips for each millisecond of its clock, so that
-// its tokens are above those of the cluster that it replaces.
+// its tokens are above those of the cluster that it replaces: no cluster grants so many leases in
+// a millisecond.
 const TokensPerMS = 2048
 
 // SafetyMargin is the fraction of a lease's TTL that its holder does not use. It covers a
 // holder's clock that runs up to 10% slow and a leader's that runs up to 10% fast:
-// (1-SafetyMargin)/0.9 <= 1/1.1.
+// the holder's usable TTL lasts at most 0.8/0.9 = 0.89 of the TTL, the leader's TTL
+// at least 1/1.1 = 0.91 of it.
 const SafetyMargin = 0.2
 
 var validName = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._:/-]{0,127}$`)
--- a/internal/cluster/lease/state.go
+++ b/internal/cluster/lease/state.go
@@ -62,9 +62,9 @@
 
 // Acquire grants a lease that is free. It returns the same token again to the present holder,
 // whose answer may have been lost; no other process goes by that name. If another holder has
-// the lease, the error is ErrHeld; with wait, the caller is then put in the queue, once. The
-// TTL is in milliseconds.
-func (s *State) Acquire(name, holder string, ttlMS int64, wait bool, priority int) (Lease, error) {
+// the lease, the error is ErrHeld; with enqueue, the caller is then put in the queue, once.
+// The TTL is in milliseconds.
+func (s *State) Acquire(name, holder string, ttlMS int64, enqueue bool, priority int) (Lease, error) {
 	if err := Validate(name, holder, ttlMS); err != nil {
 		return Lease{}, err
 	}
@@ -78,7 +78,7 @@
 		return l, nil
 	case l.Holder == holder && !l.Revoked:
 		return l, nil
-	case !wait || l.isQueued(holder):
+	case !enqueue || l.isQueued(holder):
 		return l, ErrHeld
 	case len(l.Waiters) >= MaxWaitersPerLease || s.WaiterCount >= MaxWaiters:
 		return l, fmt.Errorf("%w: %d wait for %s", ErrTooMany, len(l.Waiters), name)
@@ -118,12 +118,11 @@
 // End ends a lease that was released or has expired. If anybody waits for it, the first one
 // has it at once, under a new token: granted is true then, and next is that lease.
 func (s *State) End(name string, token uint64) (next Lease, granted bool, err error) {
-	const firstWaiter = 0
-	return s.endInFavorOf(name, token, firstWaiter)
+	return s.endInFavorOf(name, token, 0)
 }
 
-// endInFavorOf ends a lease and grants it to the waiter at an index of the queue, if there is
-// a queue.
+// endInFavorOf ends a lease and grants it to the waiter at an index of the queue (0 is the next
+// one), if there is a queue.
 func (s *State) endInFavorOf(name string, token uint64, index int) (next Lease, granted bool, err error) {
 	l, ok := s.Leases[name]
 	if !ok || l.Token != token {
--- a/internal/cluster/leaseclient/manager.go
+++ b/internal/cluster/leaseclient/manager.go
@@ -13,7 +13,7 @@
 
 const (
 	maxRequestWait = 10 * time.Second       // for which one request waits in a queue; it is then sent again
-	releaseTimeout = 500 * time.Millisecond // to give a lease back when a task or the manager ends
+	releaseTimeout = 500 * time.Millisecond // to give a lease back when a task or the manager ends; part of the shutdown, so it is short
 )
 
 // Manager holds the leases of a process. It is safe for concurrent use.
--- a/internal/cluster/leaseclient/renew.go
+++ b/internal/cluster/leaseclient/renew.go
@@ -9,11 +9,15 @@
 	"oxbowbridge/internal/cluster/storeapi"
 )
 
+// From when a keep-alive is due, a third of the TTL after the last one, to the holder's deadline there
+// is about half of the TTL (1 - lease.SafetyMargin - 1/3).
+const usableTTLDivisor = 2
+
 const (
 	maxRenewalTimeout  = 2 * time.Second        // for the answer to a keep-alive
 	maxRenewalIdle     = time.Second            // between two looks at what is due
 	maxRenewalRetry    = 125 * time.Millisecond // pause after a keep-alive that failed
-	renewalAttempts    = 4                      // that fit between when a keep-alive is due and the lease's end
+	renewalAttempts    = 4                      // that fit between when a keep-alive is due and the holder's deadline
 	renewalBatchWindow = 0.1                    // of the TTL by which a keep-alive may be early, to go with others
 )
 
@@ -71,7 +75,7 @@
 		early := time.Duration(float64(l.ttl) * renewalBatchWindow)
 		if l.state.ShouldRenew(now + early) {
 			batch.leases = append(batch.leases, l.FencingToken())
-			batch.timeout = min(batch.timeout, l.ttl/(2*renewalAttempts))
+			batch.timeout = min(batch.timeout, l.ttl/(usableTTLDivisor*renewalAttempts))
 		}
 	}
 	if !anyDue {
--- a/internal/cluster/storeadmin/backup.go
+++ b/internal/cluster/storeadmin/backup.go
@@ -52,8 +52,8 @@
 }
 
 // restore serves POST /restore: it restores a backup into an empty store of another cluster. One that
-// was interrupted continues when it is requested again; until it is complete, users' keys are
-// neither read nor written. DELETE /restore empties a store in which one was interrupted.
+// was interrupted continues when it is requested again; until it is complete, nothing but local reads
+// is possible (see waitFresh). DELETE /restore empties a store in which one was interrupted.
 func (s *server) restore(w http.ResponseWriter, r *http.Request) error {
 	http.NewResponseController(w).SetReadDeadline(time.Now().Add(storeapi.RestoreTimeout))
 	const maxBytes = backup.MaxBytes + 1<<10 // with the header
@@ -61,8 +61,7 @@
 	if err != nil {
 		return withStatus(http.StatusBadRequest, err)
 	}
-	const repeatable = false // the caller repeats it
-	if done, err := s.forward(w, r, text, repeatable); done || err != nil {
+	if done, err := s.forwardOnce(w, r, text); done || err != nil { // the caller repeats it
 		return err
 	}
 	if !s.restoreLock.TryLock() {
--- a/internal/cluster/storeadmin/forward.go
+++ b/internal/cluster/storeadmin/forward.go
@@ -29,62 +29,105 @@
 // errLeaderChanged cancels a forwarded request when another node leads.
 var errLeaderChanged = errors.New("another node leads now; whether this was carried out is not known")
 
-// forward has the leader answer a request, if that is another node; done reports whether it did. The
-// answer is not waited for once another node leads. A request that is repeatable, such as a write
-// in a session, is then sent to the next leader until forwardTimeout; of any other it is unknown
-// whether it was carried out. If done is false and there is no error, this node leads.
-func (s *server) forward(w http.ResponseWriter, r *http.Request, body []byte, repeatable bool) (done bool, err error) {
-	return s.forwardWithin(w, r, body, repeatable, forwardTimeout)
+// errBecameLeader means that this node leads by now: it carries the request out itself.
+var errBecameLeader = errors.New("this node leads now")
+
+// forwardOptions is how a request is forwarded.
+type forwardOptions struct {
+	idempotent bool          // it may be sent again when its outcome is not known
+	timeout    time.Duration // for all attempts
+	slots      slots         // one is taken while the request is forwarded
+}
+
+// forwardIdempotent has the leader answer a request that may be sent more than once; see forward.
+func (s *server) forwardIdempotent(w http.ResponseWriter, r *http.Request, body []byte) (done bool, err error) {
+	return s.forward(w, r, body, forwardOptions{idempotent: true, timeout: forwardTimeout, slots: s.forwards})
+}
+
+// forwardOnce has the leader answer a request that must not reach a leader twice; see forward.
+func (s *server) forwardOnce(w http.ResponseWriter, r *http.Request, body []byte) (done bool, err error) {
+	return s.forward(w, r, body, forwardOptions{idempotent: false, timeout: forwardTimeout, slots: s.forwards})
+}
+
+// forwardWrite has the leader answer a write, which is idempotent in a session (0 is none); see forward.
+func (s *server) forwardWrite(w http.ResponseWriter, r *http.Request, body []byte, session uint64) (done bool, err error) {
+	if session == 0 {
+		return s.forwardOnce(w, r, body)
+	}
+	return s.forwardIdempotent(w, r, body)
 }
 
-// forwardWithin forwards a request with another timeout for all attempts. A longer one is for requests
-// that wait for a lease.
-func (s *server) forwardWithin(w http.ResponseWriter, r *http.Request, body []byte, repeatable bool, timeout time.Duration) (done bool, err error) {
+// forwardAcquire has the leader answer a request that waits for a lease for maxWait at most; see forward.
+// One that waits takes no slot of the other requests.
+func (s *server) forwardAcquire(w http.ResponseWriter, r *http.Request, body []byte, maxWait time.Duration) (done bool, err error) {
+	options := forwardOptions{idempotent: true, timeout: forwardTimeout + maxWait, slots: s.forwards}
+	if maxWait > 0 {
+		options.slots = s.leaseWaits
+	}
+	return s.forward(w, r, body, options)
+}
+
+// forward has the leader answer a request, if that is another node; done reports whether it did. The
+// answer is not waited for once another node leads. An idempotent request is then sent to the next
+// leader until the timeout; of any other it is unknown whether it was carried out. If done is false
+// and there is no error, this node leads.
+func (s *server) forward(w http.ResponseWriter, r *http.Request, body []byte, options forwardOptions) (done bool, err error) {
 	if s.store.IsLeader() {
 		return false, nil
 	}
 	if err := s.checkForwardable(r); err != nil {
 		return false, err
 	}
-	limit := s.forwards
-	if timeout > forwardTimeout { // a request that waits takes no write's place
-		limit = s.leaseWaits
-	}
-	if !limit.tryAcquire() {
+	if !options.slots.tryAcquire() {
 		return false, unavailable(errTooManyRequests)
 	}
-	defer limit.release()
-	ctx, cancel := context.WithTimeout(r.Context(), timeout)
+	defer options.slots.release()
+	ctx, cancel := context.WithTimeout(r.Context(), options.timeout)
 	defer cancel()
+	answer, err := s.askLeaders(ctx, r, body, options.idempotent)
+	switch {
+	case errors.Is(err, errBecameLeader):
+		return false, nil
+	case err != nil:
+		return false, unavailable(fmt.Errorf("ask leader: %w", err))
+	}
+	relay(w, answer)
+	return true, nil
+}
+
+// askLeaders sends a request to the leader, and an idempotent one again until a leader answers it with
+// something else than 503. It gives up when ctx ends, or when no leader could be asked for
+// leaderlessTimeout. The error is errBecameLeader if this node leads by now.
+func (s *server) askLeaders(ctx context.Context, r *http.Request, body []byte, idempotent bool) (*http.Response, error) {
 	var leaderlessSince time.Time // since when no leader could be asked; zero if the last one was
 	for {
 		res, sent, err := s.askLeader(ctx, r, body)
+		if err == nil {
+			retry := res.StatusCode == http.StatusServiceUnavailable && idempotent && ctx.Err() == nil
+			if !retry {
+				return res, nil
+			}
+			err = readError(res)
+		}
+		leaderless := false
 		switch {
 		case sent:
 			leaderlessSince = time.Time{}
 		case leaderlessSince.IsZero():
 			leaderlessSince = time.Now()
-		case time.Since(leaderlessSince) > leaderlessTimeout:
-			cancel()
-		}
-		if err == nil {
-			retry := res.StatusCode == http.StatusServiceUnavailable && repeatable && ctx.Err() == nil
-			if !retry {
-				relay(w, res)
-				return true, nil
-			}
-			err = readError(res)
+		default:
+			leaderless = time.Since(leaderlessSince) > leaderlessTimeout
 		}
-		if sent && !repeatable || ctx.Err() != nil {
-			return false, unavailable(fmt.Errorf("ask leader: %w", err))
+		if sent && !idempotent || leaderless || ctx.Err() != nil {
+			return nil, err
 		}
 		select {
 		case <-ctx.Done():
-			return false, unavailable(fmt.Errorf("ask leader: %w", err))
+			return nil, err
 		case <-time.After(leaderPollInterval):
 		}
 		if s.store.IsLeader() {
-			return false, nil
+			return nil, errBecameLeader
 		}
 	}
 }
@@ -116,11 +159,7 @@
 	if err != nil {
 		return nil, false, err
 	}
-	client := s.client
-	if r.URL.Path == pathRestore || strings.HasPrefix(r.URL.Path, leasePathsWithNames) {
-		client = s.slowClient
-	}
-	res, err = client.Do(req)
+	res, err = s.forwardingClient(r).Do(req)
 	if err != nil {
 		if cause := context.Cause(ctx); cause != nil {
 			err = cause
@@ -130,6 +169,15 @@
 	return res, true, nil
 }
 
+// forwardingClient returns the client for a forwarded request: restores, and requests for a lease that may
+// wait, take longer than others.
+func (s *server) forwardingClient(r *http.Request) *http.Client {
+	if r.URL.Path == pathRestore || strings.HasPrefix(r.URL.Path, leasePathsWithNames) {
+		return s.slowClient
+	}
+	return s.client
+}
+
 // cancelOnNewLeader cancels a request to a leader when another node leads.
 func (s *server) cancelOnNewLeader(ctx context.Context, cancel context.CancelCauseFunc, leaderID string, answered <-chan struct{}) {
 	tick := time.NewTicker(leaderPollInterval)
--- a/internal/cluster/storeadmin/leases.go
+++ b/internal/cluster/storeadmin/leases.go
@@ -39,7 +39,7 @@
 	}
 	maxWait := time.Duration(request.WaitMS) * time.Millisecond
 	http.NewResponseController(w).SetReadDeadline(time.Time{}) // readTimeout would end the wait
-	if done, err := s.forwardWithin(w, r, body, true, forwardTimeout+maxWait); done || err != nil {
+	if done, err := s.forwardAcquire(w, r, body, maxWait); done || err != nil {
 		return err
 	}
 	if maxWait > 0 {
@@ -85,7 +85,7 @@
 	if request.Token != 0 || len(request.Leases) == 0 || len(request.Leases) > storeapi.MaxRenewals {
 		return fmt.Errorf("%w: want 1 to %d leases", kv.ErrInvalidRequest, storeapi.MaxRenewals)
 	}
-	if done, err := s.forward(w, r, body, true); done || err != nil {
+	if done, err := s.forwardIdempotent(w, r, body); done || err != nil {
 		return err
 	}
 	_, lost, err := s.store.RenewLeases(r.Context(), request.Leases)
@@ -110,7 +110,7 @@
 	if request.Token == 0 || len(request.Leases) > 0 {
 		return fmt.Errorf("%w: want a token", kv.ErrInvalidRequest)
 	}
-	if done, err := s.forward(w, r, body, true); done || err != nil {
+	if done, err := s.forwardIdempotent(w, r, body); done || err != nil {
 		return err
 	}
 	renewed, lost, err := s.store.RenewLeases(r.Context(), []lease.FencingToken{{Name: name, Token: request.Token}})
@@ -134,7 +134,7 @@
 	if revoke == hasToken || !revoke && (err != nil || token == 0) {
 		return fmt.Errorf("%w: want token=T, or revoke=1", kv.ErrInvalidRequest)
 	}
-	if done, err := s.forward(w, r, nil, true); done || err != nil {
+	if done, err := s.forwardIdempotent(w, r, nil); done || err != nil {
 		return err
 	}
 	return noContent(w, s.store.EndLease(r.PathValue("name"), token, query.Get("to")))
@@ -142,11 +142,10 @@
 
 // listLeases serves GET /lease.
 func (s *server) listLeases(w http.ResponseWriter, r *http.Request) error {
-	if done, err := s.forward(w, r, nil, true); done || err != nil {
+	if done, err := s.forwardIdempotent(w, r, nil); done || err != nil {
 		return err
 	}
-	const allNames = ""
-	leases, err := s.heldLeases(r, allNames)
+	leases, err := s.heldLeases(r, "")
 	if err != nil {
 		return err
 	}
@@ -156,7 +155,7 @@
 
 // getLease serves GET /lease/NAME.
 func (s *server) getLease(w http.ResponseWriter, r *http.Request) error {
-	if done, err := s.forward(w, r, nil, true); done || err != nil {
+	if done, err := s.forwardIdempotent(w, r, nil); done || err != nil {
 		return err
 	}
 	leases, err := s.heldLeases(r, r.PathValue("name"))
@@ -170,7 +169,8 @@
 	return nil
 }
 
-// heldLeases returns all leases that are held, or one of a name, sorted by name.
+// heldLeases returns the lease of a name, if it is held; with "" all leases that are held, sorted
+// by name.
 func (s *server) heldLeases(r *http.Request, name string) ([]storeapi.LeaseStatus, error) {
 	held, remaining, err := s.store.Leases(r.Context(), name)
 	leases := make([]storeapi.LeaseStatus, 0, len(held))
--- a/internal/cluster/storeadmin/maintenance.go
+++ b/internal/cluster/storeadmin/maintenance.go
@@ -21,7 +21,7 @@
 			return err
 		}
 	}
-	if done, err := s.forward(w, r, body, true); done || err != nil {
+	if done, err := s.forwardIdempotent(w, r, body); done || err != nil {
 		return err
 	}
 	out, err := answer(decoded)
@@ -50,7 +50,7 @@
 // cancelOrder serves DELETE /work/MACHINE.
 func (s *server) cancelOrder(w http.ResponseWriter, r *http.Request) error {
 	return answerAtLeader(s, w, r, func(none) (any, error) {
-		return nil, s.controller.Cancel(r.Context(), r.PathValue("node"))
+		return nil, s.controller.Cancel(r.Context(), r.PathValue("machine"))
 	})
 }
 
@@ -66,14 +66,14 @@
 // reportPhase serves PUT /work/MACHINE.
 func (s *server) reportPhase(w http.ResponseWriter, r *http.Request) error {
 	return answerAtLeader(s, w, r, func(report maintenance.PhaseReport) (any, error) {
-		return nil, s.controller.Report(r.Context(), r.PathValue("node"), report)
+		return nil, s.controller.Report(r.Context(), r.PathValue("machine"), report)
 	})
 }
 
 // recordHeartbeat serves PUT /work/MACHINE/beat. The answer is the machine's order, or null.
 func (s *server) recordHeartbeat(w http.ResponseWriter, r *http.Request) error {
 	return answerAtLeader(s, w, r, func(heartbeat maintenance.Heartbeat) (any, error) {
-		heartbeat.Name = r.PathValue("node")
+		heartbeat.Name = r.PathValue("machine")
 		order, err := s.controller.RecordHeartbeat(r.Context(), heartbeat)
 		return order, err // a nil *Order is answered as null
 	})
--- a/internal/cluster/storeadmin/members.go
+++ b/internal/cluster/storeadmin/members.go
@@ -10,7 +10,7 @@
 
 // listMembers serves GET /members: the members as the leader sees them.
 func (s *server) listMembers(w http.ResponseWriter, r *http.Request) error {
-	if done, err := s.forward(w, r, nil, true); done || err != nil {
+	if done, err := s.forwardIdempotent(w, r, nil); done || err != nil {
 		return err
 	}
 	members, err := s.store.Members(r.Context())
@@ -28,7 +28,7 @@
 	if err != nil {
 		return err
 	}
-	if done, err := s.forward(w, r, body, true); done || err != nil {
+	if done, err := s.forwardIdempotent(w, r, body); done || err != nil {
 		return err
 	}
 	return noContent(w, s.store.Join(r.Context(), request))
@@ -37,7 +37,7 @@
 // changeMember serves PUT, DELETE or POST /members/NAME.
 func (s *server) changeMember(change func(name string) error) handler {
 	return func(w http.ResponseWriter, r *http.Request) error {
-		if done, err := s.forward(w, r, nil, true); done || err != nil {
+		if done, err := s.forwardIdempotent(w, r, nil); done || err != nil {
 			return err
 		}
 		return noContent(w, change(r.PathValue("name")))
--- a/internal/cluster/storeadmin/read.go
+++ b/internal/cluster/storeadmin/read.go
@@ -82,7 +82,7 @@
 
 // waitFresh waits until this node's state is as fresh as a request asks for: linearizable by
 // default, ?stale=DURATION, or ?local=1. Nothing but a local read is possible while a backup is
-// being restored.
+// being restored: others are answered with 503.
 func (s *server) waitFresh(w http.ResponseWriter, r *http.Request) error {
 	freshness, err := parseFreshness(r)
 	if err != nil {
--- a/internal/cluster/storeadmin/server.go
+++ b/internal/cluster/storeadmin/server.go
@@ -35,7 +35,7 @@
 	store       *store.Store
 	controller  *controller.Controller
 	client      *http.Client // for forwarded requests
-	slowClient  *http.Client // for forwarded requests that may take longer
+	slowClient  *http.Client // for forwarded requests that may take longer (see forwardingClient)
 	watchers    slots
 	forwards    slots
 	leaseWaits  slots
@@ -135,13 +135,13 @@
 		"PUT /lease/{name...}":    s.renewLease,
 		"DELETE /lease/{name...}": s.endLease,
 		// Maintenance.
-		"GET /work":             s.maintenanceStatus,
-		"POST /work":            s.submitOrder,
-		"POST /work/pause":      s.setPause(true),
-		"POST /work/resume":     s.setPause(false),
-		"DELETE /work/{node}":   s.cancelOrder,
-		"PUT /work/{node}":      s.reportPhase,
-		"PUT /work/{node}/beat": s.recordHeartbeat,
+		"GET /work":                s.maintenanceStatus,
+		"POST /work":               s.submitOrder,
+		"POST /work/pause":         s.setPause(true),
+		"POST /work/resume":        s.setPause(false),
+		"DELETE /work/{machine}":   s.cancelOrder,
+		"PUT /work/{machine}":      s.reportPhase,
+		"PUT /work/{machine}/beat": s.recordHeartbeat,
 	} {
 		mux.Handle(pattern, handle)
 	}
--- a/internal/cluster/storeadmin/write.go
+++ b/internal/cluster/storeadmin/write.go
@@ -17,7 +17,8 @@
 const maxTxnBytes = 1 << 20 // of a transaction's body
 
 // writeKey serves PUT and DELETE /store/KEY. With conditions, in a session or with a lease it is a
-// transaction; otherwise it is repeated by the node until it is known to be carried out.
+// transaction; otherwise it is a plain write, which is sent to the leader once: after an answer of
+// 503 it may have been carried out.
 func (s *server) writeKey(w http.ResponseWriter, r *http.Request) error {
 	value, err := readValue(w, r)
 	if err != nil {
@@ -29,7 +30,7 @@
 	if isConditional(r) {
 		return s.writeKeyIf(w, r, value)
 	}
-	if done, err := s.forward(w, r, value, false); done || err != nil {
+	if done, err := s.forwardOnce(w, r, value); done || err != nil {
 		return err
 	}
 	return noContent(w, s.store.Set(r.Context(), r.PathValue("key"), value))
@@ -58,7 +59,7 @@
 		op = kv.Delete(r.PathValue("key"))
 	}
 	request.Then = []kv.Op{op}
-	if done, err := s.forward(w, r, value, request.Session != 0); done || err != nil {
+	if done, err := s.forwardWrite(w, r, value, request.Session); done || err != nil {
 		return err
 	}
 	response, err := s.store.Execute(request)
@@ -76,7 +77,7 @@
 
 // openSession serves POST /session.
 func (s *server) openSession(w http.ResponseWriter, r *http.Request) error {
-	if done, err := s.forward(w, r, nil, true); done || err != nil {
+	if done, err := s.forwardIdempotent(w, r, nil); done || err != nil {
 		return err
 	}
 	return s.execute(w, kv.Request{OpenSession: true})
@@ -101,7 +102,7 @@
 	if err := checkMayWrite(request); err != nil {
 		return err
 	}
-	if done, err := s.forward(w, r, body, request.Session != 0); done || err != nil {
+	if done, err := s.forwardWrite(w, r, body, request.Session); done || err != nil {
 		return err
 	}
 	return s.execute(w, request)
--- a/internal/cluster/storeapi/node.go
+++ b/internal/cluster/storeapi/node.go
@@ -8,24 +8,24 @@
 // Status is the answer to GET /status: a node as operators see it.
 type Status struct {
 	Node          string `json:"node"`
-	State         string `json:"state"`           // Raft's state, or what the node waits for
+	State         string `json:"state"`           // Waiting, Joining, or while it is a member Raft's state: Leader, Follower or Candidate
 	Leader        string `json:"leader"`          // name of the leader; "" if none is known
 	AppliedIndex  uint64 `json:"applied"`         // log index that the node's state includes
 	LastIndex     uint64 `json:"last"`            // of the node's log
-	MirroredIndex uint64 `json:"mirrored"`        // log index up to which the store of record is complete
-	SQLError      string `json:"error,omitempty"` // why the store of record is behind
+	MirroredIndex uint64 `json:"mirrored"`        // log index up to which the SQL mirror is complete
+	SQLError      string `json:"error,omitempty"` // why the SQL mirror is behind
 	Watchers      int    `json:"watchers"`
 	Cluster       string `json:"cluster,omitempty"` // id of the cluster, once it is known
 	ForeignPeers  string `json:"foreign,omitempty"` // peers that belong to another cluster
 	ID            string `json:"id,omitempty"`      // the node's name and its disk's identity
-	WaitingFor    string `json:"waits,omitempty"`   // why the node does not take part yet
+	WaitingFor    string `json:"waits,omitempty"`   // why the node does not take part yet; "" once it does
 }
 
 // PeerStatus is the answer to GET /self: a node as another node sees it, with what it has observed of
 // the other one's disk.
 type PeerStatus struct {
 	diskidentity.Attestation
-	State          string                 `json:"state"` // serving, waiting or failed
+	State          string                 `json:"state"` // serving (also while it joins) or waiting
 	Watermark      diskidentity.Watermark `json:"mark"`
 	AppliedIndex   uint64                 `json:"applied"`
 	RaftAddress    string                 `json:"raft"`
@@ -49,7 +49,7 @@
 	ID            string `json:"id"` // name and disk identity
 	Zone          string `json:"zone,omitempty"`
 	Role          string `json:"role"`   // voter or learner
-	EntriesBehind uint64 `json:"behind"` // log entries that it has not applied yet
+	EntriesBehind uint64 `json:"behind"` // entries of the leader's log that its own log lacks
 	State         string `json:"state"`  // leader, up, leaving, lost, or for how long it has been down
 	AdminAddress  string `json:"admin"`
 	NextStep      string `json:"next,omitempty"` // the change of membership to come
--- a/internal/maintenance/agent/agent.go
+++ b/internal/maintenance/agent/agent.go
@@ -21,7 +21,7 @@
 const (
 	machineLeaseTTL     = 10 * time.Second
 	reportTimeout       = 10 * time.Second // for one report, with its retries
-	releaseTimeout      = time.Second      // to give the machine's lease back
+	releaseTimeout      = time.Second      // to give the machine's lease back; if it fails, the lease expires after machineLeaseTTL
 	minHeartbeatTimeout = 2 * time.Second  // for one heartbeat; the interval if that is longer
 	unknownUtilization  = 1                // what is not known counts as in use
 )
@@ -144,7 +144,7 @@
 	case maintenance.PhaseGranted:
 		return a.confirm(ctx)
 	case maintenance.PhaseDraining, maintenance.PhaseOut, maintenance.PhaseFailed:
-		// An earlier process has left by this order; this one is its successor.
+		// The process that confirmed this order has ended, so this start is the machine's return.
 		report := maintenance.PhaseReport{Phase: maintenance.PhaseReturned, GrantToken: order.GrantToken}
 		if err := a.client.ReportPhase(ctx, a.machine.Name, report); err != nil {
 			return err
@@ -179,6 +179,5 @@
 func (a *Agent) release(lease *leaseclient.Lease) error {
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
-	const anyWaiter = ""
-	return lease.Release(ctx, anyWaiter)
+	return lease.Release(ctx, "") // to the next waiter, if any
 }
