--- a/internal/cluster/store/ack_transport.go
+++ b/internal/cluster/store/ack_transport.go
@@ -10,9 +10,9 @@
 	"github.com/hashicorp/raft"
 )
 
-// leaderCheckInterval is how soon a leader that waits for answers notices that it lost the
+// leadershipCheckInterval is how soon a leader that waits for answers notices that it lost the
 // leadership.
-const leaderCheckInterval = 50 * time.Millisecond
+const leadershipCheckInterval = 50 * time.Millisecond
 
 // ackTransport is Raft's transport with three more guarantees.
 //
@@ -33,9 +33,9 @@
 	*raft.NetworkTransport
 	currentTerm atomic.Pointer[func() uint64] // this node's; nil until Raft runs
 
-	mu       sync.Mutex
-	lastAcks map[raft.ServerID]peerAck
-	updated  chan struct{} // closed at the next answer
+	mu          sync.Mutex
+	lastAcks    map[raft.ServerID]peerAck
+	ackRecorded chan struct{} // closed at the next answer
 }
 
 // peerAck is a peer's answer in a leader's term.
@@ -45,7 +45,7 @@
 }
 
 func newAckTransport(t *raft.NetworkTransport) *ackTransport {
-	return &ackTransport{NetworkTransport: t, lastAcks: map[raft.ServerID]peerAck{}, updated: make(chan struct{})}
+	return &ackTransport{NetworkTransport: t, lastAcks: map[raft.ServerID]peerAck{}, ackRecorded: make(chan struct{})}
 }
 
 // AppendEntries sends entries or a heartbeat, and records the answer.
@@ -59,9 +59,9 @@
 		return err
 	}
 	sentAt := time.Now()
-	err := t.NetworkTransport.AppendEntries(id, addr, boundCommitIndex(request), response)
+	err := t.NetworkTransport.AppendEntries(id, addr, clampCommitIndex(request), response)
 	if err == nil && response.Term == request.Term {
-		t.record(id, peerAck{term: request.Term, sentAt: sentAt})
+		t.recordAck(id, peerAck{term: request.Term, sentAt: sentAt})
 	}
 	return err
 }
@@ -87,12 +87,12 @@
 	if err := p.transport.checkTerm(request.Term); err != nil {
 		return nil, err
 	}
-	return p.AppendPipeline.AppendEntries(boundCommitIndex(request), response)
+	return p.AppendPipeline.AppendEntries(clampCommitIndex(request), response)
 }
 
-// boundCommitIndex is a request whose commit index is no further than the entries that it compares
+// clampCommitIndex is a request whose commit index is no further than the entries that it compares
 // and brings.
-func boundCommitIndex(request *raft.AppendEntriesRequest) *raft.AppendEntriesRequest {
+func clampCommitIndex(request *raft.AppendEntriesRequest) *raft.AppendEntriesRequest {
 	last := request.PrevLogEntry + uint64(len(request.Entries))
 	if request.LeaderCommitIndex <= last {
 		return request
@@ -110,21 +110,21 @@
 	return nil
 }
 
-func (t *ackTransport) record(id raft.ServerID, ack peerAck) {
+func (t *ackTransport) recordAck(id raft.ServerID, ack peerAck) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.lastAcks[id] = ack
-	close(t.updated)
-	t.updated = make(chan struct{})
+	close(t.ackRecorded)
+	t.ackRecorded = make(chan struct{})
 }
 
 // quorumRequest asks for a majority that still follows a leader.
 type quorumRequest struct {
-	leader   raft.ServerID // this node
-	conf     raft.Configuration
-	term     uint64      // in which the voters have to answer
-	after    time.Time   // answers to requests that were sent earlier do not count
-	isLeader func() bool // reports whether this node still leads
+	leader    raft.ServerID // this node
+	conf      raft.Configuration
+	term      uint64      // in which the voters have to answer
+	sentSince time.Time   // answers to requests that were sent earlier do not count
+	isLeader  func() bool // reports whether this node still leads
 }
 
 // awaitMajority waits until a majority of the voters, this one among them, has answered in the term
@@ -132,7 +132,7 @@
 // once this node has lost the leadership.
 func (t *ackTransport) awaitMajority(ctx context.Context, request quorumRequest) error {
 	for request.isLeader() {
-		voters, following, updated := t.countFollowing(request)
+		voters, following, updated := t.countFollowers(request)
 		if 2*following > voters {
 			return nil
 		}
@@ -140,15 +140,15 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-updated:
-		case <-time.After(leaderCheckInterval):
+		case <-time.After(leadershipCheckInterval):
 		}
 	}
 	return ErrNoLeader
 }
 
-// countFollowing counts the voters, and those that follow this node as requested. updated is closed at
+// countFollowers counts the voters, and those that follow this node as requested. updated is closed at
 // the next answer.
-func (t *ackTransport) countFollowing(request quorumRequest) (voters, following int, updated <-chan struct{}) {
+func (t *ackTransport) countFollowers(request quorumRequest) (voters, following int, updated <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, server := range request.conf.Servers {
@@ -157,9 +157,9 @@
 		}
 		voters++
 		ack := t.lastAcks[server.ID]
-		if server.ID == request.leader || ack.term == request.term && !ack.sentAt.Before(request.after) {
+		if server.ID == request.leader || ack.term == request.term && !ack.sentAt.Before(request.sentSince) {
 			following++
 		}
 	}
-	return voters, following, t.updated
+	return voters, following, t.ackRecorded
 }
--- a/internal/cluster/store/ack_transport_test.go
+++ b/internal/cluster/store/ack_transport_test.go
@@ -23,7 +23,7 @@
 	await := func(isLeader bool) error {
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
 		defer cancel()
-		return a.awaitMajority(ctx, quorumRequest{leader: "a", conf: conf, term: 7, after: now, isLeader: func() bool { return isLeader }})
+		return a.awaitMajority(ctx, quorumRequest{leader: "a", conf: conf, term: 7, sentSince: now, isLeader: func() bool { return isLeader }})
 	}
 	for _, k := range []struct {
 		id   raft.ServerID
@@ -31,7 +31,7 @@
 		want error
 	}{{"b", peerAck{7, now.Add(-1)}, context.DeadlineExceeded}, {"b", peerAck{6, now}, context.DeadlineExceeded},
 		{"d", peerAck{7, now}, context.DeadlineExceeded}, {"c", peerAck{7, now}, nil}} {
-		a.record(k.id, k.ack)
+		a.recordAck(k.id, k.ack)
 		assert.True(t, errors.Is(await(true), k.want), k)
 	}
 	assert.ErrorIs(t, await(false), ErrNoLeader)
@@ -49,27 +49,27 @@
 	assert.NoError(t, a.checkTerm(8))
 }
 
-// applied is a raft.FSM that keeps what it was given.
-type applied struct {
+// recordingFSM is a raft.FSM that keeps what it was given.
+type recordingFSM struct {
 	mu   sync.Mutex
 	data []string
 }
 
-func (a *applied) Apply(l *raft.Log) any {
+func (a *recordingFSM) Apply(l *raft.Log) any {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.data = append(a.data, string(l.Data))
 	return nil
 }
 
-func (a *applied) all() []string {
+func (a *recordingFSM) appliedData() []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return slices.Clone(a.data)
 }
 
-func (a *applied) Snapshot() (raft.FSMSnapshot, error) { return nil, errors.New("none") }
-func (a *applied) Restore(io.ReadCloser) error         { return errors.New("none") }
+func (a *recordingFSM) Snapshot() (raft.FSMSnapshot, error) { return nil, errors.New("none") }
+func (a *recordingFSM) Restore(io.ReadCloser) error         { return errors.New("none") }
 
 // TestCommitIndexIsBounded: a peer has an entry of an earlier leader that was never committed.
 // The new leader's first request to it comes late: it compares the entry before that one,
@@ -86,7 +86,7 @@
 	rc := raft.DefaultConfig()
 	rc.LocalID, rc.LogOutput = "peer", io.Discard
 	rc.HeartbeatTimeout, rc.ElectionTimeout, rc.LeaderLeaseTimeout = time.Hour, time.Hour, time.Hour // no elections: the test sends every message
-	disk, state := raft.NewInmemStore(), &applied{}
+	disk, state := raft.NewInmemStore(), &recordingFSM{}
 	snaps := raft.NewInmemSnapshotStore()
 	require.NoError(t, raft.BootstrapCluster(rc, disk, disk, snaps, peer, raft.Configuration{Servers: []raft.Server{
 		{ID: "peer", Address: peer.LocalAddr()}, {ID: "leader", Address: leader.LocalAddr()}, {ID: "third", Address: "127.0.0.1:1"}}}))
@@ -109,6 +109,6 @@
 	require.NoError(t, err)
 	require.NoError(t, f.Error())
 	require.NoError(t, leader.AppendEntries("peer", peer.LocalAddr(), request(&raft.Log{Index: 3, Term: 3, Data: []byte("committed")}), &answer))
-	require.Eventually(t, func() bool { return len(state.all()) >= 2 }, 10*time.Second, time.Millisecond)
-	require.Equal(t, []string{"first", "committed"}, state.all())
+	require.Eventually(t, func() bool { return len(state.appliedData()) >= 2 }, 10*time.Second, time.Millisecond)
+	require.Equal(t, []string{"first", "committed"}, state.appliedData())
 }
--- a/internal/cluster/store/apply.go
+++ b/internal/cluster/store/apply.go
@@ -11,8 +11,8 @@
 
 // applyResult is what Apply returns to the goroutine that proposed the entry.
 type applyResult struct {
-	answer kv.Response
-	err    error
+	response kv.Response
+	err      error
 }
 
 // leaseGrant is a lease that went to one who waited for it.
@@ -25,19 +25,19 @@
 	for _, g := range effects.grants {
 		s.onLeaseGranted(g.name, g.holder)
 	}
-	effects.notify()
-	s.signalChanged()
+	effects.notifyListeners()
+	s.wakeMirror()
 	return result
 }
 
-// effects are what listeners hear of once the state's lock is free.
-type effects struct {
+// applyEffects are what listeners hear of once the state's lock is free.
+type applyEffects struct {
 	changes   []watch.Change
 	grants    []leaseGrant
 	listeners []changeListener // as of the change
 }
 
-func (e effects) notify() {
+func (e applyEffects) notifyListeners() {
 	for _, c := range e.changes {
 		for _, listener := range e.listeners {
 			listener(c.Key, c.Value)
@@ -45,7 +45,7 @@
 	}
 }
 
-func (s *replicatedState) applyEntry(entry *raft.Log) (result applyResult, out effects) {
+func (s *replicatedState) applyEntry(entry *raft.Log) (result applyResult, out applyEffects) {
 	request, err := decodeLogEntry(entry.Data)
 	if err != nil {
 		err = fmt.Errorf("log entry %d: %w", entry.Index, err)
@@ -54,14 +54,14 @@
 	defer s.mu.Unlock()
 	var changed []string
 	s.checksums = s.checksums.RecordBefore(entry.Index, s.data)
-	result.answer, changed, result.err = s.data.ApplyEntry(entry.Index, entry.Data, request, err)
+	result.response, changed, result.err = s.data.ApplyEntry(entry.Index, entry.Data, request, err)
 	for _, key := range changed {
 		e := s.data.Entries[key]
 		out.changes = append(out.changes, watch.Change{Key: key, Value: e.Value, Deleted: e.Deleted})
 	}
 	s.history.Add(entry.Index, out.changes)
 	s.signalAdvanced()
-	for _, name := range result.answer.GrantedLeases {
+	for _, name := range result.response.GrantedLeases {
 		out.grants = append(out.grants, leaseGrant{name: name, holder: s.data.Leases.Leases[name].Holder})
 	}
 	out.listeners = s.listeners
--- a/internal/cluster/store/backup_restore.go
+++ b/internal/cluster/store/backup_restore.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	maxRestoreOps   = kv.MaxOps / 2 // keys that one log entry restores
-	maxRestoreBytes = 256 << 10     // of their values
-	// restoredKey has which backup the store began with, as a storeapi.RestoreResponse.
-	restoredKey = kv.ReservedPrefix + "restored"
+	maxRestoreBatchOps   = kv.MaxOps / 2 // keys that one log entry restores
+	maxRestoreBatchBytes = 256 << 10     // of their values
+	// restoreResultKey has which backup the store began with, as a storeapi.RestoreResponse.
+	restoreResultKey = kv.ReservedPrefix + "restored"
 )
 
 var errNoClusterID = errors.New("the cluster has no id yet")
@@ -35,42 +35,42 @@
 	case header.Cluster:
 		return storeapi.RestoreResponse{}, fmt.Errorf("%w: this is the cluster that it was taken from", ErrNotEmpty)
 	}
-	if earlier, ok := s.earlierRestore(); ok && earlier.SHA256 == header.SHA256 {
+	if earlier, ok := s.previousRestore(); ok && earlier.SHA256 == header.SHA256 {
 		return earlier, nil
 	}
-	marker, err := s.beginRestore(ctx, header.SHA256)
+	marker, err := s.startRestore(ctx, header.SHA256)
 	if err != nil {
 		return storeapi.RestoreResponse{}, err
 	}
-	run := &restoreRun{
-		store:  s,
-		marker: marker,
-		header: header,
-		result: storeapi.RestoreResponse{SourceCluster: header.Cluster, Cluster: clusterID, SHA256: header.SHA256},
+	writer := &restoreWriter{
+		store:          s,
+		markerRevision: marker,
+		header:         header,
+		result:         storeapi.RestoreResponse{SourceCluster: header.Cluster, Cluster: clusterID, SHA256: header.SHA256},
 	}
-	if err := run.write(ctx, entries); err != nil {
+	if err := writer.write(ctx, entries); err != nil {
 		return storeapi.RestoreResponse{}, err
 	}
-	return run.result, nil
+	return writer.result, nil
 }
 
-// earlierRestore is the answer to the restore that the store began with.
-func (s *Store) earlierRestore() (out storeapi.RestoreResponse, ok bool) {
-	e, ok := s.state.get(restoredKey)
+// previousRestore is the answer to the restore that the store began with.
+func (s *Store) previousRestore() (out storeapi.RestoreResponse, ok bool) {
+	e, ok := s.state.get(restoreResultKey)
 	return out, ok && json.Unmarshal(e.Value, &out) == nil
 }
 
-// restoreRun writes a backup in batches, each a log entry that holds under the restore's marker.
-type restoreRun struct {
-	store  *Store
-	marker uint64 // revision of kv.RestoreKey
-	header backup.Header
-	batch  []kv.Op
-	bytes  int // of the batch's values
-	result storeapi.RestoreResponse
+// restoreWriter writes a backup in batches, each a log entry that holds under the restore's marker.
+type restoreWriter struct {
+	store          *Store
+	markerRevision uint64 // revision of kv.RestoreKey
+	header         backup.Header
+	batch          []kv.Op
+	bytes          int // of the batch's values
+	result         storeapi.RestoreResponse
 }
 
-func (r *restoreRun) write(ctx context.Context, entries []backup.Entry) error {
+func (r *restoreWriter) write(ctx context.Context, entries []backup.Entry) error {
 	for _, e := range entries {
 		if !kv.IsUserKey(e.Key) {
 			continue // state that the old cluster's services published
@@ -78,7 +78,7 @@
 		r.batch = append(r.batch, kv.Put(e.Key, e.Value))
 		r.bytes += len(e.Value)
 		r.result.Keys++
-		if len(r.batch) < maxRestoreOps && r.bytes < maxRestoreBytes {
+		if len(r.batch) < maxRestoreBatchOps && r.bytes < maxRestoreBatchBytes {
 			continue
 		}
 		if err := r.flush(ctx); err != nil {
@@ -89,19 +89,19 @@
 }
 
 // finish admits other writes again, and notes the result.
-func (r *restoreRun) finish(ctx context.Context) error {
+func (r *restoreWriter) finish(ctx context.Context) error {
 	text, err := json.Marshal(r.result)
 	if err != nil {
 		return err
 	}
-	r.batch = append(r.batch, kv.Delete(kv.RestoreKey), kv.Put(restoredKey, text))
+	r.batch = append(r.batch, kv.Delete(kv.RestoreKey), kv.Put(restoreResultKey, text))
 	return r.flush(ctx)
 }
 
-func (r *restoreRun) flush(ctx context.Context) error {
+func (r *restoreWriter) flush(ctx context.Context) error {
 	response, err := r.store.Execute(kv.Request{
 		TokenFloor: tokenFloor(r.header.Token),
-		If:         []kv.Compare{{Key: kv.RestoreKey, Revision: r.marker}},
+		If:         []kv.Compare{{Key: kv.RestoreKey, Revision: r.markerRevision}},
 		Then:       r.batch,
 	})
 	if err == nil && !response.Succeeded {
@@ -128,7 +128,7 @@
 		if marker.Version > 1 && kv.IsUserKey(key) {
 			batch.Then = append(batch.Then, kv.Delete(key))
 		}
-		if len(batch.Then) == maxRestoreOps {
+		if len(batch.Then) == maxRestoreBatchOps {
 			if _, err := s.Execute(batch); err != nil {
 				return err
 			}
@@ -140,18 +140,18 @@
 	return err
 }
 
-// beginRestore closes the store to other writes than this backup's, if it is empty or was closed for
+// startRestore closes the store to other writes than this backup's, if it is empty or was closed for
 // the same backup. It returns the marker's revision.
 //
 // The marker is written twice. The first version keeps other writers out while it is checked that
 // the store is empty; the second one says that it was, so that what is in it since then is of this
 // backup.
-func (s *Store) beginRestore(ctx context.Context, sha256 string) (revision uint64, err error) {
+func (s *Store) startRestore(ctx context.Context, sha256 string) (revision uint64, err error) {
 	value, err := json.Marshal(sha256)
 	if err != nil {
 		return 0, err
 	}
-	if err := s.putMarker(ctx, value); err != nil {
+	if err := s.putRestoreMarker(ctx, value); err != nil {
 		return 0, err
 	}
 	entries, _ := s.state.entries()
@@ -179,9 +179,9 @@
 	return response.Results[0].Revision, nil
 }
 
-// putMarker writes the first version of the marker unless there is one, and waits until all that was
+// putRestoreMarker writes the first version of the marker unless there is one, and waits until all that was
 // written before it is known.
-func (s *Store) putMarker(ctx context.Context, value json.RawMessage) error {
+func (s *Store) putRestoreMarker(ctx context.Context, value json.RawMessage) error {
 	_, err := s.Execute(kv.Request{
 		If:   []kv.Compare{{Key: kv.RestoreKey}},
 		Then: []kv.Op{kv.Put(kv.RestoreKey, value)},
--- a/internal/cluster/store/cluster_id.go
+++ b/internal/cluster/store/cluster_id.go
@@ -22,35 +22,35 @@
 	clusterIDBytes        = 16 // before they are written in hexadecimal
 )
 
-// learnedClusterID is which cluster this node belongs to, and which peers belong to another one. A
+// clusterIDState is which cluster this node belongs to, and which peers belong to another one. A
 // new node belongs to none until it has the key from the others, and to that one for good.
-type learnedClusterID struct {
+type clusterIDState struct {
 	mu           sync.Mutex
 	id           string
 	foreignPeers map[string]string // their cluster IDs, by name
 }
 
-func (c *learnedClusterID) get() string {
+func (c *clusterIDState) get() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.id
 }
 
-func (c *learnedClusterID) set(id string) {
+func (c *clusterIDState) set(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.id = id
 }
 
-// foreignNames are the peers of other clusters, separated by spaces.
-func (c *learnedClusterID) foreignNames() string {
+// foreignPeerNames are the peers of other clusters, separated by spaces.
+func (c *clusterIDState) foreignPeerNames() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return strings.Join(slices.Sorted(maps.Keys(c.foreignPeers)), " ")
 }
 
-// addForeign notes a peer of another cluster, and logs it once.
-func (c *learnedClusterID) addForeign(name, clusterID string, log *zap.Logger) {
+// addForeignPeer notes a peer of another cluster, and logs it once.
+func (c *clusterIDState) addForeignPeer(name, clusterID string, log *zap.Logger) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.foreignPeers[name] != clusterID {
@@ -62,7 +62,7 @@
 	c.foreignPeers[name] = clusterID
 }
 
-func (c *learnedClusterID) removeForeign(name string) {
+func (c *clusterIDState) removeForeignPeer(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.foreignPeers, name)
--- a/internal/cluster/store/config.go
+++ b/internal/cluster/store/config.go
@@ -59,9 +59,9 @@
 const (
 	defaultReplaceAfter = time.Minute
 	defaultForgetAfter  = 24 * time.Hour
-	// membershipSettleTime is the minimum time between two membership changes: each is decided on
+	// minMembershipChangeInterval is the minimum time between two membership changes: each is decided on
 	// reports that are newer than the one before (pollInterval).
-	membershipSettleTime = 200 * time.Millisecond
+	minMembershipChangeInterval = 200 * time.Millisecond
 	// maxEntriesBehind is how many log entries a healthy member may miss. A learner with more is not
 	// promoted; a voter with more does not count for the healthy majority that each change needs.
 	maxEntriesBehind = 100
@@ -113,13 +113,13 @@
 	return p, p.Name == c.Node
 }
 
-// policy is what the leader decides on members by.
-func (c *Config) policy() membership.Policy {
+// membershipPolicy is what the leader decides on members by.
+func (c *Config) membershipPolicy() membership.Policy {
 	return membership.Policy{
 		Voters:           cmp.Or(c.Voters, len(c.Peers)),
 		ReplaceAfter:     cmp.Or(time.Duration(c.ReplaceAfterMS)*time.Millisecond, defaultReplaceAfter),
 		ForgetAfter:      cmp.Or(time.Duration(c.ForgetAfterMS)*time.Millisecond, defaultForgetAfter),
-		SettleTime:       membershipSettleTime,
+		SettleTime:       minMembershipChangeInterval,
 		MaxEntriesBehind: maxEntriesBehind,
 	}
 }
--- a/internal/cluster/store/config_check.go
+++ b/internal/cluster/store/config_check.go
@@ -26,7 +26,7 @@
 	if err := c.Backup.check(); err != nil {
 		return err
 	}
-	if _, ok := drivers[c.SQL.Driver]; !ok && c.SQL.Driver != "" {
+	if _, ok := sqlDrivers[c.SQL.Driver]; !ok && c.SQL.Driver != "" {
 		return fmt.Errorf("sql.driver: %q is neither sqlite nor postgres", c.SQL.Driver)
 	}
 	return nil
--- a/internal/cluster/store/disk_state.go
+++ b/internal/cluster/store/disk_state.go
@@ -14,11 +14,11 @@
 // part of the disk format and stay. The cluster's ID is stored under kv.ClusterKey, and the good
 // version of a key under that key (SaveLastGood).
 const (
-	localDiskID         = "disk"   // the disk's identity
-	localStarts         = "starts" // how often the folder was opened, in decimal
-	localReplacement    = "joiner" // present if the folder replaced another one, or has a new identity
-	localPeerWatermarks = "seen"   // watermarks of the peers' disks, as JSON
-	localDiverged       = "apart"  // present if the state was found to differ from the majority's
+	diskIDKey         = "disk"   // the disk's identity
+	startCountKey     = "starts" // how often the folder was opened, in decimal
+	replacementKey    = "joiner" // present if the folder replaced another one, or has a new identity
+	peerWatermarksKey = "seen"   // watermarks of the peers' disks, as JSON
+	divergedKey       = "apart"  // present if the state was found to differ from the majority's
 )
 
 // diskIDBytes is the length of a disk's identity before it is written in hexadecimal.
@@ -37,11 +37,11 @@
 	if err != nil {
 		return nil, err
 	}
-	starts, err := countStart(storage)
+	starts, err := incrementStartCount(storage)
 	if err != nil {
 		return nil, err
 	}
-	replacement, err := storage.GetLocal(localReplacement)
+	replacement, err := storage.GetLocal(replacementKey)
 	if err != nil {
 		return nil, fmt.Errorf("joiner flag: %w", err)
 	}
@@ -76,27 +76,27 @@
 }
 
 func readDiskID(storage *raftstorage.Storage) (string, error) {
-	id, err := storage.GetLocal(localDiskID)
+	id, err := storage.GetLocal(diskIDKey)
 	if err != nil {
 		return "", fmt.Errorf("identity of the disk: %w", err)
 	}
 	if id == nil {
-		return newDiskID(storage)
+		return createDiskID(storage)
 	}
 	return string(id), nil
 }
 
-func newDiskID(storage *raftstorage.Storage) (string, error) {
+func createDiskID(storage *raftstorage.Storage) (string, error) {
 	id := randomHex(diskIDBytes)
-	if err := storage.PutLocal(localDiskID, []byte(id)); err != nil {
+	if err := storage.PutLocal(diskIDKey, []byte(id)); err != nil {
 		return "", fmt.Errorf("give the disk an identity: %w", err)
 	}
 	return id, nil
 }
 
-// countStart adds one to the number of starts, and returns it.
-func countStart(storage *raftstorage.Storage) (starts uint64, err error) {
-	text, err := storage.GetLocal(localStarts)
+// incrementStartCount adds one to the number of starts, and returns it.
+func incrementStartCount(storage *raftstorage.Storage) (starts uint64, err error) {
+	text, err := storage.GetLocal(startCountKey)
 	if err == nil && text != nil {
 		starts, err = strconv.ParseUint(string(text), 10, 64)
 	}
@@ -104,7 +104,7 @@
 		return 0, fmt.Errorf("starts: %w", err)
 	}
 	starts++
-	if err := storage.PutLocal(localStarts, strconv.AppendUint(nil, starts, 10)); err != nil {
+	if err := storage.PutLocal(startCountKey, strconv.AppendUint(nil, starts, 10)); err != nil {
 		return 0, fmt.Errorf("count start: %w", err)
 	}
 	return starts, nil
@@ -113,9 +113,9 @@
 // renewDiskID gives a disk a new identity: votes and acknowledgments under the old one do not count
 // for it. The log stays, as most of it need not be sent again.
 func renewDiskID(storage *raftstorage.Storage, name string) (memberID string, err error) {
-	diskID, err := newDiskID(storage)
+	diskID, err := createDiskID(storage)
 	if err == nil {
-		err = storage.PutLocal(localReplacement, []byte("1"))
+		err = storage.PutLocal(replacementKey, []byte("1"))
 	}
 	return diskidentity.MemberID(name, diskID), err
 }
--- a/internal/cluster/store/freshness.go
+++ b/internal/cluster/store/freshness.go
@@ -18,9 +18,9 @@
 const (
 	// readIndexTimeout bounds one request for the read index, and the wait until the state has it.
 	readIndexTimeout = 2 * time.Second
-	// appliedCheckInterval is how often a reader checks whether entries that are no commands have moved
+	// appliedPollInterval is how often a reader checks whether entries that are no commands have moved
 	// Raft's applied index.
-	appliedCheckInterval = time.Millisecond
+	appliedPollInterval = time.Millisecond
 )
 
 // WaitFresh waits until this node's state is as fresh as the reader asks, and returns the age of that
@@ -43,7 +43,7 @@
 	if err != nil {
 		return 0, fmt.Errorf("%w: %w", ErrNotFresh, err)
 	}
-	s.noteFresh(confirmed.at)
+	s.recordFresh(confirmed.at)
 	return time.Since(confirmed.at), nil
 }
 
@@ -55,7 +55,7 @@
 	return s.freshAt
 }
 
-func (s *Store) noteFresh(at time.Time) {
+func (s *Store) recordFresh(at time.Time) {
 	s.freshMu.Lock()
 	defer s.freshMu.Unlock()
 	if at.After(s.freshAt) {
@@ -81,7 +81,7 @@
 		case <-ctx.Done():
 			return fmt.Errorf("at entry %d, waiting for %d: %w", applied, index, ctx.Err())
 		case <-advanced:
-		case <-time.After(appliedCheckInterval):
+		case <-time.After(appliedPollInterval):
 		}
 	}
 }
--- a/internal/cluster/store/golden_test.go
+++ b/internal/cluster/store/golden_test.go
@@ -19,8 +19,8 @@
 	"oxbowbridge/internal/cluster/storeapi"
 )
 
-// golden checks that a value is written as the text, and that the text is read as the value.
-func golden[T any](t *testing.T, value T, text string) {
+// assertGoldenJSON checks that a value is written as the text, and that the text is read as the value.
+func assertGoldenJSON[T any](t *testing.T, value T, text string) {
 	t.Helper()
 	got, err := json.Marshal(value)
 	require.NoError(t, err)
@@ -32,7 +32,7 @@
 
 // TestGoldenLogEntries: what the log of a released version holds.
 func TestGoldenLogEntries(t *testing.T) {
-	golden(t, []command{{Key: "a/b", Value: json.RawMessage(`{"n":1}`)}, {Key: "c", Value: json.RawMessage("null")}},
+	assertGoldenJSON(t, []command{{Key: "a/b", Value: json.RawMessage(`{"n":1}`)}, {Key: "c", Value: json.RawMessage("null")}},
 		`[{"key":"a/b","value":{"n":1}},{"key":"c","value":null}]`)
 	r, err := decodeLogEntry([]byte(`[{"key":"a/b","value":{"n":1}},{"key":"c","value":null}]`))
 	require.NoError(t, err)
@@ -72,14 +72,14 @@
 	assert.Equal(t, text, sink2.String())
 }
 
-// TestGoldenKept: what a node keeps beside its log.
-func TestGoldenKept(t *testing.T) {
-	assert.Equal(t, []string{"disk", "starts", "joiner", "seen", "apart"}, []string{localDiskID, localStarts, localReplacement, localPeerWatermarks, localDiverged})
-	golden(t, watermarks{"n1@5f": {Starts: 1, Term: 2, LastTerm: 3, LastIndex: 4}},
+// TestGoldenLocalValues: what a node keeps beside its log.
+func TestGoldenLocalValues(t *testing.T) {
+	assert.Equal(t, []string{"disk", "starts", "joiner", "seen", "apart"}, []string{diskIDKey, startCountKey, replacementKey, peerWatermarksKey, divergedKey})
+	assertGoldenJSON(t, watermarks{"n1@5f": {Starts: 1, Term: 2, LastTerm: 3, LastIndex: 4}},
 		`{"n1@5f":{"starts":1,"term":2,"last_term":3,"last_index":4}}`)
-	golden(t, GoodVersion{Revision: 7, Value: json.RawMessage(`{"x":1}`)}, `{"revision":7,"value":{"x":1}}`)
-	assert.Equal(t, "_cluster/restored", restoredKey)
-	golden(t, RecoveryReport{Node: "n1", ID: "n1@5f", Cluster: "c", Watermark: diskidentity.Watermark{Starts: 1}, Keys: 2, Members: []string{"n1@5f"}, Voters: []string{"n1@5f"},
+	assertGoldenJSON(t, GoodVersion{Revision: 7, Value: json.RawMessage(`{"x":1}`)}, `{"revision":7,"value":{"x":1}}`)
+	assert.Equal(t, "_cluster/restored", restoreResultKey)
+	assertGoldenJSON(t, RecoveryReport{Node: "n1", ID: "n1@5f", Cluster: "c", Watermark: diskidentity.Watermark{Starts: 1}, Keys: 2, Members: []string{"n1@5f"}, Voters: []string{"n1@5f"},
 		LastObserved: map[string]diskidentity.Watermark{"n2@6f": {Term: 1}}, Missing: []string{"m"}, NewCluster: "d"},
 		`{"node":"n1","id":"n1@5f","cluster":"c","mark":{"starts":1,"term":0,"last_term":0,"last_index":0},"keys":2,"members":["n1@5f"],"voters":["n1@5f"],`+
 			`"seen":{"n2@6f":{"starts":0,"term":1,"last_term":0,"last_index":0}},"missing":["m"],"new_cluster":"d"}`)
@@ -95,8 +95,8 @@
 
 // TestGoldenHandshake: what two nodes say to each other before Raft's own.
 func TestGoldenHandshake(t *testing.T) {
-	golden(t, handshakeHeader{From: "n1@5f", To: "n2@6f", Cluster: "c"}, `{"from":"n1@5f","to":"n2@6f","cluster":"c"}`)
-	golden(t, handshakeHeader{From: "n1@5f", To: "n2@6f"}, `{"from":"n1@5f","to":"n2@6f"}`)
+	assertGoldenJSON(t, handshakeHeader{From: "n1@5f", To: "n2@6f", Cluster: "c"}, `{"from":"n1@5f","to":"n2@6f","cluster":"c"}`)
+	assertGoldenJSON(t, handshakeHeader{From: "n1@5f", To: "n2@6f"}, `{"from":"n1@5f","to":"n2@6f"}`)
 	cluster := func() string { return "c" }
 	w, err := listenPeers("127.0.0.1:0", "n2@6f", cluster, func(string) (Peer, bool) { return Peer{}, false })
 	require.NoError(t, err)
@@ -115,7 +115,7 @@
 		{`oxbowbridge/1 {"from":"n1@5f","to":"n2@6f","cluster":"d"}`, "no: another is meant: this is of cluster c, not of d\n"},
 		{`oxbowbridge/2 {}`, "no: greeting can't be read\n"},
 	} {
-		assert.Equal(t, x[1], answerTo(t, w.Addr().String(), x[0]+"\n", len(x[1])), x[0])
+		assert.Equal(t, x[1], sendAndReadReply(t, w.Addr().String(), x[0]+"\n", len(x[1])), x[0])
 	}
 	// And what the one that connects sends.
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -139,7 +139,7 @@
 	assert.Equal(t, `oxbowbridge/1 {"from":"n2@6f","to":"n1@5f","cluster":"c"}`+"\n", <-got)
 }
 
-func answerTo(t *testing.T, addr, text string, size int) string {
+func sendAndReadReply(t *testing.T, addr, text string, size int) string {
 	c, err := net.Dial("tcp", addr)
 	require.NoError(t, err)
 	defer c.Close()
@@ -164,20 +164,20 @@
 		Backup: BackupConfig{Dir: "/b", Every: "1h", Keep: 7}}
 	c.SQL.Driver, c.SQL.DSN = "sqlite", "file:x"
 	peerText := `{"name":"n1","raft":"127.0.0.1:1","admin":"127.0.0.1:2","zone":"z"}`
-	golden(t, c, `{"node":"n1","dir":"/d","peers":[`+peerText+`],"self":`+peerText+`,"voters":3,"replace_after_ms":4,"forget_after_ms":5,"vouchers":6,`+
+	assertGoldenJSON(t, c, `{"node":"n1","dir":"/d","peers":[`+peerText+`],"self":`+peerText+`,"voters":3,"replace_after_ms":4,"forget_after_ms":5,"vouchers":6,`+
 		`"sql":{"driver":"sqlite","dsn":"file:x"},"backup":{"dir":"/b","every":"1h","keep":7}}`)
 }
 
-// TestGoldenSelf: what a node tells a peer of itself.
-func TestGoldenSelf(t *testing.T) {
-	golden(t, storeapi.PeerStatus{Attestation: diskidentity.Attestation{ID: "n1@5f", Cluster: "c", PreviousClusters: []string{"b"}, Fresh: true, ConfigIndex: 1, Members: []string{"m"}, Voters: []string{"v"},
+// TestGoldenPeerStatus: what a node tells a peer of itself.
+func TestGoldenPeerStatus(t *testing.T) {
+	assertGoldenJSON(t, storeapi.PeerStatus{Attestation: diskidentity.Attestation{ID: "n1@5f", Cluster: "c", PreviousClusters: []string{"b"}, Fresh: true, ConfigIndex: 1, Members: []string{"m"}, Voters: []string{"v"},
 		LastObserved: &diskidentity.Watermark{Starts: 1, Term: 2, LastTerm: 3, LastIndex: 4}}, State: peerServing, Watermark: diskidentity.Watermark{Starts: 5}, AppliedIndex: 6,
 		RaftAddress: "r", AdminAddress: "a", Zone: "z", SupportsLeases: true, Addresses: map[string]string{"m": "x"}},
 		`{"id":"n1@5f","cluster":"c","was":["b"],"fresh":true,"config":1,"members":["m"],"voters":["v"],`+
 			`"seen":{"starts":1,"term":2,"last_term":3,"last_index":4},"state":"serving","mark":{"starts":5,"term":0,"last_term":0,"last_index":0},"applied":6,`+
 			`"raft":"r","admin":"a","zone":"z","leases":true,"addresses":{"m":"x"}}`)
 	assert.Equal(t, "waiting", peerWaiting)
-	golden(t, storeapi.JoinRequest{ID: "n1@5f", RaftAddress: "r", AdminAddress: "a", Zone: "z", SupportsLeases: true}, `{"id":"n1@5f","raft":"r","admin":"a","zone":"z","leases":true}`)
+	assertGoldenJSON(t, storeapi.JoinRequest{ID: "n1@5f", RaftAddress: "r", AdminAddress: "a", Zone: "z", SupportsLeases: true}, `{"id":"n1@5f","raft":"r","admin":"a","zone":"z","leases":true}`)
 }
 
 // TestGoldenMemberStates: the states of a member, as operators read them.
@@ -188,7 +188,7 @@
 	}
 	s, err := New(Config{Node: "a", Dir: t.TempDir(), Peers: []Peer{{Name: "a", Raft: "127.0.0.1:1", Admin: "127.0.0.1:2"}}}, nil)
 	require.NoError(t, err)
-	golden(t, s.Status(), `{"node":"a","state":"Waiting","leader":"","applied":0,"last":0,"mirrored":0,"watchers":0,"id":"a","waits":"its disk to be opened"}`)
+	assertGoldenJSON(t, s.Status(), `{"node":"a","state":"Waiting","leader":"","applied":0,"last":0,"mirrored":0,"watchers":0,"id":"a","waits":"its disk to be opened"}`)
 }
 
 // TestGoldenMirror: the statements of the SQL mirror.
@@ -203,5 +203,5 @@
 			`ON CONFLICT (name) DO UPDATE SET token = excluded.token WHERE oxbowbridge_lease.token <= excluded.token`,
 		`UPDATE oxbowbridge_store SET idx = 0`,
 	}, []string{createMirrorTable, upsertRow, selectRows, createFenceTable, advanceFence, resetIndexes})
-	assert.Equal(t, map[string]string{"sqlite": "sqlite", "postgres": "pgx"}, drivers)
+	assert.Equal(t, map[string]string{"sqlite": "sqlite", "postgres": "pgx"}, sqlDrivers)
 }
--- a/internal/cluster/store/incarnation.go
+++ b/internal/cluster/store/incarnation.go
@@ -13,16 +13,16 @@
 
 // incarnation is one run of Raft over one storage folder, from the verdict on the disk to its end.
 type incarnation struct {
-	store       *Store
-	memberID    string
-	storage     *raftstorage.Storage
-	raft        *raft.Raft
-	transport   *ackTransport
-	members     leaderView
-	failure     chan error             // the first reason for which it has to end
-	wasMember   atomic.Bool            // the configuration had this disk once, in this incarnation
-	joinRefusal atomic.Pointer[string] // why the last request to join was not granted
-	barrierTerm atomic.Uint64          // the term in which this node, as leader, has committed an entry
+	store         *Store
+	memberID      string
+	storage       *raftstorage.Storage
+	raft          *raft.Raft
+	transport     *ackTransport
+	members       leaderView
+	failure       chan error             // the first reason for which it has to end
+	wasMember     atomic.Bool            // the configuration had this disk once, in this incarnation
+	joinRejection atomic.Pointer[string] // why the last request to join was not granted
+	barrierTerm   atomic.Uint64          // the term in which this node, as leader, has committed an entry
 }
 
 // runIncarnation waits until the disk may take part, and runs Raft until the incarnation ends (see the
@@ -34,17 +34,17 @@
 			err = fmt.Errorf("close folder: %w", cerr)
 		}
 	}()
-	s.showWaitReason(reportsWaitReason)
-	f, err := s.loadDiskState(storage)
+	s.setWaitReasonSilently(reportsWaitReason)
+	disk, err := s.loadDiskState(storage)
 	if err != nil {
 		return err
 	}
-	f, verdict, err := s.awaitVerdict(f)
+	disk, verdict, err := s.awaitVerdict(disk)
 	if err != nil {
 		return err
 	}
-	s.showWaitReason(raftWaitReason)
-	return s.runRaft(f, verdict)
+	s.setWaitReasonSilently(raftWaitReason)
+	return s.runRaft(disk, verdict)
 }
 
 // loadDiskState reads what the disk holds, and has the peers that it knows of polled.
@@ -54,7 +54,7 @@
 		return nil, err
 	}
 	s.clusterID.set(id)
-	f, err := s.readDiskState(storage)
+	disk, err := s.readDiskState(storage)
 	if err != nil {
 		return nil, err
 	}
@@ -63,14 +63,14 @@
 		return nil, err
 	}
 	s.peers.loadWatermarks(observed)
-	s.peers.forgetReports()
-	s.disk.Store(f)
+	s.peers.clearReports()
+	s.disk.Store(disk)
 	conf, err := storage.Configuration()
 	if err != nil {
 		return nil, err
 	}
-	s.followMembers(conf)
-	return f, nil
+	s.pollMembers(conf)
+	return disk, nil
 }
 
 // isLeader reports whether Raft considers this node the leader.
@@ -96,7 +96,7 @@
 
 // joinWaitReason is what a node that is no member yet waits for.
 func (inc *incarnation) joinWaitReason() string {
-	if refusal := inc.joinRefusal.Load(); refusal != nil {
+	if refusal := inc.joinRejection.Load(); refusal != nil {
 		return *refusal
 	}
 	return "to be taken in"
@@ -110,8 +110,8 @@
 	}
 }
 
-// popFailure removes and returns the failure that was reported, or returns nil.
-func (inc *incarnation) popFailure() error {
+// takeFailure removes and returns the failure that was reported, or returns nil.
+func (inc *incarnation) takeFailure() error {
 	select {
 	case err := <-inc.failure:
 		return err
@@ -135,7 +135,7 @@
 	return false
 }
 
-// beginsAsMember reports whether a verdict lets the disk vote from the start.
-func beginsAsMember(v diskidentity.Verdict) bool {
+// startsAsMember reports whether a verdict lets the disk vote from the start.
+func startsAsMember(v diskidentity.Verdict) bool {
 	return v == diskidentity.VerdictResume || v == diskidentity.VerdictBootstrap
 }
--- a/internal/cluster/store/last_good.go
+++ b/internal/cluster/store/last_good.go
@@ -30,11 +30,11 @@
 
 // LastGood is what SaveLastGood was last given. It can be read before Raft runs.
 func (s *Store) LastGood(key string) (good GoodVersion, found bool, err error) {
-	f := s.disk.Load()
-	if f == nil {
+	disk := s.disk.Load()
+	if disk == nil {
 		return good, false, nil
 	}
-	text, err := f.storage.GetLocal(key)
+	text, err := disk.storage.GetLocal(key)
 	if err != nil || text == nil {
 		return good, false, err
 	}
--- a/internal/cluster/store/leader_view.go
+++ b/internal/cluster/store/leader_view.go
@@ -40,7 +40,7 @@
 			continue
 		}
 		observed := s.observeMembers(inc)
-		step := s.cfg.policy().Next(observed.view)
+		step := s.cfg.membershipPolicy().Next(observed.view)
 		if step.Kind == membership.StepNone {
 			continue
 		}
@@ -58,8 +58,8 @@
 	v.leaderSince = time.Time{}
 }
 
-// noteLeadership begins the view if this node was not leader before. It is called with the lock held.
-func (v *leaderView) noteLeadership(index uint64, now time.Time) {
+// recordLeadership begins the view if this node was not leader before. It is called with the lock held.
+func (v *leaderView) recordLeadership(index uint64, now time.Time) {
 	if !v.leaderSince.IsZero() {
 		return
 	}
@@ -69,17 +69,17 @@
 	v.downSince = map[string]time.Time{}
 }
 
-// noteConfiguration notes the index of the latest configuration. It is called with the lock held.
-func (v *leaderView) noteConfiguration(index uint64, now time.Time) {
+// recordConfiguration notes the index of the latest configuration. It is called with the lock held.
+func (v *leaderView) recordConfiguration(index uint64, now time.Time) {
 	if index != v.configIndex {
 		v.configIndex = index
 		v.changedAt = now
 	}
 }
 
-// markDown notes that a member is down, and returns for how long it has been. It is called with the
+// recordDown notes that a member is down, and returns for how long it has been. It is called with the
 // lock held.
-func (v *leaderView) markDown(id string, now time.Time) time.Duration {
+func (v *leaderView) recordDown(id string, now time.Time) time.Duration {
 	since, known := v.downSince[id]
 	if !known {
 		since = now
@@ -101,8 +101,8 @@
 	v := &inc.members
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.noteLeadership(conf.Index, now)
-	v.noteConfiguration(conf.Index, now)
+	v.recordLeadership(conf.Index, now)
+	v.recordConfiguration(conf.Index, now)
 	view := membership.View{
 		Leader:        inc.memberID,
 		ChangePending: inc.raft.CommitIndex() < conf.Index,
@@ -142,7 +142,7 @@
 		delete(inc.members.downSince, id)
 		return m
 	}
-	m.DownFor = inc.members.markDown(id, now)
+	m.DownFor = inc.members.recordDown(id, now)
 	return m
 }
 
@@ -174,7 +174,7 @@
 	if next < 0 {
 		return
 	}
-	if voters >= s.cfg.policy().Voters || members[next].Role == membership.Learner {
+	if voters >= s.cfg.membershipPolicy().Voters || members[next].Role == membership.Learner {
 		members[next].Leaving = true
 	}
 }
--- a/internal/cluster/store/lease_requests.go
+++ b/internal/cluster/store/lease_requests.go
@@ -41,7 +41,7 @@
 
 // acquireQueued waits in the lease's queue for MaxWait at most.
 func (s *Store) acquireQueued(ctx context.Context, deadlines *lease.DeadlineTable, request LeaseRequest, receivedAt time.Duration) (lease.Lease, error) {
-	defer s.leases.forgetWaiter(request.Name, request.Holder)
+	defer s.leases.removeWaiter(request.Name, request.Holder)
 	deadline := time.NewTimer(request.MaxWait)
 	defer deadline.Stop()
 	refresh := time.NewTicker(waiterRefreshInterval)
--- a/internal/cluster/store/lease_service.go
+++ b/internal/cluster/store/lease_service.go
@@ -54,9 +54,9 @@
 	}
 }
 
-// forgetWaiter removes a request that waits no longer. Other requests under the same name and holder
+// removeWaiter removes a request that waits no longer. Other requests under the same name and holder
 // wake up, and look at the lease again.
-func (ls *leaseService) forgetWaiter(name, holder string) { ls.wakeWaiter(name, holder) }
+func (ls *leaseService) removeWaiter(name, holder string) { ls.wakeWaiter(name, holder) }
 
 // grantSignal returns a channel that is closed once the holder has the lease, or by forgetWaiter.
 func (ls *leaseService) grantSignal(name, holder string) <-chan struct{} {
@@ -125,7 +125,7 @@
 	}
 	deadlines, err := s.leases.currentDeadlines(inc)
 	if err != nil {
-		if deadlines, err = s.beginDeadlines(ctx, inc); err != nil {
+		if deadlines, err = s.startDeadlines(ctx, inc); err != nil {
 			return err
 		}
 	}
@@ -138,9 +138,9 @@
 	return s.commitDueOps(deadlines)
 }
 
-// beginDeadlines gives all leases their full TTL anew, in a term in which a read index has confirmed that this
+// startDeadlines gives all leases their full TTL anew, in a term in which a read index has confirmed that this
 // node leads, and its state has every lease that was granted before.
-func (s *Store) beginDeadlines(ctx context.Context, inc *incarnation) (*lease.DeadlineTable, error) {
+func (s *Store) startDeadlines(ctx context.Context, inc *incarnation) (*lease.DeadlineTable, error) {
 	term := inc.raft.CurrentTerm()
 	ctx, cancel := context.WithTimeout(ctx, readIndexTimeout)
 	defer cancel()
--- a/internal/cluster/store/log_clock.go
+++ b/internal/cluster/store/log_clock.go
@@ -15,7 +15,7 @@
 // would end sessions that are in use. The zero value is ready.
 type logClock struct {
 	mu        sync.Mutex
-	reading   time.Duration // since the Unix epoch
+	logTime   time.Duration // since the Unix epoch
 	stampedAt time.Time     // when that was read
 }
 
@@ -24,14 +24,14 @@
 func (c *logClock) stamp(logTimeMS int64, now time.Time) int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	logTime := time.Duration(logTimeMS) * time.Millisecond
-	if logTime == 0 && c.reading == 0 {
-		logTime = time.Duration(now.UnixNano())
+	appliedTime := time.Duration(logTimeMS) * time.Millisecond
+	if appliedTime == 0 && c.logTime == 0 {
+		appliedTime = time.Duration(now.UnixNano())
 	}
-	if c.reading != 0 {
-		c.reading += min(now.Sub(c.stampedAt), maxLogClockStep)
+	if c.logTime != 0 {
+		c.logTime += min(now.Sub(c.stampedAt), maxLogClockStep)
 	}
-	c.reading = max(c.reading, logTime)
+	c.logTime = max(c.logTime, appliedTime)
 	c.stampedAt = now
-	return c.reading.Milliseconds()
+	return c.logTime.Milliseconds()
 }
--- a/internal/cluster/store/log_clock_test.go
+++ b/internal/cluster/store/log_clock_test.go
@@ -10,33 +10,33 @@
 	"oxbowbridge/internal/cluster/kv"
 )
 
-// stampedLog is a leader's state and clock, in a test's time.
-type stampedLog struct {
+// simulatedLog is a leader's state and clock, in a test's time.
+type simulatedLog struct {
 	t     *testing.T
 	state *kv.State
 	clock *logClock
 	now   time.Time
 }
 
-func newStampedLog(t *testing.T) *stampedLog {
-	return &stampedLog{t: t, state: kv.New(), clock: &logClock{}, now: time.Now()}
+func newSimulatedLog(t *testing.T) *simulatedLog {
+	return &simulatedLog{t: t, state: kv.New(), clock: &logClock{}, now: time.Now()}
 }
 
-func (l *stampedLog) commit(r kv.Request) (kv.Response, error) {
+func (l *simulatedLog) commit(r kv.Request) (kv.Response, error) {
 	r.TimeMS = l.clock.stamp(l.state.TimeMS, l.now)
 	response, _, err := l.state.Apply(l.state.Applied+1, &r)
 	return response, err
 }
 
-func (l *stampedLog) openSession() uint64 {
+func (l *simulatedLog) openSession() uint64 {
 	l.t.Helper()
 	response, err := l.commit(kv.Request{OpenSession: true})
 	require.NoError(l.t, err)
 	return response.Session
 }
 
-// commitOthers commits requests of other clients, each after a pause.
-func (l *stampedLog) commitOthers(n int, pause time.Duration) {
+// commitOtherWrites commits requests of other clients, each after a pause.
+func (l *simulatedLog) commitOtherWrites(n int, pause time.Duration) {
 	l.t.Helper()
 	for range n {
 		l.now = l.now.Add(pause)
@@ -45,7 +45,7 @@
 	}
 }
 
-func (l *stampedLog) use(session, number uint64) error {
+func (l *simulatedLog) writeInSession(session, number uint64) error {
 	_, err := l.commit(kv.Request{Session: session, RequestNumber: number, Then: []kv.Op{kv.Put("k", []byte("1"))}})
 	return err
 }
@@ -53,34 +53,34 @@
 // TestSessionAfterIdleCluster guards against a session that ends a moment after it was opened, as some
 // entries move log time on by all the time for which the cluster had no requests.
 func TestSessionAfterIdleCluster(t *testing.T) {
-	l := newStampedLog(t)
-	l.commitOthers(1, 0)
+	l := newSimulatedLog(t)
+	l.commitOtherWrites(1, 0)
 	l.now = l.now.Add(time.Hour)
 	session := l.openSession()
-	l.commitOthers(100, 10*time.Millisecond)
-	assert.NoError(t, l.use(session, 1))
+	l.commitOtherWrites(100, 10*time.Millisecond)
+	assert.NoError(t, l.writeInSession(session, 1))
 }
 
 // TestSessionAfterStop guards against the end of a session, whose client still waits for the answer to
 // a request, in the first entries after a long stop or under a new leader.
 func TestSessionAfterStop(t *testing.T) {
-	l := newStampedLog(t)
+	l := newSimulatedLog(t)
 	session := l.openSession()
-	require.NoError(t, l.use(session, 1))
+	require.NoError(t, l.writeInSession(session, 1))
 	l.now = l.now.Add(time.Hour)
 	l.clock = &logClock{}
-	l.commitOthers(100, 10*time.Millisecond)
-	assert.NoError(t, l.use(session, 2))
+	l.commitOtherWrites(100, 10*time.Millisecond)
+	assert.NoError(t, l.writeInSession(session, 2))
 }
 
 // TestSessionAfterClockJump guards against a leader's wall clock that jumps ahead and ends all sessions.
 func TestSessionAfterClockJump(t *testing.T) {
-	l := newStampedLog(t)
+	l := newSimulatedLog(t)
 	session := l.openSession()
 	l.now = l.now.Add(time.Second)
 	l.now = l.now.Round(0).Add(24 * time.Hour) // no monotonic reading: the wall clock counts
-	l.commitOthers(100, 10*time.Millisecond)
-	assert.NoError(t, l.use(session, 1))
+	l.commitOtherWrites(100, 10*time.Millisecond)
+	assert.NoError(t, l.writeInSession(session, 1))
 }
 
 // TestIdleSessionsStillEnd guards against log time that stands still: under quick writes, whose stamps
@@ -88,9 +88,9 @@
 func TestIdleSessionsStillEnd(t *testing.T) {
 	const timeout = kv.SessionTimeoutMS * time.Millisecond
 	for _, pause := range []time.Duration{900 * time.Microsecond, time.Second, maxLogClockStep} {
-		l := newStampedLog(t)
+		l := newSimulatedLog(t)
 		session := l.openSession()
-		l.commitOthers(int(timeout/pause)+2, pause)
-		assert.ErrorIs(t, l.use(session, 1), kv.ErrSessionNotFound, pause)
+		l.commitOtherWrites(int(timeout/pause)+2, pause)
+		assert.ErrorIs(t, l.writeInSession(session, 1), kv.ErrSessionNotFound, pause)
 	}
 }
--- a/internal/cluster/store/majority_loss.go
+++ b/internal/cluster/store/majority_loss.go
@@ -14,7 +14,7 @@
 
 // Inspect reads the folder of a stopped node.
 func Inspect(cfg Config) (report RecoveryReport, err error) {
-	node, err := openStopped(cfg)
+	node, err := openStoppedNode(cfg)
 	if err != nil {
 		return report, err
 	}
@@ -26,7 +26,7 @@
 // ErrNotConfirmed. The new cluster has another ID, and the old members can't come back into it.
 // Whatever is in this node's log counts as committed.
 func Recover(cfg Config, cluster string) (report RecoveryReport, err error) {
-	node, err := openStopped(cfg)
+	node, err := openStoppedNode(cfg)
 	if err != nil {
 		return report, err
 	}
@@ -42,7 +42,7 @@
 	}
 	report.ID = id
 	report.NewCluster = randomHex(clusterIDBytes)
-	if err := node.rewrite(self, report); err != nil {
+	if err := node.rewriteLog(self, report); err != nil {
 		return report, fmt.Errorf("recover: %w", err)
 	}
 	if err := node.storage.PutLocal(kv.ClusterKey, []byte(report.NewCluster)); err != nil {
@@ -51,8 +51,8 @@
 	return report, nil
 }
 
-// rewrite replaces the log by a snapshot of its state, with this node as the only member.
-func (n *stoppedNode) rewrite(self Peer, report RecoveryReport) error {
+// rewriteLog replaces the log by a snapshot of its state, with this node as the only member.
+func (n *stoppedNode) rewriteLog(self Peer, report RecoveryReport) error {
 	conf := raft.DefaultConfig()
 	conf.LocalID = raft.ServerID(report.ID)
 	conf.Logger = hclog.New(&hclog.LoggerOptions{Output: io.Discard})
--- a/internal/cluster/store/majority_loss_report.go
+++ b/internal/cluster/store/majority_loss_report.go
@@ -38,8 +38,8 @@
 	report  RecoveryReport
 }
 
-// openStopped opens and reads a folder. It counts as a start of the disk.
-func openStopped(cfg Config) (*stoppedNode, error) {
+// openStoppedNode opens and reads a folder. It counts as a start of the disk.
+func openStoppedNode(cfg Config) (*stoppedNode, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
 	}
@@ -47,7 +47,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("dir: %w", err)
 	}
-	report, err := readReport(cfg, storage)
+	report, err := readRecoveryReport(cfg, storage)
 	if err != nil {
 		storage.Close()
 		return nil, err
@@ -55,7 +55,7 @@
 	return &stoppedNode{storage: storage, report: report}, nil
 }
 
-func readReport(cfg Config, storage *raftstorage.Storage) (report RecoveryReport, err error) {
+func readRecoveryReport(cfg Config, storage *raftstorage.Storage) (report RecoveryReport, err error) {
 	self, _ := cfg.self()
 	s := &Store{cfg: cfg, self: self, log: zap.NewNop()}
 	cluster, err := readClusterID(storage)
@@ -63,11 +63,11 @@
 		return report, err
 	}
 	s.clusterID.set(cluster)
-	f, err := s.readDiskState(storage)
+	disk, err := s.readDiskState(storage)
 	if err != nil {
 		return report, err
 	}
-	if f.local.Empty {
+	if disk.local.Empty {
 		return report, errNothingToRecover
 	}
 	observed, err := readWatermarks(storage)
@@ -81,20 +81,20 @@
 	entries, _ := state.entries()
 	report = RecoveryReport{
 		Node:         self.Name,
-		ID:           f.local.ID,
-		Cluster:      cmp.Or(cluster, f.local.LoggedCluster),
-		Watermark:    f.local.Watermark,
+		ID:           disk.local.ID,
+		Cluster:      cmp.Or(cluster, disk.local.LoggedCluster),
+		Watermark:    disk.local.Watermark,
 		Keys:         len(entries),
-		Members:      f.local.Members,
-		Voters:       f.local.Voters,
+		Members:      disk.local.Members,
+		Voters:       disk.local.Voters,
 		LastObserved: map[string]diskidentity.Watermark{},
 	}
-	report.compare(observed)
+	report.compareWatermarks(observed)
 	return report, nil
 }
 
-// compare notes how far the other members were, and what they had besides.
-func (r *RecoveryReport) compare(observed watermarks) {
+// compareWatermarks notes how far the other members were, and what they had besides.
+func (r *RecoveryReport) compareWatermarks(observed watermarks) {
 	local := r.Watermark
 	for id, mark := range observed {
 		if !slices.Contains(r.Members, id) {
@@ -111,7 +111,7 @@
 
 // replayLog applies the newest snapshot and the log above it.
 func replayLog(storage *raftstorage.Storage, state *replicatedState) error {
-	first, err := restoreNewest(storage, state)
+	first, err := restoreNewestSnapshot(storage, state)
 	if err != nil {
 		return err
 	}
@@ -131,9 +131,9 @@
 	return nil
 }
 
-// restoreNewest restores the newest snapshot, if there is one. It returns the index of the first
+// restoreNewestSnapshot restores the newest snapshot, if there is one. It returns the index of the first
 // entry above it.
-func restoreNewest(storage *raftstorage.Storage, state *replicatedState) (first uint64, err error) {
+func restoreNewestSnapshot(storage *raftstorage.Storage, state *replicatedState) (first uint64, err error) {
 	metas, err := storage.List()
 	if err != nil {
 		return 0, err
--- a/internal/cluster/store/members.go
+++ b/internal/cluster/store/members.go
@@ -29,7 +29,7 @@
 // Join adds a node as a learner. It returns ErrNoLeader on any node but the leader, and
 // ErrMemberRejected if the node may not join. For a node that is a member already it does nothing.
 func (s *Store) Join(ctx context.Context, request storeapi.JoinRequest) error {
-	p, err := peerOfJoin(request)
+	p, err := peerFromJoinRequest(request)
 	if err != nil {
 		return err
 	}
@@ -64,8 +64,8 @@
 	return awaitFuture(ctx, inc.raft.AddNonvoter(raft.ServerID(request.ID), address, conf.Index, storeapi.CommitTimeout))
 }
 
-// peerOfJoin checks a request to join. Its error is kv.ErrInvalidRequest.
-func peerOfJoin(request storeapi.JoinRequest) (Peer, error) {
+// peerFromJoinRequest checks a request to join. Its error is kv.ErrInvalidRequest.
+func peerFromJoinRequest(request storeapi.JoinRequest) (Peer, error) {
 	p := Peer{
 		Name:  diskidentity.MemberName(request.ID),
 		Raft:  request.RaftAddress,
@@ -115,8 +115,8 @@
 		return out, err
 	}
 	observed := s.observeMembers(inc)
-	step := s.cfg.policy().Next(observed.view)
-	out = storeapi.Members{Leader: s.self.Name, ConfigIndex: observed.conf.Index, WantedVoters: s.cfg.policy().Voters, Removed: s.removedNames()}
+	step := s.cfg.membershipPolicy().Next(observed.view)
+	out = storeapi.Members{Leader: s.self.Name, ConfigIndex: observed.conf.Index, WantedVoters: s.cfg.membershipPolicy().Voters, Removed: s.removedNames()}
 	for _, m := range observed.view.Members {
 		server, _ := findServer(observed.conf, m.ID)
 		out.Members = append(out.Members, memberRow(m, step, server, inc.memberID))
@@ -156,9 +156,9 @@
 	conf := inc.configuration()
 	members, voters := memberIDs(conf)
 	switch {
-	case !hasName(members, name):
+	case !containsMemberName(members, name):
 		return memberNotFound(name)
-	case hasName(voters, name) && len(voters) == 1:
+	case containsMemberName(voters, name) && len(voters) == 1:
 		return fmt.Errorf("%w: %s is the only voter", ErrMemberRejected, name)
 	}
 	return s.recordIntent(kv.RemovedPrefix+name, kv.PreferredVoterPrefix+name)
@@ -181,18 +181,18 @@
 	}
 	conf := inc.configuration()
 	members, _ := memberIDs(conf)
-	if !hasName(members, name) {
+	if !containsMemberName(members, name) {
 		return memberNotFound(name)
 	}
-	preferred := s.preferredVoters(name)
-	if limit := s.cfg.policy().Voters; preferred >= limit {
+	preferred := s.countPreferredVoters(name)
+	if limit := s.cfg.membershipPolicy().Voters; preferred >= limit {
 		return fmt.Errorf("%w: %d others are wanted as voters already, of %d", ErrMemberRejected, preferred, limit)
 	}
 	return s.recordIntent(kv.PreferredVoterPrefix+name, "")
 }
 
-// preferredVoters counts the nodes other than one that operators want to have a vote.
-func (s *Store) preferredVoters(except string) (count int) {
+// countPreferredVoters counts the nodes other than one that operators want to have a vote.
+func (s *Store) countPreferredVoters(except string) (count int) {
 	all, _ := s.state.entries()
 	for key := range all {
 		if strings.HasPrefix(key, kv.PreferredVoterPrefix) && key != kv.PreferredVoterPrefix+except {
@@ -202,7 +202,7 @@
 	return count
 }
 
-func hasName(ids []string, name string) bool {
+func containsMemberName(ids []string, name string) bool {
 	return slices.ContainsFunc(ids, func(id string) bool { return diskidentity.MemberName(id) == name })
 }
 
--- a/internal/cluster/store/mirror.go
+++ b/internal/cluster/store/mirror.go
@@ -23,8 +23,8 @@
 	mirrorAbandonAfter = 30 * time.Second
 )
 
-// drivers are the names in database/sql of the drivers that the configuration may name.
-var drivers = map[string]string{"sqlite": "sqlite", "postgres": "pgx"}
+// sqlDrivers are the names in database/sql of the sqlDrivers that the configuration may name.
+var sqlDrivers = map[string]string{"sqlite": "sqlite", "postgres": "pgx"}
 
 // sqlMirror is the copy of the keys in a SQL database, which operators also call the store of record:
 // the holder of the mirror's lease writes whatever the database lacks. While the database fails the
@@ -47,14 +47,14 @@
 	return m.writtenIndex, ""
 }
 
-func (m *sqlMirror) noteWritten(index uint64) {
+func (m *sqlMirror) recordWritten(index uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.writtenIndex = index
 }
 
-// noteResult stores the result of an attempt, and returns the one before.
-func (m *sqlMirror) noteResult(err error) (previous error) {
+// recordResult stores the result of an attempt, and returns the one before.
+func (m *sqlMirror) recordResult(err error) (previous error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	previous = m.lastError
@@ -68,7 +68,7 @@
 // RunMirror writes the SQL mirror under a lease until ctx ends, another node has taken over, or the
 // database has failed for too long.
 func (s *Store) RunMirror(ctx context.Context, fence lease.FencingToken) error {
-	db, err := sql.Open(drivers[s.cfg.SQL.Driver], s.cfg.SQL.DSN)
+	db, err := sql.Open(sqlDrivers[s.cfg.SQL.Driver], s.cfg.SQL.DSN)
 	if err != nil {
 		return fmt.Errorf("open sql mirror: %w", err)
 	}
@@ -78,14 +78,14 @@
 	backoff := mirrorBackoff{wait: mirrorInterval}
 	for {
 		err := session.sync(ctx)
-		s.logMirrorResult(ctx, s.mirror.noteResult(err), err)
+		s.logMirrorResult(ctx, s.mirror.recordResult(err), err)
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
 		if backoff.next(err) {
 			return err
 		}
-		changed := s.state.changed
+		changed := s.state.mirrorWake
 		if err != nil {
 			changed = nil // a change does not end the backoff
 		}
--- a/internal/cluster/store/mirror_session.go
+++ b/internal/cluster/store/mirror_session.go
@@ -126,7 +126,7 @@
 	if err := tx.Commit(); err != nil {
 		return fmt.Errorf("commit: %w", err)
 	}
-	m.noteWritten(from)
+	m.recordWritten(from)
 	return nil
 }
 
--- a/internal/cluster/store/peer_reports.go
+++ b/internal/cluster/store/peer_reports.go
@@ -18,15 +18,15 @@
 
 var errNoServingPeer = errors.New("no node of the cluster serves")
 
-// forgetReports drops what was reported to a disk that this node no longer has.
-func (p *peers) forgetReports() {
+// clearReports drops what was reported to a disk that this node no longer has.
+func (p *peerPoller) clearReports() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	clear(p.reports)
 }
 
 // lastReport is what a node reported last, and whether that is recent.
-func (p *peers) lastReport(name string) (report peerReport, recent bool) {
+func (p *peerPoller) lastReport(name string) (report peerReport, recent bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	report = p.reports[name]
@@ -35,7 +35,7 @@
 
 // checksums are those that the other voters of a configuration reported of their states, and how
 // many voters there are.
-func (p *peers) checksums(conf raftstorage.Configuration, self string) (list []kv.ChecksumHistory, voters int) {
+func (p *peerPoller) checksums(conf raftstorage.Configuration, self string) (list []kv.ChecksumHistory, voters int) {
 	for _, server := range conf.Servers {
 		id := string(server.ID)
 		if server.Suffrage != raft.Voter {
@@ -50,18 +50,18 @@
 	return list, voters
 }
 
-// attestations are what the peers report of disks at one time.
-type attestations struct {
+// peerAttestations are what the peers report of disks at one time.
+type peerAttestations struct {
 	recent    map[string]diskidentity.Attestation // by name, without those of earlier versions
 	allPolled bool                                // each node was polled once or more, with a report or an error
 	changed   <-chan struct{}                     // closed at the next report
 }
 
 // attestations are the recent reports on disks.
-func (p *peers) attestations() attestations {
+func (p *peerPoller) attestations() peerAttestations {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	out := attestations{recent: map[string]diskidentity.Attestation{}, allPolled: true, changed: p.changed}
+	out := peerAttestations{recent: map[string]diskidentity.Attestation{}, allPolled: true, changed: p.changed}
 	for name := range p.targets {
 		if r := p.reports[name]; r.receivedAt.IsZero() && r.err == nil {
 			out.allPolled = false
@@ -76,7 +76,7 @@
 }
 
 // servingAddresses are the admin addresses of the peers that serve.
-func (p *peers) servingAddresses() (list []string) {
+func (p *peerPoller) servingAddresses() (list []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for name, r := range p.reports {
@@ -88,7 +88,7 @@
 }
 
 // requestJoin asks the serving peers, one after the other until one agrees, to add this member.
-func (p *peers) requestJoin(ctx context.Context, inc *incarnation) error {
+func (p *peerPoller) requestJoin(ctx context.Context, inc *incarnation) error {
 	self := p.store.self
 	text, err := json.Marshal(storeapi.JoinRequest{ID: inc.memberID, RaftAddress: self.Raft, AdminAddress: self.Admin, Zone: self.Zone, SupportsLeases: true})
 	if err != nil {
@@ -108,7 +108,7 @@
 	return fmt.Errorf("not taken in: %s", strings.Join(refusals, "; "))
 }
 
-func (p *peers) postJoin(ctx context.Context, addr string, text []byte) error {
+func (p *peerPoller) postJoin(ctx context.Context, addr string, text []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, storeapi.CommitTimeout)
 	defer cancel()
 	return p.client.WithCommitTimeout().CallNode(ctx, addr, http.MethodPost, "/members", text, nil)
--- a/internal/cluster/store/peer_transport.go
+++ b/internal/cluster/store/peer_transport.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// maxHandshakes bounds the connections in the handshake, as each holds a file descriptor.
-	maxHandshakes       = 64
-	acceptRetryInterval = 10 * time.Millisecond
+	// maxPendingHandshakes bounds the connections in the handshake, as each holds a file descriptor.
+	maxPendingHandshakes = 64
+	acceptRetryInterval  = 10 * time.Millisecond
 )
 
 // peerTransport is Raft's network. The node that connects names itself, the member that it connects to
@@ -28,7 +28,7 @@
 	accepted       chan net.Conn                  // connections past the handshake
 	handshakes     chan struct{}                  // semaphore: one token for each connection in the handshake
 	done           chan struct{}                  // closed by Close
-	once           sync.Once
+	closeOnce      sync.Once
 }
 
 var _ raft.StreamLayer = (*peerTransport)(nil)
@@ -45,7 +45,7 @@
 		clusterID:      clusterID,
 		configuredPeer: configuredPeer,
 		accepted:       make(chan net.Conn),
-		handshakes:     make(chan struct{}, maxHandshakes),
+		handshakes:     make(chan struct{}, maxPendingHandshakes),
 		done:           make(chan struct{}),
 	}
 	go t.acceptLoop()
@@ -67,7 +67,7 @@
 		case t.handshakes <- struct{}{}:
 			go func() {
 				defer func() { <-t.handshakes }()
-				t.handshake(conn)
+				t.handleHandshake(conn)
 			}()
 		default:
 			conn.Close()
@@ -75,8 +75,8 @@
 	}
 }
 
-// handshake hands a connection on to Accept if this member is meant.
-func (t *peerTransport) handshake(conn net.Conn) {
+// handleHandshake hands a connection on to Accept if this member is meant.
+func (t *peerTransport) handleHandshake(conn net.Conn) {
 	conn.SetDeadline(time.Now().Add(handshakeTimeout))
 	identified, err := t.identify(conn)
 	if err != nil {
@@ -141,7 +141,7 @@
 
 // Close stops listening.
 func (t *peerTransport) Close() error {
-	t.once.Do(func() {
+	t.closeOnce.Do(func() {
 		close(t.done)
 		t.listener.Close()
 	})
--- a/internal/cluster/store/peers.go
+++ b/internal/cluster/store/peers.go
@@ -27,10 +27,10 @@
 	maxPollTargets = 2 * maxMembers
 )
 
-// peers polls the other nodes for what they are. The leader decides on members by the reports;
+// peerPoller polls the other nodes for what they are. The leader decides on members by the reports;
 // every node records how far it has observed the others' disks; and a node that starts learns
 // whether its disk is behind.
-type peers struct {
+type peerPoller struct {
 	store   *Store
 	client  *storeclient.Client
 	ctx     context.Context
@@ -57,10 +57,10 @@
 	return !r.receivedAt.IsZero() && time.Since(r.receivedAt) < reportLifetime
 }
 
-func newPeers(ctx context.Context, s *Store) *peers {
+func newPeerPoller(ctx context.Context, s *Store) *peerPoller {
 	client := storeclient.New(nil)
 	client.HTTP = &http.Client{Timeout: pollTimeout}
-	return &peers{
+	return &peerPoller{
 		store:    s,
 		client:   client,
 		ctx:      ctx,
@@ -71,20 +71,20 @@
 	}
 }
 
-// follow polls the nodes of the configuration file and those of the list from now on.
-func (p *peers) follow(list []Peer) {
+// addTargets polls the nodes of the configuration file and those of the list from now on.
+func (p *peerPoller) addTargets(list []Peer) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, peer := range p.store.cfg.Peers {
-		p.followOne(peer)
+		p.addTarget(peer)
 	}
 	for _, peer := range list {
-		p.followOne(peer)
+		p.addTarget(peer)
 	}
 }
 
-// followOne is called with the lock held. An address in the configuration file takes precedence.
-func (p *peers) followOne(peer Peer) {
+// addTarget is called with the lock held. An address in the configuration file takes precedence.
+func (p *peerPoller) addTarget(peer Peer) {
 	if peer.Name == p.store.self.Name {
 		return
 	}
@@ -101,20 +101,20 @@
 	p.targets[peer.Name] = peer
 	if !known {
 		p.pollers.Add(1)
-		go p.poll(peer.Name)
+		go p.pollLoop(peer.Name)
 	}
 }
 
 // adminAddress is where a node is polled.
-func (p *peers) adminAddress(name string) (string, bool) {
+func (p *peerPoller) adminAddress(name string) (string, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	peer, ok := p.targets[name]
 	return peer.Admin, ok
 }
 
-// poll asks one node for its report until the Store is closed.
-func (p *peers) poll(name string) {
+// pollLoop asks one node for its report until the Store is closed.
+func (p *peerPoller) pollLoop(name string) {
 	defer p.pollers.Done()
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
@@ -122,8 +122,8 @@
 		addr, _ := p.adminAddress(name)
 		asker := p.store.memberID()
 		report := p.fetch(addr, asker)
-		p.record(name, asker, report)
-		p.follow(peersOf(report.status.Addresses))
+		p.recordReport(name, asker, report)
+		p.addTargets(decodePeers(report.status.Addresses))
 		select {
 		case <-p.ctx.Done():
 			return
@@ -132,7 +132,7 @@
 	}
 }
 
-func peersOf(addresses map[string]string) (list []Peer) {
+func decodePeers(addresses map[string]string) (list []Peer) {
 	for id, addr := range addresses {
 		list = append(list, decodePeer(raft.ServerID(id), raft.ServerAddress(addr)))
 	}
@@ -147,7 +147,7 @@
 }
 
 // fetch asks a node for its report. A node of an earlier version only has a status.
-func (p *peers) fetch(addr, asker string) (report fetchedReport) {
+func (p *peerPoller) fetch(addr, asker string) (report fetchedReport) {
 	ctx, cancel := context.WithTimeout(p.ctx, pollTimeout)
 	defer cancel()
 	report.err = p.client.CallNode(ctx, addr, http.MethodGet, "/self?from="+url.QueryEscape(asker), nil, &report.status)
@@ -168,8 +168,8 @@
 	return report
 }
 
-// record stores a report. One that was requested under another member ID of this node is dropped.
-func (p *peers) record(name, asker string, fetched fetchedReport) {
+// recordReport stores a report. One that was requested under another member ID of this node is dropped.
+func (p *peerPoller) recordReport(name, asker string, fetched fetchedReport) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if asker != p.store.memberID() {
@@ -182,19 +182,19 @@
 		p.reports[name] = report
 		return
 	}
-	p.observe(name, fetched.status)
+	p.recordObservation(name, fetched.status)
 	p.reports[name] = peerReport{PeerStatus: fetched.status, receivedAt: time.Now(), legacy: fetched.legacy}
 }
 
-// observe notes how far a peer's disk is, or that it belongs to another cluster. It is called with
+// recordObservation notes how far a peer's disk is, or that it belongs to another cluster. It is called with
 // the lock held.
-func (p *peers) observe(name string, report storeapi.PeerStatus) {
+func (p *peerPoller) recordObservation(name string, report storeapi.PeerStatus) {
 	local := p.store.clusterID.get()
 	if local != "" && report.Cluster != "" && local != report.Cluster {
-		p.store.clusterID.addForeign(name, report.Cluster, p.store.log)
+		p.store.clusterID.addForeignPeer(name, report.Cluster, p.store.log)
 		return
 	}
-	p.store.clusterID.removeForeign(name)
+	p.store.clusterID.removeForeignPeer(name)
 	if diskidentity.MemberDisk(report.ID) == "" {
 		return
 	}
@@ -204,7 +204,7 @@
 }
 
 // signalChanged is called with the lock held.
-func (p *peers) signalChanged() {
+func (p *peerPoller) signalChanged() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
--- a/internal/cluster/store/raft.go
+++ b/internal/cluster/store/raft.go
@@ -33,8 +33,8 @@
 var errStartRaft = errors.New("start raft")
 
 // runRaft starts Raft under a verdict, and returns why the incarnation is over.
-func (s *Store) runRaft(f *diskState, verdict diskidentity.Verdict) error {
-	inc := &incarnation{store: s, memberID: f.local.ID, storage: f.storage, failure: make(chan error, 1)}
+func (s *Store) runRaft(disk *diskState, verdict diskidentity.Verdict) error {
+	inc := &incarnation{store: s, memberID: disk.local.ID, storage: disk.storage, failure: make(chan error, 1)}
 	listener, err := listenPeers(s.self.Raft, inc.memberID, s.clusterID.get, s.cfg.configuredPeer)
 	if err != nil {
 		return err
@@ -88,7 +88,7 @@
 		started <- err
 	}()
 	if err, ok := <-started; err != nil || !ok {
-		return errors.Join(errStartRaft, err, inc.popFailure())
+		return errors.Join(errStartRaft, err, inc.takeFailure())
 	}
 	term := inc.raft.CurrentTerm
 	inc.transport.currentTerm.Store(&term)
--- a/internal/cluster/store/read.go
+++ b/internal/cluster/store/read.go
@@ -14,7 +14,9 @@
 
 // OnChange has listener called for each change from now on, in the order of the log; value is nil
 // for a deleted key. It is called on Raft's goroutine and must not block.
-func (s *Store) OnChange(listener func(key string, value json.RawMessage)) { s.state.listen(listener) }
+func (s *Store) OnChange(listener func(key string, value json.RawMessage)) {
+	s.state.addListener(listener)
+}
 
 // Entry reads a key with its revision from this node's state, however old that is.
 func (s *Store) Entry(key string) (kv.Entry, bool) { return s.state.get(key) }
--- a/internal/cluster/store/read_index.go
+++ b/internal/cluster/store/read_index.go
@@ -38,7 +38,7 @@
 
 // await returns a read index that was requested after the call.
 func (p *readIndexBatcher) await(ctx context.Context) (readIndexResult, error) {
-	r := p.join()
+	r := p.joinNextRound()
 	select {
 	case <-r.done:
 		return r.result, r.err
@@ -47,8 +47,8 @@
 	}
 }
 
-// join is the round that begins next.
-func (p *readIndexBatcher) join() *readIndexRound {
+// joinNextRound is the round that begins next.
+func (p *readIndexBatcher) joinNextRound() *readIndexRound {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.next == nil {
@@ -64,7 +64,7 @@
 // run carries out rounds until no caller waits for one.
 func (p *readIndexBatcher) run() {
 	for {
-		r := p.begin()
+		r := p.startNextRound()
 		if r == nil {
 			return
 		}
@@ -76,8 +76,8 @@
 	}
 }
 
-// begin returns the next round, which no caller joins any more; nil if there is none.
-func (p *readIndexBatcher) begin() *readIndexRound {
+// startNextRound returns the next round, which no caller joins any more; nil if there is none.
+func (p *readIndexBatcher) startNextRound() *readIndexRound {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	r := p.next
@@ -88,8 +88,8 @@
 	return r
 }
 
-// committedIndex is the read index of the leader, this node or another one.
-func (s *Store) committedIndex(ctx context.Context) (uint64, error) {
+// clusterReadIndex is the read index of the leader, this node or another one.
+func (s *Store) clusterReadIndex(ctx context.Context) (uint64, error) {
 	if s.IsLeader() {
 		return s.ReadIndex(ctx)
 	}
@@ -128,11 +128,11 @@
 	}
 	conf := inc.configuration()
 	err = inc.transport.awaitMajority(ctx, quorumRequest{
-		leader:   raft.ServerID(inc.memberID),
-		conf:     conf.Configuration,
-		term:     term,
-		after:    readAt,
-		isLeader: inc.isLeader,
+		leader:    raft.ServerID(inc.memberID),
+		conf:      conf.Configuration,
+		term:      term,
+		sentSince: readAt,
+		isLeader:  inc.isLeader,
 	})
 	if err != nil {
 		return 0, fmt.Errorf("most voters' answers: %w", err)
--- a/internal/cluster/store/replicated_state.go
+++ b/internal/cluster/store/replicated_state.go
@@ -22,13 +22,13 @@
 // replicatedState is the state machine of the log with those who watch it. Raft's goroutine alone
 // writes it, by Apply and Restore; the others read it under the lock.
 type replicatedState struct {
-	mu        sync.Mutex
-	data      *kv.State
-	history   *watch.History
-	checksums kv.ChecksumHistory // recent ones, to be compared with other voters'
-	listeners []changeListener
-	advanced  chan struct{} // closed when an entry was applied
-	changed   chan struct{} // capacity 1: holds a token if an entry was applied since the mirror last took it
+	mu         sync.Mutex
+	data       *kv.State
+	history    *watch.History
+	checksums  kv.ChecksumHistory // recent ones, to be compared with other voters'
+	listeners  []changeListener
+	advanced   chan struct{} // closed when an entry was applied
+	mirrorWake chan struct{} // capacity 1: holds a token if an entry was applied since the mirror last took it
 
 	// onLeaseGranted is called, without the lock, for a lease that went to one who waited.
 	onLeaseGranted func(name, holder string)
@@ -41,7 +41,7 @@
 		data:           kv.New(),
 		history:        watch.NewHistory(historyLimits, 0),
 		advanced:       make(chan struct{}),
-		changed:        make(chan struct{}, 1),
+		mirrorWake:     make(chan struct{}, 1),
 		onLeaseGranted: func(string, string) {},
 	}
 }
@@ -76,14 +76,14 @@
 	s.advanced = make(chan struct{})
 }
 
-func (s *replicatedState) signalChanged() {
+func (s *replicatedState) wakeMirror() {
 	select {
-	case s.changed <- struct{}{}:
+	case s.mirrorWake <- struct{}{}:
 	default:
 	}
 }
 
-func (s *replicatedState) listen(listener changeListener) {
+func (s *replicatedState) addListener(listener changeListener) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.listeners = append(s.listeners, listener)
--- a/internal/cluster/store/snapshot.go
+++ b/internal/cluster/store/snapshot.go
@@ -46,13 +46,13 @@
 	if err != nil {
 		return fmt.Errorf("read snapshot: %w", err)
 	}
-	s.replace(restored).notify()
-	s.signalChanged()
+	s.replace(restored).notifyListeners()
+	s.wakeMirror()
 	return nil
 }
 
 // replace takes a state over, and returns its entries as changes.
-func (s *replicatedState) replace(restored *kv.State) (out effects) {
+func (s *replicatedState) replace(restored *kv.State) (out applyEffects) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.data = restored
--- a/internal/cluster/store/snapshot_test.go
+++ b/internal/cluster/store/snapshot_test.go
@@ -27,7 +27,7 @@
 	_, r, err := kept.Open(sink.ID())
 	require.NoError(t, err)
 	to, heard := newReplicatedState(), map[string]string{}
-	to.listen(func(key string, v json.RawMessage) { heard[key] = string(v) })
+	to.addListener(func(key string, v json.RawMessage) { heard[key] = string(v) })
 	require.NoError(t, to.Restore(r))
 	require.Equal(t, from.entriesAfter(0), to.entriesAfter(0))
 	require.Equal(t, map[string]string{"a": "", "b": `{"x":2}`}, heard)
--- a/internal/cluster/store/status.go
+++ b/internal/cluster/store/status.go
@@ -9,14 +9,14 @@
 
 // Status is the node's answer to GET /status.
 func (s *Store) Status() storeapi.Status {
-	st := storeapi.Status{Node: s.self.Name, Cluster: s.clusterID.get(), ForeignPeers: s.clusterID.foreignNames(), ID: s.memberID()}
+	st := storeapi.Status{Node: s.self.Name, Cluster: s.clusterID.get(), ForeignPeers: s.clusterID.foreignPeerNames(), ID: s.memberID()}
 	inc := s.current.Load()
 	switch state := nodeStateOf(inc != nil, inc != nil && inc.isMember()); state {
 	case nodeWaiting:
 		st.State = state.String()
 		st.WaitingFor = s.WaitReason()
-		if f := s.disk.Load(); f != nil {
-			st.LastIndex = f.local.Watermark.LastIndex
+		if disk := s.disk.Load(); disk != nil {
+			st.LastIndex = disk.local.Watermark.LastIndex
 		}
 	case nodeJoining:
 		st.State = state.String()
@@ -40,16 +40,16 @@
 // PeerStatus is the node's report to a peer, whose member ID is asker: its own state, and what it has
 // observed of the asker's disk. It is ErrNotServing until the node knows its own disk.
 func (s *Store) PeerStatus(asker string) (storeapi.PeerStatus, error) {
-	f := s.disk.Load()
-	if f == nil {
+	disk := s.disk.Load()
+	if disk == nil {
 		return storeapi.PeerStatus{}, s.notServingError()
 	}
 	inc := s.current.Load()
 	out := storeapi.PeerStatus{RaftAddress: s.self.Raft, AdminAddress: s.self.Admin, Zone: s.self.Zone, SupportsLeases: true}
 	out.State = nodeStateOf(inc != nil, inc != nil).peerState()
-	s.describeDisk(&out, f)
+	s.describeDisk(&out, disk)
 	if inc != nil {
-		s.describeIncarnation(&out, inc, f)
+		s.describeIncarnation(&out, inc, disk)
 	}
 	if e, ok := s.state.get(kv.PreviousClustersKey); ok {
 		json.Unmarshal(e.Value, &out.PreviousClusters) // this package wrote it
@@ -59,27 +59,27 @@
 }
 
 // describeDisk fills in what the disk held when the incarnation began.
-func (s *Store) describeDisk(out *storeapi.PeerStatus, f *diskState) {
-	out.ID = f.local.ID
+func (s *Store) describeDisk(out *storeapi.PeerStatus, disk *diskState) {
+	out.ID = disk.local.ID
 	out.Cluster = s.clusterID.get()
-	out.Watermark = f.local.Watermark
-	out.Fresh = f.local.Fresh
-	out.ConfigIndex = f.local.ConfigIndex
-	out.Members = f.local.Members
-	out.Voters = f.local.Voters
-	out.Addresses = f.addresses
+	out.Watermark = disk.local.Watermark
+	out.Fresh = disk.local.Fresh
+	out.ConfigIndex = disk.local.ConfigIndex
+	out.Members = disk.local.Members
+	out.Voters = disk.local.Voters
+	out.Addresses = disk.addresses
 }
 
 // describeIncarnation replaces what has changed since Raft runs.
-func (s *Store) describeIncarnation(out *storeapi.PeerStatus, inc *incarnation, f *diskState) {
+func (s *Store) describeIncarnation(out *storeapi.PeerStatus, inc *incarnation, disk *diskState) {
 	out.AppliedIndex = inc.raft.AppliedIndex()
 	out.Checksums = s.state.recentChecksums()
 	if mark, err := inc.storage.Watermark(); err == nil {
-		out.Watermark = mark.Max(f.local.Watermark)
+		out.Watermark = mark.Max(disk.local.Watermark)
 	}
 	conf := inc.configuration()
 	out.ConfigIndex = conf.Index
 	out.Members, out.Voters = memberIDs(conf)
 	out.Addresses = memberAddresses(conf)
-	out.Fresh = f.local.Fresh && out.Watermark.LastIndex == 0
+	out.Fresh = disk.local.Fresh && out.Watermark.LastIndex == 0
 }
--- a/internal/cluster/store/storage.go
+++ b/internal/cluster/store/storage.go
@@ -18,10 +18,10 @@
 // folderOpener opens a storage folder, and makes it if it is missing.
 type folderOpener func(dir string) (*raftstorage.Storage, *durable.Report, error)
 
-// replacementSuffix follows the folder's name in that of an empty file beside it, which is there from before a folder is
+// replacementMarkerSuffix follows the folder's name in that of an empty file beside it, which is there from before a folder is
 // moved aside until the one that takes its place has localReplacement: a node that dies in between must not take
 // that folder for new.
-const replacementSuffix = ".replacement"
+const replacementMarkerSuffix = ".replacement"
 
 // openStorage opens the node's folder, or makes it. One that is damaged, or whose state has
 // diverged, is moved aside as a whole, and a new one takes its place. That one never bootstraps a
@@ -46,11 +46,11 @@
 // finishReplacement marks a folder that takes the place of another one, if it is not known to be marked, and only
 // then removes the file that says so.
 func (s *Store) finishReplacement(storage *raftstorage.Storage) error {
-	path := s.cfg.Dir + replacementSuffix
+	path := s.cfg.Dir + replacementMarkerSuffix
 	if _, err := os.Lstat(path); errors.Is(err, fs.ErrNotExist) {
 		return nil
 	}
-	if err := storage.PutLocal(localReplacement, []byte("1")); err != nil {
+	if err := storage.PutLocal(replacementKey, []byte("1")); err != nil {
 		return err
 	}
 	parent, err := vfs.OpenDir(filepath.Dir(s.cfg.Dir))
@@ -65,7 +65,7 @@
 
 // moveFolderAside renames the folder to the first free name DIR.refused-N, once the file DIR.replacement is on disk.
 func (s *Store) moveFolderAside(cause error) error {
-	err := atomicfile.WriteNew(s.cfg.Dir+replacementSuffix, nil)
+	err := atomicfile.WriteNew(s.cfg.Dir+replacementMarkerSuffix, nil)
 	if err != nil && !errors.Is(err, fs.ErrExist) {
 		return err
 	}
@@ -93,7 +93,7 @@
 	if report.Loss == durable.TailLoss {
 		s.log.Info("unsynced log tail truncated", zap.Int64("truncated_bytes", report.TruncatedBytes))
 	}
-	diverged, err := storage.GetLocal(localDiverged)
+	diverged, err := storage.GetLocal(divergedKey)
 	if err == nil && diverged != nil {
 		err = errDiverged
 	}
--- a/internal/cluster/store/storage_test.go
+++ b/internal/cluster/store/storage_test.go
@@ -23,37 +23,37 @@
 
 // newDamagedStore is a Store, not started, whose folder was replaced: what it held can't be trusted.
 func newDamagedStore(t *testing.T) *Store {
-	s := newIdleStore(t, filepath.Join(t.TempDir(), "store"))
+	s := newUnstartedStore(t, filepath.Join(t.TempDir(), "store"))
 	storage, err := s.openStorage()
 	require.NoError(t, err)
-	require.NoError(t, storage.PutLocal(localDiverged, []byte("1")))
+	require.NoError(t, storage.PutLocal(divergedKey, []byte("1")))
 	require.NoError(t, storage.Close())
 	return s
 }
 
-// newIdleStore is a Store that is not started.
-func newIdleStore(t *testing.T, dir string) *Store {
+// newUnstartedStore is a Store that is not started.
+func newUnstartedStore(t *testing.T, dir string) *Store {
 	self := Peer{Name: "a", Raft: "127.0.0.1:1", Admin: "127.0.0.1:2"}
 	s, err := New(Config{Node: "a", Dir: dir, Peers: []Peer{self}}, zap.NewNop())
 	require.NoError(t, err)
 	return s
 }
 
-// isFresh opens the folder of a Store as a new process does, and reports whether the node says that it is new.
-func isFresh(t *testing.T, dir string) bool {
-	s := newIdleStore(t, dir)
+// opensAsFresh opens the folder of a Store as a new process does, and reports whether the node says that it is new.
+func opensAsFresh(t *testing.T, dir string) bool {
+	s := newUnstartedStore(t, dir)
 	storage, err := s.openStorage()
 	require.NoError(t, err)
-	f, err := s.readDiskState(storage)
+	disk, err := s.readDiskState(storage)
 	require.NoError(t, err)
 	require.NoError(t, storage.Close())
-	require.True(t, f.local.Empty)
-	return f.local.Fresh
+	require.True(t, disk.local.Empty)
+	return disk.local.Fresh
 }
 
-// failReplacement opens the damaged folder as it is, and the one that takes its place with a fault: from the change of
+// faultyReplacementOpener opens the damaged folder as it is, and the one that takes its place with a fault: from the change of
 // this number on, as in a process that died before it. It reports whether the fault came.
-func failReplacement(fault string, step int64, failed *atomic.Bool) folderOpener {
+func faultyReplacementOpener(fault string, step int64, failed *atomic.Bool) folderOpener {
 	opened := 0
 	return func(dir string) (*raftstorage.Storage, *durable.Report, error) {
 		opened++
@@ -85,45 +85,45 @@
 			require.Less(t, step, int64(maxReplacementSteps))
 			failed.Store(false)
 			s := newDamagedStore(t)
-			s.openFolder = failReplacement(fault, step, &failed)
+			s.openFolder = faultyReplacementOpener(fault, step, &failed)
 			if storage, err := s.openStorage(); err == nil {
 				storage.Close() // it may fail as well
 			}
 			assert.DirExists(t, s.cfg.Dir+".refused-1")
-			assert.False(t, isFresh(t, s.cfg.Dir), "%s at step %d", fault, step)
-			assert.False(t, isFresh(t, s.cfg.Dir), "%s at step %d, opened again", fault, step)
+			assert.False(t, opensAsFresh(t, s.cfg.Dir), "%s at step %d", fault, step)
+			assert.False(t, opensAsFresh(t, s.cfg.Dir), "%s at step %d, opened again", fault, step)
 		}
 	}
 }
 
-// TestReplacementDiesBetweenFolders: guards against the same, where the node dies after the folder was moved aside and before
+// TestReplacementCrashBetweenFolders: guards against the same, where the node dies after the folder was moved aside and before
 // another one is made, or right before the move.
-func TestReplacementDiesBetweenFolders(t *testing.T) {
+func TestReplacementCrashBetweenFolders(t *testing.T) {
 	s := newDamagedStore(t)
-	marks := 0
+	loggedLines := 0
 	core, _ := observer.New(zap.ErrorLevel)
 	s.log = zap.New(core, zap.Hooks(func(zapcore.Entry) error { // the line is logged right before the move
 		assert.DirExists(t, s.cfg.Dir)
-		assert.FileExists(t, s.cfg.Dir+replacementSuffix)
-		marks++
+		assert.FileExists(t, s.cfg.Dir+replacementMarkerSuffix)
+		loggedLines++
 		return nil
 	}))
 	storage, err := s.openStorage()
 	require.NoError(t, err)
 	require.NoError(t, storage.Close())
-	require.Equal(t, 1, marks)
-	assert.NoFileExists(t, s.cfg.Dir+replacementSuffix)
+	require.Equal(t, 1, loggedLines)
+	assert.NoFileExists(t, s.cfg.Dir+replacementMarkerSuffix)
 
 	for _, moved := range []bool{false, true} {
 		s := newDamagedStore(t)
-		require.NoError(t, os.WriteFile(s.cfg.Dir+replacementSuffix, nil, 0o600))
+		require.NoError(t, os.WriteFile(s.cfg.Dir+replacementMarkerSuffix, nil, 0o600))
 		if moved {
 			require.NoError(t, os.Rename(s.cfg.Dir, s.cfg.Dir+".refused-1"))
 		}
-		assert.False(t, isFresh(t, s.cfg.Dir), "moved: %v", moved)
-		assert.False(t, isFresh(t, s.cfg.Dir), "moved: %v, opened again", moved)
+		assert.False(t, opensAsFresh(t, s.cfg.Dir), "moved: %v", moved)
+		assert.False(t, opensAsFresh(t, s.cfg.Dir), "moved: %v, opened again", moved)
 		assert.DirExists(t, s.cfg.Dir+".refused-1")
-		assert.NoFileExists(t, s.cfg.Dir+replacementSuffix)
+		assert.NoFileExists(t, s.cfg.Dir+replacementMarkerSuffix)
 	}
 }
 
@@ -131,20 +131,20 @@
 // of another, the next one is new.
 func TestWipedFolderIsNew(t *testing.T) {
 	s := newDamagedStore(t)
-	assert.False(t, isFresh(t, s.cfg.Dir))
+	assert.False(t, opensAsFresh(t, s.cfg.Dir))
 	require.DirExists(t, s.cfg.Dir+".refused-1")
 	require.NoError(t, os.RemoveAll(s.cfg.Dir))
-	assert.True(t, isFresh(t, s.cfg.Dir))
+	assert.True(t, opensAsFresh(t, s.cfg.Dir))
 }
 
 // TestFolderWithSlashIsSetAside: guards against a node that can't set a damaged folder aside where its name in the
 // configuration ends in a slash: the new name lay inside of the folder.
 func TestFolderWithSlashIsSetAside(t *testing.T) {
 	damaged := newDamagedStore(t)
-	s := newIdleStore(t, damaged.cfg.Dir+"/")
+	s := newUnstartedStore(t, damaged.cfg.Dir+"/")
 	storage, err := s.openStorage()
 	require.NoError(t, err)
 	require.NoError(t, storage.Close())
 	assert.DirExists(t, damaged.cfg.Dir+".refused-1")
-	assert.NoFileExists(t, damaged.cfg.Dir+replacementSuffix)
+	assert.NoFileExists(t, damaged.cfg.Dir+replacementMarkerSuffix)
 }
--- a/internal/cluster/store/store.go
+++ b/internal/cluster/store/store.go
@@ -31,7 +31,7 @@
 	log    *zap.Logger
 	state  *replicatedState
 	mirror *sqlMirror // nil without a SQL mirror
-	peers  *peers
+	peers  *peerPoller
 	leases *leaseService
 
 	openFolder folderOpener // of the storage folder
@@ -39,7 +39,7 @@
 	pending   pendingWrites
 	logClock  logClock // of the requests that this node proposes
 	readIndex *readIndexBatcher
-	clusterID learnedClusterID
+	clusterID clusterIDState
 
 	ctx     context.Context // ends with Close
 	cancel  context.CancelFunc
@@ -65,11 +65,11 @@
 	s := &Store{cfg: cfg, log: log, openFolder: openFolder, state: newReplicatedState(), done: make(chan struct{})}
 	s.self, _ = cfg.self()
 	s.ctx, s.cancel = context.WithCancel(context.Background())
-	s.readIndex = &readIndexBatcher{readIndex: s.committedIndex}
-	s.peers = newPeers(s.ctx, s)
+	s.readIndex = &readIndexBatcher{readIndex: s.clusterReadIndex}
+	s.peers = newPeerPoller(s.ctx, s)
 	s.leases = newLeaseService(s)
 	s.state.onLeaseGranted = s.leases.wakeWaiter
-	s.showWaitReason(firstWaitReason)
+	s.setWaitReasonSilently(openDiskWaitReason)
 	return s, nil
 }
 
@@ -83,7 +83,7 @@
 	if s.cfg.SQL.Driver != "" {
 		s.mirror = &sqlMirror{store: s}
 	}
-	go s.run(storage)
+	go s.runIncarnations(storage)
 	return nil
 }
 
@@ -99,17 +99,17 @@
 // OnClose has Close call a function, the one that was added last first.
 func (s *Store) OnClose(do func()) { s.onClose = append(s.onClose, do) }
 
-// run goes from incarnation to incarnation until the Store is closed.
-func (s *Store) run(storage *raftstorage.Storage) {
+// runIncarnations goes from incarnation to incarnation until the Store is closed.
+func (s *Store) runIncarnations(storage *raftstorage.Storage) {
 	defer close(s.done)
 	var backoff restartBackoff
 	for s.ctx.Err() == nil {
-		began := time.Now()
+		startedAt := time.Now()
 		if err := s.runIncarnation(storage); err != nil && s.ctx.Err() == nil {
 			s.log.Error("incarnation ended", zap.Stringer("reason_kind", endReasonOf(err)), zap.Error(err))
-			s.setWaitReason(diskidentity.Reason{Text: err.Error()})
+			s.setAndLogWaitReason(diskidentity.Reason{Text: err.Error()})
 		}
-		s.pause(backoff.next(time.Since(began)))
+		s.pause(backoff.next(time.Since(startedAt)))
 		storage = s.reopenStorage()
 	}
 	if storage != nil {
@@ -124,7 +124,7 @@
 		if err == nil {
 			return storage
 		}
-		s.setWaitReason(diskidentity.Reason{Text: fmt.Sprintf("its disk: %v", err)})
+		s.setAndLogWaitReason(diskidentity.Reason{Text: fmt.Sprintf("its disk: %v", err)})
 		s.pause(reopenRetryInterval)
 	}
 	return nil
@@ -159,8 +159,8 @@
 
 // memberID is this node's name and disk; the name alone while the disk is not known.
 func (s *Store) memberID() string {
-	if f := s.disk.Load(); f != nil {
-		return f.local.ID
+	if disk := s.disk.Load(); disk != nil {
+		return disk.local.ID
 	}
 	return s.self.Name
 }
--- a/internal/cluster/store/supervise.go
+++ b/internal/cluster/store/supervise.go
@@ -33,7 +33,7 @@
 // supervise requests to join while this disk is no member, saves what was observed of others, and
 // returns why the incarnation has to end: one of the errors in errors.go, or that of ctx.
 func (s *Store) supervise(ctx context.Context, inc *incarnation, verdict diskidentity.Verdict) error {
-	inc.wasMember.Store(beginsAsMember(verdict))
+	inc.wasMember.Store(startsAsMember(verdict))
 	sup := &supervisor{store: s, inc: inc}
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
@@ -65,7 +65,7 @@
 		return fmt.Errorf("%w: it is %s now", errClusterReplaced, successor)
 	}
 	conf := inc.configuration()
-	s.followMembers(conf)
+	s.pollMembers(conf)
 	if err := sup.checkDivergence(conf); err != nil {
 		return err
 	}
@@ -89,11 +89,11 @@
 // mustBootstrap reports whether this node, which joins, has to make the cluster: the node that was taken for one of
 // a cluster is gone, as when its folder was removed.
 func (s *Store) mustBootstrap(inc *incarnation) bool {
-	f := s.disk.Load()
-	if mark, err := inc.storage.Watermark(); f == nil || err != nil || mark.LastIndex > 0 {
+	disk := s.disk.Load()
+	if mark, err := inc.storage.Watermark(); disk == nil || err != nil || mark.LastIndex > 0 {
 		return false
 	}
-	verdict, _ := diskidentity.Decide(f.local, s.peers.attestations().recent)
+	verdict, _ := diskidentity.Decide(disk.local, s.peers.attestations().recent)
 	return verdict == diskidentity.VerdictBootstrap
 }
 
@@ -105,7 +105,7 @@
 		return nil
 	}
 	// localDiverged has openStorage move the folder aside.
-	err := inc.storage.PutLocal(localDiverged, []byte("1"))
+	err := inc.storage.PutLocal(divergedKey, []byte("1"))
 	return errors.Join(fmt.Errorf("%w: at entry %d of the log", errDiverged, index), err)
 }
 
@@ -150,7 +150,7 @@
 		return
 	}
 	refusal := err.Error()
-	if old := inc.joinRefusal.Swap(&refusal); old == nil || *old != refusal {
+	if old := inc.joinRejection.Swap(&refusal); old == nil || *old != refusal {
 		s.log.Warn("join request not granted", zap.Error(err))
 	}
 }
--- a/internal/cluster/store/wait_reason.go
+++ b/internal/cluster/store/wait_reason.go
@@ -10,18 +10,18 @@
 
 // What a node without Raft waits for while nothing is wrong. These are shown, and not logged.
 const (
-	firstWaitReason   = "its disk to be opened"      // of a new node
-	reportsWaitReason = "the reports of its peers"   // until a verdict or its reason is known
-	raftWaitReason    = "Raft to start with its log" // after the verdict
+	openDiskWaitReason = "its disk to be opened"      // of a new node
+	reportsWaitReason  = "the reports of its peers"   // until a verdict or its reason is known
+	raftWaitReason     = "Raft to start with its log" // after the verdict
 )
 
-// showWaitReason replaces the wait reason, which may be that of an earlier incarnation, without a line of the log.
-func (s *Store) showWaitReason(text string) {
+// setWaitReasonSilently replaces the wait reason, which may be that of an earlier incarnation, without a line of the log.
+func (s *Store) setWaitReasonSilently(text string) {
 	s.waitReason.Store(&diskidentity.Reason{Text: text})
 }
 
-// setWaitReason notes what a node without Raft waits for. It logs each reason once, until Raft has run.
-func (s *Store) setWaitReason(reason diskidentity.Reason) {
+// setAndLogWaitReason notes what a node without Raft waits for. It logs each reason once, until Raft has run.
+func (s *Store) setAndLogWaitReason(reason diskidentity.Reason) {
 	s.waitReason.Store(&reason)
 	if s.loggedWaitReason != reason.Text {
 		s.loggedWaitReason = reason.Text
--- a/internal/cluster/store/wait_reason_test.go
+++ b/internal/cluster/store/wait_reason_test.go
@@ -22,16 +22,16 @@
 
 const startTimeout = 30 * time.Second
 
-// newLoneStore is a Store of one node, not started, on a free port.
-func newLoneStore(t *testing.T, log *zap.Logger) *Store {
+// newSingleNodeStore is a Store of one node, not started, on a free port.
+func newSingleNodeStore(t *testing.T, log *zap.Logger) *Store {
 	self := Peer{Name: "a", Raft: "127.0.0.1:0", Admin: "127.0.0.1:1"}
 	s, err := New(Config{Node: "a", Dir: filepath.Join(t.TempDir(), "store"), Peers: []Peer{self}}, log)
 	require.NoError(t, err)
 	return s
 }
 
-// awaitRunning waits for an incarnation other than the last one.
-func awaitRunning(t *testing.T, s *Store, last *incarnation) *incarnation {
+// awaitNextIncarnation waits for an incarnation other than the last one.
+func awaitNextIncarnation(t *testing.T, s *Store, last *incarnation) *incarnation {
 	var inc *incarnation
 	require.Eventually(t, func() bool { inc = s.current.Load(); return inc != nil && inc != last }, startTimeout, time.Millisecond)
 	return inc
@@ -41,7 +41,7 @@
 // for, while the node reads its disk or starts Raft. Each change to the folder notes the reason of its moment.
 func TestWaitReasonIsCurrent(t *testing.T) {
 	const older = "an error of the incarnation before"
-	s := newLoneStore(t, zap.NewNop())
+	s := newSingleNodeStore(t, zap.NewNop())
 	var mu sync.Mutex
 	var reasons []string
 	s.openFolder = func(dir string) (*raftstorage.Storage, *durable.Report, error) {
@@ -56,10 +56,10 @@
 			return ""
 		}})
 	}
-	s.setWaitReason(diskidentity.Reason{Text: older})
+	s.setAndLogWaitReason(diskidentity.Reason{Text: older})
 	require.NoError(t, s.Start())
 	defer s.Close()
-	awaitRunning(t, s, nil)
+	awaitNextIncarnation(t, s, nil)
 	mu.Lock()
 	defer mu.Unlock()
 	reasons = slices.Compact(reasons)
@@ -70,15 +70,15 @@
 // TestSameReasonAgain: guards against a line that is missing because the node waited for the same before it last served.
 func TestSameReasonAgain(t *testing.T) {
 	core, logs := observer.New(zap.WarnLevel)
-	s := newLoneStore(t, zap.New(core))
+	s := newSingleNodeStore(t, zap.New(core))
 	require.NoError(t, s.Start())
 	defer s.Close()
 	var inc *incarnation
 	for range 2 {
-		inc = awaitRunning(t, s, inc)
+		inc = awaitNextIncarnation(t, s, inc)
 		inc.reportFailure(errors.New("the same"))
 	}
-	awaitRunning(t, s, inc)
+	awaitNextIncarnation(t, s, inc)
 	assert.Len(t, logs.FilterMessage("store not serving").All(), 2)
 	assert.Empty(t, s.WaitReason())
 }
@@ -86,10 +86,10 @@
 // TestReasonIsLoggedOnce: guards against a line for each attempt that fails for the same reason.
 func TestReasonIsLoggedOnce(t *testing.T) {
 	core, logs := observer.New(zap.WarnLevel)
-	s := newLoneStore(t, zap.New(core))
+	s := newSingleNodeStore(t, zap.New(core))
 	for range 3 {
-		s.showWaitReason(reportsWaitReason)
-		s.setWaitReason(diskidentity.Reason{Text: "the same"})
+		s.setWaitReasonSilently(reportsWaitReason)
+		s.setAndLogWaitReason(diskidentity.Reason{Text: "the same"})
 	}
 	assert.Len(t, logs.FilterMessage("store not serving").All(), 1)
 }
--- a/internal/cluster/store/watermarks.go
+++ b/internal/cluster/store/watermarks.go
@@ -35,7 +35,7 @@
 // readWatermarks reads what saveWatermarks wrote.
 func readWatermarks(storage *raftstorage.Storage) (watermarks, error) {
 	w := watermarks{}
-	text, err := storage.GetLocal(localPeerWatermarks)
+	text, err := storage.GetLocal(peerWatermarksKey)
 	if err == nil && text != nil {
 		err = json.Unmarshal(text, &w)
 	}
@@ -46,7 +46,7 @@
 }
 
 // loadWatermarks adds what this node's disk remembers of other disks.
-func (p *peers) loadWatermarks(saved watermarks) {
+func (p *peerPoller) loadWatermarks(saved watermarks) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id, mark := range saved {
@@ -55,17 +55,17 @@
 }
 
 // saveWatermarks writes what was observed to this node's disk, if it has changed.
-func (p *peers) saveWatermarks(inc *incarnation) {
-	text := p.popUnsaved()
+func (p *peerPoller) saveWatermarks(inc *incarnation) {
+	text := p.takeUnsaved()
 	if text == nil {
 		return
 	}
-	if err := inc.storage.PutLocalUnsynced(localPeerWatermarks, text); err != nil {
+	if err := inc.storage.PutLocalUnsynced(peerWatermarksKey, text); err != nil {
 		p.store.log.Warn("peer watermarks not saved", zap.Error(err))
 	}
 }
 
-func (p *peers) popUnsaved() []byte {
+func (p *peerPoller) takeUnsaved() []byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.unsaved {
@@ -77,7 +77,7 @@
 }
 
 // observedWatermark is how far a disk has been observed; nil if it never was.
-func (p *peers) observedWatermark(memberID string) *diskidentity.Watermark {
+func (p *peerPoller) observedWatermark(memberID string) *diskidentity.Watermark {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if mark, ok := p.observed[memberID]; ok {
--- a/internal/cluster/store/write.go
+++ b/internal/cluster/store/write.go
@@ -81,12 +81,12 @@
 		return response, fmt.Errorf("encode request: %w", err)
 	}
 	err = s.peers.client.WithCommitTimeout().CallNode(ctx, leader.Admin, http.MethodPost, "/txn", text, &response)
-	return response, asFenced(err)
+	return response, asFencedError(err)
 }
 
-// asFenced returns a leader's answer to a transaction as kv.ErrFenced, if that is what it says: no other error
+// asFencedError returns a leader's answer to a transaction as kv.ErrFenced, if that is what it says: no other error
 // of a transaction is answered with this status.
-func asFenced(err error) error {
+func asFencedError(err error) error {
 	var answer *storeapi.StatusError
 	if errors.As(err, &answer) && answer.StatusCode == http.StatusPreconditionFailed {
 		lost := strings.TrimPrefix(answer.Text, kv.ErrFenced.Error()+": ")
@@ -120,5 +120,5 @@
 	if !ok {
 		return kv.Response{}, errNoApplyResult
 	}
-	return result.answer, result.err
+	return result.response, result.err
 }
