--- a/cmd/oxbowbridge/maintenance_agent.go
+++ b/cmd/oxbowbridge/maintenance_agent.go
@@ -69,7 +69,7 @@
 	if m.node.store == nil {
 		return false
 	}
-	votes, isMember := m.node.store.Voters()[m.node.store.Name()]
+	votes, isMember := m.node.store.VotesByName()[m.node.store.Name()]
 	return isMember && !votes
 }
 
--- a/cmd/oxbowbridge/store_node_settings.go
+++ b/cmd/oxbowbridge/store_node_settings.go
@@ -41,7 +41,7 @@
 	if !ok {
 		return
 	}
-	version := store.GoodVersion{Revision: e.ModRevision, Value: e.Value}
+	version := store.LastGoodVersion{Revision: e.ModRevision, Value: e.Value}
 	if !n.applySettings(cfg, version, presentSettings) {
 		n.loadLastGoodSettings(cfg)
 		return
@@ -73,7 +73,7 @@
 
 // applySettings puts settings of the store into cfg, and reports whether they are valid; if not, cfg
 // stays as it is.
-func (n *storeNode) applySettings(cfg *config, version store.GoodVersion, origin settingsOrigin) bool {
+func (n *storeNode) applySettings(cfg *config, version store.LastGoodVersion, origin settingsOrigin) bool {
 	var settings sitesettings.Settings
 	err := sitesettings.DecodeJSON(version.Value, &settings)
 	if err == nil {
--- a/internal/cluster/singleton/backup_task.go
+++ b/internal/cluster/singleton/backup_task.go
@@ -151,7 +151,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = b.store.ExecuteAnywhere(ctx, kv.Request{
+	_, err = b.store.ExecuteOrForward(ctx, kv.Request{
 		Fences: []lease.FencingToken{fence},
 		Then:   []kv.Op{kv.Put(KeyLastBackup, text)},
 	})
--- a/internal/cluster/singleton/sessions.go
+++ b/internal/cluster/singleton/sessions.go
@@ -35,10 +35,10 @@
 			return ctx.Err()
 		case <-ticker.C:
 		}
-		if s.Sessions() == 0 {
+		if s.SessionCount() == 0 {
 			continue
 		}
-		if _, err := s.ExecuteAnywhere(ctx, kv.Request{Fences: []lease.FencingToken{fence}}); err != nil {
+		if _, err := s.ExecuteOrForward(ctx, kv.Request{Fences: []lease.FencingToken{fence}}); err != nil {
 			return fmt.Errorf("end sessions: %w", err)
 		}
 	}
--- a/internal/cluster/store/config.go
+++ b/internal/cluster/store/config.go
@@ -35,10 +35,10 @@
 	// ForgetAfterMS is for how long a learner is down before it is removed, in milliseconds; 0 is
 	// a day.
 	ForgetAfterMS int64 `json:"forget_after_ms"`
-	// Attesters is how many other voters must attest, before a node that starts may vote, that
+	// RequiredAttesters is how many other voters must attest, before a node that starts may vote, that
 	// they have observed no more of its disk than it has: 0 is as many as make a majority with
 	// it, -1 is all of them. Pages and the file call them vouchers.
-	Attesters int `json:"vouchers"`
+	RequiredAttesters int `json:"vouchers"`
 
 	// SQL is the database that mirrors the keys.
 	SQL struct {
@@ -51,9 +51,9 @@
 
 // BackupConfig has scheduled backups taken by one of the nodes that are set up for it.
 type BackupConfig struct {
-	Dir   string `json:"dir"`   // folder of the files; "" is no backups
-	Every string `json:"every"` // interval as a Go duration, such as "1h"; "" is a day
-	Keep  int    `json:"keep"`  // files that stay in Dir; 0 is 7
+	Dir      string `json:"dir"`   // folder of the files; "" is no backups
+	Every    string `json:"every"` // interval as a Go duration, such as "1h"; "" is a day
+	MaxFiles int    `json:"keep"`  // files that stay in Dir; 0 is 7
 }
 
 const (
@@ -75,7 +75,7 @@
 )
 
 // Retention is how many backups stay.
-func (b BackupConfig) Retention() int { return cmp.Or(b.Keep, defaultBackupRetention) }
+func (b BackupConfig) Retention() int { return cmp.Or(b.MaxFiles, defaultBackupRetention) }
 
 func (c *Config) configuredPeer(name string) (Peer, bool) {
 	for _, p := range c.Peers {
--- a/internal/cluster/store/config_check.go
+++ b/internal/cluster/store/config_check.go
@@ -49,7 +49,7 @@
 	switch {
 	case c.Voters < 0 || c.Voters > maxVoters:
 		return fmt.Errorf("voters: want 0 to %d", maxVoters)
-	case c.Attesters < -1 || c.Attesters > maxVoters:
+	case c.RequiredAttesters < -1 || c.RequiredAttesters > maxVoters:
 		return fmt.Errorf("vouchers: want -1 to %d", maxVoters)
 	case c.ReplaceAfterMS < 0:
 		return errors.New("replace_after_ms: below 0")
@@ -121,9 +121,9 @@
 
 func (b BackupConfig) check() error {
 	switch {
-	case b.Dir == "" && (b.Every != "" || b.Keep != 0):
+	case b.Dir == "" && (b.Every != "" || b.MaxFiles != 0):
 		return errors.New("backup.dir: missing")
-	case b.Keep < 0 || b.Keep > maxBackupRetention:
+	case b.MaxFiles < 0 || b.MaxFiles > maxBackupRetention:
 		return fmt.Errorf("backup.keep: want 1 to %d, or 0 for %d", maxBackupRetention, defaultBackupRetention)
 	}
 	_, err := b.Interval()
--- a/internal/cluster/store/configuration.go
+++ b/internal/cluster/store/configuration.go
@@ -18,9 +18,9 @@
 	return members, voters
 }
 
-// Voters reports, for each name that is a member of the store, whether its node votes, as this node's
+// VotesByName reports, for each name that is a member of the store, whether its node votes, as this node's
 // configuration has it. It is nil while the node does not run.
-func (s *Store) Voters() map[string]bool {
+func (s *Store) VotesByName() map[string]bool {
 	inc, err := s.running()
 	if err != nil {
 		return nil
--- a/internal/cluster/store/disk_state.go
+++ b/internal/cluster/store/disk_state.go
@@ -48,7 +48,7 @@
 	local := diskidentity.LocalDisk{
 		ID:        diskidentity.MemberID(s.self.Name, diskID),
 		Cluster:   s.clusterID.get(),
-		Attesters: s.cfg.Attesters,
+		Attesters: s.cfg.RequiredAttesters,
 	}
 	if local.Watermark, err = storage.Watermark(); err != nil {
 		return nil, fmt.Errorf("watermark: %w", err)
--- a/internal/cluster/store/golden_test.go
+++ b/internal/cluster/store/golden_test.go
@@ -77,7 +77,7 @@
 	assert.Equal(t, []string{"disk", "starts", "joiner", "seen", "apart"}, []string{diskIDKey, startCountKey, replacementKey, peerWatermarksKey, divergedKey})
 	assertGoldenJSON(t, watermarks{"n1@5f": {Starts: 1, Term: 2, LastTerm: 3, LastIndex: 4}},
 		`{"n1@5f":{"starts":1,"term":2,"last_term":3,"last_index":4}}`)
-	assertGoldenJSON(t, GoodVersion{Revision: 7, Value: json.RawMessage(`{"x":1}`)}, `{"revision":7,"value":{"x":1}}`)
+	assertGoldenJSON(t, LastGoodVersion{Revision: 7, Value: json.RawMessage(`{"x":1}`)}, `{"revision":7,"value":{"x":1}}`)
 	assert.Equal(t, "_cluster/restored", restoreResultKey)
 	assertGoldenJSON(t, RecoveryReport{Node: "n1", ID: "n1@5f", Cluster: "c", Watermark: diskidentity.Watermark{Starts: 1}, Keys: 2, Members: []string{"n1@5f"}, Voters: []string{"n1@5f"},
 		LastObserved: map[string]diskidentity.Watermark{"n2@6f": {Term: 1}}, Missing: []string{"m"}, NewCluster: "d"},
@@ -160,8 +160,8 @@
 // TestGoldenConfig: the store's section of the configuration file.
 func TestGoldenConfig(t *testing.T) {
 	peer := Peer{Name: "n1", Raft: "127.0.0.1:1", Admin: "127.0.0.1:2", Zone: "z"}
-	c := Config{Node: "n1", Dir: "/d", Peers: []Peer{peer}, Self: &peer, Voters: 3, ReplaceAfterMS: 4, ForgetAfterMS: 5, Attesters: 6,
-		Backup: BackupConfig{Dir: "/b", Every: "1h", Keep: 7}}
+	c := Config{Node: "n1", Dir: "/d", Peers: []Peer{peer}, Self: &peer, Voters: 3, ReplaceAfterMS: 4, ForgetAfterMS: 5, RequiredAttesters: 6,
+		Backup: BackupConfig{Dir: "/b", Every: "1h", MaxFiles: 7}}
 	c.SQL.Driver, c.SQL.DSN = "sqlite", "file:x"
 	peerText := `{"name":"n1","raft":"127.0.0.1:1","admin":"127.0.0.1:2","zone":"z"}`
 	assertGoldenJSON(t, c, `{"node":"n1","dir":"/d","peers":[`+peerText+`],"self":`+peerText+`,"voters":3,"replace_after_ms":4,"forget_after_ms":5,"vouchers":6,`+
--- a/internal/cluster/store/last_good.go
+++ b/internal/cluster/store/last_good.go
@@ -5,15 +5,15 @@
 	"fmt"
 )
 
-// GoodVersion is a version of a key that the service has started with.
-type GoodVersion struct {
+// LastGoodVersion is a version of a key that the service has started with.
+type LastGoodVersion struct {
 	Revision uint64          `json:"revision"`
 	Value    json.RawMessage `json:"value"`
 }
 
 // SaveLastGood stores the good version of a key on this node's disk, for a start at which no
 // majority can be reached.
-func (s *Store) SaveLastGood(key string, good GoodVersion) error {
+func (s *Store) SaveLastGood(key string, good LastGoodVersion) error {
 	inc, err := s.running()
 	if err != nil {
 		return err
@@ -29,7 +29,7 @@
 }
 
 // LastGood is what SaveLastGood was last given. It can be read before Raft runs.
-func (s *Store) LastGood(key string) (good GoodVersion, found bool, err error) {
+func (s *Store) LastGood(key string) (good LastGoodVersion, found bool, err error) {
 	disk := s.disk.Load()
 	if disk == nil {
 		return good, false, nil
--- a/internal/cluster/store/mirror_session.go
+++ b/internal/cluster/store/mirror_session.go
@@ -160,7 +160,7 @@
 	m.store.log.Info("keys imported from the sql mirror", zap.Int("keys", len(missing)))
 	for _, r := range missing {
 		// A comparison that fails is no error: somebody has written the key meanwhile.
-		if _, err := m.store.ExecuteAnywhere(ctx, r); err != nil {
+		if _, err := m.store.ExecuteOrForward(ctx, r); err != nil {
 			return fmt.Errorf("import key: %w", err)
 		}
 	}
--- a/internal/cluster/store/pending_writes.go
+++ b/internal/cluster/store/pending_writes.go
@@ -7,9 +7,9 @@
 	"oxbowbridge/internal/cluster/kv"
 )
 
-// MaxTotalBytes bounds all values of the store together. The leader enforces it when it proposes
+// MaxTotalValueBytes bounds all values of the store together. The leader enforces it when it proposes
 // an entry; the state machine applies whatever is in the log.
-const MaxTotalBytes = 32 << 20
+const MaxTotalValueBytes = 32 << 20
 
 // Bounds of what a leader has proposed and not seen committed.
 const (
@@ -33,8 +33,8 @@
 	switch {
 	case w.count >= maxPendingWrites || w.bytes+size > maxPendingBytes:
 		return fmt.Errorf("%w: %d of %d bytes", ErrTooManyWrites, w.count, w.bytes)
-	case size > 0 && stored+w.bytes+size > MaxTotalBytes:
-		return fmt.Errorf("%w: %d bytes, at most %d", kv.ErrFull, stored, MaxTotalBytes)
+	case size > 0 && stored+w.bytes+size > MaxTotalValueBytes:
+		return fmt.Errorf("%w: %d bytes, at most %d", kv.ErrFull, stored, MaxTotalValueBytes)
 	}
 	w.count++
 	w.bytes += size
--- a/internal/cluster/store/read.go
+++ b/internal/cluster/store/read.go
@@ -42,11 +42,11 @@
 	return applied
 }
 
-// Sessions is how many sessions are open in this node's state.
-func (s *Store) Sessions() int { return s.state.sessions() }
+// SessionCount is how many sessions are open in this node's state.
+func (s *Store) SessionCount() int { return s.state.sessions() }
 
-// LastToken is the highest fencing token in this node's state.
-func (s *Store) LastToken() uint64 { return s.state.lastToken() }
+// LastFencingToken is the highest fencing token in this node's state.
+func (s *Store) LastFencingToken() uint64 { return s.state.lastToken() }
 
 // WaitCaughtUp waits until this node knows all that was committed when it was called, and reports
 // whether it does. It gives up when ctx ends.
--- a/internal/cluster/store/write.go
+++ b/internal/cluster/store/write.go
@@ -66,9 +66,9 @@
 	return s.propose(s.ctx, text, addedBytes(&r))
 }
 
-// ExecuteAnywhere is Execute on any node: a follower forwards the request to the leader, once. Its errors
+// ExecuteOrForward is Execute on any node: a follower forwards the request to the leader, once. Its errors
 // are those of Execute where the leader's answer tells them: a lost lease is kv.ErrFenced on every node.
-func (s *Store) ExecuteAnywhere(ctx context.Context, r kv.Request) (response kv.Response, err error) {
+func (s *Store) ExecuteOrForward(ctx context.Context, r kv.Request) (response kv.Response, err error) {
 	if s.IsLeader() {
 		return s.Execute(r)
 	}
--- a/internal/cluster/storeadmin/backup.go
+++ b/internal/cluster/storeadmin/backup.go
@@ -30,7 +30,7 @@
 		Cluster:  cluster,
 		Revision: revision,
 		TimeMS:   time.Now().UnixMilli(),
-		Token:    s.store.LastToken(),
+		Token:    s.store.LastFencingToken(),
 	}
 	var text bytes.Buffer
 	if _, err := backup.Write(&text, header, backupEntries(entries)); err != nil {
--- a/internal/cluster/storeadmin/fenced_write_test.go
+++ b/internal/cluster/storeadmin/fenced_write_test.go
@@ -69,7 +69,7 @@
 	leader, follower := openTwoNodes(t)
 	lost := kv.Request{Fences: []lease.FencingToken{{Name: controller.ControllerLease, Token: 99}}}
 	for _, node := range []testNode{leader, follower} {
-		_, err := node.store.ExecuteAnywhere(t.Context(), lost)
+		_, err := node.store.ExecuteOrForward(t.Context(), lost)
 		assert.ErrorIs(t, err, kv.ErrFenced, node.store.Name())
 	}
 }
@@ -79,11 +79,11 @@
 	leader, follower := openTwoNodes(t)
 	for _, node := range []testNode{leader, follower} {
 		changed := kv.Request{If: []kv.Compare{{Key: "a", Revision: 99}}, Then: []kv.Op{kv.Put("a", []byte("1"))}}
-		response, err := node.store.ExecuteAnywhere(t.Context(), changed)
+		response, err := node.store.ExecuteOrForward(t.Context(), changed)
 		require.NoError(t, err)
 		assert.False(t, response.Succeeded, node.store.Name())
 		unchanged := kv.Request{If: []kv.Compare{{Key: node.store.Name()}}, Then: []kv.Op{kv.Put(node.store.Name(), []byte("1"))}}
-		response, err = node.store.ExecuteAnywhere(t.Context(), unchanged)
+		response, err = node.store.ExecuteOrForward(t.Context(), unchanged)
 		require.NoError(t, err)
 		assert.True(t, response.Succeeded, node.store.Name())
 	}
--- a/internal/maintenance/controller/heartbeats.go
+++ b/internal/maintenance/controller/heartbeats.go
@@ -81,7 +81,7 @@
 // machines returns the machines of heartbeats, with what this node knows of their age, sorted by name.
 func (c *Controller) machines(heartbeats []maintenance.Heartbeat, orders []maintenance.Order) (list []maintenance.Machine) {
 	observed, now := c.observeAll(heartbeats)
-	voters := c.store.Voters()
+	voters := c.store.VotesByName()
 	for i, h := range heartbeats {
 		m := observedMachine(h, observed[i], now)
 		if m.State == maintenance.MachineInService && !hasReturned(h, orders) {
--- a/internal/maintenance/controller/run.go
+++ b/internal/maintenance/controller/run.go
@@ -66,7 +66,7 @@
 // carryOut writes a decision, and logs it once it is in the store. After any error but kv.ErrFenced it may be
 // there all the same; the error then says what was decided.
 func (c *Controller) carryOut(ctx context.Context, decision maintenance.Decision, s snapshot, fence lease.FencingToken) error {
-	response, err := c.store.ExecuteAnywhere(ctx, requestFor(decision, s, fence))
+	response, err := c.store.ExecuteOrForward(ctx, requestFor(decision, s, fence))
 	if err != nil {
 		return fmt.Errorf("%s: %w", summary(decision), err)
 	}
