--- a/internal/cluster/store/ack_transport_test.go
+++ b/internal/cluster/store/ack_transport_test.go
@@ -14,8 +14,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestAwaitMajority: only voters' answers in the term, to requests sent since the time, make a
-// majority; a node that has lost the leadership does not wait for one.
+// TestAwaitMajority checks that a majority consists only of voters that responded in the current term to
+// requests sent since the given time, and that a node that has lost the leadership does not wait.
 func TestAwaitMajority(t *testing.T) {
 	conf := raft.Configuration{Servers: []raft.Server{{ID: "a"}, {ID: "b"}, {ID: "c"}, {ID: "d", Suffrage: raft.Nonvoter}}}
 	now := time.Now()
@@ -37,7 +37,8 @@
 	assert.ErrorIs(t, await(false), ErrNoLeader)
 }
 
-// TestStaleTerm: a node that has left a term sends nothing more of it, by either way.
+// TestStaleTerm checks that a node sends no request of a term that it has left, with or without a
+// pipeline.
 func TestStaleTerm(t *testing.T) {
 	a := newAckTransport(nil)
 	term := func() uint64 { return 8 }
@@ -49,7 +50,7 @@
 	assert.NoError(t, a.checkTerm(8))
 }
 
-// recordingFSM is a raft.FSM that keeps what it was given.
+// recordingFSM is a raft.FSM that records the data of each applied entry.
 type recordingFSM struct {
 	mu   sync.Mutex
 	data []string
@@ -71,10 +72,10 @@
 func (a *recordingFSM) Snapshot() (raft.FSMSnapshot, error) { return nil, errors.New("none") }
 func (a *recordingFSM) Restore(io.ReadCloser) error         { return errors.New("none") }
 
-// TestCommitIndexIsBounded: a peer has an entry of an earlier leader that was never committed.
-// The new leader's first request to it comes late: it compares the entry before that one,
-// brings none, and the leader has committed another in its place. The peer must not apply
-// the old entry, or its state would differ from the others' for good.
+// TestCommitIndexIsBounded guards against a follower that applies an entry which was never committed. The
+// peer's log ends with such an entry of an earlier leader. The new leader has committed another entry at
+// that index. Its first request is built late: it covers only the entry before and contains none. If the
+// peer applied its own last entry, its state would differ from that of the other nodes permanently.
 func TestCommitIndexIsBounded(t *testing.T) {
 	transport := func() *raft.NetworkTransport {
 		n, err := raft.NewTCPTransport("127.0.0.1:0", nil, 1, 10*time.Second, io.Discard)
--- a/internal/cluster/store/address.go
+++ b/internal/cluster/store/address.go
@@ -8,8 +8,9 @@
 	"oxbowbridge/internal/cluster/diskidentity"
 )
 
-// addressSeparator separates the fields of an address in the cluster's configuration, ID|RAFT|ADMIN|ZONE. The address
-// holds all that others must know of a member, so that it changes in one log entry with the members.
+// addressSeparator separates the fields of an address in the cluster's configuration: ID|RAFT|ADMIN|ZONE.
+// The address holds everything that other nodes need to know about a member, so that one log entry changes
+// it together with the membership.
 const addressSeparator = "|"
 
 const addressFields = 4
@@ -18,7 +19,8 @@
 	return raft.ServerAddress(strings.Join([]string{id, p.Raft, p.Admin, p.Zone}, addressSeparator))
 }
 
-// decodePeer reads an address. One that an earlier version wrote is the Raft address alone.
+// decodePeer parses an address of the cluster's configuration. Earlier versions wrote the Raft address
+// only.
 func decodePeer(id raft.ServerID, addr raft.ServerAddress) Peer {
 	p := Peer{Name: diskidentity.MemberName(string(id)), Raft: string(addr)}
 	if fields := strings.Split(string(addr), addressSeparator); len(fields) == addressFields {
@@ -29,7 +31,7 @@
 	return p
 }
 
-// addressMemberID is the member that an address names.
+// addressMemberID returns the member ID in an address.
 func addressMemberID(addr raft.ServerAddress) string {
 	id, _, _ := strings.Cut(string(addr), addressSeparator)
 	return id
--- a/internal/cluster/store/apply.go
+++ b/internal/cluster/store/apply.go
@@ -15,11 +15,10 @@
 	err      error
 }
 
-// leaseGrant is a lease that went to one who waited for it.
+// leaseGrant is a lease that was granted to a waiting holder.
 type leaseGrant struct{ name, holder string }
 
-// Apply carries out one log entry, as a whole or not at all, and returns an applyResult. It is
-// Raft's to call.
+// Apply applies one log entry atomically and returns an applyResult. Only Raft calls it.
 func (s *replicatedState) Apply(entry *raft.Log) any {
 	result, effects := s.applyEntry(entry)
 	for _, g := range effects.grants {
@@ -30,11 +29,12 @@
 	return result
 }
 
-// applyEffects are what listeners hear of once the state's lock is free.
+// applyEffects are the notifications of an applied entry. They are sent after the state's lock is
+// released.
 type applyEffects struct {
 	changes   []watch.Change
 	grants    []leaseGrant
-	listeners []changeListener // as of the change
+	listeners []changeListener // registered when the entry was applied
 }
 
 func (e applyEffects) notifyListeners() {
--- a/internal/cluster/store/backup_restore.go
+++ b/internal/cluster/store/backup_restore.go
@@ -14,16 +14,16 @@
 
 const (
 	maxRestoreBatchOps   = kv.MaxOps / 2 // keys that one log entry restores
-	maxRestoreBatchBytes = 256 << 10     // of their values
-	// restoreResultKey has which backup the store began with, as a storeapi.RestoreResponse.
+	maxRestoreBatchBytes = 256 << 10     // size of their values
+	// restoreResultKey holds the result of the completed restore, as a storeapi.RestoreResponse.
 	restoreResultKey = kv.ReservedPrefix + "restored"
 )
 
 var errNoClusterID = errors.New("the cluster has no id yet")
 
-// Restore writes a backup into the empty store of another cluster. It returns ErrNoLeader on any node
-// but the leader. Until it is complete the store admits no other write. A retry with the same backup
-// goes on, or has the answer of the one that was complete.
+// Restore writes a backup into the empty store of another cluster. It returns ErrNoLeader on any node but
+// the leader. Until the restore is complete, the store rejects all other writes. A retry with the same
+// backup resumes the restore, or returns the result if it is already complete.
 func (s *Store) Restore(ctx context.Context, header backup.Header, entries []backup.Entry) (storeapi.RestoreResponse, error) {
 	if _, err := s.WaitFresh(ctx, Freshness{}); err != nil {
 		return storeapi.RestoreResponse{}, err
@@ -38,13 +38,13 @@
 	if earlier, ok := s.previousRestore(); ok && earlier.SHA256 == header.SHA256 {
 		return earlier, nil
 	}
-	marker, err := s.startRestore(ctx, header.SHA256)
+	markerRevision, err := s.startRestore(ctx, header.SHA256)
 	if err != nil {
 		return storeapi.RestoreResponse{}, err
 	}
 	writer := &restoreWriter{
 		store:          s,
-		markerRevision: marker,
+		markerRevision: markerRevision,
 		header:         header,
 		result:         storeapi.RestoreResponse{SourceCluster: header.Cluster, Cluster: clusterID, SHA256: header.SHA256},
 	}
@@ -54,26 +54,27 @@
 	return writer.result, nil
 }
 
-// previousRestore is the answer to the restore that the store began with.
+// previousRestore returns the result of the restore that initialized this store.
 func (s *Store) previousRestore() (out storeapi.RestoreResponse, ok bool) {
 	e, ok := s.state.get(restoreResultKey)
 	return out, ok && json.Unmarshal(e.Value, &out) == nil
 }
 
-// restoreWriter writes a backup in batches, each a log entry that holds under the restore's marker.
+// restoreWriter writes a backup in batches. Each batch is one log entry that takes effect only while the
+// restore marker is unchanged.
 type restoreWriter struct {
 	store          *Store
 	markerRevision uint64 // revision of kv.RestoreKey
 	header         backup.Header
 	batch          []kv.Op
-	bytes          int // of the batch's values
+	bytes          int // total size of the batch's values
 	result         storeapi.RestoreResponse
 }
 
 func (r *restoreWriter) write(ctx context.Context, entries []backup.Entry) error {
 	for _, e := range entries {
 		if !kv.IsUserKey(e.Key) {
-			continue // state that the old cluster's services published
+			continue // runtime state that services of the old cluster published
 		}
 		r.batch = append(r.batch, kv.Put(e.Key, e.Value))
 		r.bytes += len(e.Value)
@@ -88,7 +89,7 @@
 	return r.finish(ctx)
 }
 
-// finish admits other writes again, and notes the result.
+// finish records the result and deletes the restore marker, so that other writes are accepted again.
 func (r *restoreWriter) finish(ctx context.Context) error {
 	text, err := json.Marshal(r.result)
 	if err != nil {
@@ -112,7 +113,7 @@
 	return errors.Join(err, ctx.Err())
 }
 
-// UndoRestore empties a store in which a restore was cut off, and admits other writes again.
+// UndoRestore deletes the keys of an interrupted restore, and lets the store accept other writes again.
 func (s *Store) UndoRestore(ctx context.Context) error {
 	if _, err := s.WaitFresh(ctx, Freshness{}); err != nil {
 		return err
@@ -124,7 +125,8 @@
 	}
 	batch := kv.Request{If: []kv.Compare{{Key: kv.RestoreKey, Revision: marker.ModRevision}}}
 	for key := range entries {
-		// Under the first version of the marker it was not known yet whether the store is empty.
+		// While the marker is at version 1, it is not verified that the store was empty, so that its keys may
+		// predate the restore.
 		if marker.Version > 1 && kv.IsUserKey(key) {
 			batch.Then = append(batch.Then, kv.Delete(key))
 		}
@@ -140,11 +142,11 @@
 	return err
 }
 
-// startRestore closes the store to other writes than this backup's, if it is empty or was closed for
-// the same backup. It returns the marker's revision.
+// startRestore sets the restore marker, which rejects all writes but this backup's. The store must be
+// empty, or have a marker of the same backup. It returns the marker's revision.
 //
-// The marker is written twice. The first version keeps other writers out while it is checked that
-// the store is empty; the second one says that it was, so that what is in it since then is of this
+// The marker is written twice. Version 1 blocks other writers while startRestore verifies that the store
+// is empty. Version 2 records that it was empty, so that all user keys written since then are from this
 // backup.
 func (s *Store) startRestore(ctx context.Context, sha256 string) (revision uint64, err error) {
 	value, err := json.Marshal(sha256)
@@ -162,9 +164,9 @@
 	if marker.Version > 1 {
 		return marker.ModRevision, nil
 	}
-	if used := countUserKeys(entries); used > 0 {
+	if userKeys := countUserKeys(entries); userKeys > 0 {
 		_, err = s.Execute(kv.Request{Then: []kv.Op{kv.Delete(kv.RestoreKey)}})
-		return 0, errors.Join(fmt.Errorf("%w: it has %d keys", ErrNotEmpty, used), err)
+		return 0, errors.Join(fmt.Errorf("%w: it has %d keys", ErrNotEmpty, userKeys), err)
 	}
 	response, err := s.Execute(kv.Request{
 		If:   []kv.Compare{{Key: kv.RestoreKey, Revision: marker.ModRevision}},
@@ -179,8 +181,8 @@
 	return response.Results[0].Revision, nil
 }
 
-// putRestoreMarker writes the first version of the marker unless there is one, and waits until all that was
-// written before it is known.
+// putRestoreMarker writes version 1 of the marker unless a marker exists, and waits until this node has
+// applied all earlier entries.
 func (s *Store) putRestoreMarker(ctx context.Context, value json.RawMessage) error {
 	_, err := s.Execute(kv.Request{
 		If:   []kv.Compare{{Key: kv.RestoreKey}},
--- a/internal/cluster/store/cluster_id.go
+++ b/internal/cluster/store/cluster_id.go
@@ -19,15 +19,16 @@
 
 const (
 	clusterIDPollInterval = 100 * time.Millisecond
-	clusterIDBytes        = 16 // before they are written in hexadecimal
+	clusterIDBytes        = 16 // length of the ID before hexadecimal encoding
 )
 
-// clusterIDState is which cluster this node belongs to, and which peers belong to another one. A
-// new node belongs to none until it has the key from the others, and to that one for good.
+// clusterIDState is the ID of the cluster that this node belongs to, and the peers that belong to another
+// cluster. A new node has no cluster ID until it reads one from the replicated state; from then on the ID
+// does not change.
 type clusterIDState struct {
 	mu           sync.Mutex
 	id           string
-	foreignPeers map[string]string // their cluster IDs, by name
+	foreignPeers map[string]string // cluster ID by node name, for peers of other clusters
 }
 
 func (c *clusterIDState) get() string {
@@ -42,14 +43,14 @@
 	c.id = id
 }
 
-// foreignPeerNames are the peers of other clusters, separated by spaces.
+// foreignPeerNames returns the names of peers that belong to other clusters, separated by spaces.
 func (c *clusterIDState) foreignPeerNames() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return strings.Join(slices.Sorted(maps.Keys(c.foreignPeers)), " ")
 }
 
-// addForeignPeer notes a peer of another cluster, and logs it once.
+// addForeignPeer records a peer that belongs to another cluster, and logs it once.
 func (c *clusterIDState) addForeignPeer(name, clusterID string, log *zap.Logger) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -68,11 +69,11 @@
 	delete(c.foreignPeers, name)
 }
 
-// ClusterID is the cluster's ID, or "" while it is not known.
+// ClusterID returns the cluster's ID, or "" while it is not known.
 func (s *Store) ClusterID() string { return s.clusterID.get() }
 
-// maintainClusterID learns the cluster's ID, or as the leader of a new cluster gives it one, and
-// saves it beside the log.
+// maintainClusterID reads the cluster's ID from the replicated state and saves it beside the log. The
+// leader of a new cluster creates the ID.
 func (s *Store) maintainClusterID(ctx context.Context, inc *incarnation) {
 	for s.clusterID.get() == "" && ctx.Err() == nil {
 		if err := s.learnClusterID(ctx, inc); err != nil && ctx.Err() == nil {
@@ -98,16 +99,16 @@
 		return err
 	}
 	if err := inc.storage.PutLocal(kv.ClusterKey, []byte(id)); err != nil {
-		return fmt.Errorf("keep cluster id: %w", err)
+		return fmt.Errorf("save cluster id: %w", err)
 	}
 	s.clusterID.set(id)
-	s.log.Info("cluster id", zap.String("cluster", id))
+	s.log.Info("cluster id learned", zap.String("cluster", id))
 	return nil
 }
 
-// createClusterID writes a new ID unless the cluster has one by then.
+// createClusterID writes a new ID unless the cluster already has one.
 func (s *Store) createClusterID(ctx context.Context) error {
-	// All that was committed must be known: the cluster may have an ID.
+	// An earlier leader may have committed an ID, so that this node must first apply all committed entries.
 	if _, err := s.WaitFresh(ctx, Freshness{}); err != nil {
 		return err
 	}
@@ -123,7 +124,7 @@
 	return err
 }
 
-// parseClusterID reads the key that names the cluster.
+// parseClusterID decodes the value of the key that holds the cluster's ID.
 func parseClusterID(e kv.Entry) (id string, err error) {
 	if err := json.Unmarshal(e.Value, &id); err != nil || id == "" {
 		return "", fmt.Errorf("%s: %s is no id", kv.ClusterKey, e.Value)
@@ -131,7 +132,7 @@
 	return id, nil
 }
 
-// readClusterID is the ID that was saved beside the log, "" if there is none.
+// readClusterID returns the ID that was saved beside the log, or "" if there is none.
 func readClusterID(storage *raftstorage.Storage) (string, error) {
 	id, err := storage.GetLocal(kv.ClusterKey)
 	if err != nil {
@@ -140,8 +141,8 @@
 	return string(id), nil
 }
 
-// loggedClusterID is the ID in the log of a node that stopped before it saved it. It may not have
-// been committed.
+// loggedClusterID returns the ID in the log of a node that stopped before it saved the ID beside the log.
+// The log entry may not have been committed.
 func loggedClusterID(storage *raftstorage.Storage) (string, error) {
 	state := newReplicatedState()
 	if err := replayLog(storage, state); err != nil {
@@ -154,8 +155,10 @@
 	return parseClusterID(e)
 }
 
-// tokenFloor is what the fencing tokens of a new cluster lie above: the highest token known of the
-// old cluster, and what the old one can have given by now, as its tokens began by this rule too.
+// tokenFloor returns the lower bound for the fencing tokens of a new cluster: the higher of the highest
+// known token of the old cluster and the current Unix time in milliseconds times lease.TokensPerMS. The
+// tokens of the old cluster started by the same rule, so that it cannot have granted a higher token by
+// now.
 func tokenFloor(known uint64) uint64 {
 	return max(known, uint64(time.Now().UnixMilli())*lease.TokensPerMS)
 }
--- a/internal/cluster/store/config.go
+++ b/internal/cluster/store/config.go
@@ -10,60 +10,62 @@
 // Peer is one node of the store.
 type Peer struct {
 	Name  string `json:"name"`           // 1 to 64 letters, digits, dots, dashes or underscores
-	Raft  string `json:"raft"`           // loopback address at which the nodes talk to each other
-	Admin string `json:"admin"`          // loopback address of the HTTP surface
-	Zone  string `json:"zone,omitempty"` // failure domain; "" is one too
+	Raft  string `json:"raft"`           // loopback address for Raft traffic between nodes
+	Admin string `json:"admin"`          // loopback address of the HTTP admin API
+	Zone  string `json:"zone,omitempty"` // failure domain; nodes with "" share one
 }
 
 // Config is the store's section of the configuration file.
 type Config struct {
-	// Node is this node's name, among Peers or else with its addresses in Self.
+	// Node is this node's name. Its addresses are in Peers under this name, or in Self.
 	Node string `json:"node"`
-	// Dir is the storage folder. It is made if it is missing.
+	// Dir is the storage folder. It is created if it does not exist.
 	Dir string `json:"dir"`
-	// Peers make the cluster when all of them start with new folders. Later they are the nodes
-	// that are polled first. An address here takes precedence over the cluster's configuration.
+	// Peers are the initial members: they form the cluster when all of them start with new folders. After
+	// that they are the nodes to poll first. An address in Peers takes precedence over the one in the
+	// cluster's configuration.
 	Peers []Peer `json:"peers"`
-	// Self has the addresses of a node that joins and is not among Peers.
+	// Self has the addresses of a node that is not in Peers and joins an existing cluster.
 	Self *Peer `json:"self,omitempty"`
 
-	// Voters is the wanted number of voters; 0 is the number of Peers.
+	// Voters is the target number of voters; 0 means the number of Peers.
 	Voters int `json:"voters"`
-	// ReplaceAfterMS is for how long a voter is down before a learner gets its vote, in
-	// milliseconds; 0 is a minute.
+	// ReplaceAfterMS is how long a voter is down before a learner replaces it as a voter, in milliseconds; 0
+	// means one minute.
 	ReplaceAfterMS int64 `json:"replace_after_ms"`
-	// ForgetAfterMS is for how long a learner is down before it is removed, in milliseconds; 0 is
-	// a day.
+	// ForgetAfterMS is how long a learner is down before it is removed, in milliseconds; 0 means one day.
 	ForgetAfterMS int64 `json:"forget_after_ms"`
-	// RequiredAttesters is how many other voters must attest, before a node that starts may vote, that
-	// they have observed no more of its disk than it has: 0 is as many as make a majority with
-	// it, -1 is all of them. Pages and the file call them vouchers.
+	// RequiredAttesters is how many other voters must attest the disk of a starting node before the node may
+	// vote. A voter attests that it has not observed a higher watermark of the disk than the disk has now. 0
+	// means as many as form a majority with this node, -1 means all other voters. The documentation and the
+	// configuration file call attesters "vouchers".
 	RequiredAttesters int `json:"vouchers"`
 
-	// SQL is the database that mirrors the keys.
+	// SQL is the database to which the keys are mirrored.
 	SQL struct {
 		Driver string `json:"driver"` // "sqlite", "postgres", or "" for no database
 		DSN    string `json:"dsn"`    // data source name of the driver
 	} `json:"sql"`
-	// Backup is for scheduled backups.
+	// Backup configures scheduled backups.
 	Backup BackupConfig `json:"backup"`
 }
 
-// BackupConfig has scheduled backups taken by one of the nodes that are set up for it.
+// BackupConfig configures scheduled backups. One of the nodes with this configuration takes them.
 type BackupConfig struct {
 	Dir      string `json:"dir"`   // folder of the files; "" is no backups
-	Every    string `json:"every"` // interval as a Go duration, such as "1h"; "" is a day
-	MaxFiles int    `json:"keep"`  // files that stay in Dir; 0 is 7
+	Every    string `json:"every"` // interval as a Go duration, such as "1h"; "" means one day
+	MaxFiles int    `json:"keep"`  // number of backup files to retain in Dir; 0 means 7
 }
 
 const (
 	defaultReplaceAfter = time.Minute
 	defaultForgetAfter  = 24 * time.Hour
-	// minMembershipChangeInterval is the minimum time between two membership changes: each is decided on
-	// reports that are newer than the one before (pollInterval).
+	// minMembershipChangeInterval is the minimum time between two membership changes. It equals pollInterval,
+	// so that each change is decided on peer reports that are newer than the change before.
 	minMembershipChangeInterval = 200 * time.Millisecond
-	// maxEntriesBehind is how many log entries a healthy member may miss. A learner with more is not
-	// promoted; a voter with more does not count for the healthy majority that each change needs.
+	// maxEntriesBehind is how many log entries a healthy member may lag behind the leader. A learner that
+	// lags further is not promoted. A voter that lags further does not count toward the healthy majority that
+	// every membership change requires.
 	maxEntriesBehind = 100
 	maxMembers       = 32
 	maxVoters        = 9
@@ -74,7 +76,7 @@
 	maxBackupRetention     = 10000
 )
 
-// Retention is how many backups stay.
+// Retention returns how many backup files are retained.
 func (b BackupConfig) Retention() int { return cmp.Or(b.MaxFiles, defaultBackupRetention) }
 
 func (c *Config) configuredPeer(name string) (Peer, bool) {
@@ -86,15 +88,16 @@
 	return Peer{}, false
 }
 
-// isFounder reports whether the node is one of those that make the cluster.
-func (c *Config) isFounder() bool {
+// isInitialMember reports whether the node is listed in Peers.
+func (c *Config) isInitialMember() bool {
 	_, ok := c.configuredPeer(c.Node)
 	return ok
 }
 
-// founders are the names of those that make the cluster; nil on a node that is none of them.
-func (c *Config) founders() (names []string) {
-	if !c.isFounder() {
+// initialMembers returns the names of the nodes that form the cluster, or nil on a node that is not one of
+// them.
+func (c *Config) initialMembers() (names []string) {
+	if !c.isInitialMember() {
 		return nil
 	}
 	for _, p := range c.Peers {
@@ -103,7 +106,7 @@
 	return names
 }
 
-// self is this node, if the configuration says where it is.
+// self returns this node with its addresses, if the configuration has them.
 func (c *Config) self() (Peer, bool) {
 	if p, ok := c.configuredPeer(c.Node); ok || c.Self == nil {
 		return p, ok
@@ -113,7 +116,7 @@
 	return p, p.Name == c.Node
 }
 
-// membershipPolicy is what the leader decides on members by.
+// membershipPolicy returns the policy by which the leader changes the membership.
 func (c *Config) membershipPolicy() membership.Policy {
 	return membership.Policy{
 		Voters:           cmp.Or(c.Voters, len(c.Peers)),
--- a/internal/cluster/store/config_check.go
+++ b/internal/cluster/store/config_check.go
@@ -9,10 +9,11 @@
 	"time"
 )
 
-// namePattern leaves out reservedIDChars, which separate the fields of a member's ID and address.
+// namePattern excludes the characters of reservedIDChars, which separate the fields of a member's ID and
+// address.
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9._-]{1,64}$`)
 
-// Check validates the configuration. Its error names the field at fault.
+// Check validates the configuration. Its error names the invalid field.
 func (c *Config) Check() error {
 	if err := c.checkNode(); err != nil {
 		return err
@@ -27,7 +28,7 @@
 		return err
 	}
 	if _, ok := sqlDrivers[c.SQL.Driver]; !ok && c.SQL.Driver != "" {
-		return fmt.Errorf("sql.driver: %q is neither sqlite nor postgres", c.SQL.Driver)
+		return fmt.Errorf("sql.driver: %q: want sqlite, postgres or none", c.SQL.Driver)
 	}
 	return nil
 }
@@ -38,9 +39,9 @@
 	case c.Dir == "":
 		return errors.New("dir: missing")
 	case !ok:
-		return fmt.Errorf("node: %q is not among the peers, and self does not say where it is", c.Node)
-	case c.Self != nil && c.isFounder():
-		return errors.New("self: the node is among the peers")
+		return fmt.Errorf("node: %q is not in peers, and self has no addresses for it", c.Node)
+	case c.Self != nil && c.isInitialMember():
+		return errors.New("self: must be omitted for a node that is in peers")
 	}
 	return nil
 }
@@ -48,15 +49,15 @@
 func (c *Config) checkLimits() error {
 	switch {
 	case c.Voters < 0 || c.Voters > maxVoters:
-		return fmt.Errorf("voters: want 0 to %d", maxVoters)
+		return fmt.Errorf("voters: must be 0 to %d", maxVoters)
 	case c.RequiredAttesters < -1 || c.RequiredAttesters > maxVoters:
-		return fmt.Errorf("vouchers: want -1 to %d", maxVoters)
+		return fmt.Errorf("vouchers: must be -1 to %d", maxVoters)
 	case c.ReplaceAfterMS < 0:
-		return errors.New("replace_after_ms: below 0")
+		return errors.New("replace_after_ms: must not be negative")
 	case c.ForgetAfterMS < 0:
-		return errors.New("forget_after_ms: below 0")
+		return errors.New("forget_after_ms: must not be negative")
 	case len(c.Peers) > maxMembers:
-		return fmt.Errorf("peers: more than %d", maxMembers)
+		return fmt.Errorf("peers: more than the maximum of %d", maxMembers)
 	}
 	return nil
 }
@@ -67,7 +68,7 @@
 			return fmt.Errorf("peers.%d.%w", i, err)
 		}
 		if slices.ContainsFunc(c.Peers[:i], func(other Peer) bool { return other.Name == p.Name }) {
-			return fmt.Errorf("peers.%d.name: %q is there twice", i, p.Name)
+			return fmt.Errorf("peers.%d.name: duplicate name %q", i, p.Name)
 		}
 	}
 	if c.Self == nil {
@@ -92,7 +93,8 @@
 	return nil
 }
 
-// checkLoopback rejects other addresses: neither port authenticates its callers.
+// checkLoopback rejects addresses that are not loopback: neither the Raft port nor the admin port
+// authenticates its clients.
 func checkLoopback(addr string) error {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
@@ -104,14 +106,14 @@
 	return nil
 }
 
-// Interval is the time between two backups.
+// Interval returns the time between two backups.
 func (b BackupConfig) Interval() (time.Duration, error) {
 	if b.Every == "" {
 		return defaultBackupInterval, nil
 	}
 	d, err := time.ParseDuration(b.Every)
 	if err == nil && d < minBackupInterval {
-		err = fmt.Errorf("%q is below %v", b.Every, minBackupInterval)
+		err = fmt.Errorf("%q is shorter than the minimum of %v", b.Every, minBackupInterval)
 	}
 	if err != nil {
 		return 0, fmt.Errorf("backup.every: %w", err)
@@ -122,9 +124,9 @@
 func (b BackupConfig) check() error {
 	switch {
 	case b.Dir == "" && (b.Every != "" || b.MaxFiles != 0):
-		return errors.New("backup.dir: missing")
+		return errors.New("backup.dir: missing, but required by backup.every and backup.keep")
 	case b.MaxFiles < 0 || b.MaxFiles > maxBackupRetention:
-		return fmt.Errorf("backup.keep: want 1 to %d, or 0 for %d", maxBackupRetention, defaultBackupRetention)
+		return fmt.Errorf("backup.keep: must be 1 to %d, or 0 for the default of %d", maxBackupRetention, defaultBackupRetention)
 	}
 	_, err := b.Interval()
 	return err
--- a/internal/cluster/store/configuration.go
+++ b/internal/cluster/store/configuration.go
@@ -7,7 +7,7 @@
 	"oxbowbridge/internal/cluster/raftstorage"
 )
 
-// memberIDs are the members of a configuration, and those of them that vote.
+// memberIDs returns the IDs of all members of a configuration, and those of its voters.
 func memberIDs(conf raftstorage.Configuration) (members, voters []string) {
 	for _, server := range conf.Servers {
 		members = append(members, string(server.ID))
@@ -18,8 +18,8 @@
 	return members, voters
 }
 
-// VotesByName reports, for each name that is a member of the store, whether its node votes, as this node's
-// configuration has it. It is nil while the node does not run.
+// VotesByName reports for each member, by node name, whether it is a voter in this node's latest
+// configuration. It returns nil while Raft does not run.
 func (s *Store) VotesByName() map[string]bool {
 	inc, err := s.running()
 	if err != nil {
@@ -33,7 +33,7 @@
 	return votes
 }
 
-// memberAddresses are the members' addresses by ID, as the configuration holds them.
+// memberAddresses returns the encoded address of each member of a configuration, by member ID.
 func memberAddresses(conf raftstorage.Configuration) map[string]string {
 	out := map[string]string{}
 	for _, server := range conf.Servers {
@@ -42,7 +42,7 @@
 	return out
 }
 
-// findServer is a member's entry in a configuration.
+// findServer returns a member's entry in a configuration.
 func findServer(conf raftstorage.Configuration, id string) (raft.Server, bool) {
 	for _, server := range conf.Servers {
 		if string(server.ID) == id {
--- a/internal/cluster/store/disk_state.go
+++ b/internal/cluster/store/disk_state.go
@@ -10,28 +10,28 @@
 	"oxbowbridge/internal/cluster/raftstorage"
 )
 
-// Keys of the values that a node stores beside its log (raftstorage.PutLocal). The stored names are
-// part of the disk format and stay. The cluster's ID is stored under kv.ClusterKey, and the good
-// version of a key under that key (SaveLastGood).
+// Keys of the values that a node stores beside its log (raftstorage.PutLocal). The stored names are part
+// of the disk format and must not change. The cluster's ID is stored under kv.ClusterKey. The last good
+// version of a replicated key is stored under that key (SaveLastGood).
 const (
 	diskIDKey         = "disk"   // the disk's identity
 	startCountKey     = "starts" // how often the folder was opened, in decimal
-	replacementKey    = "joiner" // present if the folder replaced another one, or has a new identity
+	replacementKey    = "joiner" // present if the folder replaced another one, or got a new identity
 	peerWatermarksKey = "seen"   // watermarks of the peers' disks, as JSON
-	divergedKey       = "apart"  // present if the state was found to differ from the majority's
+	divergedKey       = "apart"  // present if the state differed from that of most voters
 )
 
-// diskIDBytes is the length of a disk's identity before it is written in hexadecimal.
+// diskIDBytes is the length of a disk identity before hexadecimal encoding.
 const diskIDBytes = 8
 
-// diskState is what a node's disk held when an incarnation began. It is immutable.
+// diskState is what a node's disk held when an incarnation started. It is immutable.
 type diskState struct {
 	storage   *raftstorage.Storage
 	local     diskidentity.LocalDisk
-	addresses map[string]string // of the members in its log, by member ID
+	addresses map[string]string // addresses of the members in the disk's log, by member ID
 }
 
-// readDiskState reads a disk's identity, or gives it one, and counts the start.
+// readDiskState reads the disk's identity, or creates one, and increments the start count.
 func (s *Store) readDiskState(storage *raftstorage.Storage) (*diskState, error) {
 	diskID, err := readDiskID(storage)
 	if err != nil {
@@ -61,14 +61,14 @@
 	}
 	local.Empty = local.Watermark.LastIndex == 0
 	local.Fresh = local.Empty && replacement == nil && local.Cluster == ""
-	local.Founders = s.cfg.founders()
+	local.Founders = s.cfg.initialMembers()
 	conf, err := storage.Configuration()
 	if err != nil {
 		return nil, fmt.Errorf("members: %w", err)
 	}
 	local.ConfigIndex = conf.Index
 	local.Members, local.Voters = memberIDs(conf)
-	// A log that an earlier version began knows members by their names alone.
+	// The log of an earlier version identifies members by their names alone.
 	if _, ok := findServer(conf, s.self.Name); ok {
 		local.ID = s.self.Name
 	}
@@ -94,7 +94,7 @@
 	return id, nil
 }
 
-// incrementStartCount adds one to the number of starts, and returns it.
+// incrementStartCount adds one to the stored number of starts, and returns the new number.
 func incrementStartCount(storage *raftstorage.Storage) (starts uint64, err error) {
 	text, err := storage.GetLocal(startCountKey)
 	if err == nil && text != nil {
@@ -110,8 +110,8 @@
 	return starts, nil
 }
 
-// renewDiskID gives a disk a new identity: votes and acknowledgments under the old one do not count
-// for it. The log stays, as most of it need not be sent again.
+// renewDiskID gives a disk a new identity, so that votes and acknowledgments under the old identity do not
+// count for it. The log is retained, which saves most of its transfer.
 func renewDiskID(storage *raftstorage.Storage, name string) (memberID string, err error) {
 	diskID, err := createDiskID(storage)
 	if err == nil {
@@ -120,7 +120,7 @@
 	return diskidentity.MemberID(name, diskID), err
 }
 
-// randomHex is n random bytes in hexadecimal.
+// randomHex returns n random bytes in hexadecimal.
 func randomHex(n int) string {
 	b := make([]byte, n)
 	rand.Read(b)
--- a/internal/cluster/store/freshness.go
+++ b/internal/cluster/store/freshness.go
@@ -8,23 +8,23 @@
 	"github.com/hashicorp/raft"
 )
 
-// Freshness is what a reader asks for. The zero value is a linearizable read, that is, one behind the
-// leader's read index.
+// Freshness is how recent a reader requires the state to be. The zero value is a linearizable read, that
+// is, a read at or after the leader's read index.
 type Freshness struct {
-	Local        bool          // this node's state, however old
-	MaxStaleness time.Duration // at most so old; 0 is linearizable
+	Local        bool          // read this node's state regardless of its age
+	MaxStaleness time.Duration // maximum age of the state; 0 means linearizable
 }
 
 const (
-	// readIndexTimeout bounds one request for the read index, and the wait until the state has it.
+	// readIndexTimeout bounds one read index request, including the wait until the index is applied.
 	readIndexTimeout = 2 * time.Second
-	// appliedPollInterval is how often a reader checks whether entries that are no commands have moved
-	// Raft's applied index.
+	// appliedPollInterval is how often a reader polls Raft's applied index, which also advances at entries
+	// that are not commands.
 	appliedPollInterval = time.Millisecond
 )
 
-// WaitFresh waits until this node's state is as fresh as the reader asks, and returns the age of that
-// state: 0 for a Local read, whose age is not known. Its error is ErrNotFresh, with the cause.
+// WaitFresh waits until this node's state is as recent as required, and returns the age of the state. The
+// age is 0 for a Local read, for which it is unknown. Its error is ErrNotFresh with the cause.
 func (s *Store) WaitFresh(ctx context.Context, f Freshness) (age time.Duration, err error) {
 	if f.Local {
 		return 0, nil
@@ -47,8 +47,8 @@
 	return time.Since(confirmed.at), nil
 }
 
-// lastFresh is the latest time at which the state is known to have had all that was committed; zero if
-// there was none.
+// lastFresh returns the latest time at which the state is known to have included all committed entries, or
+// zero if there is none.
 func (s *Store) lastFresh() time.Time {
 	s.freshMu.Lock()
 	defer s.freshMu.Unlock()
@@ -63,10 +63,11 @@
 	}
 }
 
-// waitApplied waits until the state holds all commands up to an index. The state's own index stands
-// still at entries that are no commands, and Raft's applied index runs ahead of the state: it counts
-// entries that were handed to the state machine and are not applied yet. The state is complete if
-// Raft's index is there and the log has no command between the two.
+// waitApplied waits until the state includes all commands up to an index. Neither applied index alone is
+// sufficient. The state's own index does not advance at entries that are not commands. Raft's applied
+// index may be ahead of the state, as it counts entries that were passed to the state machine and are not
+// applied yet. The state is complete if Raft's index has been reached and the log has no command between
+// the two.
 func (s *Store) waitApplied(ctx context.Context, index uint64) error {
 	for {
 		inc, err := s.running()
@@ -86,7 +87,8 @@
 	}
 }
 
-// awaitFuture waits for a result of Raft, which gives none once its disk has failed.
+// awaitFuture waits for the result of a Raft future or the end of ctx. After a disk failure Raft may never
+// complete the future.
 func awaitFuture(ctx context.Context, f raft.Future) error {
 	result := make(chan error, 1)
 	go func() { result <- f.Error() }()
--- a/internal/cluster/store/golden_test.go
+++ b/internal/cluster/store/golden_test.go
@@ -19,7 +19,8 @@
 	"oxbowbridge/internal/cluster/storeapi"
 )
 
-// assertGoldenJSON checks that a value is written as the text, and that the text is read as the value.
+// assertGoldenJSON checks that a value encodes to the given JSON text, and that the text decodes to the
+// value.
 func assertGoldenJSON[T any](t *testing.T, value T, text string) {
 	t.Helper()
 	got, err := json.Marshal(value)
@@ -30,7 +31,7 @@
 	assert.Equal(t, value, back)
 }
 
-// TestGoldenLogEntries: what the log of a released version holds.
+// TestGoldenLogEntries checks the formats of log entries that released versions have written.
 func TestGoldenLogEntries(t *testing.T) {
 	assertGoldenJSON(t, []command{{Key: "a/b", Value: json.RawMessage(`{"n":1}`)}, {Key: "c", Value: json.RawMessage("null")}},
 		`[{"key":"a/b","value":{"n":1}},{"key":"c","value":null}]`)
@@ -50,7 +51,8 @@
 	`"sessions":{"3":{"seen_ms":1000,"last":0,"kept":null}},` +
 	`"leases":{"last":0,"queued":0,"leases":{}},"sum":{"from":0,"sum":8230598266570899889}}` + "\n"
 
-// TestGoldenSnapshot: a snapshot is the state as JSON, with a line feed; it is read as it was.
+// TestGoldenSnapshot checks that a snapshot is the state as one line of JSON, and that a restored state
+// writes an identical snapshot.
 func TestGoldenSnapshot(t *testing.T) {
 	s := newReplicatedState()
 	for i, text := range []string{`[{"key":"a","value":1},{"key":"b","value":2}]`, `[{"key":"b","value":null}]`, `{"time_ms":1000,"open":true,"then":null}`} {
@@ -72,7 +74,7 @@
 	assert.Equal(t, text, sink2.String())
 }
 
-// TestGoldenLocalValues: what a node keeps beside its log.
+// TestGoldenLocalValues checks the names and formats of the values that a node stores beside its log.
 func TestGoldenLocalValues(t *testing.T) {
 	assert.Equal(t, []string{"disk", "starts", "joiner", "seen", "apart"}, []string{diskIDKey, startCountKey, replacementKey, peerWatermarksKey, divergedKey})
 	assertGoldenJSON(t, watermarks{"n1@5f": {Starts: 1, Term: 2, LastTerm: 3, LastIndex: 4}},
@@ -85,7 +87,7 @@
 			`"seen":{"n2@6f":{"starts":0,"term":1,"last_term":0,"last_index":0}},"missing":["m"],"new_cluster":"d"}`)
 }
 
-// TestGoldenAddress: a member's address in the cluster's configuration.
+// TestGoldenAddress checks the format of a member's address in the cluster's configuration.
 func TestGoldenAddress(t *testing.T) {
 	p := Peer{Name: "n1", Raft: "127.0.0.1:1", Admin: "127.0.0.1:2", Zone: "z"}
 	assert.EqualValues(t, "n1@5f|127.0.0.1:1|127.0.0.1:2|z", encodeAddress(p, "n1@5f"))
@@ -93,7 +95,7 @@
 	assert.Equal(t, Peer{Name: "n1", Raft: "127.0.0.1:1"}, decodePeer("n1", "127.0.0.1:1"))
 }
 
-// TestGoldenHandshake: what two nodes say to each other before Raft's own.
+// TestGoldenHandshake checks the handshake of two nodes, which precedes Raft's protocol on a connection.
 func TestGoldenHandshake(t *testing.T) {
 	assertGoldenJSON(t, handshakeHeader{From: "n1@5f", To: "n2@6f", Cluster: "c"}, `{"from":"n1@5f","to":"n2@6f","cluster":"c"}`)
 	assertGoldenJSON(t, handshakeHeader{From: "n1@5f", To: "n2@6f"}, `{"from":"n1@5f","to":"n2@6f"}`)
@@ -117,7 +119,7 @@
 	} {
 		assert.Equal(t, x[1], sendAndReadReply(t, w.Addr().String(), x[0]+"\n", len(x[1])), x[0])
 	}
-	// And what the one that connects sends.
+	// The handshake line that the connecting node sends.
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { ln.Close() })
@@ -139,6 +141,7 @@
 	assert.Equal(t, `oxbowbridge/1 {"from":"n2@6f","to":"n1@5f","cluster":"c"}`+"\n", <-got)
 }
 
+// sendAndReadReply sends text to an address and returns up to size bytes of the reply.
 func sendAndReadReply(t *testing.T, addr, text string, size int) string {
 	c, err := net.Dial("tcp", addr)
 	require.NoError(t, err)
@@ -157,7 +160,7 @@
 	return string(b[:n])
 }
 
-// TestGoldenConfig: the store's section of the configuration file.
+// TestGoldenConfig checks the JSON keys of the store's section of the configuration file.
 func TestGoldenConfig(t *testing.T) {
 	peer := Peer{Name: "n1", Raft: "127.0.0.1:1", Admin: "127.0.0.1:2", Zone: "z"}
 	c := Config{Node: "n1", Dir: "/d", Peers: []Peer{peer}, Self: &peer, Voters: 3, ReplaceAfterMS: 4, ForgetAfterMS: 5, RequiredAttesters: 6,
@@ -168,7 +171,7 @@
 		`"sql":{"driver":"sqlite","dsn":"file:x"},"backup":{"dir":"/b","every":"1h","keep":7}}`)
 }
 
-// TestGoldenPeerStatus: what a node tells a peer of itself.
+// TestGoldenPeerStatus checks the format of a node's report to its peers and of a join request.
 func TestGoldenPeerStatus(t *testing.T) {
 	assertGoldenJSON(t, storeapi.PeerStatus{Attestation: diskidentity.Attestation{ID: "n1@5f", Cluster: "c", PreviousClusters: []string{"b"}, Fresh: true, ConfigIndex: 1, Members: []string{"m"}, Voters: []string{"v"},
 		LastObserved: &diskidentity.Watermark{Starts: 1, Term: 2, LastTerm: 3, LastIndex: 4}}, State: peerServing, Watermark: diskidentity.Watermark{Starts: 5}, AppliedIndex: 6,
@@ -180,7 +183,7 @@
 	assertGoldenJSON(t, storeapi.JoinRequest{ID: "n1@5f", RaftAddress: "r", AdminAddress: "a", Zone: "z", SupportsLeases: true}, `{"id":"n1@5f","raft":"r","admin":"a","zone":"z","leases":true}`)
 }
 
-// TestGoldenMemberStates: the states of a member, as operators read them.
+// TestGoldenMemberStates checks the member states and the node status that operators see.
 func TestGoldenMemberStates(t *testing.T) {
 	for want, m := range map[string]membership.Member{"lost": {DiskLost: true, Leaving: true}, "leaving": {Leaving: true, ID: "l"}, "leader": {ID: "l", Up: true},
 		"up": {ID: "m", Up: true}, "down 2s": {ID: "m", DownFor: 2400 * time.Millisecond}} {
@@ -191,7 +194,7 @@
 	assertGoldenJSON(t, s.Status(), `{"node":"a","state":"Waiting","leader":"","applied":0,"last":0,"mirrored":0,"watchers":0,"id":"a","waits":"its disk to be opened"}`)
 }
 
-// TestGoldenMirror: the statements of the SQL mirror.
+// TestGoldenMirror checks the SQL statements and the drivers of the SQL mirror.
 func TestGoldenMirror(t *testing.T) {
 	assert.Equal(t, []string{
 		`CREATE TABLE IF NOT EXISTS oxbowbridge_store (name TEXT PRIMARY KEY, value TEXT, idx BIGINT NOT NULL)`,
--- a/internal/cluster/store/handshake.go
+++ b/internal/cluster/store/handshake.go
@@ -11,25 +11,25 @@
 )
 
 const (
-	// handshakePrefix begins the first line of a connection. No message of Raft begins with its
-	// first byte.
+	// handshakePrefix starts the first line of a connection. No Raft message starts with its first byte.
 	handshakePrefix   = "oxbowbridge/1 "
 	handshakeAccepted = "yes\n"
 	handshakeRejected = "no: "
 	maxHandshakeBytes = 1 << 10
 	handshakeTimeout  = time.Second
-	// handshakeBufferBytes is the smallest buffer of bufio; a line is read byte by byte anyway.
+	// handshakeBufferBytes is the minimum buffer size of bufio. A larger buffer would have no effect, as
+	// lines are read byte by byte.
 	handshakeBufferBytes = 16
 )
 
 // handshakeHeader is the first line of a connection between two nodes, after handshakePrefix.
 type handshakeHeader struct {
-	From    string `json:"from"`              // member ID
-	To      string `json:"to"`                // member ID, so that a node of this name with another disk rejects it
-	Cluster string `json:"cluster,omitempty"` // "" if it is not known yet
+	From    string `json:"from"`              // member ID of the connecting node
+	To      string `json:"to"`                // member ID of the expected node; a node of this name with another disk rejects it
+	Cluster string `json:"cluster,omitempty"` // cluster ID; "" while it is not known
 }
 
-// sendHandshake names who connects to whom, and waits until that is accepted.
+// sendHandshake sends the header and waits until the other node accepts it.
 func sendHandshake(conn net.Conn, header handshakeHeader, timeout time.Duration) error {
 	text, err := json.Marshal(header)
 	if err != nil {
@@ -44,12 +44,12 @@
 		return err
 	}
 	if answer != handshakeAccepted {
-		return fmt.Errorf("%s says %s", header.To, strings.TrimSpace(answer))
+		return fmt.Errorf("%s rejected the connection: %s", header.To, strings.TrimSpace(answer))
 	}
 	return nil
 }
 
-// readHandshake reads a header whose first byte was read already.
+// readHandshake reads a header line whose first byte was already read.
 func readHandshake(conn net.Conn) (header handshakeHeader, err error) {
 	line, err := readLine(conn)
 	if err != nil {
@@ -62,18 +62,18 @@
 	return header, nil
 }
 
-// readLine reads no further than the end of the line.
+// readLine reads one line and no byte after it.
 func readLine(conn net.Conn) (string, error) {
 	limited := io.LimitReader(singleByteReader{conn}, maxHandshakeBytes)
 	return bufio.NewReaderSize(limited, handshakeBufferBytes).ReadString('\n')
 }
 
-// singleByteReader keeps a buffered reader from reading ahead.
+// singleByteReader reads one byte at a time, so that a buffered reader does not read past the line.
 type singleByteReader struct{ io.Reader }
 
 func (r singleByteReader) Read(b []byte) (int, error) { return r.Reader.Read(b[:min(1, len(b))]) }
 
-// replayConn gives back a byte that was read to tell a handshake from a message of Raft.
+// replayConn returns the byte again that was read to distinguish a handshake from a Raft message.
 type replayConn struct {
 	net.Conn
 	unread []byte
--- a/internal/cluster/store/incarnation.go
+++ b/internal/cluster/store/incarnation.go
@@ -11,7 +11,7 @@
 	"oxbowbridge/internal/cluster/raftstorage"
 )
 
-// incarnation is one run of Raft over one storage folder, from the verdict on the disk to its end.
+// incarnation is one run of Raft on one storage folder. It starts after the disk verdict.
 type incarnation struct {
 	store         *Store
 	memberID      string
@@ -19,17 +19,17 @@
 	raft          *raft.Raft
 	transport     *ackTransport
 	members       leaderView
-	failure       chan error             // the first reason for which it has to end
-	wasMember     atomic.Bool            // the configuration had this disk once, in this incarnation
-	joinRejection atomic.Pointer[string] // why the last request to join was not granted
-	barrierTerm   atomic.Uint64          // the term in which this node, as leader, has committed an entry
+	failure       chan error             // first failure, which ends the incarnation
+	wasMember     atomic.Bool            // whether a configuration of this incarnation has included this disk
+	joinRejection atomic.Pointer[string] // why the last join request was rejected
+	barrierTerm   atomic.Uint64          // term in which this node, as leader, has committed an entry
 }
 
-// runIncarnation waits until the disk may take part, and runs Raft until the incarnation ends (see the
+// runIncarnation waits for the disk verdict, and then runs Raft until the incarnation ends (see the
 // reasons in errors.go) or the Store is closed. It closes the storage.
 func (s *Store) runIncarnation(storage *raftstorage.Storage) (err error) {
 	defer func() {
-		s.disk.Store(nil)
+		s.currentDisk.Store(nil)
 		if cerr := storage.Close(); cerr != nil && err == nil && s.ctx.Err() == nil {
 			err = fmt.Errorf("close folder: %w", cerr)
 		}
@@ -47,7 +47,7 @@
 	return s.runRaft(disk, verdict)
 }
 
-// loadDiskState reads what the disk holds, and has the peers that it knows of polled.
+// loadDiskState reads the disk's state, and starts polling the members in its log.
 func (s *Store) loadDiskState(storage *raftstorage.Storage) (*diskState, error) {
 	id, err := readClusterID(storage)
 	if err != nil {
@@ -64,7 +64,7 @@
 	}
 	s.peers.loadWatermarks(observed)
 	s.peers.clearReports()
-	s.disk.Store(disk)
+	s.currentDisk.Store(disk)
 	conf, err := storage.Configuration()
 	if err != nil {
 		return nil, err
@@ -76,8 +76,8 @@
 // isLeader reports whether Raft considers this node the leader.
 func (inc *incarnation) isLeader() bool { return inc.raft.State() == raft.Leader }
 
-// configuration is the latest one in the log, with its index, which Raft itself does not tell. It may
-// not be committed yet. Its index is 0 if the disk fails, which ends the
+// configuration returns the latest configuration in the log with its index, which Raft does not expose.
+// The configuration may not be committed yet. The index is 0 if the disk fails, which ends the
 // incarnation.
 func (inc *incarnation) configuration() raftstorage.Configuration {
 	conf, err := inc.storage.Configuration()
@@ -87,14 +87,14 @@
 	return conf
 }
 
-// isMember reports whether the latest configuration has this disk.
+// isMember reports whether the latest configuration includes this disk.
 func (inc *incarnation) isMember() bool {
 	conf := inc.configuration()
 	_, ok := findServer(conf, inc.memberID)
 	return ok
 }
 
-// joinWaitReason is what a node that is no member yet waits for.
+// joinWaitReason returns what a node that is not a member yet waits for.
 func (inc *incarnation) joinWaitReason() string {
 	if refusal := inc.joinRejection.Load(); refusal != nil {
 		return *refusal
@@ -102,7 +102,7 @@
 	return "to be taken in"
 }
 
-// reportFailure has the incarnation end. Only the first failure counts.
+// reportFailure ends the incarnation. Only the first failure is recorded.
 func (inc *incarnation) reportFailure(err error) {
 	select {
 	case inc.failure <- err:
@@ -110,7 +110,7 @@
 	}
 }
 
-// takeFailure removes and returns the failure that was reported, or returns nil.
+// takeFailure removes and returns the reported failure, or returns nil.
 func (inc *incarnation) takeFailure() error {
 	select {
 	case err := <-inc.failure:
@@ -120,8 +120,8 @@
 	}
 }
 
-// hasCommand reports whether the log has a command at an index in a range. Entries that the log no
-// longer has were applied to the state before a snapshot replaced them.
+// hasCommand reports whether the log has a command with an index between from and to, inclusive. Entries
+// that the log no longer has were applied before a snapshot replaced them.
 func (inc *incarnation) hasCommand(from, to uint64) bool {
 	var entry raft.Log
 	for i := to; i >= from; i-- {
@@ -135,7 +135,7 @@
 	return false
 }
 
-// startsAsMember reports whether a verdict lets the disk vote from the start.
+// startsAsMember reports whether a verdict allows the disk to vote from the start.
 func startsAsMember(v diskidentity.Verdict) bool {
 	return v == diskidentity.VerdictResume || v == diskidentity.VerdictBootstrap
 }
--- a/internal/cluster/store/last_good.go
+++ b/internal/cluster/store/last_good.go
@@ -5,14 +5,14 @@
 	"fmt"
 )
 
-// LastGoodVersion is a version of a key that the service has started with.
+// LastGoodVersion is a version of a key's value that the service has started with.
 type LastGoodVersion struct {
 	Revision uint64          `json:"revision"`
 	Value    json.RawMessage `json:"value"`
 }
 
-// SaveLastGood stores the good version of a key on this node's disk, for a start at which no
-// majority can be reached.
+// SaveLastGood stores the last good version of a key on this node's disk. A node that starts without a
+// majority uses it.
 func (s *Store) SaveLastGood(key string, good LastGoodVersion) error {
 	inc, err := s.running()
 	if err != nil {
@@ -23,14 +23,15 @@
 		err = inc.storage.PutLocal(key, text)
 	}
 	if err != nil {
-		return fmt.Errorf("keep %s: %w", key, err)
+		return fmt.Errorf("save last good version of %s: %w", key, err)
 	}
 	return nil
 }
 
-// LastGood is what SaveLastGood was last given. It can be read before Raft runs.
+// LastGood returns the version that SaveLastGood stored last. It works before Raft runs, once the storage
+// folder is open.
 func (s *Store) LastGood(key string) (good LastGoodVersion, found bool, err error) {
-	disk := s.disk.Load()
+	disk := s.currentDisk.Load()
 	if disk == nil {
 		return good, false, nil
 	}
--- a/internal/cluster/store/leader.go
+++ b/internal/cluster/store/leader.go
@@ -8,14 +8,14 @@
 	"oxbowbridge/internal/cluster/diskidentity"
 )
 
-// IsLeader reports whether this node considers itself the leader. A leader that was cut off may do
-// so for a while after another one was elected.
+// IsLeader reports whether this node considers itself the leader. A partitioned leader may do so for some
+// time after another leader was elected.
 func (s *Store) IsLeader() bool {
 	inc := s.current.Load()
 	return inc != nil && inc.isLeader()
 }
 
-// Leader is the leader as this node knows it, with its member ID.
+// Leader returns the leader that this node knows of, and the leader's member ID.
 func (s *Store) Leader() (p Peer, id string, ok bool) {
 	inc := s.current.Load()
 	if inc == nil {
@@ -28,7 +28,7 @@
 	return s.locate(inc, string(leaderID)), string(leaderID), true
 }
 
-// remoteLeader is the leader if that is another node, or ErrNoLeader.
+// remoteLeader returns the leader if it is another node, and ErrNoLeader otherwise.
 func (s *Store) remoteLeader() (Peer, error) {
 	p, _, ok := s.Leader()
 	if !ok || p.Name == s.self.Name {
@@ -37,7 +37,8 @@
 	return p, nil
 }
 
-// StepDown transfers the leadership, if this node has it: it is about to stop.
+// StepDown transfers the leadership to another voter if this node is the leader. It is called before a
+// shutdown.
 func (s *Store) StepDown() {
 	inc := s.current.Load()
 	if inc == nil || !inc.isLeader() {
@@ -50,7 +51,7 @@
 	}
 }
 
-// locate is how this node reaches a member. Addresses in the configuration file take precedence.
+// locate returns a member's addresses. Those in the configuration file take precedence.
 func (s *Store) locate(inc *incarnation, id string) Peer {
 	name := diskidentity.MemberName(id)
 	if name == s.self.Name {
--- a/internal/cluster/store/leader_view.go
+++ b/internal/cluster/store/leader_view.go
@@ -15,17 +15,17 @@
 	"oxbowbridge/internal/cluster/storeapi"
 )
 
-// leaderView is what the leader remembers between two views of the members.
+// leaderView is what the leader records about the members between two observations.
 type leaderView struct {
 	mu          sync.Mutex
-	leaderSince time.Time            // since when this node leads without a break; zero while it does not
-	configIndex uint64               // of the latest configuration
-	changedAt   time.Time            // when that one was first seen
-	downSince   map[string]time.Time // by ID, for members without a recent report
+	leaderSince time.Time            // when this node became leader; zero while it is not
+	configIndex uint64               // log index of the latest configuration
+	changedAt   time.Time            // when that configuration was first observed
+	downSince   map[string]time.Time // by member ID, for members without a recent report
 }
 
-// manageMembers observes the members again and again, and takes the next step while this node
-// leads.
+// manageMembers observes the members at each pollInterval, and applies the next membership change while
+// this node is the leader.
 func (s *Store) manageMembers(ctx context.Context, inc *incarnation) {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
@@ -51,14 +51,15 @@
 	}
 }
 
-// reset begins the view anew when this node leads next.
+// reset marks that this node is not the leader, so that the next leadership starts with a new view.
 func (v *leaderView) reset() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.leaderSince = time.Time{}
 }
 
-// recordLeadership begins the view if this node was not leader before. It is called with the lock held.
+// recordLeadership initializes the view if this node has become leader since the last observation. The
+// caller holds the lock.
 func (v *leaderView) recordLeadership(index uint64, now time.Time) {
 	if !v.leaderSince.IsZero() {
 		return
@@ -69,7 +70,7 @@
 	v.downSince = map[string]time.Time{}
 }
 
-// recordConfiguration notes the index of the latest configuration. It is called with the lock held.
+// recordConfiguration records the index of the latest configuration. The caller holds the lock.
 func (v *leaderView) recordConfiguration(index uint64, now time.Time) {
 	if index != v.configIndex {
 		v.configIndex = index
@@ -77,8 +78,7 @@
 	}
 }
 
-// recordDown notes that a member is down, and returns for how long it has been. It is called with the
-// lock held.
+// recordDown records that a member is down, and returns for how long. The caller holds the lock.
 func (v *leaderView) recordDown(id string, now time.Time) time.Duration {
 	since, known := v.downSince[id]
 	if !known {
@@ -88,13 +88,13 @@
 	return now.Sub(since)
 }
 
-// observedMembers is the leader's view, and the configuration that it is of.
+// observedMembers is the leader's view of the members, and the configuration that lists them.
 type observedMembers struct {
 	view membership.View
 	conf raftstorage.Configuration
 }
 
-// observeMembers makes the leader's view of the latest configuration.
+// observeMembers returns the leader's view of the members in the latest configuration.
 func (s *Store) observeMembers(inc *incarnation) observedMembers {
 	conf := inc.configuration()
 	now := time.Now()
@@ -115,7 +115,7 @@
 	return observedMembers{view: view, conf: conf}
 }
 
-// observeMember is one member as the leader sees it. The view's lock is held.
+// observeMember returns the leader's view of one member. The caller holds the lock of inc.members.
 func (s *Store) observeMember(inc *incarnation, server raft.Server, now time.Time) membership.Member {
 	id := string(server.ID)
 	p := decodePeer(server.ID, server.Address)
@@ -128,7 +128,7 @@
 	}
 	_, m.Leaving = s.state.get(kv.RemovedPrefix + p.Name)
 	_, m.VotePreferred = s.state.get(kv.PreferredVoterPrefix + p.Name)
-	if p.Name == s.self.Name { // no node polls itself: this is its disk, or one that it had before
+	if p.Name == s.self.Name { // a node does not poll itself: the member has its current or an earlier disk
 		m.Up = id == inc.memberID
 		m.DiskLost = !m.Up
 		return m
@@ -146,8 +146,8 @@
 	return m
 }
 
-// reportsOtherDisk reports whether a node reports an ID of the same name and another disk. A change
-// from a name alone to the name with a disk counts as one.
+// reportsOtherDisk reports whether a node of the same name reports another disk identity. A change from a
+// name without a disk to one with a disk counts as another identity.
 func reportsOtherDisk(reported, id string) bool {
 	if reported == id || diskidentity.MemberName(reported) != diskidentity.MemberName(id) {
 		return false
@@ -155,8 +155,8 @@
 	return diskidentity.MemberDisk(reported) != "" || diskidentity.MemberDisk(id) != ""
 }
 
-// migrateLegacyMembers has members of an earlier version, known by their names alone, leave one by
-// one while all members are up to date. Each comes back by itself, under its disk's identity.
+// migrateLegacyMembers removes members that are identified by a name alone, as in earlier versions, one at
+// a time while all members are up to date. Each rejoins automatically under its disk's identity.
 func (s *Store) migrateLegacyMembers(inc *incarnation, members []membership.Member) {
 	next := -1
 	voters := 0
@@ -179,14 +179,14 @@
 	}
 }
 
-// reportsLegacy reports whether a member runs an earlier version.
+// reportsLegacy reports whether a member runs an earlier version, which has no GET /self.
 func (s *Store) reportsLegacy(id string) bool {
 	report, _ := s.peers.lastReport(diskidentity.MemberName(id))
 	return report.legacy
 }
 
-// applyStep carries one step out. It takes effect only on the configuration that it was decided on:
-// another change, by this leader or another one, makes it fail.
+// applyStep carries out one membership change. It fails if the configuration has changed since the step
+// was decided, by this leader or another one.
 func (inc *incarnation) applyStep(ctx context.Context, step membership.Step, conf raftstorage.Configuration) error {
 	server, ok := findServer(conf, step.ID)
 	if !ok {
--- a/internal/cluster/store/leader_view_test.go
+++ b/internal/cluster/store/leader_view_test.go
@@ -14,8 +14,8 @@
 	"oxbowbridge/internal/cluster/raftstorage"
 )
 
-// TestStepNeedsItsConfiguration: a step that was decided on a configuration which has changed
-// since is not carried out.
+// TestStepNeedsItsConfiguration checks that a membership change is not carried out if the configuration
+// has changed since the change was decided.
 func TestStepNeedsItsConfiguration(t *testing.T) {
 	rc := raft.DefaultConfig()
 	rc.LocalID, rc.Logger = "a@1", hclog.New(&hclog.LoggerOptions{Output: io.Discard})
@@ -40,7 +40,7 @@
 	require.ErrorIs(t, l.applyStep(t.Context(), membership.Step{Kind: membership.StepRemove, ID: "x@1"}, raftstorage.Configuration{Configuration: conf}), ErrMemberNotFound)
 }
 
-// TestLeadersOldDisk: a leader finds the disk that it had before lost, though it does not poll
+// TestLeadersOldDisk checks that a leader reports its own previous disk as lost, although it does not poll
 // itself.
 func TestLeadersOldDisk(t *testing.T) {
 	a := Peer{Name: "a", Raft: "127.0.0.1:1", Admin: "127.0.0.1:2"}
--- a/internal/cluster/store/lease_requests.go
+++ b/internal/cluster/store/lease_requests.go
@@ -9,21 +9,22 @@
 	"oxbowbridge/internal/cluster/lease"
 )
 
-// waiterRefreshInterval is how often the leader notes that a waiting request is still there. A
-// waiter that misses three of them (lease.WaiterTimeout) leaves the queue.
+// waiterRefreshInterval is how often the leader refreshes the timeout of a waiting request. A waiter that
+// is not refreshed for lease.WaiterTimeout, three intervals, is removed from the queue.
 const waiterRefreshInterval = time.Second
 
 // LeaseRequest is a request for a lease.
 type LeaseRequest struct {
 	Name     string
-	Holder   string // unique to the caller: a retry under it is given the same token
-	TTLMS    int64  // milliseconds for which the lease goes on without a keep-alive
-	Priority int    // higher goes first among those who wait
+	Holder   string // unique to the client: a retry by the same holder gets the same token
+	TTLMS    int64  // milliseconds until the lease expires without a renewal
+	Priority int    // waiters with a higher priority are served first
 	MaxWait  time.Duration
 }
 
-// AcquireLease grants a lease, or returns lease.ErrHeld with the present one after MaxWait (0 is at
-// once). A request leaves the queue when ctx ends. It returns ErrNoLeader on any node but the leader.
+// AcquireLease grants a lease. If the lease is still held after MaxWait (0 means no wait), it returns
+// lease.ErrHeld with the current lease. The request leaves the queue when ctx ends. It returns ErrNoLeader
+// on any node but the leader.
 func (s *Store) AcquireLease(ctx context.Context, request LeaseRequest) (lease.Lease, error) {
 	if err := lease.Validate(request.Name, request.Holder, request.TTLMS); err != nil {
 		return lease.Lease{}, err
@@ -39,7 +40,7 @@
 	return s.acquireQueued(ctx, deadlines, request, receivedAt)
 }
 
-// acquireQueued waits in the lease's queue for MaxWait at most.
+// acquireQueued waits in the lease's queue for at most MaxWait.
 func (s *Store) acquireQueued(ctx context.Context, deadlines *lease.DeadlineTable, request LeaseRequest, receivedAt time.Duration) (lease.Lease, error) {
 	defer s.leases.removeWaiter(request.Name, request.Holder)
 	deadline := time.NewTimer(request.MaxWait)
@@ -47,7 +48,7 @@
 	refresh := time.NewTicker(waiterRefreshInterval)
 	defer refresh.Stop()
 	for {
-		granted := s.leases.grantSignal(request.Name, request.Holder) // before the lease is looked at
+		granted := s.leases.grantSignal(request.Name, request.Holder) // created before tryAcquire, so that no grant is missed
 		l, err := s.tryAcquire(deadlines, request, receivedAt)
 		if !errors.Is(err, lease.ErrHeld) {
 			return l, err
@@ -56,7 +57,7 @@
 		case <-granted:
 			continue
 		case <-refresh.C:
-			continue // tryAcquire notes that the request is still there
+			continue // tryAcquire refreshes the waiter's timeout
 		case <-deadline.C:
 		case <-ctx.Done():
 		}
@@ -64,7 +65,7 @@
 			return lease.Lease{}, err
 		}
 		request.MaxWait = 0
-		return s.tryAcquire(deadlines, request, receivedAt) // it may have been granted meanwhile
+		return s.tryAcquire(deadlines, request, receivedAt) // the lease may have been granted before the withdrawal
 	}
 }
 
@@ -74,8 +75,8 @@
 	return err
 }
 
-// tryAcquire grants a lease if it is free or the holder's already; otherwise the request enters the
-// queue if it waits, and the error is lease.ErrHeld. What changes nothing needs no log entry.
+// tryAcquire grants a lease if it is free or already held by the requester. Otherwise it queues the
+// request if MaxWait is set, and returns lease.ErrHeld. It writes no log entry if nothing changes.
 func (s *Store) tryAcquire(deadlines *lease.DeadlineTable, request LeaseRequest, receivedAt time.Duration) (l lease.Lease, err error) {
 	enqueue := request.MaxWait > 0
 	needsLogEntry := true
@@ -98,11 +99,11 @@
 	if lost := s.withLeases(deadlines, check); lost != nil || !needsLogEntry {
 		return l, errors.Join(lost, err)
 	}
-	return l, lease.ErrHeld // it was ended or passed on just now
+	return l, lease.ErrHeld // the lease was granted by the entry, and has ended or changed holder since
 }
 
-// RenewLeases keeps leases alive, and names those whose token is not the current one any more. It
-// returns ErrNoLeader on any node but the leader.
+// RenewLeases renews leases, and returns the names of those whose token is no longer the current one in
+// lost. It returns ErrNoLeader on any node but the leader.
 func (s *Store) RenewLeases(ctx context.Context, list []lease.FencingToken) (renewed map[string]lease.Lease, lost []string, err error) {
 	receivedAt := s.leases.now()
 	deadlines, err := s.confirmedDeadlines(ctx)
@@ -122,7 +123,7 @@
 	return renewed, lost, err
 }
 
-// EndLease releases a lease, hands it over to a waiter (handOverTo), or with token 0 revokes it. It
+// EndLease releases a lease, hands it over to the waiter handOverTo, or revokes it if token is 0. It
 // returns ErrNoLeader on any node but the leader.
 func (s *Store) EndLease(name string, token uint64, handOverTo string) error {
 	op := lease.Op{Kind: lease.OpRelease, Name: name, Token: token}
@@ -140,8 +141,8 @@
 	return response.LeaseResults[0].Err()
 }
 
-// Leases are the held ones, all of them or the one that is named, and how long each goes on without
-// a keep-alive. It returns ErrNoLeader on any node but the leader.
+// Leases returns the held leases, or the one named only, and the time until each expires without a
+// renewal. It returns ErrNoLeader on any node but the leader.
 func (s *Store) Leases(ctx context.Context, only string) (all map[string]lease.Lease, remaining map[string]time.Duration, err error) {
 	deadlines, err := s.confirmedDeadlines(ctx)
 	if err != nil {
--- a/internal/cluster/store/lease_service.go
+++ b/internal/cluster/store/lease_service.go
@@ -14,22 +14,23 @@
 	"oxbowbridge/internal/cluster/lease"
 )
 
-// leaseExpiryInterval is how often the leader looks which leases are over.
+// leaseExpiryInterval is how often the leader checks for expired leases.
 const leaseExpiryInterval = 20 * time.Millisecond
 
-// leaseService is what a node does for leases while it leads: the deadlines of all leases in its term
-// (deadlines), and the requests that wait here for a lease.
+// leaseService manages leases while this node is the leader: the deadlines of all leases in its term, and
+// the requests that wait on this node for a lease.
 type leaseService struct {
-	startedAt       time.Time         // the times in deadlines are since then, monotonic
-	leaderReadIndex *readIndexBatcher // confirms that this node leads
+	startedAt       time.Time         // origin of the monotonic times in deadlines
+	leaderReadIndex *readIndexBatcher // confirms that this node is the leader
 
 	mu        sync.Mutex
-	deadlines *lease.DeadlineTable // nil while this node does not lead
-	term      uint64               // of the deadlines
+	deadlines *lease.DeadlineTable // nil while this node is not the leader
+	term      uint64               // Raft term of deadlines
 	waiters   map[leaseWaiter]chan struct{}
 }
 
-// leaseWaiter is a request that waits for a lease. Its channel is closed once it may have it.
+// leaseWaiter identifies a request that waits for a lease. Its channel is closed when the lease may have
+// been granted to it.
 type leaseWaiter struct{ name, holder string }
 
 func newLeaseService(s *Store) *leaseService {
@@ -40,10 +41,10 @@
 	}
 }
 
-// now is the clock of deadlines.
+// now returns the current time on the clock of deadlines.
 func (ls *leaseService) now() time.Duration { return time.Since(ls.startedAt) }
 
-// wakeWaiter wakes the request of a holder that waits for a lease, and no other.
+// wakeWaiter wakes the requests of one holder that wait for a lease.
 func (ls *leaseService) wakeWaiter(name, holder string) {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
@@ -54,11 +55,12 @@
 	}
 }
 
-// removeWaiter removes a request that waits no longer. Other requests under the same name and holder
-// wake up, and look at the lease again.
+// removeWaiter removes a request that no longer waits. Other requests with the same lease and holder wake
+// up and check the lease again.
 func (ls *leaseService) removeWaiter(name, holder string) { ls.wakeWaiter(name, holder) }
 
-// grantSignal returns a channel that is closed once the holder has the lease, or by forgetWaiter.
+// grantSignal returns a channel that is closed when the lease is granted to the holder, or by
+// removeWaiter.
 func (ls *leaseService) grantSignal(name, holder string) <-chan struct{} {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
@@ -78,7 +80,7 @@
 	ls.term = term
 }
 
-// currentDeadlines are those of the current term. Its error is ErrNoLeader.
+// currentDeadlines returns the deadlines of the current term, or ErrNoLeader.
 func (ls *leaseService) currentDeadlines(inc *incarnation) (*lease.DeadlineTable, error) {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
@@ -88,8 +90,8 @@
 	return ls.deadlines, nil
 }
 
-// withLeases runs a function on the leases in this node's state, under the lock, if the deadlines still
-// are the current ones. Its error is ErrNoLeader.
+// withLeases calls do on the leases of this node's state, with the locks held, if deadlines are still the
+// current ones. Otherwise it returns ErrNoLeader.
 func (s *Store) withLeases(deadlines *lease.DeadlineTable, do func(*lease.State, time.Duration)) error {
 	ls := s.leases
 	ls.mu.Lock()
@@ -101,7 +103,7 @@
 	return nil
 }
 
-// manageLeases begins new deadlines when this node is elected, and ends the leases that are over.
+// manageLeases creates the deadlines when this node is elected, and ends expired leases.
 func (s *Store) manageLeases(ctx context.Context, inc *incarnation) {
 	ticker := time.NewTicker(leaseExpiryInterval)
 	defer ticker.Stop()
@@ -130,7 +132,7 @@
 		}
 	}
 	if _, ok := s.state.get(kv.ClusterKey); !ok {
-		return nil // the entry that sets the ID also raises the first fencing token
+		return nil // the entry that sets the cluster ID also raises the first fencing token
 	}
 	if _, ok := s.state.get(kv.LeasesEnabledKey); !ok {
 		return s.enableLeases(inc)
@@ -138,8 +140,8 @@
 	return s.commitDueOps(deadlines)
 }
 
-// startDeadlines gives all leases their full TTL anew, in a term in which a read index has confirmed that this
-// node leads, and its state has every lease that was granted before.
+// startDeadlines restarts the full TTL of every lease in a new term. Before that, a read index confirms
+// that this node is the leader and that its state includes all earlier grants.
 func (s *Store) startDeadlines(ctx context.Context, inc *incarnation) (*lease.DeadlineTable, error) {
 	term := inc.raft.CurrentTerm()
 	ctx, cancel := context.WithTimeout(ctx, readIndexTimeout)
@@ -156,7 +158,7 @@
 	return deadlines, nil
 }
 
-// commitDueOps ends the leases that are over, some in each log entry.
+// commitDueOps ends expired leases, up to lease.MaxOpsPerEntry in each log entry.
 func (s *Store) commitDueOps(deadlines *lease.DeadlineTable) error {
 	var due []lease.Op
 	err := s.withLeases(deadlines, func(state *lease.State, now time.Duration) { due = deadlines.DueOps(state, now) })
@@ -173,7 +175,8 @@
 	return nil
 }
 
-// enableLeases admits leases to the store, for good, once all members know them.
+// enableLeases permanently enables leases in the store once all members have reported that they support
+// leases.
 func (s *Store) enableLeases(inc *incarnation) error {
 	conf := inc.configuration()
 	for _, server := range conf.Servers {
@@ -183,7 +186,7 @@
 		}
 		report, recent := s.peers.lastReport(diskidentity.MemberName(id))
 		if !recent || report.ID != id || !report.SupportsLeases {
-			return fmt.Errorf("%w: not known of %s", ErrLeasesUnavailable, id)
+			return fmt.Errorf("%w: member %s has not reported support for leases", ErrLeasesUnavailable, id)
 		}
 	}
 	_, err := s.Execute(kv.Request{
@@ -193,8 +196,8 @@
 	return err
 }
 
-// confirmedDeadlines confirms by a read index that this node leads since the call, and waits until its
-// state has all that was committed by then. It returns the deadlines of its term; the error is
+// confirmedDeadlines confirms by a read index that this node is the leader, and waits until its state
+// includes all entries committed before the call. It returns the deadlines of its term. The error is
 // ErrNoLeader, ErrLeasesUnavailable or that of the read index.
 func (s *Store) confirmedDeadlines(ctx context.Context) (*lease.DeadlineTable, error) {
 	inc, err := s.running()
@@ -217,7 +220,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// Terms never go back: if the current term is that of the deadlines now, it was so all the time.
+	// Terms never decrease: if the deadlines belong to the current term now, they did throughout the call.
 	if now, err := s.leases.currentDeadlines(inc); err != nil || now != deadlines {
 		return nil, ErrNoLeader
 	}
--- a/internal/cluster/store/log_clock.go
+++ b/internal/cluster/store/log_clock.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// maxLogClockStep is by how much a stamp is at most ahead of the one before. It is no shorter than the
-// longest time between two stamps while sessions are open, so that idle ones do end.
+// maxLogClockStep is the maximum difference between two consecutive time stamps. It is at least the
+// longest interval between two stamps while sessions are open, so that idle sessions expire.
 const maxLogClockStep = time.Minute
 
-// logClock stamps the requests that this node proposes as the leader. It goes on from the log's own time
-// with the time that passes between two stamps, and not with the wall clock: after a time without
-// requests, or a stop of the whole cluster, log time must not catch up within a few entries, which
-// would end sessions that are in use. The zero value is ready.
+// logClock stamps the requests that this node proposes as leader. It advances the time in the log by the
+// time elapsed between two stamps, and does not follow the wall clock. After a period without requests, or
+// a stop of the whole cluster, the log time must not catch up within a few entries, as that would expire
+// sessions in use. The zero value is ready to use.
 type logClock struct {
 	mu        sync.Mutex
-	logTime   time.Duration // since the Unix epoch
-	stampedAt time.Time     // when that was read
+	logTime   time.Duration // last stamp, since the Unix epoch
+	stampedAt time.Time     // when the last stamp was made
 }
 
-// stamp returns the time of a request in Unix milliseconds. logTimeMS is the log's own, 0 if no request
-// has set it: the wall clock does then.
+// stamp returns the time stamp of a request in Unix milliseconds. logTimeMS is the last time stamp in the
+// applied log, or 0 if there is none: then the clock starts at the wall clock time.
 func (c *logClock) stamp(logTimeMS int64, now time.Time) int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/cluster/store/log_clock_test.go
+++ b/internal/cluster/store/log_clock_test.go
@@ -10,7 +10,7 @@
 	"oxbowbridge/internal/cluster/kv"
 )
 
-// simulatedLog is a leader's state and clock, in a test's time.
+// simulatedLog is a leader's state and log clock under simulated time.
 type simulatedLog struct {
 	t     *testing.T
 	state *kv.State
@@ -35,7 +35,7 @@
 	return response.Session
 }
 
-// commitOtherWrites commits requests of other clients, each after a pause.
+// commitOtherWrites commits n writes of other clients, each after a pause.
 func (l *simulatedLog) commitOtherWrites(n int, pause time.Duration) {
 	l.t.Helper()
 	for range n {
@@ -50,8 +50,8 @@
 	return err
 }
 
-// TestSessionAfterIdleCluster guards against a session that ends a moment after it was opened, as some
-// entries move log time on by all the time for which the cluster had no requests.
+// TestSessionAfterIdleCluster guards against a new session that expires at once. This would happen if the
+// first entries after an idle period advanced the log time by the whole period.
 func TestSessionAfterIdleCluster(t *testing.T) {
 	l := newSimulatedLog(t)
 	l.commitOtherWrites(1, 0)
@@ -61,8 +61,8 @@
 	assert.NoError(t, l.writeInSession(session, 1))
 }
 
-// TestSessionAfterStop guards against the end of a session, whose client still waits for the answer to
-// a request, in the first entries after a long stop or under a new leader.
+// TestSessionAfterStop guards against a session that expires within the first entries after a long stop of
+// the cluster or a leader change, while its client still retries a request.
 func TestSessionAfterStop(t *testing.T) {
 	l := newSimulatedLog(t)
 	session := l.openSession()
@@ -73,18 +73,20 @@
 	assert.NoError(t, l.writeInSession(session, 2))
 }
 
-// TestSessionAfterClockJump guards against a leader's wall clock that jumps ahead and ends all sessions.
+// TestSessionAfterClockJump guards against sessions that expire because the leader's wall clock jumps
+// ahead.
 func TestSessionAfterClockJump(t *testing.T) {
 	l := newSimulatedLog(t)
 	session := l.openSession()
 	l.now = l.now.Add(time.Second)
-	l.now = l.now.Round(0).Add(24 * time.Hour) // no monotonic reading: the wall clock counts
+	l.now = l.now.Round(0).Add(24 * time.Hour) // Round(0) removes the monotonic reading, so that the wall clock is used
 	l.commitOtherWrites(100, 10*time.Millisecond)
 	assert.NoError(t, l.writeInSession(session, 1))
 }
 
-// TestIdleSessionsStillEnd guards against log time that stands still: under quick writes, whose stamps
-// are less than a millisecond apart, and with one request a minute.
+// TestIdleSessionsStillEnd guards against a log time that does not advance, under fast writes whose stamps
+// are less than a millisecond apart, or under one request per minute. Idle sessions would then never
+// expire.
 func TestIdleSessionsStillEnd(t *testing.T) {
 	const timeout = kv.SessionTimeoutMS * time.Millisecond
 	for _, pause := range []time.Duration{900 * time.Microsecond, time.Second, maxLogClockStep} {
--- a/internal/cluster/store/log_entry.go
+++ b/internal/cluster/store/log_entry.go
@@ -7,18 +7,18 @@
 	"oxbowbridge/internal/cluster/kv"
 )
 
-// command sets or deletes one key. A log entry is a JSON list of commands, which take effect
-// together, or a kv.Request. Earlier versions know lists only; they stay in use where they are
-// enough, so that both versions can be in one cluster.
+// command sets or deletes one key. A log entry is either a JSON list of commands, which are applied
+// atomically, or a kv.Request. Earlier versions read only lists. Writes that a list can express still use
+// lists, so that both versions can run in one cluster.
 type command struct {
 	Key   string          `json:"key"`
-	Value json.RawMessage `json:"value"` // null deletes
+	Value json.RawMessage `json:"value"` // null deletes the key
 }
 
 // deletes reports whether the command deletes its key.
 func (c command) deletes() bool { return c.Value == nil || string(c.Value) == "null" }
 
-// decodeLogEntry reads a log entry of either form.
+// decodeLogEntry decodes a log entry of either format.
 func decodeLogEntry(data []byte) (*kv.Request, error) {
 	if !bytes.HasPrefix(data, []byte("[")) {
 		r := &kv.Request{}
@@ -31,7 +31,7 @@
 	return requestFromCommands(list), nil
 }
 
-// requestFromCommands is the request that a list of commands stands for.
+// requestFromCommands converts a list of commands to the equivalent request.
 func requestFromCommands(list []command) *kv.Request {
 	r := &kv.Request{}
 	for _, c := range list {
--- a/internal/cluster/store/majority_loss.go
+++ b/internal/cluster/store/majority_loss.go
@@ -12,7 +12,7 @@
 	"oxbowbridge/internal/cluster/kv"
 )
 
-// Inspect reads the folder of a stopped node.
+// Inspect reads the storage folder of a stopped node.
 func Inspect(cfg Config) (report RecoveryReport, err error) {
 	node, err := openStoppedNode(cfg)
 	if err != nil {
@@ -21,10 +21,10 @@
 	return node.report, node.storage.Close()
 }
 
-// Recover makes a cluster of one member of the folder of a stopped node, for the case that the
-// majority is lost for good. It has to be confirmed with the old cluster's ID, or is
-// ErrNotConfirmed. The new cluster has another ID, and the old members can't come back into it.
-// Whatever is in this node's log counts as committed.
+// Recover turns the storage folder of a stopped node into a cluster with that node as its only member. It
+// is for the case that the majority is lost permanently. The caller confirms the recovery with the old
+// cluster's ID; otherwise Recover returns ErrNotConfirmed. The new cluster has a new ID, which the members
+// of the old cluster cannot rejoin. All entries in this node's log become committed.
 func Recover(cfg Config, cluster string) (report RecoveryReport, err error) {
 	node, err := openStoppedNode(cfg)
 	if err != nil {
@@ -33,7 +33,7 @@
 	defer func() { err = errors.Join(err, node.storage.Close()) }()
 	report = node.report
 	if cluster != report.Cluster || cluster == "" {
-		return report, fmt.Errorf("%w: this is of cluster %q", ErrNotConfirmed, report.Cluster)
+		return report, fmt.Errorf("%w: the folder belongs to cluster %q", ErrNotConfirmed, report.Cluster)
 	}
 	self, _ := cfg.self()
 	id, err := renewDiskID(node.storage, self.Name)
@@ -46,12 +46,13 @@
 		return report, fmt.Errorf("recover: %w", err)
 	}
 	if err := node.storage.PutLocal(kv.ClusterKey, []byte(report.NewCluster)); err != nil {
-		return report, fmt.Errorf("keep cluster id: %w", err)
+		return report, fmt.Errorf("save cluster id: %w", err)
 	}
 	return report, nil
 }
 
-// rewriteLog replaces the log by a snapshot of its state, with this node as the only member.
+// rewriteLog replaces the log with a snapshot of its state and a configuration with this node as the only
+// member.
 func (n *stoppedNode) rewriteLog(self Peer, report RecoveryReport) error {
 	conf := raft.DefaultConfig()
 	conf.LocalID = raft.ServerID(report.ID)
@@ -62,22 +63,22 @@
 	return raft.RecoverCluster(conf, state, n.storage, n.storage, n.storage, transport, members)
 }
 
-// recoveredState is a state whose snapshot has another cluster's ID.
+// recoveredState is a state machine whose snapshot has another cluster's ID.
 type recoveredState struct {
 	*replicatedState
 	clusterID       string
 	previousCluster string
 }
 
-// Snapshot is the state under its new ID.
+// Snapshot returns the state with the new cluster's ID.
 func (r *recoveredState) Snapshot() (raft.FSMSnapshot, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	data := r.data.Clone()
-	data.Leases.RaiseTokenFloor(tokenFloor(0)) // the log may lack tokens that others gave
+	data.Leases.RaiseTokenFloor(tokenFloor(0)) // the log may lack the latest tokens that the old cluster granted
 	var previous []string
 	if e, ok := data.Entries[kv.PreviousClustersKey]; ok {
-		json.Unmarshal(e.Value, &previous) // this package wrote it
+		json.Unmarshal(e.Value, &previous) // always valid JSON written by this package
 	}
 	previous = append(previous, r.previousCluster)
 	for key, value := range map[string]any{kv.ClusterKey: r.clusterID, kv.PreviousClustersKey: previous} {
--- a/internal/cluster/store/majority_loss_report.go
+++ b/internal/cluster/store/majority_loss_report.go
@@ -15,7 +15,7 @@
 
 var errNothingToRecover = errors.New("the folder holds nothing that could be recovered")
 
-// RecoveryReport is what a stopped node's folder holds of a cluster.
+// RecoveryReport describes what a stopped node's storage folder holds of a cluster.
 type RecoveryReport struct {
 	Node      string                 `json:"node"`
 	ID        string                 `json:"id"`
@@ -24,21 +24,21 @@
 	Keys      int                    `json:"keys"`
 	Members   []string               `json:"members"`
 	Voters    []string               `json:"voters"`
-	// LastObserved is how far this node has observed the other members' disks.
+	// LastObserved is the last watermark that this node has observed of each other member's disk.
 	LastObserved map[string]diskidentity.Watermark `json:"seen"`
-	// Missing is, in words, what others had that this node lacks, as far as it knows.
+	// Missing describes the entries that other members had and this node lacks, as far as it knows.
 	Missing []string `json:"missing,omitempty"`
-	// NewCluster is the ID that Recover gave.
+	// NewCluster is the ID that Recover assigned to the new cluster.
 	NewCluster string `json:"new_cluster,omitempty"`
 }
 
-// stoppedNode is the open folder of a node that does not run.
+// stoppedNode is the open storage folder of a stopped node.
 type stoppedNode struct {
 	storage *raftstorage.Storage
 	report  RecoveryReport
 }
 
-// openStoppedNode opens and reads a folder. It counts as a start of the disk.
+// openStoppedNode opens and reads a storage folder. This increments the disk's start count.
 func openStoppedNode(cfg Config) (*stoppedNode, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
@@ -93,7 +93,7 @@
 	return report, nil
 }
 
-// compareWatermarks notes how far the other members were, and what they had besides.
+// compareWatermarks fills in LastObserved, and Missing for members whose log was ahead of this node's.
 func (r *RecoveryReport) compareWatermarks(observed watermarks) {
 	local := r.Watermark
 	for id, mark := range observed {
@@ -109,7 +109,7 @@
 	slices.Sort(r.Missing)
 }
 
-// replayLog applies the newest snapshot and the log above it.
+// replayLog applies the newest snapshot and the log entries after it.
 func replayLog(storage *raftstorage.Storage, state *replicatedState) error {
 	first, err := restoreNewestSnapshot(storage, state)
 	if err != nil {
@@ -131,8 +131,8 @@
 	return nil
 }
 
-// restoreNewestSnapshot restores the newest snapshot, if there is one. It returns the index of the first
-// entry above it.
+// restoreNewestSnapshot restores the newest snapshot, if any. It returns the index of the first log entry
+// after the snapshot.
 func restoreNewestSnapshot(storage *raftstorage.Storage, state *replicatedState) (first uint64, err error) {
 	metas, err := storage.List()
 	if err != nil {
--- a/internal/cluster/store/member_state.go
+++ b/internal/cluster/store/member_state.go
@@ -7,12 +7,12 @@
 	"oxbowbridge/internal/cluster/membership"
 )
 
-// memberState is what a member does, as GET /members names it.
+// memberState is a member's state as shown by GET /members.
 type memberState int
 
 const (
-	memberLost    memberState = iota // its disk is lost: the node has another one
-	memberLeaving                    // it is to be removed
+	memberLost    memberState = iota // its disk is lost: the node reports another disk
+	memberLeaving                    // an operator or a migration is removing it
 	memberLeader
 	memberUp
 	memberDown
@@ -22,8 +22,8 @@
 	return [...]string{"lost", "leaving", "leader", "up", "down"}[m]
 }
 
-// memberStateOf is a member's state. The first one that applies counts, in the order of the
-// constants; a member moves between any two of them as the leader's view changes.
+// memberStateOf returns a member's state. If several apply, the first in the order of the constants is
+// returned. A member may change between any two states when the leader's view changes.
 func memberStateOf(m membership.Member, leader string) memberState {
 	switch {
 	case m.DiskLost:
@@ -38,7 +38,7 @@
 	return memberDown
 }
 
-// describe adds to memberDown for how long, in whole seconds.
+// describe returns the state's name, with the downtime in whole seconds for memberDown.
 func (m memberState) describe(downFor time.Duration) string {
 	if m == memberDown {
 		return fmt.Sprintf("%s %s", m, downFor.Round(time.Second))
--- a/internal/cluster/store/members.go
+++ b/internal/cluster/store/members.go
@@ -18,16 +18,16 @@
 	"oxbowbridge/internal/cluster/storeapi"
 )
 
-// reservedIDChars may not stand in a disk's identity or a zone: @ and | separate the fields of a
-// member's ID and address; # is rejected too, although nothing uses it.
+// reservedIDChars must not occur in a disk's identity or a zone: @ and | separate the fields of a member's
+// ID and address. # is also rejected, although it is unused.
 const reservedIDChars = "@|#"
 
 var errChangePending = errors.New("a change of the members is not committed yet")
 
 func memberNotFound(name string) error { return fmt.Errorf("%w: %s", ErrMemberNotFound, name) }
 
-// Join adds a node as a learner. It returns ErrNoLeader on any node but the leader, and
-// ErrMemberRejected if the node may not join. For a node that is a member already it does nothing.
+// Join adds a node as a learner. It returns ErrNoLeader on any node but the leader, and ErrMemberRejected
+// if the node may not join. It does nothing if the node is already a member.
 func (s *Store) Join(ctx context.Context, request storeapi.JoinRequest) error {
 	p, err := peerFromJoinRequest(request)
 	if err != nil {
@@ -40,7 +40,7 @@
 	if !inc.isLeader() {
 		return ErrNoLeader
 	}
-	if _, err := s.WaitFresh(ctx, Freshness{}); err != nil { // who was removed must be known
+	if _, err := s.WaitFresh(ctx, Freshness{}); err != nil { // CheckJoin needs all committed removals
 		return err
 	}
 	if _, ok := s.state.get(kv.LeasesEnabledKey); ok && !request.SupportsLeases {
@@ -64,7 +64,7 @@
 	return awaitFuture(ctx, inc.raft.AddNonvoter(raft.ServerID(request.ID), address, conf.Index, storeapi.CommitTimeout))
 }
 
-// peerFromJoinRequest checks a request to join. Its error is kv.ErrInvalidRequest.
+// peerFromJoinRequest validates a join request. Its error is kv.ErrInvalidRequest.
 func peerFromJoinRequest(request storeapi.JoinRequest) (Peer, error) {
 	p := Peer{
 		Name:  diskidentity.MemberName(request.ID),
@@ -82,7 +82,7 @@
 	return p, nil
 }
 
-// isUp reports whether a member is this node, or has a recent report.
+// isUp returns a function that reports whether a member is this node or has a recent report.
 func (s *Store) isUp(inc *incarnation) func(id string) bool {
 	return func(id string) bool {
 		report, recent := s.peers.lastReport(diskidentity.MemberName(id))
@@ -90,7 +90,7 @@
 	}
 }
 
-// removedNames are the nodes that may not join, sorted.
+// removedNames returns the names of removed nodes, which may not join, in sorted order.
 func (s *Store) removedNames() (names []string) {
 	all, _ := s.state.entries()
 	for key := range all {
@@ -102,7 +102,8 @@
 	return names
 }
 
-// Members is the leader's view, and its next step. It returns ErrNoLeader on any other node.
+// Members returns the leader's view of the members and the next membership change. It returns ErrNoLeader
+// on any node but the leader.
 func (s *Store) Members(ctx context.Context) (out storeapi.Members, err error) {
 	inc, err := s.running()
 	if err != nil {
@@ -142,9 +143,9 @@
 	return row
 }
 
-// RequestRemoval records that a node is to lose its vote and its membership, and may not join again
-// until AllowRejoin. The intent is in the log, so that any later leader carries it out. It returns
-// ErrNoLeader on any node but the leader.
+// RequestRemoval records that a node must be demoted and removed, and may not rejoin until AllowRejoin.
+// The request is stored in the log, so that any later leader carries it out. It returns ErrNoLeader on any
+// node but the leader.
 func (s *Store) RequestRemoval(name string) error {
 	inc, err := s.running()
 	if err != nil {
@@ -164,8 +165,8 @@
 	return s.recordIntent(kv.RemovedPrefix+name, kv.PreferredVoterPrefix+name)
 }
 
-// AllowRejoin lets a node that was removed join again. It adds no member: the node itself has to
-// request that (Join).
+// AllowRejoin allows a removed node to join again. It does not add the member: the node itself requests
+// that (Join).
 func (s *Store) AllowRejoin(name string) error {
 	if !namePattern.MatchString(name) {
 		return fmt.Errorf("%w: name: %q", kv.ErrInvalidRequest, name)
@@ -173,7 +174,7 @@
 	return s.recordIntent("", kv.RemovedPrefix+name)
 }
 
-// PreferAsVoter records that a node is to get a vote before those that no operator prefers.
+// PreferAsVoter records that a node is promoted to voter before nodes without this preference.
 func (s *Store) PreferAsVoter(name string) error {
 	inc, err := s.running()
 	if err != nil {
@@ -191,7 +192,7 @@
 	return s.recordIntent(kv.PreferredVoterPrefix+name, "")
 }
 
-// countPreferredVoters counts the nodes other than one that operators want to have a vote.
+// countPreferredVoters returns how many nodes other than except are preferred as voters.
 func (s *Store) countPreferredVoters(except string) (count int) {
 	all, _ := s.state.entries()
 	for key := range all {
@@ -206,7 +207,7 @@
 	return slices.ContainsFunc(ids, func(id string) bool { return diskidentity.MemberName(id) == name })
 }
 
-// recordIntent puts one key, with the time as its value, and deletes another; "" is none.
+// recordIntent puts one key with the current time as its value, and deletes another key; "" means none.
 func (s *Store) recordIntent(putKey, deleteKey string) error {
 	var r kv.Request
 	if putKey != "" {
--- a/internal/cluster/store/mirror.go
+++ b/internal/cluster/store/mirror.go
@@ -16,28 +16,28 @@
 )
 
 const (
-	mirrorInterval   = time.Second     // between two writes, also without a change
+	mirrorInterval   = time.Second     // between two writes, even without a change
 	maxMirrorBackoff = 5 * time.Second // between two attempts while the database fails
-	// mirrorAbandonAfter is after which time without a success the node gives up the mirror's lease: the
-	// database may be out of reach for this node alone, and another one may do better.
+	// mirrorAbandonAfter is how long writes may fail before the node releases the mirror's lease. The
+	// database may be unreachable for this node only, so that another node may succeed.
 	mirrorAbandonAfter = 30 * time.Second
 )
 
-// sqlDrivers are the names in database/sql of the sqlDrivers that the configuration may name.
+// sqlDrivers maps the driver names of the configuration to those of database/sql.
 var sqlDrivers = map[string]string{"sqlite": "sqlite", "postgres": "pgx"}
 
-// sqlMirror is the copy of the keys in a SQL database, which operators also call the store of record:
-// the holder of the mirror's lease writes whatever the database lacks. While the database fails the
-// store goes on, and the mirror catches up later.
+// sqlMirror is the copy of the keys in a SQL database, which operators also call the store of record. The
+// holder of the mirror's lease writes the entries that the database lacks. While the database fails, the
+// store continues to work, and the mirror catches up later.
 type sqlMirror struct {
 	store *Store
 
 	mu           sync.Mutex
-	writtenIndex uint64 // the database has all entries up to it
-	lastError    error  // of the last attempt; nil if it succeeded
+	writtenIndex uint64 // the database has all entries up to this log index
+	lastError    error  // error of the last attempt; nil if it succeeded
 }
 
-// progress is the index up to which all is written, and the last error's text or "".
+// progress returns the index up to which all entries are written, and the last error's text or "".
 func (m *sqlMirror) progress() (uint64, string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -53,7 +53,7 @@
 	m.writtenIndex = index
 }
 
-// recordResult stores the result of an attempt, and returns the one before.
+// recordResult stores the result of an attempt, and returns the previous one.
 func (m *sqlMirror) recordResult(err error) (previous error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -62,11 +62,11 @@
 	return previous
 }
 
-// HasSQLMirror reports whether the node is set up to write the SQL mirror.
+// HasSQLMirror reports whether the node is configured to write the SQL mirror.
 func (s *Store) HasSQLMirror() bool { return s.mirror != nil }
 
 // RunMirror writes the SQL mirror under a lease until ctx ends, another node has taken over, or the
-// database has failed for too long.
+// database has failed for mirrorAbandonAfter.
 func (s *Store) RunMirror(ctx context.Context, fence lease.FencingToken) error {
 	db, err := sql.Open(sqlDrivers[s.cfg.SQL.Driver], s.cfg.SQL.DSN)
 	if err != nil {
@@ -85,20 +85,20 @@
 		if backoff.next(err) {
 			return err
 		}
-		changed := s.state.mirrorWake
+		wake := s.state.mirrorWake
 		if err != nil {
-			changed = nil // a change does not end the backoff
+			wake = nil // a change of the state must not shorten the backoff
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-changed:
+		case <-wake:
 		case <-time.After(backoff.wait):
 		}
 	}
 }
 
-// logMirrorResult logs when the database begins to fail, and when it works again.
+// logMirrorResult logs when the database becomes unavailable, and when it is available again.
 func (s *Store) logMirrorResult(ctx context.Context, previous, err error) {
 	switch {
 	case ctx.Err() != nil:
@@ -115,7 +115,8 @@
 	failingSince time.Time // zero if the last attempt succeeded
 }
 
-// next sets the wait after an attempt, and reports whether to abandon the mirror to another node.
+// next computes the wait after an attempt, and reports whether this node should release the mirror's
+// lease.
 func (b *mirrorBackoff) next(err error) (abandon bool) {
 	switch {
 	case err == nil:
--- a/internal/cluster/store/mirror_session.go
+++ b/internal/cluster/store/mirror_session.go
@@ -14,13 +14,13 @@
 	"oxbowbridge/internal/cluster/lease"
 )
 
-// sqlTimeout bounds one round of the mirror.
+// sqlTimeout bounds one synchronization of the mirror.
 const sqlTimeout = 5 * time.Second
 
-// The statements of the SQL mirror.
+// SQL statements of the mirror.
 const (
 	createMirrorTable = `CREATE TABLE IF NOT EXISTS oxbowbridge_store (name TEXT PRIMARY KEY, value TEXT, idx BIGINT NOT NULL)`
-	// A late write of an older leader does not replace a newer row.
+	// A delayed write of an earlier lease holder does not replace a newer row.
 	upsertRow = `INSERT INTO oxbowbridge_store (name, value, idx) VALUES ($1, $2, $3)
 ON CONFLICT (name) DO UPDATE SET value = excluded.value, idx = excluded.idx WHERE oxbowbridge_store.idx <= excluded.idx`
 	selectRows       = `SELECT name, value, idx FROM oxbowbridge_store ORDER BY name`
@@ -28,16 +28,16 @@
 	// No row is affected if the table has a higher token.
 	advanceFence = `INSERT INTO oxbowbridge_lease (name, token) VALUES ($1, $2)
 ON CONFLICT (name) DO UPDATE SET token = excluded.token WHERE oxbowbridge_lease.token <= excluded.token`
-	// For rows of an earlier cluster, whose log had other indexes.
+	// Resets rows of an earlier cluster, whose log indexes are not comparable with this cluster's.
 	resetIndexes = `UPDATE oxbowbridge_store SET idx = 0`
 )
 
-// mirrorSession is the time for which this node writes the SQL mirror under one token.
+// mirrorSession is the period in which this node writes the SQL mirror under one fencing token.
 type mirrorSession struct {
 	*sqlMirror
 	db       *sql.DB
 	fence    lease.FencingToken
-	imported bool // the first round has succeeded
+	imported bool // whether the first synchronization has succeeded
 }
 
 // mirrorRow is a row of the SQL mirror.
@@ -47,9 +47,9 @@
 	index uint64
 }
 
-// sync writes what the database lacks. The first round imports what only the database has, as
-// after all nodes lost their disks, and then writes every entry, as it is not known what the
-// holder before has written.
+// sync writes the entries that the database lacks. The first call imports keys that only the database has,
+// which occurs after all nodes have lost their disks. It then writes every entry, because it is unknown
+// what the previous lease holder has written.
 func (m *mirrorSession) sync(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, sqlTimeout)
 	defer cancel()
@@ -79,8 +79,8 @@
 	return nil
 }
 
-// beginFenced starts a transaction, or is ErrStaleToken if the database has seen a higher token.
-// Until the transaction ends, no other token is admitted.
+// beginFenced starts a transaction, or returns ErrStaleToken if the database has a higher fencing token.
+// Until the transaction ends, the database accepts no other token.
 func (m *mirrorSession) beginFenced(ctx context.Context) (*sql.Tx, error) {
 	tx, err := m.db.BeginTx(ctx, nil)
 	if err != nil {
@@ -130,7 +130,7 @@
 	return nil
 }
 
-// importMissing writes keys to the store that only the database has.
+// importMissing writes keys that only the database has to the store.
 func (m *mirrorSession) importMissing(ctx context.Context) error {
 	if _, err := m.store.WaitFresh(ctx, Freshness{}); err != nil {
 		return fmt.Errorf("wait for the log: %w", err)
@@ -159,7 +159,7 @@
 	}
 	m.store.log.Info("keys imported from the sql mirror", zap.Int("keys", len(missing)))
 	for _, r := range missing {
-		// A comparison that fails is no error: somebody has written the key meanwhile.
+		// A failed comparison is not an error: another client has written the key in the meantime.
 		if _, err := m.store.ExecuteOrForward(ctx, r); err != nil {
 			return fmt.Errorf("import key: %w", err)
 		}
@@ -167,7 +167,7 @@
 	return nil
 }
 
-// importRequest writes a key unless somebody has written it meanwhile.
+// importRequest returns a request that writes the row's key unless the store already has the key.
 func (m *mirrorSession) importRequest(row mirrorRow) kv.Request {
 	return kv.Request{
 		Fences: []lease.FencingToken{m.fence},
--- a/internal/cluster/store/node_state.go
+++ b/internal/cluster/store/node_state.go
@@ -1,25 +1,25 @@
 package store
 
-// nodeState is what a node does now, as GET /status names it.
+// nodeState is a node's state as shown by GET /status.
 //
-//	waiting --[the disk may take part]--> joining --[in the configuration]--> serving
-//	waiting --[the disk is a member's]--> serving
+//	waiting --[the verdict allows the disk to take part]--> joining --[in the configuration]--> serving
+//	waiting --[the disk belongs to a member]--> serving
 //	serving --[the latest configuration in its log lacks the disk]--> joining
 //	joining, serving --[the incarnation ends]--> waiting
 //
-// A removed member thus is joining until supervise has ended its incarnation.
+// A removed member is therefore joining until supervise has ended its incarnation.
 type nodeState int
 
 const (
-	nodeWaiting nodeState = iota // no Raft: for the disk, or for the other nodes
-	nodeJoining                  // Raft runs, and this disk is no member yet
+	nodeWaiting nodeState = iota // Raft does not run: the node waits for its disk or for other nodes
+	nodeJoining                  // Raft runs, and this disk is not a member yet
 	nodeServing                  // Raft runs, and this disk is a member
 )
 
 func (n nodeState) String() string { return [...]string{"Waiting", "Joining", "Serving"}[n] }
 
-// nodeStateOf is the state of a node. raftRunning: it has an incarnation with Raft; member: the
-// latest configuration in its log has this disk.
+// nodeStateOf returns a node's state. raftRunning reports whether it has an incarnation with Raft, and
+// member whether the latest configuration in its log includes this disk.
 func nodeStateOf(raftRunning, member bool) nodeState {
 	switch {
 	case !raftRunning:
@@ -37,7 +37,7 @@
 	peerWaiting = "waiting"
 )
 
-// peerState is the state as it is reported to peers.
+// peerState returns the state as reported to peers.
 func (n nodeState) peerState() string {
 	if n == nodeWaiting {
 		return peerWaiting
--- a/internal/cluster/store/open_folder.go
+++ b/internal/cluster/store/open_folder.go
@@ -7,7 +7,7 @@
 	"oxbowbridge/internal/storage/durable"
 )
 
-// openFolder opens a storage folder of the operating system.
+// openFolder opens a storage folder in the operating system's file system.
 func openFolder(dir string) (*raftstorage.Storage, *durable.Report, error) {
 	return raftstorage.Open(dir)
 }
--- a/internal/cluster/store/peer_reports.go
+++ b/internal/cluster/store/peer_reports.go
@@ -18,14 +18,14 @@
 
 var errNoServingPeer = errors.New("no node of the cluster serves")
 
-// clearReports drops what was reported to a disk that this node no longer has.
+// clearReports removes the reports that peers made about a previous disk of this node.
 func (p *peerPoller) clearReports() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	clear(p.reports)
 }
 
-// lastReport is what a node reported last, and whether that is recent.
+// lastReport returns a node's last report, and whether it is recent.
 func (p *peerPoller) lastReport(name string) (report peerReport, recent bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -33,8 +33,8 @@
 	return report, report.recent()
 }
 
-// checksums are those that the other voters of a configuration reported of their states, and how
-// many voters there are.
+// checksums returns the recent state checksums that the other voters of a configuration have reported, and
+// the number of voters.
 func (p *peerPoller) checksums(conf raftstorage.Configuration, self string) (list []kv.ChecksumHistory, voters int) {
 	for _, server := range conf.Servers {
 		id := string(server.ID)
@@ -50,14 +50,14 @@
 	return list, voters
 }
 
-// peerAttestations are what the peers report of disks at one time.
+// peerAttestations are the peers' attestations of disks at one time.
 type peerAttestations struct {
-	recent    map[string]diskidentity.Attestation // by name, without those of earlier versions
-	allPolled bool                                // each node was polled once or more, with a report or an error
-	changed   <-chan struct{}                     // closed at the next report
+	recent    map[string]diskidentity.Attestation // by node name, without nodes of earlier versions
+	allPolled bool                                // whether each node was polled at least once, with a report or an error
+	changed   <-chan struct{}                     // closed when the next poll ends
 }
 
-// attestations are the recent reports on disks.
+// attestations returns the attestations in recent reports.
 func (p *peerPoller) attestations() peerAttestations {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -75,7 +75,7 @@
 	return out
 }
 
-// servingAddresses are the admin addresses of the peers that serve.
+// servingAddresses returns the admin addresses of the peers that serve.
 func (p *peerPoller) servingAddresses() (list []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -87,7 +87,8 @@
 	return list
 }
 
-// requestJoin asks the serving peers, one after the other until one agrees, to add this member.
+// requestJoin requests membership for this node from the serving peers, one after the other until one
+// accepts.
 func (p *peerPoller) requestJoin(ctx context.Context, inc *incarnation) error {
 	self := p.store.self
 	text, err := json.Marshal(storeapi.JoinRequest{ID: inc.memberID, RaftAddress: self.Raft, AdminAddress: self.Admin, Zone: self.Zone, SupportsLeases: true})
--- a/internal/cluster/store/peer_transport.go
+++ b/internal/cluster/store/peer_transport.go
@@ -13,20 +13,22 @@
 )
 
 const (
-	// maxPendingHandshakes bounds the connections in the handshake, as each holds a file descriptor.
+	// maxPendingHandshakes bounds the connections whose handshake is not complete, as each holds a file
+	// descriptor.
 	maxPendingHandshakes = 64
 	acceptRetryInterval  = 10 * time.Millisecond
 )
 
-// peerTransport is Raft's network. The node that connects names itself, the member that it connects to
-// and its cluster; a node with another disk, or of another cluster, rejects the connection.
+// peerTransport is the stream layer of Raft's transport. The connecting node sends its member ID, the
+// member ID of the node that it expects, and its cluster ID. A node with another disk, or of another
+// cluster, rejects the connection.
 type peerTransport struct {
 	listener       net.Listener
 	memberID       string
 	clusterID      func() string
-	configuredPeer func(name string) (Peer, bool) // by the configuration file
-	accepted       chan net.Conn                  // connections past the handshake
-	handshakes     chan struct{}                  // semaphore: one token for each connection in the handshake
+	configuredPeer func(name string) (Peer, bool) // looks up a node in the configuration file
+	accepted       chan net.Conn                  // connections that completed the handshake
+	handshakes     chan struct{}                  // semaphore with one token for each pending handshake
 	done           chan struct{}                  // closed by Close
 	closeOnce      sync.Once
 }
@@ -75,7 +77,7 @@
 	}
 }
 
-// handleHandshake hands a connection on to Accept if this member is meant.
+// handleHandshake passes a connection to Accept if its handshake names this member.
 func (t *peerTransport) handleHandshake(conn net.Conn) {
 	conn.SetDeadline(time.Now().Add(handshakeTimeout))
 	identified, err := t.identify(conn)
@@ -91,8 +93,8 @@
 	}
 }
 
-// identify reads who connects. Members of an earlier version, known by their names alone, send no
-// handshake to each other.
+// identify reads the handshake. Members of an earlier version, identified by their names alone, send none
+// to each other.
 func (t *peerTransport) identify(conn net.Conn) (net.Conn, error) {
 	first := make([]byte, 1)
 	if _, err := io.ReadFull(conn, first); err != nil {
@@ -126,7 +128,7 @@
 	return err
 }
 
-// Accept returns the next connection past the handshake.
+// Accept returns the next connection that completed the handshake.
 func (t *peerTransport) Accept() (net.Conn, error) {
 	select {
 	case conn := <-t.accepted:
@@ -136,7 +138,7 @@
 	}
 }
 
-// Addr is where it listens.
+// Addr returns the listener's address.
 func (t *peerTransport) Addr() net.Addr { return t.listener.Addr() }
 
 // Close stops listening.
@@ -148,8 +150,8 @@
 	return nil
 }
 
-// Dial connects to the member that an address of the configuration names. An address in the
-// configuration file takes precedence.
+// Dial connects to the member in an address of the configuration. The configuration file's address for the
+// node takes precedence.
 func (t *peerTransport) Dial(addr raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	id := addressMemberID(addr)
 	peer := decodePeer(raft.ServerID(id), addr)
--- a/internal/cluster/store/peers.go
+++ b/internal/cluster/store/peers.go
@@ -16,20 +16,20 @@
 )
 
 const (
-	// pollInterval is between two polls of a peer, and between two checks of supervise and
+	// pollInterval is the time between two polls of a peer, and between two checks of supervise and
 	// manageMembers.
 	pollInterval = 200 * time.Millisecond
 	pollTimeout  = 500 * time.Millisecond
-	// reportLifetime is the age of its last report at which a node counts as down: three polls that
-	// run into pollTimeout, or seven that fail at once.
+	// reportLifetime is the age of its last report at which a node counts as down. It covers three polls that
+	// run into pollTimeout, or seven that fail immediately.
 	reportLifetime = 1500 * time.Millisecond
-	// maxPollTargets is above maxMembers, as nodes that were replaced or removed stay polled.
+	// maxPollTargets is higher than maxMembers, as replaced and removed nodes are still polled.
 	maxPollTargets = 2 * maxMembers
 )
 
-// peerPoller polls the other nodes for what they are. The leader decides on members by the reports;
-// every node records how far it has observed the others' disks; and a node that starts learns
-// whether its disk is behind.
+// peerPoller polls the other nodes for their reports. The leader bases membership changes on the reports,
+// every node records the watermarks of the other nodes' disks, and a starting node learns whether its disk
+// is outdated.
 type peerPoller struct {
 	store   *Store
 	client  *storeclient.Client
@@ -37,22 +37,22 @@
 	pollers sync.WaitGroup
 
 	mu       sync.Mutex
-	targets  map[string]Peer // by name; each has a goroutine
+	targets  map[string]Peer // by node name; each has a polling goroutine
 	reports  map[string]peerReport
 	observed watermarks
-	unsaved  bool          // observed has changed since it was saved
-	changed  chan struct{} // closed at the next report
+	unsaved  bool          // observed has changed since it was last saved
+	changed  chan struct{} // closed when the next poll ends
 }
 
-// peerReport is the last that a peer reported.
+// peerReport is a peer's last report.
 type peerReport struct {
 	storeapi.PeerStatus
-	receivedAt time.Time // zero if there was none
-	legacy     bool      // of an earlier version, which reports less
-	err        error     // of the last poll that failed
+	receivedAt time.Time // zero if there is no report
+	legacy     bool      // the node runs an earlier version, which reports less
+	err        error     // error of the last failed poll
 }
 
-// recent reports whether the peer counts as up.
+// recent reports whether the report is recent enough for the peer to count as up.
 func (r peerReport) recent() bool {
 	return !r.receivedAt.IsZero() && time.Since(r.receivedAt) < reportLifetime
 }
@@ -71,7 +71,7 @@
 	}
 }
 
-// addTargets polls the nodes of the configuration file and those of the list from now on.
+// addTargets starts polling the nodes of the configuration file and those in list.
 func (p *peerPoller) addTargets(list []Peer) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -83,7 +83,8 @@
 	}
 }
 
-// addTarget is called with the lock held. An address in the configuration file takes precedence.
+// addTarget starts polling a node. An address in the configuration file takes precedence. The caller holds
+// the lock.
 func (p *peerPoller) addTarget(peer Peer) {
 	if peer.Name == p.store.self.Name {
 		return
@@ -105,7 +106,7 @@
 	}
 }
 
-// adminAddress is where a node is polled.
+// adminAddress returns the address at which a node is polled.
 func (p *peerPoller) adminAddress(name string) (string, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -113,7 +114,7 @@
 	return peer.Admin, ok
 }
 
-// pollLoop asks one node for its report until the Store is closed.
+// pollLoop requests a node's report at each pollInterval until the Store is closed.
 func (p *peerPoller) pollLoop(name string) {
 	defer p.pollers.Done()
 	ticker := time.NewTicker(pollInterval)
@@ -142,11 +143,11 @@
 // fetchedReport is the result of one poll.
 type fetchedReport struct {
 	status storeapi.PeerStatus
-	legacy bool // of an earlier version, which reports less
+	legacy bool // the node runs an earlier version, which reports less
 	err    error
 }
 
-// fetch asks a node for its report. A node of an earlier version only has a status.
+// fetch requests a node's report. A node of an earlier version has only GET /status.
 func (p *peerPoller) fetch(addr, asker string) (report fetchedReport) {
 	ctx, cancel := context.WithTimeout(p.ctx, pollTimeout)
 	defer cancel()
@@ -168,7 +169,8 @@
 	return report
 }
 
-// recordReport stores a report. One that was requested under another member ID of this node is dropped.
+// recordReport stores a report. A report that was requested under another member ID of this node is
+// discarded.
 func (p *peerPoller) recordReport(name, asker string, fetched fetchedReport) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -186,8 +188,8 @@
 	p.reports[name] = peerReport{PeerStatus: fetched.status, receivedAt: time.Now(), legacy: fetched.legacy}
 }
 
-// recordObservation notes how far a peer's disk is, or that it belongs to another cluster. It is called with
-// the lock held.
+// recordObservation records the watermark of a peer's disk, or that the peer belongs to another cluster.
+// The caller holds the lock.
 func (p *peerPoller) recordObservation(name string, report storeapi.PeerStatus) {
 	local := p.store.clusterID.get()
 	if local != "" && report.Cluster != "" && local != report.Cluster {
@@ -203,7 +205,7 @@
 	}
 }
 
-// signalChanged is called with the lock held.
+// signalChanged wakes those that wait for the next poll result. The caller holds the lock.
 func (p *peerPoller) signalChanged() {
 	close(p.changed)
 	p.changed = make(chan struct{})
--- a/internal/cluster/store/pending_writes.go
+++ b/internal/cluster/store/pending_writes.go
@@ -7,26 +7,25 @@
 	"oxbowbridge/internal/cluster/kv"
 )
 
-// MaxTotalValueBytes bounds all values of the store together. The leader enforces it when it proposes
-// an entry; the state machine applies whatever is in the log.
+// MaxTotalValueBytes bounds the total size of all values in the store. The leader enforces it when it
+// proposes an entry; the state machine applies every entry in the log regardless of it.
 const MaxTotalValueBytes = 32 << 20
 
-// Bounds of what a leader has proposed and not seen committed.
+// Limits of the writes that a leader has proposed and that are not applied yet.
 const (
 	maxPendingWrites = 512
-	maxPendingBytes  = 8 << 20 // of values
+	maxPendingBytes  = 8 << 20 // total size of their values
 )
 
-// pendingWrites counts the entries that this node, as leader, has proposed and that are not
-// applied yet.
+// pendingWrites counts the entries that this node has proposed as leader and that are not applied yet.
 type pendingWrites struct {
 	mu    sync.Mutex
 	count int
 	bytes int
 }
 
-// reserve admits a write that adds size bytes to a state that holds stored bytes. Its error is
-// ErrTooManyWrites or kv.ErrFull.
+// reserve admits a write that adds size bytes to a state of stored bytes. Its error is ErrTooManyWrites or
+// kv.ErrFull.
 func (w *pendingWrites) reserve(size, stored int) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -41,7 +40,7 @@
 	return nil
 }
 
-// release ends a write that reserve admitted.
+// release removes a write that reserve admitted.
 func (w *pendingWrites) release(size int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -49,7 +48,7 @@
 	w.bytes -= size
 }
 
-// addedBytes is what a request may add to the state.
+// addedBytes returns the maximum number of value bytes that a request adds to the state.
 func addedBytes(r *kv.Request) int {
 	return max(valueBytesOf(r.Then), valueBytesOf(r.Else))
 }
--- a/internal/cluster/store/pending_writes_test.go
+++ b/internal/cluster/store/pending_writes_test.go
@@ -8,8 +8,8 @@
 	"oxbowbridge/internal/cluster/kv"
 )
 
-// TestPendingWriteBounds: pending writes are bounded in number and bytes, and so is the store; a
-// full store accepts a delete.
+// TestPendingWriteBounds checks that pending writes are limited in number and bytes, that the total size
+// of values is limited, and that a full store still admits a delete.
 func TestPendingWriteBounds(t *testing.T) {
 	var w pendingWrites
 	for range maxPendingWrites {
--- a/internal/cluster/store/raft.go
+++ b/internal/cluster/store/raft.go
@@ -17,14 +17,14 @@
 )
 
 const (
-	// electionTimeout also serves as heartbeat timeout and leader lease. It is small, as all nodes talk
-	// over loopback (checkLoopback).
+	// electionTimeout is also the heartbeat timeout and the leader lease timeout. It is short, as all nodes
+	// communicate over loopback (checkLoopback).
 	electionTimeout = 500 * time.Millisecond
-	// snapshotThreshold is after how many log entries a snapshot is taken.
+	// snapshotThreshold is the number of log entries after which Raft takes a snapshot.
 	snapshotThreshold = 1024
-	// maxAppendEntries is how many entries share one sync and one message.
+	// maxAppendEntries is the maximum number of entries in one disk sync and in one message.
 	maxAppendEntries = 512
-	// maxPooledConns is how many idle connections are kept to each peer.
+	// maxPooledConns is how many idle connections to each peer are kept open.
 	maxPooledConns = 3
 	// transportTimeout bounds the I/O of one message between peers.
 	transportTimeout = 2 * time.Second
@@ -32,7 +32,7 @@
 
 var errStartRaft = errors.New("start raft")
 
-// runRaft starts Raft under a verdict, and returns why the incarnation is over.
+// runRaft starts Raft according to a verdict, and returns the error that ended the incarnation.
 func (s *Store) runRaft(disk *diskState, verdict diskidentity.Verdict) error {
 	inc := &incarnation{store: s, memberID: disk.local.ID, storage: disk.storage, failure: make(chan error, 1)}
 	listener, err := listenPeers(s.self.Raft, inc.memberID, s.clusterID.get, s.cfg.configuredPeer)
@@ -71,7 +71,8 @@
 	return conf
 }
 
-// startRaft makes the cluster if that is the verdict, and begins to replay the log.
+// startRaft bootstraps the cluster if the verdict is VerdictBootstrap, and starts Raft, which replays the
+// log.
 func (s *Store) startRaft(inc *incarnation, conf *raft.Config, verdict diskidentity.Verdict) error {
 	storage := inc.storage.FailStop(inc.reportFailure)
 	if verdict == diskidentity.VerdictBootstrap {
@@ -81,7 +82,7 @@
 	}
 	s.state.reset()
 	started := make(chan error, 1)
-	go func() { // a failing storage may end this goroutine
+	go func() { // a failing storage may exit this goroutine without a result
 		defer close(started)
 		var err error
 		inc.raft, err = raft.NewRaft(conf, s.state, storage, storage, storage, inc.transport)
@@ -103,7 +104,8 @@
 	return raft.BootstrapCluster(conf, storage, storage, storage, inc.transport, first)
 }
 
-// bootstrapConfiguration is a new cluster's first one: all founders with their disks.
+// bootstrapConfiguration returns the first configuration of a new cluster: all initial members with their
+// disks.
 func (s *Store) bootstrapConfiguration(inc *incarnation) (conf raft.Configuration, err error) {
 	for _, p := range s.cfg.Peers {
 		id := inc.memberID
@@ -125,7 +127,7 @@
 	return conf, nil
 }
 
-// runServices runs what goes on beside Raft, until the incarnation has to end.
+// runServices runs the services that accompany Raft until the incarnation ends.
 func (s *Store) runServices(inc *incarnation, verdict diskidentity.Verdict) error {
 	s.current.Store(inc)
 	s.loggedWaitReason = ""
--- a/internal/cluster/store/read_index.go
+++ b/internal/cluster/store/read_index.go
@@ -12,24 +12,25 @@
 	"oxbowbridge/internal/cluster/storeapi"
 )
 
-// readIndexResult is an answer: at the time at, the cluster had committed no entry above index.
+// readIndexResult is a read index: when it was requested, at the time at, the cluster had committed no
+// entry above index.
 type readIndexResult struct {
 	index uint64
 	at    time.Time
 }
 
 // readIndexBatcher requests the leader's read index (section 6.4 of the Raft dissertation) for many
-// callers at once. Callers that come while a round runs share the next one: only a round that began
-// after a call is valid for it.
+// callers at once. Callers that arrive during a round share the next one, because a read index is valid
+// only for calls made before its request.
 type readIndexBatcher struct {
 	readIndex func(context.Context) (index uint64, err error)
 
 	mu      sync.Mutex
 	running bool
-	next    *readIndexRound // the round that has not begun, nil if no caller waits for one
+	next    *readIndexRound // the round that has not started; nil if no caller waits for one
 }
 
-// readIndexRound is one request for the read index, for all callers that wait for it.
+// readIndexRound is one request for the read index, shared by all callers that wait for it.
 type readIndexRound struct {
 	done   chan struct{} // closed once result and err are set
 	result readIndexResult
@@ -47,7 +48,7 @@
 	}
 }
 
-// joinNextRound is the round that begins next.
+// joinNextRound returns the round that starts next.
 func (p *readIndexBatcher) joinNextRound() *readIndexRound {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -61,7 +62,7 @@
 	return p.next
 }
 
-// run carries out rounds until no caller waits for one.
+// run executes rounds until no caller waits for one.
 func (p *readIndexBatcher) run() {
 	for {
 		r := p.startNextRound()
@@ -76,7 +77,8 @@
 	}
 }
 
-// startNextRound returns the next round, which no caller joins any more; nil if there is none.
+// startNextRound returns the next round and closes it to further callers. It returns nil if no caller
+// waits.
 func (p *readIndexBatcher) startNextRound() *readIndexRound {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -88,7 +90,7 @@
 	return r
 }
 
-// clusterReadIndex is the read index of the leader, this node or another one.
+// clusterReadIndex returns the leader's read index, whether this or another node is the leader.
 func (s *Store) clusterReadIndex(ctx context.Context) (uint64, error) {
 	if s.IsLeader() {
 		return s.ReadIndex(ctx)
@@ -105,8 +107,9 @@
 	return answer.Index, err
 }
 
-// ReadIndex is the index of the last entry that was committed when this was called. It returns once a
-// majority of the voters has followed this leader since then, and ErrNoLeader on any other node.
+// ReadIndex returns the index of the last entry that was committed at the time of the call. It returns
+// once a majority of the voters has acknowledged this node as leader since then, and ErrNoLeader on any
+// other node.
 func (s *Store) ReadIndex(ctx context.Context) (uint64, error) {
 	inc, err := s.running()
 	if err != nil {
@@ -121,8 +124,8 @@
 	}
 	index := inc.raft.CommitIndex()
 	readAt := time.Now()
-	// VerifyLeader sends a heartbeat to all voters at once. Its own result may rest on answers to
-	// earlier ones, so that awaitMajority checks them again.
+	// VerifyLeader sends a heartbeat to all voters immediately. Its own result may rely on responses to
+	// earlier heartbeats, so that awaitMajority checks the responses again.
 	if err := awaitFuture(ctx, inc.raft.VerifyLeader()); err != nil {
 		return 0, err
 	}
@@ -143,8 +146,8 @@
 	return index, nil
 }
 
-// awaitBarrier commits an entry in a new leader's term: until then it does not know how far its
-// predecessors had committed.
+// awaitBarrier commits an entry in the term of a new leader. Before that, the leader does not know which
+// entries its predecessors have committed.
 func (inc *incarnation) awaitBarrier(ctx context.Context, term uint64) error {
 	if inc.barrierTerm.Load() == term {
 		return nil
--- a/internal/cluster/store/replicated_state.go
+++ b/internal/cluster/store/replicated_state.go
@@ -13,24 +13,24 @@
 	"oxbowbridge/internal/cluster/watch"
 )
 
-// historyLimits bound the revisions that are kept for watchers.
+// historyLimits bound the revisions that are retained for watchers.
 var historyLimits = watch.Limits{MaxRevisions: 4096, MaxBytes: 8 << 20}
 
-// changeListener hears of a change; value is nil for a deleted key.
+// changeListener is called for a change; value is nil for a deleted key.
 type changeListener func(key string, value json.RawMessage)
 
-// replicatedState is the state machine of the log with those who watch it. Raft's goroutine alone
-// writes it, by Apply and Restore; the others read it under the lock.
+// replicatedState is the state machine of the log, with its listeners and watchers. Only Raft's goroutine
+// writes it, by Apply and Restore; others read it under the lock.
 type replicatedState struct {
 	mu         sync.Mutex
 	data       *kv.State
 	history    *watch.History
-	checksums  kv.ChecksumHistory // recent ones, to be compared with other voters'
+	checksums  kv.ChecksumHistory // recent checksums, to compare with those of other voters
 	listeners  []changeListener
-	advanced   chan struct{} // closed when an entry was applied
-	mirrorWake chan struct{} // capacity 1: holds a token if an entry was applied since the mirror last took it
+	advanced   chan struct{} // closed when the next entry is applied
+	mirrorWake chan struct{} // capacity 1: holds a token if an entry was applied since the mirror last received it
 
-	// onLeaseGranted is called, without the lock, for a lease that went to one who waited.
+	// onLeaseGranted is called without the lock when a lease is granted to a waiting holder.
 	onLeaseGranted func(name, holder string)
 }
 
@@ -46,7 +46,7 @@
 	}
 }
 
-// reset empties the state: Raft is about to replay the log.
+// reset empties the state before Raft replays the log.
 func (s *replicatedState) reset() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -56,21 +56,21 @@
 	s.signalAdvanced()
 }
 
-// recentChecksums are those of the last states.
+// recentChecksums returns the checksums of the most recent states.
 func (s *replicatedState) recentChecksums() kv.ChecksumHistory {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.checksums)
 }
 
-// progress is the index of the last applied entry; advanced is closed at the next one.
+// progress returns the index of the last applied entry; advanced is closed when the next one is applied.
 func (s *replicatedState) progress() (applied uint64, advanced <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.data.Applied, s.advanced
 }
 
-// signalAdvanced is called with the lock held.
+// signalAdvanced wakes those that wait for an applied entry. The caller holds the lock.
 func (s *replicatedState) signalAdvanced() {
 	close(s.advanced)
 	s.advanced = make(chan struct{})
@@ -89,14 +89,14 @@
 	s.listeners = append(s.listeners, listener)
 }
 
-// valueBytes is the size of all values.
+// valueBytes returns the total size of all values.
 func (s *replicatedState) valueBytes() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.data.ValueBytes()
 }
 
-// get is a key that is not deleted.
+// get returns the entry of a key that is not deleted.
 func (s *replicatedState) get(key string) (kv.Entry, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,7 +104,7 @@
 	return e, ok && !e.Deleted
 }
 
-// entriesAfter are the entries that were set or deleted after an index.
+// entriesAfter returns the entries that were set or deleted after a log index.
 func (s *replicatedState) entriesAfter(index uint64) map[string]kv.Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,7 +113,7 @@
 	return entries
 }
 
-// entries are all keys that are not deleted, and the revision of the state.
+// entries returns all keys that are not deleted, and the revision of the state.
 func (s *replicatedState) entries() (entries map[string]kv.Entry, revision uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -122,7 +122,7 @@
 	return entries, s.data.Applied
 }
 
-// revisionsSince reads the history. Its error is a watch.CompactedError.
+// revisionsSince reads the history (see Store.RevisionsSince). Its error is a watch.CompactedError.
 func (s *replicatedState) revisionsSince(from uint64, prefix string, page watch.Page) (list []watch.Revision, next uint64, more <-chan struct{}, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -130,28 +130,28 @@
 	return list, next, s.advanced, err
 }
 
-// timeMS is the log's time in Unix milliseconds, 0 before the first request that has set it.
+// timeMS returns the last time stamp in the log in Unix milliseconds, or 0 if no request has set one.
 func (s *replicatedState) timeMS() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.data.TimeMS
 }
 
-// sessions is how many are open.
+// sessions returns the number of open sessions.
 func (s *replicatedState) sessions() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.data.Sessions)
 }
 
-// lastToken is the highest fencing token that was given.
+// lastToken returns the highest fencing token that was granted.
 func (s *replicatedState) lastToken() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.data.Leases.LastToken
 }
 
-// withLeases runs a function on the leases, with the lock held.
+// withLeases calls do on the leases with the lock held.
 func (s *replicatedState) withLeases(do func(*lease.State)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/cluster/store/restart.go
+++ b/internal/cluster/store/restart.go
@@ -3,20 +3,20 @@
 import "time"
 
 const (
-	// minRestartDelay is the pause before the second restart in a row; the first one is at once.
+	// minRestartDelay is the pause before the second consecutive restart. The first restart has no pause.
 	minRestartDelay = time.Second
-	// maxRestartDelay bounds the pause, which doubles with each restart. It is also how long an
-	// incarnation has to last for the next restart to be at once again.
+	// maxRestartDelay bounds the pause, which doubles with each consecutive restart. An incarnation that
+	// lasts at least this long resets the backoff, so that the next restart has no pause.
 	maxRestartDelay = 8 * time.Second
 )
 
-// restartBackoff paces the incarnations: each one writes to the disk and logs, also one that fails as soon as it
-// begins.
+// restartBackoff limits the rate of incarnations, because each one writes to the disk and to the service's
+// log, even if it fails immediately.
 type restartBackoff struct {
-	delay time.Duration // before the next restart
+	delay time.Duration // pause before the next restart
 }
 
-// next is the pause after an incarnation that has lasted so long.
+// next returns the pause after an incarnation that lasted the given time.
 func (b *restartBackoff) next(lasted time.Duration) time.Duration {
 	if lasted >= maxRestartDelay {
 		b.delay = 0
@@ -26,7 +26,7 @@
 	return delay
 }
 
-// pause waits, unless the Store is closed meanwhile.
+// pause waits for the delay, or until the Store is closed.
 func (s *Store) pause(delay time.Duration) {
 	select {
 	case <-s.ctx.Done():
--- a/internal/cluster/store/restart_test.go
+++ b/internal/cluster/store/restart_test.go
@@ -12,10 +12,11 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-// TestRestartsArePaced: guards against a tight loop of incarnations, each of which logs and writes to the disk, while the
-// Raft address is in use: the first restart is at once, later ones are not. Once the address is free, the node serves.
+// TestRestartsArePaced guards against a tight loop of incarnations while the Raft address is in use, as
+// each one logs and writes to the disk. Only the first restart has no pause. Once the address is free, the
+// node serves.
 func TestRestartsArePaced(t *testing.T) {
-	const wantLines, minimum = 4, 3 * time.Second // restarts after 0, 1 and 2 s
+	const wantLines, minimum = 4, 3 * time.Second // pauses of 0, 1 and 2 s before the three restarts
 	inUse, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer inUse.Close()
@@ -35,7 +36,8 @@
 	require.Eventually(t, func() bool { return s.WaitReason() == "" }, 30*time.Second, 10*time.Millisecond)
 }
 
-// TestRestartBackoff: guards against a pause that grows without bound, or that outlives a time of good work.
+// TestRestartBackoff guards against a pause that grows without bound, or that is not reset after a
+// long-running incarnation.
 func TestRestartBackoff(t *testing.T) {
 	var b restartBackoff
 	var delays []time.Duration
--- a/internal/cluster/store/restore_history_test.go
+++ b/internal/cluster/store/restore_history_test.go
@@ -12,8 +12,8 @@
 	"oxbowbridge/internal/cluster/watch"
 )
 
-// TestRestoreResetsHistory: a state that was replaced by a snapshot does not skip revisions that it
-// never had.
+// TestRestoreResetsHistory guards against a watcher that misses revisions. After a snapshot has replaced
+// the state, a read of revisions that the node never applied must return a CompactedError.
 func TestRestoreResetsHistory(t *testing.T) {
 	from, to := newReplicatedState(), newReplicatedState()
 	for i := range uint64(5) {
--- a/internal/cluster/store/snapshot.go
+++ b/internal/cluster/store/snapshot.go
@@ -12,17 +12,17 @@
 	"oxbowbridge/internal/cluster/watch"
 )
 
-// snapshot is a copy of the whole state.
+// snapshot is a copy of the complete state.
 type snapshot struct{ *kv.State }
 
-// Snapshot copies the whole state. It is Raft's to call.
+// Snapshot copies the complete state. Only Raft calls it.
 func (s *replicatedState) Snapshot() (raft.FSMSnapshot, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return &snapshot{s.data.Clone()}, nil
 }
 
-// Persist writes a snapshot as JSON.
+// Persist writes the snapshot as JSON.
 func (m *snapshot) Persist(sink raft.SnapshotSink) error {
 	if err := json.NewEncoder(sink).Encode(m.State); err != nil {
 		sink.Cancel()
@@ -31,11 +31,11 @@
 	return sink.Close()
 }
 
-// Release does nothing: a snapshot is a copy.
+// Release does nothing, because the snapshot is a copy.
 func (m *snapshot) Release() {}
 
-// Restore replaces the whole state by a snapshot. It is Raft's to call. Listeners hear of every
-// entry of the new state, but not of keys that it lacks.
+// Restore replaces the complete state with a snapshot. Only Raft calls it. Listeners are called for every
+// entry of the new state, but not for keys that the new state lacks.
 func (s *replicatedState) Restore(r io.ReadCloser) error {
 	defer r.Close()
 	text, err := io.ReadAll(r)
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// replace takes a state over, and returns its entries as changes.
+// replace sets the state, and returns the entries of the new state as changes.
 func (s *replicatedState) replace(restored *kv.State) (out applyEffects) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -66,7 +66,7 @@
 	return out
 }
 
-// decodeSnapshot reads a snapshot. An earlier version wrote the bare map of entries.
+// decodeSnapshot decodes a snapshot. An earlier version wrote a bare map of entries.
 func decodeSnapshot(text []byte) (*kv.State, error) {
 	state := kv.New()
 	var form struct {
@@ -83,7 +83,7 @@
 	if state.Leases == nil || state.Leases.Leases == nil {
 		state.Leases = lease.NewState(0)
 	}
-	if form.Sum == nil { // of a version that had no checksums
+	if form.Sum == nil { // written by a version without checksums
 		state.Checksum = kv.Checksum{StartIndex: state.Applied}
 	}
 	return state, nil
--- a/internal/cluster/store/snapshot_leases_test.go
+++ b/internal/cluster/store/snapshot_leases_test.go
@@ -15,14 +15,15 @@
 	"oxbowbridge/internal/cluster/lease"
 )
 
+// bufSink is a raft.SnapshotSink in memory.
 type bufSink struct{ bytes.Buffer }
 
 func (*bufSink) ID() string    { return "x" }
 func (*bufSink) Cancel() error { return nil }
 func (*bufSink) Close() error  { return nil }
 
-// TestLeasesSurviveSnapshots: a state that goes on from a snapshot gives the same tokens as one that
-// has applied every entry, whenever the snapshot is taken and written.
+// TestLeasesSurviveSnapshots checks that a state restored from a snapshot assigns the same fencing tokens
+// as one that applied every entry, and that a snapshot can be encoded long after it was taken.
 func TestLeasesSurviveSnapshots(t *testing.T) {
 	for seed := range uint64(50) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -56,7 +57,7 @@
 			got, _ := json.Marshal(c.data)
 			require.Equal(t, string(want), string(got), "seed %d", seed)
 		}
-		for _, l := range late { // written late, it is what it was
+		for _, l := range late { // a late encoding does not race with later entries
 			_, err := json.Marshal(l.(*snapshot).State)
 			require.NoError(t, err)
 		}
--- a/internal/cluster/store/snapshot_test.go
+++ b/internal/cluster/store/snapshot_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestSnapshot: a member that lags behind the log gets a snapshot, with deleted keys in it, and its
-// listeners hear of what it holds.
+// TestSnapshot checks that a snapshot transfers the complete state, including deleted keys, to a member
+// that lags behind the log, and that the member's listeners are called for its entries.
 func TestSnapshot(t *testing.T) {
 	from := newReplicatedState()
 	for i, c := range []string{`[{"key":"a","value":1},{"key":"b","value":{"x":2}}]`, `[{"key":"a","value":null}]`} {
@@ -35,7 +35,8 @@
 	require.False(t, ok)
 }
 
-// TestLegacySnapshot: a snapshot of an earlier version is a bare map of entries.
+// TestLegacySnapshot checks that a snapshot of an earlier version, which is a bare map of entries, is
+// decoded.
 func TestLegacySnapshot(t *testing.T) {
 	s := newReplicatedState()
 	require.NoError(t, s.Restore(io.NopCloser(strings.NewReader(`{"applied":{"value":1,"index":7,"gone":false},"b":{"index":9,"gone":true}}`))))
--- a/internal/cluster/store/status.go
+++ b/internal/cluster/store/status.go
@@ -7,7 +7,7 @@
 	"oxbowbridge/internal/cluster/storeapi"
 )
 
-// Status is the node's answer to GET /status.
+// Status returns the node's response to GET /status.
 func (s *Store) Status() storeapi.Status {
 	st := storeapi.Status{Node: s.self.Name, Cluster: s.clusterID.get(), ForeignPeers: s.clusterID.foreignPeerNames(), ID: s.memberID()}
 	inc := s.current.Load()
@@ -15,7 +15,7 @@
 	case nodeWaiting:
 		st.State = state.String()
 		st.WaitingFor = s.WaitReason()
-		if disk := s.disk.Load(); disk != nil {
+		if disk := s.currentDisk.Load(); disk != nil {
 			st.LastIndex = disk.local.Watermark.LastIndex
 		}
 	case nodeJoining:
@@ -37,10 +37,11 @@
 	return st
 }
 
-// PeerStatus is the node's report to a peer, whose member ID is asker: its own state, and what it has
-// observed of the asker's disk. It is ErrNotServing until the node knows its own disk.
+// PeerStatus returns the node's report to the peer with the member ID asker: its own state, and the
+// watermark that it has observed of the peer's disk. It returns ErrNotServing until the node has read its
+// own disk.
 func (s *Store) PeerStatus(asker string) (storeapi.PeerStatus, error) {
-	disk := s.disk.Load()
+	disk := s.currentDisk.Load()
 	if disk == nil {
 		return storeapi.PeerStatus{}, s.notServingError()
 	}
@@ -52,13 +53,13 @@
 		s.describeIncarnation(&out, inc, disk)
 	}
 	if e, ok := s.state.get(kv.PreviousClustersKey); ok {
-		json.Unmarshal(e.Value, &out.PreviousClusters) // this package wrote it
+		json.Unmarshal(e.Value, &out.PreviousClusters) // always valid JSON written by this package
 	}
 	out.LastObserved = s.peers.observedWatermark(asker)
 	return out, nil
 }
 
-// describeDisk fills in what the disk held when the incarnation began.
+// describeDisk sets the fields that describe the disk at the start of the incarnation.
 func (s *Store) describeDisk(out *storeapi.PeerStatus, disk *diskState) {
 	out.ID = disk.local.ID
 	out.Cluster = s.clusterID.get()
@@ -70,7 +71,7 @@
 	out.Addresses = disk.addresses
 }
 
-// describeIncarnation replaces what has changed since Raft runs.
+// describeIncarnation updates the fields that change while Raft runs.
 func (s *Store) describeIncarnation(out *storeapi.PeerStatus, inc *incarnation, disk *diskState) {
 	out.AppliedIndex = inc.raft.AppliedIndex()
 	out.Checksums = s.state.recentChecksums()
--- a/internal/cluster/store/storage.go
+++ b/internal/cluster/store/storage.go
@@ -15,17 +15,18 @@
 	"oxbowbridge/internal/storage/durable/vfs"
 )
 
-// folderOpener opens a storage folder, and makes it if it is missing.
+// folderOpener opens a storage folder, and creates it if it does not exist.
 type folderOpener func(dir string) (*raftstorage.Storage, *durable.Report, error)
 
-// replacementMarkerSuffix follows the folder's name in that of an empty file beside it, which is there from before a folder is
-// moved aside until the one that takes its place has localReplacement: a node that dies in between must not take
-// that folder for new.
+// replacementMarkerSuffix is appended to the folder's name to form that of an empty marker file beside it.
+// The marker exists from before a folder is moved aside until its replacement stores replacementKey. If
+// the process crashes in between, the marker prevents the node from treating the replacement as a new
+// folder.
 const replacementMarkerSuffix = ".replacement"
 
-// openStorage opens the node's folder, or makes it. One that is damaged, or whose state has
-// diverged, is moved aside as a whole, and a new one takes its place. That one never bootstraps a
-// cluster: the other members must know the votes and acknowledgments of the old one.
+// openStorage opens the node's folder, or creates it. A folder that is damaged, or whose state has
+// diverged, is moved aside and replaced by an empty one. A replacement never bootstraps a cluster, because
+// the other members must know the votes and acknowledgments of the old folder.
 func (s *Store) openStorage() (*raftstorage.Storage, error) {
 	storage, err := s.tryOpenStorage()
 	if errors.Is(err, durable.ErrDamaged) || errors.Is(err, errDiverged) {
@@ -43,8 +44,8 @@
 	return storage, nil
 }
 
-// finishReplacement marks a folder that takes the place of another one, if it is not known to be marked, and only
-// then removes the file that says so.
+// finishReplacement stores replacementKey in a folder that replaces another one, and then deletes the
+// marker file. It does nothing if there is no marker file.
 func (s *Store) finishReplacement(storage *raftstorage.Storage) error {
 	path := s.cfg.Dir + replacementMarkerSuffix
 	if _, err := os.Lstat(path); errors.Is(err, fs.ErrNotExist) {
@@ -63,7 +64,8 @@
 	return os.Remove(path)
 }
 
-// moveFolderAside renames the folder to the first free name DIR.refused-N, once the file DIR.replacement is on disk.
+// moveFolderAside renames the folder to the first unused name DIR.refused-N, after the marker file
+// DIR.replacement is on disk.
 func (s *Store) moveFolderAside(cause error) error {
 	err := atomicfile.WriteNew(s.cfg.Dir+replacementMarkerSuffix, nil)
 	if err != nil && !errors.Is(err, fs.ErrExist) {
@@ -80,8 +82,8 @@
 	return os.Rename(s.cfg.Dir, aside)
 }
 
-// tryOpenStorage opens the folder. Its error is durable.ErrDamaged or errDiverged if the folder
-// must not be used any more.
+// tryOpenStorage opens the folder. Its error is durable.ErrDamaged or errDiverged if the folder must not
+// be used any more.
 func (s *Store) tryOpenStorage() (*raftstorage.Storage, error) {
 	if err := os.MkdirAll(s.cfg.Dir, 0o750); err != nil {
 		return nil, fmt.Errorf("dir: %w", err)
--- a/internal/cluster/store/storage_test.go
+++ b/internal/cluster/store/storage_test.go
@@ -18,10 +18,12 @@
 	"oxbowbridge/internal/storage/durable/vfs"
 )
 
-// maxReplacementSteps bounds the changes to the new folder's files that the tests step through.
+// maxReplacementSteps bounds the file operations on a replacement folder at which the tests inject a
+// fault.
 const maxReplacementSteps = 100
 
-// newDamagedStore is a Store, not started, whose folder was replaced: what it held can't be trusted.
+// newDamagedStore returns a Store that is not started, and whose folder is marked as diverged, so that it
+// must be replaced.
 func newDamagedStore(t *testing.T) *Store {
 	s := newUnstartedStore(t, filepath.Join(t.TempDir(), "store"))
 	storage, err := s.openStorage()
@@ -31,7 +33,7 @@
 	return s
 }
 
-// newUnstartedStore is a Store that is not started.
+// newUnstartedStore returns a Store that is not started.
 func newUnstartedStore(t *testing.T, dir string) *Store {
 	self := Peer{Name: "a", Raft: "127.0.0.1:1", Admin: "127.0.0.1:2"}
 	s, err := New(Config{Node: "a", Dir: dir, Peers: []Peer{self}}, zap.NewNop())
@@ -39,7 +41,8 @@
 	return s
 }
 
-// opensAsFresh opens the folder of a Store as a new process does, and reports whether the node says that it is new.
+// opensAsFresh opens a Store's folder as a new process would, and reports whether the node treats its disk
+// as new.
 func opensAsFresh(t *testing.T, dir string) bool {
 	s := newUnstartedStore(t, dir)
 	storage, err := s.openStorage()
@@ -51,8 +54,9 @@
 	return disk.local.Fresh
 }
 
-// faultyReplacementOpener opens the damaged folder as it is, and the one that takes its place with a fault: from the change of
-// this number on, as in a process that died before it. It reports whether the fault came.
+// faultyReplacementOpener returns an opener that opens the damaged folder normally and its replacement
+// with a fault. All file operations after the first step ones fail, as if the process had crashed. failed
+// is set when the fault occurs.
 func faultyReplacementOpener(fault string, step int64, failed *atomic.Bool) folderOpener {
 	opened := 0
 	return func(dir string) (*raftstorage.Storage, *durable.Report, error) {
@@ -75,8 +79,9 @@
 	}
 }
 
-// TestReplacementIsNeverNew: guards against a node that says that it is new, so that the founders could make another
-// cluster, because making the folder that takes the place of a damaged one failed, or died, at any step.
+// TestReplacementIsNeverNew guards against a node that treats a replacement folder as new, which would
+// allow the initial members to bootstrap a second cluster. The creation of the replacement fails or
+// crashes at each step.
 func TestReplacementIsNeverNew(t *testing.T) {
 	for _, fault := range []string{faultfs.DiskFull, faultfs.FailWrites, faultfs.FailSyncs} {
 		var failed atomic.Bool
@@ -87,7 +92,7 @@
 			s := newDamagedStore(t)
 			s.openFolder = faultyReplacementOpener(fault, step, &failed)
 			if storage, err := s.openStorage(); err == nil {
-				storage.Close() // it may fail as well
+				storage.Close() // the injected fault may make Close fail as well
 			}
 			assert.DirExists(t, s.cfg.Dir+".refused-1")
 			assert.False(t, opensAsFresh(t, s.cfg.Dir), "%s at step %d", fault, step)
@@ -96,13 +101,14 @@
 	}
 }
 
-// TestReplacementCrashBetweenFolders: guards against the same, where the node dies after the folder was moved aside and before
-// another one is made, or right before the move.
+// TestReplacementCrashBetweenFolders guards against a replacement folder that is treated as new after a
+// crash right before the damaged folder is moved aside, or between that move and the creation of the
+// replacement.
 func TestReplacementCrashBetweenFolders(t *testing.T) {
 	s := newDamagedStore(t)
 	loggedLines := 0
 	core, _ := observer.New(zap.ErrorLevel)
-	s.log = zap.New(core, zap.Hooks(func(zapcore.Entry) error { // the line is logged right before the move
+	s.log = zap.New(core, zap.Hooks(func(zapcore.Entry) error { // called by the log message right before the folder is moved
 		assert.DirExists(t, s.cfg.Dir)
 		assert.FileExists(t, s.cfg.Dir+replacementMarkerSuffix)
 		loggedLines++
@@ -127,8 +133,8 @@
 	}
 }
 
-// TestWipedFolderIsNew: guards against a mark that outlives its folder: where an operator removes the one that took the place
-// of another, the next one is new.
+// TestWipedFolderIsNew guards against a marker file that outlives its folder: if an operator deletes a
+// replacement folder, the next folder is new.
 func TestWipedFolderIsNew(t *testing.T) {
 	s := newDamagedStore(t)
 	assert.False(t, opensAsFresh(t, s.cfg.Dir))
@@ -137,8 +143,8 @@
 	assert.True(t, opensAsFresh(t, s.cfg.Dir))
 }
 
-// TestFolderWithSlashIsSetAside: guards against a node that can't set a damaged folder aside where its name in the
-// configuration ends in a slash: the new name lay inside of the folder.
+// TestFolderWithSlashIsSetAside guards against a damaged folder that cannot be moved aside because its
+// configured name ends in a slash, so that the new name would be inside the folder.
 func TestFolderWithSlashIsSetAside(t *testing.T) {
 	damaged := newDamagedStore(t)
 	s := newUnstartedStore(t, damaged.cfg.Dir+"/")
--- a/internal/cluster/store/store.go
+++ b/internal/cluster/store/store.go
@@ -15,16 +15,16 @@
 )
 
 const (
-	// CloseTimeout is how long Close takes at most.
+	// CloseTimeout is the maximum duration of Close.
 	CloseTimeout = time.Second
 
 	stepDownTimeout = time.Second // for another node to become leader
-	// reopenRetryInterval is between two attempts to open a storage folder that can't be opened. After
-	// an incarnation that ended, the folder is opened again after the pause of a restartBackoff.
+	// reopenRetryInterval is the time between two attempts to open a storage folder that fails to open. After
+	// the end of an incarnation, restartBackoff sets the pause before the folder is reopened.
 	reopenRetryInterval = time.Second
 )
 
-// Store is one node.
+// Store is one node of the replicated store.
 type Store struct {
 	cfg    Config
 	self   Peer
@@ -34,34 +34,34 @@
 	peers  *peerPoller
 	leases *leaseService
 
-	openFolder folderOpener // of the storage folder
+	openFolder folderOpener // opens the storage folder; tests replace it
 
 	pending   pendingWrites
-	logClock  logClock // of the requests that this node proposes
+	logClock  logClock // time stamps of the requests that this node proposes
 	readIndex *readIndexBatcher
 	clusterID clusterIDState
 
-	ctx     context.Context // ends with Close
+	ctx     context.Context // canceled by Close
 	cancel  context.CancelFunc
-	done    chan struct{} // closed once run has ended
+	done    chan struct{} // closed when runIncarnations has returned
 	onClose []func()
 
-	current    atomic.Pointer[incarnation]         // nil while Raft does not run
-	waitReason atomic.Pointer[diskidentity.Reason] // see WaitReason; of use while current is nil
-	disk       atomic.Pointer[diskState]           // what the disk held when this incarnation began
+	current     atomic.Pointer[incarnation]         // nil while Raft does not run
+	waitReason  atomic.Pointer[diskidentity.Reason] // see WaitReason; valid while current is nil
+	currentDisk atomic.Pointer[diskState]           // what the disk held when the current incarnation started
 
-	loggedWaitReason string // the last one, of the time since Raft last ran; of run's goroutine
+	loggedWaitReason string // last reason logged since Raft last ran; only for the goroutine of runIncarnations
 
 	freshMu sync.Mutex
-	freshAt time.Time // at this time the state had all that was committed
+	freshAt time.Time // latest time at which the state included all committed entries
 }
 
-// New makes a node that does nothing until Start. Its error names the field of cfg at fault.
+// New creates a node that does nothing until Start. Its error names the invalid field of cfg.
 func New(cfg Config, log *zap.Logger) (*Store, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
 	}
-	cfg.Dir = filepath.Clean(cfg.Dir) // names beside it are made of it
+	cfg.Dir = filepath.Clean(cfg.Dir) // other names are formed by appending to it
 	s := &Store{cfg: cfg, log: log, openFolder: openFolder, state: newReplicatedState(), done: make(chan struct{})}
 	s.self, _ = cfg.self()
 	s.ctx, s.cancel = context.WithCancel(context.Background())
@@ -73,7 +73,7 @@
 	return s, nil
 }
 
-// Start opens the storage folder, and has the node take part as soon as it may.
+// Start opens the storage folder, and starts the node in the background.
 func (s *Store) Start() error {
 	storage, err := s.openStorage()
 	if err != nil {
@@ -87,19 +87,20 @@
 	return nil
 }
 
-// AdminAddress is where the node's admin port has to listen.
+// AdminAddress returns the address at which the node's admin API listens.
 func (s *Store) AdminAddress() string { return s.self.Admin }
 
-// Name is this node's name.
+// Name returns this node's name.
 func (s *Store) Name() string { return s.self.Name }
 
-// Log is the node's logger.
+// Log returns the node's logger.
 func (s *Store) Log() *zap.Logger { return s.log }
 
-// OnClose has Close call a function, the one that was added last first.
+// OnClose registers a function that Close calls. The functions are called in reverse order of
+// registration.
 func (s *Store) OnClose(do func()) { s.onClose = append(s.onClose, do) }
 
-// runIncarnations goes from incarnation to incarnation until the Store is closed.
+// runIncarnations runs one incarnation after another until the Store is closed.
 func (s *Store) runIncarnations(storage *raftstorage.Storage) {
 	defer close(s.done)
 	var backoff restartBackoff
@@ -130,7 +131,7 @@
 	return nil
 }
 
-// Close stops the node within CloseTimeout. What is committed is on disk.
+// Close stops the node within CloseTimeout. All committed entries are on disk already.
 func (s *Store) Close() {
 	closed := make(chan struct{})
 	go func() {
@@ -149,7 +150,7 @@
 	}
 }
 
-// running is the current incarnation, or ErrNotServing.
+// running returns the current incarnation, or ErrNotServing.
 func (s *Store) running() (*incarnation, error) {
 	if inc := s.current.Load(); inc != nil {
 		return inc, nil
@@ -157,9 +158,10 @@
 	return nil, s.notServingError()
 }
 
-// memberID is this node's name and disk; the name alone while the disk is not known.
+// memberID returns the ID formed of this node's name and disk identity, or the name alone while the
+// identity is not known.
 func (s *Store) memberID() string {
-	if disk := s.disk.Load(); disk != nil {
+	if disk := s.currentDisk.Load(); disk != nil {
 		return disk.local.ID
 	}
 	return s.self.Name
--- a/internal/cluster/store/supervise.go
+++ b/internal/cluster/store/supervise.go
@@ -15,23 +15,23 @@
 
 const (
 	joinRetryInterval = 500 * time.Millisecond
-	// removedConfirmations is how many checks in a row, one each pollInterval, must find that this disk
-	// is no member before the node believes it: this node's log and the peers' reports are read at
-	// different times, so that a single check may compare an older one with a newer one.
+	// removedConfirmations is how many consecutive checks, one at each pollInterval, must find that this disk
+	// is not a member before the node acts on it. This node's log and the peers' reports are read at
+	// different times, so that a single check may compare an older configuration with a newer one.
 	removedConfirmations = 3
 )
 
-// supervisor watches over one incarnation until it has to end.
+// supervisor monitors one incarnation until it has to end.
 type supervisor struct {
 	store           *Store
 	inc             *incarnation
 	savedAt         time.Time // when the watermarks were last saved
 	joinRequestedAt time.Time
-	removedCount    int // checks in a row that found this disk removed
+	removedCount    int // consecutive checks that found this disk removed
 }
 
-// supervise requests to join while this disk is no member, saves what was observed of others, and
-// returns why the incarnation has to end: one of the errors in errors.go, or that of ctx.
+// supervise requests to join while this disk is not a member, saves the observed watermarks of peers'
+// disks, and returns why the incarnation has to end: one of the errors in errors.go, or that of ctx.
 func (s *Store) supervise(ctx context.Context, inc *incarnation, verdict diskidentity.Verdict) error {
 	inc.wasMember.Store(startsAsMember(verdict))
 	sup := &supervisor{store: s, inc: inc}
@@ -51,7 +51,7 @@
 	}
 }
 
-// check is one round of supervise; its error ends the incarnation.
+// check is one round of supervise. Its error ends the incarnation.
 func (sup *supervisor) check(ctx context.Context) error {
 	s, inc := sup.store, sup.inc
 	if err := inc.storage.ReadOnlyReason(); err != nil {
@@ -86,10 +86,10 @@
 	return sup.checkRemoved(conf)
 }
 
-// mustBootstrap reports whether this node, which joins, has to make the cluster: the node that was taken for one of
-// a cluster is gone, as when its folder was removed.
+// mustBootstrap reports whether this joining node has to bootstrap the cluster instead. This occurs if the
+// peer that seemed to belong to a cluster no longer does, for example because its folder was deleted.
 func (s *Store) mustBootstrap(inc *incarnation) bool {
-	disk := s.disk.Load()
+	disk := s.currentDisk.Load()
 	if mark, err := inc.storage.Watermark(); disk == nil || err != nil || mark.LastIndex > 0 {
 		return false
 	}
@@ -97,14 +97,14 @@
 	return verdict == diskidentity.VerdictBootstrap
 }
 
-// checkDivergence compares checksums of the state with those of the other voters.
+// checkDivergence compares checksums of this node's state with those of the other voters.
 func (sup *supervisor) checkDivergence(conf raftstorage.Configuration) error {
 	s, inc := sup.store, sup.inc
 	index, diverged := s.state.recentChecksums().Diverged(s.peers.checksums(conf, inc.memberID))
 	if !diverged {
 		return nil
 	}
-	// localDiverged has openStorage move the folder aside.
+	// divergedKey makes openStorage move the folder aside.
 	err := inc.storage.PutLocal(divergedKey, []byte("1"))
 	return errors.Join(fmt.Errorf("%w: at entry %d of the log", errDiverged, index), err)
 }
@@ -123,8 +123,8 @@
 	return errors.Join(errRemoved, err)
 }
 
-// isRemoved reports whether this log, or a peer with a later configuration, says that this disk is
-// no member.
+// isRemoved reports whether this node's log, or a peer with a later configuration, shows that this disk is
+// not a member.
 func (s *Store) isRemoved(inc *incarnation, conf raftstorage.Configuration) bool {
 	if inc.isLeader() {
 		return false
@@ -143,7 +143,7 @@
 	return false
 }
 
-// tryJoin requests to be a member, and logs each new reason for which that is not granted.
+// tryJoin requests membership, and logs each new reason for a rejection.
 func (s *Store) tryJoin(ctx context.Context, inc *incarnation) {
 	err := s.peers.requestJoin(ctx, inc)
 	if err == nil || ctx.Err() != nil {
--- a/internal/cluster/store/verdict.go
+++ b/internal/cluster/store/verdict.go
@@ -9,7 +9,7 @@
 	"oxbowbridge/internal/cluster/raftstorage"
 )
 
-// pollMembers has all members of a configuration polled from now on.
+// pollMembers starts polling all members of a configuration.
 func (s *Store) pollMembers(conf raftstorage.Configuration) {
 	var list []Peer
 	for _, server := range conf.Servers {
@@ -18,10 +18,11 @@
 	s.peers.addTargets(list)
 }
 
-// awaitVerdict waits until the reports of the pollers (peers.poll) tell what the disk may do. Until
-// each peer was polled once it returns no verdict but VerdictRenew, as a peer that was not polled may
-// have observed more of this disk; the wait reason, reportsWaitReason at first, then stays as it was. It
-// carries a VerdictRenew out itself, and then returns VerdictJoin with the disk under its new identity.
+// awaitVerdict waits until the peers' reports (peerPoller.pollLoop) determine what the disk may be used
+// for. Until each peer was polled once, it accepts only VerdictRenew, because a peer that was not polled
+// may have observed a higher watermark of this disk. During that time the wait reason remains
+// reportsWaitReason. It carries out VerdictRenew itself, and then returns VerdictJoin with the disk under
+// its new identity.
 func (s *Store) awaitVerdict(disk *diskState) (*diskState, diskidentity.Verdict, error) {
 	replaced := map[string]string{}
 	for {
@@ -54,27 +55,27 @@
 	s.log.Info("disk verdict", zap.String("member", disk.local.ID), zap.Stringer("verdict", verdict), zap.Stringer("reason", reason))
 }
 
-// logReplacedVoters logs each voter that is not waited for when its node first answers with a disk. lastSuccessor has the
-// last such disk by voter.
+// logReplacedVoters logs each voter whose attestation is no longer required, when its node first reports
+// another disk. lastSuccessor maps each voter to the last disk that was logged for it.
 func (s *Store) logReplacedVoters(voters []diskidentity.ReplacedVoter, lastSuccessor map[string]string) {
 	for _, replaced := range voters {
 		if lastSuccessor[replaced.Voter] == replaced.Successor {
 			continue
 		}
 		lastSuccessor[replaced.Voter] = replaced.Successor
-		s.log.Warn("voter's disk replaced, not waited for", zap.String("member", replaced.Voter), zap.String("new_member", replaced.Successor))
+		s.log.Warn("disk of voter replaced; its attestation is no longer required", zap.String("member", replaced.Voter), zap.String("new_member", replaced.Successor))
 	}
 }
 
-// renewDisk gives a disk that can't be trusted with its vote a new identity.
+// renewDisk gives a new identity to a disk whose earlier votes cannot be trusted.
 func (s *Store) renewDisk(disk *diskState, reason string) (*diskState, error) {
 	id, err := renewDiskID(disk.storage, s.self.Name)
 	if err != nil {
 		return disk, err
 	}
 	s.log.Warn("disk identity renewed", zap.String("previous_member", disk.local.ID), zap.String("member", id), zap.String("reason", reason))
-	renewed := *disk // others read the first one
+	renewed := *disk // a copy, because other goroutines read the original
 	renewed.local.ID = id
-	s.disk.Store(&renewed)
+	s.currentDisk.Store(&renewed)
 	return &renewed, nil
 }
--- a/internal/cluster/store/wait_reason_test.go
+++ b/internal/cluster/store/wait_reason_test.go
@@ -22,7 +22,7 @@
 
 const startTimeout = 30 * time.Second
 
-// newSingleNodeStore is a Store of one node, not started, on a free port.
+// newSingleNodeStore returns a Store of one node, not started, with a free Raft port.
 func newSingleNodeStore(t *testing.T, log *zap.Logger) *Store {
 	self := Peer{Name: "a", Raft: "127.0.0.1:0", Admin: "127.0.0.1:1"}
 	s, err := New(Config{Node: "a", Dir: filepath.Join(t.TempDir(), "store"), Peers: []Peer{self}}, log)
@@ -30,15 +30,15 @@
 	return s
 }
 
-// awaitNextIncarnation waits for an incarnation other than the last one.
+// awaitNextIncarnation waits until an incarnation other than last runs Raft, and returns it.
 func awaitNextIncarnation(t *testing.T, s *Store, last *incarnation) *incarnation {
 	var inc *incarnation
 	require.Eventually(t, func() bool { inc = s.current.Load(); return inc != nil && inc != last }, startTimeout, time.Millisecond)
 	return inc
 }
 
-// TestWaitReasonIsCurrent: guards against a status and answers that name what an earlier incarnation ended by, or waited
-// for, while the node reads its disk or starts Raft. Each change to the folder notes the reason of its moment.
+// TestWaitReasonIsCurrent guards against a status that shows the wait reason of an earlier incarnation
+// while the node reads its disk or starts Raft. The test records the wait reason at each file operation.
 func TestWaitReasonIsCurrent(t *testing.T) {
 	const older = "an error of the incarnation before"
 	s := newSingleNodeStore(t, zap.NewNop())
@@ -67,7 +67,8 @@
 	assert.Equal(t, []string{older, reportsWaitReason, raftWaitReason}, reasons[:3])
 }
 
-// TestSameReasonAgain: guards against a line that is missing because the node waited for the same before it last served.
+// TestSameReasonAgain guards against a missing log message if a node waits for the same reason as before
+// it last ran Raft.
 func TestSameReasonAgain(t *testing.T) {
 	core, logs := observer.New(zap.WarnLevel)
 	s := newSingleNodeStore(t, zap.New(core))
@@ -83,7 +84,7 @@
 	assert.Empty(t, s.WaitReason())
 }
 
-// TestReasonIsLoggedOnce: guards against a line for each attempt that fails for the same reason.
+// TestReasonIsLoggedOnce guards against a log message for each attempt that fails for the same reason.
 func TestReasonIsLoggedOnce(t *testing.T) {
 	core, logs := observer.New(zap.WarnLevel)
 	s := newSingleNodeStore(t, zap.New(core))
--- a/internal/cluster/store/watermarks.go
+++ b/internal/cluster/store/watermarks.go
@@ -13,15 +13,15 @@
 
 const (
 	watermarkSaveInterval = time.Second
-	// maxWatermarks is of how many disks a watermark is remembered. This node does not notice an older
-	// copy of a disk beyond them.
+	// maxWatermarks bounds the disks whose watermarks are recorded. This node does not detect an outdated
+	// copy of any other disk.
 	maxWatermarks = 256
 )
 
-// watermarks is how far this node has observed other disks, by member ID.
+// watermarks are the highest watermarks that this node has observed of other disks, by member ID.
 type watermarks map[string]diskidentity.Watermark
 
-// observe raises a disk's watermark, and reports whether that changed anything.
+// observe raises a disk's watermark, and reports whether that changed it.
 func (w watermarks) observe(memberID string, mark diskidentity.Watermark) bool {
 	old, known := w[memberID]
 	raised := old.Max(mark)
@@ -32,7 +32,7 @@
 	return true
 }
 
-// readWatermarks reads what saveWatermarks wrote.
+// readWatermarks reads the watermarks that saveWatermarks wrote.
 func readWatermarks(storage *raftstorage.Storage) (watermarks, error) {
 	w := watermarks{}
 	text, err := storage.GetLocal(peerWatermarksKey)
@@ -45,7 +45,7 @@
 	return w, nil
 }
 
-// loadWatermarks adds what this node's disk remembers of other disks.
+// loadWatermarks adds the watermarks that were saved on this node's disk.
 func (p *peerPoller) loadWatermarks(saved watermarks) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -54,7 +54,7 @@
 	}
 }
 
-// saveWatermarks writes what was observed to this node's disk, if it has changed.
+// saveWatermarks writes the observed watermarks to this node's disk if they have changed.
 func (p *peerPoller) saveWatermarks(inc *incarnation) {
 	text := p.takeUnsaved()
 	if text == nil {
@@ -72,11 +72,12 @@
 		return nil
 	}
 	p.unsaved = false
-	text, _ := json.Marshal(p.observed) // numbers by names: it can't fail
+	text, _ := json.Marshal(p.observed) // cannot fail: a map of integers by name
 	return text
 }
 
-// observedWatermark is how far a disk has been observed; nil if it never was.
+// observedWatermark returns the highest observed watermark of a disk, or nil if the disk was never
+// observed.
 func (p *peerPoller) observedWatermark(memberID string) *diskidentity.Watermark {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/cluster/store/write.go
+++ b/internal/cluster/store/write.go
@@ -13,13 +13,13 @@
 	"oxbowbridge/internal/cluster/storeapi"
 )
 
-// proposeTimeoutSlack is by how much propose waits longer than Raft's own timeout.
+// proposeTimeoutSlack is how much longer propose waits than Raft's own timeout.
 const proposeTimeoutSlack = time.Second
 
 var errNoApplyResult = errors.New("commit: no answer")
 
-// Set writes a key, or deletes it with a nil value, and returns once a majority has it. A follower
-// forwards the write to the leader.
+// Set writes a key, or deletes it if value is nil, and returns once the write is committed and applied. A
+// follower forwards the write to the leader.
 func (s *Store) Set(ctx context.Context, key string, value json.RawMessage) error {
 	if s.IsLeader() {
 		return s.applyCommands(ctx, command{Key: key, Value: value})
@@ -48,9 +48,9 @@
 	return err
 }
 
-// Execute commits a request. It returns ErrNoLeader on any node but the leader. After any other error
-// that is none of kv's the request may have taken effect, or may still: retried in its session, it
-// takes effect once.
+// Execute commits a request. It returns ErrNoLeader on any node but the leader. After any other error that
+// is not one of package kv, the request may already have taken effect or may do so later. A retry in the
+// same session takes effect only once.
 func (s *Store) Execute(r kv.Request) (kv.Response, error) {
 	if err := errors.Join(r.ValidateSize(), r.Validate()); err != nil {
 		return kv.Response{}, err
@@ -66,8 +66,9 @@
 	return s.propose(s.ctx, text, addedBytes(&r))
 }
 
-// ExecuteOrForward is Execute on any node: a follower forwards the request to the leader, once. Its errors
-// are those of Execute where the leader's answer tells them: a lost lease is kv.ErrFenced on every node.
+// ExecuteOrForward executes a request on the leader; a follower forwards the request to the leader once.
+// It returns the errors of Execute as far as the leader's response identifies them: a lost lease is
+// kv.ErrFenced on every node.
 func (s *Store) ExecuteOrForward(ctx context.Context, r kv.Request) (response kv.Response, err error) {
 	if s.IsLeader() {
 		return s.Execute(r)
@@ -84,8 +85,8 @@
 	return response, asFencedError(err)
 }
 
-// asFencedError returns a leader's answer to a transaction as kv.ErrFenced, if that is what it says: no other error
-// of a transaction is answered with this status.
+// asFencedError converts a leader's response to a transaction to kv.ErrFenced if its status is 412. No
+// other error of a transaction has this status.
 func asFencedError(err error) error {
 	var answer *storeapi.StatusError
 	if errors.As(err, &answer) && answer.StatusCode == http.StatusPreconditionFailed {
@@ -95,15 +96,15 @@
 	return err
 }
 
-// propose appends an entry to the log and waits until it is committed and applied. size is the
-// number of bytes that it may add to the state.
+// propose appends an entry to the log and waits until it is committed and applied. size is the maximum
+// number of bytes that it adds to the state.
 func (s *Store) propose(ctx context.Context, text []byte, size int) (kv.Response, error) {
 	inc, err := s.running()
 	if err != nil {
 		return kv.Response{}, err
 	}
 	stored := 0
-	if size > 0 { // a delete is accepted by a full store
+	if size > 0 { // a full store accepts a delete
 		stored = s.state.valueBytes()
 	}
 	if err := s.pending.reserve(size, stored); err != nil {
--- a/tests/backup_test.go
+++ b/tests/backup_test.go
@@ -176,7 +176,7 @@
 	c := newCluster(t, nil)
 	c.Put(0, "note/old", `1`)
 	c.WaitForValue(2, "note/old", `1`)
-	await(t, "the cluster's id", func() bool { return strings.Contains(c.nodes[2].log(), `"msg":"cluster id"`) })
+	await(t, "the cluster's id", func() bool { return strings.Contains(c.nodes[2].log(), `"msg":"cluster id learned"`) })
 	for i := range 3 {
 		c.Kill(i)
 	}
