--- a/internal/cluster/store/ack_transport_test.go
+++ b/internal/cluster/store/ack_transport_test.go
@@ -19,20 +19,20 @@
 func TestAwaitMajority(t *testing.T) {
 	conf := raft.Configuration{Servers: []raft.Server{{ID: "a"}, {ID: "b"}, {ID: "c"}, {ID: "d", Suffrage: raft.Nonvoter}}}
 	now := time.Now()
-	a := newAckTransport(nil)
+	transport := newAckTransport(nil)
 	await := func(isLeader bool) error {
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
 		defer cancel()
-		return a.awaitMajority(ctx, quorumRequest{leader: "a", conf: conf, term: 7, sentSince: now, isLeader: func() bool { return isLeader }})
+		return transport.awaitMajority(ctx, quorumRequest{leader: "a", conf: conf, term: 7, sentSince: now, isLeader: func() bool { return isLeader }})
 	}
-	for _, k := range []struct {
+	for _, test := range []struct {
 		id   raft.ServerID
 		ack  peerAck
 		want error
 	}{{"b", peerAck{7, now.Add(-1)}, context.DeadlineExceeded}, {"b", peerAck{6, now}, context.DeadlineExceeded},
 		{"d", peerAck{7, now}, context.DeadlineExceeded}, {"c", peerAck{7, now}, nil}} {
-		a.recordAck(k.id, k.ack)
-		assert.True(t, errors.Is(await(true), k.want), k)
+		transport.recordAck(test.id, test.ack)
+		assert.True(t, errors.Is(await(true), test.want), test)
 	}
 	assert.ErrorIs(t, await(false), ErrNoLeader)
 }
@@ -43,9 +43,9 @@
 	a := newAckTransport(nil)
 	term := func() uint64 { return 8 }
 	a.currentTerm.Store(&term)
-	q, p := &raft.AppendEntriesRequest{Term: 7}, &raft.AppendEntriesResponse{}
-	assert.ErrorIs(t, a.AppendEntries("b", "", q, p), errStaleTerm)
-	_, err := (&ackPipeline{nil, a}).AppendEntries(q, p)
+	request, response := &raft.AppendEntriesRequest{Term: 7}, &raft.AppendEntriesResponse{}
+	assert.ErrorIs(t, a.AppendEntries("b", "", request, response), errStaleTerm)
+	_, err := (&ackPipeline{nil, a}).AppendEntries(request, response)
 	assert.ErrorIs(t, err, errStaleTerm)
 	assert.NoError(t, a.checkTerm(8))
 }
@@ -84,15 +84,15 @@
 		return n
 	}
 	peer, leader := transport(), newAckTransport(transport())
-	rc := raft.DefaultConfig()
-	rc.LocalID, rc.LogOutput = "peer", io.Discard
-	rc.HeartbeatTimeout, rc.ElectionTimeout, rc.LeaderLeaseTimeout = time.Hour, time.Hour, time.Hour // no elections: the test sends every message
-	disk, state := raft.NewInmemStore(), &recordingFSM{}
-	snaps := raft.NewInmemSnapshotStore()
-	require.NoError(t, raft.BootstrapCluster(rc, disk, disk, snaps, peer, raft.Configuration{Servers: []raft.Server{
+	raftConfig := raft.DefaultConfig()
+	raftConfig.LocalID, raftConfig.LogOutput = "peer", io.Discard
+	raftConfig.HeartbeatTimeout, raftConfig.ElectionTimeout, raftConfig.LeaderLeaseTimeout = time.Hour, time.Hour, time.Hour // no elections: the test sends every message
+	logStore, fsm := raft.NewInmemStore(), &recordingFSM{}
+	snapshots := raft.NewInmemSnapshotStore()
+	require.NoError(t, raft.BootstrapCluster(raftConfig, logStore, logStore, snapshots, peer, raft.Configuration{Servers: []raft.Server{
 		{ID: "peer", Address: peer.LocalAddr()}, {ID: "leader", Address: leader.LocalAddr()}, {ID: "third", Address: "127.0.0.1:1"}}}))
-	require.NoError(t, disk.StoreLogs([]*raft.Log{{Index: 2, Term: 1, Data: []byte("first")}, {Index: 3, Term: 1, Data: []byte("never committed")}}))
-	node, err := raft.NewRaft(rc, state, disk, disk, snaps, peer)
+	require.NoError(t, logStore.StoreLogs([]*raft.Log{{Index: 2, Term: 1, Data: []byte("first")}, {Index: 3, Term: 1, Data: []byte("never committed")}}))
+	node, err := raft.NewRaft(raftConfig, fsm, logStore, logStore, snapshots, peer)
 	require.NoError(t, err)
 	t.Cleanup(func() { node.Shutdown().Error() })
 
@@ -103,13 +103,13 @@
 		return &raft.AppendEntriesRequest{RPCHeader: raft.RPCHeader{ProtocolVersion: raft.ProtocolVersionMax, ID: []byte("leader"), Addr: []byte(leader.LocalAddr())},
 			Term: 3, PrevLogEntry: 2, PrevLogTerm: 1, Entries: entries, LeaderCommitIndex: 3}
 	}
-	var answer raft.AppendEntriesResponse
-	require.NoError(t, leader.AppendEntries("peer", peer.LocalAddr(), request(), &answer))
-	require.True(t, answer.Success)
-	f, err := pipeline.AppendEntries(request(), &answer)
+	var response raft.AppendEntriesResponse
+	require.NoError(t, leader.AppendEntries("peer", peer.LocalAddr(), request(), &response))
+	require.True(t, response.Success)
+	future, err := pipeline.AppendEntries(request(), &response)
 	require.NoError(t, err)
-	require.NoError(t, f.Error())
-	require.NoError(t, leader.AppendEntries("peer", peer.LocalAddr(), request(&raft.Log{Index: 3, Term: 3, Data: []byte("committed")}), &answer))
-	require.Eventually(t, func() bool { return len(state.appliedData()) >= 2 }, 10*time.Second, time.Millisecond)
-	require.Equal(t, []string{"first", "committed"}, state.appliedData())
+	require.NoError(t, future.Error())
+	require.NoError(t, leader.AppendEntries("peer", peer.LocalAddr(), request(&raft.Log{Index: 3, Term: 3, Data: []byte("committed")}), &response))
+	require.Eventually(t, func() bool { return len(fsm.appliedData()) >= 2 }, 10*time.Second, time.Millisecond)
+	require.Equal(t, []string{"first", "committed"}, fsm.appliedData())
 }
--- a/internal/cluster/store/cluster_id.go
+++ b/internal/cluster/store/cluster_id.go
@@ -157,8 +157,8 @@
 
 // tokenFloor returns the lower bound for the fencing tokens of a new cluster: the higher of the highest
 // known token of the old cluster and the current Unix time in milliseconds times lease.TokensPerMS. The
-// tokens of the old cluster started by the same rule, so that it cannot have granted a higher token by
-// now.
+// tokens of the old cluster started by the same rule, so that the old cluster cannot have granted a higher
+// token by now.
 func tokenFloor(known uint64) uint64 {
 	return max(known, uint64(time.Now().UnixMilli())*lease.TokensPerMS)
 }
--- a/internal/cluster/store/config.go
+++ b/internal/cluster/store/config.go
@@ -52,7 +52,7 @@
 
 // BackupConfig configures scheduled backups. One of the nodes with this configuration takes them.
 type BackupConfig struct {
-	Dir      string `json:"dir"`   // folder of the files; "" is no backups
+	Dir      string `json:"dir"`   // folder of the backup files; "" disables backups
 	Every    string `json:"every"` // interval as a Go duration, such as "1h"; "" means one day
 	MaxFiles int    `json:"keep"`  // number of backup files to retain in Dir; 0 means 7
 }
--- a/internal/cluster/store/config_check.go
+++ b/internal/cluster/store/config_check.go
@@ -28,7 +28,7 @@
 		return err
 	}
 	if _, ok := sqlDrivers[c.SQL.Driver]; !ok && c.SQL.Driver != "" {
-		return fmt.Errorf("sql.driver: %q: want sqlite, postgres or none", c.SQL.Driver)
+		return fmt.Errorf("sql.driver: %q: want sqlite or postgres", c.SQL.Driver)
 	}
 	return nil
 }
--- a/internal/cluster/store/disk_state.go
+++ b/internal/cluster/store/disk_state.go
@@ -111,7 +111,7 @@
 }
 
 // renewDiskID gives a disk a new identity, so that votes and acknowledgments under the old identity do not
-// count for it. The log is retained, which saves most of its transfer.
+// count for it. The log is retained, so that most of it need not be transferred again.
 func renewDiskID(storage *raftstorage.Storage, name string) (memberID string, err error) {
 	diskID, err := createDiskID(storage)
 	if err == nil {
--- a/internal/cluster/store/errors.go
+++ b/internal/cluster/store/errors.go
@@ -2,10 +2,10 @@
 
 import "errors"
 
-// The texts of the exported errors are part of HTTP answers (internal/cluster/storeadmin) and must not
+// The texts of the exported errors are part of HTTP responses (internal/cluster/storeadmin) and must not
 // change.
 
-// Errors of the node's part in the cluster.
+// Errors of membership, and of requests that need the leader or a running node.
 var (
 	// ErrNoLeader means one of the following: no leader is known; the request requires the leader and this
 	// node is not it; or this node lost the leadership during the request. Clients retry in all three cases.
--- a/internal/cluster/store/freshness.go
+++ b/internal/cluster/store/freshness.go
@@ -63,11 +63,11 @@
 	}
 }
 
-// waitApplied waits until the state includes all commands up to an index. Neither applied index alone is
-// sufficient. The state's own index does not advance at entries that are not commands. Raft's applied
+// waitApplied waits until the state includes all commands up to an index. The state's own index does not
+// advance at entries that are not commands, so that it may never reach the given index. Raft's applied
 // index may be ahead of the state, as it counts entries that were passed to the state machine and are not
-// applied yet. The state is complete if Raft's index has been reached and the log has no command between
-// the two.
+// applied yet. The state is complete if its own index has reached the given index, or if Raft's index has
+// reached it and the log has no command between the two.
 func (s *Store) waitApplied(ctx context.Context, index uint64) error {
 	for {
 		inc, err := s.running()
@@ -89,9 +89,9 @@
 
 // awaitFuture waits for the result of a Raft future or the end of ctx. After a disk failure Raft may never
 // complete the future.
-func awaitFuture(ctx context.Context, f raft.Future) error {
+func awaitFuture(ctx context.Context, future raft.Future) error {
 	result := make(chan error, 1)
-	go func() { result <- f.Error() }()
+	go func() { result <- future.Error() }()
 	select {
 	case err := <-result:
 		return err
--- a/internal/cluster/store/golden_test.go
+++ b/internal/cluster/store/golden_test.go
@@ -60,18 +60,18 @@
 	}
 	snap, err := s.Snapshot()
 	require.NoError(t, err)
-	sink := &bufSink{}
+	sink := &memorySink{}
 	require.NoError(t, snap.Persist(sink))
 	text := sink.String()
 	assert.Equal(t, goldenState, text)
 
 	to := newReplicatedState()
 	require.NoError(t, to.Restore(io.NopCloser(strings.NewReader(text))))
-	sink2 := &bufSink{}
+	restoredSink := &memorySink{}
 	snap, err = to.Snapshot()
 	require.NoError(t, err)
-	require.NoError(t, snap.Persist(sink2))
-	assert.Equal(t, text, sink2.String())
+	require.NoError(t, snap.Persist(restoredSink))
+	assert.Equal(t, text, restoredSink.String())
 }
 
 // TestGoldenLocalValues checks the names and formats of the values that a node stores beside its log.
@@ -100,32 +100,32 @@
 	assertGoldenJSON(t, handshakeHeader{From: "n1@5f", To: "n2@6f", Cluster: "c"}, `{"from":"n1@5f","to":"n2@6f","cluster":"c"}`)
 	assertGoldenJSON(t, handshakeHeader{From: "n1@5f", To: "n2@6f"}, `{"from":"n1@5f","to":"n2@6f"}`)
 	cluster := func() string { return "c" }
-	w, err := listenPeers("127.0.0.1:0", "n2@6f", cluster, func(string) (Peer, bool) { return Peer{}, false })
+	transport, err := listenPeers("127.0.0.1:0", "n2@6f", cluster, func(string) (Peer, bool) { return Peer{}, false })
 	require.NoError(t, err)
-	t.Cleanup(func() { w.Close() })
+	t.Cleanup(func() { transport.Close() })
 	go func() {
 		for {
-			if _, err := w.Accept(); err != nil {
+			if _, err := transport.Accept(); err != nil {
 				return
 			}
 		}
 	}()
-	for _, x := range [][2]string{
+	for _, exchange := range [][2]string{
 		{`oxbowbridge/1 {"from":"n1@5f","to":"n2@6f","cluster":"c"}`, "yes\n"},
 		{`oxbowbridge/1 {"from":"n1@5f","to":"n2@6f"}`, "yes\n"},
 		{`oxbowbridge/1 {"from":"n1@5f","to":"n2@7f"}`, "no: another is meant: this is n2@6f, not n2@7f\n"},
 		{`oxbowbridge/1 {"from":"n1@5f","to":"n2@6f","cluster":"d"}`, "no: another is meant: this is of cluster c, not of d\n"},
 		{`oxbowbridge/2 {}`, "no: greeting can't be read\n"},
 	} {
-		assert.Equal(t, x[1], sendAndReadReply(t, w.Addr().String(), x[0]+"\n", len(x[1])), x[0])
+		assert.Equal(t, exchange[1], sendAndReadReply(t, transport.Addr().String(), exchange[0]+"\n", len(exchange[1])), exchange[0])
 	}
-	// The handshake line that the connecting node sends.
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	// Checks the handshake line that a connecting node sends.
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	t.Cleanup(func() { ln.Close() })
+	t.Cleanup(func() { listener.Close() })
 	got := make(chan string, 1)
 	go func() {
-		c, err := ln.Accept()
+		c, err := listener.Accept()
 		if err != nil {
 			return
 		}
@@ -135,7 +135,7 @@
 		got <- string(b[:n])
 		c.Write([]byte("yes\n"))
 	}()
-	c, err := w.Dial(raft.ServerAddress("n1@5f|"+ln.Addr().String()+"||"), time.Second)
+	c, err := transport.Dial(raft.ServerAddress("n1@5f|"+listener.Addr().String()+"||"), time.Second)
 	require.NoError(t, err)
 	c.Close()
 	assert.Equal(t, `oxbowbridge/1 {"from":"n2@6f","to":"n1@5f","cluster":"c"}`+"\n", <-got)
--- a/internal/cluster/store/handshake.go
+++ b/internal/cluster/store/handshake.go
@@ -39,12 +39,12 @@
 	if _, err := fmt.Fprintf(conn, "%s%s\n", handshakePrefix, text); err != nil {
 		return err
 	}
-	answer, err := readLine(conn)
+	reply, err := readLine(conn)
 	if err != nil {
 		return err
 	}
-	if answer != handshakeAccepted {
-		return fmt.Errorf("%s rejected the connection: %s", header.To, strings.TrimSpace(answer))
+	if reply != handshakeAccepted {
+		return fmt.Errorf("%s rejected the connection: %s", header.To, strings.TrimSpace(reply))
 	}
 	return nil
 }
@@ -73,7 +73,8 @@
 
 func (r singleByteReader) Read(b []byte) (int, error) { return r.Reader.Read(b[:min(1, len(b))]) }
 
-// replayConn returns the byte again that was read to distinguish a handshake from a Raft message.
+// replayConn is a connection that first returns the bytes in unread. One byte was read before to
+// distinguish a handshake from a Raft message.
 type replayConn struct {
 	net.Conn
 	unread []byte
--- a/internal/cluster/store/incarnation.go
+++ b/internal/cluster/store/incarnation.go
@@ -11,7 +11,8 @@
 	"oxbowbridge/internal/cluster/raftstorage"
 )
 
-// incarnation is one run of Raft on one storage folder. It starts after the disk verdict.
+// incarnation is one run of Raft on one storage folder. It starts after the verdict on whether the disk
+// may vote (diskidentity.Decide).
 type incarnation struct {
 	store         *Store
 	memberID      string
@@ -30,8 +31,8 @@
 func (s *Store) runIncarnation(storage *raftstorage.Storage) (err error) {
 	defer func() {
 		s.currentDisk.Store(nil)
-		if cerr := storage.Close(); cerr != nil && err == nil && s.ctx.Err() == nil {
-			err = fmt.Errorf("close folder: %w", cerr)
+		if closeErr := storage.Close(); closeErr != nil && err == nil && s.ctx.Err() == nil {
+			err = fmt.Errorf("close folder: %w", closeErr)
 		}
 	}()
 	s.setWaitReasonSilently(reportsWaitReason)
@@ -96,8 +97,8 @@
 
 // joinWaitReason returns what a node that is not a member yet waits for.
 func (inc *incarnation) joinWaitReason() string {
-	if refusal := inc.joinRejection.Load(); refusal != nil {
-		return *refusal
+	if rejection := inc.joinRejection.Load(); rejection != nil {
+		return *rejection
 	}
 	return "to be taken in"
 }
--- a/internal/cluster/store/leader_view.go
+++ b/internal/cluster/store/leader_view.go
@@ -15,7 +15,7 @@
 	"oxbowbridge/internal/cluster/storeapi"
 )
 
-// leaderView is what the leader records about the members between two observations.
+// leaderView is the leader's record of the members. The leader updates it at each observation.
 type leaderView struct {
 	mu          sync.Mutex
 	leaderSince time.Time            // when this node became leader; zero while it is not
@@ -128,7 +128,7 @@
 	}
 	_, m.Leaving = s.state.get(kv.RemovedPrefix + p.Name)
 	_, m.VotePreferred = s.state.get(kv.PreferredVoterPrefix + p.Name)
-	if p.Name == s.self.Name { // a node does not poll itself: the member has its current or an earlier disk
+	if p.Name == s.self.Name { // a node does not poll itself: the member is this disk or a previous disk of this node
 		m.Up = id == inc.memberID
 		m.DiskLost = !m.Up
 		return m
--- a/internal/cluster/store/lease_requests.go
+++ b/internal/cluster/store/lease_requests.go
@@ -83,8 +83,8 @@
 	check := func(state *lease.State, now time.Duration) {
 		l, needsLogEntry, err = deadlines.TryAcquire(state, request.Name, request.Holder, enqueue, receivedAt, now)
 	}
-	if lost := s.withLeases(deadlines, check); lost != nil || !needsLogEntry {
-		return l, errors.Join(lost, err)
+	if leaderErr := s.withLeases(deadlines, check); leaderErr != nil || !needsLogEntry {
+		return l, errors.Join(leaderErr, err)
 	}
 	op := lease.Op{Kind: lease.OpAcquire, Name: request.Name, Holder: request.Holder, TTLMS: request.TTLMS, Enqueue: enqueue, Priority: request.Priority}
 	response, err := s.Execute(kv.Request{LeaseOps: []lease.Op{op}})
@@ -96,8 +96,8 @@
 		return result.Lease, failure
 	}
 	needsLogEntry = false
-	if lost := s.withLeases(deadlines, check); lost != nil || !needsLogEntry {
-		return l, errors.Join(lost, err)
+	if leaderErr := s.withLeases(deadlines, check); leaderErr != nil || !needsLogEntry {
+		return l, errors.Join(leaderErr, err)
 	}
 	return l, lease.ErrHeld // the lease was granted by the entry, and has ended or changed holder since
 }
@@ -143,7 +143,7 @@
 
 // Leases returns the held leases, or the one named only, and the time until each expires without a
 // renewal. It returns ErrNoLeader on any node but the leader.
-func (s *Store) Leases(ctx context.Context, only string) (all map[string]lease.Lease, remaining map[string]time.Duration, err error) {
+func (s *Store) Leases(ctx context.Context, nameFilter string) (all map[string]lease.Lease, remaining map[string]time.Duration, err error) {
 	deadlines, err := s.confirmedDeadlines(ctx)
 	if err != nil {
 		return nil, nil, err
@@ -152,7 +152,7 @@
 	remaining = map[string]time.Duration{}
 	err = s.withLeases(deadlines, func(state *lease.State, now time.Duration) {
 		for name, l := range state.Leases {
-			if only == "" || only == name {
+			if nameFilter == "" || nameFilter == name {
 				all[name] = l
 				remaining[name] = deadlines.Remaining(name, l, now)
 			}
--- a/internal/cluster/store/majority_loss.go
+++ b/internal/cluster/store/majority_loss.go
@@ -43,7 +43,7 @@
 	report.ID = id
 	report.NewCluster = randomHex(clusterIDBytes)
 	if err := node.rewriteLog(self, report); err != nil {
-		return report, fmt.Errorf("recover: %w", err)
+		return report, fmt.Errorf("rewrite log for the new cluster: %w", err)
 	}
 	if err := node.storage.PutLocal(kv.ClusterKey, []byte(report.NewCluster)); err != nil {
 		return report, fmt.Errorf("save cluster id: %w", err)
--- a/internal/cluster/store/majority_loss_report.go
+++ b/internal/cluster/store/majority_loss_report.go
@@ -13,7 +13,7 @@
 	"oxbowbridge/internal/cluster/raftstorage"
 )
 
-var errNothingToRecover = errors.New("the folder holds nothing that could be recovered")
+var errNothingToRecover = errors.New("the folder has no log entries to recover")
 
 // RecoveryReport describes what a stopped node's storage folder holds of a cluster.
 type RecoveryReport struct {
@@ -96,14 +96,14 @@
 // compareWatermarks fills in LastObserved, and Missing for members whose log was ahead of this node's.
 func (r *RecoveryReport) compareWatermarks(observed watermarks) {
 	local := r.Watermark
-	for id, mark := range observed {
+	for id, watermark := range observed {
 		if !slices.Contains(r.Members, id) {
 			continue
 		}
-		r.LastObserved[id] = mark
-		if mark.CompareLog(local) > 0 {
+		r.LastObserved[id] = watermark
+		if watermark.CompareLog(local) > 0 {
 			r.Missing = append(r.Missing, fmt.Sprintf("%s had entries up to %d of term %d, this node up to %d of term %d",
-				id, mark.LastIndex, mark.LastTerm, local.LastIndex, local.LastTerm))
+				id, watermark.LastIndex, watermark.LastTerm, local.LastIndex, local.LastTerm))
 		}
 	}
 	slices.Sort(r.Missing)
--- a/internal/cluster/store/mirror.go
+++ b/internal/cluster/store/mirror.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	mirrorInterval   = time.Second     // between two writes, even without a change
-	maxMirrorBackoff = 5 * time.Second // between two attempts while the database fails
+	mirrorInterval   = time.Second     // between two synchronizations if no entry is applied meanwhile
+	maxMirrorBackoff = 5 * time.Second // maximum pause between two attempts while the database fails
 	// mirrorAbandonAfter is how long writes may fail before the node releases the mirror's lease. The
 	// database may be unreachable for this node only, so that another node may succeed.
 	mirrorAbandonAfter = 30 * time.Second
@@ -85,14 +85,14 @@
 		if backoff.next(err) {
 			return err
 		}
-		wake := s.state.mirrorWake
+		mirrorWake := s.state.mirrorWake
 		if err != nil {
-			wake = nil // a change of the state must not shorten the backoff
+			mirrorWake = nil // a change of the state must not shorten the backoff
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-wake:
+		case <-mirrorWake:
 		case <-time.After(backoff.wait):
 		}
 	}
--- a/internal/cluster/store/mirror_session.go
+++ b/internal/cluster/store/mirror_session.go
@@ -142,14 +142,14 @@
 		return err
 	}
 	var missing []kv.Request
-	ofEarlierCluster := false
+	hasEarlierClusterRows := false
 	for _, row := range rows {
-		ofEarlierCluster = ofEarlierCluster || row.index > last
+		hasEarlierClusterRows = hasEarlierClusterRows || row.index > last
 		if _, ok := known[row.key]; !ok && row.value.Valid && !strings.HasPrefix(row.key, kv.ReservedPrefix) {
 			missing = append(missing, m.importRequest(row))
 		}
 	}
-	if ofEarlierCluster {
+	if hasEarlierClusterRows {
 		if err := m.resetIndexes(ctx); err != nil {
 			return err
 		}
--- a/internal/cluster/store/node_state.go
+++ b/internal/cluster/store/node_state.go
@@ -30,8 +30,8 @@
 	return nodeServing
 }
 
-// What a node reports to its peers as storeapi.PeerStatus.State. A joining node counts as serving: it
-// replicates the log already.
+// Values of storeapi.PeerStatus.State, which a node reports to its peers. A joining node reports serving,
+// because it already replicates the log.
 const (
 	peerServing = "serving"
 	peerWaiting = "waiting"
--- a/internal/cluster/store/open_folder_faults.go
+++ b/internal/cluster/store/open_folder_faults.go
@@ -12,15 +12,15 @@
 	"oxbowbridge/internal/storage/durable/vfs"
 )
 
-// openFolder of the test build opens a folder that fails as told by the file DIR.fault beside it:
-// "full", "write" or "sync".
+// openFolder opens a storage folder and injects the fault that the file DIR.fault beside the folder names:
+// "full", "write" or "sync". It replaces the production version in builds with the tag faults.
 func openFolder(dir string) (*raftstorage.Storage, *durable.Report, error) {
 	folder, err := vfs.OpenDir(dir)
 	if err != nil {
 		return nil, nil, err
 	}
 	return raftstorage.OpenFS(&faultfs.Injector{FS: folder, ActiveFault: func() string {
-		text, _ := os.ReadFile(dir + ".fault") // a missing file is no fault
+		text, _ := os.ReadFile(dir + ".fault") // without the file, no fault is injected
 		return strings.TrimSpace(string(text))
 	}})
 }
--- a/internal/cluster/store/peer_reports.go
+++ b/internal/cluster/store/peer_reports.go
@@ -18,7 +18,8 @@
 
 var errNoServingPeer = errors.New("no node of the cluster serves")
 
-// clearReports removes the reports that peers made about a previous disk of this node.
+// clearReports discards all reports. It is called when the storage folder is opened, because the reports
+// were made about a previous disk or incarnation of this node.
 func (p *peerPoller) clearReports() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -54,7 +55,7 @@
 type peerAttestations struct {
 	recent    map[string]diskidentity.Attestation // by node name, without nodes of earlier versions
 	allPolled bool                                // whether each node was polled at least once, with a report or an error
-	changed   <-chan struct{}                     // closed when the next poll ends
+	changed   <-chan struct{}                     // closed when the next poll result is recorded
 }
 
 // attestations returns the attestations in recent reports.
@@ -95,18 +96,18 @@
 	if err != nil {
 		return err
 	}
-	var refusals []string
+	var rejections []string
 	for _, addr := range p.servingAddresses() {
 		err := p.postJoin(ctx, addr, text)
 		if err == nil {
 			return nil
 		}
-		refusals = append(refusals, err.Error())
+		rejections = append(rejections, err.Error())
 	}
-	if len(refusals) == 0 {
+	if len(rejections) == 0 {
 		return errNoServingPeer
 	}
-	return fmt.Errorf("not taken in: %s", strings.Join(refusals, "; "))
+	return fmt.Errorf("not taken in: %s", strings.Join(rejections, "; "))
 }
 
 func (p *peerPoller) postJoin(ctx context.Context, addr string, text []byte) error {
--- a/internal/cluster/store/peers.go
+++ b/internal/cluster/store/peers.go
@@ -41,7 +41,7 @@
 	reports  map[string]peerReport
 	observed watermarks
 	unsaved  bool          // observed has changed since it was last saved
-	changed  chan struct{} // closed when the next poll ends
+	changed  chan struct{} // closed when the next poll result is recorded
 }
 
 // peerReport is a peer's last report.
@@ -121,9 +121,9 @@
 	defer ticker.Stop()
 	for {
 		addr, _ := p.adminAddress(name)
-		asker := p.store.memberID()
-		report := p.fetch(addr, asker)
-		p.recordReport(name, asker, report)
+		requesterID := p.store.memberID()
+		report := p.fetch(addr, requesterID)
+		p.recordReport(name, requesterID, report)
 		p.addTargets(decodePeers(report.status.Addresses))
 		select {
 		case <-p.ctx.Done():
@@ -148,33 +148,33 @@
 }
 
 // fetch requests a node's report. A node of an earlier version has only GET /status.
-func (p *peerPoller) fetch(addr, asker string) (report fetchedReport) {
+func (p *peerPoller) fetch(addr, requesterID string) (report fetchedReport) {
 	ctx, cancel := context.WithTimeout(p.ctx, pollTimeout)
 	defer cancel()
-	report.err = p.client.CallNode(ctx, addr, http.MethodGet, "/self?from="+url.QueryEscape(asker), nil, &report.status)
-	var status *storeapi.StatusError
-	if !errors.As(report.err, &status) || status.StatusCode != http.StatusNotFound {
+	report.err = p.client.CallNode(ctx, addr, http.MethodGet, "/self?from="+url.QueryEscape(requesterID), nil, &report.status)
+	var statusErr *storeapi.StatusError
+	if !errors.As(report.err, &statusErr) || statusErr.StatusCode != http.StatusNotFound {
 		return report
 	}
 	report.legacy = true
-	var st storeapi.Status
-	if report.err = p.client.CallNode(ctx, addr, http.MethodGet, "/status", nil, &st); report.err != nil {
+	var nodeStatus storeapi.Status
+	if report.err = p.client.CallNode(ctx, addr, http.MethodGet, "/status", nil, &nodeStatus); report.err != nil {
 		return report
 	}
-	report.status.ID = st.Node
-	report.status.Cluster = st.Cluster
+	report.status.ID = nodeStatus.Node
+	report.status.Cluster = nodeStatus.Cluster
 	report.status.State = peerServing
-	report.status.Watermark.LastIndex = st.LastIndex
-	report.status.AppliedIndex = st.AppliedIndex
+	report.status.Watermark.LastIndex = nodeStatus.LastIndex
+	report.status.AppliedIndex = nodeStatus.AppliedIndex
 	return report
 }
 
 // recordReport stores a report. A report that was requested under another member ID of this node is
 // discarded.
-func (p *peerPoller) recordReport(name, asker string, fetched fetchedReport) {
+func (p *peerPoller) recordReport(name, requesterID string, fetched fetchedReport) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if asker != p.store.memberID() {
+	if requesterID != p.store.memberID() {
 		return
 	}
 	defer p.signalChanged()
--- a/internal/cluster/store/raft.go
+++ b/internal/cluster/store/raft.go
@@ -82,7 +82,7 @@
 	}
 	s.state.reset()
 	started := make(chan error, 1)
-	go func() { // a failing storage may exit this goroutine without a result
+	go func() { // a storage failure may terminate this goroutine before it sends a result
 		defer close(started)
 		var err error
 		inc.raft, err = raft.NewRaft(conf, s.state, storage, storage, storage, inc.transport)
--- a/internal/cluster/store/read.go
+++ b/internal/cluster/store/read.go
@@ -43,10 +43,10 @@
 }
 
 // SessionCount returns the number of open sessions in this node's state.
-func (s *Store) SessionCount() int { return s.state.sessions() }
+func (s *Store) SessionCount() int { return s.state.sessionCount() }
 
 // LastFencingToken returns the highest fencing token in this node's state.
-func (s *Store) LastFencingToken() uint64 { return s.state.lastToken() }
+func (s *Store) LastFencingToken() uint64 { return s.state.lastFencingToken() }
 
 // WaitCaughtUp waits until this node's state includes all entries that were committed before the call. It
 // returns false if ctx ends first.
--- a/internal/cluster/store/read_index.go
+++ b/internal/cluster/store/read_index.go
@@ -12,8 +12,8 @@
 	"oxbowbridge/internal/cluster/storeapi"
 )
 
-// readIndexResult is a read index: when it was requested, at the time at, the cluster had committed no
-// entry above index.
+// readIndexResult is a read index. At the time at, when the index was requested, the cluster had committed
+// no entry above it.
 type readIndexResult struct {
 	index uint64
 	at    time.Time
@@ -97,14 +97,14 @@
 	}
 	leader, err := s.remoteLeader()
 	if err != nil {
-		if _, stopped := s.running(); stopped != nil {
-			return 0, stopped
+		if _, notServingErr := s.running(); notServingErr != nil {
+			return 0, notServingErr
 		}
 		return 0, err
 	}
-	var answer storeapi.ReadIndexResponse
-	err = s.peers.client.WithCommitTimeout().CallNode(ctx, leader.Admin, http.MethodGet, "/index", nil, &answer)
-	return answer.Index, err
+	var response storeapi.ReadIndexResponse
+	err = s.peers.client.WithCommitTimeout().CallNode(ctx, leader.Admin, http.MethodGet, "/index", nil, &response)
+	return response.Index, err
 }
 
 // ReadIndex returns the index of the last entry that was committed at the time of the call. It returns
--- a/internal/cluster/store/replicated_state.go
+++ b/internal/cluster/store/replicated_state.go
@@ -137,15 +137,15 @@
 	return s.data.TimeMS
 }
 
-// sessions returns the number of open sessions.
-func (s *replicatedState) sessions() int {
+// sessionCount returns the number of open sessionCount.
+func (s *replicatedState) sessionCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.data.Sessions)
 }
 
-// lastToken returns the highest fencing token that was granted.
-func (s *replicatedState) lastToken() uint64 {
+// lastFencingToken returns the highest fencing token that was granted.
+func (s *replicatedState) lastFencingToken() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.data.Leases.LastToken
--- a/internal/cluster/store/status.go
+++ b/internal/cluster/store/status.go
@@ -37,10 +37,10 @@
 	return st
 }
 
-// PeerStatus returns the node's report to the peer with the member ID asker: its own state, and the
+// PeerStatus returns the node's report to the peer with the member ID requesterID: its own state, and the
 // watermark that it has observed of the peer's disk. It returns ErrNotServing until the node has read its
 // own disk.
-func (s *Store) PeerStatus(asker string) (storeapi.PeerStatus, error) {
+func (s *Store) PeerStatus(requesterID string) (storeapi.PeerStatus, error) {
 	disk := s.currentDisk.Load()
 	if disk == nil {
 		return storeapi.PeerStatus{}, s.notServingError()
@@ -55,7 +55,7 @@
 	if e, ok := s.state.get(kv.PreviousClustersKey); ok {
 		json.Unmarshal(e.Value, &out.PreviousClusters) // always valid JSON written by this package
 	}
-	out.LastObserved = s.peers.observedWatermark(asker)
+	out.LastObserved = s.peers.observedWatermark(requesterID)
 	return out, nil
 }
 
@@ -75,8 +75,8 @@
 func (s *Store) describeIncarnation(out *storeapi.PeerStatus, inc *incarnation, disk *diskState) {
 	out.AppliedIndex = inc.raft.AppliedIndex()
 	out.Checksums = s.state.recentChecksums()
-	if mark, err := inc.storage.Watermark(); err == nil {
-		out.Watermark = mark.Max(disk.local.Watermark)
+	if watermark, err := inc.storage.Watermark(); err == nil {
+		out.Watermark = watermark.Max(disk.local.Watermark)
 	}
 	conf := inc.configuration()
 	out.ConfigIndex = conf.Index
--- a/internal/cluster/store/storage.go
+++ b/internal/cluster/store/storage.go
@@ -25,8 +25,8 @@
 const replacementMarkerSuffix = ".replacement"
 
 // openStorage opens the node's folder, or creates it. A folder that is damaged, or whose state has
-// diverged, is moved aside and replaced by an empty one. A replacement never bootstraps a cluster, because
-// the other members must know the votes and acknowledgments of the old folder.
+// diverged, is moved aside and replaced by an empty one. A replacement never bootstraps a cluster: its
+// cluster already exists, and the other members know the votes and acknowledgments of the old folder.
 func (s *Store) openStorage() (*raftstorage.Storage, error) {
 	storage, err := s.tryOpenStorage()
 	if errors.Is(err, durable.ErrDamaged) || errors.Is(err, errDiverged) {
@@ -71,15 +71,15 @@
 	if err != nil && !errors.Is(err, fs.ErrExist) {
 		return err
 	}
-	aside := ""
+	movedTo := ""
 	for n := 1; ; n++ {
-		aside = fmt.Sprintf("%s.refused-%d", s.cfg.Dir, n)
-		if _, err := os.Lstat(aside); os.IsNotExist(err) {
+		movedTo = fmt.Sprintf("%s.refused-%d", s.cfg.Dir, n)
+		if _, err := os.Lstat(movedTo); os.IsNotExist(err) {
 			break
 		}
 	}
-	s.log.Error("storage folder set aside, node rejoins as a new member", zap.String("moved_to", aside), zap.Error(cause))
-	return os.Rename(s.cfg.Dir, aside)
+	s.log.Error("storage folder set aside, node rejoins as a new member", zap.String("moved_to", movedTo), zap.Error(cause))
+	return os.Rename(s.cfg.Dir, movedTo)
 }
 
 // tryOpenStorage opens the folder. Its error is durable.ErrDamaged or errDiverged if the folder must not
--- a/internal/cluster/store/storage_test.go
+++ b/internal/cluster/store/storage_test.go
@@ -54,9 +54,9 @@
 	return disk.local.Fresh
 }
 
-// faultyReplacementOpener returns an opener that opens the damaged folder normally and its replacement
-// with a fault. All file operations after the first step ones fail, as if the process had crashed. failed
-// is set when the fault occurs.
+// faultyReplacementOpener returns an opener that opens the damaged folder normally, and its replacement
+// with a fault. The first step changes to the replacement's files succeed and all later ones fail, as
+// after a crash. failed is set when the fault occurs.
 func faultyReplacementOpener(fault string, step int64, failed *atomic.Bool) folderOpener {
 	opened := 0
 	return func(dir string) (*raftstorage.Storage, *durable.Report, error) {
@@ -68,9 +68,9 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		var changes atomic.Int64
+		var changeCount atomic.Int64
 		return raftstorage.OpenFS(&faultfs.Injector{FS: folder, ActiveFault: func() string {
-			if changes.Add(1) <= step {
+			if changeCount.Add(1) <= step {
 				return ""
 			}
 			failed.Store(true)
--- a/internal/cluster/store/store.go
+++ b/internal/cluster/store/store.go
@@ -18,7 +18,7 @@
 	// CloseTimeout is the maximum duration of Close.
 	CloseTimeout = time.Second
 
-	stepDownTimeout = time.Second // for another node to become leader
+	stepDownTimeout = time.Second // maximum wait for another node to become leader
 	// reopenRetryInterval is the time between two attempts to open a storage folder that fails to open. After
 	// the end of an incarnation, restartBackoff sets the pause before the folder is reopened.
 	reopenRetryInterval = time.Second
@@ -146,7 +146,7 @@
 	select {
 	case <-closed:
 	case <-time.After(CloseTimeout):
-		s.log.Warn("store did not stop in time")
+		s.log.Warn("store did not stop within the close timeout")
 	}
 }
 
--- a/internal/cluster/store/supervise.go
+++ b/internal/cluster/store/supervise.go
@@ -90,7 +90,7 @@
 // peer that seemed to belong to a cluster no longer does, for example because its folder was deleted.
 func (s *Store) mustBootstrap(inc *incarnation) bool {
 	disk := s.currentDisk.Load()
-	if mark, err := inc.storage.Watermark(); disk == nil || err != nil || mark.LastIndex > 0 {
+	if watermark, err := inc.storage.Watermark(); disk == nil || err != nil || watermark.LastIndex > 0 {
 		return false
 	}
 	verdict, _ := diskidentity.Decide(disk.local, s.peers.attestations().recent)
@@ -149,8 +149,8 @@
 	if err == nil || ctx.Err() != nil {
 		return
 	}
-	refusal := err.Error()
-	if old := inc.joinRejection.Swap(&refusal); old == nil || *old != refusal {
+	rejection := err.Error()
+	if old := inc.joinRejection.Swap(&rejection); old == nil || *old != rejection {
 		s.log.Warn("join request not granted", zap.Error(err))
 	}
 }
--- a/internal/cluster/store/verdict.go
+++ b/internal/cluster/store/verdict.go
@@ -19,8 +19,8 @@
 }
 
 // awaitVerdict waits until the peers' reports (peerPoller.pollLoop) determine what the disk may be used
-// for. Until each peer was polled once, it accepts only VerdictRenew, because a peer that was not polled
-// may have observed a higher watermark of this disk. During that time the wait reason remains
+// for. Until each peer has been polled once, it accepts only VerdictRenew, because a peer that has not
+// been polled may have observed a higher watermark of this disk. During that time the wait reason remains
 // reportsWaitReason. It carries out VerdictRenew itself, and then returns VerdictJoin with the disk under
 // its new identity.
 func (s *Store) awaitVerdict(disk *diskState) (*diskState, diskidentity.Verdict, error) {
@@ -46,7 +46,7 @@
 		case <-s.ctx.Done():
 			return disk, verdict, s.ctx.Err()
 		case <-reports.changed:
-		case <-time.After(pollInterval): // reports expire
+		case <-time.After(pollInterval): // reports may have expired
 		}
 	}
 }
@@ -63,7 +63,7 @@
 			continue
 		}
 		lastSuccessor[replaced.Voter] = replaced.Successor
-		s.log.Warn("disk of voter replaced; its attestation is no longer required", zap.String("member", replaced.Voter), zap.String("new_member", replaced.Successor))
+		s.log.Warn("voter's disk replaced; attestation no longer required", zap.String("member", replaced.Voter), zap.String("new_member", replaced.Successor))
 	}
 }
 
--- a/internal/cluster/store/wait_reason.go
+++ b/internal/cluster/store/wait_reason.go
@@ -21,8 +21,8 @@
 	s.waitReason.Store(&diskidentity.Reason{Text: text})
 }
 
-// setAndLogWaitReason sets what a node without Raft waits for. It logs consecutive equal reasons once,
-// until Raft has run.
+// setAndLogWaitReason sets what a node without Raft waits for. A reason equal to the last logged one is
+// not logged again until Raft has run.
 func (s *Store) setAndLogWaitReason(reason diskidentity.Reason) {
 	s.waitReason.Store(&reason)
 	if s.loggedWaitReason != reason.Text {
--- a/internal/cluster/store/wait_reason_test.go
+++ b/internal/cluster/store/wait_reason_test.go
@@ -40,7 +40,7 @@
 // TestWaitReasonIsCurrent guards against a status that shows the wait reason of an earlier incarnation
 // while the node reads its disk or starts Raft. The test records the wait reason at each file operation.
 func TestWaitReasonIsCurrent(t *testing.T) {
-	const older = "an error of the incarnation before"
+	const previousReason = "an error of the incarnation before"
 	s := newSingleNodeStore(t, zap.NewNop())
 	var mu sync.Mutex
 	var reasons []string
@@ -56,7 +56,7 @@
 			return ""
 		}})
 	}
-	s.setAndLogWaitReason(diskidentity.Reason{Text: older})
+	s.setAndLogWaitReason(diskidentity.Reason{Text: previousReason})
 	require.NoError(t, s.Start())
 	defer s.Close()
 	awaitNextIncarnation(t, s, nil)
@@ -64,7 +64,7 @@
 	defer mu.Unlock()
 	reasons = slices.Compact(reasons)
 	require.GreaterOrEqual(t, len(reasons), 3)
-	assert.Equal(t, []string{older, reportsWaitReason, raftWaitReason}, reasons[:3])
+	assert.Equal(t, []string{previousReason, reportsWaitReason, raftWaitReason}, reasons[:3])
 }
 
 // TestSameReasonAgain guards against a missing log message if a node waits for the same reason as before
--- a/internal/cluster/store/watermarks.go
+++ b/internal/cluster/store/watermarks.go
@@ -22,9 +22,9 @@
 type watermarks map[string]diskidentity.Watermark
 
 // observe raises a disk's watermark, and reports whether that changed it.
-func (w watermarks) observe(memberID string, mark diskidentity.Watermark) bool {
+func (w watermarks) observe(memberID string, watermark diskidentity.Watermark) bool {
 	old, known := w[memberID]
-	raised := old.Max(mark)
+	raised := old.Max(watermark)
 	if raised == old || !known && len(w) >= maxWatermarks {
 		return false
 	}
@@ -49,8 +49,8 @@
 func (p *peerPoller) loadWatermarks(saved watermarks) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for id, mark := range saved {
-		p.observed[id] = p.observed[id].Max(mark)
+	for id, watermark := range saved {
+		p.observed[id] = p.observed[id].Max(watermark)
 	}
 }
 
@@ -81,8 +81,8 @@
 func (p *peerPoller) observedWatermark(memberID string) *diskidentity.Watermark {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if mark, ok := p.observed[memberID]; ok {
-		return &mark
+	if watermark, ok := p.observed[memberID]; ok {
+		return &watermark
 	}
 	return nil
 }
--- a/internal/cluster/store/write.go
+++ b/internal/cluster/store/write.go
@@ -88,10 +88,10 @@
 // asFencedError converts a leader's response to a transaction to kv.ErrFenced if its status is 412. No
 // other error of a transaction has this status.
 func asFencedError(err error) error {
-	var answer *storeapi.StatusError
-	if errors.As(err, &answer) && answer.StatusCode == http.StatusPreconditionFailed {
-		lost := strings.TrimPrefix(answer.Text, kv.ErrFenced.Error()+": ")
-		return fmt.Errorf("%w: %s", kv.ErrFenced, lost)
+	var statusErr *storeapi.StatusError
+	if errors.As(err, &statusErr) && statusErr.StatusCode == http.StatusPreconditionFailed {
+		detail := strings.TrimPrefix(statusErr.Text, kv.ErrFenced.Error()+": ")
+		return fmt.Errorf("%w: %s", kv.ErrFenced, detail)
 	}
 	return err
 }
--- a/tests/disk_waits_test.go
+++ b/tests/disk_waits_test.go
@@ -169,7 +169,7 @@
 	c.Start(2)
 	c.requireRefusals(t, 1, 2)
 	c.waitForLog(t, 2, "must say that this disk is not older")
-	c.waitForLog(t, 2, "disk of voter replaced; its attestation is no longer required")
+	c.waitForLog(t, 2, "voter's disk replaced; attestation no longer required")
 	var status storeapi.Status
 	require.True(t, c.GetJSON(2, "/status", &status))
 	assert.NotZero(t, status.LastIndex, "how far the log of a waiting node is")
