--- a/internal/cluster/store/backup_restore.go
+++ b/internal/cluster/store/backup_restore.go
@@ -91,11 +91,11 @@
 
 // finish records the result and deletes the restore marker, so that other writes are accepted again.
 func (r *restoreWriter) finish(ctx context.Context) error {
-	text, err := json.Marshal(r.result)
+	encoded, err := json.Marshal(r.result)
 	if err != nil {
 		return err
 	}
-	r.batch = append(r.batch, kv.Delete(kv.RestoreKey), kv.Put(restoreResultKey, text))
+	r.batch = append(r.batch, kv.Delete(kv.RestoreKey), kv.Put(restoreResultKey, encoded))
 	return r.flush(ctx)
 }
 
--- a/internal/cluster/store/config.go
+++ b/internal/cluster/store/config.go
@@ -58,8 +58,8 @@
 }
 
 const (
-	defaultReplaceAfter = time.Minute
-	defaultForgetAfter  = 24 * time.Hour
+	defaultReplaceVoterAfter  = time.Minute
+	defaultRemoveLearnerAfter = 24 * time.Hour
 	// minMembershipChangeInterval is the minimum time between two membership changes. It equals pollInterval,
 	// so that each change is decided on peer reports that are newer than the change before.
 	minMembershipChangeInterval = 200 * time.Millisecond
@@ -120,8 +120,8 @@
 func (c *Config) membershipPolicy() membership.Policy {
 	return membership.Policy{
 		Voters:           cmp.Or(c.Voters, len(c.Peers)),
-		ReplaceAfter:     cmp.Or(time.Duration(c.ReplaceAfterMS)*time.Millisecond, defaultReplaceAfter),
-		ForgetAfter:      cmp.Or(time.Duration(c.ForgetAfterMS)*time.Millisecond, defaultForgetAfter),
+		ReplaceAfter:     cmp.Or(time.Duration(c.ReplaceAfterMS)*time.Millisecond, defaultReplaceVoterAfter),
+		ForgetAfter:      cmp.Or(time.Duration(c.ForgetAfterMS)*time.Millisecond, defaultRemoveLearnerAfter),
 		SettleTime:       minMembershipChangeInterval,
 		MaxEntriesBehind: maxEntriesBehind,
 	}
--- a/internal/cluster/store/disk_state.go
+++ b/internal/cluster/store/disk_state.go
@@ -96,9 +96,9 @@
 
 // incrementStartCount adds one to the stored number of starts, and returns the new number.
 func incrementStartCount(storage *raftstorage.Storage) (starts uint64, err error) {
-	text, err := storage.GetLocal(startCountKey)
-	if err == nil && text != nil {
-		starts, err = strconv.ParseUint(string(text), 10, 64)
+	value, err := storage.GetLocal(startCountKey)
+	if err == nil && value != nil {
+		starts, err = strconv.ParseUint(string(value), 10, 64)
 	}
 	if err != nil {
 		return 0, fmt.Errorf("starts: %w", err)
--- a/internal/cluster/store/handshake.go
+++ b/internal/cluster/store/handshake.go
@@ -31,12 +31,12 @@
 
 // sendHandshake sends the header and waits until the other node accepts it.
 func sendHandshake(conn net.Conn, header handshakeHeader, timeout time.Duration) error {
-	text, err := json.Marshal(header)
+	encoded, err := json.Marshal(header)
 	if err != nil {
 		return err
 	}
 	conn.SetDeadline(time.Now().Add(min(handshakeTimeout, timeout)))
-	if _, err := fmt.Fprintf(conn, "%s%s\n", handshakePrefix, text); err != nil {
+	if _, err := fmt.Fprintf(conn, "%s%s\n", handshakePrefix, encoded); err != nil {
 		return err
 	}
 	reply, err := readLine(conn)
@@ -55,8 +55,8 @@
 	if err != nil {
 		return header, fmt.Errorf("%w: %w", errHandshake, err)
 	}
-	text, ok := strings.CutPrefix(line, handshakePrefix[1:])
-	if err := json.Unmarshal([]byte(text), &header); !ok || err != nil {
+	encoded, ok := strings.CutPrefix(line, handshakePrefix[1:])
+	if err := json.Unmarshal([]byte(encoded), &header); !ok || err != nil {
 		return header, errHandshake
 	}
 	return header, nil
--- a/internal/cluster/store/last_good.go
+++ b/internal/cluster/store/last_good.go
@@ -18,9 +18,9 @@
 	if err != nil {
 		return err
 	}
-	text, err := json.Marshal(good)
+	encoded, err := json.Marshal(good)
 	if err == nil {
-		err = inc.storage.PutLocal(key, text)
+		err = inc.storage.PutLocal(key, encoded)
 	}
 	if err != nil {
 		return fmt.Errorf("save last good version of %s: %w", key, err)
@@ -35,10 +35,10 @@
 	if disk == nil {
 		return good, false, nil
 	}
-	text, err := disk.storage.GetLocal(key)
-	if err != nil || text == nil {
+	encoded, err := disk.storage.GetLocal(key)
+	if err != nil || encoded == nil {
 		return good, false, err
 	}
-	err = json.Unmarshal(text, &good)
+	err = json.Unmarshal(encoded, &good)
 	return good, err == nil, err
 }
--- a/internal/cluster/store/lease_service.go
+++ b/internal/cluster/store/lease_service.go
@@ -49,8 +49,8 @@
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
 	waiter := leaseWaiter{name: name, holder: holder}
-	if wake, ok := ls.waiters[waiter]; ok {
-		close(wake)
+	if signal, ok := ls.waiters[waiter]; ok {
+		close(signal)
 		delete(ls.waiters, waiter)
 	}
 }
@@ -65,12 +65,12 @@
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
 	waiter := leaseWaiter{name: name, holder: holder}
-	wake, ok := ls.waiters[waiter]
+	signal, ok := ls.waiters[waiter]
 	if !ok {
-		wake = make(chan struct{})
-		ls.waiters[waiter] = wake
+		signal = make(chan struct{})
+		ls.waiters[waiter] = signal
 	}
-	return wake
+	return signal
 }
 
 func (ls *leaseService) setDeadlines(deadlines *lease.DeadlineTable, term uint64) {
@@ -90,16 +90,16 @@
 	return ls.deadlines, nil
 }
 
-// withLeases calls do on the leases of this node's state, with the locks held, if deadlines are still the
+// withLeases calls fn on the leases of this node's state, with the locks held, if deadlines are still the
 // current ones. Otherwise it returns ErrNoLeader.
-func (s *Store) withLeases(deadlines *lease.DeadlineTable, do func(*lease.State, time.Duration)) error {
+func (s *Store) withLeases(deadlines *lease.DeadlineTable, fn func(*lease.State, time.Duration)) error {
 	ls := s.leases
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
 	if ls.deadlines != deadlines || deadlines == nil {
 		return ErrNoLeader
 	}
-	s.state.withLeases(func(state *lease.State) { do(state, ls.now()) })
+	s.state.withLeases(func(state *lease.State) { fn(state, ls.now()) })
 	return nil
 }
 
--- a/internal/cluster/store/majority_loss.go
+++ b/internal/cluster/store/majority_loss.go
@@ -25,14 +25,14 @@
 // is for the case that the majority is lost permanently. The caller confirms the recovery with the old
 // cluster's ID; otherwise Recover returns ErrNotConfirmed. The new cluster has a new ID, which the members
 // of the old cluster cannot rejoin. All entries in this node's log become committed.
-func Recover(cfg Config, cluster string) (report RecoveryReport, err error) {
+func Recover(cfg Config, confirmedClusterID string) (report RecoveryReport, err error) {
 	node, err := openStoppedNode(cfg)
 	if err != nil {
 		return report, err
 	}
 	defer func() { err = errors.Join(err, node.storage.Close()) }()
 	report = node.report
-	if cluster != report.Cluster || cluster == "" {
+	if confirmedClusterID != report.Cluster || confirmedClusterID == "" {
 		return report, fmt.Errorf("%w: the folder belongs to cluster %q", ErrNotConfirmed, report.Cluster)
 	}
 	self, _ := cfg.self()
@@ -82,11 +82,11 @@
 	}
 	previous = append(previous, r.previousCluster)
 	for key, value := range map[string]any{kv.ClusterKey: r.clusterID, kv.PreviousClustersKey: previous} {
-		text, err := json.Marshal(value)
+		encoded, err := json.Marshal(value)
 		if err != nil {
 			return nil, err
 		}
-		data.Entries[key] = kv.Entry{Value: text, ModRevision: data.Applied, CreateRevision: data.Applied, Version: 1}
+		data.Entries[key] = kv.Entry{Value: encoded, ModRevision: data.Applied, CreateRevision: data.Applied, Version: 1}
 	}
 	return &snapshot{data}, nil
 }
--- a/internal/cluster/store/members.go
+++ b/internal/cluster/store/members.go
@@ -120,13 +120,13 @@
 	out = storeapi.Members{Leader: s.self.Name, ConfigIndex: observed.conf.Index, WantedVoters: s.cfg.membershipPolicy().Voters, Removed: s.removedNames()}
 	for _, m := range observed.view.Members {
 		server, _ := findServer(observed.conf, m.ID)
-		out.Members = append(out.Members, memberRow(m, step, server, inc.memberID))
+		out.Members = append(out.Members, describeMember(m, step, server, inc.memberID))
 	}
 	slices.SortFunc(out.Members, func(a, b storeapi.Member) int { return strings.Compare(a.ID, b.ID) })
 	return out, nil
 }
 
-func memberRow(m membership.Member, step membership.Step, server raft.Server, leader string) storeapi.Member {
+func describeMember(m membership.Member, step membership.Step, server raft.Server, leader string) storeapi.Member {
 	row := storeapi.Member{
 		Name:          diskidentity.MemberName(m.ID),
 		ID:            m.ID,
@@ -211,11 +211,11 @@
 func (s *Store) recordIntent(putKey, deleteKey string) error {
 	var r kv.Request
 	if putKey != "" {
-		text, err := json.Marshal(time.Now().UTC().Format(time.RFC3339))
+		encoded, err := json.Marshal(time.Now().UTC().Format(time.RFC3339))
 		if err != nil {
 			return err
 		}
-		r.Then = append(r.Then, kv.Put(putKey, text))
+		r.Then = append(r.Then, kv.Put(putKey, encoded))
 	}
 	if deleteKey != "" {
 		r.Then = append(r.Then, kv.Delete(deleteKey))
--- a/internal/cluster/store/mirror_session.go
+++ b/internal/cluster/store/mirror_session.go
@@ -135,8 +135,8 @@
 	if _, err := m.store.WaitFresh(ctx, Freshness{}); err != nil {
 		return fmt.Errorf("wait for the log: %w", err)
 	}
-	known := m.store.state.entriesAfter(0)
-	last := m.store.AppliedRevision()
+	storeEntries := m.store.state.entriesAfter(0)
+	lastRevision := m.store.AppliedRevision()
 	rows, err := m.readRows(ctx)
 	if err != nil {
 		return err
@@ -144,8 +144,8 @@
 	var missing []kv.Request
 	hasEarlierClusterRows := false
 	for _, row := range rows {
-		hasEarlierClusterRows = hasEarlierClusterRows || row.index > last
-		if _, ok := known[row.key]; !ok && row.value.Valid && !strings.HasPrefix(row.key, kv.ReservedPrefix) {
+		hasEarlierClusterRows = hasEarlierClusterRows || row.index > lastRevision
+		if _, ok := storeEntries[row.key]; !ok && row.value.Valid && !strings.HasPrefix(row.key, kv.ReservedPrefix) {
 			missing = append(missing, m.importRequest(row))
 		}
 	}
--- a/internal/cluster/store/open_folder_faults.go
+++ b/internal/cluster/store/open_folder_faults.go
@@ -20,7 +20,7 @@
 		return nil, nil, err
 	}
 	return raftstorage.OpenFS(&faultfs.Injector{FS: folder, ActiveFault: func() string {
-		text, _ := os.ReadFile(dir + ".fault") // without the file, no fault is injected
-		return strings.TrimSpace(string(text))
+		fault, _ := os.ReadFile(dir + ".fault") // without the file, no fault is injected
+		return strings.TrimSpace(string(fault))
 	}})
 }
--- a/internal/cluster/store/peer_reports.go
+++ b/internal/cluster/store/peer_reports.go
@@ -92,13 +92,13 @@
 // accepts.
 func (p *peerPoller) requestJoin(ctx context.Context, inc *incarnation) error {
 	self := p.store.self
-	text, err := json.Marshal(storeapi.JoinRequest{ID: inc.memberID, RaftAddress: self.Raft, AdminAddress: self.Admin, Zone: self.Zone, SupportsLeases: true})
+	body, err := json.Marshal(storeapi.JoinRequest{ID: inc.memberID, RaftAddress: self.Raft, AdminAddress: self.Admin, Zone: self.Zone, SupportsLeases: true})
 	if err != nil {
 		return err
 	}
 	var rejections []string
 	for _, addr := range p.servingAddresses() {
-		err := p.postJoin(ctx, addr, text)
+		err := p.postJoin(ctx, addr, body)
 		if err == nil {
 			return nil
 		}
@@ -110,8 +110,8 @@
 	return fmt.Errorf("not taken in: %s", strings.Join(rejections, "; "))
 }
 
-func (p *peerPoller) postJoin(ctx context.Context, addr string, text []byte) error {
+func (p *peerPoller) postJoin(ctx context.Context, addr string, body []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, storeapi.CommitTimeout)
 	defer cancel()
-	return p.client.WithCommitTimeout().CallNode(ctx, addr, http.MethodPost, "/members", text, nil)
+	return p.client.WithCommitTimeout().CallNode(ctx, addr, http.MethodPost, "/members", body, nil)
 }
--- a/internal/cluster/store/raft.go
+++ b/internal/cluster/store/raft.go
@@ -66,8 +66,8 @@
 	conf.BatchApplyCh = true
 	conf.MaxAppendEntries = maxAppendEntries
 	conf.ShutdownOnRemove = false // supervise ends the incarnation of a removed member
-	out := &zapio.Writer{Log: s.log.Named("raft"), Level: zap.InfoLevel}
-	conf.Logger = hclog.New(&hclog.LoggerOptions{Level: hclog.Error, Output: out, DisableTime: true})
+	logWriter := &zapio.Writer{Log: s.log.Named("raft"), Level: zap.InfoLevel}
+	conf.Logger = hclog.New(&hclog.LoggerOptions{Level: hclog.Error, Output: logWriter, DisableTime: true})
 	return conf
 }
 
@@ -97,11 +97,11 @@
 }
 
 func (s *Store) bootstrap(inc *incarnation, conf *raft.Config, storage *raftstorage.FailStopStorage) error {
-	first, err := s.bootstrapConfiguration(inc)
+	members, err := s.bootstrapConfiguration(inc)
 	if err != nil {
 		return err
 	}
-	return raft.BootstrapCluster(conf, storage, storage, storage, inc.transport, first)
+	return raft.BootstrapCluster(conf, storage, storage, storage, inc.transport, members)
 }
 
 // bootstrapConfiguration returns the first configuration of a new cluster: all initial members with their
--- a/internal/cluster/store/replicated_state.go
+++ b/internal/cluster/store/replicated_state.go
@@ -151,9 +151,9 @@
 	return s.data.Leases.LastToken
 }
 
-// withLeases calls do on the leases with the lock held.
-func (s *replicatedState) withLeases(do func(*lease.State)) {
+// withLeases calls fn on the leases with the lock held.
+func (s *replicatedState) withLeases(fn func(*lease.State)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	do(s.data.Leases)
+	fn(s.data.Leases)
 }
--- a/internal/cluster/store/snapshot.go
+++ b/internal/cluster/store/snapshot.go
@@ -38,11 +38,11 @@
 // entry of the new state, but not for keys that the new state lacks.
 func (s *replicatedState) Restore(r io.ReadCloser) error {
 	defer r.Close()
-	text, err := io.ReadAll(r)
+	encoded, err := io.ReadAll(r)
 	if err != nil {
 		return fmt.Errorf("read snapshot: %w", err)
 	}
-	restored, err := decodeSnapshot(text)
+	restored, err := decodeSnapshot(encoded)
 	if err != nil {
 		return fmt.Errorf("read snapshot: %w", err)
 	}
@@ -67,17 +67,17 @@
 }
 
 // decodeSnapshot decodes a snapshot. An earlier version wrote a bare map of entries.
-func decodeSnapshot(text []byte) (*kv.State, error) {
+func decodeSnapshot(encoded []byte) (*kv.State, error) {
 	state := kv.New()
 	var form struct {
 		Applied *uint64      `json:"applied"`
 		Sum     *kv.Checksum `json:"sum"`
 	}
-	if json.Unmarshal(text, &form) == nil && form.Applied != nil {
-		if err := json.Unmarshal(text, state); err != nil {
+	if json.Unmarshal(encoded, &form) == nil && form.Applied != nil {
+		if err := json.Unmarshal(encoded, state); err != nil {
 			return nil, err
 		}
-	} else if err := decodeBareEntries(text, state); err != nil {
+	} else if err := decodeBareEntries(encoded, state); err != nil {
 		return nil, err
 	}
 	if state.Leases == nil || state.Leases.Leases == nil {
@@ -89,8 +89,8 @@
 	return state, nil
 }
 
-func decodeBareEntries(text []byte, state *kv.State) error {
-	if err := json.Unmarshal(text, &state.Entries); err != nil {
+func decodeBareEntries(encoded []byte, state *kv.State) error {
+	if err := json.Unmarshal(encoded, &state.Entries); err != nil {
 		return err
 	}
 	for _, e := range state.Entries {
--- a/internal/cluster/store/store.go
+++ b/internal/cluster/store/store.go
@@ -98,7 +98,7 @@
 
 // OnClose registers a function that Close calls. The functions are called in reverse order of
 // registration.
-func (s *Store) OnClose(do func()) { s.onClose = append(s.onClose, do) }
+func (s *Store) OnClose(fn func()) { s.onClose = append(s.onClose, fn) }
 
 // runIncarnations runs one incarnation after another until the Store is closed.
 func (s *Store) runIncarnations(storage *raftstorage.Storage) {
--- a/internal/cluster/store/watermarks.go
+++ b/internal/cluster/store/watermarks.go
@@ -35,9 +35,9 @@
 // readWatermarks reads the watermarks that saveWatermarks wrote.
 func readWatermarks(storage *raftstorage.Storage) (watermarks, error) {
 	w := watermarks{}
-	text, err := storage.GetLocal(peerWatermarksKey)
-	if err == nil && text != nil {
-		err = json.Unmarshal(text, &w)
+	encoded, err := storage.GetLocal(peerWatermarksKey)
+	if err == nil && encoded != nil {
+		err = json.Unmarshal(encoded, &w)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("watermarks of peers: %w", err)
@@ -56,11 +56,11 @@
 
 // saveWatermarks writes the observed watermarks to this node's disk if they have changed.
 func (p *peerPoller) saveWatermarks(inc *incarnation) {
-	text := p.takeUnsaved()
-	if text == nil {
+	encoded := p.takeUnsaved()
+	if encoded == nil {
 		return
 	}
-	if err := inc.storage.PutLocalUnsynced(peerWatermarksKey, text); err != nil {
+	if err := inc.storage.PutLocalUnsynced(peerWatermarksKey, encoded); err != nil {
 		p.store.log.Warn("peer watermarks not saved", zap.Error(err))
 	}
 }
@@ -72,8 +72,8 @@
 		return nil
 	}
 	p.unsaved = false
-	text, _ := json.Marshal(p.observed) // cannot fail: a map of integers by name
-	return text
+	encoded, _ := json.Marshal(p.observed) // cannot fail: a map of integers by name
+	return encoded
 }
 
 // observedWatermark returns the highest observed watermark of a disk, or nil if the disk was never
--- a/internal/cluster/store/write.go
+++ b/internal/cluster/store/write.go
@@ -40,11 +40,11 @@
 	if err := request.Validate(); err != nil {
 		return err
 	}
-	text, err := json.Marshal(list)
+	encoded, err := json.Marshal(list)
 	if err != nil {
 		return fmt.Errorf("encode commands: %w", err)
 	}
-	_, err = s.propose(ctx, text, addedBytes(request))
+	_, err = s.propose(ctx, encoded, addedBytes(request))
 	return err
 }
 
@@ -59,11 +59,11 @@
 		return kv.Response{}, ErrNoLeader
 	}
 	r.TimeMS = s.logClock.stamp(s.state.timeMS(), time.Now())
-	text, err := json.Marshal(r)
+	encoded, err := json.Marshal(r)
 	if err != nil {
 		return kv.Response{}, fmt.Errorf("encode request: %w", err)
 	}
-	return s.propose(s.ctx, text, addedBytes(&r))
+	return s.propose(s.ctx, encoded, addedBytes(&r))
 }
 
 // ExecuteOrForward executes a request on the leader; a follower forwards the request to the leader once.
@@ -77,11 +77,11 @@
 	if err != nil {
 		return response, err
 	}
-	text, err := json.Marshal(r)
+	encoded, err := json.Marshal(r)
 	if err != nil {
 		return response, fmt.Errorf("encode request: %w", err)
 	}
-	err = s.peers.client.WithCommitTimeout().CallNode(ctx, leader.Admin, http.MethodPost, "/txn", text, &response)
+	err = s.peers.client.WithCommitTimeout().CallNode(ctx, leader.Admin, http.MethodPost, "/txn", encoded, &response)
 	return response, asFencedError(err)
 }
 
@@ -98,7 +98,7 @@
 
 // propose appends an entry to the log and waits until it is committed and applied. size is the maximum
 // number of bytes that it adds to the state.
-func (s *Store) propose(ctx context.Context, text []byte, size int) (kv.Response, error) {
+func (s *Store) propose(ctx context.Context, encoded []byte, size int) (kv.Response, error) {
 	inc, err := s.running()
 	if err != nil {
 		return kv.Response{}, err
@@ -113,7 +113,7 @@
 	defer s.pending.release(size)
 	ctx, cancel := context.WithTimeout(ctx, storeapi.CommitTimeout+proposeTimeoutSlack)
 	defer cancel()
-	future := inc.raft.Apply(text, storeapi.CommitTimeout)
+	future := inc.raft.Apply(encoded, storeapi.CommitTimeout)
 	if err := awaitFuture(ctx, future); err != nil {
 		return kv.Response{}, fmt.Errorf("commit: %w", err)
 	}
