--- a/admission/advert.go
+++ b/admission/advert.go
@@ -16,7 +16,7 @@
 
 // updateAdvert advertises a value that has changed.
 func (c *Controller) updateAdvert() {
-	if c.settings.Advert == AdvertNone {
+	if c.settings.AdvertKind == AdvertNone {
 		return
 	}
 	value := c.advertValue()
@@ -27,7 +27,7 @@
 }
 
 func (c *Controller) advertValue() float64 {
-	switch c.settings.Advert {
+	switch c.settings.AdvertKind {
 	case AdvertMinRank:
 		return c.rejectedClassFraction()
 	case AdvertWeight:
--- a/admission/advert_test.go
+++ b/admission/advert_test.go
@@ -5,8 +5,8 @@
 )
 
 func TestAdvertKinds(t *testing.T) {
-	for _, kind := range []Advert{AdvertNone, AdvertMinRank, AdvertCredit, AdvertWeight} {
-		r := newDriver(t, func(s *Settings) { s.Advert = kind })
+	for _, kind := range []AdvertKind{AdvertNone, AdvertMinRank, AdvertCredit, AdvertWeight} {
+		r := newDriver(t, func(s *Settings) { s.AdvertKind = kind })
 		got := r.at(gaugeInterval, TimerFired{TimerID: r.controller.timerID, Gauges: Gauges{CPUUtilization: 0}})
 		published := count[Advertise](got)
 		if kind == AdvertNone && published != 0 || kind != AdvertNone && published != 1 {
--- a/admission/calls_test.go
+++ b/admission/calls_test.go
@@ -8,7 +8,7 @@
 func callSettings(s *Settings) {
 	s.Dependency = DependencyNextTier
 	s.Classes[0].MakesCalls, s.Classes[1].MakesCalls = true, true
-	s.Classes[1].Effect = AtMostOnce
+	s.Classes[1].ExecutionSemantics = AtMostOnce
 }
 
 func TestCallOutcomes(t *testing.T) {
--- a/admission/duplicates.go
+++ b/admission/duplicates.go
@@ -48,9 +48,9 @@
 func (c *Controller) storeKeyOf(r *request, free float64) {
 	class := &c.settings.Classes[r.class]
 	switch {
-	case class.Effect == Deduplicated:
+	case class.ExecutionSemantics == Deduplicated:
 		c.storeKey(r, class.DedupWindow)
-	case c.settings.ResultReuseWindow > 0 && class.Effect == Idempotent &&
+	case c.settings.ResultReuseWindow > 0 && class.ExecutionSemantics == Idempotent &&
 		free > c.settings.MemoryKB*minFreeForReadKeys:
 		c.storeKey(r, r.deadline-c.now+c.settings.ResultReuseWindow)
 	}
--- a/admission/duplicates_test.go
+++ b/admission/duplicates_test.go
@@ -6,7 +6,7 @@
 )
 
 func dedupSettings(s *Settings) {
-	s.Classes[1].Effect, s.Classes[1].DedupWindow = Deduplicated, 7*time.Second
+	s.Classes[1].ExecutionSemantics, s.Classes[1].DedupWindow = Deduplicated, 7*time.Second
 }
 
 func TestKeyIsStoredForWindowAndDuplicatesShare(t *testing.T) {
@@ -45,10 +45,10 @@
 func TestReadsShareResults(t *testing.T) {
 	r := newDriver(t, func(s *Settings) { s.ResultReuseWindow = time.Second })
 	a := arrival(1, 0)
-	a.HasSubject = true
+	a.HasLookupKey = true
 	r.want(r.at(0, a), StoreKey{1, 3 * time.Second}, Run{1})
 	b := arrival(2, 0)
-	b.HasSubject, b.DuplicateOf = true, 1
+	b.HasLookupKey, b.DuplicateOf = true, 1
 	r.want(r.at(ms, b), ShareResult{2})
 	r.want(r.at(ms, Completed{ID: 1, Outcome: OutcomeOK}, Completed{ID: 2, Outcome: OutcomeOK}))
 	if len(r.controller.requests) != 0 {
--- a/admission/events.go
+++ b/admission/events.go
@@ -19,8 +19,8 @@
 
 	// The rest is part of the event; no decision uses it.
 
-	HasSubject bool    // it names a subject
-	Rank       float64 // 0 to 1, by the weight of its class
+	HasLookupKey bool    // it names a subject
+	Rank         float64 // 0 to 1, by the weight of its class
 }
 
 // Completed reports that a run or a ShareResult ended, or that Preempt took effect.
--- a/admission/memory.go
+++ b/admission/memory.go
@@ -33,7 +33,7 @@
 // memoryToAdmit is what the admission of a request will take, with its key.
 func (c *Controller) memoryToAdmit(r *request) float64 {
 	need := c.memoryToStart(r)
-	if c.settings.Classes[r.class].Effect == Deduplicated {
+	if c.settings.Classes[r.class].ExecutionSemantics == Deduplicated {
 		need += c.settings.KeyMemoryKB
 	}
 	return need
--- a/admission/preempt.go
+++ b/admission/preempt.go
@@ -27,7 +27,7 @@
 // stopRun frees the cores of a run whose answer is given. A deduplicated run
 // goes on: its next duplicate shares the result.
 func (c *Controller) stopRun(r *request) {
-	if c.settings.Preemption != PreemptionNone && c.settings.Classes[r.class].Effect != Deduplicated {
+	if c.settings.Preemption != PreemptionNone && c.settings.Classes[r.class].ExecutionSemantics != Deduplicated {
 		c.emit(Preempt{r.id})
 	}
 }
--- a/admission/settings.go
+++ b/admission/settings.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Effect says how often a request of a class may be run.
-type Effect uint8
+// ExecutionSemantics says how often a request of a class may be run.
+type ExecutionSemantics uint8
 
 // The effects of a class.
 const (
-	Idempotent   Effect = iota // may be run again
-	Deduplicated               // at most once in its window for each idempotency key, over all attempts
-	AtMostOnce                 // an attempt is started once; attempts under other trace ids are not recognised
+	Idempotent   ExecutionSemantics = iota // may be run again
+	Deduplicated                           // at most once in its window for each idempotency key, over all attempts
+	AtMostOnce                             // an attempt is started once; attempts under other trace ids are not recognised
 )
 
 // Preemption says what Preempt does to a running request.
@@ -25,15 +25,15 @@
 	PreemptionPause                   // progress and memory are kept until Run
 )
 
-// Advert says how callers read the value of Advertise.
-type Advert uint8
+// AdvertKind says how callers read the value of Advertise.
+type AdvertKind uint8
 
 // The kinds of advertised value.
 const (
-	AdvertNone    Advert = iota // no value may be advertised
-	AdvertMinRank               // callers withhold requests whose rank is below the value
-	AdvertCredit                // requests that each caller may have outstanding
-	AdvertWeight                // probability, 0 to 1, that a caller does not skip the server
+	AdvertNone    AdvertKind = iota // no value may be advertised
+	AdvertMinRank                   // callers withhold requests whose rank is below the value
+	AdvertCredit                    // requests that each caller may have outstanding
+	AdvertWeight                    // probability, 0 to 1, that a caller does not skip the server
 )
 
 // Dependency says what the calls of running requests go to.
@@ -56,8 +56,8 @@
 	// Deadline is how long a client waits across all of its attempts.
 	Deadline time.Duration
 	// DedupWindow is, for Deduplicated, how long a duplicate may arrive.
-	DedupWindow time.Duration
-	Effect      Effect
+	DedupWindow        time.Duration
+	ExecutionSemantics ExecutionSemantics
 	// PriorityWeight is the value of one request, or of one unit of work with
 	// Settings.WeightPerWork. At least 0.
 	PriorityWeight float64
@@ -128,7 +128,7 @@
 	CallLinger time.Duration
 
 	Preemption Preemption
-	Advert     Advert
+	AdvertKind AdvertKind
 	// MaxIdleTimeout is the longest idle timeout of a connection.
 	MaxIdleTimeout time.Duration
 	// MaxRetryAfter is the longest retry advice that callers follow; 0: none.
--- a/admission/simulated_server_test.go
+++ b/admission/simulated_server_test.go
@@ -58,7 +58,7 @@
 	s := testSettings()
 	s.Cores = 1 + random.Intn(8)
 	s.Servers, s.Callers = 1+random.Intn(400), random.Intn(1200)
-	s.Preemption, s.Advert, s.Dependency = Preemption(random.Intn(3)), Advert(random.Intn(4)), Dependency(random.Intn(3))
+	s.Preemption, s.AdvertKind, s.Dependency = Preemption(random.Intn(3)), AdvertKind(random.Intn(4)), Dependency(random.Intn(3))
 	s.SlowStart, s.WeightPerWork, s.NotifiesCanceled = random.Intn(2) == 0, random.Intn(2) == 0, random.Intn(2) == 0
 	s.RunMemoryFactor, s.MaxIdleTimeout, s.CallQuota = 1+random.Float64()*15, 30*time.Second, 0.2+random.Float64()*3
 	s.MemoryKB = float64(s.Cores) * 10 * s.RunMemoryFactor * (2 + random.Float64()*20)
@@ -72,7 +72,7 @@
 	s.Classes = append(s.Classes, Class{LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 5})
 	for i := range s.Classes {
 		class := &s.Classes[i]
-		class.Effect = Effect(i)
+		class.ExecutionSemantics = ExecutionSemantics(i)
 		class.DedupWindow = 3 * time.Second
 		class.MakesCalls = random.Intn(2) == 0
 		class.DegradedFraction = float64(random.Intn(2)) / 2
@@ -124,7 +124,7 @@
 	case ShareResult:
 		s.find(a.ID).phase = serverAwaitingResult
 	case Advertise:
-		if s.settings.Advert == AdvertNone || a.Value < 0 {
+		if s.settings.AdvertKind == AdvertNone || a.Value < 0 {
 			s.t.Fatalf("at %v: advertised %v", s.now, a.Value)
 		}
 	case SetIdleTimeout:
@@ -148,7 +148,7 @@
 	if r.phase != serverQueued && r.phase != serverPaused {
 		s.t.Fatalf("at %v: run of request %d, which is %s", s.now, r.id, r.phase)
 	}
-	if r.phase == serverQueued && (r.ran || r.duplicateOf != 0) && s.settings.Classes[r.class].Effect != Idempotent {
+	if r.phase == serverQueued && (r.ran || r.duplicateOf != 0) && s.settings.Classes[r.class].ExecutionSemantics != Idempotent {
 		s.t.Fatalf("at %v: effect of request %d a second time", s.now, r.id)
 	}
 	if s.drainNoticedAt > 0 && r.arrivedAt > s.drainNoticedAt+s.settings.DrainGracePeriod {
--- a/internal/proxy/dispatch/arrival.go
+++ b/internal/proxy/dispatch/arrival.go
@@ -76,7 +76,7 @@
 			Tenant:       d.tenants[r.Tenant],
 			ExpectedWork: r.ExpectedWork,
 			MemoryKB:     r.ReservedKB,
-			HasSubject:   r.HasSubject,
+			HasLookupKey: r.HasSubject,
 			Retry:        r.IsRetry,
 			Rank:         r.Rank,
 		},
@@ -134,6 +134,6 @@
 }
 
 // effect says how often requests of r's class may run.
-func (d *Dispatcher) effect(r *request) admission.Effect {
-	return d.controllerSettings.Classes[r.Class].Effect
+func (d *Dispatcher) effect(r *request) admission.ExecutionSemantics {
+	return d.controllerSettings.Classes[r.Class].ExecutionSemantics
 }
--- a/internal/proxy/dispatch/idempotency.go
+++ b/internal/proxy/dispatch/idempotency.go
@@ -26,7 +26,7 @@
 // memory is full when the idempotency table is.
 func reserveKeyMemory(settings *admission.Settings, maxTableBytes int) {
 	for _, class := range settings.Classes {
-		if class.Effect == admission.Deduplicated {
+		if class.ExecutionSemantics == admission.Deduplicated {
 			maxKeys := max(1, maxTableBytes/idempotency.MaxEntryBytes)
 			settings.KeyMemoryKB = max(settings.KeyMemoryKB, settings.MemoryKB/float64(maxKeys))
 		}
--- a/internal/simproto/events.go
+++ b/internal/simproto/events.go
@@ -49,7 +49,7 @@
 		Age:          f.duration(fieldAge),
 		MemoryKB:     f.number(fieldMemoryKB),
 		Rank:         f.number(fieldRank),
-		HasSubject:   f.text(fieldKey) != "",
+		HasLookupKey: f.text(fieldKey) != "",
 		Retry:        f.flag(fieldRetry),
 		DuplicateOf:  uint32(f.count(fieldDuplicateOf, optional, math.MaxUint32)),
 	}
--- a/internal/simproto/reader_test.go
+++ b/internal/simproto/reader_test.go
@@ -30,7 +30,7 @@
 		{"ACCEPT\top_id=7\tcategory=1\trealm=2\tresource=k:x\ttime_left_ns=240\testimate_ns=12\theld_kb=24.5" +
 			"\tplace=0.625\tsrc=17\twaited_ns=18\tdup_of=9\trepeat=1\tlater=field",
 			admission.Arrival{ID: 7, Class: 1, Tenant: 2, Timeout: 240, ExpectedWork: 12, Age: 18, MemoryKB: 24.5,
-				HasSubject: true, Retry: true, Rank: 0.625, DuplicateOf: 9}},
+				HasLookupKey: true, Retry: true, Rank: 0.625, DuplicateOf: 9}},
 		{"COMPLETED\top_id=7\ttook_ns=5\toutcome=TOO_LATE", admission.Completed{ID: 7, Elapsed: 5, Outcome: admission.OutcomeNotStarted}},
 		{"LAPSED\top_id=4294967295", admission.Canceled{ID: 4294967295}},
 		{"AWAITING\top_id=7", admission.CallNeeded{ID: 7}},
@@ -67,10 +67,10 @@
 	c := b.Messages[0].Create
 	want := admission.Settings{
 		MinInterval: 4 * time.Millisecond, Servers: 10, Cores: 6, WeightPerWork: true,
-		Dependency: admission.DependencyNextTier, Preemption: admission.PreemptionPause, Advert: admission.AdvertCredit,
+		Dependency: admission.DependencyNextTier, Preemption: admission.PreemptionPause, AdvertKind: admission.AdvertCredit,
 		MemoryKB: 1000, RunMemoryFactor: 4, MaxRunsPerCore: 8, MaxRetryAfter: time.Second,
 		Tenants: []admission.Tenant{{QuotaPerSecond: 3}},
-		Classes: []admission.Class{{LatencyObjective: time.Second, Deadline: 2 * time.Second, Effect: admission.Deduplicated,
+		Classes: []admission.Class{{LatencyObjective: time.Second, Deadline: 2 * time.Second, ExecutionSemantics: admission.Deduplicated,
 			PriorityWeight: 2, DedupWindow: 5, MakesCalls: true, DegradedFraction: 0.5}},
 	}
 	if c.Seed != 5 || !reflect.DeepEqual(c.Settings, want) {
--- a/internal/sitesettings/convert.go
+++ b/internal/sitesettings/convert.go
@@ -40,7 +40,7 @@
 		CallLinger: server.CallLinger,
 
 		Preemption:        readWord(&words, preemptions, "family_info.halt", server.Preemption),
-		Advert:            readWord(&words, adverts, "family_info.advert", server.Advert),
+		AdvertKind:        readWord(&words, adverts, "family_info.advert", server.Advert),
 		NotifiesCanceled:  server.NotifiesCanceled,
 		DeepHealthChecks:  server.DeepHealthChecks,
 		MaxIdleTimeout:    server.MaxIdleTimeout,
@@ -66,13 +66,13 @@
 func (s *Settings) admissionClass(i int, words *wordReader) admission.Class {
 	class := &s.Classes[i]
 	converted := admission.Class{
-		LatencyObjective: min(class.LatencyObjective, class.Deadline),
-		ObjectiveStretch: class.ObjectiveStretch,
-		Deadline:         class.Deadline,
-		DedupWindow:      class.DedupWindow,
-		Effect:           readWord(words, effects, "classes.effect", class.Effect),
-		PriorityWeight:   class.PriorityWeight,
-		LateFraction:     class.LateFraction,
+		LatencyObjective:   min(class.LatencyObjective, class.Deadline),
+		ObjectiveStretch:   class.ObjectiveStretch,
+		Deadline:           class.Deadline,
+		DedupWindow:        class.DedupWindow,
+		ExecutionSemantics: readWord(words, effects, "classes.effect", class.Effect),
+		PriorityWeight:     class.PriorityWeight,
+		LateFraction:       class.LateFraction,
 	}
 	if i < len(s.Server.ClassMakesCalls) {
 		converted.MakesCalls = s.Server.ClassMakesCalls[i]
--- a/internal/sitesettings/terms.go
+++ b/internal/sitesettings/terms.go
@@ -4,7 +4,7 @@
 
 // Words of the settings; an absent word is "".
 
-var effects = map[string]admission.Effect{
+var effects = map[string]admission.ExecutionSemantics{
 	"idempotent":   admission.Idempotent,
 	"deduplicated": admission.Deduplicated,
 	"at_most_once": admission.AtMostOnce,
@@ -17,7 +17,7 @@
 	"pause": admission.PreemptionPause,
 }
 
-var adverts = map[string]admission.Advert{
+var adverts = map[string]admission.AdvertKind{
 	"":       admission.AdvertNone,
 	"none":   admission.AdvertNone,
 	"level":  admission.AdvertMinRank,
