--- a/internal/proxy/dispatch/actions.go
+++ b/internal/proxy/dispatch/actions.go
@@ -9,8 +9,8 @@
 	"oxbowbridge/admission"
 )
 
-// execute carries out one action of the controller. Actions on requests that are already
-// forgotten are skipped.
+// execute carries out one action of the admission controller. An action on a request that was
+// already removed is skipped.
 func (d *Dispatcher) execute(now time.Duration, a admission.Action) {
 	switch a := a.(type) {
 	case admission.Run:
@@ -26,8 +26,8 @@
 	case admission.ShareResult:
 		d.withRequest(a.ID, func(r *request) { d.joinOriginal(now, r) })
 	case admission.StoreKey, admission.EvictKey:
-		// The idempotency table learns from the requests when a key is first used, and when
-		// it is free again.
+		// Nothing to do: the dispatcher adds and removes keys in the idempotency table when requests
+		// arrive and end.
 	case admission.Advertise:
 		d.Exchange.SetAdvertisedValue(a.Value)
 	case admission.SetHealth:
@@ -37,7 +37,7 @@
 	case admission.SetTimer:
 		d.scheduleControllerTimer(now, a)
 	case admission.LogMessage:
-		d.Log.Info("admission controller remark", zap.String("text", a.Text))
+		d.Log.Info("admission controller message", zap.String("text", a.Text))
 	default:
 		d.Log.Error("unsupported admission action", zap.String("type", fmt.Sprintf("%T", a)))
 	}
@@ -49,8 +49,8 @@
 	}
 }
 
-// startOrReportGone starts a request. The controller expects an end for each start, also of a
-// request that is forgotten.
+// startOrReportGone starts a request. The controller expects a Completed event for each Run
+// action, so a request that was already removed is reported as not started.
 func (d *Dispatcher) startOrReportGone(now time.Duration, id uint32) {
 	r := d.byID[id]
 	if r == nil {
@@ -60,7 +60,8 @@
 	d.start(now, r)
 }
 
-// setHealthy sets the answer to health checks, and the listing where the settings have one.
+// setHealthy sets the health check status. If the settings enable readiness reports, it also sets
+// the availability in the service registry.
 func (d *Dispatcher) setHealthy(healthy bool) {
 	d.controllerHealthy = healthy
 	d.updateHealth()
--- a/internal/proxy/dispatch/arrival.go
+++ b/internal/proxy/dispatch/arrival.go
@@ -11,24 +11,26 @@
 	"oxbowbridge/internal/proxy/timerqueue"
 )
 
-// request is one that has no final response, or whose run goes on after its response.
+// request is the dispatcher's record of a request. It exists until the final response is sent and
+// the run, if any, has ended.
 type request struct {
 	*exchange.Request
-	id            uint32 // names the request for the controller
+	id            uint32 // identifies the request to the controller
 	state         state
-	answered      bool          // the final response was given
-	started       bool          // a run was started, whether or not it still goes on
-	preempted     bool          // by the controller: the end of its run puts it back into the queue
-	arrivedAt     time.Duration // at the machine
-	startedAt     time.Duration // when the run, or the wait for the original, began
-	calledAt      time.Duration // when the call in flight was made
-	callBody      []byte        // of the call that the run needs
+	answered      bool          // the final response was sent
+	started       bool          // a run was started; stays set after the run has ended
+	preempted     bool          // the controller preempted the run; the request is requeued when the run ends
+	arrivedAt     time.Duration // when the request arrived at this machine
+	startedAt     time.Duration // start of the run, or of the wait for the original attempt
+	calledAt      time.Duration // start of the call in flight
+	callBody      []byte        // body of the call that the run needs
 	callTimer     *timerqueue.Timer
-	ownedEntry    *idempotency.Entry // of the idempotency table, if this attempt may run
-	originalEntry *idempotency.Entry // of the idempotency table, if this attempt duplicates another
+	ownedEntry    *idempotency.Entry // idempotency table entry that this attempt owns; nil if none
+	originalEntry *idempotency.Entry // entry owned by the attempt that this one duplicates; nil if none
 }
 
-// arrive records a request and reports it to the controller.
+// arrive registers a request and reports it to the controller. A duplicate trace id fails the
+// request; an idempotency key that can't be claimed fails or rejects it.
 func (d *Dispatcher) arrive(q *exchange.Request) {
 	if d.isDuplicateTrace(q.TraceID) {
 		d.Log.Warn("duplicate trace id, request failed", zap.String("trace_id", q.TraceID))
@@ -49,7 +51,8 @@
 	d.report(d.arrivalOf(r))
 }
 
-// nextID returns an identifier that no recorded request has. 0 is none.
+// nextID returns an identifier that no registered request uses. It never returns 0, which stands
+// for "no request".
 func (d *Dispatcher) nextID() uint32 {
 	for {
 		d.lastID++
@@ -59,15 +62,16 @@
 	}
 }
 
-// pendingArrival is the event of a request until the controller is called. Its Age and
-// Timeout are not set, as they depend on the time of that call.
+// pendingArrival is an Arrival event that waits for the next call of the controller. Age and
+// Timeout are not set yet, because they depend on the time of that call.
 type pendingArrival struct {
 	admission.Arrival
 	arrivedAt       time.Duration
-	callerTimeoutAt time.Duration // when it is due; 0: not known, the deadline of the class counts
+	callerTimeoutAt time.Duration // when the caller stops waiting; 0 if unknown, the class deadline applies
 }
 
-// arrivalOf is the controller's event of a request.
+// arrivalOf returns the Arrival event of a request. A request that is read after the drain's grace
+// period counts as arrived now, and its timeout is its response deadline.
 func (d *Dispatcher) arrivalOf(r *request) pendingArrival {
 	p := pendingArrival{
 		Arrival: admission.Arrival{
@@ -95,12 +99,12 @@
 	return p
 }
 
-// passesTimeout tells whether the caller's own timeout counts.
+// passesTimeout reports whether the caller's own timeout applies instead of the class deadline.
 func (d *Dispatcher) passesTimeout(r *request) bool {
 	return d.SiteSettings.Server.PassesDeadline && r.Timeout > 0
 }
 
-// dueAt is when the request must have its response.
+// dueAt returns the time by which the request must have its response.
 func (d *Dispatcher) dueAt(r *request) time.Duration {
 	if d.passesTimeout(r) {
 		return r.arrivedAt + r.Timeout
@@ -108,19 +112,20 @@
 	return r.arrivedAt + d.controllerSettings.Classes[r.Class].Deadline
 }
 
-// at completes the event for a call of the controller.
+// at returns the event for a call of the controller at the given time.
 func (p pendingArrival) at(now time.Duration) admission.Event {
 	a := p.Arrival
 	a.Age = max(0, now-p.arrivedAt)
 	if p.callerTimeoutAt != 0 {
-		a.Timeout = max(1, p.callerTimeoutAt-now) // 0 would mean that it is not known
+		a.Timeout = max(1, p.callerTimeoutAt-now) // 0 would mean that the timeout is unknown
 	}
 	return a
 }
 
-// callerGone ends a request whose connection is lost, or that its caller cancelled: no
-// response can reach the caller, and its resources go to others. To respond all the same
-// releases the request's place in the exchange; the Responder drops the bytes.
+// callerGone ends a request that its caller cancelled or whose connection was closed. No response
+// can reach the caller, but respond must still be called to release the request's slot in the
+// exchange; the Responder drops the bytes. A run that waits for a call is stopped to free its
+// resources.
 func (d *Dispatcher) callerGone(q *exchange.Request) {
 	r := d.byTraceID[q.TraceID]
 	if r == nil || r.Request != q || r.answered {
@@ -133,7 +138,7 @@
 	}
 }
 
-// effect says how often requests of r's class may run.
+// effect returns the effect of r's class, which says how often its requests may run.
 func (d *Dispatcher) effect(r *request) admission.Effect {
 	return d.controllerSettings.Classes[r.Class].Effect
 }
--- a/internal/proxy/dispatch/atmostonce.go
+++ b/internal/proxy/dispatch/atmostonce.go
@@ -2,31 +2,31 @@
 
 import "oxbowbridge/admission"
 
-// This file has the rules by which a request whose class is not idempotent runs at most
-// once, whatever callers repeat and whatever the controller decides:
+// This file has the rules by which a request of a class that is not idempotent runs at most once,
+// whatever callers send again and whatever the controller decides:
 //
-//   - a trace id names one attempt: a second arrival under it is answered and never run
-//     (isDuplicateTrace), also after the first was forgotten (markSpent);
-//   - an attempt that was started is not started again (mayStart);
-//   - an attempt that duplicates another by its idempotency key is not started (mayStart);
-//   - no response promises that nothing ran when something may have (mayRejectSafely);
-//   - a run or call that may have happened is not sent again by a session (Job.Idempotent).
+//   - A trace id names one attempt. A second arrival with the same trace id gets a response and is
+//     never run (isDuplicateTrace), even after the first attempt was removed (markSpent).
+//   - An attempt that was started is not started again (mayStart).
+//   - An attempt that duplicates another by its idempotency key is not started (mayStart).
+//   - No response promises that nothing ran if a run may have happened (mayRejectSafely).
+//   - A session does not resend a run or call that may have happened (Job.Idempotent).
 //
-// A deduplicated class is one of them: its key keeps callers' attempts apart, and not what this
-// process sends twice.
+// The rules also apply to deduplicated classes: an idempotency key detects attempts that callers
+// repeat, but not messages that this process sends twice.
 
-// mayRepeat tells whether runs and calls of the request may happen more than once.
+// mayRepeat reports whether runs and calls of the request may happen more than once.
 func (d *Dispatcher) mayRepeat(r *request) bool { return d.effect(r) == admission.Idempotent }
 
-// isDuplicateTrace tells whether an attempt with this trace id is recorded or has run.
-// Callers send an attempt again when its connection was closed before a response: the first
-// one may run, so the second gets a response that promises nothing.
+// isDuplicateTrace reports whether an attempt with this trace id is registered or has run.
+// Callers resend an attempt if its connection was closed before a response. The first copy may be
+// running, so the response to the second copy makes no promise about it.
 func (d *Dispatcher) isDuplicateTrace(traceID string) bool {
 	_, spent := d.spentTraces[traceID]
 	return spent || d.byTraceID[traceID] != nil
 }
 
-// mayStart tells whether a run of the request may be started.
+// mayStart reports whether a run of the request may be started.
 func (d *Dispatcher) mayStart(r *request) bool {
 	if !r.state.permits(startRun) || r.answered {
 		return false
@@ -34,15 +34,15 @@
 	return d.mayRepeat(r) || !r.started && r.originalEntry == nil
 }
 
-// mayRejectSafely tells whether a response may promise that nothing ran: neither this
-// attempt nor the one that it duplicates.
+// mayRejectSafely reports whether a response may promise that nothing ran. For a class that is not
+// idempotent, neither this attempt nor the attempt that it duplicates may have been started.
 func (d *Dispatcher) mayRejectSafely(r *request) bool {
 	mayHaveRun := r.started || r.originalEntry != nil && r.originalEntry.Started
 	return d.mayRepeat(r) || !mayHaveRun
 }
 
-// markSpent keeps the trace id of an attempt that ran for as long as its caller may send it
-// again: the deadline of its class.
+// markSpent remembers the trace id of an attempt that ran, for as long as its caller may resend the
+// attempt: the deadline of its class.
 func (d *Dispatcher) markSpent(r *request) {
 	if !r.started || d.mayRepeat(r) {
 		return
--- a/internal/proxy/dispatch/calls.go
+++ b/internal/proxy/dispatch/calls.go
@@ -7,12 +7,12 @@
 	"oxbowbridge/internal/proxy/exchange"
 )
 
-// callReportSlack is how long after its expiry a call may still be reported as ended by
-// the dependency; then it is given up here.
+// callReportSlack is how long after a call's expiry the dependency client may still report its end.
+// After that the dispatcher cancels the call and reports it as timed out.
 const callReportSlack = 50 * time.Millisecond
 
-// callNeeded reports a run that waits for a call to the controller. The run of a request
-// that is answered is stopped instead.
+// callNeeded tells the controller that a run waits for a call. If the request already has its
+// response, the run is stopped instead.
 func (d *Dispatcher) callNeeded(r *request, body []byte) {
 	if !r.state.permits(needCall) {
 		return
@@ -26,8 +26,8 @@
 	d.report(admission.CallNeeded{ID: r.id})
 }
 
-// call makes the call that a run needs. It expires at the given time, or after the deadline
-// of the class if that is 0.
+// call starts the call that a run needs. The call expires at the given time; if expiry is 0, it
+// expires after the class deadline, measured from now.
 func (d *Dispatcher) call(now time.Duration, r *request, expiry time.Duration) {
 	if r.answered || !r.state.advance(sendCall) {
 		return
@@ -48,9 +48,9 @@
 	})
 }
 
-// callEnded gives a reply to the runner, and reports the end to the controller, which fails
-// the request if the call failed. Calls are retried by the DependencyClient alone, before
-// they end.
+// callEnded passes the reply of a successful call to the runner and reports the end of the call to
+// the controller, which fails the request if the call failed. Only the DependencyClient retries
+// calls, before it reports their end.
 func (d *Dispatcher) callEnded(r *request, o exchange.Outcome) {
 	d.Timers.Cancel(r.callTimer)
 	outcome := callOutcome(o.Result)
@@ -63,7 +63,7 @@
 	d.report(admission.CallCompleted{ID: r.id, Elapsed: d.Now() - r.calledAt, Outcome: outcome})
 }
 
-// callOutcome maps the end of a call to the controller's outcomes.
+// callOutcome maps the result of a call to the controller's outcome.
 func callOutcome(result exchange.Result) admission.Outcome {
 	switch result {
 	case exchange.ResultOK:
--- a/internal/proxy/dispatch/config.go
+++ b/internal/proxy/dispatch/config.go
@@ -10,63 +10,63 @@
 	"oxbowbridge/internal/sitesettings"
 )
 
-// Frontend accepts the connections of callers, and posts their requests to the exchange.
+// Frontend accepts connections of callers and submits their requests to the exchange.
 type Frontend interface {
-	// StopListening accepts no further connections. It does not block.
+	// StopListening stops accepting connections. It does not block.
 	StopListening()
-	// CloseIdle closes the connections that have had no open request for the given time.
-	// It returns how many remain, and how many bytes of responses are not sent yet.
+	// CloseIdle closes connections that have had no open request for at least the given time.
+	// It returns the number of remaining connections and of response bytes not yet sent.
 	CloseIdle(idle time.Duration) (remaining, unsentBytes int)
-	// Sweep does what CloseIdle does, and ends connections whose callers leave a message
-	// incomplete or do not read.
+	// Sweep closes idle connections like CloseIdle. It also closes stalled connections, whose callers
+	// leave a message incomplete or do not read responses.
 	Sweep(idle time.Duration)
-	// DrainConnections ends all connections, each once the requests read on it are answered.
+	// DrainConnections closes each connection as soon as all requests read from it have a response.
 	DrainConnections()
 }
 
-// LingeringConns are the connections, of frontends and clients, that this side has shut
-// down and that wait for their peers to close.
+// LingeringConns are connections of frontends and clients that this process has shut down and that
+// wait for their peers to close.
 type LingeringConns interface {
-	// ReapLingering closes those whose peers have had their time, and returns how many
-	// remain. now is by time.Now, the clock of the event loop, not by Config.Now.
+	// ReapLingering closes the connections whose linger time is over and returns the number that
+	// remain. now is read from time.Now, the event loop's clock, not from Config.Now.
 	ReapLingering(now time.Time) (remaining int)
 }
 
-// Registry lists the service with the balancers.
+// Registry registers the service for the balancers.
 type Registry interface {
-	// Register lists the service as available.
+	// Register registers the service as available.
 	Register()
-	// SetAvailable says whether the listed service takes work.
+	// SetAvailable sets whether the registered service accepts requests.
 	SetAvailable(available bool)
-	// Deregister removes the service from the list.
+	// Deregister removes the service from the registry.
 	Deregister()
 }
 
-// Config has what a Dispatcher works with. Fields without a default are required.
+// Config holds the dependencies and settings of a Dispatcher. Fields without a default are required.
 type Config struct {
-	// Exchange brings requests and outcomes to the dispatcher.
+	// Exchange delivers requests and outcomes to the dispatcher.
 	Exchange *exchange.Exchange
-	// Timers are shared with the backend side. The dispatcher's goroutine owns them.
+	// Timers is shared with the backend clients. Only the dispatcher's goroutine uses it.
 	Timers *timerqueue.Queue
 	// Runner runs requests: the engine, or AJP upstreams.
 	Runner exchange.Runner
-	// RunnerCannotPause says that the runner ends a run that it stops, also where the settings pause
-	// runs. No run is preempted then, as none could be resumed. Default false.
+	// RunnerCannotPause says that the runner ends every run that it stops, even if the settings ask
+	// for pauses. Runs are not preempted then, because they could not be resumed. Default false.
 	RunnerCannotPause bool
-	// Dependency makes the calls of runs to the records service.
+	// Dependency sends the calls of runs to the records service.
 	Dependency exchange.DependencyClient
-	// Registry lists the service with the balancers.
+	// Registry registers the service for the balancers.
 	Registry Registry
-	// Frontends take requests from callers.
+	// Frontends receive requests from callers.
 	Frontends []Frontend
-	// Lingering are the connections of all sides that are being closed.
+	// Lingering are the closing connections of frontends and backend clients.
 	Lingering LingeringConns
-	// MaxIdempotencyKeyBytes bounds the idempotency table, in bytes. 0 rejects every
-	// request of a deduplicated class.
+	// MaxIdempotencyKeyBytes limits the size of the idempotency table. If it is 0, all requests of
+	// deduplicated classes are rejected.
 	MaxIdempotencyKeyBytes int
 	// Now is a monotonic clock: the time since the start of the process.
 	Now func() time.Duration
-	// Log takes the dispatcher's messages.
+	// Log receives the dispatcher's messages.
 	Log *zap.Logger
 	// SiteSettings are the service's settings as configured.
 	SiteSettings *sitesettings.Settings
--- a/internal/proxy/dispatch/dispatcher.go
+++ b/internal/proxy/dispatch/dispatcher.go
@@ -11,44 +11,44 @@
 )
 
 const (
-	// sweepInterval is the time between two sweeps, which look for connections that are idle
-	// or stuck. frontend.maxStalledSweeps counts in it.
+	// sweepInterval is the time between two sweeps, which close idle and stalled connections.
+	// frontend.maxStalledSweeps is a number of these intervals.
 	sweepInterval = 200 * time.Millisecond
-	// lateTurnThreshold is how late a timer may run without a message in the log.
+	// lateTurnThreshold is the delay of a timer above which a warning is logged.
 	lateTurnThreshold = 20 * time.Millisecond
-	// maxTurnInterval is the time after which a turn begins if no timer is set.
+	// maxTurnInterval is the maximum time between two iterations if no timer is set.
 	maxTurnInterval = time.Minute
 )
 
-// Dispatcher connects frontends, admission controller, runner and dependency. The
-// goroutine that calls Run owns it; see the package comment.
+// Dispatcher connects frontends, admission controller, runner and dependency. It may be used only
+// by the goroutine that calls Run; see the package comment.
 type Dispatcher struct {
 	Config
 	controllerSettings admission.Settings
-	tenants            map[string]int // index by name
+	tenants            map[string]int // index in the settings, by name
 	idempotency        *idempotency.Table
 
 	controller    *admission.Controller // nil before the first event
 	pendingEvents []admission.Event     // for the next call of the controller
 	lastDecision  time.Duration         // when the controller was last called
-	inbox         []exchange.Event      // buffer of dequeue
+	inbox         []exchange.Event      // buffer reused for events dequeued from the exchange
 
 	lastID      uint32
 	byID        map[uint32]*request
 	byTraceID   map[string]*request
-	spentTraces map[string]struct{} // ran, and must not run again; see atmostonce.go
+	spentTraces map[string]struct{} // trace ids that have run and must not run again; see atmostonce.go
 
-	coldStart         bool          // the runner was cold when it became ready
-	readyAt           time.Duration // when the runner became ready; 0 before
-	warmAt            time.Duration // when it is warm
-	controllerHealthy bool          // the controller wants health checks to succeed
-	idleTimeout       time.Duration // of connections without open requests
+	coldStart         bool          // the runner was warming up when it became ready
+	readyAt           time.Duration // when the runner became ready; 0 if it is not ready yet
+	warmAt            time.Duration // end of the runner's warm-up
+	controllerHealthy bool          // health check status set by the controller
+	idleTimeout       time.Duration // after which connections without open requests are closed
 	gauges            gaugeReading
 	drain             drainState
 	rejections        rejectionLog
 }
 
-// New checks the settings and returns a Dispatcher.
+// New validates the settings and returns a Dispatcher.
 func New(c Config) (*Dispatcher, error) {
 	settings, err := ControllerSettings(c.SiteSettings)
 	if err != nil {
@@ -77,7 +77,7 @@
 	}, nil
 }
 
-// Run dispatches until the service has drained.
+// Run dispatches until the drain has finished.
 func (d *Dispatcher) Run() {
 	d.sweepConnections()
 	timer := time.NewTimer(0)
@@ -92,8 +92,8 @@
 	}
 }
 
-// awaitMinInterval keeps two calls of the controller apart by the time that its settings
-// promise it (MinInterval). Events that come meanwhile belong to one turn.
+// awaitMinInterval sleeps until MinInterval of the controller's settings has passed since the last
+// call of the controller. Events that are posted during the sleep are handled in one iteration.
 func (d *Dispatcher) awaitMinInterval() {
 	remaining := d.lastDecision + d.controllerSettings.MinInterval - d.Now()
 	if d.lastDecision > 0 && remaining > 0 {
@@ -109,15 +109,15 @@
 	return max(0, next-d.Now())
 }
 
-// turn handles what was posted, runs the timers that are due, and calls the controller
-// once if there are events for it.
+// turn runs one iteration: it handles posted events, runs the timers that are due, and calls the
+// controller once if there are events for it.
 func (d *Dispatcher) turn() {
 	d.handlePosted()
 	if next, ok := d.Timers.NextDue(); ok && d.Now()-next > lateTurnThreshold {
-		d.Log.Warn("dispatch turn late", zap.Int64("late_ms", (d.Now()-next).Milliseconds()))
+		d.Log.Warn("dispatcher timer ran late", zap.Int64("late_ms", (d.Now()-next).Milliseconds()))
 	}
 	d.Timers.RunDue(d.Now())
-	d.handlePosted() // once more, as timers may post
+	d.handlePosted() // again, because timers may post events
 	if len(d.pendingEvents) > 0 {
 		d.decide()
 	}
@@ -126,7 +126,7 @@
 	}
 }
 
-// handlePosted empties the exchange.
+// handlePosted handles events until the exchange is empty.
 func (d *Dispatcher) handlePosted() {
 	for {
 		d.inbox = d.Exchange.Dequeue(d.inbox)
@@ -156,7 +156,8 @@
 	}
 }
 
-// runnerReady lists the service, and has the controller start.
+// runnerReady registers the service with the service registry. It also reports a timer event, which
+// starts the controller if no request has arrived yet.
 func (d *Dispatcher) runnerReady(e exchange.RunnerReady) {
 	d.coldStart = e.ColdStart
 	d.readyAt = d.Now()
@@ -169,26 +170,26 @@
 	d.report(admission.TimerFired{Gauges: d.gauges.values})
 }
 
-// updateHealth sets the answer to health checks: failing until the runner is ready.
+// updateHealth sets the health check status. Health checks fail until the runner is ready.
 func (d *Dispatcher) updateHealth() { d.Exchange.SetHealthy(d.controllerHealthy && d.readyAt > 0) }
 
-// report adds an event for the controller. It must be called in a turn, before the
-// controller is.
+// report adds an event for the controller. It must be called before the controller is called in
+// the current iteration; see reportNextTurn.
 func (d *Dispatcher) report(e admission.Event) { d.pendingEvents = append(d.pendingEvents, e) }
 
-// reportNextTurn adds an event for the controller while its actions are carried out, and
-// has a turn follow.
+// reportNextTurn adds an event for the controller while its actions are being executed, and wakes
+// the dispatcher for another iteration that delivers the event.
 func (d *Dispatcher) reportNextTurn(e admission.Event) {
 	d.report(e)
 	d.Exchange.Wakeup()
 }
 
-// pendingEvent is an event whose spans of time depend on when the controller is called.
+// pendingEvent is an event with durations that depend on when the controller is called.
 type pendingEvent interface {
 	at(now time.Duration) admission.Event
 }
 
-// decide calls the controller and carries out its actions.
+// decide calls the controller with all pending events and executes the returned actions.
 func (d *Dispatcher) decide() {
 	if d.controller == nil {
 		d.startController()
@@ -207,22 +208,23 @@
 	}
 }
 
-// noSeed is the controller's seed, which is part of the simulator's protocol alone: no
-// decision is random.
+// noSeed is passed as the controller's seed. Only the simulator's protocol carries a seed; the
+// controller makes no random decisions.
 const noSeed = 0
 
-// startController creates the controller at the first event. If that is RunnerReady, the
-// slow start is the runner's; a request that arrives before has it taken from the settings.
+// startController creates the controller before its first event. If the runner is ready by then, it
+// determines whether the controller begins with a slow start; otherwise the settings do.
 func (d *Dispatcher) startController() {
 	d.controllerSettings.SlowStart = d.coldStart
 	controller, err := admission.New(d.controllerSettings, noSeed)
 	if err != nil {
-		panic(err) // ControllerSettings checked the same settings
+		panic(err) // unreachable: ControllerSettings has validated the settings
 	}
 	d.controller = controller
 }
 
-// sweepConnections closes connections that are idle, stuck, or have lingered long enough.
+// sweepConnections closes connections that are idle, stalled, or past their linger time, and
+// schedules the next sweep.
 func (d *Dispatcher) sweepConnections() {
 	d.Lingering.ReapLingering(time.Now())
 	for _, f := range d.Frontends {
--- a/internal/proxy/dispatch/drain.go
+++ b/internal/proxy/dispatch/drain.go
@@ -9,56 +9,60 @@
 	"oxbowbridge/internal/proxy/exchange"
 )
 
-// The drain, from the notice (SIGTERM) to the end of the process. All times count from the
-// notice, also where it is handled late; cmd/oxbowbridge gives a time that is no later.
+// The drain lasts from the termination signal (SIGTERM) to the exit of the process. All times are
+// measured from the signal, even if it is handled late. cmd/oxbowbridge passes a signal time that is
+// never later than the actual one. The stop is the time at which the process is killed from outside.
 //
-//   - At once: the registry lists the service as unavailable, and the controller gets a stop time
-//     that is stopReserve earlier. Requests are still taken, as balancers learn of a drain
-//     late.
-//   - After DrainGracePeriod (settings), at the latest stopReserve before the stop: listeners
-//     close, which takes them 50 ms, and connections close once they are idle. What is read later
-//     does not run.
-//   - drainConnectionsLead before the stop: DrainConnections, which drops incomplete messages.
-//   - The process ends when no connection, unsent byte or unanswered request has been left
-//     for closeRaceWindow, and exitLead before the stop in any case.
+//   - Immediately: the registry lists the service as unavailable, and the controller gets a stop time
+//     that is earlier by stopReserve. Requests are still accepted, because balancers learn of a drain
+//     with a delay.
+//   - After DrainGracePeriod (settings), but no later than stopReserve before the stop: listeners
+//     close, which takes 50 ms, and connections close when they are idle. Requests that are read
+//     after DrainGracePeriod do not run.
+//   - drainConnectionsLead before the stop: DrainConnections is called, which drops incomplete
+//     messages.
+//   - The process exits when it has had no connection, unsent byte or unanswered request for
+//     closeRaceWindow, and in any case exitLead before the stop.
 //
-// Two more times stand elsewhere: the controller rejects what arrives after DrainGracePeriod,
-// which it does not cut at a near stop, and answers all by answerBeforeStop before the stop
-// time that it got (admission/drain.go); a service with a store is stopped earlier, to close
-// the store (cmd/oxbowbridge).
+// Two related times are defined elsewhere. The controller rejects requests that arrive after
+// DrainGracePeriod, which it does not shorten for a near stop, and responds to all requests by
+// answerBeforeStop before the stop time that it got (admission/drain.go). A service with a store is
+// stopped earlier, to leave time to close the store (cmd/oxbowbridge).
 const (
-	// stopReserve is kept of the drain timeout for the last responses and closes.
+	// stopReserve is the part of the drain timeout reserved for the last responses and for closing
+	// connections.
 	stopReserve = 250 * time.Millisecond
-	// exitLead is how long before the stop the process ends, whatever is left.
+	// exitLead is how long before the stop the process exits, even if requests or connections remain.
 	exitLead = 100 * time.Millisecond
-	// closeRaceWindow is for how long nothing must be left before the process ends: a request
-	// may have crossed the close of its connection, and comes again on another one.
+	// closeRaceWindow is how long the process must have had no connections and no pending work before
+	// it exits. A request sent while its connection was being closed is lost, and the caller resends it
+	// on another connection.
 	closeRaceWindow = 2 * exchange.MaxCloseRace
-	// drainConnectionsLead is how long before the stop connections with incomplete messages end.
+	// drainConnectionsLead is how long before the stop connections with incomplete messages are closed.
 	drainConnectionsLead = exitLead + closeRaceWindow
-	// drainPollInterval is the time between two looks at what is left.
+	// drainPollInterval is the interval at which the dispatcher checks for remaining work.
 	drainPollInterval = 20 * time.Millisecond
 )
 
-// drainState is how far a drain has come.
+// drainState is the progress of a drain.
 type drainState struct {
 	started         bool
-	graceEndsAt     time.Duration // what is read later must not run
-	stopAt          time.Duration // when the process will be stopped from outside
-	closeAt         time.Duration // when listeners and idle connections close
-	emptySince      time.Duration // when nothing was left to do; 0: something is
-	listenersClosed bool          // or closing
+	graceEndsAt     time.Duration // requests read later must not run
+	stopAt          time.Duration // when the process will be killed from outside
+	closeAt         time.Duration // when listeners and idle connections are closed
+	emptySince      time.Duration // since when there has been no remaining work; 0 if there is some
+	listenersClosed bool          // StopListening was called on all frontends
 	finished        bool
 }
 
-// Drain starts the drain. The notice came at noticedAt, by the clock of Now, and the process will be
-// stopped `timeout` after it. Further notices are ignored. It must be called in the
-// dispatcher's goroutine.
+// Drain starts the drain. The termination signal was received at noticedAt, by the clock of Now, and
+// the process will be killed `timeout` later. Calls after the first are ignored. Drain must be
+// called in the dispatcher's goroutine.
 func (d *Dispatcher) Drain(noticedAt, timeout time.Duration) {
 	if d.drain.started {
 		return
 	}
-	wallTime := time.Now() // read first, so that the logged time is no later than the notice
+	wallTime := time.Now() // read before d.Now, so that the logged signal time is never too late
 	waited := d.Now() - noticedAt
 	stopAt := noticedAt + timeout
 	d.drain.started = true
@@ -77,30 +81,31 @@
 	d.pollDrain()
 }
 
-// drainGraceOver tells whether a request that is read now came too late to run. When it arrived is
-// its caller's word, by the caller's clock, and maybe long before its last byte; past the grace it
-// counts as arrived when it is read.
+// drainGraceOver reports whether the drain's grace period is over, so that a request that is read now
+// must not run. The request's own arrival time does not count here: it is sent by the caller, read
+// from the caller's clock, and possibly long before the last byte of the request.
 func (d *Dispatcher) drainGraceOver(now time.Duration) bool {
 	return d.drain.started && now > d.drain.graceEndsAt
 }
 
-// pendingDrain is the event of the drain until the controller is called, which may be late.
+// pendingDrain is a Drain event that waits for the next call of the controller.
 type pendingDrain struct {
 	admission.Drain
 	noticedAt time.Duration
-	stopAt    time.Duration // for the controller
+	stopAt    time.Duration // stop time for the controller, earlier than the actual stop
 }
 
-// at completes the event for a call of the controller.
+// at returns the event for a call of the controller at the given time.
 func (p pendingDrain) at(now time.Duration) admission.Event {
 	return admission.Drain{StopIn: max(0, p.stopAt-now), Age: now - p.noticedAt}
 }
 
-// pollDrain has a turn, and with it advanceDrain, follow each interval.
+// pollDrain reschedules itself every drainPollInterval. The timer causes an iteration of Run, which
+// calls advanceDrain.
 func (d *Dispatcher) pollDrain() { d.Timers.Schedule(d.Now()+drainPollInterval, d.pollDrain) }
 
-// advanceDrain closes what is idle once the grace is over, and finishes the drain when
-// nothing is left or the stop is near.
+// advanceDrain closes listeners and idle connections after closeAt. It finishes the drain when no
+// work remains or the stop is near.
 func (d *Dispatcher) advanceDrain() {
 	now := d.Now()
 	if now < d.drain.closeAt {
@@ -123,7 +128,7 @@
 	}
 }
 
-// closeListeners closes the listeners, once.
+// closeListeners closes the listeners of all frontends on its first call.
 func (d *Dispatcher) closeListeners() {
 	if d.drain.listenersClosed {
 		return
@@ -134,9 +139,9 @@
 	}
 }
 
-// closeIdle closes idle connections, and near the stop also those with incomplete messages,
-// which will not be requests any more. It returns how many remain, and how many bytes are
-// not sent yet.
+// closeIdle closes idle connections. Near the stop it also closes connections with incomplete
+// messages, which can't become requests in time. It returns the number of remaining connections and
+// of bytes not yet sent.
 func (d *Dispatcher) closeIdle(now time.Duration) (remaining, unsentBytes int) {
 	remaining = d.Lingering.ReapLingering(time.Now())
 	for _, f := range d.Frontends {
@@ -150,7 +155,7 @@
 	return remaining, unsentBytes
 }
 
-// unanswered counts the requests without a final response.
+// unanswered returns the number of requests without a final response.
 func (d *Dispatcher) unanswered() int {
 	count := 0
 	for _, r := range d.byID {
--- a/internal/proxy/dispatch/drain_test.go
+++ b/internal/proxy/dispatch/drain_test.go
@@ -14,7 +14,7 @@
 	"oxbowbridge/internal/sitesettings"
 )
 
-// idleRegistry is a Registry that does nothing.
+// idleRegistry is a no-op Registry.
 type idleRegistry struct{}
 
 func (idleRegistry) Register()         {}
@@ -27,8 +27,8 @@
 		"idle_ns": 15000000000, "memory_kb": 1000, "run_factor": 1, "own_stats": ["core_use"]},
 	"safety": {"answer_slack_ns": 80000000, "cold_ns": 16000000000, "cold_share": 0.2, "drain_grace_ns": 2500000000, "fall_multiple": 8, "fall_ns": 3000000000}}`
 
-// TestDrainCountsFromTheNotice: a notice that a late turn comes to counts from when it came,
-// for the dispatcher and for the controller.
+// TestDrainCountsFromTheNotice checks that drain times are measured from the termination signal, not
+// from when it is handled, both in the dispatcher and in the controller's event.
 func TestDrainCountsFromTheNotice(t *testing.T) {
 	var settings sitesettings.Settings
 	require.NoError(t, json.Unmarshal([]byte(smallSite), &settings))
@@ -43,6 +43,6 @@
 	require.Len(t, d.pendingEvents, 1)
 	pending := d.pendingEvents[0].(pendingEvent)
 	require.Equal(t, admission.Drain{StopIn: stop - waited - stopReserve, Age: waited}, pending.at(now))
-	const late = 70 * time.Millisecond // of the controller's turn
+	const late = 70 * time.Millisecond // delay until the controller is called
 	require.Equal(t, admission.Drain{StopIn: stop - waited - late - stopReserve, Age: waited + late}, pending.at(now+late))
 }
--- a/internal/proxy/dispatch/gauges.go
+++ b/internal/proxy/dispatch/gauges.go
@@ -7,39 +7,40 @@
 )
 
 const (
-	// gaugePollLead is how long before a controller's timer the runner is polled for its
-	// gauges, so that the answer has come when the timer is due.
+	// gaugePollLead is how long before a timer of the controller the gauges are requested from the
+	// runner, so that they have been received when the timer is due.
 	gaugePollLead = 8 * time.Millisecond
-	// maxDecisionGaugeAge is the age up to which gauges describe the present for the
-	// controller; older ones count as unknown.
+	// maxDecisionGaugeAge is the maximum age of gauges that are passed to the controller. Older gauges
+	// are reported as unknown.
 	maxDecisionGaugeAge = time.Second
-	// maxLoadGaugeAge is the age up to which gauges describe the load for Load.
+	// maxLoadGaugeAge is the maximum age of gauges that Load returns as known.
 	maxLoadGaugeAge = 10 * time.Second
 )
 
-// gaugeReading is the runner's latest measurement.
+// gaugeReading holds the gauges that were last received from the runner.
 type gaugeReading struct {
 	values admission.Gauges
-	readAt time.Duration // 0: there was none yet
+	readAt time.Duration // 0 if no gauges have been received yet
 }
 
-// Load returns the fraction of the cores in use, whether that is known, and whether the
-// runner is warm. It must be called in the dispatcher's goroutine.
+// Load returns the CPU utilization as a fraction of all cores, whether that value is known, and
+// whether the runner has warmed up. It must be called in the dispatcher's goroutine.
 func (d *Dispatcher) Load() (coreUse float64, known, warm bool) {
-	d.Runner.RequestGauges() // for the next call
+	d.Runner.RequestGauges() // for the next call of Load
 	now := d.Now()
 	known = d.gauges.readAt > 0 && now-d.gauges.readAt <= maxLoadGaugeAge
 	warm = d.readyAt > 0 && now >= d.warmAt
 	return d.gauges.values.CPUUtilization, known, warm
 }
 
-// scheduleControllerTimer sets a timer for the controller, which gets the gauges when it is due.
+// scheduleControllerTimer sets a timer for the controller. When the timer fires, the controller gets
+// the gauges with the timer event.
 func (d *Dispatcher) scheduleControllerTimer(now time.Duration, a admission.SetTimer) {
 	if a.After > gaugePollLead {
 		d.Timers.Schedule(now+a.After-gaugePollLead, d.Runner.RequestGauges)
 	}
 	d.Timers.Schedule(now+a.After, func() {
-		// Guards against a connection that is down, or a runner that does not respond.
+		// Gauges are outdated if the connection is down or the runner does not respond.
 		if d.Now()-d.gauges.readAt > maxDecisionGaugeAge {
 			d.gauges.values = d.SiteSettings.Gauges(nil)
 		}
--- a/internal/proxy/dispatch/idempotency.go
+++ b/internal/proxy/dispatch/idempotency.go
@@ -11,19 +11,20 @@
 	"oxbowbridge/internal/proxy/idempotency"
 )
 
-// This file has the rules by which the attempts of one request of a deduplicated class
-// share one run. The idempotency key names the request:
+// This file has the rules by which the attempts of one request of a deduplicated class share one
+// run. The idempotency key identifies the request:
 //
-//   - the first attempt owns the key, and may run; each further one is a duplicate, which
-//     is answered with the owner's result and never run;
-//   - a key that comes with another class or body fails, and nothing runs;
-//   - a key for which the table has no room is rejected, with the time of the next free
-//     place as retry advice;
-//   - a key whose owner ran is kept for the class's window and deadline after the owner's
-//     arrival (completeKey); one whose owner never ran is free at once.
+//   - The first attempt owns the key and may run. Each later attempt is a duplicate, which gets the
+//     owner's result as its response and never runs.
+//   - An attempt that uses a known key with a different class or body fails without running.
+//   - If the table has no capacity for a new key, the attempt is rejected. Its Retry-After is the
+//     time until the next key expires.
+//   - A key whose owner was started is stored until the class's deduplication window plus its
+//     deadline have passed since the owner's arrival (completeKey). A key whose owner never ran is
+//     removed immediately.
 
-// reserveKeyMemory raises the memory that the controller counts for a key, so that its
-// memory is full when the idempotency table is.
+// reserveKeyMemory raises the memory per key in the controller's settings, so that the controller
+// considers its memory full no later than the idempotency table is full.
 func reserveKeyMemory(settings *admission.Settings, maxTableBytes int) {
 	for _, class := range settings.Classes {
 		if class.Effect == admission.Deduplicated {
@@ -33,8 +34,8 @@
 	}
 }
 
-// claimKey finds the attempt's place in the idempotency table. It reports false, with the
-// request answered, if there is none.
+// claimKey claims the attempt's idempotency key: the attempt becomes the key's owner or a duplicate.
+// If the claim fails, claimKey sends the response and returns false.
 func (d *Dispatcher) claimKey(r *request) bool {
 	now := d.Now()
 	key := idempotency.Request{Key: r.IdempotencyKey, Class: r.Class, Body: r.Body}
@@ -45,7 +46,7 @@
 		d.sendResponse(r.Request, exchange.Response{Kind: exchange.Failed, InvalidRequest: true})
 		return false
 	case err != nil:
-		d.Log.Warn("request rejected, idempotency table full", zap.Int("keys", d.idempotency.Len()))
+		d.Log.Warn("request rejected: idempotency table full", zap.Int("keys", d.idempotency.Len()))
 		d.sendResponse(r.Request, exchange.Response{Kind: exchange.Rejected, RetryAfter: d.untilKeyExpires(now)})
 		return false
 	case claim.Owned:
@@ -56,16 +57,17 @@
 	return true
 }
 
-// untilKeyExpires is the time until the next key expires, within what callers honour. It is
-// 0 if none will expire by itself.
+// untilKeyExpires returns the time until the next key expires, limited to the maximum Retry-After
+// that callers honor. It returns 0 if no key has an expiry time.
 func (d *Dispatcher) untilKeyExpires(now time.Duration) time.Duration {
 	next, _ := d.idempotency.NextExpiry()
 	return min(max(0, next-now), d.controllerSettings.MaxRetryAfter)
 }
 
-// completeKey records the result of the attempt that owns a key, nil if it has none, and
-// answers its duplicates. Duplicates come while the class's window is open, which is
-// counted from the owner's arrival, and wait no longer than the class's deadline after that.
+// completeKey stores the result of an attempt that owns a key (nil if there is no result) and
+// responds to its duplicates. Duplicates arrive within the class's deduplication window, measured
+// from the owner's arrival, and wait at most the class's deadline after they arrive. The key expires
+// after both.
 func (d *Dispatcher) completeKey(r *request, result []byte) {
 	if r.ownedEntry == nil {
 		return
@@ -77,7 +79,8 @@
 	}
 }
 
-// joinOriginal answers a duplicate with the result of its original, now or when there is one.
+// joinOriginal responds to a duplicate with the result of its original attempt, immediately if the
+// original has ended, otherwise when it ends.
 func (d *Dispatcher) joinOriginal(now time.Duration, r *request) {
 	if r.originalEntry == nil || r.answered || !r.state.advance(joinOriginalRun) {
 		return
@@ -90,7 +93,7 @@
 	}
 }
 
-// answerDuplicate ends a duplicate that waits for its original.
+// answerDuplicate responds to a duplicate that waits for its original attempt, which has ended.
 func (d *Dispatcher) answerDuplicate(r *request) {
 	if r == nil || r.state != awaitingOriginal {
 		return
--- a/internal/proxy/dispatch/invariants_test.go
+++ b/internal/proxy/dispatch/invariants_test.go
@@ -19,7 +19,7 @@
 	"oxbowbridge/internal/sitesettings"
 )
 
-// The classes of invariantSite, by their index.
+// Indexes of the classes in invariantSite.
 const (
 	classIdempotent = iota
 	classDeduplicated
@@ -27,7 +27,7 @@
 	classCount
 )
 
-// invariantSite has a class of each effect; the word for %s is what a preemption does.
+// invariantSite is a settings template with one class of each effect. %s is the preemption setting.
 const invariantSite = `{"tick_ns": 4000000, "servers": 1, "counted_by": "work",
 	"bounds": {"max_retry_after_ns": 2000000000, "retry_after": true},
 	"classes": [
@@ -38,7 +38,8 @@
 		"idle_ns": 15000000000, "memory_kb": 400, "run_factor": 1.5, "tells_gone": true, "kb_per_key": 1, "own_stats": ["core_use"]},
 	"safety": {"answer_slack_ns": 80000000, "cold_ns": 6000000000, "cold_share": 0.2, "drain_grace_ns": 600000000, "fall_multiple": 8, "fall_ns": 1000000000}}`
 
-// surroundings stand in for all that a Dispatcher is connected to, and check what it does.
+// surroundings is a fake of the dispatcher's runner, dependency and frontend. It checks invariants on
+// each call that the dispatcher makes.
 type surroundings struct {
 	t          *testing.T
 	dispatcher *Dispatcher
@@ -47,24 +48,24 @@
 	now        time.Duration
 
 	requests  []*exchange.Request
-	runs      map[string]int    // started, by trace id
-	results   map[string][]byte // of the latest run, by trace id
-	keyRuns   map[string]int    // started, by idempotency key
-	inRun     []string          // trace ids of runs that have not been reported as ended
+	runs      map[string]int    // number of started runs, by trace id
+	results   map[string][]byte // result of the latest run, by trace id
+	keyRuns   map[string]int    // number of started runs, by idempotency key
+	inRun     []string          // trace ids of recently started runs, which may be reported as ended
 	calls     []string          // trace ids of calls in flight
-	stopped   []string          // trace ids of runs that were told to stop
+	stopped   []string          // trace ids of stopped runs whose end is still to be reported
 	responses int
-	restarted int // runs that were announced as not the first of their request
+	restarted int // number of runs started with Job.Restarted
 }
 
 // attempt is the Responder of one request.
 type attempt struct {
 	*surroundings
 	request *exchange.Request
-	count   int // of responses
+	count   int // number of responses
 }
 
-// Respond checks the rules of responses.
+// Respond checks that a request gets one response and that the response is true.
 func (a *attempt) Respond(r exchange.Response) {
 	a.count++
 	a.responses++
@@ -80,14 +81,14 @@
 	}
 }
 
-// Run checks that nothing runs twice that must run once.
+// Run checks that a request that must run at most once is not run again.
 func (s *surroundings) Run(a exchange.Job) {
 	s.runs[a.TraceID]++
 	s.results[a.TraceID] = fmt.Append(nil, "result of ", string(a.Body))
 	s.inRun = append(s.inRun, a.TraceID)
 	if a.Restarted {
 		s.restarted++
-		require.True(s.t, a.Idempotent && s.runs[a.TraceID] > 1, "a run is restarted only after another one that may be repeated")
+		require.True(s.t, a.Idempotent && s.runs[a.TraceID] > 1, "only an idempotent request that has run before is restarted")
 	}
 	if a.Idempotent {
 		return
@@ -106,7 +107,7 @@
 }
 
 func (s *surroundings) Call(a exchange.Job) {
-	require.Positive(s.t, s.runs[a.TraceID], "calls belong to runs")
+	require.Positive(s.t, s.runs[a.TraceID], "a call needs a started run")
 	s.calls = append(s.calls, a.TraceID)
 }
 
@@ -124,21 +125,21 @@
 	return traceIDs[s.random.IntN(len(traceIDs))]
 }
 
-// idleFrontend has no connections.
+// idleFrontend is a Frontend without connections.
 type idleFrontend struct{ *surroundings }
 
-// Sweep does nothing.
+// Sweep is a no-op.
 func (idleFrontend) Sweep(time.Duration) {}
 
-// noLingering has no connections.
+// noLingering is a LingeringConns without connections.
 type noLingering struct{}
 
-// ReapLingering finds nothing.
+// ReapLingering reports that no connections remain.
 func (noLingering) ReapLingering(time.Time) int { return 0 }
 
-// TestInvariants: whatever callers repeat, however runs and calls end, and whatever actions
-// come, a request has one response, nothing that must run once runs twice, and no rejection
-// follows a run.
+// TestInvariants runs the dispatcher with random arrivals, duplicates, outcomes and controller actions.
+// It checks that each request gets one response, that no request which must run at most once runs
+// twice, and that no request is rejected after it may have run.
 func TestInvariants(t *testing.T) {
 	const schedules, turns, drainTurn = 90, 500, 350
 	responses, restarted := 0, 0
@@ -151,7 +152,7 @@
 			}
 			s.arrivals()
 			s.outcomes()
-			s.dispatcher.handlePosted() // so that actions also meet requests of which the controller does not know yet
+			s.dispatcher.handlePosted() // so that actions can also target requests not yet reported to the controller
 			s.actions()
 			s.dispatcher.turn()
 		}
@@ -160,7 +161,7 @@
 		restarted += s.restarted
 	}
 	require.Greater(t, responses, 10_000)
-	require.Positive(t, restarted, "runs that were ordered anew after a preemption")
+	require.Positive(t, restarted, "runs that were restarted after a preemption")
 }
 
 func newSurroundings(t *testing.T, seed uint64) *surroundings {
@@ -195,8 +196,8 @@
 	return s
 }
 
-// arrivals submits requests. Some are sent again, some have the idempotency key of an
-// earlier one, and some callers go away.
+// arrivals submits random requests. Some repeat an earlier request, some reuse the idempotency key of
+// an earlier one, and some are cancelled.
 func (s *surroundings) arrivals() {
 	for range s.random.IntN(4) {
 		request := s.newRequest()
@@ -233,12 +234,12 @@
 	return request
 }
 
-// recentRequest returns one of the last requests.
+// recentRequest returns a random one of the last requests, at most `last` back.
 func (s *surroundings) recentRequest(last int) *exchange.Request {
 	return s.requests[max(0, len(s.requests)-1-s.random.IntN(last))]
 }
 
-// outcomes reports ends of runs and calls, some of them late or twice.
+// outcomes reports random results of runs and calls, some of them late or twice.
 func (s *surroundings) outcomes() {
 	results := int(exchange.ResultConnectionLost) + 1
 	for range s.random.IntN(4) {
@@ -269,7 +270,7 @@
 	s.inRun = s.inRun[max(0, len(s.inRun)-remembered):]
 }
 
-// actions carries out actions that the controller did not decide, on any requests.
+// actions executes random actions, which the controller did not decide, on random requests.
 func (s *surroundings) actions() {
 	for range s.random.IntN(6) {
 		ids := slices.Sorted(maps.Keys(s.dispatcher.byID))
--- a/internal/proxy/dispatch/rejections.go
+++ b/internal/proxy/dispatch/rejections.go
@@ -11,25 +11,24 @@
 	"oxbowbridge/admission"
 )
 
-// rejectionLogInterval is the least time between two log lines on rejections of one class
-// for one reason.
+// rejectionLogInterval is the minimum time between two log lines about rejections of the same class
+// for the same reason.
 const rejectionLogInterval = time.Second
 
-// rejectionKind is what the rejections of one log line have in common.
+// rejectionKind identifies the rejections that are counted in one log line.
 type rejectionKind struct {
 	class  int
 	reason admission.RejectReason
 }
 
-// rejectionLog counts the rejections of the controller that are not logged yet. It holds at
-// most one count for each class and reason.
+// rejectionLog counts the controller's rejections that are not logged yet, by class and reason.
 type rejectionLog struct {
 	unlogged  map[rejectionKind]int
-	scheduled bool // logRejections is in the timer queue
+	scheduled bool // a timer for logRejections is set
 }
 
-// noteRejection counts a rejection. The first one after a quiet interval is logged at once,
-// further ones together at the end of each interval.
+// noteRejection counts a rejection. The first rejection after an interval without any is logged
+// immediately. Later rejections are logged together at the end of each interval.
 func (d *Dispatcher) noteRejection(class int, reason admission.RejectReason) {
 	d.rejections.unlogged[rejectionKind{class: class, reason: reason}]++
 	if !d.rejections.scheduled {
@@ -37,8 +36,8 @@
 	}
 }
 
-// logRejections writes one line for each class and reason of the rejections since the last
-// call, and comes again after an interval until there were none.
+// logRejections logs one line for each class and reason with rejections since the last call. It
+// reschedules itself after an interval, until an interval had no rejections.
 func (d *Dispatcher) logRejections() {
 	d.rejections.scheduled = len(d.rejections.unlogged) > 0
 	if !d.rejections.scheduled {
--- a/internal/proxy/dispatch/rejections_test.go
+++ b/internal/proxy/dispatch/rejections_test.go
@@ -16,12 +16,12 @@
 	"oxbowbridge/internal/sitesettings"
 )
 
-// rejectionFields are the fields of a log line on rejections.
+// rejectionFields returns the expected fields of a log line about rejections.
 func rejectionFields(class, reason string, count int64) map[string]any {
 	return map[string]any{"class": class, "reason": reason, "count": count}
 }
 
-// loggedFields takes the lines that were logged, and returns their fields.
+// loggedFields removes all lines from the observed log and returns their fields.
 func loggedFields(logs *observer.ObservedLogs) (fields []map[string]any) {
 	for _, entry := range logs.TakeAll() {
 		fields = append(fields, entry.ContextMap())
@@ -29,8 +29,9 @@
 	return fields
 }
 
-// TestRejectionsAreLoggedOnceAnInterval: a crowd of rejected requests writes a line each, or
-// lines that miss some of them, or none before the interval is over.
+// TestRejectionsAreLoggedOnceAnInterval checks that the first rejection is logged immediately, and
+// that later ones are counted and logged in one line per class and reason when the interval ends.
+// It guards against a line for each rejection, wrong counts, and a first line that is delayed.
 func TestRejectionsAreLoggedOnceAnInterval(t *testing.T) {
 	var settings sitesettings.Settings
 	require.NoError(t, json.Unmarshal([]byte(smallSite), &settings))
@@ -50,7 +51,7 @@
 	require.Empty(t, loggedFields(logs))
 	require.Len(t, d.rejections.unlogged, 2)
 	noteAgain := func() { d.noteRejection(0, admission.RejectPolicy) }
-	require.Zero(t, testing.AllocsPerRun(100, noteAgain)) // runs 101 times
+	require.Zero(t, testing.AllocsPerRun(100, noteAgain)) // calls noteAgain 101 times
 
 	now += rejectionLogInterval
 	d.Timers.RunDue(now)
@@ -65,8 +66,8 @@
 	require.Equal(t, []map[string]any{rejectionFields(class, "policy", 1)}, loggedFields(logs))
 }
 
-// TestRejectionsAreLoggedBeforeTheEnd: the rejections of the last interval of a drain are
-// missing in the log.
+// TestRejectionsAreLoggedBeforeTheEnd checks that rejections counted in the last interval of a drain
+// are logged before the drain finishes. They were lost if the process exited before the interval ended.
 func TestRejectionsAreLoggedBeforeTheEnd(t *testing.T) {
 	lines, logs := observer.New(zapcore.InfoLevel)
 	var settings sitesettings.Settings
--- a/internal/proxy/dispatch/response.go
+++ b/internal/proxy/dispatch/response.go
@@ -5,18 +5,18 @@
 	"oxbowbridge/internal/proxy/exchange"
 )
 
-// This file has the rules of responses:
+// This file has the rules for responses:
 //
-//   - each request gets one response, and the first is final (respond);
-//   - the response ends a request that is not in a run; a run goes on until the runner
-//     reports its end, and the request is forgotten then (runEnded);
-//   - Rejected promises that nothing ran, and becomes Failed where that may be untrue
-//     (reject).
+//   - Each request gets exactly one response. The first one is final (respond).
+//   - A request without a run is removed with its response. A request with a run is removed when the
+//     runner reports the end of the run (runEnded).
+//   - A Rejected response promises that nothing ran. If that may be untrue, the response is Failed
+//     instead (reject).
 
-// respond gives the final response, unless there was one.
+// respond sends the final response, unless one was already sent.
 func (d *Dispatcher) respond(r *request, response exchange.Response) {
 	if r.answered {
-		return // mostly a run that ends after its request was failed
+		return // typically a run that ends after the controller failed its request
 	}
 	r.answered = true
 	d.sendResponse(r.Request, response)
@@ -29,14 +29,14 @@
 	}
 }
 
-// sendResponse sends the response, and releases the request's place in the exchange. For a
-// recorded request it is called by respond alone.
+// sendResponse sends the response and releases the request's slot in the exchange. For a registered
+// request only respond may call it.
 func (d *Dispatcher) sendResponse(q *exchange.Request, response exchange.Response) {
 	d.Exchange.Release()
 	q.Responder.Respond(response)
 }
 
-// reject carries out a rejection by the controller.
+// reject executes a Reject action of the controller.
 func (d *Dispatcher) reject(r *request, a admission.Reject) {
 	if !r.answered {
 		d.noteRejection(r.Class, a.Reason)
@@ -48,7 +48,7 @@
 	d.respond(r, exchange.Response{Kind: exchange.Rejected, RetryAfter: a.RetryAfter, NoRetryElsewhere: a.DoNotRetry})
 }
 
-// fail carries out a failure that the controller decided.
+// fail executes a Fail action of the controller.
 func (d *Dispatcher) fail(r *request) {
 	d.respond(r, exchange.Response{Kind: exchange.Failed})
 	if r.state.atCall() {
@@ -56,7 +56,7 @@
 	}
 }
 
-// forget removes a request that is answered and in no run.
+// forget removes a request that has its response and no run.
 func (d *Dispatcher) forget(r *request) {
 	d.Timers.Cancel(r.callTimer)
 	delete(d.byID, r.id)
--- a/internal/proxy/dispatch/runs.go
+++ b/internal/proxy/dispatch/runs.go
@@ -7,7 +7,8 @@
 	"oxbowbridge/internal/proxy/exchange"
 )
 
-// start begins a run, or resumes the paused one, as far as that is allowed.
+// start starts a run of the request or resumes its paused run. It does nothing if the request may
+// not be started.
 func (d *Dispatcher) start(now time.Duration, r *request) {
 	if r.state.advance(resumeRun) {
 		d.Runner.Resume(r.TraceID)
@@ -33,8 +34,8 @@
 	})
 }
 
-// preempt takes a run off the cores. With PreemptionPause a run at its call uses none: it goes
-// on, unless its request is answered.
+// preempt stops a run so that it uses no CPU. With PreemptionPause, a run that waits for a call uses
+// no CPU anyway and is stopped only if its request already has a response.
 func (d *Dispatcher) preempt(r *request) {
 	keepsWaiting := d.controllerSettings.Preemption == admission.PreemptionPause && !r.answered
 	if r.state == running || r.state.atCall() && !keepsWaiting {
@@ -43,9 +44,9 @@
 	}
 }
 
-// stop cancels the call of a run and has the runner end the run; the runner reports the
-// end. With PreemptionNone no run can be stopped: it is left to the runner, and when its end
-// is reported its result is dropped.
+// stop cancels the call of a run and tells the runner to stop the run; the runner reports the end
+// later. With PreemptionNone, runs can't be stopped: the run continues, and its result is discarded
+// when the runner reports its end.
 func (d *Dispatcher) stop(r *request) {
 	if r.state == calling {
 		d.Dependency.Cancel(r.TraceID)
@@ -57,11 +58,11 @@
 	}
 }
 
-// outcome handles a report of the runner or the dependency.
+// outcome handles an outcome reported by the runner or the dependency client.
 func (d *Dispatcher) outcome(o exchange.Outcome) {
 	r := d.byTraceID[o.TraceID]
 	if r == nil {
-		return // stopped or answered before
+		return // the request was already removed
 	}
 	switch o.Stage {
 	case exchange.RunEnded:
@@ -77,8 +78,8 @@
 	}
 }
 
-// runEnded reports the end to the controller. A run that ended by itself gives its request
-// the final response; a preempted one puts its request back into the queue.
+// runEnded reports the end of a run to the controller. A request whose run was preempted is requeued.
+// Any other end determines the final response.
 func (d *Dispatcher) runEnded(r *request, o exchange.Outcome) {
 	if r.state == calling {
 		d.Dependency.Cancel(r.TraceID)
@@ -87,19 +88,19 @@
 	switch {
 	case o.Result == exchange.ResultOK:
 		d.respond(r, exchange.Response{Kind: exchange.Succeeded, Body: o.Body})
-		d.completeKey(r, append([]byte{}, o.Body...)) // not nil, even if empty
+		d.completeKey(r, append([]byte{}, o.Body...)) // non-nil even if empty, as nil means no result
 	case o.Result == exchange.ResultStopped && r.preempted && !r.answered:
 		d.requeue(r)
 		return
 	default:
-		invalid := o.Result == exchange.ResultUnknownRequest // the caller made its trace id up
+		invalid := o.Result == exchange.ResultUnknownRequest // the caller invented the trace id
 		d.respond(r, exchange.Response{Kind: exchange.Failed, InvalidRequest: invalid})
 	}
 	d.forget(r)
 }
 
-// requeue keeps a request whose run was preempted. It may be started again if its class
-// allows that, or resumed if its progress was kept.
+// requeue puts a request whose run was preempted back into the queue. The run can be resumed if the
+// runner paused it; otherwise it can be started again if the request's class allows that.
 func (d *Dispatcher) requeue(r *request) {
 	d.Timers.Cancel(r.callTimer)
 	r.preempted = false
@@ -110,7 +111,7 @@
 	}
 }
 
-// runOutcome maps the end of a run to the controller's outcomes.
+// runOutcome maps the result of a run to the controller's outcome.
 func runOutcome(result exchange.Result) admission.Outcome {
 	switch result {
 	case exchange.ResultOK:
--- a/internal/proxy/dispatch/settings.go
+++ b/internal/proxy/dispatch/settings.go
@@ -11,13 +11,13 @@
 
 var (
 	errNameMissing = errors.New("missing")
-	errNameInvalid = errors.New("is not a word")
-	errNameTwice   = errors.New("is there twice")
+	errNameInvalid = errors.New("contains a space or control character")
+	errNameTwice   = errors.New("is used by another class")
 )
 
-// ControllerSettings returns the controller's settings at a site, or an error that names the
-// field which can't be served. What the protocols have no field for stays unused: results of reads are
-// not shared, and calls are not skipped.
+// ControllerSettings converts a site's settings to the controller's settings. An error names the
+// unsupported field. Two features of the controller are disabled, because the wire protocols have no
+// fields for them: the reuse of read results, and degraded runs that skip their calls.
 func ControllerSettings(site *sitesettings.Settings) (admission.Settings, error) {
 	settings, err := site.Admission()
 	if err != nil {
@@ -40,7 +40,8 @@
 	return settings, err
 }
 
-// checkClassName checks a name that stands in paths and in lines of words.
+// checkClassName checks that a class name can be used in URL paths and in space-separated protocol
+// lines, and that no other class has it.
 func checkClassName(name string, taken map[string]bool) error {
 	notInWords := func(c rune) bool { return c <= ' ' || c == 0x7f }
 	switch {
--- a/internal/proxy/dispatch/state.go
+++ b/internal/proxy/dispatch/state.go
@@ -1,16 +1,16 @@
 package dispatch
 
-// state is where a request is. Whether its caller has a response is kept apart from it
-// (request.answered), as a run may go on after the response.
+// state is the processing state of a request. Whether the final response was sent is recorded
+// separately (request.answered), because a run may continue after the response.
 type state uint8
 
 const (
-	queued           state = iota + 1 // in no run: before the first, or between two
-	running                           // handed to the runner, not known to have ended
-	awaitingCall                      // its run waits for a call that is not in flight
-	calling                           // its run waits for a call that is in flight
-	paused                            // its run is stopped, and the runner keeps its progress
-	awaitingOriginal                  // waits for the result of the attempt that it duplicates
+	queued           state = iota + 1 // has no run: not yet started, or requeued after a preemption
+	running                           // the run was passed to the runner and is not known to have ended
+	awaitingCall                      // the run waits for a call that is not in flight
+	calling                           // the run waits for a call that is in flight
+	paused                            // the run is paused, and the runner can resume it
+	awaitingOriginal                  // waits for the result of the attempt that this one duplicates
 	numStates
 )
 
@@ -32,25 +32,25 @@
 	return "unknown"
 }
 
-// transition is what moves a request from one state to another.
+// transition is an event that changes the state of a request.
 type transition uint8
 
 const (
 	startRun        transition = iota // the controller starts the request
-	resumeRun                         // the controller resumes its paused run
+	resumeRun                         // the controller resumes the paused run
 	needCall                          // the runner reports that the run needs a call
-	sendCall                          // the controller has the call made
-	callSucceeded                     // the reply goes to the runner
+	sendCall                          // the controller starts the call
+	callSucceeded                     // the reply is passed to the runner
 	callFailed                        // the run waits until the controller fails the request
 	stopRun                           // Runner.Stop is called; the runner reports the end later
-	requeueRun                        // a preempted run has ended without its progress
-	pauseRun                          // a preempted run has ended, and its progress is kept
-	joinOriginalRun                   // the controller has the request answered with the original's result
+	requeueRun                        // a preempted run has ended and can't be resumed
+	pauseRun                          // a preempted run is paused and can be resumed
+	joinOriginalRun                   // the controller lets the request share the original attempt's result
 	numTransitions
 )
 
-// transitions has every change of state. A transition does not apply in a state for which
-// it has no entry.
+// transitions maps each transition to the next state, by current state. A transition is not
+// permitted in a state for which it has no entry.
 var transitions = [numTransitions][numStates]state{
 	startRun:        {queued: running},
 	resumeRun:       {paused: running},
@@ -64,10 +64,11 @@
 	joinOriginalRun: {queued: awaitingOriginal},
 }
 
-// permits tells whether t applies in state s.
+// permits reports whether transition t is permitted in state s.
 func (s state) permits(t transition) bool { return transitions[t][s] != 0 }
 
-// advance applies a transition. It reports false, and changes nothing, if t does not apply.
+// advance applies transition t. If t is not permitted, it returns false and leaves the state
+// unchanged.
 func (s *state) advance(t transition) bool {
 	next := transitions[t][*s]
 	if next == 0 {
@@ -77,8 +78,8 @@
 	return true
 }
 
-// hasRun tells whether the runner has a run of the request, be it stopped.
+// hasRun reports whether the runner has a run of the request, including a paused one.
 func (s state) hasRun() bool { return s != queued && s != awaitingOriginal }
 
-// atCall tells whether the run waits for a call.
+// atCall reports whether the run waits for a call.
 func (s state) atCall() bool { return s == awaitingCall || s == calling }
--- a/internal/proxy/dispatch/state_test.go
+++ b/internal/proxy/dispatch/state_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestTransitions states each transition with the states in which it applies.
+// TestTransitions checks for each transition in which states it is permitted and which state follows.
 func TestTransitions(t *testing.T) {
 	all := []state{queued, running, awaitingCall, calling, paused, awaitingOriginal}
 	require.Len(t, all, int(numStates)-1)
@@ -35,7 +35,7 @@
 	}
 }
 
-// TestStateNames: each state has a name of its own.
+// TestStateNames checks that each state has a unique name.
 func TestStateNames(t *testing.T) {
 	names := map[string]bool{}
 	for s := queued; s < numStates; s++ {
