--- a/cmd/oxbowbridge/descriptors.go
+++ b/cmd/oxbowbridge/descriptors.go
@@ -19,7 +19,7 @@
 
 // divideDescriptors divides the descriptors that the configuration and the system allow.
 func divideDescriptors(cfg *config, log *zap.Logger) fdquota.Quotas {
-	usage := fdquota.Usage{Limit: descriptorLimit(cfg), AlreadyOpen: openDescriptors()}
+	usage := fdquota.Usage{Limit: descriptorLimit(cfg), OpenDescriptors: openDescriptors()}
 	for _, address := range []string{cfg.ListenAddress, cfg.AJP.ListenAddress} {
 		if address != "" {
 			usage.Listeners++
@@ -30,7 +30,7 @@
 	}
 	quotas := fdquota.Divide(usage)
 	if quotas.BelowMinimum {
-		log.Warn("few descriptors are left for connections", zap.Int("limit", usage.Limit), zap.Int("open", usage.AlreadyOpen))
+		log.Warn("few descriptors are left for connections", zap.Int("limit", usage.Limit), zap.Int("open", usage.OpenDescriptors))
 	}
 	return quotas
 }
--- a/internal/proxy/dispatch/arrival.go
+++ b/internal/proxy/dispatch/arrival.go
@@ -41,7 +41,7 @@
 		Request:   q,
 		id:        d.nextID(),
 		state:     queued,
-		arrivedAt: d.Now() - time.Since(q.Arrived),
+		arrivedAt: d.Now() - time.Since(q.ArrivedAt),
 	}
 	if d.effect(r) == admission.Deduplicated && !d.claimKey(r) {
 		return
@@ -80,7 +80,7 @@
 			Tenant:       d.tenants[r.Tenant],
 			ExpectedWork: r.ExpectedWork,
 			MemoryKB:     r.ReservedKB,
-			HasSubject:   r.HasSubject,
+			HasSubject:   r.HasLookupKey,
 			Retry:        r.IsRetry,
 			Rank:         r.Rank,
 		},
--- a/internal/proxy/dispatch/config.go
+++ b/internal/proxy/dispatch/config.go
@@ -17,9 +17,9 @@
 	// CloseIdle closes connections that have had no open request for at least the given time.
 	// It returns the number of remaining connections and of response bytes not yet sent.
 	CloseIdle(idle time.Duration) (remaining, unsentBytes int)
-	// Sweep closes idle connections like CloseIdle. It also closes stalled connections, whose callers
+	// CloseIdleAndStalled closes idle connections like CloseIdle. It also closes stalled connections, whose callers
 	// leave a message incomplete or do not read responses.
-	Sweep(idle time.Duration)
+	CloseIdleAndStalled(idle time.Duration)
 	// DrainConnections closes each connection as soon as all requests read from it have a response.
 	DrainConnections()
 }
--- a/internal/proxy/dispatch/dispatcher.go
+++ b/internal/proxy/dispatch/dispatcher.go
@@ -86,7 +86,7 @@
 		d.turn()
 		timer.Reset(d.untilNextTimer())
 		select {
-		case <-d.Exchange.Wake():
+		case <-d.Exchange.WakeupChan():
 		case <-timer.C:
 		}
 	}
@@ -143,7 +143,7 @@
 	switch e := e.(type) {
 	case *exchange.Request:
 		d.arrive(e)
-	case exchange.CallerGone:
+	case exchange.RequestCanceled:
 		d.callerGone(e.Request)
 	case exchange.Outcome:
 		d.outcome(e)
@@ -159,10 +159,10 @@
 // runnerReady registers the service with the service registry. It also reports a timer event, which
 // starts the controller if no request has arrived yet.
 func (d *Dispatcher) runnerReady(e exchange.RunnerReady) {
-	d.coldStart = e.ColdStart
+	d.coldStart = e.WarmingUp
 	d.readyAt = d.Now()
 	d.warmAt = d.readyAt
-	if e.ColdStart {
+	if e.WarmingUp {
 		d.warmAt += max(0, d.controllerSettings.SlowStartDuration-e.Uptime)
 	}
 	d.updateHealth()
@@ -228,7 +228,7 @@
 func (d *Dispatcher) sweepConnections() {
 	d.Lingering.ReapLingering(time.Now())
 	for _, f := range d.Frontends {
-		f.Sweep(d.idleTimeout)
+		f.CloseIdleAndStalled(d.idleTimeout)
 	}
 	d.Timers.Schedule(d.Now()+sweepInterval, d.sweepConnections)
 }
--- a/internal/proxy/dispatch/drain.go
+++ b/internal/proxy/dispatch/drain.go
@@ -37,7 +37,7 @@
 	// closeRaceWindow is how long the process must have had no connections and no pending work before
 	// it exits. A request sent while its connection was being closed is lost, and the caller resends it
 	// on another connection.
-	closeRaceWindow = 2 * exchange.MaxCloseRace
+	closeRaceWindow = 2 * exchange.CloseRaceWindow
 	// drainConnectionsLead is how long before the stop connections with incomplete messages are closed.
 	drainConnectionsLead = exitLead + closeRaceWindow
 	// drainPollInterval is the interval at which the dispatcher checks for remaining work.
--- a/internal/proxy/dispatch/invariants_test.go
+++ b/internal/proxy/dispatch/invariants_test.go
@@ -128,8 +128,8 @@
 // idleFrontend is a Frontend without connections.
 type idleFrontend struct{ *surroundings }
 
-// Sweep is a no-op.
-func (idleFrontend) Sweep(time.Duration) {}
+// CloseIdleAndStalled is a no-op.
+func (idleFrontend) CloseIdleAndStalled(time.Duration) {}
 
 // noLingering is a LingeringConns without connections.
 type noLingering struct{}
@@ -192,7 +192,7 @@
 	})
 	require.NoError(t, err)
 	s.dispatcher = dispatcher
-	s.exchange.Post(exchange.RunnerReady{ColdStart: seed%2 == 0, Uptime: time.Second})
+	s.exchange.Post(exchange.RunnerReady{WarmingUp: seed%2 == 0, Uptime: time.Second})
 	return s
 }
 
@@ -210,7 +210,7 @@
 		s.requests = append(s.requests, request)
 	}
 	if s.chance(9) && len(s.requests) > 0 {
-		s.exchange.Post(exchange.CallerGone{Request: s.recentRequest(12)})
+		s.exchange.Post(exchange.RequestCanceled{Request: s.recentRequest(12)})
 	}
 }
 
@@ -219,7 +219,7 @@
 	request := &exchange.Request{
 		TraceID:    fmt.Sprintf("%016x", number),
 		Class:      s.random.IntN(classCount),
-		Arrived:    time.Now(),
+		ArrivedAt:  time.Now(),
 		ReservedKB: float64(1 + s.random.IntN(6)),
 		Body:       fmt.Append(nil, "request ", number),
 	}
--- a/internal/proxy/dispatch/response.go
+++ b/internal/proxy/dispatch/response.go
@@ -32,7 +32,7 @@
 // sendResponse sends the response and releases the request's slot in the exchange. For a registered
 // request only respond may call it.
 func (d *Dispatcher) sendResponse(q *exchange.Request, response exchange.Response) {
-	d.Exchange.Release()
+	d.Exchange.ReleaseRequest()
 	q.Responder.Respond(response)
 }
 
--- a/internal/proxy/exchange/event.go
+++ b/internal/proxy/exchange/event.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Event is what the dispatcher dequeues: one of *Request, CallerGone, Outcome, Gauges,
+// Event is what the dispatcher dequeues: one of *Request, RequestCanceled, Outcome, Gauges,
 // RunnerReady and Callback.
 type Event interface{ event() }
 
-// CallerGone reports that nobody waits for a request any more.
-type CallerGone struct{ Request *Request }
+// RequestCanceled reports that nobody waits for a request any more.
+type RequestCanceled struct{ Request *Request }
 
 // Outcome reports on a job.
 type Outcome struct {
@@ -29,8 +29,8 @@
 
 // RunnerReady reports that the runner takes runs.
 type RunnerReady struct {
-	// ColdStart says that the runner is warming up.
-	ColdStart bool
+	// WarmingUp says that the runner is warming up.
+	WarmingUp bool
 	// Uptime is how long it has been up.
 	Uptime time.Duration
 }
@@ -38,9 +38,9 @@
 // Callback is code that must run in the dispatcher's goroutine. It must not block.
 type Callback func()
 
-func (*Request) event()    {}
-func (CallerGone) event()  {}
-func (Outcome) event()     {}
-func (Gauges) event()      {}
-func (RunnerReady) event() {}
-func (Callback) event()    {}
+func (*Request) event()        {}
+func (RequestCanceled) event() {}
+func (Outcome) event()         {}
+func (Gauges) event()          {}
+func (RunnerReady) event()     {}
+func (Callback) event()        {}
--- a/internal/proxy/exchange/exchange.go
+++ b/internal/proxy/exchange/exchange.go
@@ -43,8 +43,8 @@
 	return true
 }
 
-// Release makes room for another request once one has its response.
-func (x *Exchange) Release() {
+// ReleaseRequest makes room for another request once one has its response.
+func (x *Exchange) ReleaseRequest() {
 	x.mu.Lock()
 	x.openRequests--
 	x.mu.Unlock()
@@ -69,8 +69,8 @@
 	}
 }
 
-// Wake has a value if something was posted, or Wakeup was called, since the last read of it.
-func (x *Exchange) Wake() <-chan struct{} { return x.wake }
+// WakeupChan has a value if something was posted, or Wakeup was called, since the last read of it.
+func (x *Exchange) WakeupChan() <-chan struct{} { return x.wake }
 
 // Dequeue returns all posted events, in their order, and empties the queue. It reuses buf.
 func (x *Exchange) Dequeue(buf []Event) []Event {
--- a/internal/proxy/exchange/exchange_test.go
+++ b/internal/proxy/exchange/exchange_test.go
@@ -16,26 +16,26 @@
 	require.False(t, x.Submit(third))
 	require.Equal(t, []Event{first, second}, x.Dequeue(nil), "the rejected one is not posted")
 	require.False(t, x.Submit(third), "dequeued requests are open until they are released")
-	x.Release()
+	x.ReleaseRequest()
 	require.True(t, x.Submit(third))
 	require.Equal(t, []Event{third}, x.Dequeue(nil))
 }
 
-// TestDequeue: events come in the order in which they were posted, and once; Wake tells of
+// TestDequeue: events come in the order in which they were posted, and once; WakeupChan tells of
 // them.
 func TestDequeue(t *testing.T) {
 	x := New(1)
-	require.Empty(t, x.Wake())
+	require.Empty(t, x.WakeupChan())
 	request := &Request{}
 	x.Submit(request)
 	x.Post(Gauges{1, 2})
-	x.Post(CallerGone{Request: request})
-	require.Len(t, x.Wake(), 1)
-	<-x.Wake()
+	x.Post(RequestCanceled{Request: request})
+	require.Len(t, x.WakeupChan(), 1)
+	<-x.WakeupChan()
 	buf := x.Dequeue(nil)
-	require.Equal(t, []Event{request, Gauges{1, 2}, CallerGone{Request: request}}, buf)
+	require.Equal(t, []Event{request, Gauges{1, 2}, RequestCanceled{Request: request}}, buf)
 	require.Empty(t, x.Dequeue(buf))
-	require.Empty(t, x.Wake())
+	require.Empty(t, x.WakeupChan())
 }
 
 // TestStatus: what the dispatcher sets is what the frontends read.
--- a/internal/proxy/exchange/request.go
+++ b/internal/proxy/exchange/request.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// MaxCloseRace is how long a request may take to cross the close of its connection, by the
+// CloseRaceWindow is how long a request may take to cross the close of its connection, by the
 // protocol of the balancers: the caller sends it again elsewhere.
-const MaxCloseRace = 50 * time.Millisecond
+const CloseRaceWindow = 50 * time.Millisecond
 
 // traceIDLength is the length of a trace id in hex digits.
 const traceIDLength = 16
@@ -19,9 +19,9 @@
 	TraceID string
 	// Class is the index of the request's class in the settings.
 	Class int
-	// Arrived is when the attempt came to this machine, maybe before it was read.
-	Arrived time.Time
-	// Timeout is how long the caller waits, counted from Arrived; 0 if it does not say.
+	// ArrivedAt is when the attempt came to this machine, maybe before it was read.
+	ArrivedAt time.Time
+	// Timeout is how long the caller waits, counted from ArrivedAt; 0 if it does not say.
 	Timeout time.Duration
 	// Tenant names the caller's tenant; empty if the caller does not say.
 	Tenant string
@@ -31,8 +31,8 @@
 	ReservedKB float64
 	// Rank orders requests by their class's value: at least 0, below 1.
 	Rank float64
-	// HasSubject says that the request names a subject.
-	HasSubject bool
+	// HasLookupKey says that the request names a subject.
+	HasLookupKey bool
 	// IsRetry says that the caller marked this attempt as a later one.
 	IsRetry bool
 	// IdempotencyKey names the request in all of its attempts. Only requests of
--- a/internal/proxy/fdquota/divide.go
+++ b/internal/proxy/fdquota/divide.go
@@ -26,8 +26,8 @@
 type Usage struct {
 	// Limit is how many the process may have.
 	Limit int
-	// AlreadyOpen are open at this time, inherited ones included.
-	AlreadyOpen int
+	// OpenDescriptors are open at this time, inherited ones included.
+	OpenDescriptors int
 	// Listeners are about to be opened.
 	Listeners int
 	// Reserved are left to other parts of the program, such as the replicated store.
@@ -38,8 +38,8 @@
 type Quotas struct {
 	// Connections is for callers and calls together.
 	Connections int
-	// ReservedCalls is the part of Connections that only calls may use.
-	ReservedCalls int
+	// ReservedForCalls is the part of Connections that only calls may use.
+	ReservedForCalls int
 	// Lingering is for connections that this side has shut down and that wait for their
 	// peers. There may be twice as many for a moment.
 	Lingering int
@@ -52,7 +52,7 @@
 // can work with, they are the minimum, and BelowMinimum is set: a service that may run out
 // of descriptors is of more use than one that does not start.
 func Divide(u Usage) Quotas {
-	remaining := u.Limit - u.AlreadyOpen - u.Listeners - u.Reserved - serviceDescriptors
+	remaining := u.Limit - u.OpenDescriptors - u.Listeners - u.Reserved - serviceDescriptors
 	lingering := max(remaining/lingeringDivisor, minLingering)
 	connections := remaining - 2*lingering
 	q := Quotas{
@@ -60,6 +60,6 @@
 		Lingering:    lingering,
 		BelowMinimum: connections < minConnections,
 	}
-	q.ReservedCalls = max(q.Connections/reservedCallsDivisor, minReservedCalls)
+	q.ReservedForCalls = max(q.Connections/reservedCallsDivisor, minReservedCalls)
 	return q
 }
--- a/internal/proxy/fdquota/fdquota_test.go
+++ b/internal/proxy/fdquota/fdquota_test.go
@@ -22,12 +22,12 @@
 func TestDivide(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		u := Usage{
-			Limit:       rapid.IntRange(1, 1<<20).Draw(t, "limit"),
-			AlreadyOpen: rapid.IntRange(3, 200).Draw(t, "open"),
-			Listeners:   rapid.IntRange(1, 3).Draw(t, "listeners"),
-			Reserved:    rapid.IntRange(0, 200).Draw(t, "others"),
+			Limit:           rapid.IntRange(1, 1<<20).Draw(t, "limit"),
+			OpenDescriptors: rapid.IntRange(3, 200).Draw(t, "open"),
+			Listeners:       rapid.IntRange(1, 3).Draw(t, "listeners"),
+			Reserved:        rapid.IntRange(0, 200).Draw(t, "others"),
 		}
-		others := u.AlreadyOpen + u.Listeners + u.Reserved + serviceDescriptors
+		others := u.OpenDescriptors + u.Listeners + u.Reserved + serviceDescriptors
 		q := Divide(u)
 		if q.BelowMinimum {
 			require.Less(t, u.Limit-others, minConnections+2*minLingering+lingeringDivisor, "below the minimum though there is room")
@@ -35,9 +35,9 @@
 			require.LessOrEqual(t, q.Connections+2*q.Lingering+others, u.Limit)
 		}
 		require.GreaterOrEqual(t, q.Connections, minConnections)
-		require.GreaterOrEqual(t, q.ReservedCalls, minReservedCalls)
+		require.GreaterOrEqual(t, q.ReservedForCalls, minReservedCalls)
 		require.GreaterOrEqual(t, q.Lingering, minLingering)
-		require.Less(t, q.ReservedCalls, q.Connections)
+		require.Less(t, q.ReservedForCalls, q.Connections)
 	})
 }
 
@@ -45,7 +45,7 @@
 // stay within their quota, and a call always finds the reserved ones.
 func TestPool(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		quotas := Divide(Usage{Limit: rapid.IntRange(30, 600).Draw(t, "limit"), AlreadyOpen: 10, Listeners: 1})
+		quotas := Divide(Usage{Limit: rapid.IntRange(30, 600).Draw(t, "limit"), OpenDescriptors: 10, Listeners: 1})
 		p := NewConnPool(quotas)
 		callers, calls := 0, 0
 		for range rapid.IntRange(1, 500).Draw(t, "steps") {
@@ -62,7 +62,7 @@
 				}
 			case "call":
 				acquired := p.AcquireCall()
-				require.True(t, acquired || calls >= quotas.ReservedCalls, "%d calls, %d are reserved", calls, quotas.ReservedCalls)
+				require.True(t, acquired || calls >= quotas.ReservedForCalls, "%d calls, %d are reserved", calls, quotas.ReservedForCalls)
 				if acquired {
 					calls++
 				}
@@ -81,6 +81,6 @@
 // TestDivideSmallest: the smallest limit that a configuration may give is enough for a
 // process that was started with a few descriptors open.
 func TestDivideSmallest(t *testing.T) {
-	require.Equal(t, Quotas{Connections: 37, ReservedCalls: 4, Lingering: 2}, Divide(Usage{Limit: 64, AlreadyOpen: 10, Listeners: 1}))
-	require.Equal(t, Quotas{Connections: 10, ReservedCalls: 2, Lingering: 1, BelowMinimum: true}, Divide(Usage{Limit: 30, AlreadyOpen: 10, Listeners: 1}))
+	require.Equal(t, Quotas{Connections: 37, ReservedForCalls: 4, Lingering: 2}, Divide(Usage{Limit: 64, OpenDescriptors: 10, Listeners: 1}))
+	require.Equal(t, Quotas{Connections: 10, ReservedForCalls: 2, Lingering: 1, BelowMinimum: true}, Divide(Usage{Limit: 30, OpenDescriptors: 10, Listeners: 1}))
 }
--- a/internal/proxy/fdquota/pool.go
+++ b/internal/proxy/fdquota/pool.go
@@ -3,7 +3,7 @@
 import "sync"
 
 // ConnPool counts the open connections of callers and calls, which share Quotas.Connections.
-// Calls may use what callers leave, up to half of all, and always have ReservedCalls. It is
+// Calls may use what callers leave, up to half of all, and always have ReservedForCalls. It is
 // safe for concurrent use.
 type ConnPool struct {
 	quotas Quotas
@@ -17,13 +17,13 @@
 func NewConnPool(q Quotas) *ConnPool { return &ConnPool{quotas: q} }
 
 // MaxCallers is the maximum of caller connections.
-func (p *ConnPool) MaxCallers() int { return p.quotas.Connections - p.quotas.ReservedCalls }
+func (p *ConnPool) MaxCallers() int { return p.quotas.Connections - p.quotas.ReservedForCalls }
 
 // HasCallerCapacity tells whether there is room for one more caller.
 func (p *ConnPool) HasCallerCapacity() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.callers+max(p.calls, p.quotas.ReservedCalls) < p.quotas.Connections
+	return p.callers+max(p.calls, p.quotas.ReservedForCalls) < p.quotas.Connections
 }
 
 // AddCallers counts n callers more; less if n is negative.
@@ -37,7 +37,7 @@
 func (p *ConnPool) AcquireCall() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	reserved := p.calls < p.quotas.ReservedCalls
+	reserved := p.calls < p.quotas.ReservedForCalls
 	free := p.calls+p.callers < p.quotas.Connections && p.calls < p.quotas.Connections/callsDivisor
 	if reserved || free {
 		p.calls++
@@ -46,8 +46,8 @@
 	return false
 }
 
-// Calls is the number of open calls.
-func (p *ConnPool) Calls() int {
+// OpenCalls is the number of open calls.
+func (p *ConnPool) OpenCalls() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.calls
--- a/internal/transport/ajp/golden_test.go
+++ b/internal/transport/ajp/golden_test.go
@@ -52,7 +52,7 @@
 		var events []exchange.Event
 		require.Eventually(t, func() bool { events = append(events, x.Dequeue(nil)...); return len(events) > 0 }, 10*time.Second, time.Millisecond)
 		events[0].(*exchange.Request).Responder.Respond(a)
-		x.Release()
+		x.ReleaseRequest()
 		return peer
 	}
 
--- a/internal/transport/engine/golden_test.go
+++ b/internal/transport/engine/golden_test.go
@@ -125,7 +125,7 @@
 	f.link.Open()
 	c := f.accept()
 	f.hears(c, "ATTACH 0\r\n")
-	require.Equal(t, []exchange.Event{exchange.RunnerReady{ColdStart: true, Uptime: 1500 * time.Millisecond}}, f.says(c, "HELLO COLD 1500\r\n", 1))
+	require.Equal(t, []exchange.Event{exchange.RunnerReady{WarmingUp: true, Uptime: 1500 * time.Millisecond}}, f.says(c, "HELLO COLD 1500\r\n", 1))
 	f.hears(c, "STAT sync\r\n")
 	f.link.RequestGauges()
 	f.hears(c, "STAT gauges\r\n")
--- a/internal/transport/engine/receive.go
+++ b/internal/transport/engine/receive.go
@@ -56,7 +56,7 @@
 	}
 	s.ready = true
 	s.Log.Info("engine up", zap.String("state", hello.state), zap.Int64("uptime_ms", hello.uptimeMs))
-	s.Exchange.Post(exchange.RunnerReady{ColdStart: hello.state == stateColdStart, Uptime: hello.uptime()})
+	s.Exchange.Post(exchange.RunnerReady{WarmingUp: hello.state == stateColdStart, Uptime: hello.uptime()})
 }
 
 // noteUptime notices an engine that has restarted under this process: its notices are numbered from
--- a/internal/transport/eventloop/linger.go
+++ b/internal/transport/eventloop/linger.go
@@ -11,7 +11,7 @@
 	// being sent, after the latest progress in reading them.
 	maxLinger = time.Second
 	// minLinger is for how long no bound on their number aborts a connection. It is twice
-	// exchange.MaxCloseRace, the time for which a request may cross the close.
+	// exchange.CloseRaceWindow, the time for which a request may cross the close.
 	minLinger = 100 * time.Millisecond
 	// lingerOvercommit times the wanted number of lingering connections are never exceeded, even
 	// within minLinger: the descriptors reserved for sessions must stay free.
--- a/internal/transport/eventloop/listener.go
+++ b/internal/transport/eventloop/listener.go
@@ -14,7 +14,7 @@
 
 const (
 	// handshakeTime is how long a handshake that has begun may take to complete once a listener
-	// refuses new ones: as long as a request may take to cross a close (exchange.MaxCloseRace).
+	// refuses new ones: as long as a request may take to cross a close (exchange.CloseRaceWindow).
 	handshakeTime = 50 * time.Millisecond
 	// noInterface is an interface index that no interface has: the system counts them up from 1.
 	noInterface = math.MaxInt32
--- a/internal/transport/frontend/conn.go
+++ b/internal/transport/frontend/conn.go
@@ -79,7 +79,7 @@
 	unanswered := c.codec.DiscardAll()
 	c.Unlock()
 	for _, r := range unanswered {
-		c.server.Exchange.Post(exchange.CallerGone{Request: r})
+		c.server.Exchange.Post(exchange.RequestCanceled{Request: r})
 	}
 }
 
--- a/internal/transport/frontend/evict.go
+++ b/internal/transport/frontend/evict.go
@@ -9,7 +9,7 @@
 
 // minFirstRequestTime is how long a new connection has for its first request before it may be
 // evicted: the request may have been sent with the connection.
-const minFirstRequestTime = exchange.MaxCloseRace
+const minFirstRequestTime = exchange.CloseRaceWindow
 
 // evictOne closes a connection to make room for a new one, and reports whether it found one. The
 // order of candidates, within each group the one inactive for longest first:
--- a/internal/transport/frontend/golden_test.go
+++ b/internal/transport/frontend/golden_test.go
@@ -27,8 +27,8 @@
 	}
 	plain, err := read("/call/read", "POST", "", "")
 	require.NoError(t, err)
-	require.LessOrEqual(t, now.Sub(plain.Arrived), time.Millisecond)
-	plain.Arrived = time.Time{}
+	require.LessOrEqual(t, now.Sub(plain.ArrivedAt), time.Millisecond)
+	plain.ArrivedAt = time.Time{}
 	require.Equal(t, exchange.Request{TraceID: "0123456789abcdef", Class: 3, ReservedKB: 1.5}, *plain)
 
 	for _, f := range []struct {
@@ -36,7 +36,7 @@
 		set         func(*exchange.Request)
 	}{
 		{"Project", "north", func(r *exchange.Request) { r.Tenant = "north" }},
-		{"Lookup-Key", "k", func(r *exchange.Request) { r.HasSubject = true }},
+		{"Lookup-Key", "k", func(r *exchange.Request) { r.HasLookupKey = true }},
 		{"Is-Retry", "1", func(r *exchange.Request) { r.IsRetry = true }},
 		{"Replay-Key", "k", func(*exchange.Request) {}}, // of this class it is none
 		{"Client-No", "2147483647", func(*exchange.Request) {}},
@@ -48,7 +48,7 @@
 	} {
 		r, err := read("/call/read", "POST", f.name, f.value)
 		require.NoError(t, err, f.name)
-		r.Arrived = time.Time{}
+		r.ArrivedAt = time.Time{}
 		want := *plain
 		f.set(&want)
 		require.Equal(t, want, *r, f.name)
@@ -58,7 +58,7 @@
 	require.Equal(t, "key~1", r.IdempotencyKey)
 	early, err := read("/call/read", "POST", "Accepted-At-Ms", strconv.FormatInt(now.Add(-time.Second).UnixMilli(), 10))
 	require.NoError(t, err)
-	require.InDelta(t, time.Second, now.Sub(early.Arrived), float64(time.Millisecond))
+	require.InDelta(t, time.Second, now.Sub(early.ArrivedAt), float64(time.Millisecond))
 
 	for _, bad := range [][4]string{
 		{"/call/none", "POST"}, {"/read", "POST"}, {"/call/read", "GET"}, {"/call/write", "POST"},
--- a/internal/transport/frontend/open_request.go
+++ b/internal/transport/frontend/open_request.go
@@ -74,7 +74,7 @@
 	req := open.submitted
 	c.Unlock()
 	if req != nil {
-		c.server.Exchange.Post(exchange.CallerGone{Request: req})
+		c.server.Exchange.Post(exchange.RequestCanceled{Request: req})
 	}
 }
 
--- a/internal/transport/frontend/reap.go
+++ b/internal/transport/frontend/reap.go
@@ -79,10 +79,10 @@
 	return c.openRequests == 0
 }
 
-// Sweep closes the connections of callers that have stalled, and those that have been idle for the
+// CloseIdleAndStalled closes the connections of callers that have stalled, and those that have been idle for the
 // given time. The connection of a caller that reads no answers is aborted. One whose request is
 // overdue is closed, or drained, unless it has unread bytes: the request may be among them.
-func (s *Server) Sweep(idle time.Duration) {
+func (s *Server) CloseIdleAndStalled(idle time.Duration) {
 	s.mu.Lock()
 	closed := 0
 	now := time.Now()
--- a/internal/transport/frontend/request.go
+++ b/internal/transport/frontend/request.go
@@ -51,10 +51,10 @@
 		return nil, fmt.Errorf("method %q: want POST", r.Method)
 	}
 	req := &exchange.Request{
-		TraceID:    r.Header(HeaderTraceID),
-		Class:      class.Index,
-		Tenant:     r.Header(headerTenant),
-		HasSubject: r.Header(headerSubject) != "",
+		TraceID:      r.Header(HeaderTraceID),
+		Class:        class.Index,
+		Tenant:       r.Header(headerTenant),
+		HasLookupKey: r.Header(headerSubject) != "",
 	}
 	if !exchange.IsTraceID(req.TraceID) {
 		return nil, fmt.Errorf("%s %q: want 16 hex digits", HeaderTraceID, req.TraceID)
@@ -112,7 +112,7 @@
 		return fmt.Errorf("%s %q: want Unix milliseconds, at most %v ago and %v ahead", headerAcceptedAt, stamp, maxArrivalAge, maxArrivalAhead)
 	}
 	waited := max(0, now.Sub(time.UnixMilli(ms)))
-	req.Arrived = now.Add(-waited)
+	req.ArrivedAt = now.Add(-waited)
 	return nil
 }
 
--- a/internal/transport/records/client_test.go
+++ b/internal/transport/records/client_test.go
@@ -37,7 +37,7 @@
 }
 
 func newRig(t *testing.T, most int) *rig {
-	pool := fdquota.NewConnPool(fdquota.Quotas{Connections: 2 * most, ReservedCalls: most})
+	pool := fdquota.NewConnPool(fdquota.Quotas{Connections: 2 * most, ReservedForCalls: most})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { ln.Close() })
@@ -130,10 +130,10 @@
 		}
 		for n := range calls {
 			c := r.arrived()
-			require.LessOrEqual(t, r.pool.Calls(), most)
+			require.LessOrEqual(t, r.pool.OpenCalls(), most)
 			c.reply(t)
 			r.await("the outcome", func() bool {
-				require.LessOrEqual(t, r.pool.Calls(), most, "after %d replies, %d at most", n+1, most)
+				require.LessOrEqual(t, r.pool.OpenCalls(), most, "after %d replies, %d at most", n+1, most)
 				return len(r.outcomes) == n+1
 			})
 		}
--- a/internal/transport/records/golden_test.go
+++ b/internal/transport/records/golden_test.go
@@ -26,7 +26,7 @@
 	require.NoError(t, err)
 	defer loop.Stop()
 	r := &rig{t: t, exchange: exchange.New(10)}
-	pool := fdquota.NewConnPool(fdquota.Quotas{Connections: 8, ReservedCalls: 4})
+	pool := fdquota.NewConnPool(fdquota.Quotas{Connections: 8, ReservedForCalls: 4})
 	r.client = New(ln.Addr().String(), pool, 0, session.Config{Exchange: r.exchange, Loop: loop, Timers: &timerqueue.Queue{},
 		Now: func() time.Duration { return time.Minute }, Log: zap.NewNop()}) // the clock stands still: so does the time in each line
 	accept := func() net.Conn {
--- a/internal/transport/registry/deregister_test.go
+++ b/internal/transport/registry/deregister_test.go
@@ -25,7 +25,7 @@
 	r.Register()
 	r.Deregister()
 	r.SetAvailable(true)
-	<-x.Wake() // the socket is open
+	<-x.WakeupChan() // the socket is open
 	for _, e := range x.Dequeue(nil) {
 		e.(exchange.Callback)()
 	}
