--- a/internal/transport/engine/delivery/delivery_test.go
+++ b/internal/transport/engine/delivery/delivery_test.go
@@ -20,42 +20,42 @@
 
 func TestResync(t *testing.T) {
 	neverSent, unconfirmed := Command{}, Command{}
-	var on Connection
-	unconfirmed.Written(&on)
+	var on ConnectionPolls
+	unconfirmed.MarkSent(&on)
 	on.PollSent()
 	started := unconfirmed
-	started.Noticed()
-	neverSent.ConnectionLost(&on)
+	started.MarkStarted()
+	neverSent.MarkConnectionLost(&on)
 	read := unconfirmed
-	unconfirmed.ConnectionLost(&on)
-	started.ConnectionLost(&on)
+	unconfirmed.MarkConnectionLost(&on)
+	started.MarkConnectionLost(&on)
 	on.PollAnswered()
-	read.ConnectionLost(&on)
+	read.MarkConnectionLost(&on)
 	var sent Command
-	sent.Written(&on)
+	sent.MarkSent(&on)
 	for _, tt := range []struct {
 		command Command
-		notices Notices
-		effect  Effect
+		notices NotificationHistory
+		effect  Idempotency
 		want    Action
 	}{
-		{Command{}, NoticesComplete, Once, Send},
-		{neverSent, NoticesComplete, Once, Send},
-		{neverSent, NoticesMissing, Once, Send},
-		{sent, NoticesComplete, Once, Leave},
-		{sent, NoticesMissing, Repeatable, Leave},
-		{unconfirmed, NoticesComplete, Once, Await},
-		{unconfirmed, NoticesComplete, Repeatable, Send},
-		{unconfirmed, NoticesMissing, Once, GiveUp},
-		{unconfirmed, NoticesMissing, Repeatable, Send},
-		{read, NoticesComplete, Once, AwaitRead},
-		{read, NoticesComplete, Repeatable, AwaitRead},
-		{started, NoticesComplete, Once, Leave},
-		{started, NoticesComplete, Repeatable, Leave},
-		{started, NoticesMissing, Once, GiveUp},
-		{started, NoticesMissing, Repeatable, Send},
-		{read, NoticesMissing, Once, GiveUp},
-		{read, NoticesMissing, Repeatable, Send},
+		{Command{}, HistoryComplete, NotIdempotent, Send},
+		{neverSent, HistoryComplete, NotIdempotent, Send},
+		{neverSent, HistoryIncomplete, NotIdempotent, Send},
+		{sent, HistoryComplete, NotIdempotent, NoAction},
+		{sent, HistoryIncomplete, Idempotent, NoAction},
+		{unconfirmed, HistoryComplete, NotIdempotent, AwaitUnconfirmed},
+		{unconfirmed, HistoryComplete, Idempotent, Send},
+		{unconfirmed, HistoryIncomplete, NotIdempotent, GiveUp},
+		{unconfirmed, HistoryIncomplete, Idempotent, Send},
+		{read, HistoryComplete, NotIdempotent, AwaitAcknowledged},
+		{read, HistoryComplete, Idempotent, AwaitAcknowledged},
+		{started, HistoryComplete, NotIdempotent, NoAction},
+		{started, HistoryComplete, Idempotent, NoAction},
+		{started, HistoryIncomplete, NotIdempotent, GiveUp},
+		{started, HistoryIncomplete, Idempotent, Send},
+		{read, HistoryIncomplete, NotIdempotent, GiveUp},
+		{read, HistoryIncomplete, Idempotent, Send},
 	} {
 		assert.Equal(t, tt.want, tt.command.Resync(tt.notices, tt.effect), "%v, notices %d, effect %d", tt.command.State(), tt.notices, tt.effect)
 	}
@@ -64,14 +64,14 @@
 // model is a service that orders one run after the other, and an engine. Bytes of a connection are
 // lists of messages; whichever is moved next is drawn.
 type model struct {
-	effect Effect
+	effect Idempotency
 
 	// The service's side.
 	run        int     // the current one, from 1
 	command    Command // of the current run
 	wanted     bool    // the current run has not ended, and is not given up
 	awaits     bool    // it fails when its request is due
-	conn       Connection
+	conn       ConnectionPolls
 	connected  bool
 	greeted    bool
 	synced     bool
@@ -153,7 +153,7 @@
 }
 
 func (m *model) sendRun() {
-	m.command.Written(&m.conn)
+	m.command.MarkSent(&m.conn)
 	m.toEngine = append(m.toEngine, message{runCommand, m.run})
 }
 
@@ -172,7 +172,7 @@
 	m.old = append(m.old, m.toEngine...)
 	m.toEngine = nil
 	m.toService = nil
-	m.command.ConnectionLost(&m.conn)
+	m.command.MarkConnectionLost(&m.conn)
 }
 
 func (m *model) connect() {
@@ -182,7 +182,7 @@
 	m.connected = true
 	m.synced = false
 	m.missing = false
-	m.conn = Connection{}
+	m.conn = ConnectionPolls{}
 	m.toEngine = []message{{attach, m.noticeRead}}
 }
 
@@ -251,7 +251,7 @@
 	m.missing = m.missing || number != m.noticeRead+1
 	m.noticeRead = number
 	if m.ends[number-1] == m.run {
-		m.command.Noticed()
+		m.command.MarkStarted()
 		m.wanted = false
 	}
 }
@@ -261,14 +261,14 @@
 		return
 	}
 	m.synced = true
-	notices := NoticesComplete
+	notices := HistoryComplete
 	if m.missing || m.noticeRead < m.kept { // the notices of other runs show it
-		notices = NoticesMissing
+		notices = HistoryIncomplete
 	}
 	switch m.command.Resync(notices, m.effect) {
 	case Send:
 		m.sendRun()
-	case Await, AwaitRead:
+	case AwaitUnconfirmed, AwaitAcknowledged:
 		m.awaits = true
 	case GiveUp:
 		m.wanted = false
@@ -289,18 +289,18 @@
 // happen once does, and no run is left without an end, a wait or a failure.
 func TestLostConnections(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		effect := Effect(rapid.IntRange(int(Once), int(Repeatable)).Draw(t, "effect"))
+		effect := Idempotency(rapid.IntRange(int(NotIdempotent), int(Idempotent)).Draw(t, "effect"))
 		m := &model{effect: effect, running: map[int]bool{}, runs: map[int]int{}}
 		for _, what := range rapid.SliceOfN(rapid.SampledFrom(steps), maxSteps, maxSteps).Draw(t, "steps") {
 			m.step(what)
 		}
 		m.quiesce()
 		for run, times := range m.runs {
-			if m.effect == Once {
+			if m.effect == NotIdempotent {
 				require.LessOrEqual(t, times, 1, "runs of %d", run)
 			}
 		}
-		require.False(t, m.wanted && m.effect == Repeatable, "not repeated until it has ended")
+		require.False(t, m.wanted && m.effect == Idempotent, "not repeated until it has ended")
 		require.False(t, m.wanted && !m.awaits, "nobody waits for it")
 		require.False(t, m.wanted && m.runs[m.run] > 0, "it ran, and its end was not heard")
 	})
@@ -312,16 +312,16 @@
 	for _, tt := range []struct {
 		answers int
 		want    State
-	}{{0, Unconfirmed}, {1, Unconfirmed}, {2, Read}} {
-		var on Connection
+	}{{0, Unconfirmed}, {1, Unconfirmed}, {2, Acknowledged}} {
+		var on ConnectionPolls
 		var c Command
 		on.PollSent()
-		c.Written(&on)
+		c.MarkSent(&on)
 		on.PollSent()
 		for range tt.answers {
 			on.PollAnswered()
 		}
-		c.ConnectionLost(&on)
+		c.MarkConnectionLost(&on)
 		assert.Equal(t, tt.want, c.State(), "%d answers", tt.answers)
 	}
 }
--- a/internal/transport/engine/out_of_turn_test.go
+++ b/internal/transport/engine/out_of_turn_test.go
@@ -67,10 +67,10 @@
 	}()
 	f.await("another connection", func() bool { f.link.Timers.RunDue(f.link.Now()); return c != nil })
 	t.Cleanup(func() { c.Close() })
-	f.hears(c, fmt.Sprintf("ATTACH %d\r\n", f.link.lastNotice))
+	f.hears(c, fmt.Sprintf("ATTACH %d\r\n", f.link.lastNotification))
 	const last = "ffffffffffffffff"
 	f.link.Run(exchange.Job{TraceID: last, Class: "c", Timeout: time.Minute})
-	next := f.link.lastNotice + 1
+	next := f.link.lastNotification + 1
 	_, err := io.WriteString(c, fmt.Sprintf("HELLO WARM 30000\r\nDONE %d %s OK 1 0\r\n\r\n", next, last))
 	require.NoError(t, err)
 	f.await("the end of a run", func() bool { return f.link.runs[last] == nil })
--- a/internal/transport/engine/protocol.go
+++ b/internal/transport/engine/protocol.go
@@ -30,9 +30,9 @@
 	messageStats    = "STATS" // tag, and the gauges in the order of the settings
 	messageRejected = "NO"    // the command that was not carried out
 
-	noticeDone       = "DONE" // number, trace id, result, duration in milliseconds, and the body
-	noticeCallNeeded = "NEED" // number, trace id, and the body of the call
-	noticeRemark     = "NOTE" // number, and a text without a meaning
+	notificationDone       = "DONE" // number, trace id, result, duration in milliseconds, and the body
+	notificationCallNeeded = "NEED" // number, trace id, and the body of the call
+	notificationRemark     = "NOTE" // number, and a text without a meaning
 )
 
 // stateColdStart, in messageHello, is the state of an engine that started cold and warms up; any
@@ -48,10 +48,12 @@
 }
 
 // hasPayload reports whether a payload follows a line of the engine.
-func hasPayload(words []string) bool { return words[0] == noticeDone || words[0] == noticeCallNeeded }
+func hasPayload(words []string) bool {
+	return words[0] == notificationDone || words[0] == notificationCallNeeded
+}
 
-func isNotice(kind string) bool {
-	return kind == noticeDone || kind == noticeCallNeeded || kind == noticeRemark
+func isNotification(kind string) bool {
+	return kind == notificationDone || kind == notificationCallNeeded || kind == notificationRemark
 }
 
 // greeting is a messageHello.
@@ -90,15 +92,15 @@
 
 // parseCompletion reads a noticeDone. Where the result or the duration is at fault it reports
 // so, and the run counts as failed.
-func parseCompletion(m lineproto.Message) (done completion, ok bool) {
-	done.traceID = m.Words[2]
-	done.body = m.Payload
+func parseCompletion(m lineproto.Message) (c completion, ok bool) {
+	c.traceID = m.Words[2]
+	c.body = m.Payload
 	ms, err := strconv.ParseFloat(m.Words[4], 64)
-	done.duration = time.Duration(ms * float64(time.Millisecond))
-	done.result, ok = results[m.Words[3]]
+	c.duration = time.Duration(ms * float64(time.Millisecond))
+	c.result, ok = results[m.Words[3]]
 	if err != nil || !ok {
-		done.result = exchange.ResultError
-		return done, false
+		c.result = exchange.ResultError
+		return c, false
 	}
-	return done, true
+	return c, true
 }
--- a/internal/transport/engine/receive.go
+++ b/internal/transport/engine/receive.go
@@ -23,14 +23,14 @@
 		s.receiveStats(words)
 	case kind == messageRejected && len(words) >= 2:
 		s.receiveRejection(words)
-	case isNotice(kind) && len(words) >= 2:
-		s.receiveNotice(m)
+	case isNotification(kind) && len(words) >= 2:
+		s.receiveNotification(m)
 	default:
-		s.logNotUnderstood(words)
+		s.logInvalidLine(words)
 	}
 }
 
-func (s *Session) logNotUnderstood(words []string) {
+func (s *Session) logInvalidLine(words []string) {
 	s.Log.Warn("engine line not understood", zap.Strings("words", words))
 }
 
@@ -39,81 +39,81 @@
 func (s *Session) receiveGreeting(words []string) {
 	hello, err := parseGreeting(words)
 	if err != nil {
-		s.logNotUnderstood(words)
+		s.logInvalidLine(words)
 		return
 	}
-	s.noteUptime(hello.uptime())
-	s.greeted = true
+	s.checkForRestart(hello.uptime())
+	s.greetingReceived = true
 	s.reconnectDelay = minReconnectDelay
 	for _, r := range s.runs {
-		if r.order.State() == delivery.NotSent {
+		if r.runCommand.State() == delivery.NotSent {
 			s.sendRun(r)
 		}
 	}
 	s.poll(tagSync)
-	if s.ready {
+	if s.readyPosted {
 		return
 	}
-	s.ready = true
+	s.readyPosted = true
 	s.Log.Info("engine up", zap.String("state", hello.state), zap.Int64("uptime_ms", hello.uptimeMs))
 	s.Exchange.Post(exchange.RunnerReady{ColdStart: hello.state == stateColdStart, Uptime: hello.uptime()})
 }
 
-// noteUptime notices an engine that has restarted under this process: its notices are numbered from
+// checkForRestart notices an engine that has restarted under this process: its notices are numbered from
 // 1 again, and of the runs of the one before it will tell nothing.
-func (s *Session) noteUptime(uptime time.Duration) {
-	if s.ready && uptime < s.engineUptime {
+func (s *Session) checkForRestart(uptime time.Duration) {
+	if s.readyPosted && uptime < s.engineUptime {
 		s.Log.Warn("engine restarted", zap.Int64("uptime_ms", uptime.Milliseconds()), zap.Int("runs", len(s.runs)))
-		s.lastNotice = 0
-		s.noticesMissing = true
+		s.lastNotification = 0
+		s.notificationsMissing = true
 	}
 	s.engineUptime = uptime
 }
 
 func (s *Session) receiveStats(words []string) {
-	s.delivered.PollAnswered()
+	s.polls.PollAnswered()
 	if words[1] == tagSync {
 		s.resync()
 		return
 	}
 	gauges, err := parseGauges(words[2:])
 	if err != nil {
-		s.logNotUnderstood(words)
+		s.logInvalidLine(words)
 		return
 	}
 	s.Exchange.Post(gauges)
 }
 
-// receiveNotice handles a notice, unless it is repeated after an ATTACH.
-func (s *Session) receiveNotice(m lineproto.Message) {
+// receiveNotification handles a notice, unless it is repeated after an ATTACH.
+func (s *Session) receiveNotification(m lineproto.Message) {
 	words := m.Words
 	number, err := strconv.ParseUint(words[1], 10, 64)
 	if err != nil {
-		s.logNotUnderstood(words)
+		s.logInvalidLine(words)
 		return
 	}
-	if number <= s.lastNotice {
+	if number <= s.lastNotification {
 		return
 	}
-	s.noticesMissing = s.noticesMissing || number != s.lastNotice+1
-	s.lastNotice = number
+	s.notificationsMissing = s.notificationsMissing || number != s.lastNotification+1
+	s.lastNotification = number
 	switch kind := words[0]; {
-	case kind == noticeCallNeeded && len(words) == 4:
+	case kind == notificationCallNeeded && len(words) == 4:
 		s.receiveCall(words[2], m.Payload)
-	case kind == noticeDone && len(words) == 6:
+	case kind == notificationDone && len(words) == 6:
 		s.receiveCompletion(m)
-	case kind != noticeRemark:
-		s.logNotUnderstood(words)
+	case kind != notificationRemark:
+		s.logInvalidLine(words)
 	}
 }
 
 // receiveCall reports the call that a run waits for.
 func (s *Session) receiveCall(traceID string, body []byte) {
 	if r := s.runs[traceID]; r != nil {
-		s.confirmed(r)
+		s.confirmCommands(r)
 		r.hasReply = false
 		r.reply = nil
-		r.resumes = false
+		r.resumeRequested = false
 	}
 	s.Exchange.Post(exchange.Outcome{TraceID: traceID, Stage: exchange.CallNeeded, Body: body})
 }
@@ -123,41 +123,41 @@
 func (s *Session) receiveCompletion(m lineproto.Message) {
 	done, ok := parseCompletion(m)
 	if !ok { // the run counts as failed all the same, see parseCompletion
-		s.logNotUnderstood(m.Words)
+		s.logInvalidLine(m.Words)
 	}
 	r := s.runs[done.traceID]
 	if r != nil {
-		s.observeEnd(r)
+		s.observeRunEnd(r)
 		if done.result == exchange.ResultStopped && s.mayBeLateStop(r) {
-			s.repeatStopped(r)
+			s.resendStoppedRun(r)
 			return
 		}
 	}
-	paused := done.result == exchange.ResultStopped && s.pausesOnStop && r != nil && r.stopping && !r.answered
+	paused := done.result == exchange.ResultStopped && s.pausesOnStop && r != nil && r.stopRequested && !r.requestAnswered
 	if !paused {
-		s.report(done)
+		s.reportCompletion(done)
 		return
 	}
-	s.confirmed(r)
-	r.stopping = false
-	s.post(done)
+	s.confirmCommands(r)
+	r.stopRequested = false
+	s.postCompletion(done)
 }
 
 // mayBeLateStop reports whether a HALT that was meant for an earlier run of the request may have
 // stopped this one: the engine may read it from a lost connection after this run was ordered. A run
 // that had come to a call is not repeated, as the reply to that call could reach the next run.
 func (s *Session) mayBeLateStop(r *run) bool {
-	return r.job.Restarted && !r.stopping && !s.pausesOnStop &&
-		r.effect() == delivery.Repeatable && r.order.State() != delivery.Started
+	return r.job.Restarted && !r.stopRequested && !s.pausesOnStop &&
+		r.idempotency() == delivery.Idempotent && r.runCommand.State() != delivery.Started
 }
 
-// repeatStopped orders a run once more after a late stop.
-func (s *Session) repeatStopped(r *run) {
+// resendStoppedRun orders a run once more after a late stop.
+func (s *Session) resendStoppedRun(r *run) {
 	s.Log.Warn("run stopped by a late command, ordered again", zap.String("trace_id", r.job.TraceID))
-	s.Timers.Cancel(r.awaiting)
-	r.awaiting = nil
+	s.Timers.Cancel(r.notificationTimer)
+	r.notificationTimer = nil
 	r.job.Restarted = false // one that is stopped again is reported
-	r.orderedAt = s.Now()
+	r.submittedAt = s.Now()
 	s.sendRun(r)
 }
 
@@ -168,5 +168,5 @@
 	if len(words) < 3 || words[1] != commandRun || s.runs[words[2]] == nil {
 		return
 	}
-	s.finish(words[2], exchange.ResultUnknownRequest)
+	s.finishRun(words[2], exchange.ResultUnknownRequest)
 }
--- a/internal/transport/engine/session.go
+++ b/internal/transport/engine/session.go
@@ -30,7 +30,7 @@
 	maxUnansweredPolls = 20
 )
 
-var errSilent = errors.New("no message from the engine")
+var errEngineSilent = errors.New("no message from the engine")
 
 // connNumber numbers connections, and dials of them, from 1.
 type connNumber int
@@ -41,25 +41,25 @@
 // Session is the exchange.Runner that speaks to the engine.
 type Session struct {
 	session.Config
-	addr            string
-	pausesOnStop    bool // a stopped run is paused, and can be resumed
-	conn            *eventloop.Conn
-	current         connNumber // number of conn, or noConn
-	latestDial      connNumber
-	greeted         bool                // HELLO has arrived on the current connection
-	synced          bool                // resync was done on the current connection
-	delivered       delivery.Connection // what the current connection shows to be read
-	ready           bool                // HELLO has arrived once
-	engineUptime    time.Duration       // at the latest HELLO
-	lastNotice      uint64
-	noticesMissing  bool // notices are missing before the first one on the current connection
-	reconnectDelay  time.Duration
-	reconnectTimer  *timerqueue.Timer
-	unansweredPolls int           // since the latest message of the engine
-	lastCountedPoll time.Duration // when the latest of them was
-	runs            map[string]*run
-	durations       map[string]*session.LatencyEstimator // of runs, by class
-	lastEndedOrder  time.Duration                        // when the latest run that has ended was ordered
+	addr                 string
+	pausesOnStop         bool // a stopped run is paused, and can be resumed
+	conn                 *eventloop.Conn
+	currentConn          connNumber // number of conn, or noConn
+	latestDial           connNumber
+	greetingReceived     bool                     // HELLO has arrived on the current connection
+	resynced             bool                     // resync was done on the current connection
+	polls                delivery.ConnectionPolls // what the current connection shows to be read
+	readyPosted          bool                     // HELLO has arrived once
+	engineUptime         time.Duration            // at the latest HELLO
+	lastNotification     uint64
+	notificationsMissing bool // notices are missing before the first one on the current connection
+	reconnectDelay       time.Duration
+	reconnectTimer       *timerqueue.Timer
+	unansweredPolls      int           // since the latest message of the engine
+	lastCountedPollAt    time.Duration // when the latest of them was
+	runs                 map[string]*run
+	runDurations         map[string]*session.LatencyEstimator // of runs, by class
+	lastEndedSubmittedAt time.Duration                        // when the latest run that has ended was ordered
 }
 
 // New returns a Session that is not connected. pausesOnStop tells what HALT does to a run.
@@ -70,7 +70,7 @@
 		pausesOnStop:   pausesOnStop,
 		reconnectDelay: minReconnectDelay,
 		runs:           map[string]*run{},
-		durations:      map[string]*session.LatencyEstimator{},
+		runDurations:   map[string]*session.LatencyEstimator{},
 	}
 }
 
@@ -83,14 +83,14 @@
 	s.Dial(s.addr, &session.LineHandler{
 		Config:  s.Config,
 		Parser:  lineproto.Parser{HasPayload: hasPayload},
-		Current: func() bool { return n == s.current || n == s.latestDial },
+		Current: func() bool { return n == s.currentConn || n == s.latestDial },
 		OnMessage: func(m lineproto.Message) {
-			if n == s.current { // one that is not open yet has had no ATTACH to answer
+			if n == s.currentConn { // one that is not open yet has had no ATTACH to answer
 				s.receive(m)
 			}
 		},
-		OnLost: func(err error) { s.lost(n, err) },
-	}, func(c *eventloop.Conn, err error) { s.opened(n, c, err) })
+		OnLost: func(err error) { s.connectionLost(n, err) },
+	}, func(c *eventloop.Conn, err error) { s.dialCompleted(n, c, err) })
 }
 
 // SetAddress goes on at another address. Runs and numbers of notices stay as they are: it is the
@@ -104,10 +104,10 @@
 	s.Open()
 }
 
-// opened makes a connection the current one, unless a later dial has taken its place.
-func (s *Session) opened(n connNumber, c *eventloop.Conn, err error) {
+// dialCompleted makes a connection the current one, unless a later dial has taken its place.
+func (s *Session) dialCompleted(n connNumber, c *eventloop.Conn, err error) {
 	if err != nil {
-		s.lost(n, err)
+		s.connectionLost(n, err)
 		return
 	}
 	if n != s.latestDial { // another dial is under way, or this connection was lost already
@@ -116,34 +116,34 @@
 	}
 	if s.conn != nil {
 		s.conn.Abort()
-		s.leaveConnection()
+		s.markConnectionLost()
 	}
 	s.conn = c
-	s.current = n
-	s.greeted = false
-	s.synced = false
-	s.delivered = delivery.Connection{}
-	s.noticesMissing = false
+	s.currentConn = n
+	s.greetingReceived = false
+	s.resynced = false
+	s.polls = delivery.ConnectionPolls{}
+	s.notificationsMissing = false
 	s.unansweredPolls = 0
-	s.send(commandAttach, strconv.FormatUint(s.lastNotice, 10))
+	s.send(commandAttach, strconv.FormatUint(s.lastNotification, 10))
 	s.Timers.Schedule(s.Now()+greetingTimeout, func() { s.checkGreeting(n) })
 }
 
 // checkGreeting opens another connection if the given one is the latest and had no HELLO so far.
 func (s *Session) checkGreeting(n connNumber) {
-	if n == s.current && n == s.latestDial && !s.greeted {
+	if n == s.currentConn && n == s.latestDial && !s.greetingReceived {
 		s.Open()
 	}
 }
 
-// lost dials once more if the current connection or the latest dial has failed.
-func (s *Session) lost(n connNumber, err error) {
-	if n == s.current {
+// connectionLost dials once more if the current connection or the latest dial has failed.
+func (s *Session) connectionLost(n connNumber, err error) {
+	if n == s.currentConn {
 		s.conn.Abort()
-		s.leaveConnection()
+		s.markConnectionLost()
 		s.conn = nil
-		s.current = noConn
-		s.greeted = false
+		s.currentConn = noConn
+		s.greetingReceived = false
 	}
 	if n != s.latestDial {
 		return
@@ -159,27 +159,27 @@
 // rather than time, so that a pause of this process does not count. Before the engine has been up
 // no answer is expected.
 func (s *Session) RequestGauges() {
-	if s.greeted {
+	if s.greetingReceived {
 		s.poll(tagGauges)
 	}
-	if s.conn == nil || !s.ready {
+	if s.conn == nil || !s.readyPosted {
 		return
 	}
 	now := s.Now()
-	if now-s.lastCountedPoll < minPollInterval {
+	if now-s.lastCountedPollAt < minPollInterval {
 		return
 	}
-	s.lastCountedPoll = now
+	s.lastCountedPollAt = now
 	s.unansweredPolls++
 	if s.unansweredPolls > maxUnansweredPolls {
-		s.lost(s.current, errSilent)
+		s.connectionLost(s.currentConn, errEngineSilent)
 	}
 }
 
 // poll asks the engine for its gauges. Its answer also shows that all commands before it on the
 // connection were read.
 func (s *Session) poll(tag string) {
-	s.delivered.PollSent()
+	s.polls.PollSent()
 	s.send(commandStats, tag)
 }
 
