--- a/internal/transport/ajp/conn.go
+++ b/internal/transport/ajp/conn.go
@@ -45,7 +45,7 @@
 	if c.open == nil {
 		return nil
 	}
-	if req := c.open.Unanswered(); req != nil {
+	if req := c.open.PendingRequest(); req != nil {
 		unanswered = append(unanswered, req)
 	}
 	c.open.Discard()
@@ -57,11 +57,11 @@
 func (c *conn) packet(content []byte) error {
 	c.Lock()
 	open := c.open
-	refusing := c.RefusesRequests()
+	refusing := c.RejectsRequests()
 	c.Unlock()
 	switch {
 	case refusing:
-		return c.Skip(len(content) + frameBytes)
+		return c.CountSkippedBytes(len(content) + frameBytes)
 	case open != nil && !open.complete:
 		return c.bodyChunk(open, content)
 	case len(content) == 0:
@@ -70,7 +70,7 @@
 		c.cping()
 		return nil
 	case content[0] == codeShutdown || content[0] == codePing: // no caller may stop the service
-		return c.Skip(len(content) + frameBytes)
+		return c.CountSkippedBytes(len(content) + frameBytes)
 	case content[0] == codeForwardRequest && open == nil:
 		return c.forwardRequest(content[1:])
 	}
@@ -94,7 +94,7 @@
 	header := func(name string) string { return f.headers[strings.ToLower(name)] }
 	open := &openRequest{conn: c, raw: frontend.RawRequest{Path: f.path, Method: f.method, Header: header}}
 	if !c.begin(open) {
-		return c.Skip(len(content))
+		return c.CountSkippedBytes(len(content))
 	}
 	if subtle.ConstantTimeCompare([]byte(f.secret), []byte(c.frontend.secret)) != 1 {
 		c.fail(open, http.StatusForbidden, errors.New("secret: wrong or missing"))
@@ -123,12 +123,12 @@
 func (c *conn) begin(open *openRequest) bool {
 	c.Lock()
 	defer c.Unlock()
-	if c.RefusesRequests() {
+	if c.RejectsRequests() {
 		return false
 	}
 	c.open = open
-	c.Touch()
-	c.RequestBegan()
+	c.MarkActive()
+	c.RequestStarted()
 	return true
 }
 
--- a/internal/transport/ajp/open_request.go
+++ b/internal/transport/ajp/open_request.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		c.LogFailedRequest(http.StatusBadRequest, err)
 		c.reply(open, frontend.HTTPResponse{Status: http.StatusBadRequest}, keepOpen)
-		return c.CountFault()
+		return c.CountInvalidRequest()
 	}
 	req.Body = open.body
 	req.Responder = open
@@ -74,7 +74,7 @@
 // Respond writes the answer to the request. It is called on the dispatcher's goroutine.
 func (open *openRequest) Respond(answer exchange.Response) {
 	open.conn.reply(open, frontend.NewHTTPResponse(answer), keepOpen)
-	open.conn.CountAnswer(answer)
+	open.conn.CountResponse(answer)
 }
 
 // reply writes a response, once.
--- a/internal/transport/fastcgi/conn.go
+++ b/internal/transport/fastcgi/conn.go
@@ -61,7 +61,7 @@
 // DiscardAll forgets all requests.
 func (c *conn) DiscardAll() (unanswered []*exchange.Request) {
 	for _, open := range c.openRequests {
-		if req := open.Unanswered(); req != nil {
+		if req := open.PendingRequest(); req != nil {
 			unanswered = append(unanswered, req)
 		}
 		open.Discard()
@@ -82,7 +82,7 @@
 	case r.kind == typeBeginRequest:
 		return c.beginRequest(r, open)
 	case open == nil: // input of a request that was rejected or aborted
-		return c.Skip(len(r.content) + headerBytes)
+		return c.CountSkippedBytes(len(r.content) + headerBytes)
 	case r.kind == typeParams && !open.paramsEnded:
 		return c.appendParams(open, r.content)
 	case r.kind == typeStdin && open.paramsEnded && !open.inputEnded:
@@ -91,7 +91,7 @@
 		c.abort(open)
 		return nil
 	case r.kind == typeData:
-		return c.Skip(len(r.content) + headerBytes)
+		return c.CountSkippedBytes(len(r.content) + headerBytes)
 	}
 	return fmt.Errorf("unexpected record of type %d", r.kind)
 }
@@ -100,9 +100,9 @@
 func (c *conn) managementRecord(r record) error {
 	if r.kind != typeGetValues {
 		c.Write(appendUnknownType(nil, r.kind))
-		return c.Skip(len(r.content) + headerBytes)
+		return c.CountSkippedBytes(len(r.content) + headerBytes)
 	}
-	return errors.Join(c.getValues(r.content), c.Skip(len(r.content)+headerBytes))
+	return errors.Join(c.getValues(r.content), c.CountSkippedBytes(len(r.content)+headerBytes))
 }
 
 // getValues answers GET_VALUES with the variables that are known.
@@ -128,7 +128,7 @@
 	role := int(r.content[0])<<8 | int(r.content[1])
 	keepAlive := r.content[2]&flagKeepConnection != 0
 	c.Lock()
-	if c.RefusesRequests() {
+	if c.RejectsRequests() {
 		c.Unlock()
 		return nil
 	}
@@ -139,7 +139,7 @@
 	full := c.OpenRequests() >= maxOpenRequests
 	if !full && role == roleResponder {
 		c.openRequests[r.id] = &openRequest{conn: c, id: r.id, keepAlive: keepAlive}
-		c.RequestBegan()
+		c.RequestStarted()
 	}
 	c.Unlock()
 	switch {
@@ -148,7 +148,7 @@
 	case full:
 		c.server.Log.Warn("request rejected", zap.Error(errTooManyOpen))
 		c.Write(appendEndRequest(nil, r.id, statusOverloaded))
-		return c.CountFault()
+		return c.CountInvalidRequest()
 	}
 	return nil
 }
@@ -157,7 +157,7 @@
 func (c *conn) appendParams(open *openRequest, content []byte) error {
 	open.paramsEnded = len(content) == 0
 	if open.failed {
-		return c.Skip(len(content))
+		return c.CountSkippedBytes(len(content))
 	}
 	if len(open.params)+len(content) > maxParamsBytes {
 		return c.fail(open, http.StatusRequestHeaderFieldsTooLarge, fmt.Errorf("parameters of more than %d bytes", maxParamsBytes))
@@ -182,7 +182,7 @@
 	c.Unlock()
 	switch {
 	case settled:
-		return c.Skip(len(content))
+		return c.CountSkippedBytes(len(content))
 	case ended:
 		return c.complete(open)
 	case len(open.body)+len(content) > frontend.MaxBodyBytes:
@@ -194,7 +194,7 @@
 
 // abort ends a request whose caller takes it back.
 func (c *conn) abort(open *openRequest) {
-	c.Abandon(&open.OpenRequest)
+	c.ReportAborted(&open.OpenRequest)
 	c.Lock()
 	open.inputEnded = true
 	c.Unlock()
--- a/internal/transport/fastcgi/conn_test.go
+++ b/internal/transport/fastcgi/conn_test.go
@@ -178,7 +178,7 @@
 	c.Lock()
 	half := &openRequest{conn: c, id: 2, paramsEnded: true}
 	c.openRequests[2] = half
-	c.RequestBegan()
+	c.RequestStarted()
 	c.Unlock()
 	c.Drain()
 	require.NoError(t, c.appendBody(half, nil), "its record was looked at before the drain")
--- a/internal/transport/fastcgi/open_request.go
+++ b/internal/transport/fastcgi/open_request.go
@@ -64,13 +64,13 @@
 	open.body = nil
 	c.LogFailedRequest(status, err)
 	c.reply(open, frontend.HTTPResponse{Status: status})
-	return c.CountFault()
+	return c.CountInvalidRequest()
 }
 
 // Respond writes the answer to the request. It is called on the dispatcher's goroutine.
 func (open *openRequest) Respond(answer exchange.Response) {
 	open.conn.reply(open, frontend.NewHTTPResponse(answer))
-	open.conn.CountAnswer(answer)
+	open.conn.CountResponse(answer)
 }
 
 // reply writes a response as a CGI program would.
--- a/internal/transport/frontend/conn.go
+++ b/internal/transport/frontend/conn.go
@@ -83,18 +83,18 @@
 	}
 }
 
-// RefusesRequests reports whether no request begins on the connection any more, as it is being
+// RejectsRequests reports whether no request begins on the connection any more, as it is being
 // closed. That may be so without a drain of the service. The lock is held.
-func (c *Conn) RefusesRequests() bool { return c.refusing }
+func (c *Conn) RejectsRequests() bool { return c.refusing }
 
 // OpenRequests is the number of requests that have begun and have no answer. The lock is held.
 func (c *Conn) OpenRequests() int { return c.openRequests }
 
-// RequestBegan counts a request as open. The lock is held.
-func (c *Conn) RequestBegan() { c.openRequests++ }
+// RequestStarted counts a request as open. The lock is held.
+func (c *Conn) RequestStarted() { c.openRequests++ }
 
-// Touch marks the connection as active now. The lock is held.
-func (c *Conn) Touch() { c.lastActive = time.Now() }
+// MarkActive marks the connection as active now. The lock is held.
+func (c *Conn) MarkActive() { c.lastActive = time.Now() }
 
 // RequestArrived notes that a request, or a keep-alive of the protocol, has arrived
 // completely: the caller is not stalled. The lock is held.
--- a/internal/transport/frontend/limits.go
+++ b/internal/transport/frontend/limits.go
@@ -49,10 +49,10 @@
 	}
 }
 
-// Skip counts input that belongs to no request, or to one that has failed: to read a body
+// CountSkippedBytes counts input that belongs to no request, or to one that has failed: to read a body
 // without end would cost more than all that is useful. It is called on the event loop's
 // goroutine.
-func (c *Conn) Skip(bytes int) error {
+func (c *Conn) CountSkippedBytes(bytes int) error {
 	c.skippedBytes += bytes
 	if c.skippedBytes > maxSkippedBytes {
 		return errTooMuchInput
@@ -60,21 +60,21 @@
 	return nil
 }
 
-// CountFault counts a faulty request, against callers that send nothing else.
-func (c *Conn) CountFault() error {
+// CountInvalidRequest counts a faulty request, against callers that send nothing else.
+func (c *Conn) CountInvalidRequest() error {
 	if c.consecutiveFaults.Add(1) > maxConsecutiveFaults {
 		return errTooManyFaults
 	}
 	return nil
 }
 
-// CountAnswer counts an answered request: a good one makes up for the faulty ones before it.
-func (c *Conn) CountAnswer(answer exchange.Response) {
+// CountResponse counts an answered request: a good one makes up for the faulty ones before it.
+func (c *Conn) CountResponse(answer exchange.Response) {
 	if !answer.InvalidRequest {
 		c.consecutiveFaults.Store(0)
 		return
 	}
-	if c.CountFault() != nil {
+	if c.CountInvalidRequest() != nil {
 		c.Lock()
 		defer c.Unlock()
 		c.closeOnceAnswered()
--- a/internal/transport/frontend/open_request.go
+++ b/internal/transport/frontend/open_request.go
@@ -23,8 +23,8 @@
 	return wasOpen
 }
 
-// Unanswered returns the request if it was submitted and is not settled, else nil.
-func (open *OpenRequest) Unanswered() *exchange.Request {
+// PendingRequest returns the request if it was submitted and is not settled, else nil.
+func (open *OpenRequest) PendingRequest() *exchange.Request {
 	if open.settled {
 		return nil
 	}
@@ -68,8 +68,8 @@
 	c.requestSettled()
 }
 
-// Abandon notifies the exchange that the caller has aborted a request.
-func (c *Conn) Abandon(open *OpenRequest) {
+// ReportAborted notifies the exchange that the caller has aborted a request.
+func (c *Conn) ReportAborted(open *OpenRequest) {
 	c.Lock()
 	req := open.submitted
 	c.Unlock()
