--- a/internal/cluster/diskidentity/attesters.go
+++ b/internal/cluster/diskidentity/attesters.go
@@ -23,7 +23,7 @@
 
 // countAttesters sorts the other voters. What the attested ones say of this disk was checked before.
 func (d *LocalDisk) countAttesters(attestations map[string]Attestation) (tally attesterTally) {
-	cluster := d.likelyCluster(attestations)
+	cluster := d.presumedCluster(attestations)
 	for _, id := range slices.Sorted(slices.Values(d.Voters)) {
 		a, answered := attestations[MemberName(id)]
 		switch {
@@ -34,7 +34,7 @@
 			tally.missing = append(tally.missing, id)
 		case a.ID == id:
 			tally.attested = append(tally.attested, id)
-		case a.replaces(id, cluster):
+		case a.showsReplacementOf(id, cluster):
 			tally.replaced = append(tally.replaced, ReplacedVoter{Voter: id, Successor: a.ID})
 		default:
 			tally.missing = append(tally.missing, id)
@@ -43,9 +43,9 @@
 	return tally
 }
 
-// likelyCluster is the cluster of a disk, also if its own log does not tell for sure: then it is that of a member
+// presumedCluster is the cluster of a disk, also if its own log does not tell for sure: then it is that of a member
 // that answers with the disk that the configuration names, and else what the log says.
-func (d *LocalDisk) likelyCluster(attestations map[string]Attestation) string {
+func (d *LocalDisk) presumedCluster(attestations map[string]Attestation) string {
 	if d.Cluster != "" {
 		return d.Cluster
 	}
@@ -57,9 +57,9 @@
 	return d.LoggedCluster
 }
 
-// replaces reports whether an attestation shows that the node of a member has another disk, of this cluster or new.
+// showsReplacementOf reports whether an attestation shows that the node of a member has another disk, of this cluster or new.
 // One of another node shows nothing: somebody else answers at the member's address.
-func (a *Attestation) replaces(id, cluster string) bool {
+func (a *Attestation) showsReplacementOf(id, cluster string) bool {
 	sameNode := MemberName(a.ID) == MemberName(id) && MemberDisk(a.ID) != ""
 	return sameNode && (a.Cluster == "" || a.Cluster == cluster)
 }
@@ -69,32 +69,32 @@
 func (d *LocalDisk) attestersNeeded(tally attesterTally) int {
 	others := len(d.Voters) - 1
 	majority := len(d.Voters) / 2
-	wanted := d.Attesters
+	required := d.Attesters
 	switch {
-	case wanted == 0:
+	case required == 0:
 		return majority
-	case wanted < 0:
-		wanted = others
+	case required < 0:
+		required = others
 	}
-	return min(wanted, max(majority, others-len(tally.replaced)))
+	return min(required, max(majority, others-len(tally.replaced)))
 }
 
 // waitReason says for whom a disk waits that needs a number of attestations, and what operators can do.
 func (t *attesterTally) waitReason(need int) Reason {
-	lacking := need - len(t.attested)
-	if lacking > len(t.missing) {
+	stillNeeded := need - len(t.attested)
+	if stillNeeded > len(t.missing) {
 		return Reason{
 			Text:     "a majority of the voters must have their disks: start them with the folders of those disks, or recover a lost majority",
 			Replaced: t.replaced,
 		}
 	}
-	silent := slices.Clone(t.missing)
+	candidates := slices.Clone(t.missing)
 	for _, r := range t.replaced {
-		silent = append(silent, r.Voter)
+		candidates = append(candidates, r.Voter)
 	}
-	slices.Sort(silent)
+	slices.Sort(candidates)
 	return Reason{
-		Text:     fmt.Sprintf("%d of %s must say that this disk is not older than what it acknowledged", lacking, strings.Join(silent, ", ")),
+		Text:     fmt.Sprintf("%d of %s must say that this disk is not older than what it acknowledged", stillNeeded, strings.Join(candidates, ", ")),
 		Replaced: t.replaced,
 	}
 }
--- a/internal/cluster/diskidentity/attesters_test.go
+++ b/internal/cluster/diskidentity/attesters_test.go
@@ -31,13 +31,13 @@
 		want         string
 	}{
 		{nil, "2 of b@1, c@1 must say that this disk is not older than what it acknowledged"},
-		{byName(isNew("c@2")), "1 of b@1, c@1 must say that this disk is not older than what it acknowledged; c@1 can't, as its node has c@2 now"},
-		{byName(isNew("b@2"), isNew("c@2")), "a majority of the voters must have their disks: start them with the folders of those disks, or recover a lost majority; b@1 can't, as its node has b@2 now; c@1 can't, as its node has c@2 now"},
-		{byName(attests("b@1", nil), isNew("c@2")), "1 others have seen no more of this disk; c@1 can't, as its node has c@2 now"},
+		{attestationsByName(freshAttestation("c@2")), "1 of b@1, c@1 must say that this disk is not older than what it acknowledged; c@1 can't, as its node has c@2 now"},
+		{attestationsByName(freshAttestation("b@2"), freshAttestation("c@2")), "a majority of the voters must have their disks: start them with the folders of those disks, or recover a lost majority; b@1 can't, as its node has b@2 now; c@1 can't, as its node has c@2 now"},
+		{attestationsByName(attestationFrom("b@1", nil), freshAttestation("c@2")), "1 others have seen no more of this disk; c@1 can't, as its node has c@2 now"},
 	} {
-		_, reason := Decide(allAttest, c.attestations)
+		_, reason := Decide(allAttestersDisk, c.attestations)
 		assert.Equal(t, c.want, reason.String())
 	}
-	_, reason := Decide(voter, byName(isNew("b@2")))
+	_, reason := Decide(voterDisk, attestationsByName(freshAttestation("b@2")))
 	assert.Equal(t, "1 of b@1, c@1 must say that this disk is not older than what it acknowledged; b@1 can't, as its node has b@2 now", reason.String())
 }
--- a/internal/cluster/diskidentity/golden_test.go
+++ b/internal/cluster/diskidentity/golden_test.go
@@ -21,9 +21,9 @@
 		require.NoError(t, err)
 		assert.Equal(t, text, string(got))
 	}
-	var back Attestation
-	require.NoError(t, json.Unmarshal([]byte(`{"id":"n1@5f","cluster":"c","was":["b"],"fresh":true,"config":1,"members":["m"],"voters":["v"],"seen":{"starts":1}}`), &back))
-	assert.Equal(t, Attestation{ID: "n1@5f", Cluster: "c", PreviousClusters: []string{"b"}, Fresh: true, ConfigIndex: 1, Members: []string{"m"}, Voters: []string{"v"}, LastObserved: &Watermark{Starts: 1}}, back)
+	var decoded Attestation
+	require.NoError(t, json.Unmarshal([]byte(`{"id":"n1@5f","cluster":"c","was":["b"],"fresh":true,"config":1,"members":["m"],"voters":["v"],"seen":{"starts":1}}`), &decoded))
+	assert.Equal(t, Attestation{ID: "n1@5f", Cluster: "c", PreviousClusters: []string{"b"}, Fresh: true, ConfigIndex: 1, Members: []string{"m"}, Voters: []string{"v"}, LastObserved: &Watermark{Starts: 1}}, decoded)
 	assert.Equal(t, "n1@5f", MemberID("n1", "5f"))
 	assert.Equal(t, []string{"n1", "5f", "n1", ""}, []string{MemberName("n1@5f"), MemberDisk("n1@5f"), MemberName("n1"), MemberDisk("n1")})
 	for v, text := range map[Verdict]string{VerdictWait: "wait", VerdictBootstrap: "found", VerdictJoin: "join", VerdictResume: "resume", VerdictRenew: "renew"} {
--- a/internal/cluster/lease/expiry.go
+++ b/internal/cluster/lease/expiry.go
@@ -11,26 +11,26 @@
 // the leader counts as sent again each second (store.waiterRefreshInterval).
 const WaiterTimeout = 3 * time.Second
 
-// idleInterval is when DueOps looks at all leases again if nothing is due before.
-const idleInterval = time.Hour
+// fullScanInterval is when DueOps looks at all leases again if nothing is due before.
+const fullScanInterval = time.Hour
 
 // DeadlineTable is the leader's record of when leases end and when waiters were last heard of, for
 // one term of its leadership. All
 // times are the leader's own, monotonic. It is not safe for concurrent use.
 type DeadlineTable struct {
-	expiries  map[string]expiry           // by the lease's name
-	lastHeard map[waiterKey]time.Duration // when each waiter last sent its request
-	electedAt time.Duration
-	seenToken uint64        // State.LastToken when DueOps last looked at all leases
-	nextDue   time.Duration // nothing is due earlier, unless a token or ticket was given since
+	expiries     map[string]expiry           // by the lease's name
+	lastHeard    map[waiterKey]time.Duration // when each waiter last sent its request
+	electedAt    time.Duration
+	scannedToken uint64        // State.LastToken when DueOps last looked at all leases
+	nextDue      time.Duration // nothing is due earlier, unless a token or ticket was given since
 }
 
 type waiterKey struct{ name, holder string }
 
 type expiry struct {
-	token    uint64
-	deadline time.Duration
-	proposed bool // OpExpire may be in the log already: no keep-alive revives the lease
+	token          uint64
+	deadline       time.Duration
+	expiryProposed bool // OpExpire may be in the log already: no keep-alive revives the lease
 }
 
 // NewDeadlineTable returns the table of a leader elected at a time. Each lease that it inherits has
@@ -66,7 +66,7 @@
 		return ErrNotHolder
 	}
 	e := d.expiryOf(name, l, arrivedAt)
-	if e.proposed || l.Revoked {
+	if e.expiryProposed || l.Revoked {
 		return ErrNotHolder
 	}
 	e.deadline = max(e.deadline, arrivedAt+l.ttl())
@@ -84,11 +84,11 @@
 	if queued {
 		d.TouchWaiter(name, holder, now)
 	}
-	mine := held && l.Holder == holder && !l.Revoked
+	heldByCaller := held && l.Holder == holder && !l.Revoked
 	switch {
-	case mine && d.Renew(s, name, l.Token, arrivedAt) == nil:
+	case heldByCaller && d.Renew(s, name, l.Token, arrivedAt) == nil:
 		return l, false, nil
-	case mine: // its OpExpire may be in the log already
+	case heldByCaller: // its OpExpire may be in the log already
 		return l, false, ErrHeld
 	case held && (queued || !enqueue):
 		return l, false, ErrHeld
@@ -110,11 +110,11 @@
 // and OpWithdraw for waiters that have sent no request for WaiterTimeout. From then on such a lease can't
 // be renewed any more, as its end may be in the log.
 func (d *DeadlineTable) DueOps(s *State, now time.Duration) []Op {
-	if now < d.nextDue && s.LastToken == d.seenToken {
+	if now < d.nextDue && s.LastToken == d.scannedToken {
 		return nil
 	}
-	d.seenToken = s.LastToken
-	d.nextDue = now + idleInterval
+	d.scannedToken = s.LastToken
+	d.nextDue = now + fullScanInterval
 	var due []Op
 	waiting := map[waiterKey]bool{}
 	for name, l := range s.Leases {
@@ -136,8 +136,8 @@
 
 func (d *DeadlineTable) appendExpiry(due []Op, name string, l Lease, now time.Duration) []Op {
 	e := d.expiryOf(name, l, now)
-	if e.proposed || now >= e.deadline {
-		e.proposed = true
+	if e.expiryProposed || now >= e.deadline {
+		e.expiryProposed = true
 		d.expiries[name] = e
 		due = append(due, Op{Kind: OpExpire, Name: name, Token: l.Token})
 	}
--- a/internal/cluster/lease/golden_test.go
+++ b/internal/cluster/lease/golden_test.go
@@ -43,10 +43,10 @@
 		{Kind: OpRelease, Name: "job", Token: 9}, {Kind: OpHandOver, Name: "job", Token: 11, Holder: "h3"}, {Kind: "steal", Name: "job"}, {Kind: OpRevoke, Name: "job"},
 		{Kind: OpHandOver, Name: "job", Token: 11, Holder: "h2"}, {Kind: OpExpire, Name: "job", Token: 13}, {Kind: OpRevoke, Name: "job"},
 	} {
-		r, given := s.Apply(o)
+		r, granted := s.Apply(o)
 		text, err := json.Marshal(r)
 		require.NoError(t, err)
-		fmt.Fprintf(&lines, "%s %s %v %v\n", o.Kind, text, given, r.Err())
+		fmt.Fprintf(&lines, "%s %s %v %v\n", o.Kind, text, granted, r.Err())
 	}
 	golden.Text(t, "testdata/names.golden", lines.String())
 }
--- a/internal/cluster/lease/model_test.go
+++ b/internal/cluster/lease/model_test.go
@@ -21,60 +21,64 @@
 // a holder runs slow and that of a leader fast, which is the worst case of drift.
 // State, ExpiryTimer and HolderState decide.
 const (
-	name     = "job"
-	ttl      = 500 * time.Millisecond
-	tick     = 170 * time.Millisecond
-	inFlight = 2 // messages of one holder
+	modelLeaseName       = "job"
+	modelTTL             = 500 * time.Millisecond
+	tick                 = 170 * time.Millisecond
+	maxMessagesPerHolder = 2 // messages of one holder
 )
 
-type kind int8
+type messageKind int8
 
 const (
-	none kind = iota
+	noMessage messageKind = iota
 	acquire
 	renew
 	release
 	handOver
 )
 
-type stage int8
+type messageStage int8
 
 const (
-	sent     stage = iota // on its way
-	arrived               // at a leader, which has not made sure of itself yet
-	answered              // on its way back
+	sent     messageStage = iota // on its way
+	arrived                      // at a leader, which has not made sure of itself yet
+	answered                     // on its way back
 )
 
-// ms is a time in the model, small as there are many states.
-type ms int16
+// milliseconds is a time in the model, small as there are many states.
+type milliseconds int16
 
-func (m ms) duration() time.Duration { return time.Duration(m) * time.Millisecond }
+func (m milliseconds) duration() time.Duration { return time.Duration(m) * time.Millisecond }
 
-// after is a time that is left, or an age, once more has passed; what is beyond the
+// minus is a time that is left, or an age, once more has passed; what is beyond the
 // lease's time makes no difference.
-func (m ms) after(d time.Duration) ms { return ms(max(m.duration()-d, -1).Milliseconds()) }
-func (m ms) older(d time.Duration) ms { return ms(min(m.duration()+d, ttl).Milliseconds()) }
+func (m milliseconds) minus(d time.Duration) milliseconds {
+	return milliseconds(max(m.duration()-d, -1).Milliseconds())
+}
+func (m milliseconds) older(d time.Duration) milliseconds {
+	return milliseconds(min(m.duration()+d, modelTTL).Milliseconds())
+}
 
 type message struct {
-	kind           kind
-	stage          stage
-	toFormerLeader bool   // the leader that it came to has been replaced
-	token          uint16 // asked for, or granted; 0 is a refusal
-	sentAgo        ms     // since it was sent, by the holder's clock
-	arrivedAgo     ms     // ago, by the leader's clock
+	kind           messageKind
+	stage          messageStage
+	toFormerLeader bool         // the leader that it came to has been replaced
+	token          uint16       // asked for, or granted; 0 is a refusal
+	sentAgo        milliseconds // since it was sent, by the holder's clock
+	arrivedAgo     milliseconds // ago, by the leader's clock
 }
 
 type holder struct {
-	token, releasedToken uint16 // that it has, and gave back last
-	remaining            ms     // until it stops acting, by its clock
+	token, releasedToken uint16       // that it has, and gave back last
+	remaining            milliseconds // until it stops acting, by its clock
 }
 
 func (h holder) state() *HolderState {
-	return &HolderState{Token: uint64(h.token), TTL: ttl, deadline: h.remaining.duration(), releasedToken: uint64(h.releasedToken)}
+	return &HolderState{Token: uint64(h.token), TTL: modelTTL, deadline: h.remaining.duration(), releasedToken: uint64(h.releasedToken)}
 }
 
 func holderOf(h *HolderState) holder {
-	return holder{uint16(h.Token), uint16(h.releasedToken), ms(max(h.deadline, -1).Milliseconds())}
+	return holder{uint16(h.Token), uint16(h.releasedToken), milliseconds(max(h.deadline, -1).Milliseconds())}
 }
 
 // world is a state of the model.
@@ -82,12 +86,12 @@
 	holder, waiter   uint8  // who has it (1, 2, …; 0 is nobody), and who waits for it; one at most is modelled
 	lastToken, token uint16 // the last number given, the lease's
 	timerToken       uint16 // the token that the leader's timer knows
-	timerRemaining   ms
+	timerRemaining   milliseconds
 	expiryProposed   bool
 	revoked          bool
 	leaderChanged    bool // the leader, once
 	holders          [3]holder
-	flight           [3][inFlight]message
+	flight           [3][maxMessagesPerHolder]message
 	checkedToken     [3]uint16 // the token under which a holder has checked that it may act, and hasn't acted yet
 	resourceToken    uint16    // the highest that the resource has seen
 	staleAct         bool      // the resource took a token after a higher one
@@ -127,15 +131,15 @@
 func (w *world) decisionParts() (*State, *DeadlineTable) {
 	s := NewState(uint64(w.lastToken))
 	if w.holder > 0 {
-		l := Lease{Holder: holderName(int(w.holder) - 1), Token: uint64(w.token), TTLMS: ttl.Milliseconds(), Revoked: w.revoked}
+		l := Lease{Holder: holderName(int(w.holder) - 1), Token: uint64(w.token), TTLMS: modelTTL.Milliseconds(), Revoked: w.revoked}
 		if w.waiter > 0 {
-			l.Waiters, s.WaiterCount = []Waiter{{Holder: holderName(int(w.waiter) - 1), TTLMS: ttl.Milliseconds()}}, 1
+			l.Waiters, s.WaiterCount = []Waiter{{Holder: holderName(int(w.waiter) - 1), TTLMS: modelTTL.Milliseconds()}}, 1
 		}
-		s.Leases[name] = l
+		s.Leases[modelLeaseName] = l
 	}
 	t := NewDeadlineTable(0)
 	if w.timerToken > 0 {
-		t.expiries[name] = expiry{uint64(w.timerToken), w.timerRemaining.duration(), w.expiryProposed}
+		t.expiries[modelLeaseName] = expiry{uint64(w.timerToken), w.timerRemaining.duration(), w.expiryProposed}
 	}
 	return s, t
 }
@@ -144,13 +148,13 @@
 func (w *world) record(s *State, t *DeadlineTable) {
 	w.lastToken, w.holder, w.token, w.waiter, w.timerToken, w.timerRemaining, w.expiryProposed, w.revoked = uint16(s.LastToken), 0, 0, 0, 0, 0, false, false
 	number := func(h string) uint8 { return h[1] - '0' }
-	if l, ok := s.Leases[name]; ok {
+	if l, ok := s.Leases[modelLeaseName]; ok {
 		w.holder, w.token, w.revoked = number(l.Holder), uint16(l.Token), l.Revoked
 		if len(l.Waiters) > 0 {
 			w.waiter = number(l.Waiters[0].Holder)
 		}
-		if e, ok := t.expiries[name]; ok && e.token == l.Token {
-			w.timerToken, w.timerRemaining, w.expiryProposed = uint16(e.token), ms(max(e.deadline, -1).Milliseconds()), e.proposed
+		if e, ok := t.expiries[modelLeaseName]; ok && e.token == l.Token {
+			w.timerToken, w.timerRemaining, w.expiryProposed = uint16(e.token), milliseconds(max(e.deadline, -1).Milliseconds()), e.expiryProposed
 		}
 	}
 }
@@ -170,21 +174,21 @@
 	s, t := w.decisionParts()
 	switch m.kind {
 	case acquire:
-		l, needed, err := t.TryAcquire(s, name, holderName(i), w.waiter == 0, -m.arrivedAgo.duration(), 0)
+		l, needed, err := t.TryAcquire(s, modelLeaseName, holderName(i), w.waiter == 0, -m.arrivedAgo.duration(), 0)
 		if needed {
-			s.Apply(Op{Kind: OpAcquire, Name: name, Holder: holderName(i), TTLMS: ttl.Milliseconds(), Enqueue: w.waiter == 0})
-			l, needed, err = t.TryAcquire(s, name, holderName(i), false, -m.arrivedAgo.duration(), 0)
+			s.Apply(Op{Kind: OpAcquire, Name: modelLeaseName, Holder: holderName(i), TTLMS: modelTTL.Milliseconds(), Enqueue: w.waiter == 0})
+			l, needed, err = t.TryAcquire(s, modelLeaseName, holderName(i), false, -m.arrivedAgo.duration(), 0)
 		}
 		if m.token = 0; !needed && err == nil {
 			m.token = uint16(l.Token)
 		}
 		t.DueOps(s, 0) // it begins to count
 	case renew:
-		if !m.toFormerLeader && t.Renew(s, name, uint64(m.token), -m.arrivedAgo.duration()) != nil || m.toFormerLeader && !r.noLeaderCheck {
+		if !m.toFormerLeader && t.Renew(s, modelLeaseName, uint64(m.token), -m.arrivedAgo.duration()) != nil || m.toFormerLeader && !r.noLeaderCheck {
 			m.token = 0
 		}
 	case release, handOver:
-		o := Op{Kind: OpRelease, Name: name, Token: uint64(m.token)}
+		o := Op{Kind: OpRelease, Name: modelLeaseName, Token: uint64(m.token)}
 		if m.kind == handOver && w.waiter > 0 {
 			o.Kind, o.Holder = OpHandOver, holderName(int(w.waiter)-1)
 		}
@@ -204,7 +208,7 @@
 	case m.token != 0 && uint64(m.token) >= h.Token: // an answer that was overtaken says nothing
 		h.RecordGrant(uint64(m.token), -m.sentAgo.duration())
 		if r.noMargin {
-			h.deadline = max(h.deadline, -m.sentAgo.duration()+ttl)
+			h.deadline = max(h.deadline, -m.sentAgo.duration()+modelTTL)
 		}
 	case m.token == 0 && m.kind == renew:
 		h.MarkLost()
@@ -223,12 +227,12 @@
 	}
 	add("tick", func(x *world) {
 		if x.timerToken > 0 {
-			x.timerRemaining = x.timerRemaining.after(r.leaderTick)
+			x.timerRemaining = x.timerRemaining.minus(r.leaderTick)
 		}
 		for i := range r.holderCount {
-			x.holders[i].remaining = x.holders[i].remaining.after(r.holderTick)
+			x.holders[i].remaining = x.holders[i].remaining.minus(r.holderTick)
 			for k := range x.flight[i] {
-				if m := &x.flight[i][k]; m.kind != none {
+				if m := &x.flight[i][k]; m.kind != noMessage {
 					m.sentAgo = m.sentAgo.older(r.holderTick)
 					if m.stage == arrived {
 						m.arrivedAgo = m.arrivedAgo.older(r.leaderTick)
@@ -242,14 +246,14 @@
 		s, _ := x.decisionParts()
 		t := NewDeadlineTable(0)
 		if r.noNewLeaderGrace {
-			t.expiries[name] = expiry{token: uint64(x.token)}
+			t.expiries[modelLeaseName] = expiry{token: uint64(x.token)}
 		} else {
 			t.DueOps(s, 0)
 		}
 		x.record(s, t)
 		for i := range r.holderCount {
 			for k := range x.flight[i] {
-				if m := &x.flight[i][k]; m.kind != none && m.stage == arrived {
+				if m := &x.flight[i][k]; m.kind != noMessage && m.stage == arrived {
 					m.toFormerLeader = true
 				}
 			}
@@ -258,7 +262,7 @@
 	add("the lease is over", func(x *world) {
 		s, t := x.decisionParts()
 		if len(t.DueOps(s, 0)) > 0 {
-			s.End(name, uint64(x.token))
+			s.End(modelLeaseName, uint64(x.token))
 			t.DueOps(s, 0)
 		}
 		x.record(s, t)
@@ -266,12 +270,12 @@
 	if r.operatorOps && w.holder > 0 {
 		add("the lease is revoked", func(x *world) {
 			s, t := x.decisionParts()
-			s.Apply(Op{Kind: OpRevoke, Name: name})
+			s.Apply(Op{Kind: OpRevoke, Name: modelLeaseName})
 			x.record(s, t)
 		})
 		add("who waits leaves", func(x *world) {
 			s, t := x.decisionParts()
-			s.Apply(Op{Kind: OpWithdraw, Name: name, Holder: holderName(int(x.waiter) - 1)})
+			s.Apply(Op{Kind: OpWithdraw, Name: modelLeaseName, Holder: holderName(int(x.waiter) - 1)})
 			x.record(s, t)
 		})
 	}
@@ -293,16 +297,16 @@
 		for k, m := range w.flight[i][:r.messagesPerHolder] {
 			at := func(x *world) *message { return &x.flight[i][k] }
 			switch {
-			case m.kind == none:
+			case m.kind == noMessage:
 				if h.token == 0 {
 					add(holderName(i)+" asks", func(x *world) { *at(x) = message{kind: acquire} })
 				} else {
 					add(holderName(i)+" keeps alive", func(x *world) { *at(x) = message{kind: renew, token: h.token} })
-					for _, k := range []kind{release, handOver} {
+					for _, k := range []messageKind{release, handOver} {
 						if k == handOver && !r.operatorOps {
 							continue
 						}
-						add(holderName(i)+map[kind]string{release: " releases", handOver: " hands over"}[k], func(x *world) {
+						add(holderName(i)+map[messageKind]string{release: " releases", handOver: " hands over"}[k], func(x *world) {
 							gone := h.state()
 							*at(x) = message{kind: k, token: uint16(gone.Release())}
 							if x.holders[i] = holderOf(gone); r.noReleasedToken {
@@ -385,7 +389,7 @@
 // walk goes at random, with messages that overtake each other, and gives the grants, and
 // the way to two that act, if there is one.
 func walk(t *testing.T, r rules, from, to uint64) (granted int, found string) {
-	r.holderCount, r.maxTokens, r.messagesPerHolder = 3, 60000, inFlight
+	r.holderCount, r.maxTokens, r.messagesPerHolder = 3, 60000, maxMessagesPerHolder
 	for seed := from; seed < to; seed++ {
 		rng, w, highest := rand.New(rand.NewPCG(seed, 1)), world{}, uint16(0)
 		var way []string
@@ -404,10 +408,10 @@
 		}
 		if next := w.waiter; next > 0 { // nobody is heard of any more: who waits has it in the end
 			s, timer := w.decisionParts()
-			for _, o := range timer.DueOps(s, 2*ttl) {
+			for _, o := range timer.DueOps(s, 2*modelTTL) {
 				s.Apply(o)
 			}
-			assert.Equal(t, holderName(int(next)-1), s.Leases[name].Holder, "seed %d", seed)
+			assert.Equal(t, holderName(int(next)-1), s.Leases[modelLeaseName].Holder, "seed %d", seed)
 		}
 	}
 	return granted, ""
--- a/internal/cluster/lease/state_test.go
+++ b/internal/cluster/lease/state_test.go
@@ -12,64 +12,64 @@
 // keeps the highest token, and not by one that doesn't.
 func TestFencingToken(t *testing.T) {
 	s, f := NewState(0), &fencedResource{}
-	first, err := s.Acquire(name, "h1", 500, false, 0)
+	first, err := s.Acquire(modelLeaseName, "h1", 500, false, 0)
 	assert.NoError(t, err)
-	h := &HolderState{TTL: ttl}
+	h := &HolderState{TTL: modelTTL}
 	h.RecordGrant(first.Token, 0)
 	assert.True(t, h.MayAct(399*time.Millisecond)) // checks, and is stopped for three times the lease
 	assert.False(t, h.MayAct(400*time.Millisecond))
-	_, given, err := s.End(name, first.Token)
+	_, granted, err := s.End(modelLeaseName, first.Token)
 	assert.NoError(t, err)
-	assert.False(t, given)
-	second, err := s.Acquire(name, "h2", 500, false, 0)
+	assert.False(t, granted)
+	second, err := s.Acquire(modelLeaseName, "h2", 500, false, 0)
 	assert.NoError(t, err)
 	assert.True(t, f.Admit(second.Token))
 	assert.False(t, f.Admit(first.Token), "acts on waking up")
-	assert.False(t, s.Holds(name, first.Token))
-	assert.True(t, s.Holds(name, second.Token))
+	assert.False(t, s.Holds(modelLeaseName, first.Token))
+	assert.True(t, s.Holds(modelLeaseName, second.Token))
 }
 
 // TestWaitersQueue: who waits is served by priority, then in the order of coming, one at a time;
 // tokens only grow, also in a state that is restored; bounds are kept.
 func TestWaitersQueue(t *testing.T) {
 	s := NewState(41)
-	l, err := s.Acquire(name, "a", 500, false, 0)
+	l, err := s.Acquire(modelLeaseName, "a", 500, false, 0)
 	assert.NoError(t, err)
 	assert.EqualValues(t, 42, l.Token)
 	for i, h := range []string{"b", "c", "d", "b"} {
-		_, err := s.Acquire(name, h, 500, true, map[int]int{2: 1}[i])
+		_, err := s.Acquire(modelLeaseName, h, 500, true, map[int]int{2: 1}[i])
 		assert.ErrorIs(t, err, ErrHeld)
 	}
-	same, err := s.Acquire(name, "a", 500, true, 0)
+	repeated, err := s.Acquire(modelLeaseName, "a", 500, true, 0)
 	assert.NoError(t, err)
-	assert.Equal(t, l.Token, same.Token, "its answer was lost")
-	s.Withdraw(name, "c")
+	assert.Equal(t, l.Token, repeated.Token, "its answer was lost")
+	s.Withdraw(modelLeaseName, "c")
 	var order []string
 	for token := l.Token; ; {
-		next, given, err := s.End(name, token)
+		next, granted, err := s.End(modelLeaseName, token)
 		assert.NoError(t, err)
-		if !given {
+		if !granted {
 			break
 		}
-		_, _, err = s.End(name, token)
+		_, _, err = s.End(modelLeaseName, token)
 		assert.ErrorIs(t, err, ErrNotHolder)
 		assert.Greater(t, next.Token, token)
 		order, token = append(order, next.Holder), next.Token
 	}
 	assert.Equal(t, []string{"d", "b"}, order)
-	for _, bad := range [][2]string{{"", "a"}, {"a b", "a"}, {name, ""}} {
+	for _, bad := range [][2]string{{"", "a"}, {"a b", "a"}, {modelLeaseName, ""}} {
 		_, err := s.Acquire(bad[0], bad[1], 500, false, 0)
 		assert.ErrorIs(t, err, ErrInvalidRequest)
 	}
-	_, err = s.Acquire(name, "a", 499, false, 0)
+	_, err = s.Acquire(modelLeaseName, "a", 499, false, 0)
 	assert.ErrorIs(t, err, ErrInvalidRequest)
-	s.Acquire(name, "a", 500, false, 0)
+	s.Acquire(modelLeaseName, "a", 500, false, 0)
 	for i := range MaxWaitersPerLease {
-		s.Acquire(name, fmt.Sprint("w", i), 500, true, 0)
+		s.Acquire(modelLeaseName, fmt.Sprint("w", i), 500, true, 0)
 	}
-	_, err = s.Acquire(name, "late", 500, true, 0)
+	_, err = s.Acquire(modelLeaseName, "late", 500, true, 0)
 	assert.ErrorIs(t, err, ErrTooMany)
 	c := s.Clone()
-	c.Withdraw(name, "w0")
-	assert.Len(t, s.Leases[name].Waiters, MaxWaitersPerLease)
+	c.Withdraw(modelLeaseName, "w0")
+	assert.Len(t, s.Leases[modelLeaseName].Waiters, MaxWaitersPerLease)
 }
--- a/internal/cluster/leaseclient/acquire.go
+++ b/internal/cluster/leaseclient/acquire.go
@@ -23,28 +23,28 @@
 // Wait, a lease that another process holds is lease.ErrHeld.
 func (m *Manager) Acquire(ctx context.Context, options AcquireOptions) (*Lease, error) {
 	l := &Lease{Name: options.Name, manager: m, ttl: options.TTL, state: lease.HolderState{TTL: options.TTL}}
-	if !m.reserve(l) {
+	if !m.register(l) {
 		return nil, fmt.Errorf("%w: %s", ErrAlreadyHeld, options.Name)
 	}
-	if err := m.obtain(ctx, l, options); err != nil {
-		m.forget(l)
+	if err := m.acquireFromStore(ctx, l, options); err != nil {
+		m.unregister(l)
 		return nil, err
 	}
 	return l, nil
 }
 
-// reserve enters a lease under its name, unless this process has one of that name.
-func (m *Manager) reserve(l *Lease) bool {
+// register enters a lease under its name, unless this process has one of that name.
+func (m *Manager) register(l *Lease) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if _, taken := m.leases[l.Name]; taken {
+	if _, registered := m.leases[l.Name]; registered {
 		return false
 	}
 	m.leases[l.Name] = l
 	return true
 }
 
-func (m *Manager) obtain(ctx context.Context, l *Lease, options AcquireOptions) error {
+func (m *Manager) acquireFromStore(ctx context.Context, l *Lease, options AcquireOptions) error {
 	request := storeapi.AcquireRequest{Holder: m.holder, TTLMS: options.TTL.Milliseconds(), Priority: options.Priority}
 	if options.Wait {
 		request.WaitMS = maxRequestWait.Milliseconds()
@@ -55,7 +55,7 @@
 		granted, err := node.AcquireLease(ctx, l.Name, request)
 		switch {
 		case err == nil:
-			if m.activate(l, granted.Token, sentAt) || m.confirm(ctx, node, l, granted.Token) {
+			if m.activate(l, granted.Token, sentAt) || m.confirmByRenewal(ctx, node, l, granted.Token) {
 				return nil
 			}
 		case errors.Is(err, lease.ErrHeld) && !options.Wait, isRejected(err):
@@ -66,14 +66,14 @@
 			return errors.Join(ctx.Err(), err)
 		case <-m.ctx.Done():
 			return errors.Join(ErrReleased, err)
-		case <-time.After(m.retryPause(failed + 1)):
+		case <-time.After(m.retryBackoff(failed + 1)):
 		}
 	}
 }
 
-// confirm renews a lease whose grant came after a long wait: its time is counted from the
+// confirmByRenewal renews a lease whose grant came after a long wait: its time is counted from the
 // renewal. It reports whether the holder may act.
-func (m *Manager) confirm(ctx context.Context, node *storeclient.Client, l *Lease, token uint64) bool {
+func (m *Manager) confirmByRenewal(ctx context.Context, node *storeclient.Client, l *Lease, token uint64) bool {
 	sentAt := m.now()
 	lost, err := node.RenewLeases(ctx, []lease.FencingToken{{Name: l.Name, Token: token}})
 	return err == nil && len(lost) == 0 && m.activate(l, token, sentAt)
@@ -93,7 +93,7 @@
 	l.ctx, l.cancel = context.WithCancelCause(context.Background())
 	l.timer = time.AfterFunc(l.state.Deadline()-now, l.onDeadline)
 	select {
-	case m.newLease <- struct{}{}:
+	case m.leaseAdded <- struct{}{}:
 	default: // the loop is woken already
 	}
 	return true
--- a/internal/cluster/leaseclient/lease.go
+++ b/internal/cluster/leaseclient/lease.go
@@ -50,7 +50,7 @@
 		l.timer.Reset(l.state.Deadline() - now)
 		return
 	}
-	l.endLocked(l.expiredLocked())
+	l.endLocked(l.expiredErrorLocked())
 }
 
 // ExpiredError returns the error of a holder that stops because no keep-alive is answered in time. It
@@ -58,10 +58,10 @@
 func (l *Lease) ExpiredError() error {
 	l.manager.mu.Lock()
 	defer l.manager.mu.Unlock()
-	return l.expiredLocked()
+	return l.expiredErrorLocked()
 }
 
-func (l *Lease) expiredLocked() error {
+func (l *Lease) expiredErrorLocked() error {
 	if l.renewalError == nil { // this process was late itself, or the answer is
 		return fmt.Errorf("%w: %s (no keep-alive has failed)", ErrExpired, l.Name)
 	}
@@ -74,7 +74,7 @@
 func (l *Lease) endLocked(cause error) {
 	l.state.MarkLost()
 	l.cancelContext(cause)
-	l.manager.forgetLocked(l)
+	l.manager.unregisterLocked(l)
 }
 
 func (l *Lease) cancelContext(cause error) {
@@ -94,7 +94,7 @@
 	token := l.state.Release()
 	l.cancelContext(fmt.Errorf("%w: %s", ErrReleased, l.Name))
 	m.mu.Unlock()
-	defer m.forget(l) // it is not acquired again before the store has released it, or ctx has ended
+	defer m.unregister(l) // it is not acquired again before the store has released it, or ctx has ended
 	return m.callUntilFinal(ctx, func(node *storeclient.Client) (bool, error) {
 		err := node.ReleaseLease(ctx, l.Name, token, "")
 		if err == nil || isNotHeld(err) { // released by an attempt whose answer was lost, or expired
--- a/internal/cluster/leaseclient/manager.go
+++ b/internal/cluster/leaseclient/manager.go
@@ -18,13 +18,13 @@
 
 // Manager holds the leases of a process. It is safe for concurrent use.
 type Manager struct {
-	holder    string
-	client    *storeclient.Client
-	startedAt time.Time // the monotonic origin of all times that package lease gets
-	ctx       context.Context
-	stop      context.CancelFunc
-	loop      sync.WaitGroup
-	newLease  chan struct{} // wakes the renewal loop
+	holder          string
+	client          *storeclient.Client
+	startedAt       time.Time // the monotonic origin of all times that package lease gets
+	ctx             context.Context
+	stop            context.CancelFunc
+	renewalLoopDone sync.WaitGroup
+	leaseAdded      chan struct{} // wakes the renewal loop
 
 	mu        sync.Mutex
 	leases    map[string]*Lease // by name, also those that are being acquired or released
@@ -35,15 +35,15 @@
 // use the holder's name. Close ends it.
 func New(nodes []string, holder string) *Manager {
 	m := &Manager{
-		holder:    holder,
-		client:    storeclient.New(nodes),
-		startedAt: time.Now(),
-		newLease:  make(chan struct{}, 1),
-		leases:    map[string]*Lease{},
+		holder:     holder,
+		client:     storeclient.New(nodes),
+		startedAt:  time.Now(),
+		leaseAdded: make(chan struct{}, 1),
+		leases:     map[string]*Lease{},
 	}
 	m.client.Retry.MaxRetries = 0 // the manager retries by itself, at another node
 	m.ctx, m.stop = context.WithCancel(context.Background())
-	m.loop.Go(m.renewalLoop)
+	m.renewalLoopDone.Go(m.renewalLoop)
 	return m
 }
 
@@ -66,19 +66,19 @@
 	}
 	released.Wait()
 	m.stop()
-	m.loop.Wait()
+	m.renewalLoopDone.Wait()
 }
 
 func (m *Manager) now() time.Duration { return time.Since(m.startedAt) }
 
-// forget removes a lease that is not held any more.
-func (m *Manager) forget(l *Lease) {
+// unregister removes a lease that is not held any more.
+func (m *Manager) unregister(l *Lease) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.forgetLocked(l)
+	m.unregisterLocked(l)
 }
 
-func (m *Manager) forgetLocked(l *Lease) {
+func (m *Manager) unregisterLocked(l *Lease) {
 	if m.leases[l.Name] == l {
 		delete(m.leases, l.Name)
 	}
--- a/internal/cluster/leaseclient/renew.go
+++ b/internal/cluster/leaseclient/renew.go
@@ -15,8 +15,8 @@
 
 const (
 	maxRenewalTimeout  = 2 * time.Second        // for the answer to a keep-alive
-	maxRenewalIdle     = time.Second            // between two looks at what is due
-	maxRenewalRetry    = 125 * time.Millisecond // pause after a keep-alive that failed
+	maxRenewalWait     = time.Second            // between two looks at what is due
+	maxRenewalBackoff  = 125 * time.Millisecond // pause after a keep-alive that failed
 	renewalAttempts    = 4                      // that fit between when a keep-alive is due and the holder's deadline
 	renewalBatchWindow = 0.1                    // of the TTL by which a keep-alive may be early, to go with others
 )
@@ -30,8 +30,8 @@
 			select {
 			case <-m.ctx.Done():
 				return
-			case <-m.newLease:
-			case <-time.After(batch.idle):
+			case <-m.leaseAdded:
+			case <-time.After(batch.nextCheck):
 			}
 			continue
 		}
@@ -42,7 +42,7 @@
 			select {
 			case <-m.ctx.Done():
 				return
-			case <-time.After(min(batch.timeout/2, maxRenewalRetry)):
+			case <-time.After(min(batch.timeout/2, maxRenewalBackoff)):
 			}
 		}
 	}
@@ -50,9 +50,9 @@
 
 // renewalBatch is the leases to renew now.
 type renewalBatch struct {
-	leases  []lease.FencingToken
-	timeout time.Duration // for the answer
-	idle    time.Duration // until the next look, if there are no leases to renew
+	leases    []lease.FencingToken
+	timeout   time.Duration // for the answer
+	nextCheck time.Duration // until the next look, if there are no leases to renew
 }
 
 // dueRenewals returns the leases whose keep-alive is due, with those whose keep-alive is due so soon
@@ -61,7 +61,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.now()
-	batch := renewalBatch{timeout: maxRenewalTimeout, idle: maxRenewalIdle}
+	batch := renewalBatch{timeout: maxRenewalTimeout, nextCheck: maxRenewalWait}
 	anyDue := false
 	for _, l := range m.leases {
 		if l.state.Token == 0 {
@@ -70,7 +70,7 @@
 		if dueAt := l.state.RenewalDue(); dueAt <= now {
 			anyDue = true
 		} else {
-			batch.idle = min(batch.idle, dueAt-now)
+			batch.nextCheck = min(batch.nextCheck, dueAt-now)
 		}
 		early := time.Duration(float64(l.ttl) * renewalBatchWindow)
 		if l.state.ShouldRenew(now + early) {
--- a/internal/cluster/leaseclient/retry.go
+++ b/internal/cluster/leaseclient/retry.go
@@ -19,14 +19,14 @@
 		select {
 		case <-ctx.Done():
 			return errors.Join(ctx.Err(), err)
-		case <-time.After(m.retryPause(failed + 1)):
+		case <-time.After(m.retryBackoff(failed + 1)):
 		}
 	}
 }
 
-// retryPause returns the pause after a number of failed attempts. It stays short, as a lease's time
+// retryBackoff returns the pause after a number of failed attempts. It stays short, as a lease's time
 // runs meanwhile.
-func (m *Manager) retryPause(failed int) time.Duration {
+func (m *Manager) retryBackoff(failed int) time.Duration {
 	const (
 		maxBackoffSteps = 4
 		jitter          = 0.5
--- a/internal/cluster/leaseclient/retry_test.go
+++ b/internal/cluster/leaseclient/retry_test.go
@@ -20,19 +20,19 @@
 
 const (
 	testTTL = 10 * time.Second
-	// testPatience is how long a call may take whose nodes give a final answer.
-	testPatience = 10 * time.Second
-	// testGivenUp is when a call is given up whose nodes never give a final answer.
-	testGivenUp = 300 * time.Millisecond
+	// finalAnswerTimeout is how long a call may take whose nodes give a final answer.
+	finalAnswerTimeout = 10 * time.Second
+	// noAnswerTimeout is when a call is given up whose nodes never give a final answer.
+	noAnswerTimeout = 300 * time.Millisecond
 
-	answerHeld      = `200 {"token":7}`
-	answerRevoked   = `200 {"token":7,"revoked":true}`
-	answerOther     = `200 {"token":8}`
-	answerNoContent = "204 "
-	answerRejected  = "400 "
-	answerFree      = "404 "
-	answerNotHeld   = "410 "
-	answerNoLeader  = "503 "
+	answerHeld        = `200 {"token":7}`
+	answerRevoked     = `200 {"token":7,"revoked":true}`
+	answerOtherHolder = `200 {"token":8}`
+	answerNoContent   = "204 "
+	answerRejected    = "400 "
+	answerFree        = "404 "
+	answerNotHeld     = "410 "
+	answerNoLeader    = "503 "
 )
 
 var statusCodes = map[string]int{
@@ -43,9 +43,9 @@
 // storeStandIn is two nodes that grant a lease, and give the next of the answers to whatever comes after, the last one
 // again and again.
 type storeStandIn struct {
-	mu      sync.Mutex
-	answers []string
-	asked   []int // node by node, after the grant
+	mu             sync.Mutex
+	answers        []string
+	requestedNodes []int // node by node, after the grant
 }
 
 // acquire returns a lease of the stand-in.
@@ -70,7 +70,7 @@
 		io.WriteString(w, `{"token":7}`)
 		return
 	}
-	s.asked = append(s.asked, node)
+	s.requestedNodes = append(s.requestedNodes, node)
 	code, body, _ := strings.Cut(s.answers[0], " ")
 	if len(s.answers) > 1 {
 		s.answers = s.answers[1:]
@@ -79,40 +79,40 @@
 	io.WriteString(w, body)
 }
 
-// nodesAsked returns which nodes were asked, in order.
-func (s *storeStandIn) nodesAsked() []int {
+// nodesRequested returns which nodes were asked, in order.
+func (s *storeStandIn) nodesRequested() []int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.asked
+	return s.requestedNodes
 }
 
 // TestCheckRetries guards against a Check that takes a node's failure for an answer, or asks again after an answer.
 func TestCheckRetries(t *testing.T) {
 	for name, test := range map[string]struct {
-		answers  []string
-		asked    []int
-		lost     bool
-		rejected bool
+		answers        []string
+		requestedNodes []int
+		lost           bool
+		rejected       bool
 	}{
-		"held":               {answers: []string{answerHeld}, asked: []int{0}},
-		"held, other node":   {answers: []string{answerNoLeader, answerNoLeader, answerHeld}, asked: []int{0, 1, 0}},
-		"revoked":            {answers: []string{answerRevoked}, asked: []int{0}, lost: true},
-		"another holder's":   {answers: []string{answerOther}, asked: []int{0}, lost: true},
-		"free":               {answers: []string{answerFree}, asked: []int{0}, lost: true},
-		"free, other node":   {answers: []string{answerNoLeader, answerFree}, asked: []int{0, 1}, lost: true},
-		"rejected":           {answers: []string{answerRejected}, asked: []int{0}, rejected: true},
-		"rejected, 2nd node": {answers: []string{answerNoLeader, answerRejected}, asked: []int{0, 1}, rejected: true},
+		"held":               {answers: []string{answerHeld}, requestedNodes: []int{0}},
+		"held, other node":   {answers: []string{answerNoLeader, answerNoLeader, answerHeld}, requestedNodes: []int{0, 1, 0}},
+		"revoked":            {answers: []string{answerRevoked}, requestedNodes: []int{0}, lost: true},
+		"another holder's":   {answers: []string{answerOtherHolder}, requestedNodes: []int{0}, lost: true},
+		"free":               {answers: []string{answerFree}, requestedNodes: []int{0}, lost: true},
+		"free, other node":   {answers: []string{answerNoLeader, answerFree}, requestedNodes: []int{0, 1}, lost: true},
+		"rejected":           {answers: []string{answerRejected}, requestedNodes: []int{0}, rejected: true},
+		"rejected, 2nd node": {answers: []string{answerNoLeader, answerRejected}, requestedNodes: []int{0, 1}, rejected: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := &storeStandIn{answers: test.answers}
-			ctx, cancel := context.WithTimeout(t.Context(), testPatience)
+			ctx, cancel := context.WithTimeout(t.Context(), finalAnswerTimeout)
 			defer cancel()
 			err := s.acquire(t).Check(ctx)
 			var status *storeapi.StatusError
 			assert.Equal(t, test.lost, errors.Is(err, ErrLost), "%v", err)
 			assert.Equal(t, test.rejected, errors.As(err, &status), "%v", err)
 			assert.Equal(t, test.lost || test.rejected, err != nil, "%v", err)
-			assert.Equal(t, test.asked, s.nodesAsked())
+			assert.Equal(t, test.requestedNodes, s.nodesRequested())
 		})
 	}
 }
@@ -120,44 +120,44 @@
 // TestReleaseRetries guards against a Release that gives up at a node's failure, or fails where the lease is gone already.
 func TestReleaseRetries(t *testing.T) {
 	for name, test := range map[string]struct {
-		answers  []string
-		asked    []int
-		rejected bool
+		answers        []string
+		requestedNodes []int
+		rejected       bool
 	}{
-		"released":             {answers: []string{answerNoContent}, asked: []int{0}},
-		"released, other node": {answers: []string{answerNoLeader, answerNoLeader, answerNoContent}, asked: []int{0, 1, 0}},
-		"not held":             {answers: []string{answerNotHeld}, asked: []int{0}},
-		"released before":      {answers: []string{answerNoLeader, answerNotHeld}, asked: []int{0, 1}},
-		"rejected":             {answers: []string{answerRejected}, asked: []int{0}, rejected: true},
+		"released":             {answers: []string{answerNoContent}, requestedNodes: []int{0}},
+		"released, other node": {answers: []string{answerNoLeader, answerNoLeader, answerNoContent}, requestedNodes: []int{0, 1, 0}},
+		"not held":             {answers: []string{answerNotHeld}, requestedNodes: []int{0}},
+		"released before":      {answers: []string{answerNoLeader, answerNotHeld}, requestedNodes: []int{0, 1}},
+		"rejected":             {answers: []string{answerRejected}, requestedNodes: []int{0}, rejected: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := &storeStandIn{answers: test.answers}
-			ctx, cancel := context.WithTimeout(t.Context(), testPatience)
+			ctx, cancel := context.WithTimeout(t.Context(), finalAnswerTimeout)
 			defer cancel()
 			err := s.acquire(t).Release(ctx)
 			var status *storeapi.StatusError
 			assert.Equal(t, test.rejected, errors.As(err, &status), "%v", err)
 			assert.Equal(t, test.rejected, err != nil, "%v", err)
-			assert.Equal(t, test.asked, s.nodesAsked())
+			assert.Equal(t, test.requestedNodes, s.nodesRequested())
 		})
 	}
 }
 
-// TestGivenUpWithoutAnswer guards against a call that goes on after its context has ended.
-func TestGivenUpWithoutAnswer(t *testing.T) {
+// TestCallEndsWithContext guards against a call that goes on after its context has ended.
+func TestCallEndsWithContext(t *testing.T) {
 	for name, call := range map[string]func(*Lease, context.Context) error{"Check": (*Lease).Check, "Release": (*Lease).Release} {
 		t.Run(name, func(t *testing.T) {
 			s := &storeStandIn{answers: []string{answerNoLeader}}
 			held := s.acquire(t)
-			ctx, cancel := context.WithTimeout(t.Context(), testGivenUp)
+			ctx, cancel := context.WithTimeout(t.Context(), noAnswerTimeout)
 			defer cancel()
 			require.ErrorIs(t, call(held, ctx), context.DeadlineExceeded)
 		})
 	}
 }
 
-// TestGivenUpSaysWhy guards against a call that is given up and does not say why it got no answer.
-func TestGivenUpSaysWhy(t *testing.T) {
+// TestCanceledCallReportsCause guards against a call that is given up and does not say why it got no answer.
+func TestCanceledCallReportsCause(t *testing.T) {
 	manager := New([]string{"127.0.0.1:1"}, "holder")
 	t.Cleanup(manager.Close)
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/cluster/leaseclient/task.go
+++ b/internal/cluster/leaseclient/task.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	minTaskPause = time.Second // before a task is started again; doubles after each run
-	maxTaskPause = 10 * time.Second
+	minTaskBackoff = time.Second // before a task is started again; doubles after each run
+	maxTaskBackoff = 10 * time.Second
 )
 
 // Task is work that one process of many does at a time.
@@ -24,22 +24,22 @@
 // RunTask runs a task whenever this process has its lease, until ctx ends.
 func (m *Manager) RunTask(ctx context.Context, task Task, log *zap.Logger) {
 	log = log.With(zap.String("lease", task.Name))
-	pause := minTaskPause
+	backoff := minTaskBackoff
 	for ctx.Err() == nil {
 		l, err := m.Acquire(ctx, AcquireOptions{Name: task.Name, TTL: task.TTL, Wait: true})
 		switch {
 		case err == nil:
-			if m.runOnce(ctx, task, l, log) > maxTaskPause {
-				pause = minTaskPause
+			if m.runOnce(ctx, task, l, log) > maxTaskBackoff {
+				backoff = minTaskBackoff
 			}
 		case ctx.Err() == nil:
-			log.Warn("lease not acquired", zap.Int64("retry_in_ms", pause.Milliseconds()), zap.Error(err))
+			log.Warn("lease not acquired", zap.Int64("retry_in_ms", backoff.Milliseconds()), zap.Error(err))
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(pause):
+		case <-time.After(backoff):
 		}
-		pause = min(2*pause, maxTaskPause)
+		backoff = min(2*backoff, maxTaskBackoff)
 	}
 }
 
@@ -56,9 +56,9 @@
 // lease.
 func (m *Manager) runUnderLease(ctx context.Context, task Task, l *Lease) error {
 	taskCtx, cancel := context.WithCancelCause(l.Context())
-	stopFollowing := context.AfterFunc(ctx, func() { cancel(ctx.Err()) })
+	stopPropagation := context.AfterFunc(ctx, func() { cancel(ctx.Err()) })
 	err := task.Run(taskCtx, l)
-	stopFollowing()
+	stopPropagation()
 	if taskCtx.Err() != nil {
 		err = context.Cause(taskCtx)
 	}
--- a/internal/cluster/membership/choice.go
+++ b/internal/cluster/membership/choice.go
@@ -36,7 +36,7 @@
 // highest ID.
 func (p Policy) demotionCandidate(v View, c voterCounts) (best Member, found bool) {
 	for _, m := range v.Members {
-		if m.Role != Voter || m.ID == v.Leader || p.losesVote(m) {
+		if m.Role != Voter || m.ID == v.Leader || p.shouldLoseVote(m) {
 			continue
 		}
 		if !found || p.compareDemotionCandidates(c, m, best) < 0 {
@@ -68,8 +68,8 @@
 	return 1
 }
 
-// zoneRange is the lowest and the highest number of staying voters in a zone.
-func (c voterCounts) zoneRange() (fewest, most int) {
+// votersPerZoneRange is the lowest and the highest number of staying voters in a zone.
+func (c voterCounts) votersPerZoneRange() (minVoters, maxVoters int) {
 	counts := slices.Collect(maps.Values(c.zones))
 	return slices.Min(counts), slices.Max(counts)
 }
--- a/internal/cluster/membership/lost_disks_events_test.go
+++ b/internal/cluster/membership/lost_disks_events_test.go
@@ -1,8 +1,8 @@
 package membership
 
-// mayHappen counts one more fault of a kind, if the limit allows it. Faults without a limit are not counted, so
+// countFault counts one more fault of a kind, if the limit allows it. Faults without a limit are not counted, so
 // that states that differ in nothing else are one.
-func mayHappen(count *int8, limit int8) bool {
+func countFault(count *int8, limit int8) bool {
 	switch {
 	case limit == unlimited:
 		return true
@@ -13,41 +13,41 @@
 	return true
 }
 
-// successor is a state that may be next.
-type successor struct {
-	state   lostDisksModel
+// transition is a state that may be next.
+type transition struct {
+	state   diskModel
 	outcome outcome
 }
 
-// events are all states that may be next.
-func (w lostDisksModel) events(r diskRules) (next []successor) {
-	add := func(change func(*lostDisksModel) bool) {
+// transitions are all states that may be next.
+func (w diskModel) transitions(r diskRules) (next []transition) {
+	add := func(change func(*diskModel) bool) {
 		x := w
 		if !change(&x) {
 			return
 		}
-		if result := x.settle(r); result != settled || x != w {
-			next = append(next, successor{x, result})
+		if result := x.converge(r); result != converged || x != w {
+			next = append(next, transition{x, result})
 		}
 	}
-	add(func(x *lostDisksModel) bool { return x.commit(func(*config) {}) })
-	add((*lostDisksModel).step)
+	add(func(x *diskModel) bool { return x.commit(func(*config) {}) })
+	add((*diskModel).changeMembership)
 	for i := range w.size {
-		add(func(x *lostDisksModel) bool { return x.join(i) })
-		add(func(x *lostDisksModel) bool { return x.startOrStop(i) })
+		add(func(x *diskModel) bool { return x.join(i) })
+		add(func(x *diskModel) bool { return x.startOrStopNode(i) })
 		if w.nodes[i].up {
-			add(func(x *lostDisksModel) bool { return x.copyFolder(i, r) })
+			add(func(x *diskModel) bool { return x.backUpFolder(i, r) })
 			continue
 		}
-		add(func(x *lostDisksModel) bool { return x.wipeFolder(i, r) })
-		add(func(x *lostDisksModel) bool { return x.restoreFolder(i, r) })
-		add(func(x *lostDisksModel) bool { return x.misplaceFolder(i, r) })
-		add(func(x *lostDisksModel) bool { return x.findFolder(i) })
+		add(func(x *diskModel) bool { return x.wipeFolder(i, r) })
+		add(func(x *diskModel) bool { return x.restoreBackup(i, r) })
+		add(func(x *diskModel) bool { return x.unmountFolder(i, r) })
+		add(func(x *diskModel) bool { return x.remountFolder(i) })
 	}
 	return next
 }
 
-func (w *lostDisksModel) startOrStop(i int) bool {
+func (w *diskModel) startOrStopNode(i int) bool {
 	node := &w.nodes[i]
 	node.up = !node.up
 	if node.up {
@@ -58,13 +58,13 @@
 	return true
 }
 
-func (w *lostDisksModel) copyFolder(i int, r diskRules) bool {
+func (w *diskModel) backUpFolder(i int, r diskRules) bool {
 	w.backups[i] = w.nodes[i].diskState
-	return r.limits.older != 0
+	return r.limits.rolledBack != 0
 }
 
-// newFolder gives a node an empty folder, if the model has an identity left for it.
-func (w *lostDisksModel) newFolder(i int) bool {
+// assignEmptyFolder gives a node an empty folder, if the model has an identity left for it.
+func (w *diskModel) assignEmptyFolder(i int) bool {
 	node := &w.nodes[i]
 	if node.nextGeneration >= maxGenerations {
 		return false
@@ -74,38 +74,38 @@
 	return true
 }
 
-func (w *lostDisksModel) wipeFolder(i int, r diskRules) bool {
+func (w *diskModel) wipeFolder(i int, r diskRules) bool {
 	if !r.diskIDs {
 		w.nodes[i].diskState = diskState{}
 		return true
 	}
-	return w.newFolder(i) && mayHappen(&w.faults.lost, r.limits.lost)
+	return w.assignEmptyFolder(i) && countFault(&w.faults.wiped, r.limits.wiped)
 }
 
-func (w *lostDisksModel) restoreFolder(i int, r diskRules) bool {
-	if w.backups[i].logLength == 0 || !mayHappen(&w.faults.older, r.limits.older) {
+func (w *diskModel) restoreBackup(i int, r diskRules) bool {
+	if w.backups[i].logLength == 0 || !countFault(&w.faults.rolledBack, r.limits.rolledBack) {
 		return false
 	}
 	w.nodes[i].diskState = w.backups[i]
 	return true
 }
 
-// misplaceFolder has an empty folder in the place of the true one, as with a mount that is missing.
-func (w *lostDisksModel) misplaceFolder(i int, r diskRules) bool {
+// unmountFolder has an empty folder in the place of the true one, as with a mount that is missing.
+func (w *diskModel) unmountFolder(i int, r diskRules) bool {
 	folder := w.nodes[i].diskState
-	if folder.logLength == 0 || w.misplaced[i].logLength > 0 || !w.newFolder(i) {
+	if folder.logLength == 0 || w.unmounted[i].logLength > 0 || !w.assignEmptyFolder(i) {
 		return false
 	}
-	w.misplaced[i] = folder
-	return mayHappen(&w.faults.misplaced, r.limits.misplaced)
+	w.unmounted[i] = folder
+	return countFault(&w.faults.unmounted, r.limits.unmounted)
 }
 
-// findFolder puts the true folder back.
-func (w *lostDisksModel) findFolder(i int) bool {
-	if w.misplaced[i].logLength == 0 {
+// remountFolder puts the true folder back.
+func (w *diskModel) remountFolder(i int) bool {
+	if w.unmounted[i].logLength == 0 {
 		return false
 	}
-	w.nodes[i].diskState = w.misplaced[i]
-	w.misplaced[i] = diskState{}
+	w.nodes[i].diskState = w.unmounted[i]
+	w.unmounted[i] = diskState{}
 	return true
 }
--- a/internal/cluster/membership/lost_disks_model_test.go
+++ b/internal/cluster/membership/lost_disks_model_test.go
@@ -14,14 +14,14 @@
 // modelCluster is the ID of the cluster whose log the nodes hold.
 const modelCluster = "c"
 
-// diskMark is how far a disk has come.
-type diskMark struct{ starts, logLength int8 }
+// diskWatermark is how far a disk has come.
+type diskWatermark struct{ starts, logLength int8 }
 
 // diskState is what a folder holds.
 type diskState struct {
 	generation, starts, logLength int8
-	joiner                        bool
-	observed                      [maxNodes][maxGenerations]diskMark // of the others' disks
+	reidentified                  bool
+	observed                      [maxNodes][maxGenerations]diskWatermark // of the others' disks
 }
 
 type diskNode struct {
@@ -41,30 +41,30 @@
 // config is the role of each disk of each node: 0 none, 1 learner, 2 voter.
 type config [maxNodes][maxGenerations]int8
 
-type lostDisksModel struct {
-	size      int
-	nodes     [maxNodes]diskNode
-	backups   [maxNodes]diskState // of which logLength 0 is none
-	misplaced [maxNodes]diskState // the true folder while an empty one is in its place; logLength 0 is none
-	faults    diskFaults          // that have happened, as far as they are limited
-	acked     int8
-	last      int8
-	history   [maxLogLength + 1]config // the configuration as of each length
+type diskModel struct {
+	size        int
+	nodes       [maxNodes]diskNode
+	backups     [maxNodes]diskState // of which logLength 0 is none
+	unmounted   [maxNodes]diskState // the true folder while an empty one is in its place; logLength 0 is none
+	faults      diskFaults          // that have happened, as far as they are limited
+	ackedLength int8
+	lastLength  int8
+	history     [maxLogLength + 1]config // the configuration as of each length
 }
 
 // diskFaults are numbers of faults.
 type diskFaults struct {
-	lost      int8 // folders that were wiped
-	older     int8 // folders that were replaced by an older copy
-	misplaced int8 // nodes that were started with an empty folder while their true one is elsewhere
+	wiped      int8 // folders that were wiped
+	rolledBack int8 // folders that were replaced by an older copy
+	unmounted  int8 // nodes that were started with an empty folder while their true one is elsewhere
 }
 
 // outcome is that of an event.
 type outcome int
 
 const (
-	settled        outcome = iota
-	lostButHeld            // a node without an acknowledged entry can lead, although some folder has the entry
+	converged      outcome = iota
+	lostButStored          // a node without an acknowledged entry can lead, although some folder has the entry
 	lostEverywhere         // the same, and no folder has the entry any more
 )
 
@@ -82,10 +82,10 @@
 	return diskidentity.MemberID(string(rune('a'+i)), string(rune('0'+gen)))
 }
 
-func (w *lostDisksModel) ids(c config, least int8) (list []string) {
+func (w *diskModel) memberIDs(c config, minRole int8) (list []string) {
 	for i := range w.size {
 		for g := range int8(maxGenerations) {
-			if c[i][g] >= least {
+			if c[i][g] >= minRole {
 				list = append(list, diskID(i, g))
 			}
 		}
@@ -95,7 +95,7 @@
 
 // leader is a node that can win an election with those that run, or -1, and whether one
 // can that has not all that was acknowledged.
-func (w *lostDisksModel) leader() (lead int, loss bool) {
+func (w *diskModel) leader() (lead int, entryLost bool) {
 	lead = -1
 	for i := range w.size {
 		x := w.nodes[i]
@@ -103,74 +103,74 @@
 		if !x.running || conf[i][x.generation] != 2 {
 			continue
 		}
-		voters, votes := len(w.ids(conf, 2)), 0
+		voters, votes := len(w.memberIDs(conf, 2)), 0
 		for j := range w.size {
 			if y := w.nodes[j]; y.running && conf[j][y.generation] == 2 && y.logLength <= x.logLength {
 				votes++
 			}
 		}
 		if votes >= Quorum(voters) {
-			if x.logLength < w.acked {
-				loss = true
+			if x.logLength < w.ackedLength {
+				entryLost = true
 			}
 			if lead < 0 || x.logLength > w.nodes[lead].logLength {
 				lead = i
 			}
 		}
 	}
-	return lead, loss
+	return lead, entryLost
 }
 
 // decide has a node decide on its disk.
-func (w *lostDisksModel) decide(i int, r diskRules) {
+func (w *diskModel) decide(i int, r diskRules) {
 	x := &w.nodes[i]
 	if !r.diskIDs {
 		x.running = true
 		return
 	}
 	conf := w.history[x.logLength]
-	own := diskidentity.LocalDisk{ID: diskID(i, x.generation), Cluster: x.cluster(), Fresh: x.logLength == 0 && !x.joiner, Empty: x.logLength == 0, ConfigIndex: uint64(x.logLength), Attesters: r.attesters,
+	own := diskidentity.LocalDisk{ID: diskID(i, x.generation), Cluster: x.cluster(), Fresh: x.logLength == 0 && !x.reidentified, Empty: x.logLength == 0, ConfigIndex: uint64(x.logLength), Attesters: r.attesters,
 		Watermark: diskidentity.Watermark{Starts: uint64(x.starts), Term: 1, LastTerm: 1, LastIndex: uint64(x.logLength)}, Founders: []string{"a", "b", "c"},
-		Members: w.ids(conf, 1), Voters: w.ids(conf, 2)}
-	words := map[string]diskidentity.Attestation{}
+		Members: w.memberIDs(conf, 1), Voters: w.memberIDs(conf, 2)}
+	attestations := map[string]diskidentity.Attestation{}
 	for j := range w.size {
 		y := w.nodes[j]
 		if j == i || !y.up {
 			continue
 		}
 		c := w.history[y.logLength]
-		word := diskidentity.Attestation{ID: diskID(j, y.generation), Cluster: y.cluster(), Fresh: y.logLength == 0 && !y.joiner, ConfigIndex: uint64(y.logLength), Members: w.ids(c, 1), Voters: w.ids(c, 2)}
+		attestation := diskidentity.Attestation{ID: diskID(j, y.generation), Cluster: y.cluster(), Fresh: y.logLength == 0 && !y.reidentified, ConfigIndex: uint64(y.logLength), Members: w.memberIDs(c, 1), Voters: w.memberIDs(c, 2)}
 		if m := y.observed[i][x.generation]; m.starts > 0 {
-			word.LastObserved = &diskidentity.Watermark{Starts: uint64(m.starts), Term: 1, LastTerm: 1, LastIndex: uint64(m.logLength)}
+			attestation.LastObserved = &diskidentity.Watermark{Starts: uint64(m.starts), Term: 1, LastTerm: 1, LastIndex: uint64(m.logLength)}
 		}
-		words[diskidentity.MemberName(word.ID)] = word
+		attestations[diskidentity.MemberName(attestation.ID)] = attestation
 	}
-	switch v, _ := diskidentity.Decide(own, words); v {
+	switch v, _ := diskidentity.Decide(own, attestations); v {
 	case diskidentity.VerdictResume, diskidentity.VerdictJoin:
 		x.running = true
 	case diskidentity.VerdictRenew:
 		if x.nextGeneration < maxGenerations {
-			x.generation, x.joiner, x.running = x.nextGeneration, true, true
+			x.generation, x.reidentified, x.running = x.nextGeneration, true, true
 			x.nextGeneration++
 		}
 	}
 }
 
-// settle has nodes that wait look again, the leader bring all members up to date, and
+// converge has nodes that wait look again, the leader bring all members up to date, and
 // all that are up see each other, until nothing changes or an acknowledged entry is lost.
-func (w *lostDisksModel) settle(r diskRules) outcome {
+func (w *diskModel) converge(r diskRules) outcome {
 	for {
-		was := *w
+		before := *w
 		for i := range w.size {
 			if w.nodes[i].up && !w.nodes[i].running {
 				w.decide(i, r)
 			}
 		}
-		lead, lost := w.leader()
+		lead, entryLost := w.leader()
 		switch {
-		case lost && w.folderHolds(w.acked):
-			return lostButHeld
-		case lost:
+		case entryLost && w.anyDiskStores(w.ackedLength):
+			return lostButStored
+		case entryLost:
 			return lostEverywhere
 		}
 		if lead >= 0 {
@@ -181,34 +181,34 @@
 				}
 			}
 		}
-		w.poll()
-		if *w == was {
-			return settled
+		w.observePeers()
+		if *w == before {
+			return converged
 		}
 	}
 }
 
-// folderHolds reports whether some folder still has a log of this length.
-func (w *lostDisksModel) folderHolds(logLength int8) bool {
+// anyDiskStores reports whether some folder still has a log of this length.
+func (w *diskModel) anyDiskStores(logLength int8) bool {
 	for i := range w.size {
-		if max(w.nodes[i].logLength, w.misplaced[i].logLength) >= logLength {
+		if max(w.nodes[i].logLength, w.unmounted[i].logLength) >= logLength {
 			return true
 		}
 	}
 	return false
 }
 
-// standsStill reports whether nobody leads although all nodes are up, and enough voters to elect a leader have
+// isStalled reports whether nobody leads although all nodes are up, and enough voters to elect a leader have
 // the disks with which they are voters. No event but another fault or start changes that. A node that waits after
 // it has used the model's identities up may have to renew its disk, which the model can't: that does not count.
-func (w *lostDisksModel) standsStill() bool {
+func (w *diskModel) isStalled() bool {
 	voters, present := 0, 0
 	for i := range w.size {
 		node := w.nodes[i]
 		if !node.up || !node.running && node.nextGeneration >= maxGenerations {
 			return false
 		}
-		for generation, role := range w.history[w.last][i] {
+		for generation, role := range w.history[w.lastLength][i] {
 			if role != 2 {
 				continue
 			}
@@ -222,9 +222,9 @@
 	return lead < 0 && present >= Quorum(voters)
 }
 
-// poll has all nodes that are up observe each other. Like the real ones they remember each disk that they
+// observePeers has all nodes that are up observe each other. Like the real ones they remember each disk that they
 // have observed, also after its node has another one.
-func (w *lostDisksModel) poll() {
+func (w *diskModel) observePeers() {
 	for i := range w.size {
 		for j := range w.size {
 			x, y := &w.nodes[i], &w.nodes[j]
@@ -239,25 +239,25 @@
 }
 
 // commit adds an entry, if one can be.
-func (w *lostDisksModel) commit(change func(*config)) bool {
+func (w *diskModel) commit(change func(*config)) bool {
 	lead, _ := w.leader()
-	if lead < 0 || w.last >= maxLogLength || w.nodes[lead].logLength != w.last {
+	if lead < 0 || w.lastLength >= maxLogLength || w.nodes[lead].logLength != w.lastLength {
 		return false
 	}
-	w.last++
-	w.history[w.last] = w.history[w.last-1]
-	change(&w.history[w.last])
-	conf := w.history[w.last]
+	w.lastLength++
+	w.history[w.lastLength] = w.history[w.lastLength-1]
+	change(&w.history[w.lastLength])
+	conf := w.history[w.lastLength]
 	for i := range w.size {
 		if x := &w.nodes[i]; x.running && (conf[i][x.generation] > 0 || i == lead) {
-			x.logLength = w.last
+			x.logLength = w.lastLength
 		}
 	}
-	w.acked = w.last
+	w.ackedLength = w.lastLength
 	return true
 }
 
-func (w *lostDisksModel) view(lead int) View {
+func (w *diskModel) view(lead int) View {
 	v := View{Leader: diskID(lead, w.nodes[lead].generation), SinceChange: 1 << 40}
 	conf := w.history[w.nodes[lead].logLength]
 	for i := range w.size {
@@ -276,12 +276,12 @@
 	return v
 }
 
-func (w *lostDisksModel) step() bool {
+func (w *diskModel) changeMembership() bool {
 	lead, _ := w.leader()
 	if lead < 0 {
 		return false
 	}
-	s := policy().Next(w.view(lead))
+	s := modelPolicy().Next(w.view(lead))
 	if s.Kind == StepNone || s.Kind == StepTransfer {
 		return false
 	}
@@ -291,10 +291,10 @@
 	})
 }
 
-func (w *lostDisksModel) join(i int) bool {
+func (w *diskModel) join(i int) bool {
 	lead, _ := w.leader()
 	x := w.nodes[i]
-	if lead < 0 || !x.running || w.history[w.last][i][x.generation] != 0 {
+	if lead < 0 || !x.running || w.history[w.lastLength][i][x.generation] != 0 {
 		return false
 	}
 	return w.commit(func(c *config) { c[i][x.generation] = 1 })
--- a/internal/cluster/membership/lost_disks_test.go
+++ b/internal/cluster/membership/lost_disks_test.go
@@ -18,16 +18,16 @@
 
 // exploration is what explore has found. The numbers of events are 0 for what it has not found.
 type exploration struct {
-	states             int
-	depthReached       int
-	lostAfter          int // events until an acknowledged entry was lost, whether or not a folder has it
-	lostWhileHeldAfter int // the same, while some folder still had it
-	stillAfter         int // events until the cluster stood still
+	states               int
+	depthReached         int
+	lostAfter            int // events until an acknowledged entry was lost, whether or not a folder has it
+	lostWhileStoredAfter int // the same, while some folder still had it
+	stalledAfter         int // events until the cluster stood still
 }
 
-// newLostDisks is a cluster of size nodes that are up, the first of which are voters.
-func newLostDisks(size, voters int, r diskRules) lostDisksModel {
-	w := lostDisksModel{size: size, last: 1}
+// newDiskModel is a cluster of size nodes that are up, the first of which are voters.
+func newDiskModel(size, voters int, r diskRules) diskModel {
+	w := diskModel{size: size, lastLength: 1}
 	for i := range size {
 		w.nodes[i] = diskNode{diskState: diskState{starts: 1}, up: true, nextGeneration: 1}
 		if i < voters {
@@ -35,23 +35,23 @@
 			w.history[1][i][0] = 2
 		}
 	}
-	w.settle(r)
+	w.converge(r)
 	return w
 }
 
 // explore goes through all states up to a depth of events, or until it finds an acknowledged entry lost while
 // a folder has it.
-func explore(start lostDisksModel, r diskRules, depth int) (found exploration) {
+func explore(start diskModel, r diskRules, depth int) (found exploration) {
 	hashSeed := maphash.MakeSeed()
 	seen := map[uint64]bool{maphash.Comparable(hashSeed, start): true} // hashes, as the states take too much memory
-	layer := []lostDisksModel{start}
-	for ; found.depthReached < depth && found.lostWhileHeldAfter == 0; found.depthReached++ {
-		var next []lostDisksModel
+	layer := []diskModel{start}
+	for ; found.depthReached < depth && found.lostWhileStoredAfter == 0; found.depthReached++ {
+		var next []diskModel
 		for _, w := range layer {
-			for _, x := range w.events(r) {
-				found.note(x, found.depthReached+1)
+			for _, x := range w.transitions(r) {
+				found.record(x, found.depthReached+1)
 				hash := maphash.Comparable(hashSeed, x.state)
-				if x.outcome != settled || seen[hash] {
+				if x.outcome != converged || seen[hash] {
 					continue
 				}
 				seen[hash] = true
@@ -66,16 +66,16 @@
 	return found
 }
 
-// note records what a successor after a number of events shows for the first time.
-func (e *exploration) note(x successor, events int) {
-	if x.outcome != settled && e.lostAfter == 0 {
+// record records what a successor after a number of events shows for the first time.
+func (e *exploration) record(x transition, events int) {
+	if x.outcome != converged && e.lostAfter == 0 {
 		e.lostAfter = events
 	}
-	if x.outcome == lostButHeld && e.lostWhileHeldAfter == 0 {
-		e.lostWhileHeldAfter = events
+	if x.outcome == lostButStored && e.lostWhileStoredAfter == 0 {
+		e.lostWhileStoredAfter = events
 	}
-	if x.outcome == settled && e.stillAfter == 0 && x.state.standsStill() {
-		e.stillAfter = events
+	if x.outcome == converged && e.stalledAfter == 0 && x.state.isStalled() {
+		e.stalledAfter = events
 	}
 }
 
@@ -90,61 +90,61 @@
 		if n == 3 {
 			depth++
 		}
-		names := diskRules{limits: diskFaults{lost: unlimited}}
-		found := explore(newLostDisks(n, 3, names), names, 7)
+		namesOnly := diskRules{limits: diskFaults{wiped: unlimited}}
+		found := explore(newDiskModel(n, 3, namesOnly), namesOnly, 7)
 		assert.NotZero(t, found.lostAfter, "%d nodes without identity", n)
 		t.Logf("%d nodes, names alone: an acknowledged entry is lost after %d events", n, found.lostAfter)
-		for _, r := range []diskRules{{diskIDs: true, limits: diskFaults{lost: unlimited}}, {diskIDs: true, attesters: -1, limits: diskFaults{lost: unlimited, older: 1}}} {
-			if r.limits.older > 0 && n == maxNodes {
+		for _, r := range []diskRules{{diskIDs: true, limits: diskFaults{wiped: unlimited}}, {diskIDs: true, attesters: -1, limits: diskFaults{wiped: unlimited, rolledBack: 1}}} {
+			if r.limits.rolledBack > 0 && n == maxNodes {
 				depth-- // it has the most states by far
 			}
-			found := explore(newLostDisks(n, 3, r), r, depth)
-			assert.Zero(t, found.lostWhileHeldAfter, "%d nodes, %+v", n, r)
+			found := explore(newDiskModel(n, 3, r), r, depth)
+			assert.Zero(t, found.lostWhileStoredAfter, "%d nodes, %+v", n, r)
 			if depth < mixedFaultEvents {
 				assert.Zero(t, found.lostAfter, "%d nodes, %+v", n, r)
 			}
 			t.Logf("%d nodes, %+v: %+v", n, r, found)
 		}
 	}
-	r := diskRules{diskIDs: true, limits: diskFaults{lost: unlimited, older: 1}}
-	found := explore(newLostDisks(3, 3, r), r, 8)
+	r := diskRules{diskIDs: true, limits: diskFaults{wiped: unlimited, rolledBack: 1}}
+	found := explore(newDiskModel(3, 3, r), r, 8)
 	t.Logf("3 nodes, a majority attests, older copies come back: after %d events", found.lostAfter)
 	assert.Contains(t, []int{6, 7, 8}, found.lostAfter)
 }
 
-// diskPromise is a number of faults at once that a cluster with vouchers -1 survives: it loses no acknowledged
+// toleratedFaults is a number of faults at once that a cluster with vouchers -1 survives: it loses no acknowledged
 // entry, and serves again when all nodes are up.
-type diskPromise struct {
-	voters int
-	faults diskFaults
-	depth  int // fewer events than -disk-depth
+type toleratedFaults struct {
+	voters         int
+	faults         diskFaults
+	depthReduction int // fewer events than -disk-depth
 }
 
-// diskPromises is what docs/design/membership.md promises.
-var diskPromises = []diskPromise{
-	{voters: 3, faults: diskFaults{older: 1}, depth: -1},
-	{voters: 3, faults: diskFaults{lost: unlimited}, depth: -1},
-	{voters: 3, faults: diskFaults{misplaced: unlimited}, depth: -1},
-	{voters: 4, faults: diskFaults{older: 1}, depth: 1},
-	{voters: 4, faults: diskFaults{older: 2}, depth: 1},
-	{voters: 4, faults: diskFaults{older: 1, lost: 1}, depth: 1},
-	{voters: 4, faults: diskFaults{lost: unlimited}, depth: 1},
-	{voters: 5, faults: diskFaults{older: 2}, depth: 2},
-	{voters: 5, faults: diskFaults{older: 1, lost: 1}, depth: 2},
-	{voters: 5, faults: diskFaults{lost: 2}, depth: 1},
+// toleratedFaultCases is what docs/design/membership.md promises.
+var toleratedFaultCases = []toleratedFaults{
+	{voters: 3, faults: diskFaults{rolledBack: 1}, depthReduction: -1},
+	{voters: 3, faults: diskFaults{wiped: unlimited}, depthReduction: -1},
+	{voters: 3, faults: diskFaults{unmounted: unlimited}, depthReduction: -1},
+	{voters: 4, faults: diskFaults{rolledBack: 1}, depthReduction: 1},
+	{voters: 4, faults: diskFaults{rolledBack: 2}, depthReduction: 1},
+	{voters: 4, faults: diskFaults{rolledBack: 1, wiped: 1}, depthReduction: 1},
+	{voters: 4, faults: diskFaults{wiped: unlimited}, depthReduction: 1},
+	{voters: 5, faults: diskFaults{rolledBack: 2}, depthReduction: 2},
+	{voters: 5, faults: diskFaults{rolledBack: 1, wiped: 1}, depthReduction: 2},
+	{voters: 5, faults: diskFaults{wiped: 2}, depthReduction: 1},
 }
 
-// TestDiskPromises: nodes that are all up wait for each other for ever, or an acknowledged entry is lost, although no
+// TestToleratedDiskFaults: nodes that are all up wait for each other for ever, or an acknowledged entry is lost, although no
 // more disks were replaced or brought back older than vouchers -1 promises to survive.
-func TestDiskPromises(t *testing.T) {
+func TestToleratedDiskFaults(t *testing.T) {
 	t.Parallel()
-	for _, promise := range diskPromises {
-		t.Run(fmt.Sprintf("%d voters %+v", promise.voters, promise.faults), func(t *testing.T) {
+	for _, tolerated := range toleratedFaultCases {
+		t.Run(fmt.Sprintf("%d voters %+v", tolerated.voters, tolerated.faults), func(t *testing.T) {
 			t.Parallel()
-			r := diskRules{diskIDs: true, attesters: -1, limits: promise.faults}
-			found := explore(newLostDisks(promise.voters, promise.voters, r), r, *diskDepth-promise.depth)
+			r := diskRules{diskIDs: true, attesters: -1, limits: tolerated.faults}
+			found := explore(newDiskModel(tolerated.voters, tolerated.voters, r), r, *diskDepth-tolerated.depthReduction)
 			assert.Zero(t, found.lostAfter, "an acknowledged entry is lost")
-			assert.Zero(t, found.stillAfter, "nobody leads")
+			assert.Zero(t, found.stalledAfter, "nobody leads")
 			t.Logf("%+v", found)
 		})
 	}
@@ -155,42 +155,42 @@
 func TestMajorityAttests(t *testing.T) {
 	t.Parallel()
 	for voters := 3; voters <= maxNodes; voters++ {
-		r := diskRules{diskIDs: true, limits: diskFaults{lost: unlimited}}
-		found := explore(newLostDisks(voters, voters, r), r, *diskDepth-voters/4)
+		r := diskRules{diskIDs: true, limits: diskFaults{wiped: unlimited}}
+		found := explore(newDiskModel(voters, voters, r), r, *diskDepth-voters/4)
 		assert.Zero(t, found.lostAfter, "%d voters", voters)
-		assert.Zero(t, found.stillAfter, "%d voters", voters)
+		assert.Zero(t, found.stalledAfter, "%d voters", voters)
 	}
 }
 
-// behindAndBackedUp is a cluster of three in which node 0 is down and misses an acknowledged entry, and the others
+// newLaggingBackedUpModel is a cluster of three in which node 0 is down and misses an acknowledged entry, and the others
 // have backups without it.
-func behindAndBackedUp(t *testing.T, r diskRules) lostDisksModel {
-	w := newLostDisks(3, 3, r)
-	require.True(t, w.copyFolder(1, r))
-	require.True(t, w.copyFolder(2, r))
-	require.True(t, w.startOrStop(0))
-	require.Equal(t, settled, w.settle(r))
+func newLaggingBackedUpModel(t *testing.T, r diskRules) diskModel {
+	w := newDiskModel(3, 3, r)
+	require.True(t, w.backUpFolder(1, r))
+	require.True(t, w.backUpFolder(2, r))
+	require.True(t, w.startOrStopNode(0))
+	require.Equal(t, converged, w.converge(r))
 	require.True(t, w.commit(func(*config) {}))
-	require.Equal(t, settled, w.settle(r))
+	require.Equal(t, converged, w.converge(r))
 	return w
 }
 
-// TestDiskPromiseBounds: more faults at once than vouchers -1 promises to survive lose an acknowledged entry. If a
+// TestUntoleratedDiskFaults: more faults at once than vouchers -1 promises to survive lose an acknowledged entry. If a
 // change of the rules survives them, the promise can grow.
-func TestDiskPromiseBounds(t *testing.T) {
+func TestUntoleratedDiskFaults(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		faults diskFaults
-		held   bool // a folder still has the lost entry
+		stored bool // a folder still has the lost entry
 	}{
-		{diskFaults{older: 2}, false},
-		{diskFaults{older: 1, lost: 1}, false},
-		{diskFaults{older: 1, misplaced: 1}, true},
+		{diskFaults{rolledBack: 2}, false},
+		{diskFaults{rolledBack: 1, wiped: 1}, false},
+		{diskFaults{rolledBack: 1, unmounted: 1}, true},
 	} {
 		r := diskRules{diskIDs: true, attesters: -1, limits: c.faults}
-		found := explore(behindAndBackedUp(t, r), r, mixedFaultEvents-3)
+		found := explore(newLaggingBackedUpModel(t, r), r, mixedFaultEvents-3)
 		assert.NotZero(t, found.lostAfter, "%+v", c)
-		assert.Equal(t, c.held, found.lostWhileHeldAfter > 0, "%+v", c)
+		assert.Equal(t, c.stored, found.lostWhileStoredAfter > 0, "%+v", c)
 		t.Logf("three voters, %+v: after %d further events", c.faults, found.lostAfter)
 	}
 }
--- a/internal/cluster/membership/model_test.go
+++ b/internal/cluster/membership/model_test.go
@@ -13,7 +13,7 @@
 
 // node is a node in the checked model.
 type node struct {
-	member, voter, up, downLong, caughtUp, leaving bool
+	member, voter, up, downTooLong, caughtUp, leaving bool
 }
 
 // clusterModel is a state of the model: what there is, the leader, and a change that is not
@@ -25,9 +25,11 @@
 	pending Step // appended by the leader
 }
 
-var zones = [5]string{"a", "a", "b", "b", "c"}
+var zoneOfNode = [5]string{"a", "a", "b", "b", "c"}
 
-func policy() Policy { return Policy{Voters: 3, ReplaceAfter: time.Minute, ForgetAfter: time.Minute} }
+func modelPolicy() Policy {
+	return Policy{Voters: 3, ReplaceAfter: time.Minute, ForgetAfter: time.Minute}
+}
 
 func id(i int) string { return fmt.Sprint(i) }
 
@@ -37,14 +39,14 @@
 		if !n.member {
 			continue
 		}
-		m := Member{ID: id(i), Zone: zones[i], Up: n.up, Leaving: n.leaving}
+		m := Member{ID: id(i), Zone: zoneOfNode[i], Up: n.up, Leaving: n.leaving}
 		if n.voter {
 			m.Role = Voter
 		}
 		if !n.caughtUp {
 			m.EntriesBehind = 1
 		}
-		if n.downLong {
+		if n.downTooLong {
 			m.DownFor = time.Hour
 		}
 		v.Members = append(v.Members, m)
@@ -73,9 +75,9 @@
 	return up >= Quorum(all) && sound > 0
 }
 
-// settle elects a leader if one can be, and lets the cluster write: who is not up
+// electAndReplicate elects a leader if one can be, and lets the cluster write: who is not up
 // then misses something.
-func (w *clusterModel) settle() {
+func (w *clusterModel) electAndReplicate() {
 	if w.leader >= 0 && !(w.nodes[w.leader].up && w.nodes[w.leader].voter) {
 		w.leader, w.pending = -1, Step{} // lost before it was committed
 	}
@@ -119,7 +121,7 @@
 	add := func(change func(*clusterModel)) {
 		x := w
 		change(&x)
-		x.settle()
+		x.electAndReplicate()
 		if x != w {
 			next = append(next, x)
 		}
@@ -136,15 +138,15 @@
 				add(func(x *clusterModel) { x.nodes[i].leaving = true })
 			}
 		case n.member:
-			add(func(x *clusterModel) { x.nodes[i].up, x.nodes[i].downLong = true, false })
-			add(func(x *clusterModel) { x.nodes[i].downLong = true })
+			add(func(x *clusterModel) { x.nodes[i].up, x.nodes[i].downTooLong = true, false })
+			add(func(x *clusterModel) { x.nodes[i].downTooLong = true })
 		}
 	}
 	if w.pending.Kind != StepNone {
 		add(func(x *clusterModel) { x.pending = Step{} }) // the message is lost
 		add(func(x *clusterModel) { s := x.pending; x.pending = Step{}; x.do(s) })
 	} else if w.leader >= 0 {
-		if s := policy().Next(w.view()); s.Kind != StepNone {
+		if s := modelPolicy().Next(w.view()); s.Kind != StepNone {
 			add(func(x *clusterModel) { x.pending = s })
 		}
 	}
@@ -160,13 +162,13 @@
 		for i := range n {
 			start.nodes[i] = node{member: i < 3, voter: i < 3, up: true, caughtUp: i < 3}
 		}
-		start.settle()
+		start.electAndReplicate()
 		seen, layer, decisions := map[clusterModel]bool{start: true}, []clusterModel{start}, 0
 		for range *depth {
 			var next []clusterModel
 			for _, w := range layer {
 				if w.leader >= 0 && w.pending.Kind == StepNone {
-					if s := policy().Next(w.view()); s.Kind != StepNone {
+					if s := modelPolicy().Next(w.view()); s.Kind != StepNone {
 						decisions++
 						checkStep(t, w, s)
 					}
@@ -209,7 +211,7 @@
 func checkEnds(t *testing.T, w clusterModel) {
 	x, was := w, map[clusterModel]bool{}
 	for {
-		s := policy().Next(x.view())
+		s := modelPolicy().Next(x.view())
 		if s.Kind == StepNone {
 			break
 		}
@@ -227,7 +229,7 @@
 		if n.member && !n.voter && n.up && n.caughtUp && !n.leaving {
 			standby++
 		}
-		if n.member && n.voter && (n.leaving || !n.up && n.downLong) && i != x.leader {
+		if n.member && n.voter && (n.leaving || !n.up && n.downTooLong) && i != x.leader {
 			outgoing++
 		}
 	}
--- a/internal/cluster/membership/step.go
+++ b/internal/cluster/membership/step.go
@@ -25,8 +25,8 @@
 
 // rules in the order in which they are checked. The first one with a step decides.
 var rules = [...]func(Policy, View, voterCounts) Step{
-	Policy.demoteLost,
-	Policy.promoteMissing,
+	Policy.demoteLostDisk,
+	Policy.promoteUpToTarget,
 	Policy.reduceVoters,
 	Policy.promotePreferred,
 	Policy.balanceZones,
@@ -36,7 +36,7 @@
 // Next is the step to take now. There is none while a change is pending or settles, or without a
 // healthy majority.
 func (p Policy) Next(v View) Step {
-	c := p.count(v)
+	c := p.countVoters(v)
 	if v.ChangePending || v.SinceChange < p.SettleTime || c.healthy < Quorum(c.voters) {
 		return Step{}
 	}
@@ -48,9 +48,9 @@
 	return Step{}
 }
 
-// demoteLost takes the vote of a lost disk at once: it can't come back, and counts against the
+// demoteLostDisk takes the vote of a lost disk at once: it can't come back, and counts against the
 // majority.
-func (p Policy) demoteLost(v View, c voterCounts) Step {
+func (p Policy) demoteLostDisk(v View, c voterCounts) Step {
 	for _, m := range v.Members {
 		if m.Role == Voter && m.DiskLost && p.keepsQuorumWithout(c, m) {
 			return Step{Kind: StepDemote, ID: m.ID, Reason: departureReason(m)}
@@ -59,11 +59,11 @@
 	return Step{}
 }
 
-// promoteMissing gives a learner the vote that is missing. It comes before the demotion of a voter that
+// promoteUpToTarget gives a learner the vote that is missing. It comes before the demotion of a voter that
 // is to lose its vote (losesVote), so that the replacement votes first. One more healthy voter never
 // costs the majority, as that grows by one at most.
-func (p Policy) promoteMissing(v View, c voterCounts) Step {
-	if c.staying >= p.Voters {
+func (p Policy) promoteUpToTarget(v View, c voterCounts) Step {
+	if c.retained >= p.Voters {
 		return Step{}
 	}
 	m, ok := p.promotionCandidate(v, c)
@@ -93,14 +93,14 @@
 func (p Policy) demoteLeavingOrDown(v View, c voterCounts) (step Step, decided bool) {
 	_, standby := p.promotionCandidate(v, c)
 	for _, m := range v.Members {
-		if m.Role != Voter || !p.losesVote(m) {
+		if m.Role != Voter || !p.shouldLoseVote(m) {
 			continue
 		}
-		if c.staying < p.Voters && (standby || !m.Leaving) {
+		if c.retained < p.Voters && (standby || !m.Leaving) {
 			continue
 		}
 		if m.ID == v.Leader {
-			return p.transfer(v, "the leader leaves"), true
+			return p.transferLeadership(v, "the leader leaves"), true
 		}
 		if p.keepsQuorumWithout(c, m) {
 			return Step{Kind: StepDemote, ID: m.ID, Reason: departureReason(m)}, true
@@ -111,7 +111,7 @@
 
 // demoteSurplus takes one of the votes beyond the wanted number.
 func (p Policy) demoteSurplus(v View, c voterCounts) Step {
-	if c.staying <= p.Voters {
+	if c.retained <= p.Voters {
 		return Step{}
 	}
 	if m, ok := p.demotionCandidate(v, c); ok && p.keepsQuorumWithout(c, m) {
@@ -140,9 +140,9 @@
 	if len(c.zones) < 2 {
 		return Step{}
 	}
-	fewest, most := c.zoneRange()
+	minVoters, maxVoters := c.votersPerZoneRange()
 	m, ok := p.promotionCandidate(v, c)
-	if !ok || most-fewest < 2 || c.zones[m.Zone] != fewest {
+	if !ok || maxVoters-minVoters < 2 || c.zones[m.Zone] != minVoters {
 		return Step{}
 	}
 	replaced, ok := p.demotionCandidate(v, c)
@@ -155,17 +155,17 @@
 // removeLearner removes learners that leave, whose disk is lost, or that were down for too long.
 func (p Policy) removeLearner(v View, _ voterCounts) Step {
 	for _, m := range v.Members {
-		if m.Role == Learner && p.removable(m) {
+		if m.Role == Learner && p.shouldRemove(m) {
 			return Step{Kind: StepRemove, ID: m.ID, Reason: departureReason(m)}
 		}
 	}
 	return Step{}
 }
 
-// transfer moves the leadership to a healthy voter that stays.
-func (p Policy) transfer(v View, reason string) Step {
+// transferLeadership moves the leadership to a healthy voter that stays.
+func (p Policy) transferLeadership(v View, reason string) Step {
 	for _, m := range v.Members {
-		if m.Role == Voter && m.ID != v.Leader && p.healthy(m) && !p.losesVote(m) {
+		if m.Role == Voter && m.ID != v.Leader && p.healthy(m) && !p.shouldLoseVote(m) {
 			return Step{Kind: StepTransfer, ID: m.ID, Reason: reason}
 		}
 	}
--- a/internal/cluster/membership/step_test.go
+++ b/internal/cluster/membership/step_test.go
@@ -33,36 +33,36 @@
 		m.EntriesBehind = entries
 		return m
 	}
-	three := []Member{voter("a", "x"), voter("b", "y"), voter("c", "z")}
-	with := func(list []Member, m ...Member) []Member { return append(append([]Member{}, list...), m...) }
+	threeVoters := []Member{voter("a", "x"), voter("b", "y"), voter("c", "z")}
+	withMembers := func(list []Member, m ...Member) []Member { return append(append([]Member{}, list...), m...) }
 	for _, c := range []struct {
 		name    string
 		members []Member
 		kind    StepKind
 		id      string
 	}{
-		{"quiet", three, StepNone, ""},
-		{"a learner waits", with(three, learner("d", "x")), StepNone, ""},
-		{"one voter missing", with(three[:2], learner("d", "x")), StepPromote, "d"},
-		{"the learner is behind", with(three[:2], lagging(learner("d", "x"), 11)), StepNone, ""},
-		{"the zone with fewest", with(three[:2], learner("d", "x"), learner("e", "z")), StepPromote, "e"},
-		{"down for a moment", with(three[:2], down(voter("c", "z"), time.Second), learner("d", "z")), StepNone, ""},
-		{"down for long", with(three[:2], down(voter("c", "z"), time.Minute), learner("d", "z")), StepPromote, "d"},
-		{"replaced", with(three[:2], down(voter("c", "z"), time.Minute), voter("d", "z")), StepDemote, "c"},
-		{"down for long, nobody to replace it", with(three[:2], down(voter("c", "z"), time.Minute)), StepNone, ""},
+		{"quiet", threeVoters, StepNone, ""},
+		{"a learner waits", withMembers(threeVoters, learner("d", "x")), StepNone, ""},
+		{"one voter missing", withMembers(threeVoters[:2], learner("d", "x")), StepPromote, "d"},
+		{"the learner is behind", withMembers(threeVoters[:2], lagging(learner("d", "x"), 11)), StepNone, ""},
+		{"the zone with fewest", withMembers(threeVoters[:2], learner("d", "x"), learner("e", "z")), StepPromote, "e"},
+		{"down for a moment", withMembers(threeVoters[:2], down(voter("c", "z"), time.Second), learner("d", "z")), StepNone, ""},
+		{"down for long", withMembers(threeVoters[:2], down(voter("c", "z"), time.Minute), learner("d", "z")), StepPromote, "d"},
+		{"replaced", withMembers(threeVoters[:2], down(voter("c", "z"), time.Minute), voter("d", "z")), StepDemote, "c"},
+		{"down for long, nobody to replace it", withMembers(threeVoters[:2], down(voter("c", "z"), time.Minute)), StepNone, ""},
 		{"no majority", []Member{voter("a", "x"), down(voter("b", "y"), time.Hour), down(voter("c", "z"), time.Hour), learner("d", "y")}, StepNone, ""},
-		{"its disk is gone", with(three[:2], lost(voter("c", "z"))), StepDemote, "c"},
-		{"its disk is gone, its successor waits", with(three[:2], lost(voter("c", "z")), learner("d", "z")), StepDemote, "c"},
-		{"its successor has the vote next", with(three[:2], lost(learner("c", "z")), learner("d", "z")), StepPromote, "d"},
-		{"then it is forgotten", with(three, lost(learner("d", "z"))), StepRemove, "d"},
-		{"two of three disks are gone", with(three[:1], lost(voter("b", "y")), lost(voter("c", "z")), learner("d", "z")), StepNone, ""},
-		{"an operator wants it to vote", with(three, preferred(learner("d", "x"))), StepPromote, "d"},
-		{"all that vote are wanted", with([]Member{preferred(three[0]), preferred(three[1]), preferred(three[2])}, preferred(learner("d", "x"))), StepNone, ""},
-		{"leaves, with a standby", with(three[:2], leaving(voter("c", "z")), learner("d", "z")), StepPromote, "d"},
-		{"leaves, without one", with(three[:2], leaving(voter("c", "z"))), StepDemote, "c"},
+		{"its disk is gone", withMembers(threeVoters[:2], lost(voter("c", "z"))), StepDemote, "c"},
+		{"its disk is gone, its successor waits", withMembers(threeVoters[:2], lost(voter("c", "z")), learner("d", "z")), StepDemote, "c"},
+		{"its successor has the vote next", withMembers(threeVoters[:2], lost(learner("c", "z")), learner("d", "z")), StepPromote, "d"},
+		{"then it is forgotten", withMembers(threeVoters, lost(learner("d", "z"))), StepRemove, "d"},
+		{"two of three disks are gone", withMembers(threeVoters[:1], lost(voter("b", "y")), lost(voter("c", "z")), learner("d", "z")), StepNone, ""},
+		{"an operator wants it to vote", withMembers(threeVoters, preferred(learner("d", "x"))), StepPromote, "d"},
+		{"all that vote are wanted", withMembers([]Member{preferred(threeVoters[0]), preferred(threeVoters[1]), preferred(threeVoters[2])}, preferred(learner("d", "x"))), StepNone, ""},
+		{"leaves, with a standby", withMembers(threeVoters[:2], leaving(voter("c", "z")), learner("d", "z")), StepPromote, "d"},
+		{"leaves, without one", withMembers(threeVoters[:2], leaving(voter("c", "z"))), StepDemote, "c"},
 		{"the leader leaves", []Member{leaving(voter("a", "x")), voter("b", "y"), voter("c", "z"), voter("d", "x")}, StepTransfer, "b"},
-		{"has left", with(three, leaving(learner("d", "x"))), StepRemove, "d"},
-		{"not seen for long", with(three, down(learner("d", "x"), time.Hour)), StepRemove, "d"},
+		{"has left", withMembers(threeVoters, leaving(learner("d", "x"))), StepRemove, "d"},
+		{"not seen for long", withMembers(threeVoters, down(learner("d", "x"), time.Hour)), StepRemove, "d"},
 		{"zones apart by two", []Member{voter("a", "x"), voter("b", "x"), voter("c", "x"), learner("d", "y")}, StepPromote, "d"},
 		{"zones apart, but another would lose its vote", []Member{voter("a", "x"), voter("b", "x"), down(voter("c", "y"), time.Second), learner("d", "z")}, StepNone, ""},
 		{"one too many", []Member{voter("a", "x"), voter("b", "x"), voter("c", "x"), voter("d", "y")}, StepDemote, "c"},
--- a/internal/cluster/membership/view.go
+++ b/internal/cluster/membership/view.go
@@ -52,13 +52,13 @@
 	return m.Up && !m.DiskLost && m.EntriesBehind <= p.MaxEntriesBehind
 }
 
-// losesVote reports whether a voter's vote is to go to another member.
-func (p Policy) losesVote(m Member) bool {
+// shouldLoseVote reports whether a voter's vote is to go to another member.
+func (p Policy) shouldLoseVote(m Member) bool {
 	return m.Leaving || m.DiskLost || !m.Up && m.DownFor >= p.ReplaceAfter
 }
 
-// removable reports whether a learner is to be removed.
-func (p Policy) removable(m Member) bool {
+// shouldRemove reports whether a learner is to be removed.
+func (p Policy) shouldRemove(m Member) bool {
 	return m.Leaving || m.DiskLost || !m.Up && p.ForgetAfter > 0 && m.DownFor >= p.ForgetAfter
 }
 
@@ -75,13 +75,13 @@
 
 // voterCounts counts the voters of a view.
 type voterCounts struct {
-	voters  int
-	healthy int            // of the voters
-	staying int            // voters that keep their vote (not losesVote)
-	zones   map[string]int // staying voters, also of zones that have none and could have one
+	voters   int
+	healthy  int            // of the voters
+	retained int            // voters that keep their vote (not losesVote)
+	zones    map[string]int // staying voters, also of zones that have none and could have one
 }
 
-func (p Policy) count(v View) voterCounts {
+func (p Policy) countVoters(v View) voterCounts {
 	c := voterCounts{zones: map[string]int{}}
 	for _, m := range v.Members {
 		if p.healthy(m) && !m.Leaving {
@@ -94,8 +94,8 @@
 		if p.healthy(m) {
 			c.healthy++
 		}
-		if !p.losesVote(m) {
-			c.staying++
+		if !p.shouldLoseVote(m) {
+			c.retained++
 			c.zones[m.Zone]++
 		}
 	}
