--- a/internal/cluster/diskidentity/attesters.go
+++ b/internal/cluster/diskidentity/attesters.go
@@ -9,7 +9,7 @@
 // attesterTally sorts the other voters of a disk's configuration by what they can say of the disk.
 //
 // A voter is replaced if the node of its name answers with another disk: its own was wiped, or was given up for
-// a new identity. Nobody can attest in its place any more, so that LocalDisk.Attesters does not count it. One that
+// a new identity. Nobody can attest in its place any more, so that LocalDisk.RequiredAttesters does not count it. One that
 // does not answer at all may still have its disk, and is waited for.
 //
 // What the replaced disk alone had seen is lost with it. If a voter's disk is replaced and another voter's folder was
@@ -64,12 +64,12 @@
 	return sameNode && (a.Cluster == "" || a.Cluster == cluster)
 }
 
-// attestersNeeded is how many other voters must attest the disk. Replaced voters lower what LocalDisk.Attesters
+// attestersNeeded is how many other voters must attest the disk. Replaced voters lower what LocalDisk.RequiredAttesters
 // asks for, but never below what makes a majority with this disk.
 func (d *LocalDisk) attestersNeeded(tally attesterTally) int {
 	others := len(d.Voters) - 1
 	majority := len(d.Voters) / 2
-	required := d.Attesters
+	required := d.RequiredAttesters
 	switch {
 	case required == 0:
 		return majority
--- a/internal/cluster/diskidentity/attesters_test.go
+++ b/internal/cluster/diskidentity/attesters_test.go
@@ -18,7 +18,7 @@
 		{3, 7, 0, 2}, {3, 7, 1, 1},
 		{1, -1, 0, 0}, {1, 0, 0, 0},
 	} {
-		disk := LocalDisk{Attesters: c.attesters, Voters: make([]string, c.voters)}
+		disk := LocalDisk{RequiredAttesters: c.attesters, Voters: make([]string, c.voters)}
 		assert.Equal(t, c.want, disk.attestersNeeded(attesterTally{replaced: make([]ReplacedVoter, c.replaced)}), "%+v", c)
 	}
 }
--- a/internal/cluster/diskidentity/configuration_test.go
+++ b/internal/cluster/diskidentity/configuration_test.go
@@ -24,8 +24,8 @@
 		want         Verdict
 	}{
 		{"a member in the latest", attestationsByName(attestationWithConfig("b@1", 9, withoutDisk...), attestationWithConfig("c@1", 11, withDisk...)), VerdictResume},
-		{"removed in the latest", attestationsByName(attestationWithConfig("b@1", 9, withDisk...), attestationWithConfig("c@1", 11, withoutDisk...)), VerdictRenew},
-		{"two of the same index", attestationsByName(attestationWithConfig("b@1", 9, withDisk...), attestationWithConfig("c@1", 9, withoutDisk...)), VerdictRenew},
+		{"removed in the latest", attestationsByName(attestationWithConfig("b@1", 9, withDisk...), attestationWithConfig("c@1", 11, withoutDisk...)), VerdictNewIdentity},
+		{"two of the same index", attestationsByName(attestationWithConfig("b@1", 9, withDisk...), attestationWithConfig("c@1", 9, withoutDisk...)), VerdictNewIdentity},
 	} {
 		for range mapIterations {
 			got, reason := Decide(voterDisk, c.attestations)
--- a/internal/cluster/diskidentity/golden_test.go
+++ b/internal/cluster/diskidentity/golden_test.go
@@ -26,7 +26,7 @@
 	assert.Equal(t, Attestation{ID: "n1@5f", Cluster: "c", PreviousClusters: []string{"b"}, Fresh: true, ConfigIndex: 1, Members: []string{"m"}, Voters: []string{"v"}, LastObserved: &Watermark{Starts: 1}}, decoded)
 	assert.Equal(t, "n1@5f", MemberID("n1", "5f"))
 	assert.Equal(t, []string{"n1", "5f", "n1", ""}, []string{MemberName("n1@5f"), MemberDisk("n1@5f"), MemberName("n1"), MemberDisk("n1")})
-	for v, text := range map[Verdict]string{VerdictWait: "wait", VerdictBootstrap: "found", VerdictJoin: "join", VerdictResume: "resume", VerdictRenew: "renew"} {
+	for v, text := range map[Verdict]string{VerdictWait: "wait", VerdictBootstrap: "found", VerdictJoin: "join", VerdictResume: "resume", VerdictNewIdentity: "renew"} {
 		assert.Equal(t, text, v.String())
 	}
 }
--- a/internal/cluster/diskidentity/verdict.go
+++ b/internal/cluster/diskidentity/verdict.go
@@ -22,36 +22,36 @@
 
 // LocalDisk is what a node knows of its disk when it starts.
 type LocalDisk struct {
-	ID            string
-	Cluster       string // "" if it is not known for sure
-	LoggedCluster string // the cluster in the log while Cluster is ""; it may not be committed
-	Fresh         bool   // an empty folder that never replaced another
-	Empty         bool   // nothing in the log
-	Watermark     Watermark
-	ConfigIndex   uint64   // of the latest configuration in the log
-	Members       []string // in that configuration
-	Voters        []string // of them
-	Founders      []string // names of those who make the cluster; nil on a node that is none of them
-	// Attesters is how many other voters must attest this disk: 0 is as many as make a majority
+	ID             string
+	Cluster        string // "" if it is not known for sure
+	LoggedCluster  string // the cluster in the log while Cluster is ""; it may not be committed
+	Fresh          bool   // an empty folder that never replaced another
+	Empty          bool   // nothing in the log
+	Watermark      Watermark
+	ConfigIndex    uint64   // of the latest configuration in the log
+	Members        []string // in that configuration
+	Voters         []string // of them
+	InitialMembers []string // names of those who make the cluster; nil on a node that is none of them
+	// RequiredAttesters is how many other voters must attest this disk: 0 is as many as make a majority
 	// with it, -1 is all of them. Replaced voters lower it, see attestersNeeded.
-	Attesters int
+	RequiredAttesters int
 }
 
 // Verdict is what a node may do with its disk.
 //
 // VerdictBootstrap prints as "found", in the sense of to found a cluster.
 //
-// VerdictWait is decided again at the next attestation. After VerdictRenew the disk is another
+// VerdictWait is decided again at the next attestation. After VerdictNewIdentity the disk is another
 // member's, and joins. The other verdicts are final for one run of Raft.
 type Verdict int
 
 // The verdicts, in the order of their numbers, which are not stored.
 const (
-	VerdictWait      Verdict = iota // for attestations
-	VerdictBootstrap                // make a cluster of all founders
-	VerdictJoin                     // replicate the log without a vote, and request to be a member
-	VerdictResume                   // go on as the member that it was
-	VerdictRenew                    // give the disk a new identity, and then join
+	VerdictWait        Verdict = iota // for attestations
+	VerdictBootstrap                  // make a cluster of all founders
+	VerdictJoin                       // replicate the log without a vote, and request to be a member
+	VerdictResume                     // go on as the member that it was
+	VerdictNewIdentity                // give the disk a new identity, and then join
 )
 
 func (v Verdict) String() string {
@@ -69,7 +69,7 @@
 //  5. Too few other voters attest the disk: wait. See attesterTally.
 //  6. Otherwise: resume.
 func Decide(local LocalDisk, attestations map[string]Attestation) (Verdict, Reason) {
-	if successor := Successor(cmp.Or(local.Cluster, local.LoggedCluster), attestations); successor != "" {
+	if successor := SuccessorCluster(cmp.Or(local.Cluster, local.LoggedCluster), attestations); successor != "" {
 		return VerdictWait, Reason{Text: fmt.Sprintf("this folder to be moved away: its cluster was recovered as %s", successor)}
 	}
 	if local.Empty {
@@ -77,10 +77,10 @@
 		return verdict, Reason{Text: text}
 	}
 	if removed := local.adoptConfiguration(attestations); removed != "" {
-		return VerdictRenew, Reason{Text: removed}
+		return VerdictNewIdentity, Reason{Text: removed}
 	}
 	if reason := local.behindReason(attestations); reason != "" {
-		return VerdictRenew, Reason{Text: reason}
+		return VerdictNewIdentity, Reason{Text: reason}
 	}
 	if !slices.Contains(local.Voters, local.ID) {
 		return VerdictJoin, Reason{Text: "it has no vote"}
@@ -92,9 +92,9 @@
 	return VerdictResume, tally.resumeReason()
 }
 
-// Successor is the ID of the cluster that was recovered from one, or "". Nodes of the old cluster
+// SuccessorCluster is the ID of the cluster that was recovered from one, or "". Nodes of the old cluster
 // must not act as if it still existed.
-func Successor(cluster string, attestations map[string]Attestation) string {
+func SuccessorCluster(cluster string, attestations map[string]Attestation) string {
 	for _, a := range attestations {
 		if cluster != "" && a.Cluster != cluster && slices.Contains(a.PreviousClusters, cluster) {
 			return a.Cluster
@@ -166,7 +166,7 @@
 		return VerdictJoin, fmt.Sprintf("%s is of a cluster", member)
 	}
 	name := MemberName(local.ID)
-	if !slices.Contains(local.Founders, name) {
+	if !slices.Contains(local.InitialMembers, name) {
 		return VerdictJoin, "the configuration names others as those who make the cluster"
 	}
 	if replacement := replacementFolder(local, attestations); replacement != "" {
@@ -176,7 +176,7 @@
 	if missing := missingFounders(local, attestations); len(missing) > 0 {
 		return VerdictWait, fmt.Sprintf("%s must say whether there is a cluster yet", strings.Join(missing, ", "))
 	}
-	if first := slices.Min(local.Founders); first != name {
+	if first := slices.Min(local.InitialMembers); first != name {
 		return VerdictJoin, fmt.Sprintf("%s makes the cluster", first)
 	}
 	return VerdictBootstrap, "all founders are new"
@@ -195,7 +195,7 @@
 // replacementFolder is a founder whose empty folder took the place of another one, or "". It does not know whether
 // that one held what a cluster has acknowledged.
 func replacementFolder(local LocalDisk, attestations map[string]Attestation) string {
-	for _, founder := range local.Founders {
+	for _, founder := range local.InitialMembers {
 		if a, answered := attestations[founder]; answered && !a.Fresh {
 			return a.ID
 		}
@@ -204,7 +204,7 @@
 }
 
 func missingFounders(local LocalDisk, attestations map[string]Attestation) (missing []string) {
-	for _, founder := range local.Founders {
+	for _, founder := range local.InitialMembers {
 		if _, ok := attestations[founder]; !ok && founder != MemberName(local.ID) {
 			missing = append(missing, founder)
 		}
--- a/internal/cluster/kv/state.go
+++ b/internal/cluster/kv/state.go
@@ -167,7 +167,7 @@
 // checkFences makes sure that all leases that a request depends on are held.
 func (s *State) checkFences(fences []lease.FencingToken) error {
 	for _, f := range fences {
-		if !s.Leases.Holds(f.Name, f.Token) {
+		if !s.Leases.IsHeld(f.Name, f.Token) {
 			return fmt.Errorf("%w: %s/%d", ErrFenced, f.Name, f.Token)
 		}
 	}
--- a/internal/cluster/lease/doc.go
+++ b/internal/cluster/lease/doc.go
@@ -32,6 +32,6 @@
 // A process may be suspended between MayAct and the act itself for any time, so the deadline
 // alone protects nothing that matters. Each grant has a FencingToken that is higher than all
 // before it, for any name. The store carries out a write with a fencing token only while the
-// lease is held under that token (State.Holds); a resource outside the store keeps the highest
+// lease is held under that token (State.IsHeld); a resource outside the store keeps the highest
 // token that it has seen and refuses lower ones.
 package lease
--- a/internal/cluster/lease/fence.go
+++ b/internal/cluster/lease/fence.go
@@ -6,9 +6,9 @@
 	Token uint64 `json:"token"`
 }
 
-// Holds reports whether a lease is held under a token now. Writes that depend on a lease are
+// IsHeld reports whether a lease is held under a token now. Writes that depend on a lease are
 // carried out only if it does.
-func (s *State) Holds(name string, token uint64) bool {
+func (s *State) IsHeld(name string, token uint64) bool {
 	l, ok := s.Leases[name]
 	return ok && l.Token == token
 }
--- a/internal/cluster/lease/state_test.go
+++ b/internal/cluster/lease/state_test.go
@@ -25,8 +25,8 @@
 	assert.NoError(t, err)
 	assert.True(t, f.Admit(second.Token))
 	assert.False(t, f.Admit(first.Token), "acts on waking up")
-	assert.False(t, s.Holds(modelLeaseName, first.Token))
-	assert.True(t, s.Holds(modelLeaseName, second.Token))
+	assert.False(t, s.IsHeld(modelLeaseName, first.Token))
+	assert.True(t, s.IsHeld(modelLeaseName, second.Token))
 }
 
 // TestWaitersQueue: who waits is served by priority, then in the order of coming, one at a time;
--- a/internal/cluster/membership/lost_disks_model_test.go
+++ b/internal/cluster/membership/lost_disks_model_test.go
@@ -3,7 +3,7 @@
 import "oxbowbridge/internal/cluster/diskidentity"
 
 // The model of lost disks: what nodes hold on their disks, and what was acknowledged. Its nodes decide
-// by diskidentity.Decide and Policy.Next, as the real ones do. A log is a length, as all logs are
+// by diskidentity.Decide and Policy.NextStep, as the real ones do. A log is a length, as all logs are
 // prefixes of one history until an acknowledged entry is lost, which is what the model looks for.
 const (
 	maxNodes       = 5
@@ -129,8 +129,8 @@
 		return
 	}
 	conf := w.history[x.logLength]
-	own := diskidentity.LocalDisk{ID: diskID(i, x.generation), Cluster: x.cluster(), Fresh: x.logLength == 0 && !x.reidentified, Empty: x.logLength == 0, ConfigIndex: uint64(x.logLength), Attesters: r.attesters,
-		Watermark: diskidentity.Watermark{Starts: uint64(x.starts), Term: 1, LastTerm: 1, LastIndex: uint64(x.logLength)}, Founders: []string{"a", "b", "c"},
+	own := diskidentity.LocalDisk{ID: diskID(i, x.generation), Cluster: x.cluster(), Fresh: x.logLength == 0 && !x.reidentified, Empty: x.logLength == 0, ConfigIndex: uint64(x.logLength), RequiredAttesters: r.attesters,
+		Watermark: diskidentity.Watermark{Starts: uint64(x.starts), Term: 1, LastTerm: 1, LastIndex: uint64(x.logLength)}, InitialMembers: []string{"a", "b", "c"},
 		Members: w.memberIDs(conf, 1), Voters: w.memberIDs(conf, 2)}
 	attestations := map[string]diskidentity.Attestation{}
 	for j := range w.size {
@@ -148,7 +148,7 @@
 	switch v, _ := diskidentity.Decide(own, attestations); v {
 	case diskidentity.VerdictResume, diskidentity.VerdictJoin:
 		x.running = true
-	case diskidentity.VerdictRenew:
+	case diskidentity.VerdictNewIdentity:
 		if x.nextGeneration < maxGenerations {
 			x.generation, x.reidentified, x.running = x.nextGeneration, true, true
 			x.nextGeneration++
@@ -281,8 +281,8 @@
 	if lead < 0 {
 		return false
 	}
-	s := modelPolicy().Next(w.view(lead))
-	if s.Kind == StepNone || s.Kind == StepTransfer {
+	s := modelPolicy().NextStep(w.view(lead))
+	if s.Kind == StepNone || s.Kind == StepTransferLeadership {
 		return false
 	}
 	return w.commit(func(c *config) {
--- a/internal/cluster/membership/model_test.go
+++ b/internal/cluster/membership/model_test.go
@@ -28,7 +28,7 @@
 var zoneOfNode = [5]string{"a", "a", "b", "b", "c"}
 
 func modelPolicy() Policy {
-	return Policy{Voters: 3, ReplaceAfter: time.Minute, ForgetAfter: time.Minute}
+	return Policy{TargetVoters: 3, ReplaceAfter: time.Minute, RemoveLearnerAfter: time.Minute}
 }
 
 func id(i int) string { return fmt.Sprint(i) }
@@ -110,7 +110,7 @@
 			w.nodes[i].voter = false
 		case StepRemove:
 			w.nodes[i] = node{up: w.nodes[i].up}
-		case StepTransfer:
+		case StepTransferLeadership:
 			w.leader = i
 		}
 	}
@@ -146,7 +146,7 @@
 		add(func(x *clusterModel) { x.pending = Step{} }) // the message is lost
 		add(func(x *clusterModel) { s := x.pending; x.pending = Step{}; x.do(s) })
 	} else if w.leader >= 0 {
-		if s := modelPolicy().Next(w.view()); s.Kind != StepNone {
+		if s := modelPolicy().NextStep(w.view()); s.Kind != StepNone {
 			add(func(x *clusterModel) { x.pending = s })
 		}
 	}
@@ -168,7 +168,7 @@
 			var next []clusterModel
 			for _, w := range layer {
 				if w.leader >= 0 && w.pending.Kind == StepNone {
-					if s := modelPolicy().Next(w.view()); s.Kind != StepNone {
+					if s := modelPolicy().NextStep(w.view()); s.Kind != StepNone {
 						decisions++
 						checkStep(t, w, s)
 					}
@@ -211,7 +211,7 @@
 func checkEnds(t *testing.T, w clusterModel) {
 	x, was := w, map[clusterModel]bool{}
 	for {
-		s := modelPolicy().Next(x.view())
+		s := modelPolicy().NextStep(x.view())
 		if s.Kind == StepNone {
 			break
 		}
--- a/internal/cluster/membership/step.go
+++ b/internal/cluster/membership/step.go
@@ -5,11 +5,11 @@
 
 // The kinds of steps, with the change of role that each makes.
 const (
-	StepNone     StepKind = iota
-	StepPromote           // learner to voter
-	StepDemote            // voter to learner
-	StepRemove            // learner to no member
-	StepTransfer          // of the leadership, to the member
+	StepNone               StepKind = iota
+	StepPromote                     // learner to voter
+	StepDemote                      // voter to learner
+	StepRemove                      // learner to no member
+	StepTransferLeadership          // of the leadership, to the member
 )
 
 func (k StepKind) String() string {
@@ -33,9 +33,9 @@
 	Policy.removeLearner,
 }
 
-// Next is the step to take now. There is none while a change is pending or settles, or without a
+// NextStep is the step to take now. There is none while a change is pending or settles, or without a
 // healthy majority.
-func (p Policy) Next(v View) Step {
+func (p Policy) NextStep(v View) Step {
 	c := p.countVoters(v)
 	if v.ChangePending || v.SinceChange < p.SettleTime || c.healthy < Quorum(c.voters) {
 		return Step{}
@@ -63,7 +63,7 @@
 // is to lose its vote (losesVote), so that the replacement votes first. One more healthy voter never
 // costs the majority, as that grows by one at most.
 func (p Policy) promoteUpToTarget(v View, c voterCounts) Step {
-	if c.retained >= p.Voters {
+	if c.retained >= p.TargetVoters {
 		return Step{}
 	}
 	m, ok := p.promotionCandidate(v, c)
@@ -96,7 +96,7 @@
 		if m.Role != Voter || !p.shouldLoseVote(m) {
 			continue
 		}
-		if c.retained < p.Voters && (standby || !m.Leaving) {
+		if c.retained < p.TargetVoters && (standby || !m.Leaving) {
 			continue
 		}
 		if m.ID == v.Leader {
@@ -111,7 +111,7 @@
 
 // demoteSurplus takes one of the votes beyond the wanted number.
 func (p Policy) demoteSurplus(v View, c voterCounts) Step {
-	if c.retained <= p.Voters {
+	if c.retained <= p.TargetVoters {
 		return Step{}
 	}
 	if m, ok := p.demotionCandidate(v, c); ok && p.keepsQuorumWithout(c, m) {
@@ -166,7 +166,7 @@
 func (p Policy) transferLeadership(v View, reason string) Step {
 	for _, m := range v.Members {
 		if m.Role == Voter && m.ID != v.Leader && p.healthy(m) && !p.shouldLoseVote(m) {
-			return Step{Kind: StepTransfer, ID: m.ID, Reason: reason}
+			return Step{Kind: StepTransferLeadership, ID: m.ID, Reason: reason}
 		}
 	}
 	return Step{}
--- a/internal/cluster/membership/step_test.go
+++ b/internal/cluster/membership/step_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestNext(t *testing.T) {
-	p := Policy{Voters: 3, ReplaceAfter: time.Minute, ForgetAfter: time.Hour, SettleTime: time.Second, MaxEntriesBehind: 10}
+	p := Policy{TargetVoters: 3, ReplaceAfter: time.Minute, RemoveLearnerAfter: time.Hour, SettleTime: time.Second, MaxEntriesBehind: 10}
 	voter := func(id, zone string) Member { return Member{ID: id, Zone: zone, Role: Voter, Up: true} }
 	learner := func(id, zone string) Member { return Member{ID: id, Zone: zone, Up: true} }
 	down := func(m Member, d time.Duration) Member {
@@ -60,17 +60,17 @@
 		{"all that vote are wanted", withMembers([]Member{preferred(threeVoters[0]), preferred(threeVoters[1]), preferred(threeVoters[2])}, preferred(learner("d", "x"))), StepNone, ""},
 		{"leaves, with a standby", withMembers(threeVoters[:2], leaving(voter("c", "z")), learner("d", "z")), StepPromote, "d"},
 		{"leaves, without one", withMembers(threeVoters[:2], leaving(voter("c", "z"))), StepDemote, "c"},
-		{"the leader leaves", []Member{leaving(voter("a", "x")), voter("b", "y"), voter("c", "z"), voter("d", "x")}, StepTransfer, "b"},
+		{"the leader leaves", []Member{leaving(voter("a", "x")), voter("b", "y"), voter("c", "z"), voter("d", "x")}, StepTransferLeadership, "b"},
 		{"has left", withMembers(threeVoters, leaving(learner("d", "x"))), StepRemove, "d"},
 		{"not seen for long", withMembers(threeVoters, down(learner("d", "x"), time.Hour)), StepRemove, "d"},
 		{"zones apart by two", []Member{voter("a", "x"), voter("b", "x"), voter("c", "x"), learner("d", "y")}, StepPromote, "d"},
 		{"zones apart, but another would lose its vote", []Member{voter("a", "x"), voter("b", "x"), down(voter("c", "y"), time.Second), learner("d", "z")}, StepNone, ""},
 		{"one too many", []Member{voter("a", "x"), voter("b", "x"), voter("c", "x"), voter("d", "y")}, StepDemote, "c"},
 	} {
-		s := p.Next(View{Leader: "a", Members: c.members, SinceChange: time.Second})
+		s := p.NextStep(View{Leader: "a", Members: c.members, SinceChange: time.Second})
 		assert.Equal(t, Step{c.kind, c.id, s.Reason}, s, c.name)
 		assert.Equal(t, c.kind != StepNone, s.Reason != "", c.name)
-		assert.Zero(t, p.Next(View{Leader: "a", Members: c.members, SinceChange: time.Second, ChangePending: true}), c.name)
-		assert.Zero(t, p.Next(View{Leader: "a", Members: c.members}), c.name)
+		assert.Zero(t, p.NextStep(View{Leader: "a", Members: c.members, SinceChange: time.Second, ChangePending: true}), c.name)
+		assert.Zero(t, p.NextStep(View{Leader: "a", Members: c.members}), c.name)
 	}
 }
--- a/internal/cluster/membership/view.go
+++ b/internal/cluster/membership/view.go
@@ -37,11 +37,11 @@
 
 // Policy is what operators set. Its methods decide.
 type Policy struct {
-	Voters           int           // wanted number; an even one survives no more failures than the odd one below it
-	ReplaceAfter     time.Duration // a voter that is down for so long gives its vote to a learner
-	ForgetAfter      time.Duration // a learner that is down for so long is removed; 0 is never
-	SettleTime       time.Duration // minimum time between two changes
-	MaxEntriesBehind uint64        // log entries that a healthy member may miss
+	TargetVoters       int           // wanted number; an even one survives no more failures than the odd one below it
+	ReplaceAfter       time.Duration // a voter that is down for so long gives its vote to a learner
+	RemoveLearnerAfter time.Duration // a learner that is down for so long is removed; 0 is never
+	SettleTime         time.Duration // minimum time between two changes
+	MaxEntriesBehind   uint64        // log entries that a healthy member may miss
 }
 
 // Quorum is the majority of a number of voters.
@@ -59,7 +59,7 @@
 
 // shouldRemove reports whether a learner is to be removed.
 func (p Policy) shouldRemove(m Member) bool {
-	return m.Leaving || m.DiskLost || !m.Up && p.ForgetAfter > 0 && m.DownFor >= p.ForgetAfter
+	return m.Leaving || m.DiskLost || !m.Up && p.RemoveLearnerAfter > 0 && m.DownFor >= p.RemoveLearnerAfter
 }
 
 // departureReason is why a member loses its vote or its place.
--- a/internal/cluster/store/config.go
+++ b/internal/cluster/store/config.go
@@ -116,10 +116,10 @@
 // policy is what the leader decides on members by.
 func (c *Config) policy() membership.Policy {
 	return membership.Policy{
-		Voters:           cmp.Or(c.Voters, len(c.Peers)),
-		ReplaceAfter:     cmp.Or(time.Duration(c.ReplaceAfterMS)*time.Millisecond, defaultReplaceAfter),
-		ForgetAfter:      cmp.Or(time.Duration(c.ForgetAfterMS)*time.Millisecond, defaultForgetAfter),
-		SettleTime:       membershipSettleTime,
-		MaxEntriesBehind: maxEntriesBehind,
+		TargetVoters:       cmp.Or(c.Voters, len(c.Peers)),
+		ReplaceAfter:       cmp.Or(time.Duration(c.ReplaceAfterMS)*time.Millisecond, defaultReplaceAfter),
+		RemoveLearnerAfter: cmp.Or(time.Duration(c.ForgetAfterMS)*time.Millisecond, defaultForgetAfter),
+		SettleTime:         membershipSettleTime,
+		MaxEntriesBehind:   maxEntriesBehind,
 	}
 }
--- a/internal/cluster/store/disk_state.go
+++ b/internal/cluster/store/disk_state.go
@@ -46,9 +46,9 @@
 		return nil, fmt.Errorf("joiner flag: %w", err)
 	}
 	local := diskidentity.LocalDisk{
-		ID:        diskidentity.MemberID(s.self.Name, diskID),
-		Cluster:   s.clusterID.get(),
-		Attesters: s.cfg.Attesters,
+		ID:                diskidentity.MemberID(s.self.Name, diskID),
+		Cluster:           s.clusterID.get(),
+		RequiredAttesters: s.cfg.Attesters,
 	}
 	if local.Watermark, err = storage.Watermark(); err != nil {
 		return nil, fmt.Errorf("watermark: %w", err)
@@ -61,7 +61,7 @@
 	}
 	local.Empty = local.Watermark.LastIndex == 0
 	local.Fresh = local.Empty && replacement == nil && local.Cluster == ""
-	local.Founders = s.cfg.founders()
+	local.InitialMembers = s.cfg.founders()
 	conf, err := storage.Configuration()
 	if err != nil {
 		return nil, fmt.Errorf("members: %w", err)
--- a/internal/cluster/store/leader_view.go
+++ b/internal/cluster/store/leader_view.go
@@ -40,7 +40,7 @@
 			continue
 		}
 		observed := s.observeMembers(inc)
-		step := s.cfg.policy().Next(observed.view)
+		step := s.cfg.policy().NextStep(observed.view)
 		if step.Kind == membership.StepNone {
 			continue
 		}
@@ -174,7 +174,7 @@
 	if next < 0 {
 		return
 	}
-	if voters >= s.cfg.policy().Voters || members[next].Role == membership.Learner {
+	if voters >= s.cfg.policy().TargetVoters || members[next].Role == membership.Learner {
 		members[next].Leaving = true
 	}
 }
@@ -201,7 +201,7 @@
 		return awaitFuture(ctx, inc.raft.DemoteVoter(server.ID, conf.Index, storeapi.CommitTimeout))
 	case membership.StepRemove:
 		return awaitFuture(ctx, inc.raft.RemoveServer(server.ID, conf.Index, storeapi.CommitTimeout))
-	case membership.StepTransfer:
+	case membership.StepTransferLeadership:
 		return awaitFuture(ctx, inc.raft.LeadershipTransferToServer(server.ID, server.Address))
 	}
 	return nil
--- a/internal/cluster/store/members.go
+++ b/internal/cluster/store/members.go
@@ -115,8 +115,8 @@
 		return out, err
 	}
 	observed := s.observeMembers(inc)
-	step := s.cfg.policy().Next(observed.view)
-	out = storeapi.Members{Leader: s.self.Name, ConfigIndex: observed.conf.Index, WantedVoters: s.cfg.policy().Voters, Removed: s.removedNames()}
+	step := s.cfg.policy().NextStep(observed.view)
+	out = storeapi.Members{Leader: s.self.Name, ConfigIndex: observed.conf.Index, WantedVoters: s.cfg.policy().TargetVoters, Removed: s.removedNames()}
 	for _, m := range observed.view.Members {
 		server, _ := findServer(observed.conf, m.ID)
 		out.Members = append(out.Members, memberRow(m, step, server, inc.memberID))
@@ -185,7 +185,7 @@
 		return memberNotFound(name)
 	}
 	preferred := s.preferredVoters(name)
-	if limit := s.cfg.policy().Voters; preferred >= limit {
+	if limit := s.cfg.policy().TargetVoters; preferred >= limit {
 		return fmt.Errorf("%w: %d others are wanted as voters already, of %d", ErrMemberRejected, preferred, limit)
 	}
 	return s.recordIntent(kv.PreferredVoterPrefix+name, "")
--- a/internal/cluster/store/supervise.go
+++ b/internal/cluster/store/supervise.go
@@ -61,7 +61,7 @@
 		sup.savedAt = time.Now()
 		s.peers.saveWatermarks(inc)
 	}
-	if successor := diskidentity.Successor(s.clusterID.get(), s.peers.attestations().recent); successor != "" {
+	if successor := diskidentity.SuccessorCluster(s.clusterID.get(), s.peers.attestations().recent); successor != "" {
 		return fmt.Errorf("%w: it is %s now", errClusterReplaced, successor)
 	}
 	conf := inc.configuration()
--- a/internal/cluster/store/verdict.go
+++ b/internal/cluster/store/verdict.go
@@ -19,9 +19,9 @@
 }
 
 // awaitVerdict waits until the reports of the pollers (peers.poll) tell what the disk may do. Until
-// each peer was polled once it returns no verdict but VerdictRenew, as a peer that was not polled may
+// each peer was polled once it returns no verdict but VerdictNewIdentity, as a peer that was not polled may
 // have observed more of this disk; the wait reason, reportsWaitReason at first, then stays as it was. It
-// carries a VerdictRenew out itself, and then returns VerdictJoin with the disk under its new identity.
+// carries a VerdictNewIdentity out itself, and then returns VerdictJoin with the disk under its new identity.
 func (s *Store) awaitVerdict(f *diskState) (*diskState, diskidentity.Verdict, error) {
 	replaced := map[string]string{}
 	for {
@@ -29,7 +29,7 @@
 		verdict, reason := diskidentity.Decide(f.local, reports.recent)
 		s.logReplacedVoters(reason.Replaced, replaced)
 		switch {
-		case verdict == diskidentity.VerdictRenew:
+		case verdict == diskidentity.VerdictNewIdentity:
 			s.logVerdict(f, verdict, reason)
 			renewed, err := s.renewDisk(f, reason.Text)
 			return renewed, diskidentity.VerdictJoin, err
--- a/tests/attesters_test.go
+++ b/tests/attesters_test.go
@@ -21,7 +21,7 @@
 	renewed := attest("n1@dd") // the disk that was n1@bb
 	waiting := 0
 	for id, other := range map[string]string{"n0@aa": "n2@cc", "n2@cc": "n0@aa"} {
-		local := diskidentity.LocalDisk{ID: id, Cluster: "c", ConfigIndex: 1, Members: voters, Voters: voters, Attesters: -1}
+		local := diskidentity.LocalDisk{ID: id, Cluster: "c", ConfigIndex: 1, Members: voters, Voters: voters, RequiredAttesters: -1}
 		verdict, reason := diskidentity.Decide(local, map[string]diskidentity.Attestation{"n1": renewed, other[:2]: attest(other)})
 		if verdict == diskidentity.VerdictWait {
 			waiting++
