--- a/admission/admit.go
+++ b/admission/admit.go
@@ -9,9 +9,9 @@
 	return c.phaseCounts[phaseQueued] + c.phaseCounts[phaseRunning]
 }
 
-// rejectLateAbove is the fraction of requests rejected lately above which a late one
+// lateRejectedFraction is the fraction of requests rejected lately above which a late one
 // is rejected, unless the server is empty.
-const rejectLateAbove = 0.2
+const lateRejectedFraction = 0.2
 
 // decide answers a duplicate, and rejects or admits any other request. It is the
 // rule of the paper: while a core is free every request is admitted, otherwise
@@ -35,7 +35,7 @@
 	state := c.occupancy()
 	full := c.isFull()
 	c.limitReached = c.limitReached || full
-	if reason := c.ruleAgainstLate(r, state); reason != RejectReasonNone {
+	if reason := c.lateRejectReason(r, state); reason != RejectReasonNone {
 		c.reject(r, reason)
 		return
 	}
@@ -52,8 +52,8 @@
 // admit queues a request, and starts what can run. free is the memory left after
 // the admission, in kB.
 func (c *Controller) admit(r *request, free float64) {
-	c.storeKeyOf(r, free)
-	c.advance(r, stepAdmit)
+	c.storeKeyIfNeeded(r, free)
+	c.changePhase(r, transitionAdmit)
 	c.startRuns()
 }
 
@@ -71,12 +71,12 @@
 	return state < len(c.policy.bias) && c.reward(r, state) >= c.policy.bias[state]
 }
 
-// ruleAgainstLate names the rule by which a request is rejected because it can't be
+// lateRejectReason names the rule by which a request is rejected because it can't be
 // answered within its objective, or RejectReasonNone. Such a late request is rejected while the server
 // drains, when it has expired, while calls are backlogged, and while requests are
 // queued or running and more than rejectLateAbove of the latest were rejected.
 // Otherwise it is decided on like others: its run shows how long runs take.
-func (c *Controller) ruleAgainstLate(r *request, state int) RejectReason {
+func (c *Controller) lateRejectReason(r *request, state int) RejectReason {
 	switch {
 	case c.reward(r, state) >= 0:
 		return RejectReasonNone
@@ -86,7 +86,7 @@
 		return RejectExpiredOnArrival
 	case c.callsBacklogged():
 		return RejectLateCallsBacklogged
-	case state > 0 && c.rejectedFraction > rejectLateAbove:
+	case state > 0 && c.rejectedFraction > lateRejectedFraction:
 		return RejectLateOverloaded
 	}
 	return RejectReasonNone
--- a/admission/admit_test.go
+++ b/admission/admit_test.go
@@ -9,17 +9,17 @@
 	r := newDriver(t, nil)
 	r.fillCores()
 	// The first episode takes Λmax and all arrivals to be of the high weight: the low one is rejected.
-	got := r.at(0, arrival(1, 0))
-	if count[Reject](got) != 1 {
+	got := r.handleAfter(0, newArrival(1, 0))
+	if countActions[Reject](got) != 1 {
 		t.Errorf("request of low weight with c reached: %v, want a rejection", got)
 	}
 	s := r.controller.occupancy()
 	if r.controller.policy.threshold(1) <= s {
 		t.Fatalf("the policy rejects the class of high weight in state %d", s)
 	}
-	r.want(r.at(0, arrival(2, 1)))
+	r.wantActions(r.handleAfter(0, newArrival(2, 1)))
 	// Held work starts, oldest first, once a core is free.
-	r.want(r.at(ms, Completed{ID: 901, Elapsed: ms, Outcome: OutcomeOK}), Run{2})
+	r.wantActions(r.handleAfter(ms, Completed{ID: 901, Elapsed: ms, Outcome: OutcomeOK}), Run{2})
 }
 
 func TestAdmissionMatchesRewardAndBias(t *testing.T) {
@@ -30,8 +30,8 @@
 		probe := &request{class: 1, weightFraction: 1, objective: r.now + 950*ms, deadline: r.now + 2*time.Second}
 		reward := r.controller.reward(probe, s)
 		admit := s < len(r.controller.policy.bias) && reward >= r.controller.policy.bias[s] && reward >= 0
-		got := r.at(0, arrival(10+i, 1))
-		if rejected := count[Reject](got) == 1; rejected == admit {
+		got := r.handleAfter(0, newArrival(10+i, 1))
+		if rejected := countActions[Reject](got) == 1; rejected == admit {
 			t.Fatalf("state %d: rejected %v, r ≥ ∇h %v", s, rejected, admit)
 		}
 		if !admit {
@@ -42,7 +42,7 @@
 }
 
 func TestLateRequestIsRejectedOnFreeCores(t *testing.T) {
-	late := arrival(1, 1)
+	late := newArrival(1, 1)
 	late.Age = 900 * ms // of an objective of a second
 	for name, tt := range map[string]struct {
 		rejected float64 // fraction of what was read
@@ -56,10 +56,10 @@
 		t.Run(name, func(t *testing.T) {
 			r := newDriver(t, nil)
 			if tt.busy {
-				r.want(r.at(0, arrival(2, 1)), Run{2})
+				r.wantActions(r.handleAfter(0, newArrival(2, 1)), Run{2})
 			}
 			r.controller.rejectedFraction = tt.rejected
-			r.want(r.at(0, late), tt.want)
+			r.wantActions(r.handleAfter(0, late), tt.want)
 		})
 	}
 }
--- a/admission/advert.go
+++ b/admission/advert.go
@@ -5,8 +5,8 @@
 // The advertised value, set at each gauge tick: callers use it to withhold
 // requests that would be rejected. Inputs: Settings.Advert, the policy, the occupancy.
 
-// minAdvertChange is the relative change of the value that is advertised anew.
-const minAdvertChange = 0.1
+// minRelativeAdvertChange is the relative change of the value that is advertised anew.
+const minRelativeAdvertChange = 0.1
 
 // minCreditPerLimit times the concurrency limit is the least credit of all callers together.
 const minCreditPerLimit = 2
@@ -20,7 +20,7 @@
 		return
 	}
 	value := c.advertValue()
-	if math.Abs(value-c.advertised) > minAdvertChange*c.advertised {
+	if math.Abs(value-c.advertised) > minRelativeAdvertChange*c.advertised {
 		c.advertised = value
 		c.emit(Advertise{value})
 	}
@@ -60,7 +60,7 @@
 	for i := range c.settings.Classes {
 		threshold = min(threshold, c.policy.threshold(i))
 	}
-	atCalls := c.phaseCounts[phaseAwaitingCall] + c.phaseCounts[phaseInCall]
-	credit := max(threshold, minCreditPerLimit*c.concurrencyLimit) + atCalls
+	blockedOnCalls := c.phaseCounts[phaseAwaitingCall] + c.phaseCounts[phaseInCall]
+	credit := max(threshold, minCreditPerLimit*c.concurrencyLimit) + blockedOnCalls
 	return float64(credit) / float64(max(1, c.settings.Callers))
 }
--- a/admission/advert_test.go
+++ b/admission/advert_test.go
@@ -7,8 +7,8 @@
 func TestAdvertKinds(t *testing.T) {
 	for _, kind := range []AdvertKind{AdvertNone, AdvertMinRank, AdvertCredit, AdvertWeight} {
 		r := newDriver(t, func(s *Settings) { s.AdvertKind = kind })
-		got := r.at(gaugeInterval, TimerFired{TimerID: r.controller.timerID, Gauges: Gauges{CPUUtilization: 0}})
-		published := count[Advertise](got)
+		got := r.handleAfter(gaugeInterval, TimerFired{TimerID: r.controller.timerID, Gauges: Gauges{CPUUtilization: 0}})
+		published := countActions[Advertise](got)
 		if kind == AdvertNone && published != 0 || kind != AdvertNone && published != 1 {
 			t.Errorf("advert %v: %v", kind, got)
 		}
--- a/admission/answers.go
+++ b/admission/answers.go
@@ -20,14 +20,14 @@
 func (c *Controller) expiry(r *request) time.Duration {
 	expiry := r.deadline - c.deadlineLead()
 	if r.phase == phaseQueued {
-		halfRun := time.Duration(c.runTimes.meanSeconds[r.class] / 2 * float64(time.Second))
+		halfRun := time.Duration(c.runTimes.meanRunSeconds[r.class] / 2 * float64(time.Second))
 		expiry = min(expiry, r.objective-halfRun)
 	}
 	return expiry
 }
 
-// answerExpired answers the requests that have reached their expiry.
-func (c *Controller) answerExpired() {
+// rejectOrFailExpired answers the requests that have reached their expiry.
+func (c *Controller) rejectOrFailExpired() {
 	for _, r := range c.requests {
 		if r.settled || r.phase == phaseFinished || r.phase == phaseUndecided {
 			continue
@@ -41,7 +41,7 @@
 // rejectOrFail rejects an expired request that never ran, and fails others. A duplicate
 // can only fail: its original may have run.
 func (c *Controller) rejectOrFail(r *request) {
-	if r.ran || r.duplicateOf != 0 {
+	if r.everRan || r.duplicateOf != 0 {
 		c.fail(r)
 	} else {
 		c.reject(r, RejectExpiredInQueue)
@@ -51,11 +51,11 @@
 // reject answers a request that never ran, by the rule that is named.
 func (c *Controller) reject(r *request, reason RejectReason) {
 	c.countRejection()
-	c.evictUnrunKey(r)
+	c.evictKeyIfNeverRun(r)
 	r.settled = true
 	doNotRetry := !c.draining && c.retriesFutile()
 	c.emit(Reject{ID: r.id, RetryAfter: c.retryAfter(r.class), DoNotRetry: doNotRetry, Reason: reason})
-	c.advance(r, stepFinish)
+	c.changePhase(r, transitionFinish)
 }
 
 // fail answers a request that ran, or may have. One at a call stays until Completed
@@ -68,19 +68,19 @@
 		c.stopRun(r)
 	case phaseAwaitingCall, phaseInCall:
 	default:
-		c.advance(r, stepFinish)
+		c.changePhase(r, transitionFinish)
 	}
 }
 
-// canceled ends a request that no caller waits for, and stops its run where that
+// handleCanceled ends a request that no caller waits for, and stops its run where that
 // can be done. One at a call stays until Completed reports the end of its run.
-func (c *Controller) canceled(e Canceled) {
+func (c *Controller) handleCanceled(e Canceled) {
 	r := c.byID[e.ID]
 	if r == nil {
 		return
 	}
-	if !r.ran {
-		c.withdraw(r)
+	if !r.everRan {
+		c.withdrawArrival(r)
 	}
 	r.settled = true
 	switch r.phase {
@@ -88,27 +88,27 @@
 		c.stopRun(r)
 	case phaseAwaitingCall, phaseInCall:
 	default:
-		c.evictUnrunKey(r)
-		c.advance(r, stepFinish)
+		c.evictKeyIfNeverRun(r)
+		c.changePhase(r, transitionFinish)
 	}
 }
 
-// completed ends a run or a shared result, unless it only confirms a preemption.
-func (c *Controller) completed(e Completed) {
+// handleCompleted ends a run or a shared result, unless it only confirms a preemption.
+func (c *Controller) handleCompleted(e Completed) {
 	r := c.byID[e.ID]
 	if r == nil {
 		return
 	}
 	if confirmsPreemption(r, e) {
-		c.advance(r, stepPreempted)
+		c.changePhase(r, transitionPreempted)
 		return
 	}
 	if e.Outcome == OutcomeNotStarted {
-		c.withdraw(r)
+		c.withdrawArrival(r)
 	}
-	c.learnFrom(r, e)
+	c.updateEstimates(r, e)
 	r.settled = true
-	c.advance(r, stepFinish)
+	c.changePhase(r, transitionFinish)
 }
 
 // confirmsPreemption reports whether the event says that Preempt took effect on a
@@ -117,8 +117,8 @@
 	return r.preempted && e.Outcome == OutcomeCanceled && !r.settled
 }
 
-// learnFrom updates the estimates of run times, success and calls at the end of a run.
-func (c *Controller) learnFrom(r *request, e Completed) {
+// updateEstimates updates the estimates of run times, success and calls at the end of a run.
+func (c *Controller) updateEstimates(r *request, e Completed) {
 	switch r.phase {
 	case phaseRunning:
 		c.runTimes.resetMissedRuns()
@@ -126,7 +126,7 @@
 			c.runTimes.observe(r.class, e.Elapsed.Seconds())
 		}
 	case phaseInCall:
-		c.calls.abandon(c.now)
+		c.calls.recordAbandoned(c.now)
 	}
 	if r.phase != phaseAwaitingResult && e.Outcome != OutcomeNotStarted {
 		c.runTimes.observeSuccess(r.class, e.Outcome == OutcomeOK && !r.settled)
--- a/admission/answers_test.go
+++ b/admission/answers_test.go
@@ -10,11 +10,11 @@
 func TestEveryRequestIsAnsweredByItsDeadline(t *testing.T) {
 	r := newDriver(t, nil)
 	r.fillCores()
-	r.at(0, arrival(1, 1))
+	r.handleAfter(0, newArrival(1, 1))
 	answered := map[uint32]time.Duration{}
 	start := r.now
 	for r.now < start+2*time.Second { // the work hangs: only timers come
-		for _, a := range r.at(2*ms, TimerFired{TimerID: r.controller.timerID, Gauges: Gauges{CPUUtilization: 1, RunQueue: 2}}) {
+		for _, a := range r.handleAfter(2*ms, TimerFired{TimerID: r.controller.timerID, Gauges: Gauges{CPUUtilization: 1, RunQueue: 2}}) {
 			switch a := a.(type) {
 			case Fail:
 				answered[a.ID] = r.now - start
@@ -43,7 +43,7 @@
 	r := newDriver(t, nil)
 	r.fillCores()
 	r.controller.estimator.episode = 2 // μ is measured
-	got := r.at(ms, arrival(1, 0))
+	got := r.handleAfter(ms, newArrival(1, 0))
 	require.Len(t, got, 1)
 	rejected, ok := got[0].(Reject)
 	require.True(t, ok, "%#v", got)
@@ -52,14 +52,14 @@
 
 	r = newDriver(t, nil)
 	for i := range uint32(r.controller.concurrencyLimit + 1) { // one more than run
-		r.at(0, arrival(i+1, 1))
+		r.handleAfter(0, newArrival(i+1, 1))
 	}
 	queued := r.controller.requests[len(r.controller.requests)-1]
 	require.Equal(t, phaseQueued, queued.phase)
 	r.controller.estimator.episode = 2
 	for at := time.Duration(0); r.controller.byID[queued.id] != nil; at += 4 * ms {
 		require.Less(t, at, queued.objective-queued.arrivedAt, "queued past its objective")
-		for _, a := range r.at(4*ms, TimerFired{TimerID: r.controller.timerID, Gauges: Gauges{CPUUtilization: 1}}) {
+		for _, a := range r.handleAfter(4*ms, TimerFired{TimerID: r.controller.timerID, Gauges: Gauges{CPUUtilization: 1}}) {
 			if a, ok := a.(Reject); ok && a.ID == queued.id {
 				require.Positive(t, a.RetryAfter)
 				return
@@ -73,9 +73,9 @@
 // also by an idle server. Run, it would have its effect and be failed at once.
 func TestRequestPastDeadlineNeverRuns(t *testing.T) {
 	r := newDriver(t, nil)
-	a := arrival(1, 1)
+	a := newArrival(1, 1)
 	a.Timeout, a.Age = 0, 3*time.Second // of two
-	got := r.at(0, a)
+	got := r.handleAfter(0, a)
 	require.Len(t, got, 1)
 	require.IsType(t, Reject{}, got[0])
 }
--- a/admission/arrival.go
+++ b/admission/arrival.go
@@ -7,8 +7,8 @@
 
 // Arrivals: what is recorded of a request when it is read, before the decision on it.
 
-// arrive records a request. Events with a known id or an unknown class are ignored.
-func (c *Controller) arrive(e Arrival) {
+// recordArrival records a request. Events with a known id or an unknown class are ignored.
+func (c *Controller) recordArrival(e Arrival) {
 	if c.byID[e.ID] != nil || e.Class >= len(c.settings.Classes) {
 		return
 	}
@@ -24,12 +24,12 @@
 		arrivedAt:      c.now - e.Age,
 	}
 	r.deadline = c.deadlineOf(r, e.Timeout)
-	r.objective = min(r.arrivedAt+objectiveOf(class, e.ExpectedWork), r.deadline)
+	r.objective = min(r.arrivedAt+objectiveFromArrival(class, e.ExpectedWork), r.deadline)
 	if c.draining {
-		r.deadline = min(r.deadline, c.lastAnswerTime())
+		r.deadline = min(r.deadline, c.responseCutoff())
 	}
-	smooth(&c.readDelayFraction, math.Min(1, float64(e.Age)/float64(class.LatencyObjective)))
-	c.observeArrival(e.Retry)
+	updateMean(&c.readDelayFraction, math.Min(1, float64(e.Age)/float64(class.LatencyObjective)))
+	c.observeRetryMark(e.Retry)
 	c.requests = append(c.requests, r)
 	c.byID[r.id] = r
 	c.phaseCounts[phaseUndecided]++
@@ -49,20 +49,20 @@
 	return max(c.now, r.arrivedAt+c.settings.Classes[r.class].Deadline)
 }
 
-// objectiveOf is the time from arrival within which an answer earns the full
+// objectiveFromArrival is the time from arrival within which an answer earns the full
 // weight, less the way to the client and back.
-func objectiveOf(class *Class, expectedWork time.Duration) time.Duration {
+func objectiveFromArrival(class *Class, expectedWork time.Duration) time.Duration {
 	objective := class.LatencyObjective + time.Duration(class.ObjectiveStretch*float64(expectedWork))
 	return min(objective, class.Deadline) - time.Duration(objectiveMargin*float64(class.LatencyObjective))
 }
 
-// withdraw takes an arrival out of the estimates: it was canceled before it ran, or
+// withdrawArrival takes an arrival out of the estimates: it was canceled before it ran, or
 // could not be started. It guards the policy against callers that send requests by
 // the hundred and cancel them.
-func (c *Controller) withdraw(r *request) {
+func (c *Controller) withdrawArrival(r *request) {
 	if r.duplicateOf != 0 || r.settled {
 		return
 	}
 	c.recentArrivals[0]--
-	c.estimator.withdraw(r.arrivedAt, r.class)
+	c.estimator.withdrawArrival(r.arrivedAt, r.class)
 }
--- a/admission/arrival_test.go
+++ b/admission/arrival_test.go
@@ -8,9 +8,9 @@
 
 func TestUnknownTimeoutMeansClassDeadline(t *testing.T) {
 	r := newDriver(t, nil)
-	a := arrival(1, 0)
+	a := newArrival(1, 0)
 	a.Timeout, a.Age = 0, 500*ms
-	r.at(0, a)
+	r.handleAfter(0, a)
 	if got, want := r.controller.byID[1].deadline, r.now+1500*ms; got != want {
 		t.Errorf("deadline %v, want %v", got, want)
 	}
@@ -21,8 +21,8 @@
 func TestWithdrawnArrivalsLeaveEstimatesUnchanged(t *testing.T) {
 	r := newDriver(t, nil)
 	for i := range uint32(50) {
-		r.at(20*ms, arrival(i+1, 0), Canceled{i + 1})
-		r.at(0, arrival(i+101, 1), Canceled{i + 101})
+		r.handleAfter(20*ms, newArrival(i+1, 0), Canceled{i + 1})
+		r.handleAfter(0, newArrival(i+101, 1), Canceled{i + 101})
 	}
 	require.Zero(t, r.controller.recentArrivalRate())
 	require.Zero(t, r.controller.estimator.totalCount)
@@ -30,12 +30,12 @@
 
 	r = newDriver(t, nil)
 	for i := range uint32(20) {
-		r.at(20*ms, arrival(i+1, 0))
-		r.at(0, Completed{ID: i + 1, Outcome: OutcomeOK})
+		r.handleAfter(20*ms, newArrival(i+1, 0))
+		r.handleAfter(0, Completed{ID: i + 1, Outcome: OutcomeOK})
 		gap, done := r.controller.estimator.meanGap, r.controller.runTimes.completed
 		for j := range uint32(9) {
-			r.want(r.at(0, arrival(1000, 1)), Run{1000})
-			r.at(0, Completed{ID: 1000, Outcome: OutcomeNotStarted})
+			r.wantActions(r.handleAfter(0, newArrival(1000, 1)), Run{1000})
+			r.handleAfter(0, Completed{ID: 1000, Outcome: OutcomeNotStarted})
 			require.InDelta(t, gap, r.controller.estimator.meanGap, 1e-9, "%d", j)
 			require.Equal(t, done, r.controller.runTimes.completed)
 		}
--- a/admission/calls.go
+++ b/admission/calls.go
@@ -18,8 +18,8 @@
 	// callLimitDecrease is by how many calls the limit falls for each slow or rejected
 	// call: four of them take one call away.
 	callLimitDecrease = 0.25
-	// minCallTime is the shortest timeout with which a call is made.
-	minCallTime = 20 * time.Millisecond
+	// minCallTimeout is the shortest timeout with which a call is made.
+	minCallTimeout = 20 * time.Millisecond
 	// accruedQuotaFraction is the fraction of a quota below 1 that accrues as call time.
 	accruedQuotaFraction = 1.0 / 2
 	// maxSavedQuotaFraction is the fraction of the quota of one window, in call-seconds,
@@ -32,52 +32,52 @@
 // number stays below a limit. With a smaller quota call time accrues, in
 // call-seconds at half the quota, and one call at a time spends it.
 type callLimiter struct {
-	quota  float64 // calls in flight
-	window time.Duration
-	linger time.Duration
+	quota            float64 // calls in flight
+	window           time.Duration
+	abandonedCallTTL time.Duration
 
-	limit       float64         // calls in flight, 1 to quota
-	savedTime   float64         // call-seconds
-	lingerUntil []time.Duration // clock times until which abandoned calls may be in flight
+	limit             float64         // calls in flight, 1 to quota
+	savedCallSeconds  float64         // call-seconds
+	abandonedExpireAt []time.Duration // clock times until which abandoned calls may be in flight
 }
 
 func newCallLimiter(s *Settings) callLimiter {
-	return callLimiter{quota: s.CallQuota, window: s.CallWindow, linger: s.CallLinger, limit: s.CallQuota}
+	return callLimiter{quota: s.CallQuota, window: s.CallWindow, abandonedCallTTL: s.CallLinger, limit: s.CallQuota}
 }
 
-// pass accounts for the time from one clock time to the next with the given calls in flight.
-func (l *callLimiter) pass(from, to time.Duration, inFlight int) {
-	l.lingerUntil = slices.DeleteFunc(l.lingerUntil, func(until time.Duration) bool { return until <= to })
+// accrue accounts for the time from one clock time to the next with the given calls in flight.
+func (l *callLimiter) accrue(from, to time.Duration, inFlight int) {
+	l.abandonedExpireAt = slices.DeleteFunc(l.abandonedExpireAt, func(until time.Duration) bool { return until <= to })
 	seconds := (to - from).Seconds()
 	maxSaved := l.quota * l.window.Seconds() * maxSavedQuotaFraction
-	used := float64(inFlight + len(l.lingerUntil))
-	l.savedTime = math.Min(maxSaved, l.savedTime+seconds*(l.quota*accruedQuotaFraction-used))
+	used := float64(inFlight + len(l.abandonedExpireAt))
+	l.savedCallSeconds = math.Min(maxSaved, l.savedCallSeconds+seconds*(l.quota*accruedQuotaFraction-used))
 }
 
-// abandon counts a call as in flight for as long as it may linger.
-func (l *callLimiter) abandon(now time.Duration) {
-	l.lingerUntil = append(l.lingerUntil, now+l.linger)
+// recordAbandoned counts a call as in flight for as long as it may linger.
+func (l *callLimiter) recordAbandoned(now time.Duration) {
+	l.abandonedExpireAt = append(l.abandonedExpireAt, now+l.abandonedCallTTL)
 }
 
 // allows reports whether one more call may be made.
 func (l *callLimiter) allows(inFlight int) bool {
 	if l.quota >= 1 {
-		return float64(inFlight+len(l.lingerUntil)+1) <= l.limit
+		return float64(inFlight+len(l.abandonedExpireAt)+1) <= l.limit
 	}
-	return inFlight+len(l.lingerUntil) == 0 && l.savedTime >= l.linger.Seconds()+minCallTime.Seconds()
+	return inFlight+len(l.abandonedExpireAt) == 0 && l.savedCallSeconds >= l.abandonedCallTTL.Seconds()+minCallTimeout.Seconds()
 }
 
-// maxCallTime is the longest call that the accrued call time allows, if it lingers after that.
-func (l *callLimiter) maxCallTime() time.Duration {
-	seconds := l.savedTime - l.linger.Seconds()
+// maxCallDuration is the longest call that the accrued call time allows, if it lingers after that.
+func (l *callLimiter) maxCallDuration() time.Duration {
+	seconds := l.savedCallSeconds - l.abandonedCallTTL.Seconds()
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// observe moves the limit: the quota is a ceiling, not a target. A call that is
+// adjustLimit moves the limit: the quota is a ceiling, not a target. A call that is
 // rejected or slow lowers it; each other call raises it by 1/limit, by one call for as
 // many calls as the limit (additive increase). A call that did not reach the dependency
 // changes nothing.
-func (l *callLimiter) observe(outcome Outcome, seconds, slowSeconds float64) {
+func (l *callLimiter) adjustLimit(outcome Outcome, seconds, slowSeconds float64) {
 	if outcome == OutcomeResourceExhausted || seconds > slowSeconds {
 		l.limit = math.Max(1, l.limit-callLimitDecrease)
 	} else if outcome != OutcomeUnavailable {
@@ -89,7 +89,7 @@
 // beyond it are skipped where a degraded answer earns something, and wait otherwise.
 func (c *Controller) startCalls() {
 	for _, r := range c.requests {
-		if !stepStartCall.allows(r.phase) || r.settled {
+		if !transitionStartCall.allowedFrom(r.phase) || r.settled {
 			continue
 		}
 		if !c.mayCall() {
@@ -97,7 +97,7 @@
 			continue
 		}
 		c.emit(StartCall{ID: r.id, Deadline: c.callDeadline(r)})
-		c.advance(r, stepStartCall)
+		c.changePhase(r, transitionStartCall)
 	}
 }
 
@@ -109,7 +109,7 @@
 func (c *Controller) degrade(r *request) (degraded bool) {
 	if c.settings.Classes[r.class].DegradedFraction > 0 {
 		c.emit(Degrade{r.id})
-		c.advance(r, stepDegrade)
+		c.changePhase(r, transitionDegrade)
 		return true
 	}
 	return false
@@ -120,7 +120,7 @@
 func (c *Controller) callDeadline(r *request) time.Duration {
 	deadline := r.deadline - c.deadlineLead()
 	if c.settings.Dependency == DependencyShared && c.calls.quota < 1 {
-		deadline = min(deadline, c.now+c.calls.maxCallTime())
+		deadline = min(deadline, c.now+c.calls.maxCallDuration())
 	}
 	return deadline
 }
@@ -132,33 +132,33 @@
 		float64(c.phaseCounts[phaseAwaitingCall]) > c.calls.limit
 }
 
-// callNeeded takes a request off the cores.
-func (c *Controller) callNeeded(e CallNeeded) {
+// handleCallNeeded takes a request off the cores.
+func (c *Controller) handleCallNeeded(e CallNeeded) {
 	r := c.byID[e.ID]
-	if r == nil || !stepNeedCall.allows(r.phase) {
+	if r == nil || !transitionNeedCall.allowedFrom(r.phase) {
 		return
 	}
 	c.runTimes.resetMissedRuns()
-	c.advance(r, stepNeedCall)
+	c.changePhase(r, transitionNeedCall)
 }
 
-// callCompleted resumes a request after its call. One whose call failed is
+// handleCallCompleted resumes a request after its call. One whose call failed is
 // degraded or fails: a second call would add load to an overloaded dependency,
 // and might have its effect twice.
-func (c *Controller) callCompleted(e CallCompleted) {
+func (c *Controller) handleCallCompleted(e CallCompleted) {
 	r := c.byID[e.ID]
-	if r == nil || !stepCallSucceeded.allows(r.phase) {
+	if r == nil || !transitionCallSucceeded.allowedFrom(r.phase) {
 		return
 	}
 	slowSeconds := slowCallFraction * c.settings.Classes[r.class].LatencyObjective.Seconds()
-	c.calls.observe(e.Outcome, e.Elapsed.Seconds(), slowSeconds)
+	c.calls.adjustLimit(e.Outcome, e.Elapsed.Seconds(), slowSeconds)
 	if e.Outcome == OutcomeOK {
-		c.advance(r, stepCallSucceeded)
+		c.changePhase(r, transitionCallSucceeded)
 		return
 	}
-	c.advance(r, stepCallFailed)
+	c.changePhase(r, transitionCallFailed)
 	if e.Outcome == OutcomeDeadlineExceeded || e.Outcome == OutcomeAborted {
-		c.calls.abandon(c.now)
+		c.calls.recordAbandoned(c.now)
 	}
 	if !r.settled && !c.degrade(r) {
 		c.fail(r)
--- a/admission/calls_test.go
+++ b/admission/calls_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func callSettings(s *Settings) {
+func enableCalls(s *Settings) {
 	s.Dependency = DependencyNextTier
 	s.Classes[0].MakesCalls, s.Classes[1].MakesCalls = true, true
 	s.Classes[1].ExecutionSemantics = AtMostOnce
@@ -30,17 +30,17 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			r := newDriver(t, func(s *Settings) { callSettings(s); s.Classes[tt.class].DegradedFraction = tt.degraded })
-			r.at(0, arrival(1, tt.class))
-			r.want(r.at(ms, CallNeeded{1}), StartCall{1, r.now + 2*time.Second - 5*ms})
-			r.want(r.at(ms, CallCompleted{ID: 1, Outcome: tt.outcome}), tt.want...)
+			r := newDriver(t, func(s *Settings) { enableCalls(s); s.Classes[tt.class].DegradedFraction = tt.degraded })
+			r.handleAfter(0, newArrival(1, tt.class))
+			r.wantActions(r.handleAfter(ms, CallNeeded{1}), StartCall{1, r.now + 2*time.Second - 5*ms})
+			r.wantActions(r.handleAfter(ms, CallCompleted{ID: 1, Outcome: tt.outcome}), tt.want...)
 		})
 	}
 }
 
 func TestSharedCallsStayBelowQuota(t *testing.T) {
 	for _, quota := range []float64{0.4, 1, 2.5} {
-		r := newDriver(t, func(s *Settings) { callSettings(s); s.Dependency, s.CallQuota, s.Cores = DependencyShared, quota, 8 })
+		r := newDriver(t, func(s *Settings) { enableCalls(s); s.Dependency, s.CallQuota, s.Cores = DependencyShared, quota, 8 })
 		inFlight, sum := 0, 0.0
 		lingers := []time.Duration{}
 		next, live, called := uint32(1), []uint32{}, map[uint32]time.Duration{}
@@ -63,7 +63,7 @@
 				}
 			}
 			events = append(events, TimerFired{TimerID: r.controller.timerID, Gauges: Gauges{CPUUtilization: 0.5}})
-			for _, a := range r.at(2*ms, events...) {
+			for _, a := range r.handleAfter(2*ms, events...) {
 				switch a := a.(type) {
 				case Run:
 					live = append(live, a.ID)
@@ -83,28 +83,28 @@
 	}
 }
 
-// makeCalls plays calls to the dependency that each take so long.
-func (r *driver) makeCalls(calls int, took time.Duration) {
+// completeCalls plays calls to the dependency that each take so long.
+func (r *driver) completeCalls(calls int, took time.Duration) {
 	r.t.Helper()
 	for i := range calls {
 		id := uint32(10000 + i)
-		r.at(ms, arrival(id, 1))
-		r.at(ms, CallNeeded{id})
-		r.at(ms, CallCompleted{ID: id, Elapsed: took, Outcome: OutcomeOK})
-		r.at(ms, Completed{ID: id, Elapsed: took, Outcome: OutcomeOK})
+		r.handleAfter(ms, newArrival(id, 1))
+		r.handleAfter(ms, CallNeeded{id})
+		r.handleAfter(ms, CallCompleted{ID: id, Elapsed: took, Outcome: OutcomeOK})
+		r.handleAfter(ms, Completed{ID: id, Elapsed: took, Outcome: OutcomeOK})
 	}
 }
 
 func TestSlowDependencyGetsFewerCalls(t *testing.T) {
-	inFlight := func(r *driver) (n int) {
+	startedCalls := func(r *driver) (n int) {
 		var events []Event
 		for id := uint32(1); id <= 8; id++ {
-			r.at(0, arrival(id, 1))
+			r.handleAfter(0, newArrival(id, 1))
 			events = append(events, CallNeeded{id})
 		}
-		return count[StartCall](r.at(ms, events...))
+		return countActions[StartCall](r.handleAfter(ms, events...))
 	}
-	site := func(s *Settings) { callSettings(s); s.Dependency, s.CallQuota, s.Cores = DependencyShared, 6, 8 }
+	settings := func(s *Settings) { enableCalls(s); s.Dependency, s.CallQuota, s.Cores = DependencyShared, 6, 8 }
 	for _, tt := range []struct {
 		name  string
 		slow  int
@@ -112,10 +112,10 @@
 		want  int
 	}{{"the quota at first", 0, 0, 6}, {"fewer where calls take long", 12, 0, 3}, {"never none", 100, 0, 1},
 		{"more again, at most the quota", 100, 100, 6}} {
-		r := newDriver(t, site)
-		r.makeCalls(tt.slow, 300*ms)
-		r.makeCalls(tt.quick, 20*ms)
-		if got := inFlight(r); got != tt.want {
+		r := newDriver(t, settings)
+		r.completeCalls(tt.slow, 300*ms)
+		r.completeCalls(tt.quick, 20*ms)
+		if got := startedCalls(r); got != tt.want {
 			t.Errorf("%s: %d calls in flight, want %d", tt.name, got, tt.want)
 		}
 	}
@@ -123,18 +123,18 @@
 
 func TestLateRequestIsRejectedWhileCallsQueue(t *testing.T) {
 	for _, quota := range []float64{1, 6} {
-		r := newDriver(t, func(s *Settings) { callSettings(s); s.Dependency, s.CallQuota, s.Cores = DependencyShared, quota, 8 })
-		for i := range r.controller.runTimes.meanSeconds {
-			r.controller.runTimes.meanSeconds[i] = 2 // what starts now is late
+		r := newDriver(t, func(s *Settings) { enableCalls(s); s.Dependency, s.CallQuota, s.Cores = DependencyShared, quota, 8 })
+		for i := range r.controller.runTimes.meanRunSeconds {
+			r.controller.runTimes.meanRunSeconds[i] = 2 // what starts now is late
 		}
 		var events []Event
 		for id := uint32(1); id <= 4; id++ {
-			r.want(r.at(0, arrival(id, 1)), Run{id}) // idle: it takes late ones, to learn
+			r.wantActions(r.handleAfter(0, newArrival(id, 1)), Run{id}) // idle: it takes late ones, to learn
 			events = append(events, CallNeeded{id})
 		}
-		r.at(ms, events...)
-		got := r.at(ms, arrival(9, 1))
-		if quota == 1 && count[Reject](got) != 1 || quota == 6 && count[Run](got) != 1 {
+		r.handleAfter(ms, events...)
+		got := r.handleAfter(ms, newArrival(9, 1))
+		if quota == 1 && countActions[Reject](got) != 1 || quota == 6 && countActions[Run](got) != 1 {
 			t.Errorf("quota %v, three wait for one call: %#v", quota, got)
 		}
 	}
--- a/admission/concurrency.go
+++ b/admission/concurrency.go
@@ -17,22 +17,22 @@
 	// shrinkAboveUtilization is the CPU utilization, a fraction of the cores, above
 	// which more runs can't help.
 	shrinkAboveUtilization = 0.985
-	// maxReadDelay is a fraction of the objective. If requests wait for longer than
+	// maxReadDelayFraction is a fraction of the objective. If requests wait for longer than
 	// that until they are read, the goroutines that read them are starved of the cores.
-	maxReadDelay = 0.22
-	// starvedCoresDivisor: while reading is starved the limit falls below the cores, by 1
+	maxReadDelayFraction = 0.22
+	// starvedLimitDivisor: while reading is starved the limit falls below the cores, by 1
 	// a gauge tick, down to a third of them.
-	starvedCoresDivisor = 3
+	starvedLimitDivisor = 3
 )
 
 // canRun reports whether one more request may run: the limit isn't reached, and
 // the server survives if all requests at calls return at once.
 func (c *Controller) canRun() bool {
 	running := c.phaseCounts[phaseRunning]
-	atCalls := c.phaseCounts[phaseAwaitingCall] + c.phaseCounts[phaseInCall]
-	started := running + c.phaseCounts[phasePaused] + atCalls
+	blockedOnCalls := c.phaseCounts[phaseAwaitingCall] + c.phaseCounts[phaseInCall]
+	started := running + c.phaseCounts[phasePaused] + blockedOnCalls
 	maxOthersStarted := max(1, c.maxRuns()*usableRunsFraction) - 1 // beside the one more
-	return float64(running)+callCoreWeight*float64(atCalls) < float64(c.concurrencyLimit) &&
+	return float64(running)+callCoreWeight*float64(blockedOnCalls) < float64(c.concurrencyLimit) &&
 		float64(started) <= maxOthersStarted
 }
 
@@ -56,29 +56,29 @@
 	if c.phaseCounts[phaseRunning] == 0 {
 		c.runTimes.resetMissedRuns()
 	}
-	r.ran = true
+	r.everRan = true
 	r.preempted = false
 	c.emit(Run{r.id})
-	c.advance(r, stepRun)
+	c.changePhase(r, transitionRun)
 }
 
-// adjustLimit moves c at a gauge tick. It grows by the free cores, less a part
+// adjustConcurrencyLimit moves c at a gauge tick. It grows by the free cores, less a part
 // for calls in flight: growth by one a gauge tick would reject requests for seconds
 // while cores idle. It shrinks to the cores while they are busy, and
 // below while requests wait long to be read: reading shares the cores, and
 // once it falls behind every request is read too late.
-func (c *Controller) adjustLimit(g Gauges) {
+func (c *Controller) adjustConcurrencyLimit(g Gauges) {
 	cores := c.settings.Cores
 	free := int(float64(cores) - g.RunQueue - callCoreWeight*float64(c.phaseCounts[phaseInCall]))
 	switch {
-	case c.readDelayFraction > maxReadDelay:
-		floor := max(1, cores/starvedCoresDivisor)
+	case c.readDelayFraction > maxReadDelayFraction:
+		floor := max(1, cores/starvedLimitDivisor)
 		c.concurrencyLimit = max(floor, c.concurrencyLimit-1)
 	case c.concurrencyLimit < cores:
 		c.concurrencyLimit++
 	case c.limitReached && g.CPUUtilization >= 0 && g.CPUUtilization < growBelowUtilization && free > 0:
-		survived := int(c.maxRuns() * usableRunsFraction)
-		c.concurrencyLimit = min(c.concurrencyLimit+free, max(cores, survived))
+		sustainedRuns := int(c.maxRuns() * usableRunsFraction)
+		c.concurrencyLimit = min(c.concurrencyLimit+free, max(cores, sustainedRuns))
 	case g.CPUUtilization > shrinkAboveUtilization && c.concurrencyLimit > cores:
 		c.concurrencyLimit--
 	}
--- a/admission/concurrency_test.go
+++ b/admission/concurrency_test.go
@@ -8,8 +8,8 @@
 
 func TestFreeCoresRunAtOnce(t *testing.T) {
 	r := newDriver(t, nil)
-	r.want(r.at(0, arrival(1, 0)), Run{1})
-	r.want(r.at(ms, Completed{ID: 1, Elapsed: ms, Outcome: OutcomeOK}))
+	r.wantActions(r.handleAfter(0, newArrival(1, 0)), Run{1})
+	r.wantActions(r.handleAfter(ms, Completed{ID: 1, Elapsed: ms, Outcome: OutcomeOK}))
 	if len(r.controller.requests) != 0 || r.controller.requestsKB != 0 {
 		t.Errorf("%d requests and %v kB remain", len(r.controller.requests), r.controller.requestsKB)
 	}
@@ -18,19 +18,19 @@
 func TestReadDelayLowersLimit(t *testing.T) {
 	r := newDriver(t, func(s *Settings) { s.Cores = 6 })
 	for i := uint32(1); i < 40; i++ {
-		a := arrival(i, 0)
+		a := newArrival(i, 0)
 		a.Age = 600 * ms
-		r.at(0, a)
+		r.handleAfter(0, a)
 	}
 	for i := 0; i < 8; i++ {
-		r.at(gaugeInterval, TimerFired{TimerID: r.controller.timerID, Gauges: Gauges{CPUUtilization: 1, RunQueue: 12}})
+		r.handleAfter(gaugeInterval, TimerFired{TimerID: r.controller.timerID, Gauges: Gauges{CPUUtilization: 1, RunQueue: 12}})
 	}
 	if r.controller.concurrencyLimit != 2 {
 		t.Errorf("c %d while requests wait to be read, want a third of the cores", r.controller.concurrencyLimit)
 	}
 	r.controller.readDelayFraction = 0
 	for i := 0; i < 8; i++ {
-		r.at(gaugeInterval, TimerFired{TimerID: r.controller.timerID, Gauges: Gauges{CPUUtilization: 1, RunQueue: 12}})
+		r.handleAfter(gaugeInterval, TimerFired{TimerID: r.controller.timerID, Gauges: Gauges{CPUUtilization: 1, RunQueue: 12}})
 	}
 	if r.controller.concurrencyLimit != 6 {
 		t.Errorf("c %d after the read delay recovered, want the cores", r.controller.concurrencyLimit)
@@ -48,13 +48,13 @@
 		"calls come back":   {1, 1, 2},
 		"idle but for them": {0, 1, 3},
 	} {
-		r := newDriver(t, func(s *Settings) { callSettings(s); s.Dependency = DependencyNextTier })
+		r := newDriver(t, func(s *Settings) { enableCalls(s); s.Dependency = DependencyNextTier })
 		for i := uint32(1); i <= tt.calls; i++ {
-			r.at(0, arrival(i, 0))
-			r.at(0, CallNeeded{i})
+			r.handleAfter(0, newArrival(i, 0))
+			r.handleAfter(0, CallNeeded{i})
 		}
-		r.at(0, arrival(11, 0), arrival(12, 0), arrival(13, 0))
-		r.at(gaugeInterval, TimerFired{TimerID: r.controller.timerID, Gauges: Gauges{CPUUtilization: 0.5, RunQueue: tt.onCores}})
+		r.handleAfter(0, newArrival(11, 0), newArrival(12, 0), newArrival(13, 0))
+		r.handleAfter(gaugeInterval, TimerFired{TimerID: r.controller.timerID, Gauges: Gauges{CPUUtilization: 0.5, RunQueue: tt.onCores}})
 		if r.controller.concurrencyLimit != tt.want {
 			t.Errorf("%s: c %d, want %d", name, r.controller.concurrencyLimit, tt.want)
 		}
@@ -62,13 +62,13 @@
 }
 
 func TestCallsReserveCores(t *testing.T) {
-	r := newDriver(t, func(s *Settings) { callSettings(s); s.Dependency = DependencyNextTier })
+	r := newDriver(t, func(s *Settings) { enableCalls(s); s.Dependency = DependencyNextTier })
 	for i := uint32(1); i <= 4; i++ { // four calls in flight weigh one run of the two
-		r.at(0, arrival(i, 0))
-		r.at(0, CallNeeded{i})
+		r.handleAfter(0, newArrival(i, 0))
+		r.handleAfter(0, CallNeeded{i})
 	}
-	r.want(r.at(0, arrival(5, 0)), Run{5})
-	if got := r.at(0, arrival(6, 1)); count[Run](got) != 0 {
+	r.wantActions(r.handleAfter(0, newArrival(5, 0)), Run{5})
+	if got := r.handleAfter(0, newArrival(6, 1)); countActions[Run](got) != 0 {
 		t.Errorf("%v with one run and four calls in flight on two cores", got)
 	}
 }
@@ -78,11 +78,11 @@
 func TestLimitGrowsByFreeCores(t *testing.T) {
 	r := newDriver(t, func(s *Settings) { s.Cores = 8 })
 	for i := range uint32(12) {
-		r.at(0, arrival(i+1, 1))
+		r.handleAfter(0, newArrival(i+1, 1))
 	}
-	r.at(gaugeInterval, TimerFired{TimerID: r.controller.timerID, Gauges: Gauges{CPUUtilization: 0.6, RunQueue: 3}})
+	r.handleAfter(gaugeInterval, TimerFired{TimerID: r.controller.timerID, Gauges: Gauges{CPUUtilization: 0.6, RunQueue: 3}})
 	require.Equal(t, 13, r.controller.concurrencyLimit)
 	r.controller.limitReached = true
-	r.at(gaugeInterval, TimerFired{TimerID: r.controller.timerID, Gauges: Gauges{CPUUtilization: 0.98, RunQueue: 8}})
+	r.handleAfter(gaugeInterval, TimerFired{TimerID: r.controller.timerID, Gauges: Gauges{CPUUtilization: 0.98, RunQueue: 8}})
 	require.Equal(t, 13, r.controller.concurrencyLimit, "no one waits for what is nearly busy")
 }
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -20,13 +20,13 @@
 	requestsKB  float64 // memory of the requests, without keys
 	storedKeys  []storedKey
 
-	estimator      arrivalEstimator
-	recentArrivals arrivalWindow
-	tenantArrivals []float64 // fractions of the arrivals lately, by tenant
-	runTimes       runTimes
-	policy         policy
-	classWeights   []float64 // R(i) of the policy, by class
-	lastLogged     string    // text of the latest LogMessage
+	estimator              arrivalEstimator
+	recentArrivals         arrivalWindow
+	tenantArrivalFractions []float64 // fractions of the arrivals lately, by tenant
+	runTimes               runTimes
+	policy                 policy
+	classWeights           []float64 // R(i) of the policy, by class
+	lastLoggedPolicy       string    // text of the latest LogMessage
 
 	concurrencyLimit  int     // c
 	limitReached      bool    // a request found c reached since the last gauge tick
@@ -57,15 +57,15 @@
 		return nil, err
 	}
 	return &Controller{
-		settings:         s,
-		byID:             map[uint32]*request{},
-		concurrencyLimit: s.Cores,
-		healthy:          true,
-		advertised:       noAdvert,
-		calls:            newCallLimiter(&s),
-		estimator:        arrivalEstimator{classCounts: make([]float64, len(s.Classes))},
-		tenantArrivals:   make([]float64, len(s.Tenants)),
-		runTimes:         newRunTimes(s.Classes),
+		settings:               s,
+		byID:                   map[uint32]*request{},
+		concurrencyLimit:       s.Cores,
+		healthy:                true,
+		advertised:             noAdvert,
+		calls:                  newCallLimiter(&s),
+		estimator:              arrivalEstimator{classCounts: make([]float64, len(s.Classes))},
+		tenantArrivalFractions: make([]float64, len(s.Tenants)),
+		runTimes:               newRunTimes(s.Classes),
 	}, nil
 }
 
@@ -77,12 +77,12 @@
 	if !c.started {
 		c.start(now)
 	}
-	c.passTime(now)
+	c.advanceClock(now)
 	firstNew := len(c.requests)
 	for _, e := range events {
-		c.apply(e)
+		c.handleEvent(e)
 	}
-	c.answerExpired()
+	c.rejectOrFailExpired()
 	c.startRuns()
 	for _, r := range c.requests[firstNew:] {
 		if r.phase == phaseUndecided {
@@ -104,34 +104,34 @@
 	c.estimator.lastArrival = now
 	c.nextGaugeAt = now + gaugeInterval
 	c.emit(SetHealth{Healthy: true, Cached: true})
-	c.beginEpisode(firstEpisodeLength)
+	c.startEpisode(firstEpisodeLength)
 	c.solvePolicy(c.estimator.maxRate)
 }
 
-// passTime moves the clock and accounts for the time that runs and calls took.
-func (c *Controller) passTime(now time.Duration) {
+// advanceClock moves the clock and accounts for the time that runs and calls took.
+func (c *Controller) advanceClock(now time.Duration) {
 	c.runTimes.addRunSeconds((now - c.now).Seconds() * float64(c.phaseCounts[phaseRunning]))
-	c.calls.pass(c.now, now, c.phaseCounts[phaseInCall])
+	c.calls.accrue(c.now, now, c.phaseCounts[phaseInCall])
 	c.now = now
 }
 
-// apply records one event.
-func (c *Controller) apply(e Event) {
+// handleEvent records one event.
+func (c *Controller) handleEvent(e Event) {
 	switch e := e.(type) {
 	case Arrival:
-		c.arrive(e)
+		c.recordArrival(e)
 	case Completed:
-		c.completed(e)
+		c.handleCompleted(e)
 	case Canceled:
-		c.canceled(e)
+		c.handleCanceled(e)
 	case CallNeeded:
-		c.callNeeded(e)
+		c.handleCallNeeded(e)
 	case CallCompleted:
-		c.callCompleted(e)
+		c.handleCallCompleted(e)
 	case Drain:
-		c.drain(e)
+		c.startDraining(e)
 	case TimerFired:
-		c.timerFired(e)
+		c.handleTimerFired(e)
 	}
 }
 
--- a/admission/controller_test.go
+++ b/admission/controller_test.go
@@ -8,14 +8,14 @@
 
 func TestUnexpectedEventsAreIgnored(t *testing.T) {
 	r := newDriver(t, nil)
-	r.want(r.at(0, Completed{ID: 7}, Canceled{7}, CallNeeded{7}, CallCompleted{ID: 7}, TimerFired{TimerID: 99}))
-	r.want(r.at(0))
+	r.wantActions(r.handleAfter(0, Completed{ID: 7}, Canceled{7}, CallNeeded{7}, CallCompleted{ID: 7}, TimerFired{TimerID: 99}))
+	r.wantActions(r.handleAfter(0))
 }
 
 func TestEqualEventsGiveEqualActions(t *testing.T) {
-	play := func() (all []Action) {
+	replay := func() (all []Action) {
 		s := testSettings()
-		dedupSettings(&s)
+		enableDeduplication(&s)
 		s.Tenants = []Tenant{{QuotaPerSecond: 10}, {QuotaPerSecond: 5}}
 		c, err := New(s, 7)
 		if err != nil {
@@ -24,7 +24,7 @@
 		now := time.Second
 		for i := uint32(1); i < 3000; i++ {
 			now += time.Duration(i%7) * ms
-			a := arrival(i, int(i%2))
+			a := newArrival(i, int(i%2))
 			a.Tenant = int(i % 2)
 			events := []Event{a, TimerFired{TimerID: c.timerID, Gauges: Gauges{CPUUtilization: 1, RunQueue: 3}}}
 			if i > 20 {
@@ -34,7 +34,7 @@
 		}
 		return all
 	}
-	if a, b := play(), play(); !reflect.DeepEqual(a, b) {
+	if a, b := replay(), replay(); !reflect.DeepEqual(a, b) {
 		t.Error("two runs of the same events differ")
 	}
 }
@@ -57,16 +57,16 @@
 			if !reflect.DeepEqual(first[0], SetHealth{Healthy: true, Cached: true}) {
 				t.Errorf("first action %#v, want health answered cheaply", first[0])
 			}
-			got := c.Handle(time.Second, []Event{arrival(1, 0), arrival(2, 0)})
-			if count[Run](got) != 1 {
+			got := c.Handle(time.Second, []Event{newArrival(1, 0), newArrival(2, 0)})
+			if countActions[Run](got) != 1 {
 				t.Errorf("%v, want one run on the one core", got)
 			}
-			got = c.Handle(time.Second+ms, []Event{Completed{ID: 1, Outcome: OutcomeOK}, arrival(3, 0)})
-			if count[Run](got) != 1 {
+			got = c.Handle(time.Second+ms, []Event{Completed{ID: 1, Outcome: OutcomeOK}, newArrival(3, 0)})
+			if countActions[Run](got) != 1 {
 				t.Errorf("%v, want the next run", got)
 			}
 		})
 	}
 	r := newDriver(t, func(s *Settings) { s.MemoryKB = 11 }) // enough to queue a request, never to run it
-	r.want(r.at(0, arrival(1, 0)), Reject{ID: 1, Reason: RejectMemoryFull})
+	r.wantActions(r.handleAfter(0, newArrival(1, 0)), Reject{ID: 1, Reason: RejectMemoryFull})
 }
--- a/admission/drain.go
+++ b/admission/drain.go
@@ -6,11 +6,11 @@
 // arrive within DrainGracePeriod still run, later ones are rejected, and all are
 // answered before the stop. Health turns bad at once.
 
-// answerBeforeStop is the time before the stop by which all is answered.
-const answerBeforeStop = 40 * time.Millisecond
+// responseMarginBeforeStop is the time before the stop by which all is answered.
+const responseMarginBeforeStop = 40 * time.Millisecond
 
-// drain begins to drain; a second notice is ignored.
-func (c *Controller) drain(e Drain) {
+// startDraining begins to startDraining; a second notice is ignored.
+func (c *Controller) startDraining(e Drain) {
 	if c.draining {
 		return
 	}
@@ -18,14 +18,14 @@
 	c.drainStartedAt = c.now - e.Age
 	c.stopAt = c.now + e.StopIn
 	for _, r := range c.requests {
-		r.deadline = min(r.deadline, c.lastAnswerTime())
+		r.deadline = min(r.deadline, c.responseCutoff())
 	}
 	c.emit(SetHealth{Healthy: false, Cached: true})
 }
 
-// lastAnswerTime is the clock time by which a draining server has answered all.
-func (c *Controller) lastAnswerTime() time.Duration {
-	return max(c.now, c.stopAt-answerBeforeStop)
+// responseCutoff is the clock time by which a draining server has answered all.
+func (c *Controller) responseCutoff() time.Duration {
+	return max(c.now, c.stopAt-responseMarginBeforeStop)
 }
 
 // arrivedAfterDrainGrace reports whether a request arrived too late to run. A stop that
--- a/admission/driver_test.go
+++ b/admission/driver_test.go
@@ -45,9 +45,9 @@
 	return r
 }
 
-// at moves the clock, hands over the events and returns the actions that
+// handleAfter moves the clock, hands over the events and returns the actions that
 // concern requests and signals, without timers and log messages.
-func (r *driver) at(after time.Duration, events ...Event) []Action {
+func (r *driver) handleAfter(after time.Duration, events ...Event) []Action {
 	r.now += after
 	var out []Action
 	for _, a := range r.controller.Handle(r.now, events) {
@@ -60,7 +60,7 @@
 	return out
 }
 
-func (r *driver) want(got []Action, want ...Action) {
+func (r *driver) wantActions(got []Action, want ...Action) {
 	r.t.Helper()
 	if len(got) == 0 && len(want) == 0 {
 		return
@@ -70,16 +70,16 @@
 	}
 }
 
-func arrival(id uint32, class int) Arrival {
+func newArrival(id uint32, class int) Arrival {
 	return Arrival{ID: id, Class: class, Timeout: 2 * time.Second, MemoryKB: 10}
 }
 
 func (r *driver) fillCores() {
 	r.t.Helper()
-	r.want(r.at(0, arrival(901, 1), arrival(902, 1)), Run{901}, Run{902})
+	r.wantActions(r.handleAfter(0, newArrival(901, 1), newArrival(902, 1)), Run{901}, Run{902})
 }
 
-func count[T Action](actions []Action) int {
+func countActions[T Action](actions []Action) int {
 	n := 0
 	for _, a := range actions {
 		if _, ok := a.(T); ok {
--- a/admission/duplicates.go
+++ b/admission/duplicates.go
@@ -10,14 +10,14 @@
 // duplicate only if it carries the key of a stored request; without one it is a
 // request of its own.
 
-// minFreeForReadKeys is the fraction of the memory that must stay free for the
+// minFreeMemoryForReadKeys is the fraction of the memory that must stay free for the
 // key of a plain read to be stored: it only saves work.
-const minFreeForReadKeys = 0.5
+const minFreeMemoryForReadKeys = 0.5
 
 // storedKey is the key of a request, by which its duplicates are found.
 type storedKey struct {
-	id    uint32
-	until time.Duration // clock time
+	id        uint32
+	expiresAt time.Duration // clock time
 }
 
 // decideDuplicate answers a request that repeats a stored one, its original. An
@@ -30,7 +30,7 @@
 	if original != nil && original.phase == phaseUndecided {
 		c.decide(original)
 	}
-	if original != nil && original.phase == phaseFinished && !original.ran && original.duplicateOf == 0 {
+	if original != nil && original.phase == phaseFinished && !original.everRan && original.duplicateOf == 0 {
 		c.reject(r, RejectOriginalNotRun)
 		return
 	}
@@ -39,19 +39,19 @@
 		return
 	}
 	c.emit(ShareResult{r.id})
-	c.advance(r, stepShareResult)
+	c.changePhase(r, transitionShareResult)
 }
 
-// storeKeyOf stores the key of an admitted request: for deduplicated classes
+// storeKeyIfNeeded stores the key of an admitted request: for deduplicated classes
 // always, for reads whose results may be shared while memory is ample. free is
 // the memory left after the admission.
-func (c *Controller) storeKeyOf(r *request, free float64) {
+func (c *Controller) storeKeyIfNeeded(r *request, free float64) {
 	class := &c.settings.Classes[r.class]
 	switch {
 	case class.ExecutionSemantics == Deduplicated:
 		c.storeKey(r, class.DedupWindow)
 	case c.settings.ResultReuseWindow > 0 && class.ExecutionSemantics == Idempotent &&
-		free > c.settings.MemoryKB*minFreeForReadKeys:
+		free > c.settings.MemoryKB*minFreeMemoryForReadKeys:
 		c.storeKey(r, r.deadline-c.now+c.settings.ResultReuseWindow)
 	}
 }
@@ -62,9 +62,9 @@
 	c.emit(StoreKey{r.id, ttl})
 }
 
-// evictUnrunKey drops the key of a request that never ran.
-func (c *Controller) evictUnrunKey(r *request) {
-	if !r.keyStored || r.ran {
+// evictKeyIfNeverRun drops the key of a request that never ran.
+func (c *Controller) evictKeyIfNeverRun(r *request) {
+	if !r.keyStored || r.everRan {
 		return
 	}
 	r.keyStored = false
@@ -74,5 +74,5 @@
 
 // expireKeys forgets the keys whose time is over; the server drops them by itself.
 func (c *Controller) expireKeys() {
-	c.storedKeys = slices.DeleteFunc(c.storedKeys, func(k storedKey) bool { return k.until <= c.now })
+	c.storedKeys = slices.DeleteFunc(c.storedKeys, func(k storedKey) bool { return k.expiresAt <= c.now })
 }
--- a/admission/episodes.go
+++ b/admission/episodes.go
@@ -17,8 +17,8 @@
 	minRateOfCapacity = 0.1
 	// maxRateOfCapacity is Λmax as a multiple of cμ: beyond it thresholds hardly move.
 	maxRateOfCapacity = 2.5
-	// maxRateOfRecent is Λmax as a multiple of the recent arrival rate, if that is more (appendix H).
-	maxRateOfRecent = 2
+	// maxRateOfRecentRate is Λmax as a multiple of the recent arrival rate, if that is more (appendix H).
+	maxRateOfRecentRate = 2
 	// burstDeviations is by how many Poisson standard deviations the recent rate
 	// must exceed Λ̃ to end an episode.
 	burstDeviations = 3.5
@@ -47,8 +47,8 @@
 	return float64(recent) / (gaugeInterval.Seconds() * arrivalWindowGaugeTicks)
 }
 
-// nextTick begins a gauge tick.
-func (w *arrivalWindow) nextTick() {
+// startGaugeTick begins a gauge tick.
+func (w *arrivalWindow) startGaugeTick() {
 	copy(w[1:], w[:])
 	w[0] = 0
 }
@@ -61,20 +61,20 @@
 	return float64(c.concurrencyLimit) * c.runTimes.serviceRate()
 }
 
-// beginEpisode starts an episode of the given length. Λmax is learned too (appendix H):
+// startEpisode starts an episode of the given length. Λmax is learned too (appendix H):
 // it covers the recent rate, so that the first bound of the episode does.
-func (c *Controller) beginEpisode(length time.Duration) {
+func (c *Controller) startEpisode(length time.Duration) {
 	capacity := c.serviceCapacity()
-	maxRate := math.Max(capacity*maxRateOfCapacity, maxRateOfRecent*c.recentArrivalRate())
-	c.estimator.beginEpisode(c.now, length, c.runTimes.serviceRate(), capacity*minRateOfCapacity, maxRate)
+	maxRate := math.Max(capacity*maxRateOfCapacity, maxRateOfRecentRate*c.recentArrivalRate())
+	c.estimator.startEpisode(c.now, length, c.runTimes.serviceRate(), capacity*minRateOfCapacity, maxRate)
 }
 
-// endEpisode solves the policy anew when the episode has run its time, or early
+// updatePolicy solves the policy anew when the episode has run its time, or early
 // on a burst of arrivals or when μ or c has moved. A burst restarts the lengths;
 // when only μ or c has moved, the episode goes on with a new policy.
-func (c *Controller) endEpisode() {
+func (c *Controller) updatePolicy() {
 	recent := c.recentArrivalRate()
-	expired := c.now >= c.estimator.started+c.estimator.length
+	expired := c.now >= c.estimator.startedAt+c.estimator.length
 	burst := c.isBurst(recent)
 	if !burst && !c.serviceDrifted() && !expired {
 		return
@@ -85,7 +85,7 @@
 		if burst {
 			arrivalRate = math.Max(arrivalRate, recent)
 		}
-		c.beginEpisode(c.nextEpisodeLength(expired, burst))
+		c.startEpisode(c.nextEpisodeLength(expired, burst))
 	}
 	c.solvePolicy(arrivalRate)
 	c.logPolicy()
@@ -139,8 +139,8 @@
 
 // maxState is S: above c, within maxStates where c allows.
 func (c *Controller) maxState() int {
-	survived := int(maxStateFactor * float64(c.settings.Cores) * c.settings.MaxRunsPerCore)
-	return max(c.concurrencyLimit+1, min(maxStates, survived))
+	sustainedRuns := int(maxStateFactor * float64(c.settings.Cores) * c.settings.MaxRunsPerCore)
+	return max(c.concurrencyLimit+1, min(maxStates, sustainedRuns))
 }
 
 // logPolicy logs the policy if it differs from the last one logged.
@@ -151,8 +151,8 @@
 	for i := range m.classShares {
 		text += fmt.Sprintf(" %d", c.policy.threshold(i))
 	}
-	if text != c.lastLogged {
-		c.lastLogged = text
+	if text != c.lastLoggedPolicy {
+		c.lastLoggedPolicy = text
 		c.emit(LogMessage{text})
 	}
 }
--- a/admission/estimator.go
+++ b/admission/estimator.go
@@ -13,7 +13,7 @@
 // arrivals of one episode (section 4). Rates are in requests per second.
 type arrivalEstimator struct {
 	episode         int           // k, from 1
-	started         time.Duration // clock time at which the episode began
+	startedAt       time.Duration // clock time at which the episode began
 	length          time.Duration // tk
 	arrivals        int           // τ: arrivals in the episode
 	meanGap         float64       // 1/Λ̂ in seconds, the truncated mean of equation 10
@@ -25,10 +25,10 @@
 	logInverseDelta float64       // log 1/δk
 }
 
-// beginEpisode resets the mean gap and sets δk = 1/(μ·tk) (algorithm 3).
-func (e *arrivalEstimator) beginEpisode(now, length time.Duration, serviceRate, minRate, maxRate float64) {
+// startEpisode resets the mean gap and sets δk = 1/(μ·tk) (algorithm 3).
+func (e *arrivalEstimator) startEpisode(now, length time.Duration, serviceRate, minRate, maxRate float64) {
 	e.episode++
-	e.started = now
+	e.startedAt = now
 	e.length = length
 	e.arrivals = 0
 	e.meanGap = 0
@@ -50,12 +50,12 @@
 	e.meanGap += (gap - e.meanGap) / float64(e.arrivals)
 }
 
-// withdraw undoes observe for an arrival that turned out to be no request to
+// withdrawArrival undoes observe for an arrival that turned out to be no request to
 // run. The gaps before and after it become one gap.
-func (e *arrivalEstimator) withdraw(at time.Duration, class int) {
+func (e *arrivalEstimator) withdrawArrival(at time.Duration, class int) {
 	e.classCounts[class]--
 	e.totalCount--
-	if at >= e.started && e.arrivals > 1 {
+	if at >= e.startedAt && e.arrivals > 1 {
 		e.arrivals--
 		e.meanGap *= float64(e.arrivals+1) / float64(e.arrivals)
 	}
@@ -78,18 +78,18 @@
 // classShares are p̂(i) and the L1 radius of their confidence set (equation 9).
 // Without arrivals the shares are equal and the set holds every distribution.
 func (e *arrivalEstimator) classShares() (shares []float64, radius float64) {
-	const wholeSimplex = 2 // the greatest L1 distance of two distributions
+	const maxL1Distance = 2 // the greatest L1 distance of two distributions
 	shares = make([]float64, len(e.classCounts))
 	if e.totalCount == 0 {
 		for i := range shares {
 			shares[i] = 1 / float64(len(shares))
 		}
-		return shares, wholeSimplex
+		return shares, maxL1Distance
 	}
 	for i, count := range e.classCounts {
 		shares[i] = count / e.totalCount
 	}
 	classes := float64(len(shares))
 	radius = confidenceScale * math.Sqrt(2*classes/e.totalCount*(e.logInverseDelta+math.Ln2))
-	return shares, math.Min(wholeSimplex, radius)
+	return shares, math.Min(maxL1Distance, radius)
 }
--- a/admission/estimator_test.go
+++ b/admission/estimator_test.go
@@ -9,7 +9,7 @@
 // newEstimator has Λmin 2, Λmax 100 and log 1/δ = 2.
 func newEstimator() *arrivalEstimator {
 	e := &arrivalEstimator{classCounts: make([]float64, 2)}
-	e.beginEpisode(0, time.Second, math.Exp(2), 2, 100)
+	e.startEpisode(0, time.Second, math.Exp(2), 2, 100)
 	return e
 }
 
@@ -58,7 +58,7 @@
 	e.observe(ms, 0)
 	e.observe(2*ms, 1)
 	e.observe(3*ms, 1)
-	e.beginEpisode(4*ms, time.Second, math.Exp(2), 2, 100)
+	e.startEpisode(4*ms, time.Second, math.Exp(2), 2, 100)
 	e.observe(5*ms, 1)
 	p, eps := e.classShares()
 	if p[0] != 0.25 || p[1] != 0.75 {
--- a/admission/health.go
+++ b/admission/health.go
@@ -7,16 +7,16 @@
 	// unhealthyAfterMissedRuns is how many expected completions may be missing
 	// before the server calls itself unhealthy.
 	unhealthyAfterMissedRuns = 20.0
-	// unhealthyReadDelay, of the objective, is the wait to be read beyond which too
+	// unhealthyReadDelayFraction, of the objective, is the wait to be read beyond which too
 	// little time is left to run.
-	unhealthyReadDelay = 0.7
+	unhealthyReadDelayFraction = 0.7
 )
 
 // updateHealth reports a change of health. The delay at which a server whose reading
 // is starved turns unhealthy is above the one at which it turns healthy again, so that
 // the answer does not flap.
 func (c *Controller) updateHealth() {
-	starved := c.readDelayFraction > unhealthyReadDelay || !c.healthy && c.readDelayFraction > maxReadDelay
+	starved := c.readDelayFraction > unhealthyReadDelayFraction || !c.healthy && c.readDelayFraction > maxReadDelayFraction
 	healthy := !c.draining && c.runTimes.missedRuns() < unhealthyAfterMissedRuns && !starved
 	if healthy != c.healthy {
 		c.healthy = healthy
--- a/admission/health_test.go
+++ b/admission/health_test.go
@@ -7,11 +7,11 @@
 func TestStarvedServerIsUnhealthyUntilReadDelayFades(t *testing.T) {
 	r := newDriver(t, nil)
 	for i := uint32(1); i < 60; i++ {
-		a := arrival(i, 0)
+		a := newArrival(i, 0)
 		a.Age = 900 * ms
-		r.at(ms, a)
+		r.handleAfter(ms, a)
 	}
-	r.at(gaugeInterval, TimerFired{TimerID: r.controller.timerID, Gauges: Gauges{CPUUtilization: 1, RunQueue: 4}})
+	r.handleAfter(gaugeInterval, TimerFired{TimerID: r.controller.timerID, Gauges: Gauges{CPUUtilization: 1, RunQueue: 4}})
 	if r.controller.healthy {
 		t.Error("healthy while requests wait 0.9 of their objective to be read")
 	}
@@ -20,7 +20,7 @@
 		for _, q := range r.controller.requests {
 			events = append(events, Completed{ID: q.id, Outcome: OutcomeOK})
 		}
-		r.at(gaugeInterval, append(events, TimerFired{TimerID: r.controller.timerID, Gauges: Gauges{CPUUtilization: 0}})...)
+		r.handleAfter(gaugeInterval, append(events, TimerFired{TimerID: r.controller.timerID, Gauges: Gauges{CPUUtilization: 0}})...)
 	}
 	if !r.controller.healthy {
 		t.Error("still unhealthy ten seconds after the last request")
--- a/admission/idletimeout.go
+++ b/admission/idletimeout.go
@@ -13,10 +13,10 @@
 	maxCallersPerCore = 16
 	// minIdleTimeout is the shortest timeout that may be set.
 	minIdleTimeout = 10 * time.Millisecond
-	// growIdleRejections is the fraction of rejected requests above which the timeout grows.
-	growIdleRejections = 0.85
-	// shrinkIdleRejections is the fraction below which it shrinks.
-	shrinkIdleRejections = 0.5
+	// growIdleRejectedFraction is the fraction of rejected requests above which the timeout grows.
+	growIdleRejectedFraction = 0.85
+	// shrinkIdleRejectedFraction is the fraction below which it shrinks.
+	shrinkIdleRejectedFraction = 0.5
 	// idleGrowthFactor per gauge tick, and idleShrinkDivisor: a tenth per gauge tick.
 	idleGrowthFactor  = 4
 	idleShrinkDivisor = 10
@@ -29,9 +29,9 @@
 	}
 	timeout := c.idleTimeout
 	switch {
-	case c.rejectedFraction > growIdleRejections:
+	case c.rejectedFraction > growIdleRejectedFraction:
 		timeout *= idleGrowthFactor
-	case c.rejectedFraction < shrinkIdleRejections:
+	case c.rejectedFraction < shrinkIdleRejectedFraction:
 		timeout -= timeout / idleShrinkDivisor
 	}
 	timeout = min(max(timeout, minIdleTimeout), c.settings.MaxIdleTimeout)
--- a/admission/idletimeout_test.go
+++ b/admission/idletimeout_test.go
@@ -14,7 +14,7 @@
 			if i > 0 {
 				r.controller.rejectedFraction = rejected
 			}
-			for _, a := range r.at(gaugeInterval, TimerFired{TimerID: r.controller.timerID}) {
+			for _, a := range r.handleAfter(gaugeInterval, TimerFired{TimerID: r.controller.timerID}) {
 				if a, ok := a.(SetIdleTimeout); ok {
 					got = append(got, a.Timeout)
 				}
--- a/admission/invariants_test.go
+++ b/admission/invariants_test.go
@@ -10,11 +10,11 @@
 // the simulated server checks every action, and the limits after each batch.
 func TestInvariantsOnRandomEvents(t *testing.T) {
 	for seed := int64(1); seed <= 150; seed++ {
-		playRandomEvents(t, seed)
+		runRandomEvents(t, seed)
 	}
 }
 
-func playRandomEvents(t *testing.T, seed int64) {
+func runRandomEvents(t *testing.T, seed int64) {
 	const (
 		steps     = 4000
 		drainTime = 1200 * ms // from the notice to the stop
@@ -27,7 +27,7 @@
 	}
 	s := &simulatedServer{t: t, settings: settings, controller: controller, random: random, now: time.Hour,
 		requests: map[uint32]*simulatedRequest{}, keys: map[uint32]time.Duration{}}
-	s.carryOut(controller.Handle(s.now, nil))
+	s.execute(controller.Handle(s.now, nil))
 	stop := time.Duration(0)
 	for range steps {
 		s.now += settings.MinInterval
@@ -39,14 +39,14 @@
 			}
 			return
 		}
-		events := s.events()
+		events := s.nextEvents()
 		if s.drainNoticedAt == 0 && random.Intn(3000) == 0 {
 			s.drainNoticedAt = s.now
 			stop = s.now + drainTime
 			events = append(events, Drain{StopIn: drainTime})
 		}
 		if len(events) > 0 {
-			s.carryOut(controller.Handle(s.now, events))
+			s.execute(controller.Handle(s.now, events))
 		}
 		if t.Failed() {
 			t.Fatalf("seed %d", seed)
--- a/admission/memory.go
+++ b/admission/memory.go
@@ -7,8 +7,8 @@
 // usableMemoryFraction is the fraction of the memory that is used; the rest is a reserve.
 const usableMemoryFraction = 0.92
 
-// memoryOf is the memory that a request occupies in its phase.
-func (c *Controller) memoryOf(r *request) float64 {
+// occupiedMemory is the memory that a request occupies in its phase.
+func (c *Controller) occupiedMemory(r *request) float64 {
 	switch r.phase {
 	case phaseFinished:
 		return 0
--- a/admission/memory_test.go
+++ b/admission/memory_test.go
@@ -7,8 +7,8 @@
 func TestMemoryIsSharedWithinBatch(t *testing.T) {
 	// 92 kB to hand out; a run takes 40 kB: two fit, the third does not.
 	r := newDriver(t, func(s *Settings) { s.MemoryKB, s.Cores = 100, 4 })
-	got := r.at(0, arrival(1, 1), arrival(2, 1), arrival(3, 1))
-	if count[Run](got) != 2 || count[Reject](got) != 1 {
+	got := r.handleAfter(0, newArrival(1, 1), newArrival(2, 1), newArrival(3, 1))
+	if countActions[Run](got) != 2 || countActions[Reject](got) != 1 {
 		t.Errorf("actions %v, want two runs and a rejection", got)
 	}
 	if r.controller.requestsKB > 100 {
@@ -17,9 +17,9 @@
 }
 
 func TestNoMemoryForKeyRejectsBeforeRun(t *testing.T) {
-	r := newDriver(t, func(s *Settings) { dedupSettings(s); s.KeyMemoryKB = 9190 })
-	got := r.at(0, arrival(1, 1))
-	if count[Reject](got) != 1 || count[Run](got) != 0 {
+	r := newDriver(t, func(s *Settings) { enableDeduplication(s); s.KeyMemoryKB = 9190 })
+	got := r.handleAfter(0, newArrival(1, 1))
+	if countActions[Reject](got) != 1 || countActions[Run](got) != 0 {
 		t.Errorf("actions %v, want a rejection", got)
 	}
 }
--- a/admission/policy.go
+++ b/admission/policy.go
@@ -13,8 +13,8 @@
 // mean reward per second; its inputs are the fields of admissionModel.
 
 const (
-	// maxPolicyRounds bounds the rounds of policy iteration.
-	maxPolicyRounds = 60
+	// maxPolicyIterations bounds the rounds of policy iteration.
+	maxPolicyIterations = 60
 	// tieTolerance is the relative difference below which a reward equals the bias.
 	tieTolerance = 1e-9
 	// rescaleWeight is the weight of a state beyond which the sums of equation 11
@@ -38,10 +38,10 @@
 
 // policy is a solved model: class i is admitted in state s while r(i)(s) ≥ bias[s].
 type policy struct {
-	gain   float64   // ρ: mean reward per second
-	bias   []float64 // ∇h(s) for s = 0 … S-1
-	rounds int       // of policy iteration
-	model  admissionModel
+	gain       float64   // ρ: mean reward per second
+	bias       []float64 // ∇h(s) for s = 0 … S-1
+	iterations int       // of policy iteration
+	model      admissionModel
 }
 
 // expectedWait is E[W(s)] in seconds: the mean of Erlang(s-c+1, cμ), the wait of
@@ -60,19 +60,19 @@
 func optimisticShares(shares []float64, radius float64, byReward []int) []float64 {
 	tilted := slices.Clone(shares)
 	best := byReward[0]
-	move := math.Min(radius/2, 1-tilted[best])
-	tilted[best] += move
-	for k := len(byReward) - 1; k > 0 && move > 0; k-- {
+	excess := math.Min(radius/2, 1-tilted[best])
+	tilted[best] += excess
+	for k := len(byReward) - 1; k > 0 && excess > 0; k-- {
 		worst := byReward[k]
-		taken := math.Min(move, tilted[worst])
-		tilted[worst] -= taken
-		move -= taken
+		moved := math.Min(excess, tilted[worst])
+		tilted[worst] -= moved
+		excess -= moved
 	}
 	return tilted
 }
 
-// prepare fills the rates and rewards of each state.
-func (m *admissionModel) prepare() {
+// fillRatesAndRewards fills the rates and rewards of each state.
+func (m *admissionModel) fillRatesAndRewards() {
 	classes := len(m.classShares)
 	byReward := make([]int, classes)
 	for i := range byReward {
@@ -96,14 +96,14 @@
 // iteratePolicy runs PI-B until a round changes no decision. The first round never ends
 // it: the bias that it starts from is 0 in every state, and no policy's.
 func iteratePolicy(m admissionModel) policy {
-	m.prepare()
+	m.fillRatesAndRewards()
 	p := policy{bias: make([]float64, m.maxState), model: m}
-	for p.rounds = 1; ; p.rounds++ {
+	for p.iterations = 1; ; p.iterations++ {
 		next := make([]float64, m.maxState)
 		p.gain = m.evaluate(p.bias, next)
-		stable := p.rounds > 1 && m.samePolicy(p.bias, next)
+		stable := p.iterations > 1 && m.samePolicy(p.bias, next)
 		p.bias = next
-		if stable || p.rounds == maxPolicyRounds {
+		if stable || p.iterations == maxPolicyIterations {
 			return p
 		}
 	}
@@ -113,7 +113,7 @@
 func (m *admissionModel) samePolicy(a, b []float64) bool {
 	for s := range m.maxState {
 		for i := range m.classShares {
-			if m.accepts(i, s, a[s]) != m.accepts(i, s, b[s]) {
+			if m.admits(i, s, a[s]) != m.admits(i, s, b[s]) {
 				return false
 			}
 		}
@@ -124,14 +124,14 @@
 // threshold is the first state in which the class is rejected.
 func (p *policy) threshold(class int) int {
 	s := 0
-	for s < p.model.maxState && p.model.accepts(class, s, p.bias[s]) {
+	for s < p.model.maxState && p.model.admits(class, s, p.bias[s]) {
 		s++
 	}
 	return s
 }
 
-// accepts breaks ties, and rounding errors, in favour of the class.
-func (m *admissionModel) accepts(class, state int, bias float64) bool {
+// admits breaks ties, and rounding errors, in favour of the class.
+func (m *admissionModel) admits(class, state int, bias float64) bool {
 	return m.rewards[state][class] >= bias-tieTolerance*(1+math.Abs(bias))
 }
 
@@ -142,20 +142,20 @@
 
 // evaluate fills next with ∇h of the policy that accepts by prev, and returns its gain ρ.
 func (m *admissionModel) evaluate(prev, next []float64) (gain float64) {
-	rate, reward := m.underPolicy(prev)
+	rate, reward := m.admittedRates(prev)
 	gain = m.gain(rate, reward)
-	m.fillBias(next, rate, reward, gain)
+	m.solveBias(next, rate, reward, gain)
 	return gain
 }
 
-// underPolicy returns Λπ(s), arrivals admitted per second, and Rπ(s), reward per
+// admittedRates returns Λπ(s), arrivals admitted per second, and Rπ(s), reward per
 // second, of the policy that accepts by bias (equation 1).
-func (m *admissionModel) underPolicy(bias []float64) (rate, reward []float64) {
+func (m *admissionModel) admittedRates(bias []float64) (rate, reward []float64) {
 	rate = make([]float64, m.maxState+1)
 	reward = make([]float64, m.maxState+1)
 	for s := range m.maxState {
 		for i, classRate := range m.rates[s] {
-			if m.accepts(i, s, bias[s]) {
+			if m.admits(i, s, bias[s]) {
 				rate[s] += classRate
 				reward[s] += classRate * m.rewards[s][i]
 			}
@@ -182,20 +182,20 @@
 	return sum / total
 }
 
-// fillBias solves equation 3 for ∇h(s). The recursion damps rounding errors
+// solveBias solves equation 3 for ∇h(s). The recursion damps rounding errors
 // upward while the arrival rate exceeds the departure rate, and downward above
 // that state, so it runs from both ends.
-func (m *admissionModel) fillBias(bias, rate, reward []float64, gain float64) {
-	meet := 0
-	for meet < m.maxState && rate[meet] > m.departureRate(meet) {
+func (m *admissionModel) solveBias(bias, rate, reward []float64, gain float64) {
+	meetingState := 0
+	for meetingState < m.maxState && rate[meetingState] > m.departureRate(meetingState) {
 		below := 0.0
-		if meet > 0 {
-			below = m.departureRate(meet) * bias[meet-1]
+		if meetingState > 0 {
+			below = m.departureRate(meetingState) * bias[meetingState-1]
 		}
-		bias[meet] = (reward[meet] + below - gain) / rate[meet]
-		meet++
+		bias[meetingState] = (reward[meetingState] + below - gain) / rate[meetingState]
+		meetingState++
 	}
-	for s := m.maxState; s > meet; s-- {
+	for s := m.maxState; s > meetingState; s-- {
 		above := 0.0
 		if s < m.maxState {
 			above = rate[s] * bias[s]
--- a/admission/policy_test.go
+++ b/admission/policy_test.go
@@ -9,7 +9,7 @@
 // bruteGain is the best gain over all policies of a small model, by the
 // stationary distribution of each.
 func bruteForceGain(m admissionModel) float64 {
-	m.prepare()
+	m.fillRatesAndRewards()
 	n := len(m.classShares)
 	best := math.Inf(-1)
 	policy := make([]int, m.maxState) // bit i: class i is accepted
@@ -82,23 +82,23 @@
 			if math.Abs(p.gain-want) > 1e-9*(1+math.Abs(want)) {
 				t.Errorf("gain %v, brute force %v", p.gain, want)
 			}
-			checkResiduals(t, p)
-			if p.rounds >= maxPolicyRounds {
-				t.Errorf("not settled in %d rounds", p.rounds)
+			checkBiasEquation(t, p)
+			if p.iterations >= maxPolicyIterations {
+				t.Errorf("not settled in %d rounds", p.iterations)
 			}
 		})
 	}
 }
 
-// checkResiduals puts the solution into equation 3 for every state.
-func checkResiduals(t *testing.T, p policy) {
+// checkBiasEquation puts the solution into equation 3 for every state.
+func checkBiasEquation(t *testing.T, p policy) {
 	t.Helper()
 	m := p.model
 	for s := 0; s <= m.maxState; s++ {
 		right := 0.0
 		if s < m.maxState {
 			for i := range m.classShares {
-				if m.accepts(i, s, p.bias[s]) {
+				if m.admits(i, s, p.bias[s]) {
 					right += m.rates[s][i] * (m.rewards[s][i] - p.bias[s])
 				}
 			}
@@ -119,7 +119,7 @@
 		if math.IsNaN(p.gain) || math.IsInf(p.gain, 0) {
 			t.Fatalf("load %v: gain %v", load, p.gain)
 		}
-		checkResiduals(t, p)
+		checkBiasEquation(t, p)
 	}
 }
 
@@ -127,7 +127,7 @@
 	p := iteratePolicy(smallModel(4, 40, 1, 20, 0, []float64{10, 1}, []float64{1, 0.1}, []float64{0.2, 0.8}))
 	threshold := func(i int) int {
 		s := 0
-		for s < p.model.maxState && p.model.accepts(i, s, p.bias[s]) {
+		for s < p.model.maxState && p.model.admits(i, s, p.bias[s]) {
 			s++
 		}
 		return s
--- a/admission/preempt.go
+++ b/admission/preempt.go
@@ -15,7 +15,7 @@
 	}
 	for _, r := range c.requests {
 		if r.phase == phaseRunning && !r.settled && !r.preempted &&
-			c.runningFor(r).Seconds() > preemptAfterMeanRuns*c.runTimes.meanSeconds[r.class] {
+			c.totalCoreTime(r).Seconds() > preemptAfterMeanRuns*c.runTimes.meanRunSeconds[r.class] {
 			r.preempted = true
 			c.emit(Preempt{r.id})
 			return true
--- a/admission/preempt_test.go
+++ b/admission/preempt_test.go
@@ -6,24 +6,24 @@
 )
 
 func TestCanceledRunIsStoppedWherePossible(t *testing.T) {
-	for halt, want := range map[Preemption]int{PreemptionNone: 0, PreemptionDrop: 1, PreemptionPause: 1} {
-		r := newDriver(t, func(s *Settings) { s.Preemption = halt })
-		r.at(0, arrival(1, 0))
-		if got := count[Preempt](r.at(ms, Canceled{1})); got != want {
-			t.Errorf("halt %v: %d suspends, want %d", halt, got, want)
+	for preemption, want := range map[Preemption]int{PreemptionNone: 0, PreemptionDrop: 1, PreemptionPause: 1} {
+		r := newDriver(t, func(s *Settings) { s.Preemption = preemption })
+		r.handleAfter(0, newArrival(1, 0))
+		if got := countActions[Preempt](r.handleAfter(ms, Canceled{1})); got != want {
+			t.Errorf("halt %v: %d suspends, want %d", preemption, got, want)
 		}
-		r.want(r.at(ms, Completed{ID: 1, Outcome: OutcomeCanceled}))
+		r.wantActions(r.handleAfter(ms, Completed{ID: 1, Outcome: OutcomeCanceled}))
 		if len(r.controller.requests) != 0 {
-			t.Errorf("halt %v: the request is still there", halt)
+			t.Errorf("halt %v: the request is still there", preemption)
 		}
 	}
 }
 
 func TestLongRunIsPreempted(t *testing.T) {
 	for name, tt := range map[string]struct {
-		change func(*Settings)
-		ran    time.Duration
-		yields bool
+		change    func(*Settings)
+		ran       time.Duration
+		preempted bool
 	}{
 		"long":             {func(s *Settings) {}, 1500 * ms, true},
 		"not so long":      {func(s *Settings) {}, 200 * ms, false},
@@ -34,24 +34,24 @@
 		t.Run(name, func(t *testing.T) {
 			r := newDriver(t, func(s *Settings) { s.Preemption = PreemptionPause; tt.change(s) })
 			r.fillCores()
-			got := r.at(tt.ran, arrival(1, 0))
-			if !tt.yields {
-				if count[Preempt](got) != 0 {
+			got := r.handleAfter(tt.ran, newArrival(1, 0))
+			if !tt.preempted {
+				if countActions[Preempt](got) != 0 {
 					t.Fatalf("%v, want no run to give way", got)
 				}
 				return
 			}
-			r.want(got, Preempt{901})
-			r.want(r.at(2*ms, Completed{ID: 901, Outcome: OutcomeCanceled}), Run{1})
+			r.wantActions(got, Preempt{901})
+			r.wantActions(r.handleAfter(2*ms, Completed{ID: 901, Outcome: OutcomeCanceled}), Run{1})
 			if want := 10 * 4 * 3.0; r.controller.requestsKB != want {
 				t.Errorf("%v kB booked, want %v: a paused run keeps its memory", r.controller.requestsKB, want)
 			}
-			r.want(r.at(2*ms, Completed{ID: 1, Outcome: OutcomeOK}), Run{901})
-			r.want(r.at(2*ms, Completed{ID: 901, Outcome: OutcomeOK}))
+			r.wantActions(r.handleAfter(2*ms, Completed{ID: 1, Outcome: OutcomeOK}), Run{901})
+			r.wantActions(r.handleAfter(2*ms, Completed{ID: 901, Outcome: OutcomeOK}))
 		})
 	}
 	r := newDriver(t, func(s *Settings) { s.Preemption = PreemptionPause }) // the work had ended before it could be paused
 	r.fillCores()
-	r.want(r.at(1500*ms, arrival(1, 0)), Preempt{901})
-	r.want(r.at(0, Completed{ID: 901, Outcome: OutcomeOK}), Run{1})
+	r.wantActions(r.handleAfter(1500*ms, newArrival(1, 0)), Preempt{901})
+	r.wantActions(r.handleAfter(0, Completed{ID: 901, Outcome: OutcomeOK}), Run{1})
 }
--- a/admission/quota.go
+++ b/admission/quota.go
@@ -7,8 +7,8 @@
 // the tenants of the arrivals here.
 
 const (
-	// tenantSmoothing is the weight of one arrival in its tenant's fraction: an error of some 6 %.
-	tenantSmoothing = 0.003
+	// tenantSmoothingFactor is the weight of one arrival in its tenant's fraction: an error of some 6 %.
+	tenantSmoothingFactor = 0.003
 	// minTotalQuota in requests per second avoids a division by 0.
 	minTotalQuota = 1e-9
 )
@@ -16,13 +16,13 @@
 // observeTenant counts an arrival in the tenants' fractions of the arrivals here. A
 // tenant that the settings don't have is not counted.
 func (c *Controller) observeTenant(tenant int) {
-	if tenant >= len(c.tenantArrivals) {
+	if tenant >= len(c.tenantArrivalFractions) {
 		return
 	}
-	for i := range c.tenantArrivals {
-		c.tenantArrivals[i] -= c.tenantArrivals[i] * tenantSmoothing
+	for i := range c.tenantArrivalFractions {
+		c.tenantArrivalFractions[i] -= c.tenantArrivalFractions[i] * tenantSmoothingFactor
 	}
-	c.tenantArrivals[tenant] += tenantSmoothing
+	c.tenantArrivalFractions[tenant] += tenantSmoothingFactor
 }
 
 // tenantWeightFraction is the fraction of its weight that a request of the tenant is
@@ -30,13 +30,13 @@
 // the tenants' fractions of its own arrivals, the request's included, with their
 // fractions of all quotas: a surge of all tenants puts none over its quota.
 func (c *Controller) tenantWeightFraction(tenant int) float64 {
-	if tenant >= len(c.tenantArrivals) {
+	if tenant >= len(c.tenantArrivalFractions) {
 		return 1
 	}
 	totalQuota := minTotalQuota
 	for _, t := range c.settings.Tenants {
 		totalQuota += t.QuotaPerSecond
 	}
-	within := math.Min(1, c.settings.Tenants[tenant].QuotaPerSecond/totalQuota/c.tenantArrivals[tenant])
-	return within + (1-within)*c.settings.OverQuotaFraction
+	withinQuota := math.Min(1, c.settings.Tenants[tenant].QuotaPerSecond/totalQuota/c.tenantArrivalFractions[tenant])
+	return withinQuota + (1-withinQuota)*c.settings.OverQuotaFraction
 }
--- a/admission/request.go
+++ b/admission/request.go
@@ -31,27 +31,27 @@
 	return fmt.Sprintf("phase(%d)", uint8(p))
 }
 
-// step is a change of phase.
-type step uint8
+// transition is a change of phase.
+type transition uint8
 
 // The steps of a request.
 const (
-	stepAdmit step = iota
-	stepShareResult
-	stepRun
-	stepPreempted
-	stepNeedCall
-	stepStartCall
-	stepCallSucceeded
-	stepCallFailed
-	stepDegrade
-	stepFinish
+	transitionAdmit transition = iota
+	transitionShareResult
+	transitionRun
+	transitionPreempted
+	transitionNeedCall
+	transitionStartCall
+	transitionCallSucceeded
+	transitionCallFailed
+	transitionDegrade
+	transitionFinish
 )
 
 // phaseSet is a set of phases.
 type phaseSet uint16
 
-func phases(members ...phase) (set phaseSet) {
+func newPhaseSet(members ...phase) (set phaseSet) {
 	for _, p := range members {
 		set |= 1 << p
 	}
@@ -66,21 +66,21 @@
 	from phaseSet
 	to   phase
 }{
-	stepAdmit:         {phases(phaseUndecided), phaseQueued},
-	stepShareResult:   {phases(phaseUndecided), phaseAwaitingResult},
-	stepRun:           {phases(phaseQueued, phasePaused), phaseRunning},
-	stepPreempted:     {phases(phaseRunning, phasePaused, phaseAwaitingCall, phaseInCall), phasePaused},
-	stepNeedCall:      {phases(phaseRunning), phaseAwaitingCall},
-	stepStartCall:     {phases(phaseAwaitingCall), phaseInCall},
-	stepCallSucceeded: {phases(phaseInCall), phaseRunning},
-	stepCallFailed:    {phases(phaseInCall), phaseAwaitingCall},
-	stepDegrade:       {phases(phaseAwaitingCall), phaseRunning},
-	stepFinish: {phases(phaseUndecided, phaseQueued, phaseRunning, phasePaused, phaseAwaitingCall, phaseInCall,
+	transitionAdmit:         {newPhaseSet(phaseUndecided), phaseQueued},
+	transitionShareResult:   {newPhaseSet(phaseUndecided), phaseAwaitingResult},
+	transitionRun:           {newPhaseSet(phaseQueued, phasePaused), phaseRunning},
+	transitionPreempted:     {newPhaseSet(phaseRunning, phasePaused, phaseAwaitingCall, phaseInCall), phasePaused},
+	transitionNeedCall:      {newPhaseSet(phaseRunning), phaseAwaitingCall},
+	transitionStartCall:     {newPhaseSet(phaseAwaitingCall), phaseInCall},
+	transitionCallSucceeded: {newPhaseSet(phaseInCall), phaseRunning},
+	transitionCallFailed:    {newPhaseSet(phaseInCall), phaseAwaitingCall},
+	transitionDegrade:       {newPhaseSet(phaseAwaitingCall), phaseRunning},
+	transitionFinish: {newPhaseSet(phaseUndecided, phaseQueued, phaseRunning, phasePaused, phaseAwaitingCall, phaseInCall,
 		phaseAwaitingResult, phaseFinished), phaseFinished},
 }
 
-// allows reports whether the step may be taken from the phase.
-func (s step) allows(p phase) bool { return transitions[s].from&(1<<p) != 0 }
+// allowedFrom reports whether the step may be taken from the phase.
+func (s transition) allowedFrom(p phase) bool { return transitions[s].from&(1<<p) != 0 }
 
 // request is one that the server holds, answered or not.
 type request struct {
@@ -94,33 +94,33 @@
 	memoryKB       float64       // while queued
 
 	phase     phase
-	ran       bool // was started
+	everRan   bool // was started
 	preempted bool // Preempt was sent and is not yet confirmed, or it is paused
 	keyStored bool
 	settled   bool // answered, or canceled by its caller
 
-	coreTime     time.Duration // on the cores, before onCoresSince
-	onCoresSince time.Duration // clock time; of a running request
+	earlierCoreTime     time.Duration // on the cores, before onCoresSince
+	currentRunStartedAt time.Duration // clock time; of a running request
 }
 
-// advance moves a request to its next phase, and accounts for its phase, memory and
+// changePhase moves a request to its next phase, and accounts for its phase, memory and
 // core time.
-func (c *Controller) advance(r *request, s step) {
+func (c *Controller) changePhase(r *request, s transition) {
 	to := transitions[s].to
 	if r.phase == phaseRunning {
-		r.coreTime += c.now - r.onCoresSince
+		r.earlierCoreTime += c.now - r.currentRunStartedAt
 	}
 	if to == phaseRunning {
-		r.onCoresSince = c.now
+		r.currentRunStartedAt = c.now
 	}
 	c.phaseCounts[r.phase]--
-	c.requestsKB -= c.memoryOf(r)
+	c.requestsKB -= c.occupiedMemory(r)
 	r.phase = to
 	c.phaseCounts[to]++
-	c.requestsKB += c.memoryOf(r)
+	c.requestsKB += c.occupiedMemory(r)
 }
 
-// runningFor is how long a running request has been on the cores.
-func (c *Controller) runningFor(r *request) time.Duration {
-	return r.coreTime + c.now - r.onCoresSince
+// totalCoreTime is how long a running request has been on the cores.
+func (c *Controller) totalCoreTime(r *request) time.Duration {
+	return r.earlierCoreTime + c.now - r.currentRunStartedAt
 }
--- a/admission/request_test.go
+++ b/admission/request_test.go
@@ -9,27 +9,27 @@
 // TestSteps: no step leaves the final phase for another or leads back to the
 // first one, and every other phase can be reached and left.
 func TestSteps(t *testing.T) {
-	var reached, left phaseSet
+	var reachedPhases, leftPhases phaseSet
 	for s := range transitions {
-		step := step(s)
+		step := transition(s)
 		to := transitions[step].to
 		require.NotEqual(t, phaseUndecided, to)
-		reached |= phases(to)
+		reachedPhases |= newPhaseSet(to)
 		for p := range phaseCount {
-			if !step.allows(p) {
+			if !step.allowedFrom(p) {
 				continue
 			}
 			if p == phaseFinished {
 				require.Equal(t, phaseFinished, to)
 			}
 			if p != to {
-				left |= phases(p)
+				leftPhases |= newPhaseSet(p)
 			}
 		}
 	}
 	for p := range phaseCount {
-		require.Equal(t, p != phaseUndecided, reached&phases(p) != 0, "%v reached", p)
-		require.Equal(t, p != phaseFinished, left&phases(p) != 0, "%v left", p)
+		require.Equal(t, p != phaseUndecided, reachedPhases&newPhaseSet(p) != 0, "%v reached", p)
+		require.Equal(t, p != phaseFinished, leftPhases&newPhaseSet(p) != 0, "%v left", p)
 	}
 }
 
--- a/admission/retryadvice.go
+++ b/admission/retryadvice.go
@@ -12,14 +12,14 @@
 const (
 	// retryAfterPerExcess is the advice for each multiple of cμ by which arrivals exceed it.
 	retryAfterPerExcess = 100 * time.Millisecond
-	// minFutileRejections is the fraction of rejected requests from which retries
+	// futileRejectedFraction is the fraction of rejected requests from which retries
 	// elsewhere are futile, if retries arrive too.
-	minFutileRejections = 0.2
-	// minFutileRetries is the fraction of retries that shows that others reject as much.
-	minFutileRetries = 0.1
-	// maxUsefulRejections is the fraction of rejected requests beyond which retries
+	futileRejectedFraction = 0.2
+	// futileRetryFraction is the fraction of retries that shows that others reject as much.
+	futileRetryFraction = 0.1
+	// surelyFutileRejectedFraction is the fraction of rejected requests beyond which retries
 	// elsewhere are futile in any case.
-	maxUsefulRejections = 0.5
+	surelyFutileRejectedFraction = 0.5
 )
 
 // retryAfter is the longer of two times: retryAfterPerExcess for each multiple of cμ
@@ -44,21 +44,21 @@
 // alone don't show it unless most requests are rejected. Rejections below
 // the first tier waste the work of the tiers above, and are always final.
 func (c *Controller) retriesFutile() bool {
-	othersReject := c.retryFraction > minFutileRetries || !c.settings.RetriesMarked
-	return c.settings.TiersAbove > 0 || c.rejectedFraction > maxUsefulRejections ||
-		c.rejectedFraction > minFutileRejections && othersReject
+	othersReject := c.retryFraction > futileRetryFraction || !c.settings.RetriesMarked
+	return c.settings.TiersAbove > 0 || c.rejectedFraction > surelyFutileRejectedFraction ||
+		c.rejectedFraction > futileRejectedFraction && othersReject
 }
 
-// observeArrival lets one arrival fade the fractions of rejected requests and of
+// observeRetryMark lets one arrival fade the fractions of rejected requests and of
 // retries, and adds it to the second if it is marked. countRejection adds it to the
 // first if it is rejected.
-func (c *Controller) observeArrival(markedRetry bool) {
-	c.rejectedFraction -= c.rejectedFraction * requestSmoothing
-	c.retryFraction -= c.retryFraction * requestSmoothing
+func (c *Controller) observeRetryMark(markedRetry bool) {
+	c.rejectedFraction -= c.rejectedFraction * requestSmoothingFactor
+	c.retryFraction -= c.retryFraction * requestSmoothingFactor
 	if markedRetry {
-		c.retryFraction += requestSmoothing
+		c.retryFraction += requestSmoothingFactor
 	}
 }
 
 // countRejection adds a rejection to the fraction of rejected requests.
-func (c *Controller) countRejection() { c.rejectedFraction += requestSmoothing }
+func (c *Controller) countRejection() { c.rejectedFraction += requestSmoothingFactor }
--- a/admission/retryadvice_test.go
+++ b/admission/retryadvice_test.go
@@ -12,13 +12,13 @@
 	r.fillCores()
 	var last Reject
 	for i := uint32(1); i < 2000; i++ {
-		a := arrival(i, 0)
+		a := newArrival(i, 0)
 		a.Age = 100 * ms
 		events := []Event{a}
 		if i%125 == 0 {
 			events = append(events, TimerFired{TimerID: r.controller.timerID, Gauges: Gauges{CPUUtilization: 1, RunQueue: 2}})
 		}
-		for _, a := range r.at(2*ms, events...) {
+		for _, a := range r.handleAfter(2*ms, events...) {
 			if a, ok := a.(Reject); ok {
 				last = a
 			}
@@ -32,7 +32,7 @@
 func TestFewRejectionsAllowRetry(t *testing.T) {
 	r := newDriver(t, nil)
 	r.fillCores()
-	r.want(r.at(ms, arrival(1, 0)), Reject{ID: 1, Reason: RejectPolicy})
+	r.wantActions(r.handleAfter(ms, newArrival(1, 0)), Reject{ID: 1, Reason: RejectPolicy})
 	if lambda := r.controller.policy.model.arrivalRate; lambda <= r.controller.serviceCapacity() {
 		t.Errorf("Λ̃ %v under cμ: the test shows nothing", lambda)
 	}
@@ -57,14 +57,14 @@
 		t.Run(name, func(t *testing.T) {
 			r := newDriver(t, func(s *Settings) { s.RetriesMarked = k.marked })
 			for i := range uint32(60) {
-				a := arrival(i+1, 1)
+				a := newArrival(i+1, 1)
 				a.Retry = int(i)%5 == 0 && int(i)/5 < k.retries
-				r.at(20*ms, a)
-				r.at(ms, Completed{ID: a.ID, Outcome: OutcomeOK, Elapsed: ms})
+				r.handleAfter(20*ms, a)
+				r.handleAfter(ms, Completed{ID: a.ID, Outcome: OutcomeOK, Elapsed: ms})
 			}
 			r.fillCores()
 			r.controller.rejectedFraction = k.rejected
-			got := r.at(ms, arrival(99, 0))
+			got := r.handleAfter(ms, newArrival(99, 0))
 			require.Len(t, got, 1)
 			require.IsType(t, Reject{}, got[0])
 			require.Equal(t, k.doNotRetry, got[0].(Reject).DoNotRetry)
--- a/admission/reward.go
+++ b/admission/reward.go
@@ -14,18 +14,18 @@
 func (c *Controller) classRewards(shares []float64) (weights, costs []float64) {
 	meanRun := 0.0
 	for i, share := range shares {
-		meanRun += share * c.runTimes.meanSeconds[i]
+		meanRun += share * c.runTimes.meanRunSeconds[i]
 	}
 	weights = make([]float64, len(shares))
 	costs = make([]float64, len(shares))
 	for i := range shares {
 		class := &c.settings.Classes[i]
-		weights[i] = class.PriorityWeight * c.runTimes.success[i]
+		weights[i] = class.PriorityWeight * c.runTimes.successFraction[i]
 		if !c.settings.WeightPerWork { // the model has one μ: a long class is worth less per run
-			weights[i] *= meanRun / c.runTimes.meanSeconds[i]
+			weights[i] *= meanRun / c.runTimes.meanRunSeconds[i]
 		}
 		objective := class.LatencyObjective.Seconds()
-		budget := objective*(1-objectiveMargin) - c.runTimes.meanSeconds[i]
+		budget := objective*(1-objectiveMargin) - c.runTimes.meanRunSeconds[i]
 		costs[i] = weights[i] / math.Max(budget, objective*objectiveMargin)
 	}
 	return weights, costs
@@ -36,7 +36,7 @@
 
 // reward is r(i)(s) of one request, with the time that remains until its objective.
 func (c *Controller) reward(r *request, state int) float64 {
-	budget := (min(r.objective, r.deadline) - c.now).Seconds() - c.runTimes.meanSeconds[r.class]
+	budget := (min(r.objective, r.deadline) - c.now).Seconds() - c.runTimes.meanRunSeconds[r.class]
 	if budget <= 0 {
 		return lateReward
 	}
--- a/admission/runtimes.go
+++ b/admission/runtimes.go
@@ -6,15 +6,15 @@
 // the fraction of runs that answer their client.
 
 const (
-	// runsPerObjective is the first guess: an objective is this many mean runs.
-	runsPerObjective = 6.0
+	// initialRunsPerObjective is the first guess: an objective is this many mean runs.
+	initialRunsPerObjective = 6.0
 	// priorRuns is the number of completed runs that the first guess counts for.
 	priorRuns = 3.0
 	// maxRememberedRuns is how many completed runs μ remembers: an error of 1/√40.
 	maxRememberedRuns = 40.0
-	// doubtAfterMissedRuns is how many expected completions may be missing
+	// toleratedMissedRuns is how many expected completions may be missing
 	// before μ is lowered.
-	doubtAfterMissedRuns = 5.0
+	toleratedMissedRuns = 5.0
 	// minSuccessFraction is the success of a class whose runs all fail: above 0, so
 	// that it can recover.
 	minSuccessFraction = 0.1
@@ -24,23 +24,23 @@
 
 // runTimes holds the estimates. Run-seconds are seconds times runs on the cores.
 type runTimes struct {
-	completed   float64   // runs completed, fading
-	runSeconds  float64   // run-seconds on the cores, fading
-	sinceExit   float64   // run-seconds since a run last left the cores
-	meanSeconds []float64 // mean seconds on the cores, by class
-	success     []float64 // fraction of runs whose client got an answer, by class
+	completed           float64   // runs completed, fading
+	runSeconds          float64   // run-seconds on the cores, fading
+	runSecondsSinceExit float64   // run-seconds since a run last left the cores
+	meanRunSeconds      []float64 // mean seconds on the cores, by class
+	successFraction     []float64 // fraction of runs whose client got an answer, by class
 }
 
 func newRunTimes(classes []Class) runTimes {
 	t := runTimes{
-		completed:   priorRuns,
-		meanSeconds: make([]float64, len(classes)),
-		success:     make([]float64, len(classes)),
+		completed:       priorRuns,
+		meanRunSeconds:  make([]float64, len(classes)),
+		successFraction: make([]float64, len(classes)),
 	}
 	for i, class := range classes {
-		t.success[i] = 1
-		t.meanSeconds[i] = class.LatencyObjective.Seconds() / runsPerObjective
-		t.runSeconds += t.meanSeconds[i] * priorRuns / float64(len(classes))
+		t.successFraction[i] = 1
+		t.meanRunSeconds[i] = class.LatencyObjective.Seconds() / initialRunsPerObjective
+		t.runSeconds += t.meanRunSeconds[i] * priorRuns / float64(len(classes))
 	}
 	return t
 }
@@ -48,16 +48,16 @@
 // addRunSeconds adds the time that runs spent on the cores.
 func (t *runTimes) addRunSeconds(runSeconds float64) {
 	t.runSeconds += runSeconds
-	t.sinceExit += runSeconds
+	t.runSecondsSinceExit += runSeconds
 }
 
 // resetMissedRuns is called when a run leaves the cores, and when one starts on empty cores.
-func (t *runTimes) resetMissedRuns() { t.sinceExit = 0 }
+func (t *runTimes) resetMissedRuns() { t.runSecondsSinceExit = 0 }
 
 // observe counts a run that ended by itself after the given seconds.
 func (t *runTimes) observe(class int, seconds float64) {
 	t.completed++
-	smooth(&t.meanSeconds[class], seconds)
+	updateMean(&t.meanRunSeconds[class], seconds)
 }
 
 // observeSuccess notes whether a run answered its client. A class whose calls
@@ -67,11 +67,11 @@
 	if servedCaller {
 		success = 1
 	}
-	smooth(&t.success[class], success)
+	updateMean(&t.successFraction[class], success)
 }
 
-// forget limits the completed runs that are remembered.
-func (t *runTimes) forget() {
+// limitHistory limits the completed runs that are remembered.
+func (t *runTimes) limitHistory() {
 	if t.completed > maxRememberedRuns {
 		t.runSeconds *= maxRememberedRuns / t.completed
 		t.completed = maxRememberedRuns
@@ -82,13 +82,13 @@
 // has left the cores for much longer than it predicts: a hang or a sudden slowdown.
 func (t *runTimes) serviceRate() float64 {
 	rate := t.completed / t.runSeconds
-	if t.missedRuns() > doubtAfterMissedRuns {
-		rate = math.Min(rate, doubtAfterMissedRuns/t.sinceExit)
+	if t.missedRuns() > toleratedMissedRuns {
+		rate = math.Min(rate, toleratedMissedRuns/t.runSecondsSinceExit)
 	}
 	return rate
 }
 
 // missedRuns is how many runs should have left the cores since the last one did.
 func (t *runTimes) missedRuns() float64 {
-	return t.sinceExit * t.completed / math.Max(t.runSeconds-t.sinceExit, minRunSeconds)
+	return t.runSecondsSinceExit * t.completed / math.Max(t.runSeconds-t.runSecondsSinceExit, minRunSeconds)
 }
--- a/admission/simulated_server_test.go
+++ b/admission/simulated_server_test.go
@@ -80,49 +80,49 @@
 	return s
 }
 
-// carryOut applies the actions of one batch and checks each, then the limits of the server.
-func (s *simulatedServer) carryOut(actions []Action) {
+// execute applies the actions of one batch and checks each, then the limits of the server.
+func (s *simulatedServer) execute(actions []Action) {
 	for _, a := range actions {
-		s.carryOutOne(a)
+		s.executeOne(a)
 	}
 	s.checkDeadlines()
 	s.checkMemory()
 	s.checkRuns()
 }
 
-func (s *simulatedServer) carryOutOne(a Action) {
+func (s *simulatedServer) executeOne(a Action) {
 	switch a := a.(type) {
 	case Run:
-		s.run(s.find(a.ID))
+		s.run(s.requestByID(a.ID))
 	case Preempt:
 		if r := s.requests[a.ID]; r != nil && r.phase == serverRunning {
 			r.phase = serverStopping
 		}
 	case Reject:
-		r := s.find(a.ID)
+		r := s.requestByID(a.ID)
 		if r.ran {
 			s.t.Fatalf("at %v: request %d rejected after it ran", s.now, a.ID)
 		}
-		s.answer(r)
+		s.recordResponse(r)
 	case Fail:
-		s.answer(s.find(a.ID))
+		s.recordResponse(s.requestByID(a.ID))
 	case StartCall:
-		if r := s.find(a.ID); r.phase == serverAwaitingCall {
+		if r := s.requestByID(a.ID); r.phase == serverAwaitingCall {
 			r.phase = serverInCall
 		}
 	case Degrade:
-		r := s.find(a.ID)
+		r := s.requestByID(a.ID)
 		if s.settings.Classes[r.class].DegradedFraction == 0 {
 			s.t.Fatalf("at %v: call of request %d skipped", s.now, a.ID)
 		}
 		r.phase = serverRunning
 	case StoreKey:
-		s.find(a.ID)
+		s.requestByID(a.ID)
 		s.keys[a.ID] = s.now + a.TTL
 	case EvictKey:
 		delete(s.keys, a.ID)
 	case ShareResult:
-		s.find(a.ID).phase = serverAwaitingResult
+		s.requestByID(a.ID).phase = serverAwaitingResult
 	case Advertise:
 		if s.settings.AdvertKind == AdvertNone || a.Value < 0 {
 			s.t.Fatalf("at %v: advertised %v", s.now, a.Value)
@@ -136,7 +136,7 @@
 	}
 }
 
-func (s *simulatedServer) find(id uint32) *simulatedRequest {
+func (s *simulatedServer) requestByID(id uint32) *simulatedRequest {
 	r := s.requests[id]
 	if r == nil {
 		s.t.Fatalf("at %v: action for request %d, which is not here", s.now, id)
@@ -158,7 +158,7 @@
 	r.ran = true
 }
 
-func (s *simulatedServer) answer(r *simulatedRequest) {
+func (s *simulatedServer) recordResponse(r *simulatedRequest) {
 	if r.answered {
 		s.t.Fatalf("at %v: second answer for request %d", s.now, r.id)
 	}
@@ -203,22 +203,22 @@
 			running++
 		}
 	}
-	if survived := s.controller.maxRuns(); float64(running) > survived {
-		s.t.Fatalf("at %v: %d running, %v survived", s.now, running, survived)
+	if sustainedRuns := s.controller.maxRuns(); float64(running) > sustainedRuns {
+		s.t.Fatalf("at %v: %d running, %v survived", s.now, running, sustainedRuns)
 	}
 }
 
-// events invents what happens next: to the requests in the order of their
+// nextEvents invents what happens next: to the requests in the order of their
 // arrival, then arrivals, then timers.
-func (s *simulatedServer) events() []Event {
+func (s *simulatedServer) nextEvents() []Event {
 	var out []Event
 	for _, id := range s.order {
 		if r := s.requests[id]; r != nil {
-			out = s.progress(out, r)
+			out = s.nextRequestEvents(out, r)
 		}
 	}
 	for n := s.random.Intn(3); n > 0 && s.random.Intn(12) == 0; n-- {
-		out = append(out, s.arrive())
+		out = append(out, s.newArrivalEvent())
 	}
 	s.timers = slices.DeleteFunc(s.timers, func(timer pendingTimer) bool {
 		if timer.at > s.now {
@@ -231,49 +231,49 @@
 	return out
 }
 
-// progress lets one request go on, by chance.
-func (s *simulatedServer) progress(out []Event, r *simulatedRequest) []Event {
-	switch luck := s.random.Intn(100); {
+// nextRequestEvents lets one request go on, by chance.
+func (s *simulatedServer) nextRequestEvents(out []Event, r *simulatedRequest) []Event {
+	switch draw := s.random.Intn(100); {
 	case r.phase == serverStopping && r.answered:
-		return s.end(out, r, OutcomeCanceled)
+		return s.endRequest(out, r, OutcomeCanceled)
 	case r.phase == serverStopping:
 		stopped := map[Preemption]serverPhase{PreemptionPause: serverPaused, PreemptionDrop: serverQueued}
 		r.phase = stopped[s.settings.Preemption]
 		return append(out, Completed{ID: r.id, Outcome: OutcomeCanceled})
-	case r.phase == serverRunning && luck < 1 && s.settings.Dependency != DependencyNone:
+	case r.phase == serverRunning && draw < 1 && s.settings.Dependency != DependencyNone:
 		r.phase = serverAwaitingCall
 		if r.answered {
-			return s.end(out, r, OutcomeCanceled)
+			return s.endRequest(out, r, OutcomeCanceled)
 		}
 		return append(out, CallNeeded{r.id})
-	case r.phase == serverRunning && luck < 3 && r.answered:
-		return s.end(out, r, OutcomeCanceled)
-	case r.phase == serverRunning && luck < 3:
-		return s.end(out, r, s.pick(OutcomeOK, OutcomeOK, OutcomeOK, OutcomeInternal))
-	case (r.phase == serverAwaitingCall || r.phase == serverInCall) && r.answered && luck < 50:
-		return s.end(out, r, OutcomeCanceled)
-	case r.phase == serverInCall && luck < 5:
+	case r.phase == serverRunning && draw < 3 && r.answered:
+		return s.endRequest(out, r, OutcomeCanceled)
+	case r.phase == serverRunning && draw < 3:
+		return s.endRequest(out, r, s.randomOutcome(OutcomeOK, OutcomeOK, OutcomeOK, OutcomeInternal))
+	case (r.phase == serverAwaitingCall || r.phase == serverInCall) && r.answered && draw < 50:
+		return s.endRequest(out, r, OutcomeCanceled)
+	case r.phase == serverInCall && draw < 5:
 		return append(out, s.endCall(r))
-	case r.phase == serverAwaitingResult && luck < 5:
-		return s.end(out, r, OutcomeOK)
+	case r.phase == serverAwaitingResult && draw < 5:
+		return s.endRequest(out, r, OutcomeOK)
 	case s.settings.NotifiesCanceled && !r.answered && s.random.Intn(3000) == 0:
 		return append(out, s.cancel(r))
 	}
 	return out
 }
 
-func (s *simulatedServer) pick(outcomes ...Outcome) Outcome {
+func (s *simulatedServer) randomOutcome(outcomes ...Outcome) Outcome {
 	return outcomes[s.random.Intn(len(outcomes))]
 }
 
-func (s *simulatedServer) end(out []Event, r *simulatedRequest, outcome Outcome) []Event {
+func (s *simulatedServer) endRequest(out []Event, r *simulatedRequest, outcome Outcome) []Event {
 	r.answered = true
 	delete(s.requests, r.id)
 	return append(out, Completed{ID: r.id, Elapsed: s.now - r.arrivedAt, Outcome: outcome})
 }
 
 func (s *simulatedServer) endCall(r *simulatedRequest) Event {
-	outcome := s.pick(OutcomeOK, OutcomeOK, OutcomeResourceExhausted, OutcomeDeadlineExceeded,
+	outcome := s.randomOutcome(OutcomeOK, OutcomeOK, OutcomeResourceExhausted, OutcomeDeadlineExceeded,
 		OutcomeUnavailable, OutcomeAborted)
 	r.phase = serverAwaitingCall
 	if outcome == OutcomeOK {
@@ -290,8 +290,8 @@
 	return Canceled{r.id}
 }
 
-// arrive invents a request, at times the duplicate of a stored one.
-func (s *simulatedServer) arrive() Event {
+// newArrivalEvent invents a request, at times the duplicate of a stored one.
+func (s *simulatedServer) newArrivalEvent() Event {
 	s.lastID++
 	r := &simulatedRequest{
 		id:        s.lastID,
--- a/admission/slowstart.go
+++ b/admission/slowstart.go
@@ -7,9 +7,9 @@
 // usableRunsFraction of them; there they are divided among the senders, whole.
 // Inputs: SlowStart, SlowStartMinSpeed, SlowStartDuration, MaxRunsPerCore.
 
-// speed is the fraction of its warm speed that the server has at least: it grows
+// relativeSpeed is the fraction of its warm relativeSpeed that the server has at least: it grows
 // by even steps from SlowStartMinSpeed to 1.
-func (c *Controller) speed() float64 {
+func (c *Controller) relativeSpeed() float64 {
 	s := &c.settings
 	if !s.SlowStart || c.now >= c.startedAt+s.SlowStartDuration {
 		return 1
@@ -20,5 +20,5 @@
 
 // maxRuns is the number of runs on the cores that the server survives now.
 func (c *Controller) maxRuns() float64 {
-	return float64(c.settings.Cores) * (1 + (c.settings.MaxRunsPerCore-1)*c.speed())
+	return float64(c.settings.Cores) * (1 + (c.settings.MaxRunsPerCore-1)*c.relativeSpeed())
 }
--- a/admission/timers.go
+++ b/admission/timers.go
@@ -7,13 +7,13 @@
 const (
 	// gaugeInterval is the time between gauge ticks: twice per averaging time of the gauges.
 	gaugeInterval = 250 * time.Millisecond
-	// minTimerSpan is the least time of a timer where MinInterval is 0.
-	minTimerSpan = time.Microsecond
+	// minTimerDelay is the least time of a timer where MinInterval is 0.
+	minTimerDelay = time.Microsecond
 )
 
-// timerFired forgets the timer if it is the latest one, and takes the gauges if a
+// handleTimerFired forgets the timer if it is the latest one, and takes the gauges if a
 // gauge tick is due.
-func (c *Controller) timerFired(e TimerFired) {
+func (c *Controller) handleTimerFired(e TimerFired) {
 	if e.TimerID == c.timerID {
 		c.timerAt = 0
 	}
@@ -26,16 +26,16 @@
 func (c *Controller) gaugeTick(g Gauges) {
 	c.nextGaugeAt = c.now + gaugeInterval
 	c.expireKeys()
-	c.runTimes.forget()
-	c.adjustLimit(g)
-	c.endEpisode()
+	c.runTimes.limitHistory()
+	c.adjustConcurrencyLimit(g)
+	c.updatePolicy()
 	c.updateHealth()
 	c.updateAdvert()
 	c.updateIdleTimeout()
 	if c.recentArrivals[0] == 0 {
-		c.readDelayFraction *= 1 - requestSmoothing // decays without arrivals, so that health recovers
+		c.readDelayFraction *= 1 - requestSmoothingFactor // decays without arrivals, so that health recovers
 	}
-	c.recentArrivals.nextTick()
+	c.recentArrivals.startGaugeTick()
 }
 
 // armTimer asks for the earliest time at which something is due: the next gauge
@@ -47,7 +47,7 @@
 			next = min(next, c.expiry(r))
 		}
 	}
-	next = max(next, c.now+max(c.settings.MinInterval, minTimerSpan))
+	next = max(next, c.now+max(c.settings.MinInterval, minTimerDelay))
 	if c.timerAt == 0 || next < c.timerAt {
 		c.timerID++
 		c.timerAt = next
