--- a/admission/actions.go
+++ b/admission/actions.go
@@ -2,66 +2,66 @@
 
 import "time"
 
-// Action is something the server must do now: one of the types below.
+// Action is a command that the server must execute immediately: one of the types below.
 type Action interface{ action() }
 
 // Run starts a queued request or resumes a paused one.
 type Run struct{ ID uint32 }
 
-// Preempt stops a running request, as Settings.Preemption says.
+// Preempt stops a running request, with the effect that Settings.Preemption defines.
 type Preempt struct{ ID uint32 }
 
-// Reject answers a request that was never run.
+// Reject answers a request that never ran.
 type Reject struct {
 	ID         uint32
-	DoNotRetry bool          // asks the caller not to try another server
-	Reason     RejectReason  // the rule that rejected it
-	RetryAfter time.Duration // asks the caller to stay away this long; 0: no advice
+	DoNotRetry bool          // asks the caller not to retry at another server
+	Reason     RejectReason  // the rule that rejected the request
+	RetryAfter time.Duration // minimum delay before the caller retries here; 0 gives no advice
 }
 
-// Fail answers a request with an error, which leaves open whether it ran.
+// Fail answers a request with an error that doesn't tell whether the request ran.
 type Fail struct{ ID uint32 }
 
-// StartCall makes the call that a request waits for.
+// StartCall makes the call for which a request waits.
 type StartCall struct {
 	ID       uint32
 	Deadline time.Duration // clock time at which the call is abandoned
 }
 
-// Degrade lets a request go on without its call.
+// Degrade resumes a request without its call.
 type Degrade struct{ ID uint32 }
 
-// StoreKey stores the key of a request, by which duplicates are found.
+// StoreKey stores the key of a request, by which its duplicates are recognised.
 type StoreKey struct {
 	ID  uint32
 	TTL time.Duration
 }
 
-// EvictKey drops a stored key.
+// EvictKey removes a stored key.
 type EvictKey struct{ ID uint32 }
 
-// ShareResult answers a duplicate with the result of the request that it repeats.
+// ShareResult answers a duplicate with the result of its original.
 type ShareResult struct{ ID uint32 }
 
-// SetHealth sets the answer to health checks.
+// SetHealth sets the response to health checks.
 type SetHealth struct {
 	Healthy bool
-	Cached  bool // checks are answered from this alone, without real work; always true
+	Cached  bool // health checks return this value without doing real work; always true
 }
 
-// Advertise sets the value that Settings.Advert describes.
+// Advertise publishes a value to callers. Settings.AdvertKind defines its meaning.
 type Advertise struct{ Value float64 }
 
-// SetIdleTimeout closes connections that have been idle for Timeout.
+// SetIdleTimeout sets the idle time after which connections are closed.
 type SetIdleTimeout struct{ Timeout time.Duration }
 
-// SetTimer asks for a TimerFired event after the given time. It can't be canceled.
+// SetTimer requests a TimerFired event after the given time. A timer can't be canceled.
 type SetTimer struct {
 	After   time.Duration
 	TimerID uint64
 }
 
-// LogMessage is a line for the operators' log.
+// LogMessage writes a line to the operators' log.
 type LogMessage struct{ Text string }
 
 func (Run) action()            {}
--- a/admission/admit.go
+++ b/admission/admit.go
@@ -1,22 +1,20 @@
 package admission
 
-// The decision on a request that was just read: reject it, or admit and queue it.
-// Inputs: the policy, the state s, the free memory, and the time left until the
-// request's objective.
+// The admission decision on a new request: reject it, or admit and queue it. Inputs: the policy,
+// the state s, the free memory, and the time left until the request's latency objective.
 
-// occupancy is the state s of the policy: requests queued or running.
+// occupancy is the state s of the policy: the number of requests queued or running.
 func (c *Controller) occupancy() int {
 	return c.phaseCounts[phaseQueued] + c.phaseCounts[phaseRunning]
 }
 
-// lateRejectedFraction is the fraction of requests rejected lately above which a late one
-// is rejected, unless the server is empty.
+// lateRejectedFraction is the recent fraction of rejected requests above which a late request is
+// rejected too, unless no request is queued or running.
 const lateRejectedFraction = 0.2
 
-// decide answers a duplicate, and rejects or admits any other request. It is the
-// rule of the paper: while a core is free every request is admitted, otherwise
-// those with r(i)(s) ≥ ∇h(s). A request for which a long run is preempted is
-// admitted too, as that frees its core.
+// decide answers a duplicate, and rejects or admits any other request. As in the paper, it admits
+// every request while a core is free, and otherwise the requests with r(i)(s) ≥ ∇h(s). If a long
+// run can be preempted, its core becomes free and the request is admitted as well.
 func (c *Controller) decide(r *request) {
 	if r.duplicateOf != 0 {
 		c.decideDuplicate(r)
@@ -49,7 +47,7 @@
 	c.admit(r, free-need)
 }
 
-// admit queues a request, and starts what can run. free is the memory left after
+// admit queues a request and starts the runs that the limits allow. free is the memory left after
 // the admission, in kB.
 func (c *Controller) admit(r *request, free float64) {
 	c.storeKeyIfNeeded(r, free)
@@ -62,20 +60,20 @@
 	return !c.canRun() || c.phaseCounts[phaseQueued] > 0
 }
 
-// policyAdmits reports whether r(i)(s) ≥ ∇h(s). The reward is that of the request
-// itself, by its own remaining time and its tenant's quota, and is compared exactly.
-// The thresholds, which are logged and advertised, are of the class's reward and
-// give ties to the class (admissionModel.accepts): a request may be decided
-// otherwise than the threshold of its class says.
+// policyAdmits reports whether r(i)(s) ≥ ∇h(s). It compares the reward of the request itself, which
+// depends on the request's remaining time and its tenant's quota, without a tolerance. The
+// thresholds, which are logged and advertised, use the reward of the class and break ties in favour
+// of the class (admissionModel.admits), so the decision on a request may differ from its class's
+// threshold.
 func (c *Controller) policyAdmits(r *request, state int) bool {
 	return state < len(c.policy.bias) && c.reward(r, state) >= c.policy.bias[state]
 }
 
-// lateRejectReason names the rule by which a request is rejected because it can't be
-// answered within its objective, or RejectReasonNone. Such a late request is rejected while the server
-// drains, when it has expired, while calls are backlogged, and while requests are
-// queued or running and more than rejectLateAbove of the latest were rejected.
-// Otherwise it is decided on like others: its run shows how long runs take.
+// lateRejectReason returns the reason to reject a late request, which is one that can't be answered
+// within its latency objective, or RejectReasonNone. A late request is rejected while the server
+// drains, if it has expired, while calls are backlogged, and while requests are queued or running
+// and more than lateRejectedFraction of the recent requests were rejected. Otherwise the policy
+// decides on it: its run provides a sample of the run time.
 func (c *Controller) lateRejectReason(r *request, state int) RejectReason {
 	switch {
 	case c.reward(r, state) >= 0:
--- a/admission/advert.go
+++ b/admission/advert.go
@@ -2,19 +2,20 @@
 
 import "math"
 
-// The advertised value, set at each gauge tick: callers use it to withhold
-// requests that would be rejected. Inputs: Settings.Advert, the policy, the occupancy.
+// The advertised value, updated at each gauge tick. Callers use it to withhold requests that would
+// be rejected. Inputs: Settings.AdvertKind, the policy and the occupancy.
 
-// minRelativeAdvertChange is the relative change of the value that is advertised anew.
+// minRelativeAdvertChange is the relative change above which a new value is advertised.
 const minRelativeAdvertChange = 0.1
 
-// minCreditPerLimit times the concurrency limit is the least credit of all callers together.
+// minCreditPerLimit is the minimum total credit of all callers, as a multiple of the concurrency
+// limit.
 const minCreditPerLimit = 2
 
-// noAdvert stands for a value that was never advertised; any value differs from it.
+// noAdvert is the initial value of Controller.advertised. Every valid value differs from it.
 const noAdvert = -1
 
-// updateAdvert advertises a value that has changed.
+// updateAdvert advertises the value if it has changed.
 func (c *Controller) updateAdvert() {
 	if c.settings.AdvertKind == AdvertNone {
 		return
@@ -35,11 +36,11 @@
 	case AdvertCredit:
 		return c.creditPerCaller()
 	}
-	return noAdvert // updateAdvert does not ask for AdvertNone
+	return noAdvert // not reached: updateAdvert returns early for AdvertNone
 }
 
-// rejectedClassFraction is the fraction of the classes that are rejected now.
-// Classes take equal bands of ranks, the least weight first.
+// rejectedClassFraction is the fraction of the classes that the policy rejects in the current
+// state. The classes divide the ranks from 0 to 1 into equal bands by increasing weight.
 func (c *Controller) rejectedClassFraction() float64 {
 	classes := len(c.settings.Classes)
 	state := c.occupancy()
@@ -52,9 +53,9 @@
 	return float64(rejected) / float64(classes)
 }
 
-// creditPerCaller is each caller's part of the requests that the server may have: those
-// queued or running before any class is rejected, at least minCreditPerLimit times the
-// concurrency limit, and those at calls.
+// creditPerCaller is the credit of each caller: the total credit divided by the number of callers.
+// The total is the lowest threshold of all classes, or minCreditPerLimit times the concurrency
+// limit if that is greater, plus the number of requests blocked on calls.
 func (c *Controller) creditPerCaller() float64 {
 	threshold := len(c.policy.bias)
 	for i := range c.settings.Classes {
--- a/admission/answers.go
+++ b/admission/answers.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Answers: every request gets one answer by its deadline. One that never ran may
-// be rejected; one that ran, or may have, can only fail.
+// Answers: every request is answered once, by its deadline. A request that never ran may be
+// rejected. A request that ran, or may have run, can only fail.
 
-// deadlineLeadIntervals is how long before its deadline a request is answered, in
-// multiples of MinInterval: the timer may be late by one.
+// deadlineLeadIntervals is how long before its deadline a request is answered, in multiples of
+// MinInterval: a timer may fire up to one MinInterval late.
 const deadlineLeadIntervals = 2
 
 // deadlineLead is how long before its deadline a request is answered.
@@ -14,8 +14,8 @@
 	return deadlineLeadIntervals * c.settings.MinInterval
 }
 
-// expiry is the clock time at which a request is answered, whatever its phase. A
-// queued one is answered when half of a mean run no longer fits before its
+// expiry is the clock time at which a request is answered even if it has not completed. A queued
+// request expires earlier: when less than half of a mean run time remains until its latency
 // objective.
 func (c *Controller) expiry(r *request) time.Duration {
 	expiry := r.deadline - c.deadlineLead()
@@ -26,7 +26,7 @@
 	return expiry
 }
 
-// rejectOrFailExpired answers the requests that have reached their expiry.
+// rejectOrFailExpired rejects or fails the requests that have reached their expiry.
 func (c *Controller) rejectOrFailExpired() {
 	for _, r := range c.requests {
 		if r.settled || r.phase == phaseFinished || r.phase == phaseUndecided {
@@ -38,8 +38,8 @@
 	}
 }
 
-// rejectOrFail rejects an expired request that never ran, and fails others. A duplicate
-// can only fail: its original may have run.
+// rejectOrFail rejects an expired request that never ran, and fails any other. A duplicate can only
+// fail, because its original may have run.
 func (c *Controller) rejectOrFail(r *request) {
 	if r.everRan || r.duplicateOf != 0 {
 		c.fail(r)
@@ -48,7 +48,7 @@
 	}
 }
 
-// reject answers a request that never ran, by the rule that is named.
+// reject answers a request that never ran. reason is the rule that rejected it.
 func (c *Controller) reject(r *request, reason RejectReason) {
 	c.countRejection()
 	c.evictKeyIfNeverRun(r)
@@ -58,8 +58,8 @@
 	c.changePhase(r, transitionFinish)
 }
 
-// fail answers a request that ran, or may have. One at a call stays until Completed
-// reports the end of its run.
+// fail answers a request that ran or may have run. A request that is running or blocked on a call
+// is removed only when Completed reports the end of its run.
 func (c *Controller) fail(r *request) {
 	r.settled = true
 	c.emit(Fail{r.id})
@@ -72,8 +72,9 @@
 	}
 }
 
-// handleCanceled ends a request that no caller waits for, and stops its run where that
-// can be done. One at a call stays until Completed reports the end of its run.
+// handleCanceled ends a request whose caller has canceled it, and stops its run if preemption is
+// possible. A request that is running or blocked on a call is removed only when Completed reports
+// the end of its run.
 func (c *Controller) handleCanceled(e Canceled) {
 	r := c.byID[e.ID]
 	if r == nil {
@@ -93,7 +94,7 @@
 	}
 }
 
-// handleCompleted ends a run or a shared result, unless it only confirms a preemption.
+// handleCompleted ends a run or a shared result, unless the event only confirms a preemption.
 func (c *Controller) handleCompleted(e Completed) {
 	r := c.byID[e.ID]
 	if r == nil {
@@ -111,13 +112,14 @@
 	c.changePhase(r, transitionFinish)
 }
 
-// confirmsPreemption reports whether the event says that Preempt took effect on a
-// request that still needs an answer: it is paused then, not over.
+// confirmsPreemption reports whether the event confirms that Preempt took effect on a request that
+// still needs a response. Such a request is paused and has not ended.
 func confirmsPreemption(r *request, e Completed) bool {
 	return r.preempted && e.Outcome == OutcomeCanceled && !r.settled
 }
 
-// updateEstimates updates the estimates of run times, success and calls at the end of a run.
+// updateEstimates updates the estimates of run times and success, and the call accounting, at the
+// end of a run.
 func (c *Controller) updateEstimates(r *request, e Completed) {
 	switch r.phase {
 	case phaseRunning:
--- a/admission/arrival.go
+++ b/admission/arrival.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// Arrivals: what is recorded of a request when it is read, before the decision on it.
+// Arrivals: the request and the arrival statistics are recorded before the admission decision.
 
-// recordArrival records a request. Events with a known id or an unknown class are ignored.
+// recordArrival records a request. It ignores events with the id of a current request or with an
+// unknown class.
 func (c *Controller) recordArrival(e Arrival) {
 	if c.byID[e.ID] != nil || e.Class >= len(c.settings.Classes) {
 		return
@@ -40,8 +41,8 @@
 	}
 }
 
-// deadlineOf is the clock time until which an answer is needed: the caller's
-// timeout or, where that is not known, the deadline of the class.
+// deadlineOf is the clock time by which a response is needed: it is derived from the caller's
+// timeout or, if that is unknown, from the deadline of the class.
 func (c *Controller) deadlineOf(r *request, timeout time.Duration) time.Duration {
 	if timeout != 0 {
 		return c.now + timeout
@@ -49,16 +50,16 @@
 	return max(c.now, r.arrivedAt+c.settings.Classes[r.class].Deadline)
 }
 
-// objectiveFromArrival is the time from arrival within which an answer earns the full
-// weight, less the way to the client and back.
+// objectiveFromArrival is the time from arrival within which a response earns the full priority
+// weight, less the margin for the network round trip.
 func objectiveFromArrival(class *Class, expectedWork time.Duration) time.Duration {
 	objective := class.LatencyObjective + time.Duration(class.ObjectiveStretch*float64(expectedWork))
 	return min(objective, class.Deadline) - time.Duration(objectiveMargin*float64(class.LatencyObjective))
 }
 
-// withdrawArrival takes an arrival out of the estimates: it was canceled before it ran, or
-// could not be started. It guards the policy against callers that send requests by
-// the hundred and cancel them.
+// withdrawArrival removes an arrival from the arrival statistics: the request was canceled before
+// it ran, or its run could not be started. Otherwise a caller that sends and cancels hundreds of
+// requests would distort the policy.
 func (c *Controller) withdrawArrival(r *request) {
 	if r.duplicateOf != 0 || r.settled {
 		return
--- a/admission/calls.go
+++ b/admission/calls.go
@@ -6,46 +6,47 @@
 	"time"
 )
 
-// Calls to the dependency. The calls of all servers together must stay below
-// what a shared dependency survives, on average over CallWindow; it slows down
-// well before that. Inputs: CallQuota, CallWindow, CallLinger, and how long
-// calls take. Calls to the next tier are not limited.
+// Calls to the dependency. A shared dependency fails if the calls in flight of all servers,
+// averaged over CallWindow, exceed its capacity; it slows down well below that. Each server stays
+// within its CallQuota. Inputs: CallQuota, CallWindow, CallLinger, and the durations of calls.
+// Calls to the next tier are not limited.
 
 const (
-	// slowCallFraction, of the objective, is how long a call takes that shows an
-	// overloaded dependency.
+	// slowCallFraction is the fraction of the latency objective beyond which the duration of a call
+	// indicates an overloaded dependency.
 	slowCallFraction = 0.1
-	// callLimitDecrease is by how many calls the limit falls for each slow or rejected
-	// call: four of them take one call away.
+	// callLimitDecrease is the decrease of the limit for each slow or rejected call: four such calls
+	// reduce the limit by one call.
 	callLimitDecrease = 0.25
-	// minCallTimeout is the shortest timeout with which a call is made.
+	// minCallTimeout is the minimum timeout of a call whose timeout is bounded by the saved call time.
 	minCallTimeout = 20 * time.Millisecond
-	// accruedQuotaFraction is the fraction of a quota below 1 that accrues as call time.
+	// accruedQuotaFraction is the fraction of a quota below 1 at which call time accrues.
 	accruedQuotaFraction = 1.0 / 2
-	// maxSavedQuotaFraction is the fraction of the quota of one window, in call-seconds,
-	// beyond which call time does not accrue. What was saved before a window and what
-	// accrues in it are the whole quota together.
+	// maxSavedQuotaFraction bounds the saved call time, as a fraction of the quota over one window in
+	// call-seconds. The time saved before a window and the time accrued in it together don't exceed
+	// the quota.
 	maxSavedQuotaFraction = 1 - accruedQuotaFraction
 )
 
-// callLimiter bounds the calls in flight. With a quota of at least 1 their
-// number stays below a limit. With a smaller quota call time accrues, in
-// call-seconds at half the quota, and one call at a time spends it.
+// callLimiter limits the calls in flight. With a quota of at least 1 it bounds their number by a
+// limit that adapts to the dependency. With a smaller quota it accrues call time, in call-seconds,
+// at half of the quota, and allows one call at a time that spends the saved call time.
 type callLimiter struct {
-	quota            float64 // calls in flight
+	quota            float64 // number of calls in flight, on average over window
 	window           time.Duration
 	abandonedCallTTL time.Duration
 
-	limit             float64         // calls in flight, 1 to quota
-	savedCallSeconds  float64         // call-seconds
-	abandonedExpireAt []time.Duration // clock times until which abandoned calls may be in flight
+	limit             float64         // maximum number of calls in flight, from 1 to quota
+	savedCallSeconds  float64         // accrued and unspent call time
+	abandonedExpireAt []time.Duration // clock times until which abandoned calls count as in flight
 }
 
 func newCallLimiter(s *Settings) callLimiter {
 	return callLimiter{quota: s.CallQuota, window: s.CallWindow, abandonedCallTTL: s.CallLinger, limit: s.CallQuota}
 }
 
-// accrue accounts for the time from one clock time to the next with the given calls in flight.
+// accrue updates the saved call time for the interval between two clock times, during which
+// inFlight calls were in flight.
 func (l *callLimiter) accrue(from, to time.Duration, inFlight int) {
 	l.abandonedExpireAt = slices.DeleteFunc(l.abandonedExpireAt, func(until time.Duration) bool { return until <= to })
 	seconds := (to - from).Seconds()
@@ -54,12 +55,12 @@
 	l.savedCallSeconds = math.Min(maxSaved, l.savedCallSeconds+seconds*(l.quota*accruedQuotaFraction-used))
 }
 
-// recordAbandoned counts a call as in flight for as long as it may linger.
+// recordAbandoned counts an abandoned call as in flight for abandonedCallTTL.
 func (l *callLimiter) recordAbandoned(now time.Duration) {
 	l.abandonedExpireAt = append(l.abandonedExpireAt, now+l.abandonedCallTTL)
 }
 
-// allows reports whether one more call may be made.
+// allows reports whether one more call may start.
 func (l *callLimiter) allows(inFlight int) bool {
 	if l.quota >= 1 {
 		return float64(inFlight+len(l.abandonedExpireAt)+1) <= l.limit
@@ -67,16 +68,17 @@
 	return inFlight+len(l.abandonedExpireAt) == 0 && l.savedCallSeconds >= l.abandonedCallTTL.Seconds()+minCallTimeout.Seconds()
 }
 
-// maxCallDuration is the longest call that the accrued call time allows, if it lingers after that.
+// maxCallDuration is the maximum duration of a call that the saved call time covers, if the call is
+// abandoned and lingers for abandonedCallTTL after that.
 func (l *callLimiter) maxCallDuration() time.Duration {
 	seconds := l.savedCallSeconds - l.abandonedCallTTL.Seconds()
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// adjustLimit moves the limit: the quota is a ceiling, not a target. A call that is
-// rejected or slow lowers it; each other call raises it by 1/limit, by one call for as
-// many calls as the limit (additive increase). A call that did not reach the dependency
-// changes nothing.
+// adjustLimit changes the limit by additive increase and additive decrease, up to the quota. A
+// rejected or slow call lowers the limit by callLimitDecrease. Any other call raises it by 1/limit,
+// which is one call for as many calls as the limit. A call that didn't reach the dependency leaves
+// the limit unchanged.
 func (l *callLimiter) adjustLimit(outcome Outcome, seconds, slowSeconds float64) {
 	if outcome == OutcomeResourceExhausted || seconds > slowSeconds {
 		l.limit = math.Max(1, l.limit-callLimitDecrease)
@@ -85,8 +87,8 @@
 	}
 }
 
-// startCalls makes the calls that the limit allows, oldest request first. Calls
-// beyond it are skipped where a degraded answer earns something, and wait otherwise.
+// startCalls starts the calls that the limit allows, in the order of the requests' arrival. A
+// request without a call is degraded if a degraded response earns a reward, and waits otherwise.
 func (c *Controller) startCalls() {
 	for _, r := range c.requests {
 		if !transitionStartCall.allowedFrom(r.phase) || r.settled {
@@ -105,7 +107,7 @@
 	return c.settings.Dependency != DependencyShared || c.calls.allows(c.phaseCounts[phaseInCall])
 }
 
-// degrade lets a request go on without its call, if its class allows that.
+// degrade resumes a request without its call if its class allows degraded responses.
 func (c *Controller) degrade(r *request) (degraded bool) {
 	if c.settings.Classes[r.class].DegradedFraction > 0 {
 		c.emit(Degrade{r.id})
@@ -115,8 +117,8 @@
 	return false
 }
 
-// callDeadline is the clock time at which a call that starts now is abandoned:
-// answerLead before its request's deadline, for the answer.
+// callDeadline is the clock time at which a call that starts now is abandoned. It is deadlineLead
+// before the request's deadline, so that a response can still be sent.
 func (c *Controller) callDeadline(r *request) time.Duration {
 	deadline := r.deadline - c.deadlineLead()
 	if c.settings.Dependency == DependencyShared && c.calls.quota < 1 {
@@ -125,14 +127,14 @@
 	return deadline
 }
 
-// callsBacklogged reports whether more requests wait for calls than may be in
-// flight: cores may be free, the server isn't.
+// callsBacklogged reports whether more requests wait for a call than the limit of calls in flight.
+// The server is then overloaded even if cores are idle.
 func (c *Controller) callsBacklogged() bool {
 	return c.settings.Dependency == DependencyShared && c.calls.quota >= 1 &&
 		float64(c.phaseCounts[phaseAwaitingCall]) > c.calls.limit
 }
 
-// handleCallNeeded takes a request off the cores.
+// handleCallNeeded records that a request released its core and waits for a call.
 func (c *Controller) handleCallNeeded(e CallNeeded) {
 	r := c.byID[e.ID]
 	if r == nil || !transitionNeedCall.allowedFrom(r.phase) {
@@ -142,9 +144,9 @@
 	c.changePhase(r, transitionNeedCall)
 }
 
-// handleCallCompleted resumes a request after its call. One whose call failed is
-// degraded or fails: a second call would add load to an overloaded dependency,
-// and might have its effect twice.
+// handleCallCompleted resumes a request after its call. If the call failed, the request is degraded
+// or fails. A retry of the call would add load to an overloaded dependency and might execute the
+// call twice.
 func (c *Controller) handleCallCompleted(e CallCompleted) {
 	r := c.byID[e.ID]
 	if r == nil || !transitionCallSucceeded.allowedFrom(r.phase) {
--- a/admission/concurrency.go
+++ b/admission/concurrency.go
@@ -1,42 +1,41 @@
 package admission
 
-// The concurrency limit c: how many requests run at once. It starts at the
-// number of cores, grows while cores are free and requests wait, and shrinks
-// while the cores are busy. Runs at calls are off the cores; a part of c is reserved
-// for their return.
+// The concurrency limit c is the maximum number of concurrent runs. It starts at the number of
+// cores, grows while cores are idle and requests wait, and shrinks while the cores are busy.
+// Requests blocked on calls use no core, but a fraction of c is reserved for their return.
 
 const (
-	// callCoreWeight is the part of a core that is reserved for a request at a call.
+	// callCoreWeight is the fraction of a core that is reserved for a request blocked on a call.
 	callCoreWeight = 0.25
-	// usableRunsFraction is the fraction of maxRuns that may run or be at calls; the
-	// rest is a reserve.
+	// usableRunsFraction is the fraction of maxRuns that may be running, paused or blocked on calls;
+	// the rest is a reserve.
 	usableRunsFraction = 0.7
-	// growBelowUtilization is the CPU utilization, a fraction of the cores, below which
-	// more may run at once.
+	// growBelowUtilization is the CPU utilization (fraction of the cores) below which the limit may
+	// grow.
 	growBelowUtilization = 0.9
-	// shrinkAboveUtilization is the CPU utilization, a fraction of the cores, above
-	// which more runs can't help.
+	// shrinkAboveUtilization is the CPU utilization (fraction of the cores) above which additional
+	// runs don't increase the throughput.
 	shrinkAboveUtilization = 0.985
-	// maxReadDelayFraction is a fraction of the objective. If requests wait for longer than
-	// that until they are read, the goroutines that read them are starved of the cores.
+	// maxReadDelayFraction is a fraction of the latency objective. If requests wait longer until they
+	// are read, the goroutines that read them are starved of CPU time.
 	maxReadDelayFraction = 0.22
-	// starvedLimitDivisor: while reading is starved the limit falls below the cores, by 1
-	// a gauge tick, down to a third of them.
+	// starvedLimitDivisor bounds the limit from below, to a third of the cores, while reading is
+	// starved. The limit falls by 1 per gauge tick.
 	starvedLimitDivisor = 3
 )
 
-// canRun reports whether one more request may run: the limit isn't reached, and
-// the server survives if all requests at calls return at once.
+// canRun reports whether one more request may run: the concurrency limit isn't reached, and the
+// server sustains the runs even if all requests that are blocked on calls resume at once.
 func (c *Controller) canRun() bool {
 	running := c.phaseCounts[phaseRunning]
 	blockedOnCalls := c.phaseCounts[phaseAwaitingCall] + c.phaseCounts[phaseInCall]
 	started := running + c.phaseCounts[phasePaused] + blockedOnCalls
-	maxOthersStarted := max(1, c.maxRuns()*usableRunsFraction) - 1 // beside the one more
+	maxOthersStarted := max(1, c.maxRuns()*usableRunsFraction) - 1 // started requests besides the additional one
 	return float64(running)+callCoreWeight*float64(blockedOnCalls) < float64(c.concurrencyLimit) &&
 		float64(started) <= maxOthersStarted
 }
 
-// startRuns starts what is queued, oldest first, then resumes what is paused.
+// startRuns starts queued requests, oldest first, and then resumes paused requests.
 func (c *Controller) startRuns() {
 	for _, from := range []phase{phaseQueued, phasePaused} {
 		for _, r := range c.requests {
@@ -62,11 +61,11 @@
 	c.changePhase(r, transitionRun)
 }
 
-// adjustConcurrencyLimit moves c at a gauge tick. It grows by the free cores, less a part
-// for calls in flight: growth by one a gauge tick would reject requests for seconds
-// while cores idle. It shrinks to the cores while they are busy, and
-// below while requests wait long to be read: reading shares the cores, and
-// once it falls behind every request is read too late.
+// adjustConcurrencyLimit adjusts c at a gauge tick. The limit grows by the number of idle cores,
+// less a reserve for calls in flight: a growth of one per gauge tick would reject requests for
+// seconds while cores are idle. While the cores are busy the limit shrinks to the number of cores.
+// It shrinks further while requests wait too long to be read: reading competes with runs for the
+// cores, and once it falls behind, every request is read too late.
 func (c *Controller) adjustConcurrencyLimit(g Gauges) {
 	cores := c.settings.Cores
 	free := int(float64(cores) - g.RunQueue - callCoreWeight*float64(c.phaseCounts[phaseInCall]))
--- a/admission/doc.go
+++ b/admission/doc.go
@@ -1,21 +1,19 @@
-// Package admission decides, inside one server, which requests are admitted,
-// queued, run, rejected or failed when there is more work than the server can
-// do.
+// Package admission decides, for one server, which requests are admitted, queued, run, rejected or
+// failed when the load exceeds the server's capacity.
 //
-// A server owns one [Controller]. It reports what happened with
-// [Controller.Handle] and carries out the returned actions in order, at the same
-// instant. The events of one call of Handle are a batch. The controller has no clock, goroutine, I/O or global state: the
-// server owns the clock, calls must be serialised, and equal calls give equal
-// actions, bit for bit. The order of floating-point operations is part of that.
+// A server owns one [Controller]. It passes events to [Controller.Handle] and executes the returned
+// actions in order, at the same clock time. The events of one call of Handle form a batch. The
+// controller has no clock, goroutine, I/O or global state: the server owns the clock and serialises
+// the calls. Equal sequences of calls return bit-identical actions, so the order of floating-point
+// operations must not change.
 //
-// Every [Arrival] obliges the server to hold the request until an action starts
-// or answers it; a request without an action stays queued. Each [Run] that
-// starts a run, and each [ShareResult], is followed by one [Completed].
-// [SetTimer] asks for one [TimerFired] event, which must carry the server's
-// gauges; the first one in each 250 ms is a gauge tick, at which the decisions that hold
-// until the next tick are made.
+// After an [Arrival] the server must hold the request until an action starts or answers it; a
+// request without an action stays queued. The server reports one [Completed] for each run that a
+// [Run] starts and for each [ShareResult]. [SetTimer] requests one [TimerFired] event, which must
+// carry the server's gauges. The first TimerFired in each 250 ms is a gauge tick: it updates the
+// decisions that hold until the next gauge tick.
 //
-// Admission follows UCRL-AC of "Reinforcement Learning and Regret Bounds for
-// Admission Control"; comments cite its equations, propositions and sections.
-// Each decision stands in a file of its own, with its constants.
+// The admission policy is UCRL-AC from the paper "Reinforcement Learning and Regret Bounds for
+// Admission Control"; comments cite the paper's equations, propositions and sections. Each file
+// holds one decision and its constants.
 package admission
--- a/admission/drain.go
+++ b/admission/drain.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Draining: after the notice that the server will be stopped, requests that
-// arrive within DrainGracePeriod still run, later ones are rejected, and all are
-// answered before the stop. Health turns bad at once.
+// Draining: after the shutdown signal, requests that arrive within DrainGracePeriod still run and
+// later requests are rejected. All requests are answered before the server is stopped. The server
+// reports itself unhealthy immediately.
 
-// responseMarginBeforeStop is the time before the stop by which all is answered.
+// responseMarginBeforeStop is how long before the server is stopped all requests must be answered.
 const responseMarginBeforeStop = 40 * time.Millisecond
 
-// startDraining begins to startDraining; a second notice is ignored.
+// startDraining starts the drain; a second Drain event is ignored.
 func (c *Controller) startDraining(e Drain) {
 	if c.draining {
 		return
@@ -23,14 +23,14 @@
 	c.emit(SetHealth{Healthy: false, Cached: true})
 }
 
-// responseCutoff is the clock time by which a draining server has answered all.
+// responseCutoff is the clock time by which a draining server must have answered all requests.
 func (c *Controller) responseCutoff() time.Duration {
 	return max(c.now, c.stopAt-responseMarginBeforeStop)
 }
 
-// arrivedAfterDrainGrace reports whether a request arrived too late to run. A stop that
-// comes before the end of the grace does not shorten it here; the server closes its
-// listeners by then (internal/proxy/dispatch/drain.go).
+// arrivedAfterDrainGrace reports whether a request arrived too late to run. The grace period is not
+// shortened if the server is stopped before its end; the server closes its listeners by then
+// (internal/proxy/dispatch/drain.go).
 func (c *Controller) arrivedAfterDrainGrace(r *request) bool {
 	return c.draining && r.arrivedAt > c.drainStartedAt+c.settings.DrainGracePeriod
 }
--- a/admission/duplicates.go
+++ b/admission/duplicates.go
@@ -5,26 +5,25 @@
 	"time"
 )
 
-// Duplicates: a request is found to repeat another by the stored key of that one
-// (DuplicateOf), and shares its result. It is never run. A hedged request is a
-// duplicate only if it carries the key of a stored request; without one it is a
-// request of its own.
+// Duplicates: a request is a duplicate if it carries the stored key of an earlier request, its
+// original (DuplicateOf). A duplicate never runs; it shares the result of its original. A hedged
+// request without the key of a stored request is an independent request.
 
-// minFreeMemoryForReadKeys is the fraction of the memory that must stay free for the
-// key of a plain read to be stored: it only saves work.
+// minFreeMemoryForReadKeys is the fraction of the memory that must be free before the key of a read
+// is stored. Such a key is an optimisation and not needed for correctness.
 const minFreeMemoryForReadKeys = 0.5
 
-// storedKey is the key of a request, by which its duplicates are found.
+// storedKey is the key of a request, by which its duplicates are recognised.
 type storedKey struct {
 	id        uint32
 	expiresAt time.Duration // clock time
 }
 
-// decideDuplicate answers a request that repeats a stored one, its original. An
-// original of the same batch is decided first. The duplicate is rejected if the
-// original ended without a run in this batch, and fails if memory has run out or
-// its own time has. Otherwise it shares the result, also of an original that the
-// controller has forgotten: the server still has the result of that one's key.
+// decideDuplicate answers a duplicate. An original in the same batch is decided first. The
+// duplicate is rejected if its original finished without a run in this batch, and fails if the
+// memory is exhausted or the duplicate has expired. Otherwise it shares the original's result, even
+// if the controller has removed the original: the server still stores the result under the
+// original's key.
 func (c *Controller) decideDuplicate(r *request) {
 	original := c.byID[r.duplicateOf]
 	if original != nil && original.phase == phaseUndecided {
@@ -42,9 +41,9 @@
 	c.changePhase(r, transitionShareResult)
 }
 
-// storeKeyIfNeeded stores the key of an admitted request: for deduplicated classes
-// always, for reads whose results may be shared while memory is ample. free is
-// the memory left after the admission.
+// storeKeyIfNeeded stores the key of an admitted request. Keys of Deduplicated classes are always
+// stored. Keys of reads whose results may be reused are stored while enough memory is free. free is
+// the memory left after the admission, in kB.
 func (c *Controller) storeKeyIfNeeded(r *request, free float64) {
 	class := &c.settings.Classes[r.class]
 	switch {
@@ -62,7 +61,7 @@
 	c.emit(StoreKey{r.id, ttl})
 }
 
-// evictKeyIfNeverRun drops the key of a request that never ran.
+// evictKeyIfNeverRun evicts the key of a request that never ran.
 func (c *Controller) evictKeyIfNeverRun(r *request) {
 	if !r.keyStored || r.everRan {
 		return
@@ -72,7 +71,7 @@
 	c.storedKeys = slices.DeleteFunc(c.storedKeys, func(k storedKey) bool { return k.id == r.id })
 }
 
-// expireKeys forgets the keys whose time is over; the server drops them by itself.
+// expireKeys removes expired keys; the server expires its own copies itself.
 func (c *Controller) expireKeys() {
 	c.storedKeys = slices.DeleteFunc(c.storedKeys, func(k storedKey) bool { return k.expiresAt <= c.now })
 }
--- a/admission/estimator.go
+++ b/admission/estimator.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// confidenceScale scales ε and the radius of the class shares. With the paper's
-// constant, 1, the intervals stay as wide as [Λmin, Λmax] for minutes.
+// confidenceScale scales ε and the radius of the confidence set of the class shares. With the
+// paper's constant, 1, the confidence intervals stay as wide as [Λmin, Λmax] for minutes.
 const confidenceScale = 1.0 / 64
 
-// arrivalEstimator estimates the arrival rate Λ and the class shares p̂ from the
-// arrivals of one episode (section 4). Rates are in requests per second.
+// arrivalEstimator estimates the arrival rate Λ from the arrivals of the current episode and the
+// class shares p̂ from those of all episodes (section 4). Rates are in requests per second.
 type arrivalEstimator struct {
 	episode         int           // k, from 1
-	startedAt       time.Duration // clock time at which the episode began
-	length          time.Duration // tk
-	arrivals        int           // τ: arrivals in the episode
-	meanGap         float64       // 1/Λ̂ in seconds, the truncated mean of equation 10
-	lastArrival     time.Duration // clock time
-	classCounts     []float64     // arrivals by class, over all episodes
+	startedAt       time.Duration // clock time at which the episode started
+	length          time.Duration // tk: length of the episode
+	arrivals        int           // τ: number of arrivals in the episode
+	meanGap         float64       // 1/Λ̂: mean interarrival time in seconds, truncated by equation 10
+	lastArrival     time.Duration // clock time of the latest arrival
+	classCounts     []float64     // number of arrivals by class, over all episodes
 	totalCount      float64       // sum of classCounts
 	minRate         float64       // Λmin
 	maxRate         float64       // Λmax
 	logInverseDelta float64       // log 1/δk
 }
 
-// startEpisode resets the mean gap and sets δk = 1/(μ·tk) (algorithm 3).
+// startEpisode resets the mean interarrival time and sets δk = 1/(μ·tk) (algorithm 3).
 func (e *arrivalEstimator) startEpisode(now, length time.Duration, serviceRate, minRate, maxRate float64) {
 	e.episode++
 	e.startedAt = now
@@ -37,7 +37,8 @@
 	e.logInverseDelta = math.Max(1, math.Log(serviceRate*length.Seconds()))
 }
 
-// observe counts an arrival. Gaps beyond the bound of equation 10 count as 0.
+// observe counts an arrival. Interarrival times beyond the truncation bound of equation 10 count as
+// 0.
 func (e *arrivalEstimator) observe(at time.Duration, class int) {
 	gap := math.Max(0, (at - e.lastArrival).Seconds())
 	e.lastArrival = max(e.lastArrival, at)
@@ -50,8 +51,8 @@
 	e.meanGap += (gap - e.meanGap) / float64(e.arrivals)
 }
 
-// withdrawArrival undoes observe for an arrival that turned out to be no request to
-// run. The gaps before and after it become one gap.
+// withdrawArrival reverts observe for an arrival that was canceled before it ran or could not be
+// started. The interarrival times before and after the arrival are merged.
 func (e *arrivalEstimator) withdrawArrival(at time.Duration, class int) {
 	e.classCounts[class]--
 	e.totalCount--
@@ -61,7 +62,8 @@
 	}
 }
 
-// rateUpperBound is Λ̃, the upper bound of Λ by proposition 7.1, from the episode so far.
+// rateUpperBound is Λ̃, the upper confidence bound of Λ by proposition 7.1, from the arrivals of
+// the current episode.
 func (e *arrivalEstimator) rateUpperBound() float64 {
 	if e.arrivals == 0 || e.meanGap <= 0 {
 		return e.maxRate
@@ -75,10 +77,10 @@
 	return math.Max(bound, e.minRate)
 }
 
-// classShares are p̂(i) and the L1 radius of their confidence set (equation 9).
-// Without arrivals the shares are equal and the set holds every distribution.
+// classShares returns p̂(i) and the L1 radius of its confidence set (equation 9). Without arrivals
+// the shares are equal and the set contains every distribution.
 func (e *arrivalEstimator) classShares() (shares []float64, radius float64) {
-	const maxL1Distance = 2 // the greatest L1 distance of two distributions
+	const maxL1Distance = 2 // the maximum L1 distance between two distributions
 	shares = make([]float64, len(e.classCounts))
 	if e.totalCount == 0 {
 		for i := range shares {
--- a/admission/idletimeout.go
+++ b/admission/idletimeout.go
@@ -2,27 +2,29 @@
 
 import "time"
 
-// The idle timeout of connections, set at each gauge tick. With many callers
-// each one seldom sends again soon, and an idle connection costs core time and a
-// place in the connection table: it is closed at once. While nearly all requests
-// are rejected, opening connections costs more: then they stay open, and a full
-// table rejects callers at no cost to the cores.
+// The idle timeout of connections, updated at each gauge tick. With many callers, each caller
+// seldom sends its next request soon, and its idle connection costs CPU time and a slot in the
+// connection table, so idle connections are closed quickly. While nearly all requests are rejected,
+// accepting new connections costs more than keeping idle ones: connections stay open, and a full
+// connection table rejects callers without CPU cost.
 
 const (
-	// maxCallersPerCore: with no more callers than this per core, connections stay open.
+	// maxCallersPerCore is the number of callers per core up to which no idle timeout is set.
 	maxCallersPerCore = 16
-	// minIdleTimeout is the shortest timeout that may be set.
+	// minIdleTimeout is the minimum idle timeout.
 	minIdleTimeout = 10 * time.Millisecond
-	// growIdleRejectedFraction is the fraction of rejected requests above which the timeout grows.
+	// growIdleRejectedFraction is the fraction of rejected requests above which the idle timeout
+	// grows.
 	growIdleRejectedFraction = 0.85
-	// shrinkIdleRejectedFraction is the fraction below which it shrinks.
+	// shrinkIdleRejectedFraction is the fraction of rejected requests below which the idle timeout
+	// shrinks.
 	shrinkIdleRejectedFraction = 0.5
-	// idleGrowthFactor per gauge tick, and idleShrinkDivisor: a tenth per gauge tick.
+	// The idle timeout grows by idleGrowthFactor, or shrinks by 1/idleShrinkDivisor of itself, per gauge tick.
 	idleGrowthFactor  = 4
 	idleShrinkDivisor = 10
 )
 
-// updateIdleTimeout sets an idle timeout that has changed.
+// updateIdleTimeout sets the idle timeout if it has changed.
 func (c *Controller) updateIdleTimeout() {
 	if c.settings.Callers <= maxCallersPerCore*c.settings.Cores {
 		return
--- a/admission/memory.go
+++ b/admission/memory.go
@@ -1,13 +1,14 @@
 package admission
 
-// Memory accounting, in kB: a request takes its own memory while it waits and
-// RunMemoryFactor times that from its start to its end; a stored key takes
-// KeyMemoryKB. A server that needs more than MemoryKB dies.
+// Memory accounting, in kB. A request occupies its own memory while it is queued, and
+// RunMemoryFactor times that from the start of its run to its end. A stored key occupies
+// KeyMemoryKB. A server that exceeds MemoryKB is killed.
 
-// usableMemoryFraction is the fraction of the memory that is used; the rest is a reserve.
+// usableMemoryFraction is the fraction of MemoryKB that requests and keys may occupy; the rest is a
+// reserve.
 const usableMemoryFraction = 0.92
 
-// occupiedMemory is the memory that a request occupies in its phase.
+// occupiedMemory is the memory that a request occupies in its current phase.
 func (c *Controller) occupiedMemory(r *request) float64 {
 	switch r.phase {
 	case phaseFinished:
@@ -18,19 +19,20 @@
 	return r.memoryKB * c.settings.RunMemoryFactor
 }
 
-// freeMemory is the usable memory that is neither taken nor reserved, in kB. It may
-// be negative.
+// freeMemory is the usable memory that requests and stored keys don't occupy, in kB. It may be
+// negative.
 func (c *Controller) freeMemory() float64 {
 	keys := float64(len(c.storedKeys)) * c.settings.KeyMemoryKB
 	return c.settings.MemoryKB*usableMemoryFraction - c.requestsKB - keys
 }
 
-// memoryToStart is what a request takes beyond its queued memory when it starts.
+// memoryToStart is the memory that the start of a run adds to the request's queued memory.
 func (c *Controller) memoryToStart(r *request) float64 {
 	return r.memoryKB * (c.settings.RunMemoryFactor - 1)
 }
 
-// memoryToAdmit is what the admission of a request will take, with its key.
+// memoryToAdmit is the additional memory that a request needs to be admitted and run, including its
+// key.
 func (c *Controller) memoryToAdmit(r *request) float64 {
 	need := c.memoryToStart(r)
 	if c.settings.Classes[r.class].ExecutionSemantics == Deduplicated {
--- a/admission/policy.go
+++ b/admission/policy.go
@@ -6,26 +6,28 @@
 	"sort"
 )
 
-// The admission MDP and its policy iteration PI-B (sections 2, 3 and 5).
+// The admission Markov decision process (MDP) and its solution by the policy iteration PI-B
+// (sections 2, 3 and 5).
 //
-// A server is an M/M/c/S queue with classes. Its state s is the number of
-// requests queued or running. The planner finds the policy with the greatest
-// mean reward per second; its inputs are the fields of admissionModel.
+// A server is modelled as an M/M/c/S queue with several classes of requests. The state s is the
+// number of requests queued or running. Policy iteration finds the policy with the maximum mean
+// reward per second (gain) for the model that the fields of admissionModel describe.
 
 const (
-	// maxPolicyIterations bounds the rounds of policy iteration.
+	// maxPolicyIterations bounds the number of iterations of policy iteration.
 	maxPolicyIterations = 60
-	// tieTolerance is the relative difference below which a reward equals the bias.
+	// tieTolerance is the relative difference below which a reward counts as equal to the bias
+	// difference.
 	tieTolerance = 1e-9
-	// rescaleWeight is the weight of a state beyond which the sums of equation 11
-	// are scaled down, before a product can overflow.
+	// rescaleWeight is the unnormalised state probability above which the sums of equation 11 are
+	// scaled down, to prevent an overflow.
 	rescaleWeight = 1e100
 )
 
 // admissionModel is the MDP of one server.
 type admissionModel struct {
-	concurrency int       // c: requests that run at once
-	maxState    int       // S: requests queued or running, at most
+	concurrency int       // c: maximum number of concurrent runs
+	maxState    int       // S: maximum number of requests queued or running
 	serviceRate float64   // μ: completions per second of one run
 	arrivalRate float64   // Λ̃: requests per second
 	classShares []float64 // p̂(i): fraction of the arrivals, by class
@@ -36,16 +38,16 @@
 	rewards [][]float64 // r(i)(s), by state and class
 }
 
-// policy is a solved model: class i is admitted in state s while r(i)(s) ≥ bias[s].
+// policy is the solution of a model: class i is admitted in state s if r(i)(s) ≥ bias[s].
 type policy struct {
 	gain       float64   // ρ: mean reward per second
-	bias       []float64 // ∇h(s) for s = 0 … S-1
-	iterations int       // of policy iteration
+	bias       []float64 // bias differences ∇h(s) for s = 0 … S-1
+	iterations int       // number of policy iterations
 	model      admissionModel
 }
 
-// expectedWait is E[W(s)] in seconds: the mean of Erlang(s-c+1, cμ), the wait of
-// a request that is admitted in state s.
+// expectedWait is E[W(s)] in seconds: the mean of Erlang(s-c+1, cμ), which is the waiting time of a
+// request that is admitted in state s.
 func expectedWait(state, concurrency int, serviceRate float64) float64 {
 	if state < concurrency {
 		return 0
@@ -53,10 +55,9 @@
 	return float64(state-concurrency+1) / (float64(concurrency) * serviceRate)
 }
 
-// optimisticShares moves up to radius/2 of probability from the class of the
-// least reward to that of the greatest, which gives the greatest gain within
-// the confidence set (theorem 4.3). byReward orders the classes by reward,
-// greatest first.
+// optimisticShares shifts up to radius/2 of probability from the classes with the smallest reward
+// to the class with the greatest reward, which maximises the gain over the confidence set (theorem
+// 4.3). byReward lists the classes by decreasing reward.
 func optimisticShares(shares []float64, radius float64, byReward []int) []float64 {
 	tilted := slices.Clone(shares)
 	best := byReward[0]
@@ -71,7 +72,7 @@
 	return tilted
 }
 
-// fillRatesAndRewards fills the rates and rewards of each state.
+// fillRatesAndRewards computes the arrival rates and rewards of each state and class.
 func (m *admissionModel) fillRatesAndRewards() {
 	classes := len(m.classShares)
 	byReward := make([]int, classes)
@@ -93,8 +94,8 @@
 	}
 }
 
-// iteratePolicy runs PI-B until a round changes no decision. The first round never ends
-// it: the bias that it starts from is 0 in every state, and no policy's.
+// iteratePolicy runs PI-B until an iteration leaves the policy unchanged. The first iteration never
+// ends it: its initial bias is 0 in every state and is not the bias of any policy.
 func iteratePolicy(m admissionModel) policy {
 	m.fillRatesAndRewards()
 	p := policy{bias: make([]float64, m.maxState), model: m}
@@ -109,7 +110,7 @@
 	}
 }
 
-// samePolicy reports whether both biases accept the same classes in every state.
+// samePolicy reports whether both biases admit the same classes in every state.
 func (m *admissionModel) samePolicy(a, b []float64) bool {
 	for s := range m.maxState {
 		for i := range m.classShares {
@@ -121,7 +122,7 @@
 	return true
 }
 
-// threshold is the first state in which the class is rejected.
+// threshold is the lowest state in which the class is rejected.
 func (p *policy) threshold(class int) int {
 	s := 0
 	for s < p.model.maxState && p.model.admits(class, s, p.bias[s]) {
@@ -130,7 +131,8 @@
 	return s
 }
 
-// admits breaks ties, and rounding errors, in favour of the class.
+// admits reports whether the policy with the given bias difference admits the class in the state.
+// Ties and rounding errors are resolved in favour of the class.
 func (m *admissionModel) admits(class, state int, bias float64) bool {
 	return m.rewards[state][class] >= bias-tieTolerance*(1+math.Abs(bias))
 }
@@ -140,7 +142,7 @@
 	return float64(min(state, m.concurrency)) * m.serviceRate
 }
 
-// evaluate fills next with ∇h of the policy that accepts by prev, and returns its gain ρ.
+// evaluate sets next to ∇h of the policy that prev defines and returns the gain ρ of that policy.
 func (m *admissionModel) evaluate(prev, next []float64) (gain float64) {
 	rate, reward := m.admittedRates(prev)
 	gain = m.gain(rate, reward)
@@ -148,8 +150,8 @@
 	return gain
 }
 
-// admittedRates returns Λπ(s), arrivals admitted per second, and Rπ(s), reward per
-// second, of the policy that accepts by bias (equation 1).
+// admittedRates returns, by state, the rate Λπ(s) of admitted requests per second and the reward
+// rate Rπ(s) per second of the policy that the bias defines (equation 1).
 func (m *admissionModel) admittedRates(bias []float64) (rate, reward []float64) {
 	rate = make([]float64, m.maxState+1)
 	reward = make([]float64, m.maxState+1)
@@ -164,7 +166,7 @@
 	return rate, reward
 }
 
-// gain is ρ by equation 11: the mean of Rπ(s) over the stationary distribution.
+// gain is ρ by equation 11: the mean of Rπ(s) over the stationary distribution of the states.
 func (m *admissionModel) gain(rate, reward []float64) float64 {
 	weight, sum, total := 1.0, 0.0, 0.0
 	for s := 0; s <= m.maxState; s++ {
@@ -182,9 +184,9 @@
 	return sum / total
 }
 
-// solveBias solves equation 3 for ∇h(s). The recursion damps rounding errors
-// upward while the arrival rate exceeds the departure rate, and downward above
-// that state, so it runs from both ends.
+// solveBias solves equation 3 for ∇h(s). The recursion in increasing s damps rounding errors while
+// the arrival rate exceeds the departure rate, and the recursion in decreasing s damps them in the
+// other states. solveBias therefore runs both recursions, which meet at meetingState.
 func (m *admissionModel) solveBias(bias, rate, reward []float64, gain float64) {
 	meetingState := 0
 	for meetingState < m.maxState && rate[meetingState] > m.departureRate(meetingState) {
--- a/admission/preempt.go
+++ b/admission/preempt.go
@@ -1,14 +1,14 @@
 package admission
 
-// preemptAfterMeanRuns is the age of a run, in mean runs of its class, from which
-// it is preempted: nine in ten are shorter.
+// preemptAfterMeanRuns is the run time, as a multiple of the mean run time of the class, above
+// which a run may be preempted. Nine in ten runs are shorter.
 const preemptAfterMeanRuns = 3.0
 
-// preemptLongRun pauses a run that is far longer than the mean of its class, for
-// a request that finds the limit reached, and reports whether it did. Where work
-// is uneven the longest runs hold most of a small server, and those that ran
-// long have longest to go. It needs PreemptionPause; where weight counts per
-// work, long runs earn what they take.
+// preemptLongRun pauses a run that is much longer than the mean of its class, for a request that
+// finds the concurrency limit reached, and reports whether it did. If run times vary widely, the
+// longest runs occupy most cores of a small server, and a run that has been long has the longest
+// expected remaining time. Preemption needs PreemptionPause. It is disabled with WeightPerWork,
+// where a long run earns in proportion to its work.
 func (c *Controller) preemptLongRun() bool {
 	if c.settings.Preemption != PreemptionPause || c.settings.WeightPerWork {
 		return false
@@ -24,8 +24,8 @@
 	return false
 }
 
-// stopRun frees the cores of a run whose answer is given. A deduplicated run
-// goes on: its next duplicate shares the result.
+// stopRun stops a run that needs no response any more. The run of a Deduplicated request continues,
+// because its next duplicate shares the result.
 func (c *Controller) stopRun(r *request) {
 	if c.settings.Preemption != PreemptionNone && c.settings.Classes[r.class].ExecutionSemantics != Deduplicated {
 		c.emit(Preempt{r.id})
--- a/admission/quota.go
+++ b/admission/quota.go
@@ -2,19 +2,20 @@
 
 import "math"
 
-// Tenant quotas: a request of a tenant beyond its quota earns a fraction of its
-// class's weight. Inputs: QuotaPerSecond of the tenants, OverQuotaFraction, and
-// the tenants of the arrivals here.
+// Tenant quotas: a request of a tenant over its quota earns a fraction of its class's priority
+// weight. Inputs: QuotaPerSecond of the tenants, OverQuotaFraction, and the tenants of the arrivals
+// at this server.
 
 const (
-	// tenantSmoothingFactor is the weight of one arrival in its tenant's fraction: an error of some 6 %.
+	// tenantSmoothingFactor is the weight of one arrival in the moving averages of the tenants'
+	// fractions. It leaves an error of some 6 %.
 	tenantSmoothingFactor = 0.003
-	// minTotalQuota in requests per second avoids a division by 0.
+	// minTotalQuota, in requests per second, prevents a division by 0.
 	minTotalQuota = 1e-9
 )
 
-// observeTenant counts an arrival in the tenants' fractions of the arrivals here. A
-// tenant that the settings don't have is not counted.
+// observeTenant counts an arrival in the tenants' fractions of the arrivals at this server. Unknown
+// tenants are not counted.
 func (c *Controller) observeTenant(tenant int) {
 	if tenant >= len(c.tenantArrivalFractions) {
 		return
@@ -25,10 +26,10 @@
 	c.tenantArrivalFractions[tenant] += tenantSmoothingFactor
 }
 
-// tenantWeightFraction is the fraction of its weight that a request of the tenant is
-// expected to earn. The server doesn't know the rates over all servers, so it compares
-// the tenants' fractions of its own arrivals, the request's included, with their
-// fractions of all quotas: a surge of all tenants puts none over its quota.
+// tenantWeightFraction is the expected fraction of its priority weight that a request of the tenant
+// earns. The server doesn't know the arrival rates over all servers. It therefore compares each
+// tenant's fraction of its own arrivals, including this request, with the tenant's fraction of all
+// quotas. A load increase of all tenants puts none of them over its quota.
 func (c *Controller) tenantWeightFraction(tenant int) float64 {
 	if tenant >= len(c.tenantArrivalFractions) {
 		return 1
--- a/admission/rejectreason.go
+++ b/admission/rejectreason.go
@@ -2,25 +2,25 @@
 
 import "fmt"
 
-// RejectReason is the rule that rejected a request. It is for the operators' log:
-// neither callers nor the simulator see it, and no decision uses it.
+// RejectReason is the rule that rejected a request. It is only for the operators' log: neither
+// callers nor the simulator receive it, and no decision uses it.
 type RejectReason uint8
 
-// The rules, by the decisions to which they belong: on a request that was just read
-// (decide), on a duplicate (decideDuplicate) and on one that waits (answerExpired).
-// A late request is one that can't be answered within its objective.
+// The rules, in the order of the decisions that use them: on a new request (decide), on a duplicate
+// (decideDuplicate) and on a queued request (rejectOrFailExpired). A late request is one that can't
+// be answered within its latency objective.
 const (
-	RejectReasonNone          RejectReason = iota // no rule rejects
-	RejectDrainGraceOver                          // arrived later than DrainGracePeriod after the notice
-	RejectMemoryFull                              // needs more memory than is free
-	RejectLateInDrain                             // late, and the server drains
-	RejectExpiredOnArrival                        // late, and read at its expiry or after it
-	RejectLateCallsBacklogged                     // late, and more requests wait for calls than may be in flight
-	RejectLateOverloaded                          // late, and many of the latest requests were rejected
-	RejectPolicy                                  // no core is free, and the policy keeps the room for others
-	RejectOriginalNotRun                          // duplicates a request that ended unrun in the same batch
-	RejectExpiredInQueue                          // was queued until its expiry
-	rejectReasonCount
+	RejectReasonNone          RejectReason = iota // no rule rejects the request
+	RejectDrainGraceOver                          // the request arrived later than DrainGracePeriod after the shutdown signal
+	RejectMemoryFull                              // the request needs more memory than is free
+	RejectLateInDrain                             // the request is late and the server drains
+	RejectExpiredOnArrival                        // the request is late and had expired when it was read
+	RejectLateCallsBacklogged                     // the request is late and more requests wait for calls than may be in flight
+	RejectLateOverloaded                          // the request is late and many recent requests were rejected
+	RejectPolicy                                  // no core is free and the policy admits only higher rewards
+	RejectOriginalNotRun                          // the original of the duplicate finished without a run in the same batch
+	RejectExpiredInQueue                          // the request expired while it was queued
+	rejectReasonCount                             // number of reasons
 )
 
 // rejectReasonNames are the names in the operators' log.
--- a/admission/request.go
+++ b/admission/request.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// phase is where a request stands on its way through the server.
+// phase is the state of a request between its arrival and its end.
 type phase uint8
 
 // The phases of a request.
 const (
-	phaseUndecided      phase = iota // read in this batch
+	phaseUndecided      phase = iota // arrived in this batch, not yet admitted or rejected
 	phaseQueued                      // admitted, waits for a core
-	phaseRunning                     // on the cores
+	phaseRunning                     // runs on a core
 	phasePaused                      // preempted, keeps its progress and memory
-	phaseAwaitingCall                // off the cores, its call is not yet made
-	phaseInCall                      // off the cores, its call is in flight
-	phaseAwaitingResult              // waits for the request that it duplicates
+	phaseAwaitingCall                // released its core, its call has not started
+	phaseInCall                      // released its core, its call is in flight
+	phaseAwaitingResult              // a duplicate that waits for the result of its original
 	phaseFinished
-	phaseCount
+	phaseCount // number of phases
 )
 
-// String returns the phase in lower case.
+// String returns the name of the phase in lower case.
 func (p phase) String() string {
 	names := [phaseCount]string{"undecided", "queued", "running", "paused", "awaiting call", "in call",
 		"awaiting result", "finished"}
@@ -31,10 +31,10 @@
 	return fmt.Sprintf("phase(%d)", uint8(p))
 }
 
-// transition is a change of phase.
+// transition is a change of a request's phase.
 type transition uint8
 
-// The steps of a request.
+// The transitions between phases.
 const (
 	transitionAdmit transition = iota
 	transitionShareResult
@@ -51,6 +51,7 @@
 // phaseSet is a set of phases.
 type phaseSet uint16
 
+// newPhaseSet returns the set of the given phases.
 func newPhaseSet(members ...phase) (set phaseSet) {
 	for _, p := range members {
 		set |= 1 << p
@@ -58,10 +59,9 @@
 	return set
 }
 
-// transitions holds all changes of phase: the phases that allow a step and the
-// phase that follows. A request may finish from any phase, and is forgotten at
-// the end of the batch; one that is preempted may have left the cores for a call
-// by the time that the server stops it.
+// transitions defines, for each transition, the phases in which it is allowed and the phase that
+// follows. A request may finish from any phase; it is removed at the end of the batch. A preempted
+// request may already wait for a call when the server confirms the preemption.
 var transitions = [...]struct {
 	from phaseSet
 	to   phase
@@ -79,32 +79,33 @@
 		phaseAwaitingResult, phaseFinished), phaseFinished},
 }
 
-// allowedFrom reports whether the step may be taken from the phase.
+// allowedFrom reports whether the transition is allowed in the phase.
 func (s transition) allowedFrom(p phase) bool { return transitions[s].from&(1<<p) != 0 }
 
-// request is one that the server holds, answered or not.
+// request is a request in the server, from its Arrival event until it finishes. It may already be
+// answered.
 type request struct {
 	id             uint32
 	class          int
-	weightFraction float64       // of its class's weight, by its tenant's quota
-	duplicateOf    uint32        // 0 if none
-	arrivedAt      time.Duration // clock time at which it reached the machine
-	deadline       time.Duration // clock time until which an answer is needed
-	objective      time.Duration // clock time until which an answer earns the full weight
-	memoryKB       float64       // while queued
+	weightFraction float64       // fraction of the class's priority weight that the request earns, by its tenant's quota
+	duplicateOf    uint32        // id of the request that this one duplicates; 0 if it is no duplicate
+	arrivedAt      time.Duration // clock time at which the request reached the machine
+	deadline       time.Duration // clock time by which a response is needed
+	objective      time.Duration // clock time by which a response earns the full priority weight
+	memoryKB       float64       // memory of the request while it is queued
 
 	phase     phase
-	everRan   bool // was started
-	preempted bool // Preempt was sent and is not yet confirmed, or it is paused
-	keyStored bool
-	settled   bool // answered, or canceled by its caller
+	everRan   bool // a run has been started
+	preempted bool // Preempt was sent and is not yet confirmed, or the request is paused
+	keyStored bool // the key of the request is in storedKeys
+	settled   bool // no response is needed any more: the request is answered, or canceled by its caller
 
-	earlierCoreTime     time.Duration // on the cores, before onCoresSince
-	currentRunStartedAt time.Duration // clock time; of a running request
+	earlierCoreTime     time.Duration // time spent running before currentRunStartedAt
+	currentRunStartedAt time.Duration // clock time of the latest transition to phaseRunning
 }
 
-// changePhase moves a request to its next phase, and accounts for its phase, memory and
-// core time.
+// changePhase moves a request to the phase that follows the transition and updates the phase
+// counts, the memory in use and the request's core time.
 func (c *Controller) changePhase(r *request, s transition) {
 	to := transitions[s].to
 	if r.phase == phaseRunning {
@@ -120,7 +121,7 @@
 	c.requestsKB += c.occupiedMemory(r)
 }
 
-// totalCoreTime is how long a running request has been on the cores.
+// totalCoreTime is how long a running request has been running in total.
 func (c *Controller) totalCoreTime(r *request) time.Duration {
 	return r.earlierCoreTime + c.now - r.currentRunStartedAt
 }
--- a/admission/reward.go
+++ b/admission/reward.go
@@ -2,15 +2,15 @@
 
 import "math"
 
-// The reward r(i)(s) = R(i) - γ(i)·E[W(s)] of admitting a request (section 2.1).
-// R(i) is the weight of its class; γ(i) is such that a wait up to the objective
-// costs all of it.
+// The reward r(i)(s) = R(i) - γ(i)·E[W(s)] of admitting a request of class i in state s (section
+// 2.1). R(i) is the weight of the class; γ(i) is chosen so that a wait until the latency objective
+// reduces the reward to 0.
 
-// objectiveMargin is the fraction of an objective that is reserved for the way to
-// the client and back.
+// objectiveMargin is the fraction of the latency objective that is reserved for the network round
+// trip to the client.
 const objectiveMargin = 0.05
 
-// classRewards returns R(i) and γ(i), weight and cost per second of waiting, by class.
+// classRewards returns, by class, the weight R(i) and the cost γ(i) per second of waiting.
 func (c *Controller) classRewards(shares []float64) (weights, costs []float64) {
 	meanRun := 0.0
 	for i, share := range shares {
@@ -21,7 +21,7 @@
 	for i := range shares {
 		class := &c.settings.Classes[i]
 		weights[i] = class.PriorityWeight * c.runTimes.successFraction[i]
-		if !c.settings.WeightPerWork { // the model has one μ: a long class is worth less per run
+		if !c.settings.WeightPerWork { // the model has a single μ: scale down the weight per run of classes with long runs
 			weights[i] *= meanRun / c.runTimes.meanRunSeconds[i]
 		}
 		objective := class.LatencyObjective.Seconds()
@@ -31,10 +31,11 @@
 	return weights, costs
 }
 
-// lateReward is the reward of a request that can't be answered within its objective.
+// lateReward is the reward of a request that can't be answered within its latency objective.
 const lateReward = -1
 
-// reward is r(i)(s) of one request, with the time that remains until its objective.
+// reward is r(i)(s) of a single request, computed with the time that remains until its own latency
+// objective.
 func (c *Controller) reward(r *request, state int) float64 {
 	budget := (min(r.objective, r.deadline) - c.now).Seconds() - c.runTimes.meanRunSeconds[r.class]
 	if budget <= 0 {
--- a/admission/runtimes.go
+++ b/admission/runtimes.go
@@ -2,33 +2,36 @@
 
 import "math"
 
-// Run time estimates: the service rate μ, and per class the mean run time and
-// the fraction of runs that answer their client.
+// Run time estimates: the service rate μ and, per class, the mean run time and the fraction of runs
+// that successfully answer their caller.
 
 const (
-	// initialRunsPerObjective is the first guess: an objective is this many mean runs.
+	// initialRunsPerObjective is the initial estimate of the latency objective as a multiple of the
+	// mean run time.
 	initialRunsPerObjective = 6.0
-	// priorRuns is the number of completed runs that the first guess counts for.
+	// priorRuns is the number of completed runs that the initial estimate counts for.
 	priorRuns = 3.0
-	// maxRememberedRuns is how many completed runs μ remembers: an error of 1/√40.
+	// maxRememberedRuns is the number of completed runs over which μ is estimated. It leaves a
+	// relative error of 1/√40.
 	maxRememberedRuns = 40.0
-	// toleratedMissedRuns is how many expected completions may be missing
-	// before μ is lowered.
+	// toleratedMissedRuns is the number of overdue completions above which the estimate of μ is
+	// lowered.
 	toleratedMissedRuns = 5.0
-	// minSuccessFraction is the success of a class whose runs all fail: above 0, so
-	// that it can recover.
+	// minSuccessFraction is the success fraction of a class whose runs all fail. It is above 0 so that
+	// the class is admitted again after it recovers.
 	minSuccessFraction = 0.1
-	// minRunSeconds in run-seconds avoids a division by 0.
+	// minRunSeconds, in run-seconds, prevents a division by 0.
 	minRunSeconds = 1e-9
 )
 
-// runTimes holds the estimates. Run-seconds are seconds times runs on the cores.
+// runTimes holds the estimates. Run-seconds are seconds multiplied by the number of running
+// requests.
 type runTimes struct {
-	completed           float64   // runs completed, fading
-	runSeconds          float64   // run-seconds on the cores, fading
-	runSecondsSinceExit float64   // run-seconds since a run last left the cores
-	meanRunSeconds      []float64 // mean seconds on the cores, by class
-	successFraction     []float64 // fraction of runs whose client got an answer, by class
+	completed           float64   // number of completed runs; limitHistory discounts older runs
+	runSeconds          float64   // run-seconds of completed and current runs; limitHistory discounts older runs
+	runSecondsSinceExit float64   // run-seconds since a run last released its core
+	meanRunSeconds      []float64 // moving average of the run time in seconds, by class
+	successFraction     []float64 // moving average of the fraction of runs that answered their caller successfully, by class
 }
 
 func newRunTimes(classes []Class) runTimes {
@@ -45,13 +48,14 @@
 	return t
 }
 
-// addRunSeconds adds the time that runs spent on the cores.
+// addRunSeconds adds run-seconds that have passed.
 func (t *runTimes) addRunSeconds(runSeconds float64) {
 	t.runSeconds += runSeconds
 	t.runSecondsSinceExit += runSeconds
 }
 
-// resetMissedRuns is called when a run leaves the cores, and when one starts on empty cores.
+// resetMissedRuns is called when a run releases its core, and when a run starts while no other is
+// running.
 func (t *runTimes) resetMissedRuns() { t.runSecondsSinceExit = 0 }
 
 // observe counts a run that ended by itself after the given seconds.
@@ -60,8 +64,8 @@
 	updateMean(&t.meanRunSeconds[class], seconds)
 }
 
-// observeSuccess notes whether a run answered its client. A class whose calls
-// fail must not crowd out the others.
+// observeSuccess records whether a run answered its caller successfully. A class whose calls fail
+// must not displace the other classes.
 func (t *runTimes) observeSuccess(class int, servedCaller bool) {
 	success := minSuccessFraction
 	if servedCaller {
@@ -70,7 +74,8 @@
 	updateMean(&t.successFraction[class], success)
 }
 
-// limitHistory limits the completed runs that are remembered.
+// limitHistory limits the number of completed runs in the estimate of μ, so that older runs lose
+// weight.
 func (t *runTimes) limitHistory() {
 	if t.completed > maxRememberedRuns {
 		t.runSeconds *= maxRememberedRuns / t.completed
@@ -78,8 +83,8 @@
 	}
 }
 
-// serviceRate is μ, completions per run-second. It is lowered when no run
-// has left the cores for much longer than it predicts: a hang or a sudden slowdown.
+// serviceRate is μ, in completions per run-second. The estimate is lowered if no run has released
+// its core for much longer than it predicts, which indicates a hang or a sudden slowdown.
 func (t *runTimes) serviceRate() float64 {
 	rate := t.completed / t.runSeconds
 	if t.missedRuns() > toleratedMissedRuns {
@@ -88,7 +93,8 @@
 	return rate
 }
 
-// missedRuns is how many runs should have left the cores since the last one did.
+// missedRuns is the number of overdue completions: how many runs should have released their cores
+// since the last one did.
 func (t *runTimes) missedRuns() float64 {
 	return t.runSecondsSinceExit * t.completed / math.Max(t.runSeconds-t.runSecondsSinceExit, minRunSeconds)
 }
--- a/admission/timers.go
+++ b/admission/timers.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Timers: the gauge tick, and the timer that wakes the controller.
+// Timers: the gauge tick, and the timer for the next due time.
 
 const (
-	// gaugeInterval is the time between gauge ticks: twice per averaging time of the gauges.
+	// gaugeInterval is the time between gauge ticks: half of the averaging time of the gauges.
 	gaugeInterval = 250 * time.Millisecond
-	// minTimerDelay is the least time of a timer where MinInterval is 0.
+	// minTimerDelay is the minimum delay of a timer if MinInterval is 0.
 	minTimerDelay = time.Microsecond
 )
 
-// handleTimerFired forgets the timer if it is the latest one, and takes the gauges if a
-// gauge tick is due.
+// handleTimerFired clears the pending timer if the event is from the latest timer, and performs a
+// gauge tick if one is due.
 func (c *Controller) handleTimerFired(e TimerFired) {
 	if e.TimerID == c.timerID {
 		c.timerAt = 0
@@ -22,7 +22,7 @@
 	}
 }
 
-// gaugeTick makes the decisions that hold until the next tick.
+// gaugeTick updates the decisions that hold until the next gauge tick.
 func (c *Controller) gaugeTick(g Gauges) {
 	c.nextGaugeAt = c.now + gaugeInterval
 	c.expireKeys()
@@ -38,8 +38,8 @@
 	c.recentArrivals.startGaugeTick()
 }
 
-// armTimer asks for the earliest time at which something is due: the next gauge
-// tick or the expiry of a request. An earlier timer that is still pending is enough.
+// armTimer requests a timer for the earliest due time, which is the next gauge tick or the expiry
+// of a request. It requests none if an earlier timer is pending.
 func (c *Controller) armTimer() {
 	next := c.nextGaugeAt
 	for _, r := range c.requests {
