--- a/admission/admit.go
+++ b/admission/admit.go
@@ -72,8 +72,8 @@
 // lateRejectReason returns the reason to reject a late request, which is one that can't be answered
 // within its latency objective, or RejectReasonNone. A late request is rejected while the server
 // drains, if it has expired, while calls are backlogged, and while requests are queued or running
-// and more than lateRejectedFraction of the recent requests were rejected. Otherwise the policy
-// decides on it: its run provides a sample of the run time.
+// and more than lateRejectedFraction of the recent requests were rejected. Otherwise it may be
+// admitted, because its run provides a sample of the run time.
 func (c *Controller) lateRejectReason(r *request, state int) RejectReason {
 	switch {
 	case c.reward(r, state) >= 0:
--- a/admission/answers.go
+++ b/admission/answers.go
@@ -123,12 +123,12 @@
 func (c *Controller) updateEstimates(r *request, e Completed) {
 	switch r.phase {
 	case phaseRunning:
-		c.runTimes.resetMissedRuns()
+		c.runTimes.resetOverdueCompletions()
 		if e.Outcome == OutcomeOK || e.Outcome == OutcomeInternal {
 			c.runTimes.observe(r.class, e.Elapsed.Seconds())
 		}
 	case phaseInCall:
-		c.calls.recordAbandoned(c.now)
+		c.calls.recordAbandonedCall(c.now)
 	}
 	if r.phase != phaseAwaitingResult && e.Outcome != OutcomeNotStarted {
 		c.runTimes.observeSuccess(r.class, e.Outcome == OutcomeOK && !r.settled)
--- a/admission/calls.go
+++ b/admission/calls.go
@@ -55,8 +55,8 @@
 	l.savedCallSeconds = math.Min(maxSaved, l.savedCallSeconds+seconds*(l.quota*accruedQuotaFraction-used))
 }
 
-// recordAbandoned counts an abandoned call as in flight for abandonedCallTTL.
-func (l *callLimiter) recordAbandoned(now time.Duration) {
+// recordAbandonedCall counts an abandoned call as in flight for abandonedCallTTL.
+func (l *callLimiter) recordAbandonedCall(now time.Duration) {
 	l.abandonedExpireAt = append(l.abandonedExpireAt, now+l.abandonedCallTTL)
 }
 
@@ -140,7 +140,7 @@
 	if r == nil || !transitionNeedCall.allowedFrom(r.phase) {
 		return
 	}
-	c.runTimes.resetMissedRuns()
+	c.runTimes.resetOverdueCompletions()
 	c.changePhase(r, transitionNeedCall)
 }
 
@@ -160,7 +160,7 @@
 	}
 	c.changePhase(r, transitionCallFailed)
 	if e.Outcome == OutcomeDeadlineExceeded || e.Outcome == OutcomeAborted {
-		c.calls.recordAbandoned(c.now)
+		c.calls.recordAbandonedCall(c.now)
 	}
 	if !r.settled && !c.degrade(r) {
 		c.fail(r)
--- a/admission/concurrency.go
+++ b/admission/concurrency.go
@@ -53,7 +53,7 @@
 // run starts or resumes a request.
 func (c *Controller) run(r *request) {
 	if c.phaseCounts[phaseRunning] == 0 {
-		c.runTimes.resetMissedRuns()
+		c.runTimes.resetOverdueCompletions()
 	}
 	r.everRan = true
 	r.preempted = false
--- a/admission/controller_test.go
+++ b/admission/controller_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestUnexpectedEventsAreIgnored(t *testing.T) {
-	r := newDriver(t, nil)
+	r := newTestController(t, nil)
 	r.wantActions(r.handleAfter(0, Completed{ID: 7}, Canceled{7}, CallNeeded{7}, CallCompleted{ID: 7}, TimerFired{TimerID: 99}))
 	r.wantActions(r.handleAfter(0))
 }
@@ -35,16 +35,16 @@
 		return all
 	}
 	if a, b := replay(), replay(); !reflect.DeepEqual(a, b) {
-		t.Error("two runs of the same events differ")
+		t.Error("the same events returned different actions")
 	}
 }
 
 func TestSmallestServers(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
-		"one core and class":        func(s *Settings) { s.Cores, s.Classes = 1, s.Classes[:1] },
-		"survives one run per core": func(s *Settings) { s.Cores, s.MaxRunsPerCore = 1, 1 },
-		"cold to a stop":            func(s *Settings) { s.Cores, s.SlowStart, s.SlowStartMinSpeed = 1, true, 0 },
-		"deep checks":               func(s *Settings) { s.Cores, s.DeepHealthChecks = 1, true },
+		"one core and one class":    func(s *Settings) { s.Cores, s.Classes = 1, s.Classes[:1] },
+		"sustains one run per core": func(s *Settings) { s.Cores, s.MaxRunsPerCore = 1, 1 },
+		"slow start at zero speed":  func(s *Settings) { s.Cores, s.SlowStart, s.SlowStartMinSpeed = 1, true, 0 },
+		"deep health checks":        func(s *Settings) { s.Cores, s.DeepHealthChecks = 1, true },
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := testSettings()
@@ -55,18 +55,18 @@
 			}
 			first := c.Handle(time.Second, nil)
 			if !reflect.DeepEqual(first[0], SetHealth{Healthy: true, Cached: true}) {
-				t.Errorf("first action %#v, want health answered cheaply", first[0])
+				t.Errorf("first action %#v, want SetHealth with Healthy and Cached", first[0])
 			}
 			got := c.Handle(time.Second, []Event{newArrival(1, 0), newArrival(2, 0)})
 			if countActions[Run](got) != 1 {
-				t.Errorf("%v, want one run on the one core", got)
+				t.Errorf("actions %v, want one run on the only core", got)
 			}
 			got = c.Handle(time.Second+ms, []Event{Completed{ID: 1, Outcome: OutcomeOK}, newArrival(3, 0)})
 			if countActions[Run](got) != 1 {
-				t.Errorf("%v, want the next run", got)
+				t.Errorf("actions %v, want one run after the previous run completed", got)
 			}
 		})
 	}
-	r := newDriver(t, func(s *Settings) { s.MemoryKB = 11 }) // enough to queue a request, never to run it
+	r := newTestController(t, func(s *Settings) { s.MemoryKB = 11 }) // enough memory to queue a request, not to run it
 	r.wantActions(r.handleAfter(0, newArrival(1, 0)), Reject{ID: 1, Reason: RejectMemoryFull})
 }
--- a/admission/driver_test.go
+++ b/admission/driver_test.go
@@ -8,7 +8,8 @@
 
 const ms = time.Millisecond
 
-// testSettings are those of a small server: two cores, a class of low and one of high weight.
+// testSettings returns the settings of a small server with two cores, a class of low weight and a
+// class of high weight.
 func testSettings() Settings {
 	return Settings{
 		MinInterval: 2 * ms, Cores: 2, Servers: 4, Callers: 3,
@@ -23,14 +24,16 @@
 	}
 }
 
-// driver drives a controller by script.
-type driver struct {
+// testController is a controller with a clock that the test advances.
+type testController struct {
 	t          *testing.T
 	controller *Controller
 	now        time.Duration
 }
 
-func newDriver(t *testing.T, change func(*Settings)) *driver {
+// newTestController returns a testController with testSettings, modified by change if it is not
+// nil, after its first call of Handle.
+func newTestController(t *testing.T, change func(*Settings)) *testController {
 	t.Helper()
 	s := testSettings()
 	if change != nil {
@@ -40,14 +43,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &driver{t: t, controller: c, now: 100 * time.Second}
+	r := &testController{t: t, controller: c, now: 100 * time.Second}
 	r.controller.Handle(r.now, nil)
 	return r
 }
 
-// handleAfter moves the clock, hands over the events and returns the actions that
-// concern requests and signals, without timers and log messages.
-func (r *driver) handleAfter(after time.Duration, events ...Event) []Action {
+// handleAfter advances the clock, passes the events to Handle and returns the actions except
+// SetTimer and LogMessage.
+func (r *testController) handleAfter(after time.Duration, events ...Event) []Action {
 	r.now += after
 	var out []Action
 	for _, a := range r.controller.Handle(r.now, events) {
@@ -60,7 +63,7 @@
 	return out
 }
 
-func (r *driver) wantActions(got []Action, want ...Action) {
+func (r *testController) wantActions(got []Action, want ...Action) {
 	r.t.Helper()
 	if len(got) == 0 && len(want) == 0 {
 		return
@@ -74,7 +77,8 @@
 	return Arrival{ID: id, Class: class, Timeout: 2 * time.Second, MemoryKB: 10}
 }
 
-func (r *driver) fillCores() {
+// fillCores starts a run on each of the two cores.
+func (r *testController) fillCores() {
 	r.t.Helper()
 	r.wantActions(r.handleAfter(0, newArrival(901, 1), newArrival(902, 1)), Run{901}, Run{902})
 }
--- a/admission/episodes.go
+++ b/admission/episodes.go
@@ -29,7 +29,7 @@
 	// maxServiceRateDrift is the relative change of μ above which the policy is solved again. It
 	// exceeds the estimation error of μ.
 	maxServiceRateDrift = 0.25
-	// arrivalWindowGaugeTicks is the number of gauge ticks over which recent arrivals are counted: 1
+	// arrivalWindowGaugeTicks is the length of the arrival window in gauge ticks; 4 gauge ticks are 1
 	// s.
 	arrivalWindowGaugeTicks = 4
 	// maxStateFactor is S as a multiple of the number of runs that the server sustains: a request that
@@ -101,8 +101,8 @@
 // isBurst reports whether the recent arrival rate exceeds Λ̃ by more than random variation
 // explains. In the first episode Λ̃ is Λmax, which is not an estimate.
 func (c *Controller) isBurst(recent float64) bool {
-	planned := c.policy.model.arrivalRate
-	return c.estimator.episode > 1 && recent > planned+burstDeviations*math.Sqrt(planned)
+	plannedRate := c.policy.model.arrivalRate
+	return c.estimator.episode > 1 && recent > plannedRate+burstDeviations*math.Sqrt(plannedRate)
 }
 
 // serviceDrifted reports whether μ, by more than maxServiceRateDrift, or c differs from the value
@@ -127,18 +127,18 @@
 
 // solvePolicy solves the optimistic model (section 4.2) for the arrival rate Λ̃.
 func (c *Controller) solvePolicy(arrivalRate float64) {
-	shares, radius := c.estimator.classShares()
-	weights, costs := c.classRewards(shares)
+	probabilities, radius := c.estimator.classProbabilities()
+	weights, costs := c.classRewards(probabilities)
 	c.classWeights = weights
 	serviceRate := c.runTimes.serviceRate()
 	concurrency := c.concurrencyLimit
 	c.policy = iteratePolicy(admissionModel{
-		concurrency: concurrency,
-		maxState:    c.maxState(),
-		serviceRate: serviceRate,
-		arrivalRate: arrivalRate,
-		classShares: shares,
-		shareRadius: radius,
+		concurrency:        concurrency,
+		maxState:           c.maxState(),
+		serviceRate:        serviceRate,
+		arrivalRate:        arrivalRate,
+		classProbabilities: probabilities,
+		confidenceRadius:   radius,
 		reward: func(class, state int) float64 {
 			return weights[class] - costs[class]*expectedWait(state, concurrency, serviceRate)
 		},
@@ -157,7 +157,7 @@
 	m := &c.policy.model
 	text := fmt.Sprintf("episode %d Λ̃ %.1f cμ %.1f c %d ρ %.2f thresholds", c.estimator.episode,
 		m.arrivalRate, float64(m.concurrency)*m.serviceRate, m.concurrency, c.policy.gain)
-	for i := range m.classShares {
+	for i := range m.classProbabilities {
 		text += fmt.Sprintf(" %d", c.policy.threshold(i))
 	}
 	if text != c.lastLoggedPolicy {
--- a/admission/estimator.go
+++ b/admission/estimator.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// confidenceScale scales ε and the radius of the confidence set of the class shares. With the
-// paper's constant, 1, the confidence intervals stay as wide as [Λmin, Λmax] for minutes.
+// confidenceScale scales ε and the radius of the confidence set of the class probabilities. With
+// the paper's constant, 1, the confidence intervals stay as wide as [Λmin, Λmax] for minutes.
 const confidenceScale = 1.0 / 64
 
 // arrivalEstimator estimates the arrival rate Λ from the arrivals of the current episode and the
-// class shares p̂ from those of all episodes (section 4). Rates are in requests per second.
+// class probabilities p̂ from the arrivals of all episodes (section 4). Rates are in requests per
+// second.
 type arrivalEstimator struct {
 	episode         int           // k, from 1
 	startedAt       time.Duration // clock time at which the episode started
@@ -77,21 +78,21 @@
 	return math.Max(bound, e.minRate)
 }
 
-// classShares returns p̂(i) and the L1 radius of its confidence set (equation 9). Without arrivals
-// the shares are equal and the set contains every distribution.
-func (e *arrivalEstimator) classShares() (shares []float64, radius float64) {
+// classProbabilities returns p̂(i) and the L1 radius of its confidence set (equation 9). Without
+// arrivals the probabilities are equal and the confidence set contains every distribution.
+func (e *arrivalEstimator) classProbabilities() (probabilities []float64, radius float64) {
 	const maxL1Distance = 2 // the maximum L1 distance between two distributions
-	shares = make([]float64, len(e.classCounts))
+	probabilities = make([]float64, len(e.classCounts))
 	if e.totalCount == 0 {
-		for i := range shares {
-			shares[i] = 1 / float64(len(shares))
+		for i := range probabilities {
+			probabilities[i] = 1 / float64(len(probabilities))
 		}
-		return shares, maxL1Distance
+		return probabilities, maxL1Distance
 	}
 	for i, count := range e.classCounts {
-		shares[i] = count / e.totalCount
+		probabilities[i] = count / e.totalCount
 	}
-	classes := float64(len(shares))
+	classes := float64(len(probabilities))
 	radius = confidenceScale * math.Sqrt(2*classes/e.totalCount*(e.logInverseDelta+math.Ln2))
-	return shares, math.Min(maxL1Distance, radius)
+	return probabilities, math.Min(maxL1Distance, radius)
 }
--- a/admission/estimator_test.go
+++ b/admission/estimator_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// newEstimator has Λmin 2, Λmax 100 and log 1/δ = 2.
+// newEstimator returns an estimator with Λmin 2, Λmax 100 and log 1/δ = 2.
 func newEstimator() *arrivalEstimator {
 	e := &arrivalEstimator{classCounts: make([]float64, 2)}
 	e.startEpisode(0, time.Second, math.Exp(2), 2, 100)
@@ -19,55 +19,55 @@
 		e.observe(at, 0)
 	}
 	if want := 0.2; math.Abs(e.meanGap-want) > 1e-12 { // (0.1+0.2+0.3)/3
-		t.Errorf("mean gap %v, want %v", e.meanGap, want)
+		t.Errorf("mean interarrival time %v, want %v", e.meanGap, want)
 	}
 }
 
 func TestEstimatorTruncatesLongGaps(t *testing.T) {
 	e := newEstimator()
-	e.observe(400*ms, 0)  // counts: √(2·1/(4·2)) = 0.5
-	e.observe(1500*ms, 0) // 1.1 s is over √(2·2/(4·2)) = 0.707: counts as 0
+	e.observe(400*ms, 0)  // within the bound √(2·1/(4·2)) = 0.5 s
+	e.observe(1500*ms, 0) // 1.1 s exceeds the bound √(2·2/(4·2)) = 0.707 s and counts as 0
 	if want := 0.2; math.Abs(e.meanGap-want) > 1e-12 {
-		t.Errorf("mean gap %v, want %v", e.meanGap, want)
+		t.Errorf("mean interarrival time %v, want %v", e.meanGap, want)
 	}
 }
 
 func TestEstimatorRateUpperBound(t *testing.T) {
 	e := newEstimator()
 	if got := e.rateUpperBound(); got != 100 {
-		t.Errorf("without arrivals %v, want Λmax", got)
+		t.Errorf("without arrivals: Λ̃ %v, want Λmax", got)
 	}
 	for i := 1; i <= 400; i++ {
 		e.observe(time.Duration(i)*100*ms, 0)
 	}
-	// Λ̂ = 10, ε = confidence · 4/2 · √(2/400·2) = confidence · 0.2
-	eps := confidenceScale * 0.2
-	want := 10 / (1 - 10*eps)
+	// Λ̂ = 10, ε = confidenceScale · 4/2 · √(2/400·2) = confidenceScale · 0.2
+	epsilon := confidenceScale * 0.2
+	want := 10 / (1 - 10*epsilon)
 	if got := e.rateUpperBound(); math.Abs(got-want) > 1e-6 {
 		t.Errorf("Λ̃ %v, want %v", got, want)
 	}
 	e = newEstimator()
 	e.observe(ms, 0)
 	if got := e.rateUpperBound(); got != 100 {
-		t.Errorf("one arrival: Λ̃ %v, want Λmax", got)
+		t.Errorf("after one arrival: Λ̃ %v, want Λmax", got)
 	}
 }
 
-func TestClassSharesSpanEpisodes(t *testing.T) {
+func TestClassProbabilitiesSpanEpisodes(t *testing.T) {
 	e := newEstimator()
 	e.observe(ms, 0)
 	e.observe(2*ms, 1)
 	e.observe(3*ms, 1)
 	e.startEpisode(4*ms, time.Second, math.Exp(2), 2, 100)
 	e.observe(5*ms, 1)
-	p, eps := e.classShares()
-	if p[0] != 0.25 || p[1] != 0.75 {
-		t.Errorf("shares %v", p)
+	probabilities, radius := e.classProbabilities()
+	if probabilities[0] != 0.25 || probabilities[1] != 0.75 {
+		t.Errorf("class probabilities %v, want 0.25 and 0.75", probabilities)
 	}
-	if want := math.Min(2, confidenceScale*math.Sqrt(2*2/4.0*(2+math.Ln2))); math.Abs(eps-want) > 1e-12 {
-		t.Errorf("radius %v, want %v", eps, want)
+	if want := math.Min(2, confidenceScale*math.Sqrt(2*2/4.0*(2+math.Ln2))); math.Abs(radius-want) > 1e-12 {
+		t.Errorf("radius %v, want %v", radius, want)
 	}
 	if e.arrivals != 1 || e.meanGap != 0.002 {
-		t.Errorf("the gap's mean was not reset: %d arrivals, %v", e.arrivals, e.meanGap)
+		t.Errorf("after the start of an episode: %d arrivals with mean interarrival time %v, want 1 and 0.002", e.arrivals, e.meanGap)
 	}
 }
--- a/admission/example_test.go
+++ b/admission/example_test.go
@@ -7,8 +7,8 @@
 	"oxbowbridge/admission"
 )
 
-// A server's loop: it gives the controller what happened and carries out what
-// comes back, one call at a time, by its own clock.
+// A server passes events to the controller and executes the returned actions. It uses its own clock
+// and makes one call at a time.
 func Example() {
 	controller, err := admission.New(admission.Settings{
 		MinInterval: time.Millisecond, Cores: 4, Servers: 1, MemoryKB: 1 << 20, RunMemoryFactor: 4,
@@ -21,7 +21,7 @@
 	}
 	start := time.Now()
 	batches := [][]admission.Event{
-		nil, // at the start
+		nil, // no events at the start
 		{admission.Arrival{ID: 1, Timeout: 2 * time.Second, MemoryKB: 20}},
 		{admission.Completed{ID: 1, Elapsed: time.Millisecond, Outcome: admission.OutcomeOK}},
 	}
@@ -29,13 +29,13 @@
 		for _, action := range controller.Handle(time.Since(start), events) {
 			switch a := action.(type) {
 			case admission.Run:
-				fmt.Println("run", a.ID) // on the cores; a Completed follows
+				fmt.Println("run", a.ID) // start the run; report Completed when it ends
 			case admission.Reject:
 				fmt.Println("reject", a.ID)
 			case admission.Fail:
 				fmt.Println("fail", a.ID)
 			case admission.SetTimer:
-				// ask the clock for a Due with this Ref after a.Span
+				// after a.After, report TimerFired with a.TimerID and the gauges
 			}
 		}
 	}
--- a/admission/health.go
+++ b/admission/health.go
@@ -4,9 +4,9 @@
 // overdue run completions, and how long requests wait to be read.
 
 const (
-	// unhealthyAfterMissedRuns is the number of overdue run completions from which the server reports
+	// unhealthyAfterOverdueCompletions is the number of overdue run completions from which the server reports
 	// itself unhealthy.
-	unhealthyAfterMissedRuns = 20.0
+	unhealthyAfterOverdueCompletions = 20.0
 	// unhealthyReadDelayFraction is the fraction of the latency objective above which the time until a
 	// request is read leaves too little time for its run.
 	unhealthyReadDelayFraction = 0.7
@@ -17,7 +17,7 @@
 // hysteresis prevents flapping.
 func (c *Controller) updateHealth() {
 	starved := c.readDelayFraction > unhealthyReadDelayFraction || !c.healthy && c.readDelayFraction > maxReadDelayFraction
-	healthy := !c.draining && c.runTimes.missedRuns() < unhealthyAfterMissedRuns && !starved
+	healthy := !c.draining && c.runTimes.overdueCompletions() < unhealthyAfterOverdueCompletions && !starved
 	if healthy != c.healthy {
 		c.healthy = healthy
 		c.emit(SetHealth{Healthy: healthy, Cached: true})
--- a/admission/health_test.go
+++ b/admission/health_test.go
@@ -5,7 +5,7 @@
 )
 
 func TestStarvedServerIsUnhealthyUntilReadDelayFades(t *testing.T) {
-	r := newDriver(t, nil)
+	r := newTestController(t, nil)
 	for i := uint32(1); i < 60; i++ {
 		a := newArrival(i, 0)
 		a.Age = 900 * ms
@@ -13,7 +13,7 @@
 	}
 	r.handleAfter(gaugeInterval, TimerFired{TimerID: r.controller.timerID, Gauges: Gauges{CPUUtilization: 1, RunQueue: 4}})
 	if r.controller.healthy {
-		t.Error("healthy while requests wait 0.9 of their objective to be read")
+		t.Error("server is healthy although requests wait 0.9 of their latency objective to be read")
 	}
 	for i := 0; i < 40; i++ {
 		var events []Event
@@ -23,6 +23,6 @@
 		r.handleAfter(gaugeInterval, append(events, TimerFired{TimerID: r.controller.timerID, Gauges: Gauges{CPUUtilization: 0}})...)
 	}
 	if !r.controller.healthy {
-		t.Error("still unhealthy ten seconds after the last request")
+		t.Error("server is still unhealthy ten seconds after the last request")
 	}
 }
--- a/admission/policy.go
+++ b/admission/policy.go
@@ -26,13 +26,13 @@
 
 // admissionModel is the MDP of one server.
 type admissionModel struct {
-	concurrency int       // c: maximum number of concurrent runs
-	maxState    int       // S: maximum number of requests queued or running
-	serviceRate float64   // μ: completions per second of one run
-	arrivalRate float64   // Λ̃: requests per second
-	classShares []float64 // p̂(i): fraction of the arrivals, by class
-	shareRadius float64   // radius of the L1 ball around classShares (equation 9)
-	reward      func(class, state int) float64
+	concurrency        int       // c: maximum number of concurrent runs
+	maxState           int       // S: maximum number of requests queued or running
+	serviceRate        float64   // μ: completions per second of one run
+	arrivalRate        float64   // Λ̃: requests per second
+	classProbabilities []float64 // p̂(i): probability that an arrival belongs to class i
+	confidenceRadius   float64   // radius of the confidence set, an L1 ball around classProbabilities (equation 9)
+	reward             func(class, state int) float64
 
 	rates   [][]float64 // λ̃(i)(s) in requests per second, by state and class
 	rewards [][]float64 // r(i)(s), by state and class
@@ -55,26 +55,26 @@
 	return float64(state-concurrency+1) / (float64(concurrency) * serviceRate)
 }
 
-// optimisticShares shifts up to radius/2 of probability from the classes with the smallest reward
-// to the class with the greatest reward, which maximises the gain over the confidence set (theorem
-// 4.3). byReward lists the classes by decreasing reward.
-func optimisticShares(shares []float64, radius float64, byReward []int) []float64 {
-	tilted := slices.Clone(shares)
+// optimisticProbabilities shifts up to radius/2 of probability from the classes with the smallest
+// reward to the class with the greatest reward, which maximises the gain over the confidence set
+// (theorem 4.3). byReward lists the classes by decreasing reward.
+func optimisticProbabilities(probabilities []float64, radius float64, byReward []int) []float64 {
+	optimistic := slices.Clone(probabilities)
 	best := byReward[0]
-	excess := math.Min(radius/2, 1-tilted[best])
-	tilted[best] += excess
-	for k := len(byReward) - 1; k > 0 && excess > 0; k-- {
+	shift := math.Min(radius/2, 1-optimistic[best])
+	optimistic[best] += shift
+	for k := len(byReward) - 1; k > 0 && shift > 0; k-- {
 		worst := byReward[k]
-		moved := math.Min(excess, tilted[worst])
-		tilted[worst] -= moved
-		excess -= moved
+		moved := math.Min(shift, optimistic[worst])
+		optimistic[worst] -= moved
+		shift -= moved
 	}
-	return tilted
+	return optimistic
 }
 
 // fillRatesAndRewards computes the arrival rates and rewards of each state and class.
 func (m *admissionModel) fillRatesAndRewards() {
-	classes := len(m.classShares)
+	classes := len(m.classProbabilities)
 	byReward := make([]int, classes)
 	for i := range byReward {
 		byReward[i] = i
@@ -85,7 +85,7 @@
 			rewards[i] = m.reward(i, s)
 		}
 		sort.SliceStable(byReward, func(a, b int) bool { return rewards[byReward[a]] > rewards[byReward[b]] })
-		rates := optimisticShares(m.classShares, m.shareRadius, byReward)
+		rates := optimisticProbabilities(m.classProbabilities, m.confidenceRadius, byReward)
 		for i := range rates {
 			rates[i] *= m.arrivalRate
 		}
@@ -113,7 +113,7 @@
 // samePolicy reports whether both biases admit the same classes in every state.
 func (m *admissionModel) samePolicy(a, b []float64) bool {
 	for s := range m.maxState {
-		for i := range m.classShares {
+		for i := range m.classProbabilities {
 			if m.admits(i, s, a[s]) != m.admits(i, s, b[s]) {
 				return false
 			}
--- a/admission/purity_test.go
+++ b/admission/purity_test.go
@@ -14,9 +14,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// allowedImports maps each package that the decision module may import to the
-// names that it may use of it; no names: all of them. None does I/O, and no
-// package of this program is among them.
+// allowedImports maps each package that the admission package may import to the identifiers that it
+// may use from that package; nil allows all identifiers. None of them does I/O, and none is a
+// package of this module.
 var allowedImports = map[string][]string{
 	"cmp":     nil,
 	"errors":  nil,
@@ -29,9 +29,9 @@
 	"time":    {"Duration", "Nanosecond", "Microsecond", "Millisecond", "Second", "Minute", "Hour"},
 }
 
-// TestModuleIsPure: the decisions depend on the events alone. The files of the
-// module use no clock or timer, do no I/O, start no goroutine, use no channel and
-// import nothing of this program.
+// TestModuleIsPure: the decisions depend only on the events. The files of the package use no clock
+// or timer, do no I/O, start no goroutine, use no channel and import no other package of this
+// module.
 func TestModuleIsPure(t *testing.T) {
 	fileSet := token.NewFileSet()
 	paths, err := filepath.Glob("*.go")
@@ -43,7 +43,7 @@
 		}
 		file, err := parser.ParseFile(fileSet, path, nil, parser.SkipObjectResolution)
 		require.NoError(t, err)
-		for _, problem := range impurities(fileSet, file) {
+		for _, problem := range findImpurities(fileSet, file) {
 			t.Error(problem)
 		}
 		checked++
@@ -51,8 +51,8 @@
 	require.NotZero(t, checked)
 }
 
-// impurities lists what a file imports or uses and must not.
-func impurities(fileSet *token.FileSet, file *ast.File) (problems []string) {
+// findImpurities lists the imports and uses in a file that are not allowed.
+func findImpurities(fileSet *token.FileSet, file *ast.File) (problems []string) {
 	report := func(node ast.Node, what string) {
 		problems = append(problems, fileSet.Position(node.Pos()).String()+": "+what)
 	}
@@ -96,22 +96,22 @@
 	return problems
 }
 
-// TestDeployFileNamesAllFiles: the key policy of the deploy file lists the files of the module.
-func TestDeployFileNamesAllFiles(t *testing.T) {
+// TestDeployFileListsAllFiles: the policy key of the deploy file lists all files of the package.
+func TestDeployFileListsAllFiles(t *testing.T) {
 	paths, err := filepath.Glob("*.go")
 	require.NoError(t, err)
-	var quoted []string
+	var quotedPaths []string
 	for _, path := range paths {
 		if !strings.HasSuffix(path, "_test.go") {
-			quoted = append(quoted, strconv.Quote("admission/"+path))
+			quotedPaths = append(quotedPaths, strconv.Quote("admission/"+path))
 		}
 	}
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	require.NoError(t, err)
-	require.Contains(t, string(deploy), "\npolicy = ["+strings.Join(quoted, ", ")+"]\n")
+	require.Contains(t, string(deploy), "\npolicy = ["+strings.Join(quotedPaths, ", ")+"]\n")
 }
 
-// TestImpuritiesAreFound: the check finds what it is meant to.
+// TestImpuritiesAreFound checks that findImpurities reports each kind of impurity.
 func TestImpuritiesAreFound(t *testing.T) {
 	for name, test := range map[string]struct {
 		source string
@@ -138,7 +138,7 @@
 			fileSet := token.NewFileSet()
 			file, err := parser.ParseFile(fileSet, "x.go", "package x; "+test.source, 0)
 			require.NoError(t, err)
-			found := impurities(fileSet, file)
+			found := findImpurities(fileSet, file)
 			if test.want == "" {
 				require.Empty(t, found)
 				return
--- a/admission/request.go
+++ b/admission/request.go
@@ -80,7 +80,7 @@
 }
 
 // allowedFrom reports whether the transition is allowed in the phase.
-func (s transition) allowedFrom(p phase) bool { return transitions[s].from&(1<<p) != 0 }
+func (t transition) allowedFrom(p phase) bool { return transitions[t].from&(1<<p) != 0 }
 
 // request is a request in the server, from its Arrival event until it finishes. It may already be
 // answered.
@@ -106,8 +106,8 @@
 
 // changePhase moves a request to the phase that follows the transition and updates the phase
 // counts, the memory in use and the request's core time.
-func (c *Controller) changePhase(r *request, s transition) {
-	to := transitions[s].to
+func (c *Controller) changePhase(r *request, t transition) {
+	to := transitions[t].to
 	if r.phase == phaseRunning {
 		r.earlierCoreTime += c.now - r.currentRunStartedAt
 	}
@@ -121,7 +121,8 @@
 	c.requestsKB += c.occupiedMemory(r)
 }
 
-// totalCoreTime is how long a running request has been running in total.
+// totalCoreTime returns the total run time of a running request, including earlier runs that were
+// paused or blocked on a call.
 func (c *Controller) totalCoreTime(r *request) time.Duration {
 	return r.earlierCoreTime + c.now - r.currentRunStartedAt
 }
--- a/admission/request_test.go
+++ b/admission/request_test.go
@@ -6,9 +6,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestSteps: no step leaves the final phase for another or leads back to the
-// first one, and every other phase can be reached and left.
-func TestSteps(t *testing.T) {
+// TestPhaseTransitions: no transition leaves the final phase for another phase or leads back to the
+// first phase, and every other phase can be reached and left.
+func TestPhaseTransitions(t *testing.T) {
 	var reachedPhases, leftPhases phaseSet
 	for s := range transitions {
 		step := transition(s)
@@ -28,8 +28,8 @@
 		}
 	}
 	for p := range phaseCount {
-		require.Equal(t, p != phaseUndecided, reachedPhases&newPhaseSet(p) != 0, "%v reached", p)
-		require.Equal(t, p != phaseFinished, leftPhases&newPhaseSet(p) != 0, "%v left", p)
+		require.Equal(t, p != phaseUndecided, reachedPhases&newPhaseSet(p) != 0, "phase %v reachable", p)
+		require.Equal(t, p != phaseFinished, leftPhases&newPhaseSet(p) != 0, "phase %v can be left", p)
 	}
 }
 
--- a/admission/reward.go
+++ b/admission/reward.go
@@ -11,14 +11,14 @@
 const objectiveMargin = 0.05
 
 // classRewards returns, by class, the weight R(i) and the cost γ(i) per second of waiting.
-func (c *Controller) classRewards(shares []float64) (weights, costs []float64) {
+func (c *Controller) classRewards(classProbabilities []float64) (weights, costs []float64) {
 	meanRun := 0.0
-	for i, share := range shares {
+	for i, share := range classProbabilities {
 		meanRun += share * c.runTimes.meanRunSeconds[i]
 	}
-	weights = make([]float64, len(shares))
-	costs = make([]float64, len(shares))
-	for i := range shares {
+	weights = make([]float64, len(classProbabilities))
+	costs = make([]float64, len(classProbabilities))
+	for i := range classProbabilities {
 		class := &c.settings.Classes[i]
 		weights[i] = class.PriorityWeight * c.runTimes.successFraction[i]
 		if !c.settings.WeightPerWork { // the model has a single μ: scale down the weight per run of classes with long runs
--- a/admission/runtimes.go
+++ b/admission/runtimes.go
@@ -14,9 +14,9 @@
 	// maxRememberedRuns is the number of completed runs over which μ is estimated. It leaves a
 	// relative error of 1/√40.
 	maxRememberedRuns = 40.0
-	// toleratedMissedRuns is the number of overdue completions above which the estimate of μ is
+	// toleratedOverdueCompletions is the number of overdue completions above which the estimate of μ is
 	// lowered.
-	toleratedMissedRuns = 5.0
+	toleratedOverdueCompletions = 5.0
 	// minSuccessFraction is the success fraction of a class whose runs all fail. It is above 0 so that
 	// the class is admitted again after it recovers.
 	minSuccessFraction = 0.1
@@ -54,9 +54,9 @@
 	t.runSecondsSinceExit += runSeconds
 }
 
-// resetMissedRuns is called when a run releases its core, and when a run starts while no other is
+// resetOverdueCompletions is called when a run releases its core, and when a run starts while no other is
 // running.
-func (t *runTimes) resetMissedRuns() { t.runSecondsSinceExit = 0 }
+func (t *runTimes) resetOverdueCompletions() { t.runSecondsSinceExit = 0 }
 
 // observe counts a run that ended by itself after the given seconds.
 func (t *runTimes) observe(class int, seconds float64) {
@@ -87,14 +87,14 @@
 // its core for much longer than it predicts, which indicates a hang or a sudden slowdown.
 func (t *runTimes) serviceRate() float64 {
 	rate := t.completed / t.runSeconds
-	if t.missedRuns() > toleratedMissedRuns {
-		rate = math.Min(rate, toleratedMissedRuns/t.runSecondsSinceExit)
+	if t.overdueCompletions() > toleratedOverdueCompletions {
+		rate = math.Min(rate, toleratedOverdueCompletions/t.runSecondsSinceExit)
 	}
 	return rate
 }
 
-// missedRuns is the number of overdue completions: how many runs should have released their cores
+// overdueCompletions is the number of overdue completions: how many runs should have released their cores
 // since the last one did.
-func (t *runTimes) missedRuns() float64 {
+func (t *runTimes) overdueCompletions() float64 {
 	return t.runSecondsSinceExit * t.completed / math.Max(t.runSeconds-t.runSecondsSinceExit, minRunSeconds)
 }
--- a/admission/settings_test.go
+++ b/admission/settings_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// TestSettingsOutOfRange: a controller starts with settings that no server can have.
+// TestSettingsOutOfRange: New must return an error that names the setting that is out of range.
 func TestSettingsOutOfRange(t *testing.T) {
 	for want, change := range map[string]func(*Settings){
 		"Cores":             func(s *Settings) { s.Cores = 0 },
@@ -23,7 +23,7 @@
 		s := testSettings()
 		change(&s)
 		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("error %v, want one that names %q", err, want)
+			t.Errorf("error %v, want it to name %q", err, want)
 		}
 	}
 }
--- a/admission/simulated_server_test.go
+++ b/admission/simulated_server_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// simulatedServer plays the server's part for one controller: it carries out
-// actions, invents legal events, and fails the test when an action breaks a rule.
+// simulatedServer simulates the server of one controller. It executes actions, generates valid
+// random events, and fails the test if an action breaks a rule.
 type simulatedServer struct {
 	t              *testing.T
 	settings       Settings
@@ -16,9 +16,9 @@
 	random         *rand.Rand
 	now            time.Duration
 	requests       map[uint32]*simulatedRequest
-	order          []uint32                 // ids of all requests, in the order of arrival
-	keys           map[uint32]time.Duration // stored keys, and when they expire
-	drainNoticedAt time.Duration            // clock time of the notice, 0 without one
+	arrivalOrder   []uint32                 // ids of all requests, in the order of arrival
+	keyExpiry      map[uint32]time.Duration // expiry times of the stored keys, by request id
+	drainStartedAt time.Duration            // clock time of the shutdown signal; 0 if none
 	timers         []pendingTimer
 	lastID         uint32
 }
@@ -28,20 +28,20 @@
 	id uint64
 }
 
-// serverPhase is the phase of a request as the server sees it.
+// serverPhase is the phase of a request from the server's view.
 type serverPhase string
 
 const (
 	serverQueued         serverPhase = "queued"
 	serverRunning        serverPhase = "running"
-	serverStopping       serverPhase = "stopping" // preempted, not yet off the cores
+	serverStopping       serverPhase = "stopping" // preempted, has not yet released its core
 	serverPaused         serverPhase = "paused"
 	serverAwaitingCall   serverPhase = "awaiting call"
 	serverInCall         serverPhase = "in call"
 	serverAwaitingResult serverPhase = "awaiting result"
 )
 
-// simulatedRequest is a request as the server sees it.
+// simulatedRequest is a request from the server's view.
 type simulatedRequest struct {
 	id          uint32
 	arrivedAt   time.Duration
@@ -80,7 +80,7 @@
 	return s
 }
 
-// execute applies the actions of one batch and checks each, then the limits of the server.
+// execute applies the actions of one batch and checks each of them, then the limits of the server.
 func (s *simulatedServer) execute(actions []Action) {
 	for _, a := range actions {
 		s.executeOne(a)
@@ -101,7 +101,7 @@
 	case Reject:
 		r := s.requestByID(a.ID)
 		if r.ran {
-			s.t.Fatalf("at %v: request %d rejected after it ran", s.now, a.ID)
+			s.t.Fatalf("at %v: request %d was rejected after it ran", s.now, a.ID)
 		}
 		s.recordResponse(r)
 	case Fail:
@@ -113,23 +113,23 @@
 	case Degrade:
 		r := s.requestByID(a.ID)
 		if s.settings.Classes[r.class].DegradedFraction == 0 {
-			s.t.Fatalf("at %v: call of request %d skipped", s.now, a.ID)
+			s.t.Fatalf("at %v: request %d was degraded, but its class forbids it", s.now, a.ID)
 		}
 		r.phase = serverRunning
 	case StoreKey:
 		s.requestByID(a.ID)
-		s.keys[a.ID] = s.now + a.TTL
+		s.keyExpiry[a.ID] = s.now + a.TTL
 	case EvictKey:
-		delete(s.keys, a.ID)
+		delete(s.keyExpiry, a.ID)
 	case ShareResult:
 		s.requestByID(a.ID).phase = serverAwaitingResult
 	case Advertise:
 		if s.settings.AdvertKind == AdvertNone || a.Value < 0 {
-			s.t.Fatalf("at %v: advertised %v", s.now, a.Value)
+			s.t.Fatalf("at %v: advertised value %v with no advert kind or a negative value", s.now, a.Value)
 		}
 	case SetIdleTimeout:
 		if a.Timeout < 10*ms || a.Timeout > s.settings.MaxIdleTimeout {
-			s.t.Fatalf("at %v: idle timeout %v", s.now, a.Timeout)
+			s.t.Fatalf("at %v: idle timeout %v is out of range", s.now, a.Timeout)
 		}
 	case SetTimer:
 		s.timers = append(s.timers, pendingTimer{s.now + a.After, a.TimerID})
@@ -139,20 +139,20 @@
 func (s *simulatedServer) requestByID(id uint32) *simulatedRequest {
 	r := s.requests[id]
 	if r == nil {
-		s.t.Fatalf("at %v: action for request %d, which is not here", s.now, id)
+		s.t.Fatalf("at %v: action for unknown request %d", s.now, id)
 	}
 	return r
 }
 
 func (s *simulatedServer) run(r *simulatedRequest) {
 	if r.phase != serverQueued && r.phase != serverPaused {
-		s.t.Fatalf("at %v: run of request %d, which is %s", s.now, r.id, r.phase)
+		s.t.Fatalf("at %v: Run for request %d in phase %s", s.now, r.id, r.phase)
 	}
 	if r.phase == serverQueued && (r.ran || r.duplicateOf != 0) && s.settings.Classes[r.class].ExecutionSemantics != Idempotent {
-		s.t.Fatalf("at %v: effect of request %d a second time", s.now, r.id)
+		s.t.Fatalf("at %v: request %d, which is not idempotent, was run twice", s.now, r.id)
 	}
-	if s.drainNoticedAt > 0 && r.arrivedAt > s.drainNoticedAt+s.settings.DrainGracePeriod {
-		s.t.Fatalf("at %v: request %d run after the grace period", s.now, r.id)
+	if s.drainStartedAt > 0 && r.arrivedAt > s.drainStartedAt+s.settings.DrainGracePeriod {
+		s.t.Fatalf("at %v: request %d, which arrived after the grace period, was run", s.now, r.id)
 	}
 	r.phase = serverRunning
 	r.ran = true
@@ -160,7 +160,7 @@
 
 func (s *simulatedServer) recordResponse(r *simulatedRequest) {
 	if r.answered {
-		s.t.Fatalf("at %v: second answer for request %d", s.now, r.id)
+		s.t.Fatalf("at %v: request %d was answered twice", s.now, r.id)
 	}
 	r.answered = true
 	if r.phase == serverQueued || r.phase == serverPaused || r.phase == serverAwaitingResult {
@@ -171,14 +171,14 @@
 func (s *simulatedServer) checkDeadlines() {
 	for id, r := range s.requests {
 		if !r.answered && s.now > r.deadline+s.settings.AnswerGracePeriod {
-			s.t.Fatalf("at %v: request %d, with deadline %v, has no answer", s.now, id, r.deadline)
+			s.t.Fatalf("at %v: request %d with deadline %v is unanswered", s.now, id, r.deadline)
 		}
 	}
 }
 
 func (s *simulatedServer) checkMemory() {
 	usedKB := 0.0
-	for _, until := range s.keys {
+	for _, until := range s.keyExpiry {
 		if until > s.now {
 			usedKB += s.settings.KeyMemoryKB
 		}
@@ -192,7 +192,7 @@
 		}
 	}
 	if usedKB > s.settings.MemoryKB {
-		s.t.Fatalf("at %v: %v kB of %v", s.now, usedKB, s.settings.MemoryKB)
+		s.t.Fatalf("at %v: %v kB in use, want at most %v", s.now, usedKB, s.settings.MemoryKB)
 	}
 }
 
@@ -204,15 +204,15 @@
 		}
 	}
 	if sustainedRuns := s.controller.maxRuns(); float64(running) > sustainedRuns {
-		s.t.Fatalf("at %v: %d running, %v survived", s.now, running, sustainedRuns)
+		s.t.Fatalf("at %v: %d runs, want at most %v", s.now, running, sustainedRuns)
 	}
 }
 
-// nextEvents invents what happens next: to the requests in the order of their
-// arrival, then arrivals, then timers.
+// nextEvents generates the events of the next step: progress of the requests in arrival order, then
+// arrivals, then timers.
 func (s *simulatedServer) nextEvents() []Event {
 	var out []Event
-	for _, id := range s.order {
+	for _, id := range s.arrivalOrder {
 		if r := s.requests[id]; r != nil {
 			out = s.nextRequestEvents(out, r)
 		}
@@ -231,7 +231,7 @@
 	return out
 }
 
-// nextRequestEvents lets one request go on, by chance.
+// nextRequestEvents randomly advances one request and appends the resulting events.
 func (s *simulatedServer) nextRequestEvents(out []Event, r *simulatedRequest) []Event {
 	switch draw := s.random.Intn(100); {
 	case r.phase == serverStopping && r.answered:
@@ -290,7 +290,8 @@
 	return Canceled{r.id}
 }
 
-// newArrivalEvent invents a request, at times the duplicate of a stored one.
+// newArrivalEvent generates the arrival of a request, sometimes of a duplicate of a request with a
+// stored key.
 func (s *simulatedServer) newArrivalEvent() Event {
 	s.lastID++
 	r := &simulatedRequest{
@@ -313,9 +314,9 @@
 	if a.Timeout == 0 {
 		r.deadline = max(s.now, r.arrivedAt+s.settings.Classes[r.class].Deadline)
 	}
-	for _, id := range s.order {
+	for _, id := range s.arrivalOrder {
 		stored := s.requests[id]
-		if stored != nil && stored.class == r.class && s.keys[id] > s.now && stored.duplicateOf == 0 &&
+		if stored != nil && stored.class == r.class && s.keyExpiry[id] > s.now && stored.duplicateOf == 0 &&
 			s.random.Intn(4) == 0 {
 			a.DuplicateOf = id
 			r.duplicateOf = id
@@ -323,6 +324,6 @@
 		}
 	}
 	s.requests[r.id] = r
-	s.order = append(s.order, r.id)
+	s.arrivalOrder = append(s.arrivalOrder, r.id)
 	return a
 }
