--- a/admission/arrival_test.go
+++ b/admission/arrival_test.go
@@ -32,11 +32,11 @@
 	for i := range uint32(20) {
 		r.handleAfter(20*ms, newArrival(i+1, 0))
 		r.handleAfter(0, Completed{ID: i + 1, Outcome: OutcomeOK})
-		meanGap, completed := r.controller.estimator.meanGap, r.controller.runTimes.completed
+		meanGap, completed := r.controller.estimator.meanInterarrivalSeconds, r.controller.runTimes.completed
 		for j := range uint32(9) {
 			r.wantActions(r.handleAfter(0, newArrival(1000, 1)), Run{1000})
 			r.handleAfter(0, Completed{ID: 1000, Outcome: OutcomeNotStarted})
-			require.InDelta(t, meanGap, r.controller.estimator.meanGap, 1e-9, "%d", j)
+			require.InDelta(t, meanGap, r.controller.estimator.meanInterarrivalSeconds, 1e-9, "%d", j)
 			require.Equal(t, completed, r.controller.runTimes.completed)
 		}
 	}
--- a/admission/concurrency.go
+++ b/admission/concurrency.go
@@ -19,8 +19,8 @@
 	// maxReadDelayFraction is a fraction of the latency objective. If requests wait longer until they
 	// are read, the goroutines that read them are starved of CPU time.
 	maxReadDelayFraction = 0.22
-	// starvedLimitDivisor bounds the limit from below, to a third of the cores, while reading is
-	// starved. The limit falls by 1 per gauge tick.
+	// starvedLimitDivisor defines the minimum limit, a third of the cores, for a server that reads
+	// requests too slowly. The limit falls by 1 per gauge tick until that minimum.
 	starvedLimitDivisor = 3
 )
 
@@ -64,8 +64,8 @@
 // adjustConcurrencyLimit adjusts c at a gauge tick. The limit grows by the number of idle cores,
 // less a reserve for calls in flight: a growth of one per gauge tick would reject requests for
 // seconds while cores are idle. While the cores are busy the limit shrinks to the number of cores.
-// It shrinks further while requests wait too long to be read: reading competes with runs for the
-// cores, and once it falls behind, every request is read too late.
+// It shrinks further while requests wait too long to be read: the goroutines that read requests
+// compete with runs for the cores, and once they fall behind, every request is read too late.
 func (c *Controller) adjustConcurrencyLimit(g Gauges) {
 	cores := c.settings.Cores
 	free := int(float64(cores) - g.RunQueue - callCoreWeight*float64(c.phaseCounts[phaseInCall]))
--- a/admission/estimator.go
+++ b/admission/estimator.go
@@ -13,17 +13,17 @@
 // class probabilities p̂ from the arrivals of all episodes (section 4). Rates are in requests per
 // second.
 type arrivalEstimator struct {
-	episode         int           // k, from 1
-	startedAt       time.Duration // clock time at which the episode started
-	length          time.Duration // tk: length of the episode
-	arrivals        int           // τ: number of arrivals in the episode
-	meanGap         float64       // 1/Λ̂: mean interarrival time in seconds, truncated by equation 10
-	lastArrival     time.Duration // clock time of the latest arrival
-	classCounts     []float64     // number of arrivals by class, over all episodes
-	totalCount      float64       // sum of classCounts
-	minRate         float64       // Λmin
-	maxRate         float64       // Λmax
-	logInverseDelta float64       // log 1/δk
+	episode                 int           // k: number of the current episode, from 1
+	startedAt               time.Duration // clock time at which the episode started
+	length                  time.Duration // tk: length of the episode
+	arrivals                int           // τ: number of arrivals in the episode
+	meanInterarrivalSeconds float64       // 1/Λ̂: mean interarrival time in seconds, truncated by equation 10
+	lastArrival             time.Duration // clock time of the latest arrival
+	classCounts             []float64     // number of arrivals by class, over all episodes
+	totalCount              float64       // sum of classCounts
+	minRate                 float64       // Λmin: lower bound of the arrival rate
+	maxRate                 float64       // Λmax: upper bound of the arrival rate
+	logInverseDelta         float64       // log 1/δk, where δk is the error probability of the confidence intervals
 }
 
 // startEpisode resets the mean interarrival time and sets δk = 1/(μ·tk) (algorithm 3).
@@ -32,13 +32,13 @@
 	e.startedAt = now
 	e.length = length
 	e.arrivals = 0
-	e.meanGap = 0
+	e.meanInterarrivalSeconds = 0
 	e.minRate = minRate
 	e.maxRate = maxRate
 	e.logInverseDelta = math.Max(1, math.Log(serviceRate*length.Seconds()))
 }
 
-// observe counts an arrival. Interarrival times beyond the truncation bound of equation 10 count as
+// observe counts an arrival. Interarrival times above the truncation bound of equation 10 count as
 // 0.
 func (e *arrivalEstimator) observe(at time.Duration, class int) {
 	gap := math.Max(0, (at - e.lastArrival).Seconds())
@@ -49,7 +49,7 @@
 	if gap > math.Sqrt(2*float64(e.arrivals)/(e.minRate*e.minRate*e.logInverseDelta)) {
 		gap = 0
 	}
-	e.meanGap += (gap - e.meanGap) / float64(e.arrivals)
+	e.meanInterarrivalSeconds += (gap - e.meanInterarrivalSeconds) / float64(e.arrivals)
 }
 
 // withdrawArrival reverts observe for an arrival that was canceled before it ran or could not be
@@ -59,17 +59,17 @@
 	e.totalCount--
 	if at >= e.startedAt && e.arrivals > 1 {
 		e.arrivals--
-		e.meanGap *= float64(e.arrivals+1) / float64(e.arrivals)
+		e.meanInterarrivalSeconds *= float64(e.arrivals+1) / float64(e.arrivals)
 	}
 }
 
 // rateUpperBound is Λ̃, the upper confidence bound of Λ by proposition 7.1, from the arrivals of
 // the current episode.
 func (e *arrivalEstimator) rateUpperBound() float64 {
-	if e.arrivals == 0 || e.meanGap <= 0 {
+	if e.arrivals == 0 || e.meanInterarrivalSeconds <= 0 {
 		return e.maxRate
 	}
-	rate := 1 / e.meanGap
+	rate := 1 / e.meanInterarrivalSeconds
 	epsilon := confidenceScale * 4 / e.minRate * math.Sqrt(2/float64(e.arrivals)*e.logInverseDelta)
 	bound := math.Min(e.maxRate, rate+e.maxRate*e.maxRate*epsilon)
 	if rate*epsilon < 1 {
--- a/admission/estimator_test.go
+++ b/admission/estimator_test.go
@@ -18,8 +18,8 @@
 	for _, at := range []time.Duration{100 * ms, 300 * ms, 600 * ms} {
 		e.observe(at, 0)
 	}
-	if want := 0.2; math.Abs(e.meanGap-want) > 1e-12 { // (0.1+0.2+0.3)/3
-		t.Errorf("mean interarrival time %v, want %v", e.meanGap, want)
+	if want := 0.2; math.Abs(e.meanInterarrivalSeconds-want) > 1e-12 { // (0.1+0.2+0.3)/3
+		t.Errorf("mean interarrival time %v, want %v", e.meanInterarrivalSeconds, want)
 	}
 }
 
@@ -27,8 +27,8 @@
 	e := newEstimator()
 	e.observe(400*ms, 0)  // within the bound √(2·1/(4·2)) = 0.5 s
 	e.observe(1500*ms, 0) // 1.1 s exceeds the bound √(2·2/(4·2)) = 0.707 s and counts as 0
-	if want := 0.2; math.Abs(e.meanGap-want) > 1e-12 {
-		t.Errorf("mean interarrival time %v, want %v", e.meanGap, want)
+	if want := 0.2; math.Abs(e.meanInterarrivalSeconds-want) > 1e-12 {
+		t.Errorf("mean interarrival time %v, want %v", e.meanInterarrivalSeconds, want)
 	}
 }
 
@@ -67,7 +67,7 @@
 	if want := math.Min(2, confidenceScale*math.Sqrt(2*2/4.0*(2+math.Ln2))); math.Abs(radius-want) > 1e-12 {
 		t.Errorf("radius %v, want %v", radius, want)
 	}
-	if e.arrivals != 1 || e.meanGap != 0.002 {
-		t.Errorf("after the start of an episode: %d arrivals with mean interarrival time %v, want 1 and 0.002", e.arrivals, e.meanGap)
+	if e.arrivals != 1 || e.meanInterarrivalSeconds != 0.002 {
+		t.Errorf("after the start of an episode: %d arrivals with mean interarrival time %v, want 1 and 0.002", e.arrivals, e.meanInterarrivalSeconds)
 	}
 }
--- a/admission/policy.go
+++ b/admission/policy.go
@@ -168,17 +168,17 @@
 
 // gain is ρ by equation 11: the mean of Rπ(s) over the stationary distribution of the states.
 func (m *admissionModel) gain(rate, reward []float64) float64 {
-	weight, sum, total := 1.0, 0.0, 0.0
+	stateWeight, sum, total := 1.0, 0.0, 0.0
 	for s := 0; s <= m.maxState; s++ {
-		if weight > rescaleWeight {
-			sum /= weight
-			total /= weight
-			weight = 1
+		if stateWeight > rescaleWeight {
+			sum /= stateWeight
+			total /= stateWeight
+			stateWeight = 1
 		}
-		sum += weight * reward[s]
-		total += weight
+		sum += stateWeight * reward[s]
+		total += stateWeight
 		if s < m.maxState {
-			weight *= rate[s] / m.departureRate(s+1)
+			stateWeight *= rate[s] / m.departureRate(s+1)
 		}
 	}
 	return sum / total
--- a/admission/quota.go
+++ b/admission/quota.go
@@ -8,7 +8,7 @@
 
 const (
 	// tenantSmoothingFactor is the weight of one arrival in the moving averages of the tenants'
-	// fractions. It leaves an error of some 6 %.
+	// fractions. The averages have an error of about 6 %.
 	tenantSmoothingFactor = 0.003
 	// minTotalQuota, in requests per second, prevents a division by 0.
 	minTotalQuota = 1e-9
