--- a/internal/proxy/exchange/event.go
+++ b/internal/proxy/exchange/event.go
@@ -2,40 +2,42 @@
 
 import "time"
 
-// Event is what the dispatcher dequeues: one of *Request, RequestCanceled, Outcome, Gauges,
-// RunnerReady and Callback.
+// Event is an event for the dispatcher: a *Request, RequestCanceled, Outcome, Gauges, RunnerReady or
+// Callback.
 type Event interface{ event() }
 
-// RequestCanceled reports that nobody waits for a request any more.
+// RequestCanceled reports that the caller cancelled a request or that its connection was closed, so
+// that no one waits for the response.
 type RequestCanceled struct{ Request *Request }
 
-// Outcome reports on a job.
+// Outcome reports the progress or the end of a job.
 type Outcome struct {
-	// TraceID is that of the job.
+	// TraceID identifies the job.
 	TraceID string
-	// Stage says what is reported.
+	// Stage says what the outcome reports.
 	Stage Stage
-	// Result is how the job ended; of RunEnded and CallEnded.
+	// Result is how the job ended. It is set for RunEnded and CallEnded.
 	Result Result
-	// Duration is how long a run took, if the runner says; 0 if not. The dispatcher measures
-	// runs by its own clock and does not use it.
+	// Duration is the duration of a run as measured by the runner; 0 if the runner doesn't report it.
+	// The dispatcher doesn't use it but measures runs by its own clock.
 	Duration time.Duration
-	// Body is the result of the run, the request of the call, or the reply.
+	// Body is the result of the run (RunEnded), the request body of the call (CallNeeded), or the
+	// reply to the call (CallEnded).
 	Body []byte
 }
 
-// Gauges are the runner's measurements, in the order of the settings (family_info.own_stats).
+// Gauges are the runner's gauge values, in the order of the settings (family_info.own_stats).
 type Gauges []float64
 
-// RunnerReady reports that the runner takes runs.
+// RunnerReady reports that the runner accepts runs.
 type RunnerReady struct {
-	// WarmingUp says that the runner is warming up.
+	// WarmingUp says that the runner has started recently and runs slower than a warm one.
 	WarmingUp bool
-	// Uptime is how long it has been up.
+	// Uptime is the time since the runner's start.
 	Uptime time.Duration
 }
 
-// Callback is code that must run in the dispatcher's goroutine. It must not block.
+// Callback is a function that the dispatcher calls in its goroutine. It must not block.
 type Callback func()
 
 func (*Request) event()        {}
--- a/internal/proxy/exchange/exchange.go
+++ b/internal/proxy/exchange/exchange.go
@@ -5,13 +5,13 @@
 	"sync/atomic"
 )
 
-// Exchange is the queue of events for the dispatcher, and what the dispatcher tells the
-// frontends for their health checks and responses. The package comment says which goroutine
-// may call what.
+// Exchange is the queue of events for the dispatcher. It also holds the health status and the
+// advertised value, which the dispatcher sets and the frontends read. The package comment says which
+// goroutines may call which methods.
 type Exchange struct {
 	mu           sync.Mutex
 	queue        []Event
-	openRequests int // submitted and not released
+	openRequests int // requests that are submitted and not yet released
 	maxRequests  int
 
 	wake            chan struct{}
@@ -19,13 +19,13 @@
 	advertisedValue atomic.Pointer[float64]
 }
 
-// New returns an Exchange for at most maxRequests open requests.
+// New returns an Exchange that accepts at most maxRequests open requests.
 func New(maxRequests int) *Exchange {
 	return &Exchange{maxRequests: maxRequests, wake: make(chan struct{}, 1)}
 }
 
-// Submit posts a request. It reports false, and posts nothing, if the maximum of requests
-// is open.
+// Submit adds a request to the queue. It returns false without adding it if the maximum number of
+// open requests is reached.
 func (x *Exchange) Submit(r *Request) bool {
 	accepted := x.enqueueRequest(r)
 	x.signal()
@@ -43,15 +43,15 @@
 	return true
 }
 
-// ReleaseRequest makes room for another request once one has its response.
+// ReleaseRequest frees the slot of an open request. It is called when the request gets its response.
 func (x *Exchange) ReleaseRequest() {
 	x.mu.Lock()
 	x.openRequests--
 	x.mu.Unlock()
 }
 
-// Post adds any other event. There is no bound, as each such event follows from a request,
-// a job or a connection, which are bounded.
+// Post adds an event other than a request to the queue. The queue needs no limit for these events,
+// because each is caused by a request, job or connection, and their numbers are limited.
 func (x *Exchange) Post(e Event) {
 	x.mu.Lock()
 	x.queue = append(x.queue, e)
@@ -59,7 +59,7 @@
 	x.signal()
 }
 
-// Wakeup has the dispatcher take a turn without an event.
+// Wakeup wakes the dispatcher without adding an event.
 func (x *Exchange) Wakeup() { x.signal() }
 
 func (x *Exchange) signal() {
@@ -69,10 +69,12 @@
 	}
 }
 
-// WakeupChan has a value if something was posted, or Wakeup was called, since the last read of it.
+// WakeupChan returns a channel that has a value if an event was added or Wakeup was called since the
+// last receive.
 func (x *Exchange) WakeupChan() <-chan struct{} { return x.wake }
 
-// Dequeue returns all posted events, in their order, and empties the queue. It reuses buf.
+// Dequeue removes all events from the queue and returns them in the order in which they were added.
+// It reuses buf.
 func (x *Exchange) Dequeue(buf []Event) []Event {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -82,18 +84,18 @@
 	return buf
 }
 
-// SetHealthy sets the answer to health checks, which the frontends give without the
+// SetHealthy sets the health check status. Frontends respond to health checks without involving the
 // dispatcher.
 func (x *Exchange) SetHealthy(healthy bool) { x.healthy.Store(healthy) }
 
-// Healthy is the answer to health checks; false until SetHealthy is called.
+// Healthy returns the health check status; false until SetHealthy is called.
 func (x *Exchange) Healthy() bool { return x.healthy.Load() }
 
-// SetAdvertisedValue sets the value that responses and health checks carry from now on. The
-// settings (family_info.advert) say how callers read it.
+// SetAdvertisedValue sets the value that later responses and health check responses carry. The
+// setting family_info.advert defines its meaning for callers.
 func (x *Exchange) SetAdvertisedValue(value float64) { x.advertisedValue.Store(&value) }
 
-// AdvertisedValue returns the value of SetAdvertisedValue, if there is one.
+// AdvertisedValue returns the value set by SetAdvertisedValue, or false if none was set.
 func (x *Exchange) AdvertisedValue() (value float64, ok bool) {
 	v := x.advertisedValue.Load()
 	if v == nil {
--- a/internal/proxy/exchange/exchange_test.go
+++ b/internal/proxy/exchange/exchange_test.go
@@ -6,23 +6,22 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestSubmitBound: as many requests as the maximum are open at a time, and each release
-// makes room for one.
+// TestSubmitBound checks that Submit rejects requests above the maximum and that each
+// ReleaseRequest frees one slot.
 func TestSubmitBound(t *testing.T) {
 	x := New(2)
 	first, second, third := &Request{TraceID: "1"}, &Request{TraceID: "2"}, &Request{TraceID: "3"}
 	require.True(t, x.Submit(first))
 	require.True(t, x.Submit(second))
 	require.False(t, x.Submit(third))
-	require.Equal(t, []Event{first, second}, x.Dequeue(nil), "the rejected one is not posted")
-	require.False(t, x.Submit(third), "dequeued requests are open until they are released")
+	require.Equal(t, []Event{first, second}, x.Dequeue(nil), "a rejected request is not queued")
+	require.False(t, x.Submit(third), "a dequeued request stays open until it is released")
 	x.ReleaseRequest()
 	require.True(t, x.Submit(third))
 	require.Equal(t, []Event{third}, x.Dequeue(nil))
 }
 
-// TestDequeue: events come in the order in which they were posted, and once; WakeupChan tells of
-// them.
+// TestDequeue checks that events are delivered once and in order, and that WakeupChan signals them.
 func TestDequeue(t *testing.T) {
 	x := New(1)
 	require.Empty(t, x.WakeupChan())
@@ -38,7 +37,7 @@
 	require.Empty(t, x.WakeupChan())
 }
 
-// TestStatus: what the dispatcher sets is what the frontends read.
+// TestStatus checks the health status and the advertised value before and after they are set.
 func TestStatus(t *testing.T) {
 	x := New(1)
 	require.False(t, x.Healthy())
@@ -52,7 +51,7 @@
 	require.Equal(t, 0.5, value)
 }
 
-// TestNames: each kind, stage and result has a name of its own.
+// TestNames checks that each response kind, stage and result has a unique name.
 func TestNames(t *testing.T) {
 	names := map[string]bool{}
 	for k := Succeeded; k <= Failed; k++ {
@@ -68,7 +67,7 @@
 	require.NotContains(t, names, "unknown")
 }
 
-// TestIsTraceID: 16 hex digits of either case, nothing else.
+// TestIsTraceID checks that exactly 16 hex digits, in upper or lower case, are accepted.
 func TestIsTraceID(t *testing.T) {
 	for id, want := range map[string]bool{"0123456789abcdef": true, "0123456789ABCDEF": true, "0123456789abcde": false,
 		"0123456789abcdef0": false, "0123456789abcdeg": false, "": false} {
--- a/internal/proxy/exchange/job.go
+++ b/internal/proxy/exchange/job.go
@@ -2,51 +2,50 @@
 
 import "time"
 
-// Job is work for the backend side: a run for a Runner, or a call for a DependencyClient.
+// Job is work for a backend client: a run for a Runner, or a call for a DependencyClient.
 type Job struct {
-	// TraceID is that of the request.
+	// TraceID is the trace id of the request.
 	TraceID string
-	// Class is the name of the request's class. Calls have none.
+	// Class is the name of the request's class. It is empty for calls.
 	Class string
-	// Idempotent says that the job may be sent again after it may have run. It is not for a class
-	// with idempotency keys: these tell apart what callers send, not what a session sends again.
+	// Idempotent says that the job may be resent even if it may have run. It is false for deduplicated
+	// classes: idempotency keys detect what callers resend, not what a session resends.
 	Idempotent bool
-	// Restarted says that an earlier run of the request was stopped. A stop that is carried out late
-	// may still meet this one.
+	// Restarted says that an earlier run of the request was stopped. A stop command that is executed
+	// late may still hit the new run.
 	Restarted bool
-	// Timeout is how long the job may take. A run goes on after it, as long as the runner knows of
-	// it; one that may be lost is not awaited any longer.
+	// Timeout is how long the job may take. A run may continue after the timeout while the runner is
+	// known to have it. A run that may have been lost is given up after the timeout.
 	Timeout time.Duration
-	// Body is the request's for a run, and the run's for a call.
+	// Body is the body of the request for a run, and the body that the run provided for a call.
 	Body []byte
 }
 
-// Runner runs requests: the engine, or AJP upstreams. It reports with Outcome events of the
-// stages RunEnded and CallNeeded. Its methods do not block; only the dispatcher's goroutine
-// calls them.
+// Runner runs requests: the engine, or AJP upstreams. It posts Outcome events of the stages RunEnded
+// and CallNeeded. Its methods do not block. Only the dispatcher's goroutine calls them.
 type Runner interface {
-	// Run begins a run.
+	// Run starts a run.
 	Run(Job)
-	// Stop ends a run, or pauses it where the runner does that. A run whose request is
-	// answered is not resumed.
+	// Stop ends a run, or pauses it if the runner supports pauses. If the request has its response
+	// (answered), the run is never resumed.
 	Stop(traceID string, answered bool)
-	// Resume goes on with a paused run.
+	// Resume continues a paused run.
 	Resume(traceID string)
-	// Discard drops a paused run whose request is answered.
+	// Discard drops a paused run whose request has its response.
 	Discard(traceID string)
-	// DeliverReply gives a run the reply to the call that it waits for.
+	// DeliverReply passes a reply to the run that waits for it.
 	DeliverReply(traceID string, body []byte)
-	// RequestGauges asks for a Gauges event.
+	// RequestGauges requests a Gauges event.
 	RequestGauges()
 }
 
-// DependencyClient makes the calls of runs to the service that they depend on. It reports
-// with Outcome events of the stage CallEnded. Its methods do not block; only the
-// dispatcher's goroutine calls them.
+// DependencyClient sends the calls of runs to the service that they depend on. It posts Outcome
+// events of the stage CallEnded. Its methods do not block. Only the dispatcher's goroutine calls
+// them.
 type DependencyClient interface {
-	// Call begins a call.
+	// Call starts a call.
 	Call(Job)
-	// Cancel gives a call up. No outcome is reported for it.
+	// Cancel cancels a call. No outcome is reported for it.
 	Cancel(traceID string)
 }
 
@@ -54,11 +53,11 @@
 type Stage uint8
 
 const (
-	// RunEnded reports the end of a run, and its result.
+	// RunEnded reports the end of a run and its result.
 	RunEnded Stage = iota
-	// CallNeeded reports a run that waits for a call, whose body is given.
+	// CallNeeded reports that a run waits for a call, whose body is in the outcome.
 	CallNeeded
-	// CallEnded reports the end of a call, and its reply.
+	// CallEnded reports the end of a call and its reply.
 	CallEnded
 )
 
@@ -79,25 +78,25 @@
 type Result uint8
 
 const (
-	// ResultOK means that it succeeded.
+	// ResultOK means that the run or call succeeded.
 	ResultOK Result = iota
-	// ResultError means that it failed, and may have had an effect.
+	// ResultError means that the run or call failed and may have had an effect.
 	ResultError
 	// ResultStopped means that the run was stopped.
 	ResultStopped
-	// ResultObsolete means that the run was not started, as its request was over.
+	// ResultObsolete means that the run was not started because its request had already ended.
 	ResultObsolete
-	// ResultUnknownRequest means that the runner knows no such request: no balancer has sent
-	// its trace id. The run was not started.
+	// ResultUnknownRequest means that the run was not started because the runner does not know the
+	// request: no balancer sent its trace id.
 	ResultUnknownRequest
-	// ResultNotStarted means that the call was rejected unread. Nothing ran.
+	// ResultNotStarted means that the call was rejected before it was read. Nothing ran.
 	ResultNotStarted
-	// ResultUnreachable means that there was no connection. Nothing ran.
+	// ResultUnreachable means that no connection was available. Nothing ran.
 	ResultUnreachable
-	// ResultTimedOut means that it was given up, and may have had an effect.
+	// ResultTimedOut means that the run or call was given up and may have had an effect.
 	ResultTimedOut
-	// ResultConnectionLost means that its connection was lost, and that it may have had an
-	// effect.
+	// ResultConnectionLost means that the connection of the run or call was lost. The run or call may
+	// have had an effect.
 	ResultConnectionLost
 )
 
--- a/internal/proxy/exchange/request.go
+++ b/internal/proxy/exchange/request.go
@@ -5,65 +5,65 @@
 	"time"
 )
 
-// CloseRaceWindow is how long a request may take to cross the close of its connection, by the
-// protocol of the balancers: the caller sends it again elsewhere.
+// CloseRaceWindow is the maximum time after the close of a connection in which a request that the
+// caller sent before it noticed the close can still arrive. The balancers' protocol defines it; the
+// caller resends such a request on another connection.
 const CloseRaceWindow = 50 * time.Millisecond
 
-// traceIDLength is the length of a trace id in hex digits.
+// traceIDLength is the number of hex digits in a trace id.
 const traceIDLength = 16
 
-// Request is one attempt of a request that a frontend has read completely. It gets one
-// response.
+// Request is one attempt of a request, completely read by a frontend. It gets exactly one response.
 type Request struct {
-	// TraceID names this attempt in all protocols; see IsTraceID.
+	// TraceID identifies this attempt in all protocols; see IsTraceID.
 	TraceID string
 	// Class is the index of the request's class in the settings.
 	Class int
-	// ArrivedAt is when the attempt came to this machine, maybe before it was read.
+	// ArrivedAt is when the attempt arrived at this machine, possibly before a frontend read it.
 	ArrivedAt time.Time
-	// Timeout is how long the caller waits, counted from ArrivedAt; 0 if it does not say.
+	// Timeout is how long the caller waits, measured from ArrivedAt; 0 if the caller sent no timeout.
 	Timeout time.Duration
-	// Tenant names the caller's tenant; empty if the caller does not say.
+	// Tenant is the name of the caller's tenant; empty if the caller sent none.
 	Tenant string
-	// ExpectedWork is the caller's estimate of the work on a standard core; 0 if there is none.
+	// ExpectedWork is the caller's estimate of the work on a standard core; 0 if the caller sent none.
 	ExpectedWork time.Duration
-	// ReservedKB is the memory that the request takes while it is in flight, in kB.
+	// ReservedKB is the memory that the request needs while it is in flight, in kB.
 	ReservedKB float64
-	// Rank orders requests by their class's value: at least 0, below 1.
+	// Rank orders requests of the same class by value: at least 0, below 1.
 	Rank float64
-	// HasLookupKey says that the request names a subject.
+	// HasLookupKey says that the request has a lookup key, which names the object that it reads.
 	HasLookupKey bool
-	// IsRetry says that the caller marked this attempt as a later one.
+	// IsRetry says that the caller marked this attempt as a retry.
 	IsRetry bool
-	// IdempotencyKey names the request in all of its attempts. Only requests of
-	// deduplicated classes have one.
+	// IdempotencyKey identifies the request across all of its attempts. It is empty unless the class
+	// is deduplicated.
 	IdempotencyKey string
 	// Body is passed to the runner unchanged.
 	Body []byte
-	// Responder takes the response.
+	// Responder sends the response.
 	Responder Responder
 }
 
-// IsTraceID tells whether s may name an attempt: 16 hex digits, of either case.
+// IsTraceID reports whether s is a valid trace id: 16 hex digits, upper or lower case.
 func IsTraceID(s string) bool {
 	return len(s) == traceIDLength && strings.Trim(s, "0123456789abcdefABCDEF") == ""
 }
 
-// Responder is a frontend's side of one request.
+// Responder sends the response to one request. Frontends implement it.
 type Responder interface {
-	// Respond sends the final response, or drops it if the caller is gone.
+	// Respond sends the final response, or drops it if the caller's connection is closed.
 	Respond(Response)
 }
 
-// ResponseKind says what a response promises.
+// ResponseKind says what the caller can conclude from a response.
 type ResponseKind uint8
 
 const (
-	// Succeeded is the response of a run that ended well.
+	// Succeeded means that the run succeeded.
 	Succeeded ResponseKind = iota
-	// Rejected promises that nothing was run.
+	// Rejected means that nothing ran.
 	Rejected
-	// Failed promises nothing: the request may have run.
+	// Failed means that the request may or may not have run.
 	Failed
 )
 
@@ -83,14 +83,14 @@
 // Response is the final response to a request.
 type Response struct {
 	Kind ResponseKind
-	// Body is the result of a run, unchanged. Only Succeeded has one.
+	// Body is the unchanged result of the run. It is set only for Succeeded.
 	Body []byte
-	// RetryAfter asks the caller of a Rejected request to stay away for so long; 0 asks
-	// nothing.
+	// RetryAfter is the minimum time that the caller of a Rejected request should wait before a retry
+	// at this server; 0 sets no minimum.
 	RetryAfter time.Duration
-	// NoRetryElsewhere asks the caller of a Rejected request not to try another server.
+	// NoRetryElsewhere asks the caller of a Rejected request not to retry at another server.
 	NoRetryElsewhere bool
-	// InvalidRequest says of a Failed request that it can't be what it claims to be. It
-	// counts as a fault of the caller's connection.
+	// InvalidRequest says that a Failed request was invalid: a reused trace id or idempotency key, or
+	// a trace id that the runner does not know. It counts as an error of the caller's connection.
 	InvalidRequest bool
 }
--- a/internal/proxy/fdquota/divide.go
+++ b/internal/proxy/fdquota/divide.go
@@ -1,56 +1,56 @@
 package fdquota
 
 const (
-	// serviceDescriptors is what the service opens for itself after its start: the event loop
-	// (2), the engine's connection and its successor (2), the registry's socket and its
-	// successor (2), a connection that has two descriptors while the event loop takes it
-	// over (2), one that a closing listener accepts (2), and files that are read (2).
+	// serviceDescriptors is the number of descriptors that the service opens for itself after its
+	// start: the event loop (2), the engine connection and its replacement (2), the registry socket and
+	// its replacement (2), a connection with two descriptors during its handover to the event loop (2),
+	// a connection that a closing listener accepts (2), and files being read (2).
 	serviceDescriptors = 12
 
-	// The quota of lingering connections is a sixteenth of the remaining descriptors. There
-	// may be twice as many for a moment, so an eighth is set aside.
+	// The quota of lingering connections is 1/16 of the remaining descriptors. Because their number may
+	// briefly be twice the quota, 1/8 of the descriptors is reserved for them.
 	lingeringDivisor = 16
-	// An eighth of the connections is reserved for calls.
+	// 1/8 of the connections is reserved for calls.
 	reservedCallsDivisor = 8
-	// Calls use at most half of the connections.
+	// Calls use at most 1/2 of the connections.
 	callsDivisor = 2
 
-	// With fewer than these the service could not do its work.
+	// The service can't work with fewer connections than these minimums.
 	minConnections   = 10
 	minReservedCalls = 2
 	minLingering     = 1
 )
 
-// Usage is what a process knows of its descriptors when it is about to listen. All fields
+// Usage describes a process's use of file descriptors just before it opens its listeners. All fields
 // are numbers of descriptors.
 type Usage struct {
-	// Limit is how many the process may have.
+	// Limit is the maximum number of descriptors of the process.
 	Limit int
-	// OpenDescriptors are open at this time, inherited ones included.
+	// OpenDescriptors is the number of open descriptors, including inherited ones.
 	OpenDescriptors int
-	// Listeners are about to be opened.
+	// Listeners is the number of listeners that will be opened.
 	Listeners int
-	// Reserved are left to other parts of the program, such as the replicated store.
+	// Reserved is the number reserved for other parts of the program, such as the replicated store.
 	Reserved int
 }
 
-// Quotas are how many connections of each kind may be open at a time.
+// Quotas are the maximum numbers of open connections of each kind.
 type Quotas struct {
-	// Connections is for callers and calls together.
+	// Connections is the quota of callers and calls together.
 	Connections int
 	// ReservedForCalls is the part of Connections that only calls may use.
 	ReservedForCalls int
-	// Lingering is for connections that this side has shut down and that wait for their
-	// peers. There may be twice as many for a moment.
+	// Lingering is the quota of connections that this process has shut down and that wait for their
+	// peers to close. Their number may briefly be twice the quota.
 	Lingering int
-	// BelowMinimum says that the limit leaves fewer than these: the process may run out of
-	// descriptors.
+	// BelowMinimum says that the limit is too low for the minimum number of connections: the process
+	// may run out of descriptors.
 	BelowMinimum bool
 }
 
-// Divide returns the quotas. Where the limit leaves fewer than the minimum that the service
-// can work with, they are the minimum, and BelowMinimum is set: a service that may run out
-// of descriptors is of more use than one that does not start.
+// Divide returns the quotas for the given usage. If the descriptor limit leaves fewer connections than
+// the service needs, Divide returns the minimum quotas and sets BelowMinimum, because a service that
+// may run out of descriptors is more useful than one that does not start.
 func Divide(u Usage) Quotas {
 	remaining := u.Limit - u.OpenDescriptors - u.Listeners - u.Reserved - serviceDescriptors
 	lingering := max(remaining/lingeringDivisor, minLingering)
--- a/internal/proxy/fdquota/fdquota_test.go
+++ b/internal/proxy/fdquota/fdquota_test.go
@@ -17,8 +17,8 @@
 	os.Exit(m.Run())
 }
 
-// TestDivide: the quotas, with twice the lingering connections, and the other descriptors
-// fit into any limit together, unless BelowMinimum is set.
+// TestDivide checks for any limit that the quotas, counting lingering connections twice, plus all
+// other descriptors don't exceed the limit, unless BelowMinimum is set.
 func TestDivide(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		u := Usage{
@@ -30,7 +30,7 @@
 		others := u.OpenDescriptors + u.Listeners + u.Reserved + serviceDescriptors
 		q := Divide(u)
 		if q.BelowMinimum {
-			require.Less(t, u.Limit-others, minConnections+2*minLingering+lingeringDivisor, "below the minimum though there is room")
+			require.Less(t, u.Limit-others, minConnections+2*minLingering+lingeringDivisor, "BelowMinimum is set although the limit is high enough")
 		} else {
 			require.LessOrEqual(t, q.Connections+2*q.Lingering+others, u.Limit)
 		}
@@ -41,8 +41,8 @@
 	})
 }
 
-// TestPool: after any sequence of opened and closed connections, callers and calls together
-// stay within their quota, and a call always finds the reserved ones.
+// TestPool checks with random sequences of opened and closed connections that callers and calls
+// together stay within their quota, and that calls can always use the connections reserved for them.
 func TestPool(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		quotas := Divide(Usage{Limit: rapid.IntRange(30, 600).Draw(t, "limit"), OpenDescriptors: 10, Listeners: 1})
@@ -62,7 +62,7 @@
 				}
 			case "call":
 				acquired := p.AcquireCall()
-				require.True(t, acquired || calls >= quotas.ReservedForCalls, "%d calls, %d are reserved", calls, quotas.ReservedForCalls)
+				require.True(t, acquired || calls >= quotas.ReservedForCalls, "call not acquired: %d calls are open, %d are reserved", calls, quotas.ReservedForCalls)
 				if acquired {
 					calls++
 				}
@@ -78,8 +78,8 @@
 	})
 }
 
-// TestDivideSmallest: the smallest limit that a configuration may give is enough for a
-// process that was started with a few descriptors open.
+// TestDivideSmallest checks that the lowest limit that the configuration allows (64) is enough for a
+// process that was started with ten open descriptors, and that a lower limit sets BelowMinimum.
 func TestDivideSmallest(t *testing.T) {
 	require.Equal(t, Quotas{Connections: 37, ReservedForCalls: 4, Lingering: 2}, Divide(Usage{Limit: 64, OpenDescriptors: 10, Listeners: 1}))
 	require.Equal(t, Quotas{Connections: 10, ReservedForCalls: 2, Lingering: 1, BelowMinimum: true}, Divide(Usage{Limit: 30, OpenDescriptors: 10, Listeners: 1}))
--- a/internal/proxy/fdquota/pool.go
+++ b/internal/proxy/fdquota/pool.go
@@ -2,9 +2,9 @@
 
 import "sync"
 
-// ConnPool counts the open connections of callers and calls, which share Quotas.Connections.
-// Calls may use what callers leave, up to half of all, and always have ReservedForCalls. It is
-// safe for concurrent use.
+// ConnPool counts the open connections of callers and calls, which share Quotas.Connections. Calls can
+// always use ReservedForCalls connections, and beyond that free connections up to half of the quota.
+// ConnPool is safe for concurrent use.
 type ConnPool struct {
 	quotas Quotas
 
@@ -13,27 +13,27 @@
 	calls   int
 }
 
-// NewConnPool returns a ConnPool without open connections.
+// NewConnPool returns a ConnPool with the given quotas and no open connections.
 func NewConnPool(q Quotas) *ConnPool { return &ConnPool{quotas: q} }
 
-// MaxCallers is the maximum of caller connections.
+// MaxCallers returns the maximum number of caller connections.
 func (p *ConnPool) MaxCallers() int { return p.quotas.Connections - p.quotas.ReservedForCalls }
 
-// HasCallerCapacity tells whether there is room for one more caller.
+// HasCallerCapacity reports whether one more caller connection can be accepted.
 func (p *ConnPool) HasCallerCapacity() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.callers+max(p.calls, p.quotas.ReservedForCalls) < p.quotas.Connections
 }
 
-// AddCallers counts n callers more; less if n is negative.
+// AddCallers adds n, which may be negative, to the number of caller connections.
 func (p *ConnPool) AddCallers(n int) {
 	p.mu.Lock()
 	p.callers += n
 	p.mu.Unlock()
 }
 
-// AcquireCall counts one more call, if there is room for it.
+// AcquireCall adds a call connection if the quotas allow it, and reports whether it did.
 func (p *ConnPool) AcquireCall() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -46,14 +46,14 @@
 	return false
 }
 
-// OpenCalls is the number of open calls.
+// OpenCalls returns the number of call connections.
 func (p *ConnPool) OpenCalls() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.calls
 }
 
-// ReleaseCall counts one call less.
+// ReleaseCall removes a call connection.
 func (p *ConnPool) ReleaseCall() {
 	p.mu.Lock()
 	p.calls--
--- a/internal/proxy/idempotency/expiry.go
+++ b/internal/proxy/idempotency/expiry.go
@@ -1,6 +1,6 @@
 package idempotency
 
-// expiryHeap is a heap of entries for package heap, the next one to expire first.
+// expiryHeap implements heap.Interface. The entry that expires next is first.
 type expiryHeap []*Entry
 
 // Len is part of heap.Interface.
--- a/internal/proxy/idempotency/table.go
+++ b/internal/proxy/idempotency/table.go
@@ -1,11 +1,12 @@
-// Package idempotency is the table of idempotency keys: which attempt of a request may run,
-// whether it did, and with which result. All other attempts of the request are duplicates.
+// Package idempotency implements the table of idempotency keys. For each key it records which attempt
+// of the request may run, whether that attempt ran, and its result. All other attempts of the request
+// are duplicates.
 //
-// The table is bounded in bytes. An entry stays until the attempt that owns it has ended
-// and, if that was started, until no duplicate may come any more. It is never dropped to
-// make room: a new key is rejected then.
+// The size of the table is limited in bytes. An entry is stored until its owner, the attempt that may
+// run, has ended and, if the owner was started, until no more duplicates can arrive. Entries are never
+// evicted early: if the table is full, new keys are rejected.
 //
-// The table has no clock, does no I/O, and belongs to one goroutine.
+// The table has no clock, does no I/O, and must be used by one goroutine only.
 package idempotency
 
 import (
@@ -17,81 +18,85 @@
 )
 
 const (
-	// entryOverhead is what an entry counts for in bytes, beside key and result: its
-	// structure, its place in the map and in the order of expiry.
+	// entryOverhead is the number of bytes counted for an entry in addition to its key and result: the
+	// Entry itself and its slots in the map and the expiry heap.
 	entryOverhead = 512
-	// longKeyBytes is the length of a long key.
+	// longKeyBytes is the maximum length of a key; frontends reject longer keys.
 	longKeyBytes = 128
-	// ReservedResultBytes are counted for the result of an entry that has none yet.
+	// ReservedResultBytes is the number of bytes counted for the result of an entry that has no result
+	// yet.
 	ReservedResultBytes = 4 << 10
-	// MaxEntryBytes are the bytes of an entry with a long key.
+	// MaxEntryBytes is the number of bytes counted for an entry with a key of maximum length and no
+	// result yet.
 	MaxEntryBytes = entryOverhead + longKeyBytes + ReservedResultBytes
 )
 
 var (
-	// ErrKeyReused means that the key names a request of another class or body.
-	ErrKeyReused = errors.New("idempotency key names another request")
-	// ErrTableFull means that there is no room for another key.
+	// ErrKeyReused means that the key was already used for a request with another class or body.
+	ErrKeyReused = errors.New("idempotency key already used for another request")
+	// ErrTableFull means that the table has no capacity for another key.
 	ErrTableFull = errors.New("idempotency table is full")
 )
 
-// Request is what all attempts of one request have in common.
+// Request is the part of a request that is the same in all of its attempts.
 type Request struct {
 	// Key is the idempotency key.
 	Key string
 	// Class is the index of the request's class.
 	Class int
-	// Body must be the same in all attempts.
+	// Body is the body of the request. The table stores only its hash.
 	Body []byte
 }
 
-// Entry is a request's place in the table.
+// Entry is the table's record of a request.
 type Entry struct {
 	// Owner identifies the attempt that may run.
 	Owner uint32
-	// Started says that a run of the owner was started. The caller sets it.
+	// Started says that a run of the owner was started. The user of the table sets it.
 	Started bool
-	// Ended says that the owner's result is final.
+	// Ended says that the owner has ended and Result is final.
 	Ended bool
-	// Result is that of the owner's run; nil if the run failed or there was none.
+	// Result is the result of the owner's run; nil if the run failed or was never started.
 	Result []byte
 
 	key     string
 	class   int
 	body    [sha256.Size]byte
-	bytes   int      // counted for the entry
-	waiters []uint32 // attempts that wait for the end
+	bytes   int      // number of bytes counted for the entry
+	waiters []uint32 // attempts that wait for the owner's end
 	expiry  time.Duration
 }
 
-// Table has the entries. Times are the caller's: spans since a fixed start.
+// Table is a table of entries by idempotency key. Times are durations since a fixed start, read from
+// a clock of the table's user.
 type Table struct {
 	maxBytes  int
 	usedBytes int
 	byKey     map[string]*Entry
-	byExpiry  expiryHeap // of the entries that have ended
+	byExpiry  expiryHeap // entries that have ended
 }
 
-// New returns an empty table of at most maxBytes.
+// New returns an empty table that uses at most maxBytes.
 func New(maxBytes int) *Table { return &Table{maxBytes: maxBytes, byKey: map[string]*Entry{}} }
 
-// Len is the number of keys.
+// Len returns the number of keys.
 func (t *Table) Len() int { return len(t.byKey) }
 
-// UsedBytes are counted for all entries, with the results that are still to come.
+// UsedBytes returns the number of bytes counted for all entries, including the bytes reserved for
+// results that are not known yet.
 func (t *Table) UsedBytes() int { return t.usedBytes }
 
-// Claim is an attempt's part in the entry of its request.
+// Claim is the result of claiming a key for an attempt.
 type Claim struct {
-	// Entry is that of the request.
+	// Entry is the entry of the request.
 	Entry *Entry
-	// Owned says that the attempt is the owner of the entry, and may run.
+	// Owned says that the attempt owns the entry and may run. Otherwise the attempt is a duplicate.
 	Owned bool
 }
 
-// Claim returns the claim of an attempt. The first attempt of a request becomes the owner
-// of a new entry, each further one is a duplicate. The error is ErrKeyReused or
-// ErrTableFull, and there is no entry then.
+// Claim claims a request's key for an attempt. The first attempt of a request becomes the owner of a
+// new entry; each later attempt is a duplicate. On ErrKeyReused and ErrTableFull the returned claim
+// has no entry.
 func (t *Table) Claim(now time.Duration, request Request, attempt uint32) (Claim, error) {
 	t.removeExpired(now)
 	body := sha256.Sum256(request.Body)
@@ -116,17 +121,17 @@
 	return Claim{Entry: e, Owned: true}, nil
 }
 
-// AddWaiter notes that an attempt waits for the end of the entry's owner.
+// AddWaiter records that an attempt waits for the end of the entry's owner.
 func (t *Table) AddWaiter(e *Entry, attempt uint32) { e.waiters = append(e.waiters, attempt) }
 
-// RemoveWaiter notes that an attempt waits no more.
+// RemoveWaiter records that an attempt no longer waits for the end of the entry's owner.
 func (t *Table) RemoveWaiter(e *Entry, attempt uint32) {
 	e.waiters = slices.DeleteFunc(e.waiters, func(w uint32) bool { return w == attempt })
 }
 
-// Complete records the result of the entry's owner, and returns the attempts that waited
-// for it. The entry expires at the given time; if its owner was never started it is removed
-// at once. An entry that has ended is left as it is.
+// Complete stores the result of the entry's owner and returns the attempts that wait for it. The entry
+// expires at the given time. If the owner was never started, the entry is removed immediately. An
+// entry that has already ended is not changed.
 func (t *Table) Complete(e *Entry, result []byte, expiry time.Duration) (waiters []uint32) {
 	if e.Ended {
 		return nil
@@ -147,7 +152,7 @@
 	return waiters
 }
 
-// NextExpiry is when the next entry expires; false if none has a time to expire at.
+// NextExpiry returns the expiry time of the entry that expires next, or false if no entry has ended.
 func (t *Table) NextExpiry() (time.Duration, bool) {
 	if len(t.byExpiry) == 0 {
 		return 0, false
--- a/internal/proxy/idempotency/table_test.go
+++ b/internal/proxy/idempotency/table_test.go
@@ -26,13 +26,13 @@
 type known struct {
 	entry   *Entry
 	body    string
-	expiry  time.Duration // once it has ended
+	expiry  time.Duration // set when the entry has ended
 	waiters []uint32
 }
 
-// TestTable: after any sequence of operations a key is found until its owner has ended and
-// its expiry has passed, and never after; the bound holds; and a new key is rejected only
-// if there is no room for it.
+// TestTable checks with random sequences of operations that a key is found until its owner has ended
+// and its expiry time has passed, and not afterwards; that the table stays within its size limit; and
+// that a new key is rejected only if it would exceed that limit.
 func TestTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const maxBytes = 4 * (entryOverhead + 2 + ReservedResultBytes)
@@ -47,10 +47,10 @@
 				}
 			}
 			if len(all) == 0 {
-				t.Skip("nothing is in flight")
+				t.Skip("no request is in flight")
 			}
 			slices.Sort(all)
-			return keys[rapid.SampledFrom(all).Draw(t, "of those in flight")]
+			return keys[rapid.SampledFrom(all).Draw(t, "key in flight")]
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"claim": func(t *rapid.T) {
@@ -100,15 +100,15 @@
 				result := []byte(strings.Repeat("r", rapid.IntRange(0, ReservedResultBytes).Draw(t, "result")))
 				k.expiry = now + time.Duration(rapid.IntRange(0, 20).Draw(t, "window"))
 				require.Equal(t, len(k.waiters), len(table.Complete(k.entry, result, k.expiry)))
-				require.Empty(t, table.Complete(k.entry, nil, 0), "completed twice")
+				require.Empty(t, table.Complete(k.entry, nil, 0), "waiters returned by a second Complete")
 				k.waiters = nil
 				if !k.entry.Started {
-					k.expiry = 0 // removed at once, as another attempt may run
+					k.expiry = 0 // removed immediately, because another attempt may run
 				} else {
 					require.Equal(t, result, append([]byte{}, k.entry.Result...))
 				}
 			},
-			"time": func(t *rapid.T) { now += time.Duration(rapid.IntRange(1, 10).Draw(t, "passes")) },
+			"time": func(t *rapid.T) { now += time.Duration(rapid.IntRange(1, 10).Draw(t, "elapsed")) },
 			"": func(t *rapid.T) {
 				require.LessOrEqual(t, table.UsedBytes(), maxBytes)
 				sum := 0
@@ -126,7 +126,7 @@
 	})
 }
 
-// TestClassIsPartOfRequest: the same key and body in another class is another request.
+// TestClassIsPartOfRequest checks that a key can't be reused with the same body in another class.
 func TestClassIsPartOfRequest(t *testing.T) {
 	table := New(1 << 20)
 	claim, err := table.Claim(0, Request{Key: "k", Class: 1}, 1)
--- a/internal/proxy/slowstart/slowstart_test.go
+++ b/internal/proxy/slowstart/slowstart_test.go
@@ -23,7 +23,7 @@
 	return Config{Cores: 4, MaxRunsPerCore: 8, MinSpeed: 0.2, Duration: 16 * time.Second, AveragingWindow: 3 * time.Second, Processes: processes}
 }
 
-// TestTotalQuota: the quota at the start, half way through the warm-up, and warm.
+// TestTotalQuota checks MaxRuns at the start, halfway through the warm-up, and when warm.
 func TestTotalQuota(t *testing.T) {
 	c := config(1)
 	require.InDelta(t, 4*(1+7*0.2), c.MaxRuns(0), 1e-9)
@@ -35,8 +35,9 @@
 	require.InDelta(t, 4*8, c.MaxRuns(0), 1e-9)
 }
 
-// TestSumOfProcesses: the quotas of any number of processes have the total quota as their
-// mean sum, and exceed it by more than twice its square root + 2 in at most one window.
+// TestSumOfProcesses checks for any number of processes that the sum of their quotas equals the total
+// on average, and that it exceeds the total by more than twice its square root + 2 in at most one
+// window.
 func TestSumOfProcesses(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := config(rapid.IntRange(1, 200).Draw(t, "processes"))
@@ -67,11 +68,11 @@
 	})
 }
 
-// TestQuotaStaysForAWindow: the quota changes at most once in a window, and a warm server
-// has no bound.
+// TestQuotaStaysForAWindow checks that the quota changes at most once per window, and that a warm
+// server has no limit.
 func TestQuotaStaysForAWindow(t *testing.T) {
 	c := config(30)
-	c.Duration = time.Hour // the total quota hardly grows meanwhile
+	c.Duration = time.Hour // so long that the total quota hardly grows during the test
 	s := New(c, 7, 0)
 	changes, last := 0, s.Quota(0)
 	for now := time.Duration(0); now < 100*c.AveragingWindow; now += c.AveragingWindow / 10 {
--- a/internal/proxy/timerqueue/queue.go
+++ b/internal/proxy/timerqueue/queue.go
@@ -1,6 +1,6 @@
-// Package timerqueue is a queue of timers, each a function and the time at which it is due.
-// It has no clock and no goroutine: its owner runs what is due. A Queue belongs to one
-// goroutine.
+// Package timerqueue is a queue of timers, each with a function and a due time. The package has no
+// clock and no goroutine: the owner of a queue runs the due timers. A Queue must be used by one
+// goroutine only.
 package timerqueue
 
 import (
@@ -12,25 +12,26 @@
 // Timer is one scheduled function.
 type Timer struct {
 	due      time.Duration
-	sequence uint64 // in the order of scheduling
+	sequence uint64 // position in the order of scheduling
 	run      func()
-	done     bool // run or cancelled
+	done     bool // has run or was cancelled
 }
 
-// Queue is a list of timers. Its zero value is empty. Times are the owner's: spans since a
-// fixed start.
+// Queue is a list of timers. The zero value is an empty queue. Times are durations since a fixed
+// start, read from a clock of the owner.
 type Queue struct {
-	timers       []*Timer // the next one due is last, so that it is cheap to remove
+	timers       []*Timer // in descending order: the next timer is last, so that it is cheap to remove
 	lastSequence uint64
 }
 
-// compareTimers orders the later timer first, and of one time the one scheduled last.
+// compareTimers sorts in descending order of due time, and timers with equal due times in descending
+// order of scheduling.
 func compareTimers(a, b *Timer) int {
 	return cmp.Or(cmp.Compare(b.due, a.due), cmp.Compare(b.sequence, a.sequence))
 }
 
-// Schedule has run called by the first RunDue at or after due. Timers of one time run in
-// the order in which they were scheduled.
+// Schedule adds a timer. The first call of RunDue at or after the due time calls run. Timers with
+// equal due times run in the order in which they were scheduled.
 func (q *Queue) Schedule(due time.Duration, run func()) *Timer {
 	q.lastSequence++
 	t := &Timer{due: due, sequence: q.lastSequence, run: run}
@@ -39,8 +40,8 @@
 	return t
 }
 
-// Cancel keeps a timer from running. A nil timer, and one that has run or was cancelled, is
-// skipped.
+// Cancel removes a timer from the queue. It does nothing if the timer is nil, has run or was already
+// cancelled.
 func (q *Queue) Cancel(t *Timer) {
 	if t == nil || t.done {
 		return
@@ -52,7 +53,7 @@
 	}
 }
 
-// NextDue is when the next timer is due, if there is one.
+// NextDue returns the due time of the next timer, or false if the queue is empty.
 func (q *Queue) NextDue() (due time.Duration, ok bool) {
 	if len(q.timers) == 0 {
 		return 0, false
@@ -60,8 +61,8 @@
 	return q.timers[len(q.timers)-1].due, true
 }
 
-// RunDue runs the timers that are due by now, in order. That includes timers which these
-// schedule for now or earlier.
+// RunDue runs all timers that are due by now, in order, including timers that they schedule for now
+// or earlier.
 func (q *Queue) RunDue(now time.Duration) {
 	for len(q.timers) > 0 {
 		last := len(q.timers) - 1
--- a/internal/proxy/timerqueue/queue_test.go
+++ b/internal/proxy/timerqueue/queue_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestRunDue: timers run in the order of their times, then of their scheduling; cancelled
-// ones don't; and a timer that is scheduled for the past runs with the rest.
+// TestRunDue checks that timers run in order of due time and then of scheduling, that cancelled
+// timers don't run, and that a timer scheduled for the past by another timer runs in the same call.
 func TestRunDue(t *testing.T) {
 	var q Queue
 	var got []int
