--- a/internal/proxy/dispatch/actions.go
+++ b/internal/proxy/dispatch/actions.go
@@ -14,7 +14,7 @@
 func (d *Dispatcher) execute(now time.Duration, a admission.Action) {
 	switch a := a.(type) {
 	case admission.Run:
-		d.startOrReportGone(now, a.ID)
+		d.startOrReportNotStarted(now, a.ID)
 	case admission.Preempt:
 		d.withRequest(a.ID, d.preempt)
 	case admission.Reject:
@@ -22,7 +22,7 @@
 	case admission.Fail:
 		d.withRequest(a.ID, d.fail)
 	case admission.StartCall:
-		d.withRequest(a.ID, func(r *request) { d.call(now, r, a.Deadline) })
+		d.withRequest(a.ID, func(r *request) { d.startCall(now, r, a.Deadline) })
 	case admission.ShareResult:
 		d.withRequest(a.ID, func(r *request) { d.joinOriginal(now, r) })
 	case admission.StoreKey, admission.EvictKey:
@@ -49,15 +49,15 @@
 	}
 }
 
-// startOrReportGone starts a request. The controller expects a Completed event for each Run
+// startOrReportNotStarted starts a request. The controller expects a Completed event for each Run
 // action, so a request that was already removed is reported as not started.
-func (d *Dispatcher) startOrReportGone(now time.Duration, id uint32) {
+func (d *Dispatcher) startOrReportNotStarted(now time.Duration, id uint32) {
 	r := d.byID[id]
 	if r == nil {
-		d.reportNextTurn(admission.Completed{ID: id, Outcome: admission.OutcomeNotStarted})
+		d.reportInNextIteration(admission.Completed{ID: id, Outcome: admission.OutcomeNotStarted})
 		return
 	}
-	d.start(now, r)
+	d.startOrResumeRun(now, r)
 }
 
 // setHealthy sets the health check status. If the settings enable readiness reports, it also sets
--- a/internal/proxy/dispatch/arrival.go
+++ b/internal/proxy/dispatch/arrival.go
@@ -22,17 +22,17 @@
 	preempted     bool          // the controller preempted the run; the request is requeued when the run ends
 	arrivedAt     time.Duration // when the request arrived at this machine
 	startedAt     time.Duration // start of the run, or of the wait for the original attempt
-	calledAt      time.Duration // start of the call in flight
+	callStartedAt time.Duration // start of the call in flight
 	callBody      []byte        // body of the call that the run needs
 	callTimer     *timerqueue.Timer
 	ownedEntry    *idempotency.Entry // idempotency table entry that this attempt owns; nil if none
 	originalEntry *idempotency.Entry // entry owned by the attempt that this one duplicates; nil if none
 }
 
-// arrive registers a request and reports it to the controller. A duplicate trace id fails the
-// request; an idempotency key that can't be claimed fails or rejects it.
-func (d *Dispatcher) arrive(q *exchange.Request) {
-	if d.isDuplicateTrace(q.TraceID) {
+// handleArrival starts tracking a request and reports it to the controller. A request with a duplicate
+// trace id fails. A request whose idempotency key can't be claimed fails or is rejected.
+func (d *Dispatcher) handleArrival(q *exchange.Request) {
+	if d.isDuplicateTraceID(q.TraceID) {
 		d.Log.Warn("duplicate trace id, request failed", zap.String("trace_id", q.TraceID))
 		d.sendResponse(q, exchange.Response{Kind: exchange.Failed, InvalidRequest: true})
 		return
@@ -48,10 +48,10 @@
 	}
 	d.byID[r.id] = r
 	d.byTraceID[r.TraceID] = r
-	d.report(d.arrivalOf(r))
+	d.reportEvent(d.newPendingArrival(r))
 }
 
-// nextID returns an identifier that no registered request uses. It never returns 0, which stands
+// nextID returns an identifier that no tracked request uses. It never returns 0, which stands
 // for "no request".
 func (d *Dispatcher) nextID() uint32 {
 	for {
@@ -70,9 +70,9 @@
 	callerTimeoutAt time.Duration // when the caller stops waiting; 0 if unknown, the class deadline applies
 }
 
-// arrivalOf returns the Arrival event of a request. A request that is read after the drain's grace
+// newPendingArrival returns the Arrival event of a request. A request that is read after the drain's grace
 // period counts as arrived now, and its timeout is its response deadline.
-func (d *Dispatcher) arrivalOf(r *request) pendingArrival {
+func (d *Dispatcher) newPendingArrival(r *request) pendingArrival {
 	p := pendingArrival{
 		Arrival: admission.Arrival{
 			ID:           r.id,
@@ -86,11 +86,11 @@
 		},
 		arrivedAt: r.arrivedAt,
 	}
-	if d.passesTimeout(r) {
+	if d.usesCallerTimeout(r) {
 		p.callerTimeoutAt = r.arrivedAt + r.Timeout
 	}
-	if now := d.Now(); d.drainGraceOver(now) {
-		p.callerTimeoutAt = d.dueAt(r)
+	if now := d.Now(); d.drainGracePeriodOver(now) {
+		p.callerTimeoutAt = d.responseDeadline(r)
 		p.arrivedAt = now
 	}
 	if r.originalEntry != nil {
@@ -99,14 +99,14 @@
 	return p
 }
 
-// passesTimeout reports whether the caller's own timeout applies instead of the class deadline.
-func (d *Dispatcher) passesTimeout(r *request) bool {
+// usesCallerTimeout reports whether the caller's own timeout applies instead of the class deadline.
+func (d *Dispatcher) usesCallerTimeout(r *request) bool {
 	return d.SiteSettings.Server.PassesDeadline && r.Timeout > 0
 }
 
-// dueAt returns the time by which the request must have its response.
-func (d *Dispatcher) dueAt(r *request) time.Duration {
-	if d.passesTimeout(r) {
+// responseDeadline returns the time by which the request must have its response.
+func (d *Dispatcher) responseDeadline(r *request) time.Duration {
+	if d.usesCallerTimeout(r) {
 		return r.arrivedAt + r.Timeout
 	}
 	return r.arrivedAt + d.controllerSettings.Classes[r.Class].Deadline
@@ -122,18 +122,18 @@
 	return a
 }
 
-// callerGone ends a request that its caller cancelled or whose connection was closed. No response
+// handleRequestCanceled ends a request that its caller cancelled or whose connection was closed. No response
 // can reach the caller, but respond must still be called to release the request's slot in the
 // exchange; the Responder drops the bytes. A run that waits for a call is stopped to free its
 // resources.
-func (d *Dispatcher) callerGone(q *exchange.Request) {
+func (d *Dispatcher) handleRequestCanceled(q *exchange.Request) {
 	r := d.byTraceID[q.TraceID]
 	if r == nil || r.Request != q || r.answered {
 		return
 	}
 	d.respond(r, exchange.Response{Kind: exchange.Failed})
-	d.report(admission.Canceled{ID: r.id})
-	if r.state.atCall() {
+	d.reportEvent(admission.Canceled{ID: r.id})
+	if r.state.waitsForCall() {
 		d.stop(r)
 	}
 }
--- a/internal/proxy/dispatch/calls.go
+++ b/internal/proxy/dispatch/calls.go
@@ -7,13 +7,13 @@
 	"oxbowbridge/internal/proxy/exchange"
 )
 
-// callReportSlack is how long after a call's expiry the dependency client may still report its end.
+// callReportGracePeriod is how long after a call's expiry the dependency client may still report its end.
 // After that the dispatcher cancels the call and reports it as timed out.
-const callReportSlack = 50 * time.Millisecond
+const callReportGracePeriod = 50 * time.Millisecond
 
-// callNeeded tells the controller that a run waits for a call. If the request already has its
+// handleCallNeeded tells the controller that a run waits for a call. If the request already has its
 // response, the run is stopped instead.
-func (d *Dispatcher) callNeeded(r *request, body []byte) {
+func (d *Dispatcher) handleCallNeeded(r *request, body []byte) {
 	if !r.state.permits(needCall) {
 		return
 	}
@@ -23,35 +23,35 @@
 	}
 	r.state.advance(needCall)
 	r.callBody = body
-	d.report(admission.CallNeeded{ID: r.id})
+	d.reportEvent(admission.CallNeeded{ID: r.id})
 }
 
-// call starts the call that a run needs. The call expires at the given time; if expiry is 0, it
+// startCall starts the call that a run needs. The call expires at the given time; if expiry is 0, it
 // expires after the class deadline, measured from now.
-func (d *Dispatcher) call(now time.Duration, r *request, expiry time.Duration) {
+func (d *Dispatcher) startCall(now time.Duration, r *request, expiry time.Duration) {
 	if r.answered || !r.state.advance(sendCall) {
 		return
 	}
 	if expiry == 0 {
 		expiry = now + d.controllerSettings.Classes[r.Class].Deadline
 	}
-	r.calledAt = now
+	r.callStartedAt = now
 	d.Dependency.Call(exchange.Job{
 		TraceID:    r.TraceID,
-		Idempotent: d.mayRepeat(r),
+		Idempotent: d.isIdempotent(r),
 		Timeout:    expiry - now,
 		Body:       r.callBody,
 	})
-	r.callTimer = d.Timers.Schedule(expiry+callReportSlack, func() {
+	r.callTimer = d.Timers.Schedule(expiry+callReportGracePeriod, func() {
 		d.Dependency.Cancel(r.TraceID)
-		d.callEnded(r, exchange.Outcome{Result: exchange.ResultTimedOut})
+		d.handleCallEnded(r, exchange.Outcome{Result: exchange.ResultTimedOut})
 	})
 }
 
-// callEnded passes the reply of a successful call to the runner and reports the end of the call to
+// handleCallEnded passes the reply of a successful call to the runner and reports the end of the call to
 // the controller, which fails the request if the call failed. Only the DependencyClient retries
 // calls, before it reports their end.
-func (d *Dispatcher) callEnded(r *request, o exchange.Outcome) {
+func (d *Dispatcher) handleCallEnded(r *request, o exchange.Outcome) {
 	d.Timers.Cancel(r.callTimer)
 	outcome := callOutcome(o.Result)
 	if outcome == admission.OutcomeOK {
@@ -60,7 +60,7 @@
 	} else {
 		r.state.advance(callFailed)
 	}
-	d.report(admission.CallCompleted{ID: r.id, Elapsed: d.Now() - r.calledAt, Outcome: outcome})
+	d.reportEvent(admission.CallCompleted{ID: r.id, Elapsed: d.Now() - r.callStartedAt, Outcome: outcome})
 }
 
 // callOutcome maps the result of a call to the controller's outcome.
--- a/internal/proxy/dispatch/dispatcher.go
+++ b/internal/proxy/dispatch/dispatcher.go
@@ -14,10 +14,10 @@
 	// sweepInterval is the time between two sweeps, which close idle and stalled connections.
 	// frontend.maxStalledSweeps is a number of these intervals.
 	sweepInterval = 200 * time.Millisecond
-	// lateTurnThreshold is the delay of a timer above which a warning is logged.
-	lateTurnThreshold = 20 * time.Millisecond
-	// maxTurnInterval is the maximum time between two iterations if no timer is set.
-	maxTurnInterval = time.Minute
+	// lateTimerThreshold is the delay of a timer above which a warning is logged.
+	lateTimerThreshold = 20 * time.Millisecond
+	// maxIterationInterval is the maximum time between two iterations if no timer is set.
+	maxIterationInterval = time.Minute
 )
 
 // Dispatcher connects frontends, admission controller, runner and dependency. It may be used only
@@ -28,19 +28,19 @@
 	tenants            map[string]int // index in the settings, by name
 	idempotency        *idempotency.Table
 
-	controller    *admission.Controller // nil before the first event
-	pendingEvents []admission.Event     // for the next call of the controller
-	lastDecision  time.Duration         // when the controller was last called
-	inbox         []exchange.Event      // buffer reused for events dequeued from the exchange
+	controller         *admission.Controller // nil before the first event
+	pendingEvents      []admission.Event     // for the next call of the controller
+	lastControllerCall time.Duration         // when the controller was last called
+	eventBuf           []exchange.Event      // buffer reused for events dequeued from the exchange
 
-	lastID      uint32
-	byID        map[uint32]*request
-	byTraceID   map[string]*request
-	spentTraces map[string]struct{} // trace ids that have run and must not run again; see atmostonce.go
+	lastID       uint32
+	byID         map[uint32]*request
+	byTraceID    map[string]*request
+	usedTraceIDs map[string]struct{} // trace ids that have run and must not run again; see atmostonce.go
 
-	coldStart         bool          // the runner was warming up when it became ready
+	runnerWarmingUp   bool          // the runner was warming up when it became ready
 	readyAt           time.Duration // when the runner became ready; 0 if it is not ready yet
-	warmAt            time.Duration // end of the runner's warm-up
+	warmUpEndsAt      time.Duration // end of the runner's warm-up
 	controllerHealthy bool          // health check status set by the controller
 	idleTimeout       time.Duration // after which connections without open requests are closed
 	gauges            gaugeReading
@@ -69,11 +69,11 @@
 		idempotency:        idempotency.New(c.MaxIdempotencyKeyBytes),
 		byID:               map[uint32]*request{},
 		byTraceID:          map[string]*request{},
-		spentTraces:        map[string]struct{}{},
-		coldStart:          settings.SlowStart,
+		usedTraceIDs:       map[string]struct{}{},
+		runnerWarmingUp:    settings.SlowStart,
 		idleTimeout:        settings.MaxIdleTimeout,
 		gauges:             gaugeReading{values: c.SiteSettings.Gauges(nil)},
-		rejections:         rejectionLog{unlogged: map[rejectionKind]int{}},
+		rejections:         rejectionLog{unlogged: map[rejectionKey]int{}},
 	}, nil
 }
 
@@ -83,8 +83,8 @@
 	timer := time.NewTimer(0)
 	for !d.drain.finished {
 		d.awaitMinInterval()
-		d.turn()
-		timer.Reset(d.untilNextTimer())
+		d.runIteration()
+		timer.Reset(d.timeUntilNextTimer())
 		select {
 		case <-d.Exchange.WakeupChan():
 		case <-timer.C:
@@ -95,112 +95,112 @@
 // awaitMinInterval sleeps until MinInterval of the controller's settings has passed since the last
 // call of the controller. Events that are posted during the sleep are handled in one iteration.
 func (d *Dispatcher) awaitMinInterval() {
-	remaining := d.lastDecision + d.controllerSettings.MinInterval - d.Now()
-	if d.lastDecision > 0 && remaining > 0 {
+	remaining := d.lastControllerCall + d.controllerSettings.MinInterval - d.Now()
+	if d.lastControllerCall > 0 && remaining > 0 {
 		time.Sleep(remaining)
 	}
 }
 
-func (d *Dispatcher) untilNextTimer() time.Duration {
+func (d *Dispatcher) timeUntilNextTimer() time.Duration {
 	next, ok := d.Timers.NextDue()
 	if !ok {
-		return maxTurnInterval
+		return maxIterationInterval
 	}
 	return max(0, next-d.Now())
 }
 
-// turn runs one iteration: it handles posted events, runs the timers that are due, and calls the
+// runIteration runs one iteration: it handles posted events, runs the timers that are due, and calls the
 // controller once if there are events for it.
-func (d *Dispatcher) turn() {
-	d.handlePosted()
-	if next, ok := d.Timers.NextDue(); ok && d.Now()-next > lateTurnThreshold {
+func (d *Dispatcher) runIteration() {
+	d.handlePostedEvents()
+	if next, ok := d.Timers.NextDue(); ok && d.Now()-next > lateTimerThreshold {
 		d.Log.Warn("dispatcher timer ran late", zap.Int64("late_ms", (d.Now()-next).Milliseconds()))
 	}
 	d.Timers.RunDue(d.Now())
-	d.handlePosted() // again, because timers may post events
+	d.handlePostedEvents() // again, because timers may post events
 	if len(d.pendingEvents) > 0 {
-		d.decide()
+		d.callController()
 	}
 	if d.drain.started {
 		d.advanceDrain()
 	}
 }
 
-// handlePosted handles events until the exchange is empty.
-func (d *Dispatcher) handlePosted() {
+// handlePostedEvents handles events until the exchange is empty.
+func (d *Dispatcher) handlePostedEvents() {
 	for {
-		d.inbox = d.Exchange.Dequeue(d.inbox)
-		if len(d.inbox) == 0 {
+		d.eventBuf = d.Exchange.Dequeue(d.eventBuf)
+		if len(d.eventBuf) == 0 {
 			return
 		}
-		for _, e := range d.inbox {
-			d.handle(e)
+		for _, e := range d.eventBuf {
+			d.handleEvent(e)
 		}
 	}
 }
 
-func (d *Dispatcher) handle(e exchange.Event) {
+func (d *Dispatcher) handleEvent(e exchange.Event) {
 	switch e := e.(type) {
 	case *exchange.Request:
-		d.arrive(e)
+		d.handleArrival(e)
 	case exchange.RequestCanceled:
-		d.callerGone(e.Request)
+		d.handleRequestCanceled(e.Request)
 	case exchange.Outcome:
-		d.outcome(e)
+		d.handleOutcome(e)
 	case exchange.Gauges:
 		d.gauges = gaugeReading{values: d.SiteSettings.Gauges(e), readAt: d.Now()}
 	case exchange.RunnerReady:
-		d.runnerReady(e)
+		d.handleRunnerReady(e)
 	case exchange.Callback:
 		e()
 	}
 }
 
-// runnerReady registers the service with the service registry. It also reports a timer event, which
+// handleRunnerReady registers the service with the service registry. It also reports a timer event, which
 // starts the controller if no request has arrived yet.
-func (d *Dispatcher) runnerReady(e exchange.RunnerReady) {
-	d.coldStart = e.WarmingUp
+func (d *Dispatcher) handleRunnerReady(e exchange.RunnerReady) {
+	d.runnerWarmingUp = e.WarmingUp
 	d.readyAt = d.Now()
-	d.warmAt = d.readyAt
+	d.warmUpEndsAt = d.readyAt
 	if e.WarmingUp {
-		d.warmAt += max(0, d.controllerSettings.SlowStartDuration-e.Uptime)
+		d.warmUpEndsAt += max(0, d.controllerSettings.SlowStartDuration-e.Uptime)
 	}
 	d.updateHealth()
 	d.Registry.Register()
-	d.report(admission.TimerFired{Gauges: d.gauges.values})
+	d.reportEvent(admission.TimerFired{Gauges: d.gauges.values})
 }
 
 // updateHealth sets the health check status. Health checks fail until the runner is ready.
 func (d *Dispatcher) updateHealth() { d.Exchange.SetHealthy(d.controllerHealthy && d.readyAt > 0) }
 
-// report adds an event for the controller. It must be called before the controller is called in
-// the current iteration; see reportNextTurn.
-func (d *Dispatcher) report(e admission.Event) { d.pendingEvents = append(d.pendingEvents, e) }
+// reportEvent adds an event for the controller. It must be called before the controller is called in
+// the current iteration; see reportInNextIteration.
+func (d *Dispatcher) reportEvent(e admission.Event) { d.pendingEvents = append(d.pendingEvents, e) }
 
-// reportNextTurn adds an event for the controller while its actions are being executed, and wakes
+// reportInNextIteration adds an event for the controller while its actions are being executed, and wakes
 // the dispatcher for another iteration that delivers the event.
-func (d *Dispatcher) reportNextTurn(e admission.Event) {
-	d.report(e)
+func (d *Dispatcher) reportInNextIteration(e admission.Event) {
+	d.reportEvent(e)
 	d.Exchange.Wakeup()
 }
 
 // pendingEvent is an event with durations that depend on when the controller is called.
 type pendingEvent interface {
-	at(now time.Duration) admission.Event
+	eventAt(now time.Duration) admission.Event
 }
 
-// decide calls the controller with all pending events and executes the returned actions.
-func (d *Dispatcher) decide() {
+// callController calls the controller with all pending events and executes the returned actions.
+func (d *Dispatcher) callController() {
 	if d.controller == nil {
 		d.startController()
 	}
 	now := d.Now()
 	for i, e := range d.pendingEvents {
 		if p, ok := e.(pendingEvent); ok {
-			d.pendingEvents[i] = p.at(now)
+			d.pendingEvents[i] = p.eventAt(now)
 		}
 	}
-	d.lastDecision = now
+	d.lastControllerCall = now
 	actions := d.controller.Handle(now, d.pendingEvents)
 	d.pendingEvents = d.pendingEvents[:0]
 	for _, a := range actions {
@@ -208,15 +208,15 @@
 	}
 }
 
-// noSeed is passed as the controller's seed. Only the simulator's protocol carries a seed; the
+// unusedSeed is passed as the controller's seed. Only the simulator's protocol carries a seed; the
 // controller makes no random decisions.
-const noSeed = 0
+const unusedSeed = 0
 
 // startController creates the controller before its first event. If the runner is ready by then, it
 // determines whether the controller begins with a slow start; otherwise the settings do.
 func (d *Dispatcher) startController() {
-	d.controllerSettings.SlowStart = d.coldStart
-	controller, err := admission.New(d.controllerSettings, noSeed)
+	d.controllerSettings.SlowStart = d.runnerWarmingUp
+	controller, err := admission.New(d.controllerSettings, unusedSeed)
 	if err != nil {
 		panic(err) // unreachable: ControllerSettings has validated the settings
 	}
--- a/internal/proxy/dispatch/doc.go
+++ b/internal/proxy/dispatch/doc.go
@@ -12,7 +12,7 @@
 //
 // # Processing of a request
 //
-//   - arrival.go: an exchange.Request is dequeued, checked for duplicates, registered, and
+//   - arrival.go: an exchange.Request is dequeued, checked for duplicates, tracked, and
 //     reported to the controller.
 //   - dispatcher.go: the controller is called once per iteration of Run with all events of the
 //     iteration, and returns actions.
--- a/internal/proxy/dispatch/drain.go
+++ b/internal/proxy/dispatch/drain.go
@@ -19,10 +19,10 @@
 //   - After DrainGracePeriod (settings), but no later than stopReserve before the stop: listeners
 //     close, which takes 50 ms, and connections close when they are idle. Requests that are read
 //     after DrainGracePeriod do not run.
-//   - drainConnectionsLead before the stop: DrainConnections is called, which drops incomplete
+//   - drainConnectionsLeadTime before the stop: DrainConnections is called, which drops incomplete
 //     messages.
 //   - The process exits when it has had no connection, unsent byte or unanswered request for
-//     closeRaceWindow, and in any case exitLead before the stop.
+//     quietPeriod, and in any case exitLeadTime before the stop.
 //
 // Two related times are defined elsewhere. The controller rejects requests that arrive after
 // DrainGracePeriod, which it does not shorten for a near stop, and responds to all requests by
@@ -32,77 +32,79 @@
 	// stopReserve is the part of the drain timeout reserved for the last responses and for closing
 	// connections.
 	stopReserve = 250 * time.Millisecond
-	// exitLead is how long before the stop the process exits, even if requests or connections remain.
-	exitLead = 100 * time.Millisecond
-	// closeRaceWindow is how long the process must have had no connections and no pending work before
+	// exitLeadTime is how long before the stop the process exits, even if requests or connections remain.
+	exitLeadTime = 100 * time.Millisecond
+	// quietPeriod is how long the process must have had no connections and no pending work before
 	// it exits. A request sent while its connection was being closed is lost, and the caller resends it
 	// on another connection.
-	closeRaceWindow = 2 * exchange.CloseRaceWindow
-	// drainConnectionsLead is how long before the stop connections with incomplete messages are closed.
-	drainConnectionsLead = exitLead + closeRaceWindow
+	quietPeriod = 2 * exchange.CloseRaceWindow
+	// drainConnectionsLeadTime is how long before the stop connections with incomplete messages are closed.
+	drainConnectionsLeadTime = exitLeadTime + quietPeriod
 	// drainPollInterval is the interval at which the dispatcher checks for remaining work.
 	drainPollInterval = 20 * time.Millisecond
 )
 
 // drainState is the progress of a drain.
 type drainState struct {
-	started         bool
-	graceEndsAt     time.Duration // requests read later must not run
-	stopAt          time.Duration // when the process will be killed from outside
-	closeAt         time.Duration // when listeners and idle connections are closed
-	emptySince      time.Duration // since when there has been no remaining work; 0 if there is some
-	listenersClosed bool          // StopListening was called on all frontends
-	finished        bool
+	started           bool
+	gracePeriodEndsAt time.Duration // requests read later must not run
+	stopAt            time.Duration // when the process will be killed from outside
+	closeAt           time.Duration // when listeners and idle connections are closed
+	idleSince         time.Duration // since when there has been no remaining work; 0 if there is some
+	listenersClosed   bool          // StopListening was called on all frontends
+	finished          bool
 }
 
-// Drain starts the drain. The termination signal was received at noticedAt, by the clock of Now, and
+// Drain starts the drain. The termination signal was received at signaledAt, by the clock of Now, and
 // the process will be killed `timeout` later. Calls after the first are ignored. Drain must be
 // called in the dispatcher's goroutine.
-func (d *Dispatcher) Drain(noticedAt, timeout time.Duration) {
+func (d *Dispatcher) Drain(signaledAt, timeout time.Duration) {
 	if d.drain.started {
 		return
 	}
 	wallTime := time.Now() // read before d.Now, so that the logged signal time is never too late
-	waited := d.Now() - noticedAt
-	stopAt := noticedAt + timeout
+	sinceSignal := d.Now() - signaledAt
+	stopAt := signaledAt + timeout
 	d.drain.started = true
 	d.drain.stopAt = stopAt
-	d.drain.graceEndsAt = noticedAt + d.controllerSettings.DrainGracePeriod
-	d.drain.closeAt = min(d.drain.graceEndsAt, stopAt-stopReserve)
+	d.drain.gracePeriodEndsAt = signaledAt + d.controllerSettings.DrainGracePeriod
+	d.drain.closeAt = min(d.drain.gracePeriodEndsAt, stopAt-stopReserve)
 	remaining := stopAt - d.Now()
 	d.Log.Info("drain started", zap.Int64("stop_in_ms", remaining.Milliseconds()), zap.Int("open_requests", len(d.byID)),
-		zap.Int64("noticed_unix_ms", wallTime.Add(-waited).UnixMilli()), zap.Int64("handled_after_ms", waited.Milliseconds()))
+		zap.Int64("noticed_unix_ms", wallTime.Add(-sinceSignal).UnixMilli()), zap.Int64("handled_after_ms", sinceSignal.Milliseconds()))
 	if d.SiteSettings.Server.Readiness {
 		d.Registry.SetAvailable(false)
 	} else {
 		d.Registry.Deregister()
 	}
-	d.report(pendingDrain{noticedAt: noticedAt, stopAt: stopAt - stopReserve})
-	d.pollDrain()
+	d.reportEvent(pendingDrain{signaledAt: signaledAt, stopAt: stopAt - stopReserve})
+	d.scheduleDrainPoll()
 }
 
-// drainGraceOver reports whether the drain's grace period is over, so that a request that is read now
+// drainGracePeriodOver reports whether the drain's grace period is over, so that a request that is read now
 // must not run. The request's own arrival time does not count here: it is sent by the caller, read
 // from the caller's clock, and possibly long before the last byte of the request.
-func (d *Dispatcher) drainGraceOver(now time.Duration) bool {
-	return d.drain.started && now > d.drain.graceEndsAt
+func (d *Dispatcher) drainGracePeriodOver(now time.Duration) bool {
+	return d.drain.started && now > d.drain.gracePeriodEndsAt
 }
 
 // pendingDrain is a Drain event that waits for the next call of the controller.
 type pendingDrain struct {
 	admission.Drain
-	noticedAt time.Duration
-	stopAt    time.Duration // stop time for the controller, earlier than the actual stop
+	signaledAt time.Duration
+	stopAt     time.Duration // stop time for the controller, earlier than the actual stop
 }
 
 // at returns the event for a call of the controller at the given time.
 func (p pendingDrain) at(now time.Duration) admission.Event {
-	return admission.Drain{StopIn: max(0, p.stopAt-now), Age: now - p.noticedAt}
+	return admission.Drain{StopIn: max(0, p.stopAt-now), Age: now - p.signaledAt}
 }
 
-// pollDrain reschedules itself every drainPollInterval. The timer causes an iteration of Run, which
+// scheduleDrainPoll reschedules itself every drainPollInterval. The timer causes an iteration of Run, which
 // calls advanceDrain.
-func (d *Dispatcher) pollDrain() { d.Timers.Schedule(d.Now()+drainPollInterval, d.pollDrain) }
+func (d *Dispatcher) scheduleDrainPoll() {
+	d.Timers.Schedule(d.Now()+drainPollInterval, d.scheduleDrainPoll)
+}
 
 // advanceDrain closes listeners and idle connections after closeAt. It finishes the drain when no
 // work remains or the stop is near.
@@ -113,14 +115,14 @@
 	}
 	d.closeListeners()
 	connections, unsentBytes := d.closeIdle(now)
-	unanswered := d.unanswered()
+	unanswered := d.countUnanswered()
 	if connections > 0 || unsentBytes > 0 || unanswered > 0 {
-		d.drain.emptySince = 0
-	} else if d.drain.emptySince == 0 {
-		d.drain.emptySince = now
+		d.drain.idleSince = 0
+	} else if d.drain.idleSince == 0 {
+		d.drain.idleSince = now
 	}
-	empty := d.drain.emptySince > 0 && now >= d.drain.emptySince+closeRaceWindow
-	if empty || now >= d.drain.stopAt-exitLead {
+	quiet := d.drain.idleSince > 0 && now >= d.drain.idleSince+quietPeriod
+	if quiet || now >= d.drain.stopAt-exitLeadTime {
 		beforeStop := d.drain.stopAt - now
 		d.Log.Info("drain finished", zap.Int("open_requests", unanswered), zap.Int64("before_stop_ms", beforeStop.Milliseconds()))
 		d.logRejections()
@@ -145,7 +147,7 @@
 func (d *Dispatcher) closeIdle(now time.Duration) (remaining, unsentBytes int) {
 	remaining = d.Lingering.ReapLingering(time.Now())
 	for _, f := range d.Frontends {
-		if now >= d.drain.stopAt-drainConnectionsLead {
+		if now >= d.drain.stopAt-drainConnectionsLeadTime {
 			f.DrainConnections()
 		}
 		frontendRemaining, frontendUnsent := f.CloseIdle(0)
@@ -155,8 +157,8 @@
 	return remaining, unsentBytes
 }
 
-// unanswered returns the number of requests without a final response.
-func (d *Dispatcher) unanswered() int {
+// countUnanswered returns the number of requests without a final response.
+func (d *Dispatcher) countUnanswered() int {
 	count := 0
 	for _, r := range d.byID {
 		if !r.answered {
--- a/internal/proxy/dispatch/gauges.go
+++ b/internal/proxy/dispatch/gauges.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	// gaugePollLead is how long before a timer of the controller the gauges are requested from the
+	// gaugeRequestLeadTime is how long before a timer of the controller the gauges are requested from the
 	// runner, so that they have been received when the timer is due.
-	gaugePollLead = 8 * time.Millisecond
-	// maxDecisionGaugeAge is the maximum age of gauges that are passed to the controller. Older gauges
+	gaugeRequestLeadTime = 8 * time.Millisecond
+	// maxControllerGaugeAge is the maximum age of gauges that are passed to the controller. Older gauges
 	// are reported as unknown.
-	maxDecisionGaugeAge = time.Second
+	maxControllerGaugeAge = time.Second
 	// maxLoadGaugeAge is the maximum age of gauges that Load returns as known.
 	maxLoadGaugeAge = 10 * time.Second
 )
@@ -29,21 +29,21 @@
 	d.Runner.RequestGauges() // for the next call of Load
 	now := d.Now()
 	known = d.gauges.readAt > 0 && now-d.gauges.readAt <= maxLoadGaugeAge
-	warm = d.readyAt > 0 && now >= d.warmAt
+	warm = d.readyAt > 0 && now >= d.warmUpEndsAt
 	return d.gauges.values.CPUUtilization, known, warm
 }
 
 // scheduleControllerTimer sets a timer for the controller. When the timer fires, the controller gets
 // the gauges with the timer event.
 func (d *Dispatcher) scheduleControllerTimer(now time.Duration, a admission.SetTimer) {
-	if a.After > gaugePollLead {
-		d.Timers.Schedule(now+a.After-gaugePollLead, d.Runner.RequestGauges)
+	if a.After > gaugeRequestLeadTime {
+		d.Timers.Schedule(now+a.After-gaugeRequestLeadTime, d.Runner.RequestGauges)
 	}
 	d.Timers.Schedule(now+a.After, func() {
 		// Gauges are outdated if the connection is down or the runner does not respond.
-		if d.Now()-d.gauges.readAt > maxDecisionGaugeAge {
+		if d.Now()-d.gauges.readAt > maxControllerGaugeAge {
 			d.gauges.values = d.SiteSettings.Gauges(nil)
 		}
-		d.report(admission.TimerFired{TimerID: a.TimerID, Gauges: d.gauges.values})
+		d.reportEvent(admission.TimerFired{TimerID: a.TimerID, Gauges: d.gauges.values})
 	})
 }
--- a/internal/proxy/dispatch/idempotency.go
+++ b/internal/proxy/dispatch/idempotency.go
@@ -47,7 +47,7 @@
 		return false
 	case err != nil:
 		d.Log.Warn("request rejected: idempotency table full", zap.Int("keys", d.idempotency.Len()))
-		d.sendResponse(r.Request, exchange.Response{Kind: exchange.Rejected, RetryAfter: d.untilKeyExpires(now)})
+		d.sendResponse(r.Request, exchange.Response{Kind: exchange.Rejected, RetryAfter: d.timeUntilKeyExpiry(now)})
 		return false
 	case claim.Owned:
 		r.ownedEntry = claim.Entry
@@ -57,9 +57,9 @@
 	return true
 }
 
-// untilKeyExpires returns the time until the next key expires, limited to the maximum Retry-After
+// timeUntilKeyExpiry returns the time until the next key expires, limited to the maximum Retry-After
 // that callers honor. It returns 0 if no key has an expiry time.
-func (d *Dispatcher) untilKeyExpires(now time.Duration) time.Duration {
+func (d *Dispatcher) timeUntilKeyExpiry(now time.Duration) time.Duration {
 	next, _ := d.idempotency.NextExpiry()
 	return min(max(0, next-now), d.controllerSettings.MaxRetryAfter)
 }
@@ -75,7 +75,7 @@
 	class := &d.controllerSettings.Classes[r.Class]
 	expiry := r.arrivedAt + class.DedupWindow + class.Deadline
 	for _, id := range d.idempotency.Complete(r.ownedEntry, result, expiry) {
-		d.answerDuplicate(d.byID[id])
+		d.respondToDuplicate(d.byID[id])
 	}
 }
 
@@ -86,15 +86,15 @@
 		return
 	}
 	r.startedAt = now
-	if r.originalEntry.Ended {
-		d.answerDuplicate(r)
+	if r.originalEntry.OwnerEnded {
+		d.respondToDuplicate(r)
 	} else {
 		d.idempotency.AddWaiter(r.originalEntry, r.id)
 	}
 }
 
-// answerDuplicate responds to a duplicate that waits for its original attempt, which has ended.
-func (d *Dispatcher) answerDuplicate(r *request) {
+// respondToDuplicate responds to a duplicate that waits for its original attempt, which has ended.
+func (d *Dispatcher) respondToDuplicate(r *request) {
 	if r == nil || r.state != awaitingOriginal {
 		return
 	}
@@ -104,6 +104,6 @@
 		response = exchange.Response{Kind: exchange.Succeeded, Body: r.originalEntry.Result}
 		outcome = admission.OutcomeOK
 	}
-	d.reportNextTurn(admission.Completed{ID: r.id, Elapsed: d.Now() - r.startedAt, Outcome: outcome})
+	d.reportInNextIteration(admission.Completed{ID: r.id, Elapsed: d.Now() - r.startedAt, Outcome: outcome})
 	d.respond(r, response)
 }
--- a/internal/proxy/dispatch/invariants_test.go
+++ b/internal/proxy/dispatch/invariants_test.go
@@ -19,7 +19,7 @@
 	"oxbowbridge/internal/sitesettings"
 )
 
-// Indexes of the classes in invariantSite.
+// Indexes of the classes in settingsTemplate.
 const (
 	classIdempotent = iota
 	classDeduplicated
@@ -27,8 +27,8 @@
 	classCount
 )
 
-// invariantSite is a settings template with one class of each effect. %s is the preemption setting.
-const invariantSite = `{"tick_ns": 4000000, "servers": 1, "counted_by": "work",
+// settingsTemplate is a settings template with one class of each effect. %s is the preemption setting.
+const settingsTemplate = `{"tick_ns": 4000000, "servers": 1, "counted_by": "work",
 	"bounds": {"max_retry_after_ns": 2000000000, "retry_after": true},
 	"classes": [
 		{"name": "read", "effect": "idempotent", "value": 1, "aim_ns": 300000000, "deadline_ns": 900000000},
@@ -38,153 +38,153 @@
 		"idle_ns": 15000000000, "memory_kb": 400, "run_factor": 1.5, "tells_gone": true, "kb_per_key": 1, "own_stats": ["core_use"]},
 	"safety": {"answer_slack_ns": 80000000, "cold_ns": 6000000000, "cold_share": 0.2, "drain_grace_ns": 600000000, "fall_multiple": 8, "fall_ns": 1000000000}}`
 
-// surroundings is a fake of the dispatcher's runner, dependency and frontend. It checks invariants on
+// fakeEnvironment is a fake of the dispatcher's runner, dependency and frontend. It checks invariants on
 // each call that the dispatcher makes.
-type surroundings struct {
+type fakeEnvironment struct {
 	t          *testing.T
 	dispatcher *Dispatcher
 	exchange   *exchange.Exchange
 	random     *rand.Rand
 	now        time.Duration
 
-	requests  []*exchange.Request
-	runs      map[string]int    // number of started runs, by trace id
-	results   map[string][]byte // result of the latest run, by trace id
-	keyRuns   map[string]int    // number of started runs, by idempotency key
-	inRun     []string          // trace ids of recently started runs, which may be reported as ended
-	calls     []string          // trace ids of calls in flight
-	stopped   []string          // trace ids of stopped runs whose end is still to be reported
-	responses int
-	restarted int // number of runs started with Job.Restarted
+	requests         []*exchange.Request
+	runsByTraceID    map[string]int    // number of started runs, by trace id
+	resultsByTraceID map[string][]byte // result of the latest run, by trace id
+	runsByKey        map[string]int    // number of started runs, by idempotency key
+	activeRuns       []string          // trace ids of recently started runs, which may be reported as ended
+	calls            []string          // trace ids of calls in flight
+	stoppedRuns      []string          // trace ids of stopped runs whose end is still to be reported
+	responseCount    int
+	restartCount     int // number of runs started with Job.Restarted
 }
 
-// attempt is the Responder of one request.
-type attempt struct {
-	*surroundings
-	request *exchange.Request
-	count   int // number of responses
+// fakeResponder is the Responder of one request.
+type fakeResponder struct {
+	*fakeEnvironment
+	request          *exchange.Request
+	requestResponses int // number of responses
 }
 
 // Respond checks that a request gets one response and that the response is true.
-func (a *attempt) Respond(r exchange.Response) {
-	a.count++
-	a.responses++
-	require.Equal(a.t, 1, a.count, "a request has one response")
+func (a *fakeResponder) Respond(r exchange.Response) {
+	a.requestResponses++
+	a.responseCount++
+	require.Equal(a.t, 1, a.requestResponses, "a request has one response")
 	switch r.Kind {
 	case exchange.Succeeded:
 		require.Equal(a.t, "result of "+string(a.request.Body), string(r.Body))
 	case exchange.Rejected:
 		if a.request.Class != classIdempotent {
-			require.Zero(a.t, a.runs[a.request.TraceID], "a rejection promises that nothing ran")
-			require.Zero(a.t, a.keyRuns[a.request.IdempotencyKey], "a rejection promises that no attempt ran")
+			require.Zero(a.t, a.runsByTraceID[a.request.TraceID], "a rejection promises that nothing ran")
+			require.Zero(a.t, a.runsByKey[a.request.IdempotencyKey], "a rejection promises that no attempt ran")
 		}
 	}
 }
 
 // Run checks that a request that must run at most once is not run again.
-func (s *surroundings) Run(a exchange.Job) {
-	s.runs[a.TraceID]++
-	s.results[a.TraceID] = fmt.Append(nil, "result of ", string(a.Body))
-	s.inRun = append(s.inRun, a.TraceID)
+func (s *fakeEnvironment) Run(a exchange.Job) {
+	s.runsByTraceID[a.TraceID]++
+	s.resultsByTraceID[a.TraceID] = fmt.Append(nil, "result of ", string(a.Body))
+	s.activeRuns = append(s.activeRuns, a.TraceID)
 	if a.Restarted {
-		s.restarted++
-		require.True(s.t, a.Idempotent && s.runs[a.TraceID] > 1, "only an idempotent request that has run before is restarted")
+		s.restartCount++
+		require.True(s.t, a.Idempotent && s.runsByTraceID[a.TraceID] > 1, "only an idempotent request that has run before is restarted")
 	}
 	if a.Idempotent {
 		return
 	}
-	require.Equal(s.t, 1, s.runs[a.TraceID], "runs of one trace id")
+	require.Equal(s.t, 1, s.runsByTraceID[a.TraceID], "runs of one trace id")
 	if key, ok := strings.CutPrefix(string(a.Body), "key "); ok {
-		s.keyRuns[key]++
-		require.Equal(s.t, 1, s.keyRuns[key], "runs of one idempotency key")
+		s.runsByKey[key]++
+		require.Equal(s.t, 1, s.runsByKey[key], "runs of one idempotency key")
 	}
 }
 
-func (s *surroundings) Stop(traceID string, answered bool) {
+func (s *fakeEnvironment) Stop(traceID string, answered bool) {
 	if !answered {
-		s.stopped = append(s.stopped, traceID)
+		s.stoppedRuns = append(s.stoppedRuns, traceID)
 	}
 }
 
-func (s *surroundings) Call(a exchange.Job) {
-	require.Positive(s.t, s.runs[a.TraceID], "a call needs a started run")
+func (s *fakeEnvironment) Call(a exchange.Job) {
+	require.Positive(s.t, s.runsByTraceID[a.TraceID], "a call needs a started run")
 	s.calls = append(s.calls, a.TraceID)
 }
 
-func (s *surroundings) Resume(string)                        {}
-func (s *surroundings) Discard(string)                       {}
-func (s *surroundings) DeliverReply(string, []byte)          {}
-func (s *surroundings) RequestGauges()                       {}
-func (s *surroundings) Cancel(string)                        {}
-func (s *surroundings) StopListening()                       {}
-func (s *surroundings) CloseIdle(time.Duration) (int, int)   { return 0, 0 }
-func (s *surroundings) DrainConnections()                    {}
-func (s *surroundings) postOutcome(outcome exchange.Outcome) { s.exchange.Post(outcome) }
-func (s *surroundings) chance(oneIn int) bool                { return s.random.IntN(oneIn) == 0 }
-func (s *surroundings) pick(traceIDs []string) (traceID string) {
+func (s *fakeEnvironment) Resume(string)                        {}
+func (s *fakeEnvironment) Discard(string)                       {}
+func (s *fakeEnvironment) DeliverReply(string, []byte)          {}
+func (s *fakeEnvironment) RequestGauges()                       {}
+func (s *fakeEnvironment) Cancel(string)                        {}
+func (s *fakeEnvironment) StopListening()                       {}
+func (s *fakeEnvironment) CloseIdle(time.Duration) (int, int)   { return 0, 0 }
+func (s *fakeEnvironment) DrainConnections()                    {}
+func (s *fakeEnvironment) postOutcome(outcome exchange.Outcome) { s.exchange.Post(outcome) }
+func (s *fakeEnvironment) chance(oneIn int) bool                { return s.random.IntN(oneIn) == 0 }
+func (s *fakeEnvironment) pickTraceID(traceIDs []string) (traceID string) {
 	return traceIDs[s.random.IntN(len(traceIDs))]
 }
 
-// idleFrontend is a Frontend without connections.
-type idleFrontend struct{ *surroundings }
+// noopFrontend is a Frontend without connections.
+type noopFrontend struct{ *fakeEnvironment }
 
 // CloseIdleAndStalled is a no-op.
-func (idleFrontend) CloseIdleAndStalled(time.Duration) {}
+func (noopFrontend) CloseIdleAndStalled(time.Duration) {}
 
-// noLingering is a LingeringConns without connections.
-type noLingering struct{}
+// noopLingeringConns is a LingeringConns without connections.
+type noopLingeringConns struct{}
 
 // ReapLingering reports that no connections remain.
-func (noLingering) ReapLingering(time.Time) int { return 0 }
+func (noopLingeringConns) ReapLingering(time.Time) int { return 0 }
 
 // TestInvariants runs the dispatcher with random arrivals, duplicates, outcomes and controller actions.
 // It checks that each request gets one response, that no request which must run at most once runs
 // twice, and that no request is rejected after it may have run.
 func TestInvariants(t *testing.T) {
-	const schedules, turns, drainTurn = 90, 500, 350
+	const seeds, iterations, drainIteration = 90, 500, 350
 	responses, restarted := 0, 0
-	for seed := range uint64(schedules) {
-		s := newSurroundings(t, seed)
-		for turn := range turns {
+	for seed := range uint64(seeds) {
+		s := newFakeEnvironment(t, seed)
+		for iteration := range iterations {
 			s.now += time.Duration(4+s.random.IntN(6)) * time.Millisecond
-			if turn == drainTurn {
+			if iteration == drainIteration {
 				s.dispatcher.Drain(s.now, time.Second)
 			}
-			s.arrivals()
-			s.outcomes()
-			s.dispatcher.handlePosted() // so that actions can also target requests not yet reported to the controller
-			s.actions()
-			s.dispatcher.turn()
+			s.submitRandomRequests()
+			s.postRandomOutcomes()
+			s.dispatcher.handlePostedEvents() // so that actions can also target requests not yet reported to the controller
+			s.executeRandomActions()
+			s.dispatcher.runIteration()
 		}
 		require.True(t, s.dispatcher.drain.finished)
-		responses += s.responses
-		restarted += s.restarted
+		responses += s.responseCount
+		restarted += s.restartCount
 	}
 	require.Greater(t, responses, 10_000)
 	require.Positive(t, restarted, "runs that were restarted after a preemption")
 }
 
-func newSurroundings(t *testing.T, seed uint64) *surroundings {
+func newFakeEnvironment(t *testing.T, seed uint64) *fakeEnvironment {
 	preemption := []string{"drop", "pause", "none"}[seed%3]
 	var settings sitesettings.Settings
-	require.NoError(t, json.Unmarshal(fmt.Appendf(nil, invariantSite, preemption), &settings))
-	s := &surroundings{
-		t:        t,
-		exchange: exchange.New(60),
-		random:   rand.New(rand.NewPCG(seed, 1)),
-		now:      10 * time.Second,
-		runs:     map[string]int{},
-		results:  map[string][]byte{},
-		keyRuns:  map[string]int{},
+	require.NoError(t, json.Unmarshal(fmt.Appendf(nil, settingsTemplate, preemption), &settings))
+	s := &fakeEnvironment{
+		t:                t,
+		exchange:         exchange.New(60),
+		random:           rand.New(rand.NewPCG(seed, 1)),
+		now:              10 * time.Second,
+		runsByTraceID:    map[string]int{},
+		resultsByTraceID: map[string][]byte{},
+		runsByKey:        map[string]int{},
 	}
 	dispatcher, err := New(Config{
 		Exchange:               s.exchange,
 		Timers:                 &timerqueue.Queue{},
 		Runner:                 s,
 		Dependency:             s,
-		Registry:               idleRegistry{},
-		Frontends:              []Frontend{idleFrontend{s}},
-		Lingering:              noLingering{},
+		Registry:               noopRegistry{},
+		Frontends:              []Frontend{noopFrontend{s}},
+		Lingering:              noopLingeringConns{},
 		MaxIdempotencyKeyBytes: 1 << 20,
 		Now:                    func() time.Duration { return s.now },
 		Log:                    zap.NewNop(),
@@ -196,16 +196,16 @@
 	return s
 }
 
-// arrivals submits random requests. Some repeat an earlier request, some reuse the idempotency key of
-// an earlier one, and some are cancelled.
-func (s *surroundings) arrivals() {
+// submitRandomRequests submits random requests. Some repeat an earlier request, some reuse the
+// idempotency key of an earlier request, and some are cancelled.
+func (s *fakeEnvironment) submitRandomRequests() {
 	for range s.random.IntN(4) {
-		request := s.newRequest()
+		request := s.newRandomRequest()
 		if s.chance(12) && len(s.requests) > 0 {
-			again := *s.recentRequest(5)
-			request = &again
+			duplicate := *s.recentRequest(5)
+			request = &duplicate
 		}
-		request.Responder = &attempt{surroundings: s, request: request}
+		request.Responder = &fakeResponder{fakeEnvironment: s, request: request}
 		s.exchange.Submit(request)
 		s.requests = append(s.requests, request)
 	}
@@ -214,7 +214,7 @@
 	}
 }
 
-func (s *surroundings) newRequest() *exchange.Request {
+func (s *fakeEnvironment) newRandomRequest() *exchange.Request {
 	number := len(s.requests) + 1
 	request := &exchange.Request{
 		TraceID:    fmt.Sprintf("%016x", number),
@@ -235,18 +235,18 @@
 }
 
 // recentRequest returns a random one of the last requests, at most `last` back.
-func (s *surroundings) recentRequest(last int) *exchange.Request {
-	return s.requests[max(0, len(s.requests)-1-s.random.IntN(last))]
+func (s *fakeEnvironment) recentRequest(window int) *exchange.Request {
+	return s.requests[max(0, len(s.requests)-1-s.random.IntN(window))]
 }
 
-// outcomes reports random results of runs and calls, some of them late or twice.
-func (s *surroundings) outcomes() {
+// postRandomOutcomes reports random results of runs and calls, some of them late or twice.
+func (s *fakeEnvironment) postRandomOutcomes() {
 	results := int(exchange.ResultConnectionLost) + 1
 	for range s.random.IntN(4) {
-		if len(s.inRun) == 0 {
+		if len(s.activeRuns) == 0 {
 			break
 		}
-		traceID := s.pick(s.inRun)
+		traceID := s.pickTraceID(s.activeRuns)
 		if s.chance(3) {
 			s.postOutcome(exchange.Outcome{TraceID: traceID, Stage: exchange.CallNeeded, Body: []byte("call")})
 			continue
@@ -255,23 +255,23 @@
 		if s.chance(3) {
 			result = exchange.Result(s.random.IntN(results))
 		}
-		s.postOutcome(exchange.Outcome{TraceID: traceID, Stage: exchange.RunEnded, Result: result, Body: s.results[traceID]})
+		s.postOutcome(exchange.Outcome{TraceID: traceID, Stage: exchange.RunEnded, Result: result, Body: s.resultsByTraceID[traceID]})
 	}
 	for len(s.calls) > 0 && !s.chance(3) {
 		result := exchange.Result(s.random.IntN(results))
 		s.postOutcome(exchange.Outcome{TraceID: s.calls[0], Stage: exchange.CallEnded, Result: result, Body: []byte("reply")})
 		s.calls = s.calls[1:]
 	}
-	for len(s.stopped) > 0 && !s.chance(4) {
-		s.postOutcome(exchange.Outcome{TraceID: s.stopped[0], Stage: exchange.RunEnded, Result: exchange.ResultStopped})
-		s.stopped = s.stopped[1:]
+	for len(s.stoppedRuns) > 0 && !s.chance(4) {
+		s.postOutcome(exchange.Outcome{TraceID: s.stoppedRuns[0], Stage: exchange.RunEnded, Result: exchange.ResultStopped})
+		s.stoppedRuns = s.stoppedRuns[1:]
 	}
-	const remembered = 12
-	s.inRun = s.inRun[max(0, len(s.inRun)-remembered):]
+	const maxActiveRuns = 12
+	s.activeRuns = s.activeRuns[max(0, len(s.activeRuns)-maxActiveRuns):]
 }
 
-// actions executes random actions, which the controller did not decide, on random requests.
-func (s *surroundings) actions() {
+// executeRandomActions executes random actions, which the controller did not decide, on random requests.
+func (s *fakeEnvironment) executeRandomActions() {
 	for range s.random.IntN(6) {
 		ids := slices.Sorted(maps.Keys(s.dispatcher.byID))
 		if len(ids) == 0 {
--- a/internal/proxy/dispatch/rejections.go
+++ b/internal/proxy/dispatch/rejections.go
@@ -15,22 +15,22 @@
 // for the same reason.
 const rejectionLogInterval = time.Second
 
-// rejectionKind identifies the rejections that are counted in one log line.
-type rejectionKind struct {
+// rejectionKey identifies the rejections that are counted in one log line.
+type rejectionKey struct {
 	class  int
 	reason admission.RejectReason
 }
 
 // rejectionLog counts the controller's rejections that are not logged yet, by class and reason.
 type rejectionLog struct {
-	unlogged  map[rejectionKind]int
+	unlogged  map[rejectionKey]int
 	scheduled bool // a timer for logRejections is set
 }
 
-// noteRejection counts a rejection. The first rejection after an interval without any is logged
+// recordRejection counts a rejection. The first rejection after an interval without any is logged
 // immediately. Later rejections are logged together at the end of each interval.
-func (d *Dispatcher) noteRejection(class int, reason admission.RejectReason) {
-	d.rejections.unlogged[rejectionKind{class: class, reason: reason}]++
+func (d *Dispatcher) recordRejection(class int, reason admission.RejectReason) {
+	d.rejections.unlogged[rejectionKey{class: class, reason: reason}]++
 	if !d.rejections.scheduled {
 		d.logRejections()
 	}
@@ -43,16 +43,16 @@
 	if !d.rejections.scheduled {
 		return
 	}
-	for _, kind := range slices.SortedFunc(maps.Keys(d.rejections.unlogged), compareRejectionKinds) {
+	for _, key := range slices.SortedFunc(maps.Keys(d.rejections.unlogged), compareRejectionKeys) {
 		d.Log.Warn("requests rejected by the admission controller",
-			zap.String("class", d.SiteSettings.Classes[kind.class].Name),
-			zap.Stringer("reason", kind.reason),
-			zap.Int("count", d.rejections.unlogged[kind]))
+			zap.String("class", d.SiteSettings.Classes[key.class].Name),
+			zap.Stringer("reason", key.reason),
+			zap.Int("count", d.rejections.unlogged[key]))
 	}
 	clear(d.rejections.unlogged)
 	d.Timers.Schedule(d.Now()+rejectionLogInterval, d.logRejections)
 }
 
-func compareRejectionKinds(a, b rejectionKind) int {
+func compareRejectionKeys(a, b rejectionKey) int {
 	return cmp.Or(cmp.Compare(a.class, b.class), cmp.Compare(a.reason, b.reason))
 }
--- a/internal/proxy/dispatch/rejections_test.go
+++ b/internal/proxy/dispatch/rejections_test.go
@@ -34,24 +34,24 @@
 // It guards against a line for each rejection, wrong counts, and a first line that is delayed.
 func TestRejectionsAreLoggedOnceAnInterval(t *testing.T) {
 	var settings sitesettings.Settings
-	require.NoError(t, json.Unmarshal([]byte(smallSite), &settings))
+	require.NoError(t, json.Unmarshal([]byte(minimalSettings), &settings))
 	now := 10 * time.Second
-	lines, logs := observer.New(zapcore.InfoLevel)
-	d, err := New(Config{Exchange: exchange.New(10), Timers: &timerqueue.Queue{}, Registry: idleRegistry{}, Log: zap.New(lines),
+	core, logs := observer.New(zapcore.InfoLevel)
+	d, err := New(Config{Exchange: exchange.New(10), Timers: &timerqueue.Queue{}, Registry: noopRegistry{}, Log: zap.New(core),
 		SiteSettings: &settings, Now: func() time.Duration { return now }})
 	require.NoError(t, err)
 	const class = "balance-view"
 
-	d.noteRejection(0, admission.RejectPolicy)
+	d.recordRejection(0, admission.RejectPolicy)
 	require.Equal(t, []map[string]any{rejectionFields(class, "policy", 1)}, loggedFields(logs))
 	for range 1000 {
-		d.noteRejection(0, admission.RejectPolicy)
+		d.recordRejection(0, admission.RejectPolicy)
 	}
-	d.noteRejection(0, admission.RejectMemoryFull)
+	d.recordRejection(0, admission.RejectMemoryFull)
 	require.Empty(t, loggedFields(logs))
 	require.Len(t, d.rejections.unlogged, 2)
-	noteAgain := func() { d.noteRejection(0, admission.RejectPolicy) }
-	require.Zero(t, testing.AllocsPerRun(100, noteAgain)) // calls noteAgain 101 times
+	recordAgain := func() { d.recordRejection(0, admission.RejectPolicy) }
+	require.Zero(t, testing.AllocsPerRun(100, recordAgain)) // calls recordAgain 101 times
 
 	now += rejectionLogInterval
 	d.Timers.RunDue(now)
@@ -62,25 +62,25 @@
 	d.Timers.RunDue(now)
 	require.Empty(t, loggedFields(logs))
 	now += rejectionLogInterval / 10
-	d.noteRejection(0, admission.RejectPolicy)
+	d.recordRejection(0, admission.RejectPolicy)
 	require.Equal(t, []map[string]any{rejectionFields(class, "policy", 1)}, loggedFields(logs))
 }
 
 // TestRejectionsAreLoggedBeforeTheEnd checks that rejections counted in the last interval of a drain
 // are logged before the drain finishes. They were lost if the process exited before the interval ended.
 func TestRejectionsAreLoggedBeforeTheEnd(t *testing.T) {
-	lines, logs := observer.New(zapcore.InfoLevel)
+	core, logs := observer.New(zapcore.InfoLevel)
 	var settings sitesettings.Settings
-	require.NoError(t, json.Unmarshal([]byte(smallSite), &settings))
+	require.NoError(t, json.Unmarshal([]byte(minimalSettings), &settings))
 	now := 10 * time.Second
-	d, err := New(Config{Exchange: exchange.New(10), Timers: &timerqueue.Queue{}, Registry: idleRegistry{}, Lingering: noLingering{},
-		Log: zap.New(lines), SiteSettings: &settings, Now: func() time.Duration { return now }})
+	d, err := New(Config{Exchange: exchange.New(10), Timers: &timerqueue.Queue{}, Registry: noopRegistry{}, Lingering: noopLingeringConns{},
+		Log: zap.New(core), SiteSettings: &settings, Now: func() time.Duration { return now }})
 	require.NoError(t, err)
 	const stop = 4 * time.Second
 	d.Drain(now, stop)
-	d.noteRejection(0, admission.RejectLateInDrain)
-	d.noteRejection(0, admission.RejectLateInDrain)
-	now += stop - exitLead
+	d.recordRejection(0, admission.RejectLateInDrain)
+	d.recordRejection(0, admission.RejectLateInDrain)
+	now += stop - exitLeadTime
 	d.advanceDrain()
 	require.True(t, d.drain.finished)
 	rejected := logs.FilterMessage("requests rejected by the admission controller").FilterField(zap.Stringer("reason", admission.RejectLateInDrain))
--- a/internal/proxy/dispatch/response.go
+++ b/internal/proxy/dispatch/response.go
@@ -9,7 +9,7 @@
 //
 //   - Each request gets exactly one response. The first one is final (respond).
 //   - A request without a run is removed with its response. A request with a run is removed when the
-//     runner reports the end of the run (runEnded).
+//     runner reports the end of the run (handleRunEnded).
 //   - A Rejected response promises that nothing ran. If that may be untrue, the response is Failed
 //     instead (reject).
 
@@ -23,13 +23,13 @@
 	switch r.state {
 	case paused:
 		d.Runner.Discard(r.TraceID)
-		d.forget(r)
+		d.removeRequest(r)
 	case queued, awaitingOriginal:
-		d.forget(r)
+		d.removeRequest(r)
 	}
 }
 
-// sendResponse sends the response and releases the request's slot in the exchange. For a registered
+// sendResponse sends the response and releases the request's slot in the exchange. For a tracked
 // request only respond may call it.
 func (d *Dispatcher) sendResponse(q *exchange.Request, response exchange.Response) {
 	d.Exchange.ReleaseRequest()
@@ -39,9 +39,9 @@
 // reject executes a Reject action of the controller.
 func (d *Dispatcher) reject(r *request, a admission.Reject) {
 	if !r.answered {
-		d.noteRejection(r.Class, a.Reason)
+		d.recordRejection(r.Class, a.Reason)
 	}
-	if !d.mayRejectSafely(r) {
+	if !d.mayPromiseNotRun(r) {
 		d.respond(r, exchange.Response{Kind: exchange.Failed})
 		return
 	}
@@ -51,13 +51,13 @@
 // fail executes a Fail action of the controller.
 func (d *Dispatcher) fail(r *request) {
 	d.respond(r, exchange.Response{Kind: exchange.Failed})
-	if r.state.atCall() {
+	if r.state.waitsForCall() {
 		d.stop(r)
 	}
 }
 
-// forget removes a request that has its response and no run.
-func (d *Dispatcher) forget(r *request) {
+// removeRequest removes a request that has its response and no run.
+func (d *Dispatcher) removeRequest(r *request) {
 	d.Timers.Cancel(r.callTimer)
 	delete(d.byID, r.id)
 	delete(d.byTraceID, r.TraceID)
@@ -65,5 +65,5 @@
 		d.idempotency.RemoveWaiter(r.originalEntry, r.id)
 	}
 	d.completeKey(r, nil)
-	d.markSpent(r)
+	d.recordUsedTraceID(r)
 }
--- a/internal/proxy/dispatch/runs.go
+++ b/internal/proxy/dispatch/runs.go
@@ -7,9 +7,9 @@
 	"oxbowbridge/internal/proxy/exchange"
 )
 
-// start starts a run of the request or resumes its paused run. It does nothing if the request may
-// not be started.
-func (d *Dispatcher) start(now time.Duration, r *request) {
+// startOrResumeRun starts a run of the request or resumes its paused run. It does nothing if the
+// request may not be started.
+func (d *Dispatcher) startOrResumeRun(now time.Duration, r *request) {
 	if r.state.advance(resumeRun) {
 		d.Runner.Resume(r.TraceID)
 		return
@@ -22,14 +22,14 @@
 	r.started = true
 	r.startedAt = now
 	if r.ownedEntry != nil {
-		r.ownedEntry.Started = true
+		r.ownedEntry.OwnerStarted = true
 	}
 	d.Runner.Run(exchange.Job{
 		TraceID:    r.TraceID,
 		Class:      d.SiteSettings.Classes[r.Class].Name,
-		Idempotent: d.mayRepeat(r),
+		Idempotent: d.isIdempotent(r),
 		Restarted:  restarted,
-		Timeout:    d.dueAt(r) - now,
+		Timeout:    d.responseDeadline(r) - now,
 		Body:       r.Body,
 	})
 }
@@ -37,8 +37,8 @@
 // preempt stops a run so that it uses no CPU. With PreemptionPause, a run that waits for a call uses
 // no CPU anyway and is stopped only if its request already has a response.
 func (d *Dispatcher) preempt(r *request) {
-	keepsWaiting := d.controllerSettings.Preemption == admission.PreemptionPause && !r.answered
-	if r.state == running || r.state.atCall() && !keepsWaiting {
+	mayKeepWaiting := d.controllerSettings.Preemption == admission.PreemptionPause && !r.answered
+	if r.state == running || r.state.waitsForCall() && !mayKeepWaiting {
 		r.preempted = true
 		d.stop(r)
 	}
@@ -58,8 +58,8 @@
 	}
 }
 
-// outcome handles an outcome reported by the runner or the dependency client.
-func (d *Dispatcher) outcome(o exchange.Outcome) {
+// handleOutcome handles an outcome reported by the runner or the dependency client.
+func (d *Dispatcher) handleOutcome(o exchange.Outcome) {
 	r := d.byTraceID[o.TraceID]
 	if r == nil {
 		return // the request was already removed
@@ -67,24 +67,24 @@
 	switch o.Stage {
 	case exchange.RunEnded:
 		if r.state.hasRun() {
-			d.runEnded(r, o)
+			d.handleRunEnded(r, o)
 		}
 	case exchange.CallNeeded:
-		d.callNeeded(r, o.Body)
+		d.handleCallNeeded(r, o.Body)
 	case exchange.CallEnded:
 		if r.state == calling {
-			d.callEnded(r, o)
+			d.handleCallEnded(r, o)
 		}
 	}
 }
 
-// runEnded reports the end of a run to the controller. A request whose run was preempted is requeued.
+// handleRunEnded reports the end of a run to the controller. A request whose run was preempted is requeued.
 // Any other end determines the final response.
-func (d *Dispatcher) runEnded(r *request, o exchange.Outcome) {
+func (d *Dispatcher) handleRunEnded(r *request, o exchange.Outcome) {
 	if r.state == calling {
 		d.Dependency.Cancel(r.TraceID)
 	}
-	d.report(admission.Completed{ID: r.id, Elapsed: d.Now() - r.startedAt, Outcome: runOutcome(o.Result)})
+	d.reportEvent(admission.Completed{ID: r.id, Elapsed: d.Now() - r.startedAt, Outcome: runOutcome(o.Result)})
 	switch {
 	case o.Result == exchange.ResultOK:
 		d.respond(r, exchange.Response{Kind: exchange.Succeeded, Body: o.Body})
@@ -96,7 +96,7 @@
 		invalid := o.Result == exchange.ResultUnknownRequest // the caller invented the trace id
 		d.respond(r, exchange.Response{Kind: exchange.Failed, InvalidRequest: invalid})
 	}
-	d.forget(r)
+	d.removeRequest(r)
 }
 
 // requeue puts a request whose run was preempted back into the queue. The run can be resumed if the
--- a/internal/proxy/dispatch/settings.go
+++ b/internal/proxy/dispatch/settings.go
@@ -10,9 +10,9 @@
 )
 
 var (
-	errNameMissing = errors.New("missing")
-	errNameInvalid = errors.New("contains a space or control character")
-	errNameTwice   = errors.New("is used by another class")
+	errMissingName   = errors.New("missing")
+	errInvalidName   = errors.New("contains a space or control character")
+	errDuplicateName = errors.New("is used by another class")
 )
 
 // ControllerSettings converts a site's settings to the controller's settings. An error names the
@@ -42,15 +42,15 @@
 
 // checkClassName checks that a class name can be used in URL paths and in space-separated protocol
 // lines, and that no other class has it.
-func checkClassName(name string, taken map[string]bool) error {
-	notInWords := func(c rune) bool { return c <= ' ' || c == 0x7f }
+func checkClassName(name string, usedNames map[string]bool) error {
+	isSeparator := func(c rune) bool { return c <= ' ' || c == 0x7f }
 	switch {
 	case name == "":
-		return errNameMissing
-	case strings.ContainsFunc(name, notInWords):
-		return fmt.Errorf("%q %w", name, errNameInvalid)
-	case taken[name]:
-		return fmt.Errorf("%q %w", name, errNameTwice)
+		return errMissingName
+	case strings.ContainsFunc(name, isSeparator):
+		return fmt.Errorf("%q %w", name, errInvalidName)
+	case usedNames[name]:
+		return fmt.Errorf("%q %w", name, errDuplicateName)
 	}
 	return nil
 }
--- a/internal/proxy/dispatch/state.go
+++ b/internal/proxy/dispatch/state.go
@@ -81,5 +81,5 @@
 // hasRun reports whether the runner has a run of the request, including a paused one.
 func (s state) hasRun() bool { return s != queued && s != awaitingOriginal }
 
-// atCall reports whether the run waits for a call.
-func (s state) atCall() bool { return s == awaitingCall || s == calling }
+// waitsForCall reports whether the run waits for a call.
+func (s state) waitsForCall() bool { return s == awaitingCall || s == calling }
--- a/internal/proxy/exchange/request.go
+++ b/internal/proxy/exchange/request.go
@@ -29,7 +29,7 @@
 	ExpectedWork time.Duration
 	// ReservedKB is the memory that the request needs while it is in flight, in kB.
 	ReservedKB float64
-	// Rank orders requests of the same class by value: at least 0, below 1.
+	// Rank is the request's rank by the value of its class: at least 0, below 1.
 	Rank float64
 	// HasLookupKey says that the request has a lookup key, which names the object that it reads.
 	HasLookupKey bool
--- a/internal/proxy/fdquota/divide.go
+++ b/internal/proxy/fdquota/divide.go
@@ -13,7 +13,7 @@
 	// 1/8 of the connections is reserved for calls.
 	reservedCallsDivisor = 8
 	// Calls use at most 1/2 of the connections.
-	callsDivisor = 2
+	maxCallsDivisor = 2
 
 	// The service can't work with fewer connections than these minimums.
 	minConnections   = 10
--- a/internal/proxy/fdquota/pool.go
+++ b/internal/proxy/fdquota/pool.go
@@ -38,8 +38,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	reserved := p.calls < p.quotas.ReservedForCalls
-	free := p.calls+p.callers < p.quotas.Connections && p.calls < p.quotas.Connections/callsDivisor
-	if reserved || free {
+	sharedFree := p.calls+p.callers < p.quotas.Connections && p.calls < p.quotas.Connections/maxCallsDivisor
+	if reserved || sharedFree {
 		p.calls++
 		return true
 	}
--- a/internal/proxy/idempotency/table.go
+++ b/internal/proxy/idempotency/table.go
@@ -21,14 +21,14 @@
 	// entryOverhead is the number of bytes counted for an entry in addition to its key and result: the
 	// Entry itself and its slots in the map and the expiry heap.
 	entryOverhead = 512
-	// longKeyBytes is the maximum length of a key; frontends reject longer keys.
-	longKeyBytes = 128
+	// maxKeyBytes is the maximum length of a key; frontends reject longer keys.
+	maxKeyBytes = 128
 	// ReservedResultBytes is the number of bytes counted for the result of an entry that has no result
 	// yet.
 	ReservedResultBytes = 4 << 10
 	// MaxEntryBytes is the number of bytes counted for an entry with a key of maximum length and no
 	// result yet.
-	MaxEntryBytes = entryOverhead + longKeyBytes + ReservedResultBytes
+	MaxEntryBytes = entryOverhead + maxKeyBytes + ReservedResultBytes
 )
 
 var (
@@ -52,19 +52,19 @@
 type Entry struct {
 	// Owner identifies the attempt that may run.
 	Owner uint32
-	// Started says that a run of the owner was started. The user of the table sets it.
-	Started bool
-	// Ended says that the owner has ended and Result is final.
-	Ended bool
+	// OwnerStarted says that a run of the owner was started. The user of the table sets it.
+	OwnerStarted bool
+	// OwnerEnded says that the owner has ended and Result is final.
+	OwnerEnded bool
 	// Result is the result of the owner's run; nil if the run failed or was never started.
 	Result []byte
 
-	key     string
-	class   int
-	body    [sha256.Size]byte
-	bytes   int      // number of bytes counted for the entry
-	waiters []uint32 // attempts that wait for the owner's end
-	expiry  time.Duration
+	key      string
+	class    int
+	bodyHash [sha256.Size]byte
+	bytes    int      // number of bytes counted for the entry
+	waiters  []uint32 // attempts that wait for the owner's end
+	expiry   time.Duration
 }
 
 // Table is a table of entries by idempotency key. Times are durations since a fixed start, read from
@@ -97,21 +97,21 @@
 // Claim claims a request's key for an attempt. The first attempt of a request becomes the owner of a
 // new entry; each later attempt is a duplicate. On ErrKeyReused and ErrTableFull the returned claim
 // has no entry.
-func (t *Table) Claim(now time.Duration, request Request, attempt uint32) (Claim, error) {
+func (t *Table) Claim(now time.Duration, request Request, attemptID uint32) (Claim, error) {
 	t.removeExpired(now)
 	body := sha256.Sum256(request.Body)
 	if e := t.byKey[request.Key]; e != nil {
-		if e.class != request.Class || e.body != body {
+		if e.class != request.Class || e.bodyHash != body {
 			return Claim{}, ErrKeyReused
 		}
 		return Claim{Entry: e}, nil
 	}
 	e := &Entry{
-		Owner: attempt,
-		key:   request.Key,
-		class: request.Class,
-		body:  body,
-		bytes: entryOverhead + len(request.Key) + ReservedResultBytes,
+		Owner:    attemptID,
+		key:      request.Key,
+		class:    request.Class,
+		bodyHash: body,
+		bytes:    entryOverhead + len(request.Key) + ReservedResultBytes,
 	}
 	if t.usedBytes+e.bytes > t.maxBytes {
 		return Claim{}, ErrTableFull
@@ -122,24 +122,24 @@
 }
 
 // AddWaiter records that an attempt waits for the end of the entry's owner.
-func (t *Table) AddWaiter(e *Entry, attempt uint32) { e.waiters = append(e.waiters, attempt) }
+func (t *Table) AddWaiter(e *Entry, attemptID uint32) { e.waiters = append(e.waiters, attemptID) }
 
 // RemoveWaiter records that an attempt no longer waits for the end of the entry's owner.
-func (t *Table) RemoveWaiter(e *Entry, attempt uint32) {
-	e.waiters = slices.DeleteFunc(e.waiters, func(w uint32) bool { return w == attempt })
+func (t *Table) RemoveWaiter(e *Entry, attemptID uint32) {
+	e.waiters = slices.DeleteFunc(e.waiters, func(w uint32) bool { return w == attemptID })
 }
 
 // Complete stores the result of the entry's owner and returns the attempts that wait for it. The entry
 // expires at the given time. If the owner was never started, the entry is removed immediately. An
 // entry that has already ended is not changed.
 func (t *Table) Complete(e *Entry, result []byte, expiry time.Duration) (waiters []uint32) {
-	if e.Ended {
+	if e.OwnerEnded {
 		return nil
 	}
-	e.Ended = true
+	e.OwnerEnded = true
 	waiters = e.waiters
 	e.waiters = nil
-	if !e.Started {
+	if !e.OwnerStarted {
 		t.remove(e)
 		return waiters
 	}
--- a/internal/proxy/idempotency/table_test.go
+++ b/internal/proxy/idempotency/table_test.go
@@ -22,8 +22,8 @@
 	os.Exit(m.Run())
 }
 
-// known is the expected state of one key.
-type known struct {
+// expectedEntry is the expected state of one key.
+type expectedEntry struct {
 	entry   *Entry
 	body    string
 	expiry  time.Duration // set when the entry has ended
@@ -37,12 +37,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const maxBytes = 4 * (entryOverhead + 2 + ReservedResultBytes)
 		table, now, attempt := New(maxBytes), time.Duration(0), uint32(0)
-		keys := map[string]*known{}
-		name := func(t *rapid.T) string { return fmt.Sprint("k", rapid.IntRange(0, 7).Draw(t, "key")) }
-		inFlight := func(t *rapid.T) *known {
+		keys := map[string]*expectedEntry{}
+		drawKey := func(t *rapid.T) string { return fmt.Sprint("k", rapid.IntRange(0, 7).Draw(t, "key")) }
+		drawEntryInFlight := func(t *rapid.T) *expectedEntry {
 			var all []string
 			for key, k := range keys {
-				if !k.entry.Ended {
+				if !k.entry.OwnerEnded {
 					all = append(all, key)
 				}
 			}
@@ -54,9 +54,9 @@
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"claim": func(t *rapid.T) {
-				key, body := name(t), rapid.SampledFrom([]string{"a", "b"}).Draw(t, "body")
+				key, body := drawKey(t), rapid.SampledFrom([]string{"a", "b"}).Draw(t, "body")
 				for n, k := range keys {
-					if k.entry.Ended && k.expiry <= now {
+					if k.entry.OwnerEnded && k.expiry <= now {
 						delete(keys, n)
 					}
 				}
@@ -79,30 +79,30 @@
 					require.NoError(t, err)
 					require.True(t, claim.Owned)
 					require.Equal(t, attempt, e.Owner)
-					keys[key] = &known{entry: e, body: body}
+					keys[key] = &expectedEntry{entry: e, body: body}
 				}
 			},
-			"run": func(t *rapid.T) { inFlight(t).entry.Started = true },
+			"run": func(t *rapid.T) { drawEntryInFlight(t).entry.OwnerStarted = true },
 			"wait": func(t *rapid.T) {
-				k := inFlight(t)
+				k := drawEntryInFlight(t)
 				attempt++
 				table.AddWaiter(k.entry, attempt)
 				k.waiters = append(k.waiters, attempt)
 			},
 			"leave": func(t *rapid.T) {
-				if k := inFlight(t); len(k.waiters) > 0 {
+				if k := drawEntryInFlight(t); len(k.waiters) > 0 {
 					table.RemoveWaiter(k.entry, k.waiters[0])
 					k.waiters = k.waiters[1:]
 				}
 			},
 			"end": func(t *rapid.T) {
-				k := inFlight(t)
+				k := drawEntryInFlight(t)
 				result := []byte(strings.Repeat("r", rapid.IntRange(0, ReservedResultBytes).Draw(t, "result")))
 				k.expiry = now + time.Duration(rapid.IntRange(0, 20).Draw(t, "window"))
 				require.Equal(t, len(k.waiters), len(table.Complete(k.entry, result, k.expiry)))
 				require.Empty(t, table.Complete(k.entry, nil, 0), "waiters returned by a second Complete")
 				k.waiters = nil
-				if !k.entry.Started {
+				if !k.entry.OwnerStarted {
 					k.expiry = 0 // removed immediately, because another attempt may run
 				} else {
 					require.Equal(t, result, append([]byte{}, k.entry.Result...))
@@ -118,7 +118,7 @@
 				require.Equal(t, sum, table.UsedBytes())
 				if next, ok := table.NextExpiry(); ok {
 					for _, k := range keys {
-						require.True(t, !k.entry.Ended || !k.entry.Started || k.expiry >= next || k.expiry <= now)
+						require.True(t, !k.entry.OwnerEnded || !k.entry.OwnerStarted || k.expiry >= next || k.expiry <= now)
 					}
 				}
 			},
--- a/internal/proxy/slowstart/slowstart.go
+++ b/internal/proxy/slowstart/slowstart.go
@@ -56,12 +56,12 @@
 // SlowStart computes the quota of this process during the slow start of one server. It must be used
 // by one goroutine only.
 type SlowStart struct {
-	config     Config
-	random     *rand.Rand
-	learnedAt  time.Duration // when the process learned of the start
-	phaseShift time.Duration // random shift of the windows, so that processes change quotas at different times
-	drawWindow int           // number of the window for which draw was drawn; 0 before the first
-	draw       float64       // random number from 0 to 1, drawn once per window
+	config      Config
+	random      *rand.Rand
+	learnedAt   time.Duration // when the process learned of the start
+	phaseShift  time.Duration // random shift of the windows, so that processes change quotas at different times
+	drawnWindow int           // number of the window for which draw was drawn; 0 before the first
+	draw        float64       // random number from 0 to 1, drawn once per window
 }
 
 // New returns the SlowStart for a server whose start the process has learned of now. Each process
@@ -85,20 +85,20 @@
 	if s.config.IsWarm(age) {
 		return math.MaxInt
 	}
-	if window := s.windowAt(age); window != s.drawWindow {
-		s.drawWindow = window
+	if window := s.windowNumber(age); window != s.drawnWindow {
+		s.drawnWindow = window
 		s.draw = s.random.Float64()
 	}
 	quota := s.config.MaxRuns(age) / float64(max(1, s.config.Processes))
-	whole := math.Floor(quota)
-	if s.draw < quota-whole {
-		whole++
+	rounded := math.Floor(quota)
+	if s.draw < quota-rounded {
+		rounded++
 	}
-	return int(whole)
+	return int(rounded)
 }
 
-// windowAt returns the number of the averaging window at the given age. Numbers start at 1.
-func (s *SlowStart) windowAt(age time.Duration) int {
+// windowNumber returns the number of the averaging window at the given age. Numbers start at 1.
+func (s *SlowStart) windowNumber(age time.Duration) int {
 	if s.config.AveragingWindow <= 0 {
 		return 1
 	}
--- a/internal/proxy/slowstart/slowstart_test.go
+++ b/internal/proxy/slowstart/slowstart_test.go
@@ -19,13 +19,13 @@
 	os.Exit(m.Run())
 }
 
-func config(processes int) Config {
+func newConfig(processes int) Config {
 	return Config{Cores: 4, MaxRunsPerCore: 8, MinSpeed: 0.2, Duration: 16 * time.Second, AveragingWindow: 3 * time.Second, Processes: processes}
 }
 
 // TestTotalQuota checks MaxRuns at the start, halfway through the warm-up, and when warm.
 func TestTotalQuota(t *testing.T) {
-	c := config(1)
+	c := newConfig(1)
 	require.InDelta(t, 4*(1+7*0.2), c.MaxRuns(0), 1e-9)
 	require.InDelta(t, 4*(1+7*0.6), c.MaxRuns(8*time.Second), 1e-9)
 	require.InDelta(t, 4*8, c.MaxRuns(16*time.Second), 1e-9)
@@ -40,38 +40,38 @@
 // window.
 func TestSumOfProcesses(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := config(rapid.IntRange(1, 200).Draw(t, "processes"))
+		c := newConfig(rapid.IntRange(1, 200).Draw(t, "processes"))
 		c.Cores = rapid.IntRange(1, 40).Draw(t, "cores")
 		c.MinSpeed = rapid.Float64Range(0.05, 0.9).Draw(t, "minimum speed")
 		seed := rapid.Uint64().Draw(t, "seed")
-		var starts []*SlowStart
+		var slowStarts []*SlowStart
 		for i := range c.Processes {
-			starts = append(starts, New(c, seed+uint64(i), time.Duration(i)))
+			slowStarts = append(slowStarts, New(c, seed+uint64(i), time.Duration(i)))
 		}
-		over, windows := 0, 0
-		var sum, allowed float64
+		exceeded, windows := 0, 0
+		var sum, expectedSum float64
 		for age := c.AveragingWindow; age < c.Duration; age += c.AveragingWindow {
 			n := 0
-			for _, s := range starts {
+			for _, s := range slowStarts {
 				n += s.Quota(age)
 			}
 			total := c.MaxRuns(age)
 			windows++
 			sum += float64(n)
-			allowed += total
+			expectedSum += total
 			if float64(n) > total+2*math.Sqrt(total)+2 {
-				over++
+				exceeded++
 			}
 		}
-		require.LessOrEqual(t, over, 1)
-		require.InDelta(t, allowed, sum, 4*math.Sqrt(allowed)+4)
+		require.LessOrEqual(t, exceeded, 1)
+		require.InDelta(t, expectedSum, sum, 4*math.Sqrt(expectedSum)+4)
 	})
 }
 
 // TestQuotaStaysForAWindow checks that the quota changes at most once per window, and that a warm
 // server has no limit.
 func TestQuotaStaysForAWindow(t *testing.T) {
-	c := config(30)
+	c := newConfig(30)
 	c.Duration = time.Hour // so long that the total quota hardly grows during the test
 	s := New(c, 7, 0)
 	changes, last := 0, s.Quota(0)
