--- a/internal/proxy/dispatch/arrival.go
+++ b/internal/proxy/dispatch/arrival.go
@@ -112,8 +112,8 @@
 	return r.arrivedAt + d.controllerSettings.Classes[r.Class].Deadline
 }
 
-// at returns the event for a call of the controller at the given time.
-func (p pendingArrival) at(now time.Duration) admission.Event {
+// eventAt returns the event for a call of the controller eventAt the given time.
+func (p pendingArrival) eventAt(now time.Duration) admission.Event {
 	a := p.Arrival
 	a.Age = max(0, now-p.arrivedAt)
 	if p.callerTimeoutAt != 0 {
