--- a/cmd/simadapter/host.go
+++ b/cmd/simadapter/host.go
@@ -9,44 +9,44 @@
 	"oxbowbridge/internal/simproto"
 )
 
-// Errors of messages that fit the protocol and not the instance; they are
-// wrapped in a *simproto.LineError.
+// Errors of messages that are well-formed but invalid for the instance. They are wrapped in a
+// *simproto.LineError.
 var (
 	errUnknownInstance = errors.New("unknown instance")
-	errUnknownClass    = errors.New("no class")
-	errUnknownTenant   = errors.New("no tenant")
+	errUnknownClass    = errors.New("unknown class")
+	errUnknownTenant   = errors.New("unknown tenant")
 )
 
-// host holds the instances of this process, by name. They share nothing.
+// host holds the instances of this process by name. Instances share no state.
 type host struct {
-	instances map[string]*instance
-	touched   []*instance // of this batch, in the order of their first message
+	instances      map[string]*instance
+	batchInstances []*instance // instances with messages in this batch, in the order of their first message
 }
 
-// instance is one simulated server. Its controller is nil while it is dead.
+// instance is one simulated server. Its controller is nil after a DETACH, until the next CREATE.
 type instance struct {
 	name       string
 	controller *admission.Controller
-	classes    int // in its settings
-	tenants    int // in its settings
+	classes    int // number of classes in the settings
+	tenants    int // number of tenants in the settings
 	events     []admission.Event
-	touched    bool // in host.touched
+	inBatch    bool // is in host.batchInstances
 }
 
 func newHost() *host { return &host{instances: map[string]*instance{}} }
 
-// deliver hands the messages of a batch to their instances.
+// deliver passes the messages of a batch to their instances.
 func (h *host) deliver(batch simproto.Batch) error {
-	h.touched = h.touched[:0]
+	h.batchInstances = h.batchInstances[:0]
 	for i := range batch.Messages {
-		if err := h.deliverOne(&batch.Messages[i]); err != nil {
+		if err := h.deliverMessage(&batch.Messages[i]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (h *host) deliverOne(m *simproto.Message) error {
+func (h *host) deliverMessage(m *simproto.Message) error {
 	if m.Create != nil {
 		return h.create(m)
 	}
@@ -59,15 +59,15 @@
 		inst.events = inst.events[:0]
 		return nil
 	}
-	if err := inst.check(m); err != nil {
+	if err := inst.validate(m); err != nil {
 		return err
 	}
 	inst.events = append(inst.events, m.Event)
-	h.touch(inst)
+	h.addToBatch(inst)
 	return nil
 }
 
-// create starts an instance, or starts it anew.
+// create starts or restarts an instance.
 func (h *host) create(m *simproto.Message) error {
 	controller, err := admission.New(m.Create.Settings, m.Create.Seed)
 	if err != nil {
@@ -82,13 +82,13 @@
 	inst.events = inst.events[:0]
 	inst.classes = len(m.Create.Settings.Classes)
 	inst.tenants = len(m.Create.Settings.Tenants)
-	h.touch(inst)
+	h.addToBatch(inst)
 	return nil
 }
 
-// check refuses an arrival whose class or tenant the instance does not have.
-// Without tenants, tenant 0 is allowed.
-func (inst *instance) check(m *simproto.Message) error {
+// validate returns an error for an arrival whose class or tenant is not in the instance's settings. If
+// the settings have no tenants, tenant 0 is valid.
+func (inst *instance) validate(m *simproto.Message) error {
 	arrival, ok := m.Event.(admission.Arrival)
 	if !ok {
 		return nil
@@ -102,27 +102,28 @@
 	return nil
 }
 
-func (h *host) touch(inst *instance) {
-	if !inst.touched {
-		inst.touched = true
-		h.touched = append(h.touched, inst)
+func (h *host) addToBatch(inst *instance) {
+	if !inst.inBatch {
+		inst.inBatch = true
+		h.batchInstances = append(h.batchInstances, inst)
 	}
 }
 
-// reply appends the actions of all instances that the batch touched.
+// reply calls the controllers of all instances with messages in this batch and appends their actions
+// to the reply.
 func (h *host) reply(now time.Duration, reply []byte) []byte {
-	for _, inst := range h.touched {
-		inst.touched = false
+	for _, inst := range h.batchInstances {
+		inst.inBatch = false
 		if inst.controller == nil {
 			continue
 		}
-		reply = guard(inst.name, reply, func() []byte { return inst.handle(now, reply) })
+		reply = recoverPanic(inst.name, reply, func() []byte { return inst.handle(now, reply) })
 		inst.events = inst.events[:0]
 	}
 	return reply
 }
 
-// handle lets the controller decide, and appends its actions.
+// handle passes the events to the controller and appends the controller's actions to the reply.
 func (inst *instance) handle(now time.Duration, reply []byte) []byte {
 	actions := inst.controller.Handle(now, inst.events)
 	if len(actions) > 0 {
@@ -134,8 +135,9 @@
 	return reply
 }
 
-// guard turns a panic of an instance into a PANIC line, in place of its actions.
-func guard(name string, reply []byte, handle func() []byte) (out []byte) {
+// recoverPanic calls handle. If handle panics, recoverPanic appends a PANIC line to the reply instead of
+// actions.
+func recoverPanic(name string, reply []byte, handle func() []byte) (out []byte) {
 	defer func() {
 		if p := recover(); p != nil {
 			out = simproto.AppendPanic(simproto.AppendInstance(reply, name), fmt.Sprint(p))
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,7 +1,7 @@
-// Simadapter hosts the controllers of many simulated servers by name and drives
-// them over the simulator's protocol: batches of events on standard input, one
-// reply for each on standard output. It exits at the end of the input, with
-// status 1 and a message on standard error if the input is malformed.
+// Simadapter runs the admission controllers of many simulated servers, identified by name. It speaks
+// the simulator's protocol: it reads batches of events from standard input and writes one reply per
+// batch to standard output. It exits at the end of the input. If the input is malformed, it prints an
+// error to standard error and exits with status 1.
 package main
 
 import (
@@ -20,7 +20,7 @@
 	}
 }
 
-// run answers batches until the input ends. Each reply is one write.
+// run reads batches until the input ends and writes each reply with a single write call.
 func run(in io.Reader, out io.Writer) error {
 	h := newHost()
 	reader := simproto.NewReader(in)
--- a/cmd/simadapter/recordings_test.go
+++ b/cmd/simadapter/recordings_test.go
@@ -12,13 +12,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestRecordingsReplayBitForBit feeds the recorded input of each file
-// testdata/recordings/NAME.in.gz to the adapter and compares its output byte
-// for byte with NAME.out.gz, the output of the program at the time of the
-// recording. The files hold instances of simulated days at two sites, the
-// adapter drill under several settings, and drills of random settings. They
-// were recorded on amd64; the compiler may fuse floating-point operations on
-// other processors.
+// TestRecordingsReplayBitForBit replays each recorded input testdata/recordings/NAME.in.gz and
+// compares the output byte for byte with the recorded output NAME.out.gz. A difference means that a
+// decision of the admission controller has changed. The recordings cover servers of simulated days at
+// two sites, the simulator's adapter check under several settings, and random settings and events. They
+// were made on amd64; on other processors the compiler may fuse floating-point operations, which can
+// change results.
 func TestRecordingsReplayBitForBit(t *testing.T) {
 	inputs, err := filepath.Glob("testdata/recordings/*.in.gz")
 	require.NoError(t, err)
@@ -34,7 +33,7 @@
 	}
 }
 
-// requireEqualLines reports the first line that differs rather than both texts.
+// requireEqualLines fails the test with the first line that differs, not with both complete texts.
 func requireEqualLines(t *testing.T, want, got []byte) {
 	t.Helper()
 	if bytes.Equal(want, got) {
--- a/internal/proxy/dispatch/arrival.go
+++ b/internal/proxy/dispatch/arrival.go
@@ -112,7 +112,7 @@
 	return r.arrivedAt + d.controllerSettings.Classes[r.Class].Deadline
 }
 
-// eventAt returns the event for a call of the controller eventAt the given time.
+// eventAt returns the event for a call of the controller at the given time.
 func (p pendingArrival) eventAt(now time.Duration) admission.Event {
 	a := p.Arrival
 	a.Age = max(0, now-p.arrivedAt)
--- a/internal/proxy/dispatch/drain.go
+++ b/internal/proxy/dispatch/drain.go
@@ -95,7 +95,7 @@
 	stopAt     time.Duration // stop time for the controller, earlier than the actual stop
 }
 
-// eventAt returns the event for a call of the controller eventAt the given time.
+// eventAt returns the event for a call of the controller at the given time.
 func (p pendingDrain) eventAt(now time.Duration) admission.Event {
 	return admission.Drain{StopIn: max(0, p.stopAt-now), Age: now - p.signaledAt}
 }
--- a/internal/simproto/doc.go
+++ b/internal/simproto/doc.go
@@ -1,13 +1,11 @@
-// Package simproto is the line protocol of the simulator: it reads batches of
-// events for many controllers and prints their actions. It decides nothing.
+// Package simproto implements the simulator's line protocol: it parses batches of events for many
+// admission controllers and formats the controllers' actions.
 //
-// A line is a message name and name=value fields, set apart by tabs. A batch
-// begins with TICK, which carries the clock time, and ends with EOF_BATCH; an
-// ABOUT line names the instance of the messages after it. Unknown messages,
-// fields and settings are skipped; a malformed line is reported with its number
-// and field, see [LineError] and [FieldError].
+// A line consists of a message name and name=value fields, separated by tabs. A batch starts with
+// TICK, which contains the clock time, and ends with EOF_BATCH. An ABOUT line names the instance to
+// which the messages after it belong. Unknown messages, fields and settings are ignored. The error for
+// a malformed line contains the line number and the field; see [LineError] and [FieldError].
 //
-// The protocol has words of its own for the terms of package admission; in this
-// package they appear in terms.go alone. The settings of a CREATE are those of
-// package sitesettings.
+// The protocol's names differ from the terms of package admission; terms.go defines all of them. The
+// settings in a CREATE message have the format of package sitesettings.
 package simproto
--- a/internal/simproto/errors.go
+++ b/internal/simproto/errors.go
@@ -7,30 +7,30 @@
 	"oxbowbridge/internal/sitesettings"
 )
 
-// Errors of lines; they are wrapped in a LineError and a FieldError.
+// Errors in the input. They are wrapped in a LineError and, if they concern a field, a FieldError.
 var (
-	// ErrMissing: a required field is absent.
+	// ErrMissing means that a required field is missing.
 	ErrMissing = errors.New("missing")
-	// ErrOutOfRange: a field is not a number, or not in its range.
-	ErrOutOfRange = errors.New("not a number in range")
-	// ErrUnknownWord: a word of an enumeration is not known, in a field or in the settings.
-	ErrUnknownWord = sitesettings.ErrUnknownWord
-	// ErrNotBool: a flag is neither 0 nor 1.
+	// ErrOutOfRange means that a value is not a number or is out of range.
+	ErrOutOfRange = errors.New("not a number or out of range")
+	// ErrUnknownValue means that an enum value, in a field or in the settings, is unknown.
+	ErrUnknownValue = sitesettings.ErrUnknownWord
+	// ErrNotBool means that the value of a Boolean field is neither 0 nor 1.
 	ErrNotBool = errors.New("want 0 or 1")
-	// ErrNotField: a part of a line is not name=value.
-	ErrNotField = errors.New("want name=value")
-	// ErrOutsideBatch: a message came before the batch's TICK.
+	// ErrMalformedField means that a part of a line does not have the form name=value.
+	ErrMalformedField = errors.New("want name=value")
+	// ErrOutsideBatch means that a message was read where the TICK of a batch was expected.
 	ErrOutsideBatch = errors.New("outside a batch, want " + messageBatchStart)
-	// ErrInsideBatch: a TICK came before the end of the batch.
+	// ErrInsideBatch means that a TICK was read before the end of the current batch.
 	ErrInsideBatch = errors.New("inside a batch")
-	// ErrNoInstance: a message came before the batch's first ABOUT.
-	ErrNoInstance = errors.New("no " + messageInstance + " line before it")
+	// ErrNoInstance means that a message was read before the first ABOUT of its batch.
+	ErrNoInstance = errors.New("no " + messageInstance + " line before this message")
 )
 
-// LineError names the line of the input that is wrong.
+// LineError is an error in one line of the input.
 type LineError struct {
-	Line    int    // from 1
-	Message string // name of the message; may be empty
+	Line    int    // line number, starting at 1
+	Message string // name of the message; empty if the error does not concern a particular message
 	Err     error
 }
 
@@ -43,10 +43,10 @@
 	return text + e.Err.Error()
 }
 
-// Unwrap returns what is wrong with the line.
+// Unwrap returns the cause.
 func (e *LineError) Unwrap() error { return e.Err }
 
-// FieldError names the field of a line that is wrong.
+// FieldError is an error in one field of a line.
 type FieldError struct {
 	Field string
 	Err   error
@@ -55,23 +55,23 @@
 // Error implements error.
 func (e *FieldError) Error() string { return "field " + e.Field + ": " + e.Err.Error() }
 
-// Unwrap returns what is wrong with the field.
+// Unwrap returns the cause.
 func (e *FieldError) Unwrap() error { return e.Err }
 
-// InstanceError wraps what is wrong with the message's instance.
+// InstanceError returns a LineError for the instance of the message.
 func (m *Message) InstanceError(err error) error {
 	return &LineError{Line: m.Line, Err: &FieldError{fieldInstance, err}}
 }
 
-// SettingsError wraps what is wrong with the settings of a Create.
+// SettingsError returns a LineError for the settings of a CREATE message.
 func (m *Message) SettingsError(err error) error {
 	return m.fieldError(messageCreate, fieldSettings, err)
 }
 
-// ClassError wraps what is wrong with the class of an Arrival.
+// ClassError returns a LineError for the class of an arrival.
 func (m *Message) ClassError(err error) error { return m.fieldError(messageArrival, fieldClass, err) }
 
-// TenantError wraps what is wrong with the tenant of an Arrival.
+// TenantError returns a LineError for the tenant of an arrival.
 func (m *Message) TenantError(err error) error { return m.fieldError(messageArrival, fieldTenant, err) }
 
 func (m *Message) fieldError(message, field string, err error) error {
--- a/internal/simproto/events.go
+++ b/internal/simproto/events.go
@@ -10,72 +10,72 @@
 	"oxbowbridge/internal/sitesettings"
 )
 
-// event reads the event of a message; nil if the message is not known. The fields of an
-// unknown message are not even split.
-func (f *fields) event(message string) admission.Event {
+// parseEvent parses the event of a message. It returns nil if the message is unknown; the fields of an
+// unknown message are not parsed.
+func (f *fields) parseEvent(message string) admission.Event {
 	switch message {
 	case messageArrival:
 		f.parse()
-		return f.arrival()
+		return f.parseArrival()
 	case messageCompleted:
 		f.parse()
-		return admission.Completed{ID: f.requestID(), Elapsed: f.duration(fieldElapsed), Outcome: f.outcome()}
+		return admission.Completed{ID: f.requestIDField(), Elapsed: f.durationField(fieldElapsed), Outcome: f.parseOutcome()}
 	case messageCanceled:
 		f.parse()
-		return admission.Canceled{ID: f.requestID()}
+		return admission.Canceled{ID: f.requestIDField()}
 	case messageCallNeeded:
 		f.parse()
-		return admission.CallNeeded{ID: f.requestID()}
+		return admission.CallNeeded{ID: f.requestIDField()}
 	case messageCallCompleted:
 		f.parse()
-		return admission.CallCompleted{ID: f.requestID(), Elapsed: f.duration(fieldElapsed), Outcome: f.outcome()}
+		return admission.CallCompleted{ID: f.requestIDField(), Elapsed: f.durationField(fieldElapsed), Outcome: f.parseOutcome()}
 	case messageDrain:
 		f.parse()
-		return admission.Drain{StopIn: f.duration(fieldTimeLeft)}
+		return admission.Drain{StopIn: f.durationField(fieldTimeLeft)}
 	case messageTimerFired:
 		f.parse()
-		return admission.TimerFired{TimerID: f.count(fieldTimerID, optional, math.MaxInt64), Gauges: f.gauges()}
+		return admission.TimerFired{TimerID: f.uintField(fieldTimerID, optional, math.MaxInt64), Gauges: f.parseGauges()}
 	}
 	return nil
 }
 
-func (f *fields) arrival() admission.Arrival {
+func (f *fields) parseArrival() admission.Arrival {
 	return admission.Arrival{
-		ID:           f.requestID(),
-		Class:        f.index(fieldClass),
-		Tenant:       f.index(fieldTenant),
-		Timeout:      f.duration(fieldTimeLeft),
-		ExpectedWork: f.duration(fieldExpectedWork),
-		Age:          f.duration(fieldAge),
-		MemoryKB:     f.number(fieldMemoryKB),
-		Rank:         f.number(fieldRank),
-		HasSubject:   f.text(fieldKey) != "",
-		Retry:        f.flag(fieldRetry),
-		DuplicateOf:  uint32(f.count(fieldDuplicateOf, optional, math.MaxUint32)),
+		ID:           f.requestIDField(),
+		Class:        f.indexField(fieldClass),
+		Tenant:       f.indexField(fieldTenant),
+		Timeout:      f.durationField(fieldTimeLeft),
+		ExpectedWork: f.durationField(fieldExpectedWork),
+		Age:          f.durationField(fieldAge),
+		MemoryKB:     f.floatField(fieldMemoryKB),
+		Rank:         f.floatField(fieldRank),
+		HasSubject:   f.textField(fieldLookupKey) != "",
+		Retry:        f.boolField(fieldRetry),
+		DuplicateOf:  uint32(f.uintField(fieldDuplicateOf, optional, math.MaxUint32)),
 	}
 }
 
-func (f *fields) outcome() admission.Outcome {
-	word := f.text(fieldOutcome)
-	outcome, ok := outcomes[word]
+func (f *fields) parseOutcome() admission.Outcome {
+	word := f.textField(fieldOutcome)
+	outcome, ok := outcomeByName[word]
 	switch {
 	case word == "":
 		f.fail(fieldOutcome, ErrMissing)
 	case !ok:
-		f.fail(fieldOutcome, ErrUnknownWord)
+		f.fail(fieldOutcome, ErrUnknownValue)
 	}
 	return outcome
 }
 
-// gauges reads name:value pairs set apart by commas.
-func (f *fields) gauges() admission.Gauges {
+// parseGauges parses comma-separated name:value pairs.
+func (f *fields) parseGauges() admission.Gauges {
 	g := sitesettings.UnknownGauges()
-	for rest := f.text(fieldGauges); rest != ""; {
+	for rest := f.textField(fieldGauges); rest != ""; {
 		var pair string
 		pair, rest, _ = strings.Cut(rest, ",")
 		name, value, _ := strings.Cut(pair, ":")
 		x, err := strconv.ParseFloat(value, 64)
-		if err != nil || !finite(x) {
+		if err != nil || !isFinite(x) {
 			f.fail(fieldGauges, fmt.Errorf("%s: %w", name, ErrOutOfRange))
 			return g
 		}
@@ -84,11 +84,11 @@
 	return g
 }
 
-// create reads the settings of an instance; nil on an error.
-func (f *fields) create() *Create {
+// parseCreate parses the fields of a CREATE message. It returns nil on an error.
+func (f *fields) parseCreate() *Create {
 	f.parse()
-	seed := f.count(fieldSeed, optional, math.MaxUint64)
-	text := f.text(fieldSettings)
+	seed := f.uintField(fieldSeed, optional, math.MaxUint64)
+	text := f.textField(fieldSettings)
 	if text == "" {
 		f.fail(fieldSettings, ErrMissing)
 		return nil
--- a/internal/simproto/fields.go
+++ b/internal/simproto/fields.go
@@ -8,17 +8,16 @@
 	"time"
 )
 
-// fields are the name=value pairs of one line. parse splits them, and must be called
-// before the others. The first error sticks, that of parse included; after it the
-// values returned mean nothing.
+// fields holds the name=value pairs of one line. parse must be called before the other methods. err is
+// the first error of any method; after an error the returned values are meaningless.
 type fields struct {
-	rest   string // of the line, before parse
-	names  []string
-	values []string
-	err    error
+	unparsed string // the line after the message name, not parsed yet
+	names    []string
+	values   []string
+	err      error
 }
 
-// presence says whether a field must be there.
+// presence says whether a field is required.
 type presence bool
 
 const (
@@ -32,9 +31,9 @@
 	}
 }
 
-// parse splits the line. The settings take all that follows.
+// parse splits the line into fields. The value of the settings field extends to the end of the line.
 func (f *fields) parse() {
-	for rest := f.rest; rest != "" && f.err == nil; {
+	for rest := f.unparsed; rest != "" && f.err == nil; {
 		if settings, ok := strings.CutPrefix(rest, fieldSettings+"="); ok {
 			f.add(fieldSettings, settings)
 			break
@@ -42,7 +41,7 @@
 		part, after, _ := strings.Cut(rest, "\t")
 		name, value, ok := strings.Cut(part, "=")
 		if !ok {
-			f.fail(strconv.Quote(part), ErrNotField)
+			f.fail(strconv.Quote(part), ErrMalformedField)
 		}
 		f.add(name, value)
 		rest = after
@@ -54,17 +53,17 @@
 	f.values = append(f.values, value)
 }
 
-// text returns the field's value, or "" if it is absent.
-func (f *fields) text(name string) string {
+// textField returns the value of a field, or "" if the field is missing.
+func (f *fields) textField(name string) string {
 	if i := slices.Index(f.names, name); i >= 0 {
 		return f.values[i]
 	}
 	return ""
 }
 
-// count reads a whole number from 0 to limit; an absent one is 0.
-func (f *fields) count(name string, want presence, limit uint64) uint64 {
-	text := f.text(name)
+// uintField parses an integer from 0 to limit. It returns 0 if the field is missing.
+func (f *fields) uintField(name string, want presence, limit uint64) uint64 {
+	text := f.textField(name)
 	if text == "" {
 		if want == required {
 			f.fail(name, ErrMissing)
@@ -78,38 +77,38 @@
 	return n
 }
 
-// duration reads a time in nanoseconds.
-func (f *fields) duration(name string) time.Duration {
-	return time.Duration(f.count(name, optional, math.MaxInt64))
+// durationField parses a duration in nanoseconds. It returns 0 if the field is missing.
+func (f *fields) durationField(name string) time.Duration {
+	return time.Duration(f.uintField(name, optional, math.MaxInt64))
 }
 
-func (f *fields) requestID() uint32 {
-	return uint32(f.count(fieldRequestID, required, math.MaxUint32))
+func (f *fields) requestIDField() uint32 {
+	return uint32(f.uintField(fieldRequestID, required, math.MaxUint32))
 }
 
-// index reads a position in a list of the settings.
-func (f *fields) index(name string) int {
-	return int(f.count(name, optional, math.MaxInt32))
+// indexField parses an index into a list of the settings. It returns 0 if the field is missing.
+func (f *fields) indexField(name string) int {
+	return int(f.uintField(name, optional, math.MaxInt32))
 }
 
-// number reads a finite number from 0 up; an absent one is 0.
-func (f *fields) number(name string) float64 {
-	text := f.text(name)
+// floatField parses a finite, non-negative number. It returns 0 if the field is missing.
+func (f *fields) floatField(name string) float64 {
+	text := f.textField(name)
 	if text == "" {
 		return 0
 	}
 	x, err := strconv.ParseFloat(text, 64)
-	if err != nil || !finite(x) || x < 0 {
+	if err != nil || !isFinite(x) || x < 0 {
 		f.fail(name, ErrOutOfRange)
 	}
 	return x
 }
 
-func finite(x float64) bool { return !math.IsNaN(x) && !math.IsInf(x, 0) }
+func isFinite(x float64) bool { return !math.IsNaN(x) && !math.IsInf(x, 0) }
 
-// flag reads 0 or 1; an absent one is false.
-func (f *fields) flag(name string) bool {
-	switch f.text(name) {
+// boolField parses a Boolean value, 0 or 1. It returns false if the field is missing.
+func (f *fields) boolField(name string) bool {
+	switch f.textField(name) {
 	case "", "0":
 		return false
 	case "1":
--- a/internal/simproto/reader_test.go
+++ b/internal/simproto/reader_test.go
@@ -11,14 +11,14 @@
 	"oxbowbridge/admission"
 )
 
-// testSettings are those of a CREATE.
-const testSettings = `{"tick_ns":4000000,"servers":10,"counted_by":"work","new_key":{"x":1},` +
+// createSettings is the value of the settings field of a CREATE message.
+const createSettings = `{"tick_ns":4000000,"servers":10,"counted_by":"work","new_key":{"x":1},` +
 	`"bounds":{"max_retry_after_ns":1000000000,"retry_after":true},` +
 	`"classes":[{"name":"a","aim_ns":1000000000,"deadline_ns":2000000000,"effect":"deduplicated","value":2,"window_ns":5}],` +
 	`"family_info":{"cores":6,"below":"tier","halt":"pause","advert":"credit","memory_kb":1000,"run_factor":4,` +
 	`"class_calls":[true],"class_skip_worth":[0.5]},"safety":{"fall_multiple":8},"tenants":[{"allowance_per_s":3}]}`
 
-func batch(lines ...string) string {
+func batchOf(lines ...string) string {
 	return "TICK\tts_ns=1000\n" + strings.Join(lines, "\n") + "\nEOF_BATCH\n"
 }
 
@@ -41,14 +41,14 @@
 		{"LATER_EVENT\tx=1", nil},
 	}
 	for _, tt := range tests {
-		b, err := NewReader(strings.NewReader(batch("ABOUT\ti=server/3", tt.line))).Read()
+		b, err := NewReader(strings.NewReader(batchOf("ABOUT\ti=server/3", tt.line))).Read()
 		if err != nil {
 			t.Errorf("%s: %v", tt.line, err)
 			continue
 		}
 		if tt.want == nil {
 			if len(b.Messages) != 0 {
-				t.Errorf("%s: %v, want it skipped", tt.line, b.Messages)
+				t.Errorf("%s: %v, want an unknown message to be ignored", tt.line, b.Messages)
 			}
 			continue
 		}
@@ -60,7 +60,7 @@
 }
 
 func TestReadCreate(t *testing.T) {
-	b, err := NewReader(strings.NewReader(batch("ABOUT\ti=s/1", "CREATE\tinit_seed=5\tsettings="+testSettings))).Read()
+	b, err := NewReader(strings.NewReader(batchOf("ABOUT\ti=s/1", "CREATE\tinit_seed=5\tsettings="+createSettings))).Read()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -81,22 +81,22 @@
 func TestMalformedInput(t *testing.T) {
 	about := "ABOUT\ti=s/1"
 	tests := []struct{ in, line, field string }{
-		{batch(about, "ACCEPT\tcategory=0"), "line 3", "op_id"},
-		{batch(about, "ACCEPT\top_id=x"), "line 3", "op_id"},
-		{batch(about, "ACCEPT\top_id=4294967296"), "line 3", "op_id"},
-		{batch(about, "ACCEPT\top_id=1\twaited_ns=-5"), "line 3", "waited_ns"},
-		{batch(about, "ACCEPT\top_id=1\theld_kb=NaN"), "line 3", "held_kb"},
-		{batch(about, "ACCEPT\top_id=1\trepeat=yes"), "line 3", "repeat"},
-		{batch(about, "ACCEPT\top_id"), "line 3", "op_id"},
-		{batch(about, "COMPLETED\top_id=1"), "line 3", "outcome"},
-		{batch(about, "COMPLETED\top_id=1\toutcome=WELL"), "line 3", "outcome"},
-		{batch(about, "DUE\tref=1\tusage=core_use:x"), "line 3", "usage"},
-		{batch(about, "CREATE\tinit_seed=1"), "line 3", "settings"},
-		{batch(about, "CREATE\tsettings={"), "line 3", "settings"},
-		{batch(about, `CREATE	settings={"servers":"ten"}`), "line 3", "servers"},
-		{batch(about, strings.Replace("CREATE\tsettings="+testSettings, `"pause"`, `"stop"`, 1)), "line 3", "halt"},
-		{batch("LAPSED\top_id=1"), "line 2", "field i"},
-		{batch("ABOUT"), "line 2", "field i"},
+		{batchOf(about, "ACCEPT\tcategory=0"), "line 3", "op_id"},
+		{batchOf(about, "ACCEPT\top_id=x"), "line 3", "op_id"},
+		{batchOf(about, "ACCEPT\top_id=4294967296"), "line 3", "op_id"},
+		{batchOf(about, "ACCEPT\top_id=1\twaited_ns=-5"), "line 3", "waited_ns"},
+		{batchOf(about, "ACCEPT\top_id=1\theld_kb=NaN"), "line 3", "held_kb"},
+		{batchOf(about, "ACCEPT\top_id=1\trepeat=yes"), "line 3", "repeat"},
+		{batchOf(about, "ACCEPT\top_id"), "line 3", "op_id"},
+		{batchOf(about, "COMPLETED\top_id=1"), "line 3", "outcome"},
+		{batchOf(about, "COMPLETED\top_id=1\toutcome=WELL"), "line 3", "outcome"},
+		{batchOf(about, "DUE\tref=1\tusage=core_use:x"), "line 3", "usage"},
+		{batchOf(about, "CREATE\tinit_seed=1"), "line 3", "settings"},
+		{batchOf(about, "CREATE\tsettings={"), "line 3", "settings"},
+		{batchOf(about, `CREATE	settings={"servers":"ten"}`), "line 3", "servers"},
+		{batchOf(about, strings.Replace("CREATE\tsettings="+createSettings, `"pause"`, `"stop"`, 1)), "line 3", "halt"},
+		{batchOf("LAPSED\top_id=1"), "line 2", "field i"},
+		{batchOf("ABOUT"), "line 2", "field i"},
 		{"TICK\n", "line 1", "ts_ns"},
 		{"LAPSED\top_id=1\n", "line 1", "TICK"},
 		{"TICK\tts_ns=1\n", "line 1", "ends inside"},
@@ -109,11 +109,12 @@
 	}
 }
 
-// FuzzRead: on any input the reader ends with a batch or an error.
+// FuzzRead checks that Read returns for any input, that each message has an instance, and that the
+// input ends after a bounded number of batches.
 func FuzzRead(f *testing.F) {
-	f.Add(batch())
-	f.Add(batch("ABOUT\ti=s/1", "CREATE\tsettings="+testSettings, "ACCEPT\top_id=7\theld_kb=1", "DETACH"))
-	f.Add(batch("ABOUT\ti=s/1", "DUE\tref=1\tusage=core_use:0.5,,:"))
+	f.Add(batchOf())
+	f.Add(batchOf("ABOUT\ti=s/1", "CREATE\tsettings="+createSettings, "ACCEPT\top_id=7\theld_kb=1", "DETACH"))
+	f.Add(batchOf("ABOUT\ti=s/1", "DUE\tref=1\tusage=core_use:0.5,,:"))
 	f.Add("TICK\tts_ns=99999999999999999999\n")
 	f.Add("\n\t\n=\n")
 	f.Fuzz(func(t *testing.T, in string) {
@@ -125,10 +126,10 @@
 			}
 			for _, message := range b.Messages {
 				if message.Instance == "" {
-					t.Fatal("a message without an instance")
+					t.Fatal("message without an instance")
 				}
 			}
 		}
-		t.Fatal("more batches than bytes")
+		t.Fatal("read more batches than the input has bytes")
 	})
 }
--- a/internal/simproto/reply.go
+++ b/internal/simproto/reply.go
@@ -8,20 +8,20 @@
 	"oxbowbridge/admission"
 )
 
-// AppendInstance names the instance of the actions that follow.
+// AppendInstance appends a line with the name of the instance to which the following actions belong.
 func AppendInstance(b []byte, instance string) []byte {
 	b = append(b, replyInstance+"\t"+fieldInstance+"="...)
 	b = append(b, instance...)
 	return append(b, '\n')
 }
 
-// AppendAck ends a reply.
+// AppendAck appends the line that ends a reply.
 func AppendAck(b []byte) []byte { return append(b, replyEnd+"\n"...) }
 
-// AppendPanic declares that the decision code has failed.
+// AppendPanic appends a line that reports a panic of the instance's controller.
 func AppendPanic(b []byte, text string) []byte { return appendText(b, replyPanic, text) }
 
-// AppendAction prints one action as a line.
+// AppendAction appends one action as a line.
 func AppendAction(b []byte, a admission.Action) []byte {
 	switch a := a.(type) {
 	case admission.Run:
@@ -46,27 +46,27 @@
 		b = appendRequest(b, replyShareResult, a.ID)
 	case admission.SetHealth:
 		b = append(b, replySetHealth...)
-		b = appendInt(b, fieldHealthy, boolInt(a.Healthy))
-		b = appendInt(b, fieldCached, boolInt(a.Cached))
+		b = appendInt(b, fieldHealthy, boolToInt(a.Healthy))
+		b = appendInt(b, fieldCached, boolToInt(a.Cached))
 	case admission.Advertise:
-		b = append(b, replyAdvertise+"\t"+fieldAdvert+"="...)
+		b = append(b, replyAdvertise+"\t"+fieldAdvertisedValue+"="...)
 		b = strconv.AppendFloat(b, a.Value, 'f', -1, 64)
 	case admission.SetIdleTimeout:
 		b = append(b, replySetIdleTimeout...)
 		b = appendInt(b, fieldTTL, int64(a.Timeout))
 	case admission.SetTimer:
 		b = append(b, replySetTimer...)
-		b = appendInt(b, fieldTimerSpan, int64(a.After))
+		b = appendInt(b, fieldTimerDelay, int64(a.After))
 		b = appendInt(b, fieldTimerID, int64(a.TimerID))
 	case admission.LogMessage:
 		return appendText(b, replyLogMessage, a.Text)
 	default:
-		panic(fmt.Sprintf("simproto: action %T can't be printed", a))
+		panic(fmt.Sprintf("simproto: unsupported action type %T", a))
 	}
 	return append(b, '\n')
 }
 
-// appendReject leaves out what is false or 0.
+// appendReject appends a rejection without its line end. Fields that are false or 0 are omitted.
 func appendReject(b []byte, a admission.Reject) []byte {
 	b = appendRequest(b, replyReject, a.ID)
 	if a.DoNotRetry {
@@ -78,7 +78,7 @@
 	return b
 }
 
-// appendRequest begins a line on a request.
+// appendRequest appends the start of a line: the action name and the request id.
 func appendRequest(b []byte, name string, id uint32) []byte {
 	b = append(b, name...)
 	return appendInt(b, fieldRequestID, int64(id))
@@ -91,7 +91,7 @@
 	return strconv.AppendInt(b, value, 10)
 }
 
-// singleLine makes a text fit into a field.
+// singleLine replaces line breaks and tabs, which can't be part of a field value, by spaces.
 var singleLine = strings.NewReplacer("\n", " ", "\r", " ", "\t", " ")
 
 func appendText(b []byte, name, text string) []byte {
@@ -100,7 +100,7 @@
 	return append(b, '\n')
 }
 
-func boolInt(v bool) int64 {
+func boolToInt(v bool) int64 {
 	if v {
 		return 1
 	}
--- a/internal/simproto/terms.go
+++ b/internal/simproto/terms.go
@@ -2,9 +2,9 @@
 
 import "oxbowbridge/admission"
 
-// The words of the protocol and the terms that they stand for.
+// This file maps the names of the protocol to the terms of package admission.
 
-// Messages of a batch, and the event that each carries.
+// Names of the messages in a batch. Each constant is named after the event or structure of the message.
 const (
 	messageBatchStart    = "TICK"
 	messageBatchEnd      = "EOF_BATCH"
@@ -20,7 +20,7 @@
 	messageTimerFired    = "DUE"
 )
 
-// Lines of a reply, and the action that each carries.
+// Names of the lines in a reply. Each constant is named after the action or structure of the line.
 const (
 	replyInstance       = "SPEAKING"
 	replyEnd            = "ACK"
@@ -41,39 +41,39 @@
 	replyLogMessage     = "REMARK"
 )
 
-// Fields of messages and replies. Times are in nanoseconds, memory is in kB.
+// Names of fields in messages and replies. Times are in nanoseconds, memory sizes in kB.
 const (
-	fieldInstance     = "i"
-	fieldClockTime    = "ts_ns"
-	fieldSeed         = "init_seed"
-	fieldSettings     = "settings"
-	fieldRequestID    = "op_id"
-	fieldClass        = "category"
-	fieldTenant       = "realm"
-	fieldTimeLeft     = "time_left_ns"
-	fieldExpectedWork = "estimate_ns"
-	fieldAge          = "waited_ns"
-	fieldMemoryKB     = "held_kb"
-	fieldRank         = "place"
-	fieldKey          = "resource"
-	fieldRetry        = "repeat"
-	fieldDuplicateOf  = "dup_of"
-	fieldElapsed      = "took_ns"
-	fieldOutcome      = "outcome"
-	fieldTimerID      = "ref"
-	fieldGauges       = "usage"
-	fieldDoNotRetry   = "terminal"
-	fieldRetryAfter   = "retry_in_ns"
-	fieldCallDeadline = "expire_at_ns"
-	fieldTTL          = "lifetime_ns"
-	fieldHealthy      = "active"
-	fieldCached       = "light"
-	fieldAdvert       = "amount"
-	fieldTimerSpan    = "span_ns"
-	fieldText         = "reason_text"
+	fieldInstance        = "i"
+	fieldClockTime       = "ts_ns"
+	fieldSeed            = "init_seed"
+	fieldSettings        = "settings"
+	fieldRequestID       = "op_id"
+	fieldClass           = "category"
+	fieldTenant          = "realm"
+	fieldTimeLeft        = "time_left_ns"
+	fieldExpectedWork    = "estimate_ns"
+	fieldAge             = "waited_ns"
+	fieldMemoryKB        = "held_kb"
+	fieldRank            = "place"
+	fieldLookupKey       = "resource"
+	fieldRetry           = "repeat"
+	fieldDuplicateOf     = "dup_of"
+	fieldElapsed         = "took_ns"
+	fieldOutcome         = "outcome"
+	fieldTimerID         = "ref"
+	fieldGauges          = "usage"
+	fieldDoNotRetry      = "terminal"
+	fieldRetryAfter      = "retry_in_ns"
+	fieldCallDeadline    = "expire_at_ns"
+	fieldTTL             = "lifetime_ns"
+	fieldHealthy         = "active"
+	fieldCached          = "light"
+	fieldAdvertisedValue = "amount"
+	fieldTimerDelay      = "span_ns"
+	fieldText            = "reason_text"
 )
 
-var outcomes = map[string]admission.Outcome{
+var outcomeByName = map[string]admission.Outcome{
 	"OK":                 admission.OutcomeOK,
 	"INTERNAL":           admission.OutcomeInternal,
 	"RESOURCE_EXHAUSTED": admission.OutcomeResourceExhausted,
