--- a/internal/proxy/dispatch/actions.go
+++ b/internal/proxy/dispatch/actions.go
@@ -9,9 +9,9 @@
 	"oxbowbridge/admission"
 )
 
-// execute carries out one action of the admission controller. An action on a request that was
-// already removed is skipped.
-func (d *Dispatcher) execute(now time.Duration, a admission.Action) {
+// executeAction executes one action of the admission controller. An action on a request that was already
+// removed is skipped, except Run; see startOrReportNotStarted.
+func (d *Dispatcher) executeAction(now time.Duration, a admission.Action) {
 	switch a := a.(type) {
 	case admission.Run:
 		d.startOrReportNotStarted(now, a.ID)
--- a/internal/proxy/dispatch/arrival.go
+++ b/internal/proxy/dispatch/arrival.go
@@ -70,8 +70,8 @@
 	callerTimeoutAt time.Duration // when the caller stops waiting; 0 if unknown, the class deadline applies
 }
 
-// newPendingArrival returns the Arrival event of a request. A request that is read after the drain's grace
-// period counts as arrived now, and its timeout is its response deadline.
+// newPendingArrival returns the Arrival event of a request. A request that is read after the drain's
+// grace period counts as arrived now, and its timeout is its response deadline.
 func (d *Dispatcher) newPendingArrival(r *request) pendingArrival {
 	p := pendingArrival{
 		Arrival: admission.Arrival{
@@ -122,8 +122,8 @@
 	return a
 }
 
-// handleRequestCanceled ends a request that its caller cancelled or whose connection was closed. No response
-// can reach the caller, but respond must still be called to release the request's slot in the
+// handleRequestCanceled ends a request that its caller cancelled or whose connection was closed. No
+// response can reach the caller, but respond must still be called to release the request's slot in the
 // exchange; the Responder drops the bytes. A run that waits for a call is stopped to free its
 // resources.
 func (d *Dispatcher) handleRequestCanceled(q *exchange.Request) {
--- a/internal/proxy/dispatch/atmostonce.go
+++ b/internal/proxy/dispatch/atmostonce.go
@@ -41,7 +41,7 @@
 	return d.isIdempotent(r) || !mayHaveRun
 }
 
-// recordUsedTraceID remembers the trace id of an attempt that ran, for as long as its caller may resend the
+// recordUsedTraceID stores the trace id of an attempt that ran, for as long as its caller may resend the
 // attempt: the deadline of its class.
 func (d *Dispatcher) recordUsedTraceID(r *request) {
 	if !r.started || d.isIdempotent(r) {
--- a/internal/proxy/dispatch/calls.go
+++ b/internal/proxy/dispatch/calls.go
@@ -7,8 +7,8 @@
 	"oxbowbridge/internal/proxy/exchange"
 )
 
-// callReportGracePeriod is how long after a call's expiry the dependency client may still report its end.
-// After that the dispatcher cancels the call and reports it as timed out.
+// callReportGracePeriod is how long after a call's expiry the dependency client may still report the
+// end of the call. After that the dispatcher cancels the call and reports it as timed out.
 const callReportGracePeriod = 50 * time.Millisecond
 
 // handleCallNeeded tells the controller that a run waits for a call. If the request already has its
@@ -48,8 +48,8 @@
 	})
 }
 
-// handleCallEnded passes the reply of a successful call to the runner and reports the end of the call to
-// the controller, which fails the request if the call failed. Only the DependencyClient retries
+// handleCallEnded passes the reply of a successful call to the runner and reports the end of the call
+// to the controller, which fails the request if the call failed. Only the DependencyClient retries
 // calls, before it reports their end.
 func (d *Dispatcher) handleCallEnded(r *request, o exchange.Outcome) {
 	d.Timers.Cancel(r.callTimer)
--- a/internal/proxy/dispatch/dispatcher.go
+++ b/internal/proxy/dispatch/dispatcher.go
@@ -16,7 +16,7 @@
 	sweepInterval = 200 * time.Millisecond
 	// lateTimerThreshold is the delay of a timer above which a warning is logged.
 	lateTimerThreshold = 20 * time.Millisecond
-	// maxIterationInterval is the maximum time between two iterations if no timer is set.
+	// maxIterationInterval is the maximum time between two iterations of Run if no timer is set.
 	maxIterationInterval = time.Minute
 )
 
@@ -57,7 +57,7 @@
 	if c.RunnerCannotPause && settings.Preemption == admission.PreemptionPause {
 		settings.Preemption = admission.PreemptionNone
 	}
-	reserveKeyMemory(&settings, c.MaxIdempotencyKeyBytes)
+	raiseKeyMemory(&settings, c.MaxIdempotencyKeyBytes)
 	tenants := map[string]int{}
 	for i, t := range c.SiteSettings.Tenants {
 		tenants[t.Name] = i
@@ -109,8 +109,8 @@
 	return max(0, next-d.Now())
 }
 
-// runIteration runs one iteration: it handles posted events, runs the timers that are due, and calls the
-// controller once if there are events for it.
+// runIteration runs one iteration of the loop in Run: it handles posted events, runs the timers that
+// are due, and calls the controller once if there are events for it.
 func (d *Dispatcher) runIteration() {
 	d.handlePostedEvents()
 	if next, ok := d.Timers.NextDue(); ok && d.Now()-next > lateTimerThreshold {
@@ -156,8 +156,8 @@
 	}
 }
 
-// handleRunnerReady registers the service with the service registry. It also reports a timer event, which
-// starts the controller if no request has arrived yet.
+// handleRunnerReady registers the service with the service registry. It also reports a timer event,
+// which starts the controller if no request has arrived yet.
 func (d *Dispatcher) handleRunnerReady(e exchange.RunnerReady) {
 	d.runnerWarmingUp = e.WarmingUp
 	d.readyAt = d.Now()
@@ -177,8 +177,8 @@
 // the current iteration; see reportInNextIteration.
 func (d *Dispatcher) reportEvent(e admission.Event) { d.pendingEvents = append(d.pendingEvents, e) }
 
-// reportInNextIteration adds an event for the controller while its actions are being executed, and wakes
-// the dispatcher for another iteration that delivers the event.
+// reportInNextIteration adds an event for the controller while the controller's actions are being
+// executed, and wakes the dispatcher for another iteration that delivers the event.
 func (d *Dispatcher) reportInNextIteration(e admission.Event) {
 	d.reportEvent(e)
 	d.Exchange.Wakeup()
@@ -204,7 +204,7 @@
 	actions := d.controller.Handle(now, d.pendingEvents)
 	d.pendingEvents = d.pendingEvents[:0]
 	for _, a := range actions {
-		d.execute(now, a)
+		d.executeAction(now, a)
 	}
 }
 
@@ -212,8 +212,9 @@
 // controller makes no random decisions.
 const unusedSeed = 0
 
-// startController creates the controller before its first event. If the runner is ready by then, it
-// determines whether the controller begins with a slow start; otherwise the settings do.
+// startController creates the controller before its first event. If the runner is already ready, the
+// runner's state determines whether the controller starts with a slow start; otherwise the settings
+// determine it.
 func (d *Dispatcher) startController() {
 	d.controllerSettings.SlowStart = d.runnerWarmingUp
 	controller, err := admission.New(d.controllerSettings, unusedSeed)
--- a/internal/proxy/dispatch/drain.go
+++ b/internal/proxy/dispatch/drain.go
@@ -11,7 +11,8 @@
 
 // The drain lasts from the termination signal (SIGTERM) to the exit of the process. All times are
 // measured from the signal, even if it is handled late. cmd/oxbowbridge passes a signal time that is
-// never later than the actual one. The stop is the time at which the process is killed from outside.
+// never later than the actual one. Below, "stop" means the time at which the process is killed from
+// outside, which is the signal time plus the drain timeout.
 //
 //   - Immediately: the registry lists the service as unavailable, and the controller gets a stop time
 //     that is earlier by stopReserve. Requests are still accepted, because balancers learn of a drain
@@ -81,9 +82,9 @@
 	d.scheduleDrainPoll()
 }
 
-// drainGracePeriodOver reports whether the drain's grace period is over, so that a request that is read now
-// must not run. The request's own arrival time does not count here: it is sent by the caller, read
-// from the caller's clock, and possibly long before the last byte of the request.
+// drainGracePeriodOver reports whether the drain's grace period is over, so that a request read now
+// must not run. The request's own arrival time is not used here: the caller sends it, reads it from its
+// own clock, and it may be long before the last byte of the request.
 func (d *Dispatcher) drainGracePeriodOver(now time.Duration) bool {
 	return d.drain.started && now > d.drain.gracePeriodEndsAt
 }
@@ -100,8 +101,8 @@
 	return admission.Drain{StopIn: max(0, p.stopAt-now), Age: now - p.signaledAt}
 }
 
-// scheduleDrainPoll reschedules itself every drainPollInterval. The timer causes an iteration of Run, which
-// calls advanceDrain.
+// scheduleDrainPoll reschedules itself every drainPollInterval. The timer causes an iteration of Run,
+// which calls advanceDrain.
 func (d *Dispatcher) scheduleDrainPoll() {
 	d.Timers.Schedule(d.Now()+drainPollInterval, d.scheduleDrainPoll)
 }
--- a/internal/proxy/dispatch/drain_test.go
+++ b/internal/proxy/dispatch/drain_test.go
@@ -43,6 +43,6 @@
 	require.Len(t, d.pendingEvents, 1)
 	pending := d.pendingEvents[0].(pendingEvent)
 	require.Equal(t, admission.Drain{StopIn: stop - sinceSignal - stopReserve, Age: sinceSignal}, pending.eventAt(now))
-	const late = 70 * time.Millisecond // delay until the controller is called
-	require.Equal(t, admission.Drain{StopIn: stop - sinceSignal - late - stopReserve, Age: sinceSignal + late}, pending.eventAt(now+late))
+	const controllerDelay = 70 * time.Millisecond // delay until the controller is called
+	require.Equal(t, admission.Drain{StopIn: stop - sinceSignal - controllerDelay - stopReserve, Age: sinceSignal + controllerDelay}, pending.eventAt(now+controllerDelay))
 }
--- a/internal/proxy/dispatch/gauges.go
+++ b/internal/proxy/dispatch/gauges.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// gaugeRequestLeadTime is how long before a timer of the controller the gauges are requested from the
-	// runner, so that they have been received when the timer is due.
+	// gaugeRequestLeadTime is how long before a controller timer is due the gauges are requested from
+	// the runner, so that they have been received when the timer fires.
 	gaugeRequestLeadTime = 8 * time.Millisecond
 	// maxControllerGaugeAge is the maximum age of gauges that are passed to the controller. Older gauges
 	// are reported as unknown.
@@ -25,7 +25,7 @@
 
 // Load returns the CPU utilization as a fraction of all cores, whether that value is known, and
 // whether the runner has warmed up. It must be called in the dispatcher's goroutine.
-func (d *Dispatcher) Load() (coreUse float64, known, warm bool) {
+func (d *Dispatcher) Load() (cpuUtilization float64, known, warm bool) {
 	d.Runner.RequestGauges() // for the next call of Load
 	now := d.Now()
 	known = d.gauges.readAt > 0 && now-d.gauges.readAt <= maxLoadGaugeAge
--- a/internal/proxy/dispatch/idempotency.go
+++ b/internal/proxy/dispatch/idempotency.go
@@ -23,9 +23,9 @@
 //     deadline have passed since the owner's arrival (completeKey). A key whose owner never ran is
 //     removed immediately.
 
-// reserveKeyMemory raises the memory per key in the controller's settings, so that the controller
+// raiseKeyMemory raises the memory per key in the controller's settings, so that the controller
 // considers its memory full no later than the idempotency table is full.
-func reserveKeyMemory(settings *admission.Settings, maxTableBytes int) {
+func raiseKeyMemory(settings *admission.Settings, maxTableBytes int) {
 	for _, class := range settings.Classes {
 		if class.Effect == admission.Deduplicated {
 			maxKeys := max(1, maxTableBytes/idempotency.MaxEntryBytes)
--- a/internal/proxy/dispatch/invariants_test.go
+++ b/internal/proxy/dispatch/invariants_test.go
@@ -62,7 +62,7 @@
 type fakeResponder struct {
 	*fakeEnvironment
 	request          *exchange.Request
-	requestResponses int // number of responses
+	requestResponses int // number of responses to the request
 }
 
 // Respond checks that a request gets one response and that the response is true.
@@ -234,7 +234,7 @@
 	return request
 }
 
-// recentRequest returns a random one of the last requests, at most `last` back.
+// recentRequest returns a random request from the last `window` requests.
 func (s *fakeEnvironment) recentRequest(window int) *exchange.Request {
 	return s.requests[max(0, len(s.requests)-1-s.random.IntN(window))]
 }
@@ -280,6 +280,6 @@
 		id := ids[s.random.IntN(len(ids))]
 		actions := []admission.Action{admission.Run{ID: id}, admission.Preempt{ID: id}, admission.Reject{ID: id},
 			admission.Fail{ID: id}, admission.StartCall{ID: id}, admission.ShareResult{ID: id}}
-		s.dispatcher.execute(s.now, actions[s.random.IntN(len(actions))])
+		s.dispatcher.executeAction(s.now, actions[s.random.IntN(len(actions))])
 	}
 }
--- a/internal/proxy/dispatch/response.go
+++ b/internal/proxy/dispatch/response.go
@@ -30,7 +30,7 @@
 }
 
 // sendResponse sends the response and releases the request's slot in the exchange. For a tracked
-// request only respond may call it.
+// request, only respond may call sendResponse.
 func (d *Dispatcher) sendResponse(q *exchange.Request, response exchange.Response) {
 	d.Exchange.ReleaseRequest()
 	q.Responder.Respond(response)
--- a/internal/proxy/dispatch/settings.go
+++ b/internal/proxy/dispatch/settings.go
@@ -16,8 +16,9 @@
 )
 
 // ControllerSettings converts a site's settings to the controller's settings. An error names the
-// unsupported field. Two features of the controller are disabled, because the wire protocols have no
-// fields for them: the reuse of read results, and degraded runs that skip their calls.
+// setting that is invalid or unsupported. Two features of the controller are disabled, because the
+// wire protocols have no fields for them: the reuse of read results, and degraded runs that skip their
+// calls.
 func ControllerSettings(site *sitesettings.Settings) (admission.Settings, error) {
 	settings, err := site.Admission()
 	if err != nil {
