--- a/internal/simproto/events.go
+++ b/internal/simproto/events.go
@@ -56,13 +56,13 @@
 }
 
 func (f *fields) parseOutcome() admission.Outcome {
-	word := f.textField(fieldOutcome)
-	outcome, ok := outcomeByName[word]
+	name := f.textField(fieldOutcome)
+	outcome, ok := outcomeByName[name]
 	switch {
-	case word == "":
-		f.fail(fieldOutcome, ErrMissing)
+	case name == "":
+		f.recordError(fieldOutcome, ErrMissing)
 	case !ok:
-		f.fail(fieldOutcome, ErrUnknownValue)
+		f.recordError(fieldOutcome, ErrUnknownValue)
 	}
 	return outcome
 }
@@ -76,7 +76,7 @@
 		name, value, _ := strings.Cut(pair, ":")
 		x, err := strconv.ParseFloat(value, 64)
 		if err != nil || !isFinite(x) {
-			f.fail(fieldGauges, fmt.Errorf("%s: %w", name, ErrOutOfRange))
+			f.recordError(fieldGauges, fmt.Errorf("%s: %w", name, ErrOutOfRange))
 			return g
 		}
 		sitesettings.SetGauge(&g, name, x)
@@ -90,17 +90,17 @@
 	seed := f.uintField(fieldSeed, optional, math.MaxUint64)
 	text := f.textField(fieldSettings)
 	if text == "" {
-		f.fail(fieldSettings, ErrMissing)
+		f.recordError(fieldSettings, ErrMissing)
 		return nil
 	}
 	var settings sitesettings.Settings
 	if err := sitesettings.DecodeJSON([]byte(text), &settings); err != nil {
-		f.fail(fieldSettings, err)
+		f.recordError(fieldSettings, err)
 		return nil
 	}
 	converted, err := settings.Admission()
 	if err != nil {
-		f.fail(fieldSettings, err)
+		f.recordError(fieldSettings, err)
 		return nil
 	}
 	return &Create{Seed: seed, Settings: converted}
--- a/internal/simproto/fields.go
+++ b/internal/simproto/fields.go
@@ -25,7 +25,7 @@
 	required presence = true
 )
 
-func (f *fields) fail(name string, err error) {
+func (f *fields) recordError(name string, err error) {
 	if f.err == nil {
 		f.err = &FieldError{name, err}
 	}
@@ -41,7 +41,7 @@
 		part, after, _ := strings.Cut(rest, "\t")
 		name, value, ok := strings.Cut(part, "=")
 		if !ok {
-			f.fail(strconv.Quote(part), ErrMalformedField)
+			f.recordError(strconv.Quote(part), ErrMalformedField)
 		}
 		f.add(name, value)
 		rest = after
@@ -61,18 +61,19 @@
 	return ""
 }
 
-// uintField parses an integer from 0 to limit. It returns 0 if the field is missing.
+// uintField parses an integer from 0 to limit. If the field is missing, uintField returns 0, and records
+// ErrMissing if the field is required.
 func (f *fields) uintField(name string, want presence, limit uint64) uint64 {
 	text := f.textField(name)
 	if text == "" {
 		if want == required {
-			f.fail(name, ErrMissing)
+			f.recordError(name, ErrMissing)
 		}
 		return 0
 	}
 	n, err := strconv.ParseUint(text, 10, 64)
 	if err != nil || n > limit {
-		f.fail(name, ErrOutOfRange)
+		f.recordError(name, ErrOutOfRange)
 	}
 	return n
 }
@@ -99,7 +100,7 @@
 	}
 	x, err := strconv.ParseFloat(text, 64)
 	if err != nil || !isFinite(x) || x < 0 {
-		f.fail(name, ErrOutOfRange)
+		f.recordError(name, ErrOutOfRange)
 	}
 	return x
 }
@@ -114,6 +115,6 @@
 	case "1":
 		return true
 	}
-	f.fail(name, ErrNotBool)
+	f.recordError(name, ErrNotBool)
 	return false
 }
--- a/internal/simproto/reader.go
+++ b/internal/simproto/reader.go
@@ -120,7 +120,7 @@
 	l.fields.parse()
 	name := l.fields.textField(fieldInstance)
 	if name == "" {
-		l.fields.fail(fieldInstance, ErrMissing)
+		l.fields.recordError(fieldInstance, ErrMissing)
 	}
 	return name, r.fieldsError(l)
 }
