--- a/internal/transport/engine/delivery/delivery_test.go
+++ b/internal/transport/engine/delivery/delivery_test.go
@@ -20,24 +20,24 @@
 
 func TestResync(t *testing.T) {
 	neverSent, unconfirmed := Command{}, Command{}
-	var on ConnectionPolls
-	unconfirmed.MarkSent(&on)
-	on.PollSent()
+	var polls ConnectionPolls
+	unconfirmed.MarkSent(&polls)
+	polls.PollSent()
 	started := unconfirmed
 	started.MarkStarted()
-	neverSent.MarkConnectionLost(&on)
-	read := unconfirmed
-	unconfirmed.MarkConnectionLost(&on)
-	started.MarkConnectionLost(&on)
-	on.PollAnswered()
-	read.MarkConnectionLost(&on)
+	neverSent.MarkConnectionLost(&polls)
+	readByEngine := unconfirmed
+	unconfirmed.MarkConnectionLost(&polls)
+	started.MarkConnectionLost(&polls)
+	polls.PollAnswered()
+	readByEngine.MarkConnectionLost(&polls)
 	var sent Command
-	sent.MarkSent(&on)
+	sent.MarkSent(&polls)
 	for _, tt := range []struct {
-		command Command
-		notices NotificationHistory
-		effect  Idempotency
-		want    Action
+		command     Command
+		history     NotificationHistory
+		idempotency Idempotency
+		want        Action
 	}{
 		{Command{}, HistoryComplete, NotIdempotent, Send},
 		{neverSent, HistoryComplete, NotIdempotent, Send},
@@ -48,49 +48,49 @@
 		{unconfirmed, HistoryComplete, Idempotent, Send},
 		{unconfirmed, HistoryIncomplete, NotIdempotent, GiveUp},
 		{unconfirmed, HistoryIncomplete, Idempotent, Send},
-		{read, HistoryComplete, NotIdempotent, AwaitAcknowledged},
-		{read, HistoryComplete, Idempotent, AwaitAcknowledged},
+		{readByEngine, HistoryComplete, NotIdempotent, AwaitAcknowledged},
+		{readByEngine, HistoryComplete, Idempotent, AwaitAcknowledged},
 		{started, HistoryComplete, NotIdempotent, NoAction},
 		{started, HistoryComplete, Idempotent, NoAction},
 		{started, HistoryIncomplete, NotIdempotent, GiveUp},
 		{started, HistoryIncomplete, Idempotent, Send},
-		{read, HistoryIncomplete, NotIdempotent, GiveUp},
-		{read, HistoryIncomplete, Idempotent, Send},
+		{readByEngine, HistoryIncomplete, NotIdempotent, GiveUp},
+		{readByEngine, HistoryIncomplete, Idempotent, Send},
 	} {
-		assert.Equal(t, tt.want, tt.command.Resync(tt.notices, tt.effect), "%v, notices %d, effect %d", tt.command.State(), tt.notices, tt.effect)
+		assert.Equal(t, tt.want, tt.command.Resync(tt.history, tt.idempotency), "state %v, history %d, idempotency %d", tt.command.State(), tt.history, tt.idempotency)
 	}
 }
 
-// model is a service that orders one run after the other, and an engine. Bytes of a connection are
-// lists of messages; whichever is moved next is drawn.
+// model simulates the service, which submits one run after another, and the engine. A connection is a
+// list of messages in each direction. rapid draws the step that is executed next.
 type model struct {
-	effect Idempotency
+	idempotency Idempotency
 
-	// The service's side.
-	run        int     // the current one, from 1
-	command    Command // of the current run
-	wanted     bool    // the current run has not ended, and is not given up
-	awaits     bool    // it fails when its request is due
-	conn       ConnectionPolls
-	connected  bool
-	greeted    bool
-	synced     bool
-	missing    bool // notices are missing
-	noticeRead int  // number of the last notice that was read
+	// State of the service.
+	run                  int     // number of the current run, from 1
+	command              Command // RUN for the current run
+	runPending           bool    // the current run has neither ended nor been given up
+	awaitingTimeout      bool    // the current run fails at its request's deadline unless a notification arrives
+	polls                ConnectionPolls
+	connected            bool
+	greetingReceived     bool
+	resynced             bool
+	notificationsMissing bool // the engine has dropped notifications that were not received
+	lastNotification     int  // number of the last notification received
 
-	// The engine's side.
-	toEngine  []message
-	old       []message // of lost connections, that the engine may still read
-	toService []message
-	ends      []int // the run of each notice, by its number less 1
-	kept      int   // how many notices the engine has dropped
-	running   map[int]bool
-	runs      map[int]int // how often each has run
+	// State of the engine, and messages in transit.
+	toEngine             []message
+	lostMessages         []message // unread messages of lost connections, which the engine may still read
+	toService            []message
+	endedRuns            []int // run of each notification, at the index of the notification's number minus 1
+	droppedNotifications int   // how many notifications the engine has dropped, the oldest first
+	running              map[int]bool
+	runCounts            map[int]int // how often each run was executed
 }
 
 type message struct {
 	kind   messageKind
-	number int // of a notice, or of a run in runCommand
+	number int // of the notification; of the run in runCommand
 }
 
 type messageKind uint8
@@ -101,78 +101,78 @@
 	pollAnswer
 	attach
 	hello
-	end
+	runEnd
 )
 
-var steps = []string{"order", "cut", "connect", "poll", "engine reads", "engine reads", "engine reads", "engine reads a lost connection",
-	"run ends", "service reads", "service reads", "service reads", "engine drops its notices"}
+var steps = []string{"submit run", "lose connection", "connect", "poll", "engine reads", "engine reads", "engine reads", "engine reads a lost connection",
+	"run ends", "service reads", "service reads", "service reads", "engine drops its notifications"}
 
-// maxSteps: a run takes some ten steps, and a new connection some five.
+// maxSteps is the length of a test run. One run takes about ten steps, and a reconnect about five.
 const maxSteps = 400
 
-// step does the one thing that was drawn, if it can be done.
+// step executes a step of the model, if the model's state allows it.
 func (m *model) step(what string) {
 	switch what {
-	case "order":
-		m.order()
-	case "cut":
-		m.cut()
+	case "submit run":
+		m.submitRun()
+	case "lose connection":
+		m.loseConnection()
 	case "connect":
 		m.connect()
 	case "poll":
-		if m.greeted {
+		if m.greetingReceived {
 			m.sendPoll()
 		}
 	case "engine reads":
 		m.engineReads(&m.toEngine)
 	case "engine reads a lost connection":
-		m.engineReads(&m.old)
+		m.engineReads(&m.lostMessages)
 	case "run ends":
 		m.runEnds()
 	case "service reads":
 		m.serviceReads()
-	case "engine drops its notices":
+	case "engine drops its notifications":
 		if !m.connected {
-			m.kept = len(m.ends)
+			m.droppedNotifications = len(m.endedRuns)
 		}
 	}
 }
 
-// order begins another run, if there is none.
-func (m *model) order() {
-	if m.wanted {
+// submitRun submits the next run, unless one is pending.
+func (m *model) submitRun() {
+	if m.runPending {
 		return
 	}
 	m.run++
 	m.command = Command{}
-	m.wanted = true
-	m.awaits = false
-	if m.greeted {
+	m.runPending = true
+	m.awaitingTimeout = false
+	if m.greetingReceived {
 		m.sendRun()
 	}
 }
 
 func (m *model) sendRun() {
-	m.command.MarkSent(&m.conn)
+	m.command.MarkSent(&m.polls)
 	m.toEngine = append(m.toEngine, message{runCommand, m.run})
 }
 
 func (m *model) sendPoll() {
-	m.conn.PollSent()
+	m.polls.PollSent()
 	m.toEngine = append(m.toEngine, message{kind: poll})
 }
 
-// cut loses the connection: what the engine has not read of it may still be read later, or never.
-func (m *model) cut() {
+// loseConnection closes the connection. The engine may read the unread messages of it later, or never.
+func (m *model) loseConnection() {
 	if !m.connected {
 		return
 	}
 	m.connected = false
-	m.greeted = false
-	m.old = append(m.old, m.toEngine...)
+	m.greetingReceived = false
+	m.lostMessages = append(m.lostMessages, m.toEngine...)
 	m.toEngine = nil
 	m.toService = nil
-	m.command.MarkConnectionLost(&m.conn)
+	m.command.MarkConnectionLost(&m.polls)
 }
 
 func (m *model) connect() {
@@ -180,10 +180,10 @@
 		return
 	}
 	m.connected = true
-	m.synced = false
-	m.missing = false
-	m.conn = ConnectionPolls{}
-	m.toEngine = []message{{attach, m.noticeRead}}
+	m.resynced = false
+	m.notificationsMissing = false
+	m.polls = ConnectionPolls{}
+	m.toEngine = []message{{attach, m.lastNotification}}
 }
 
 func (m *model) engineReads(from *[]message) {
@@ -196,13 +196,13 @@
 	switch {
 	case read.kind == runCommand && !m.running[read.number]:
 		m.running[read.number] = true
-		m.runs[read.number]++
+		m.runCounts[read.number]++
 	case read.kind == poll && onCurrent:
 		m.toService = append(m.toService, message{kind: pollAnswer})
 	case read.kind == attach && onCurrent:
 		m.toService = append(m.toService, message{kind: hello})
-		for n := max(read.number, m.kept) + 1; n <= len(m.ends); n++ {
-			m.toService = append(m.toService, message{end, n})
+		for n := max(read.number, m.droppedNotifications) + 1; n <= len(m.endedRuns); n++ {
+			m.toService = append(m.toService, message{runEnd, n})
 		}
 	}
 }
@@ -214,9 +214,9 @@
 			continue
 		}
 		delete(m.running, run)
-		m.ends = append(m.ends, run)
+		m.endedRuns = append(m.endedRuns, run)
 		if m.connected {
-			m.toService = append(m.toService, message{end, len(m.ends)})
+			m.toService = append(m.toService, message{runEnd, len(m.endedRuns)})
 		}
 		return
 	}
@@ -230,52 +230,52 @@
 	m.toService = m.toService[1:]
 	switch read.kind {
 	case hello:
-		m.greeted = true
-		if m.wanted && m.command.State() == NotSent {
+		m.greetingReceived = true
+		if m.runPending && m.command.State() == NotSent {
 			m.sendRun()
 		}
 		m.sendPoll()
 	case pollAnswer:
-		m.conn.PollAnswered()
+		m.polls.PollAnswered()
 		m.resync()
-	case end:
-		m.readEnd(read.number)
+	case runEnd:
+		m.receiveRunEnd(read.number)
 	}
 }
 
-// readEnd reads a notice, unless it is repeated.
-func (m *model) readEnd(number int) {
-	if number <= m.noticeRead {
+// receiveRunEnd handles a notification of the end of a run, unless it was received before.
+func (m *model) receiveRunEnd(number int) {
+	if number <= m.lastNotification {
 		return
 	}
-	m.missing = m.missing || number != m.noticeRead+1
-	m.noticeRead = number
-	if m.ends[number-1] == m.run {
+	m.notificationsMissing = m.notificationsMissing || number != m.lastNotification+1
+	m.lastNotification = number
+	if m.endedRuns[number-1] == m.run {
 		m.command.MarkStarted()
-		m.wanted = false
+		m.runPending = false
 	}
 }
 
 func (m *model) resync() {
-	if m.synced || !m.wanted {
+	if m.resynced || !m.runPending {
 		return
 	}
-	m.synced = true
-	notices := HistoryComplete
-	if m.missing || m.noticeRead < m.kept { // the notices of other runs show it
-		notices = HistoryIncomplete
+	m.resynced = true
+	history := HistoryComplete
+	if m.notificationsMissing || m.lastNotification < m.droppedNotifications { // in the service, a gap in the notifications of other runs shows this
+		history = HistoryIncomplete
 	}
-	switch m.command.Resync(notices, m.effect) {
+	switch m.command.Resync(history, m.idempotency) {
 	case Send:
 		m.sendRun()
 	case AwaitUnconfirmed, AwaitAcknowledged:
-		m.awaits = true
+		m.awaitingTimeout = true
 	case GiveUp:
-		m.wanted = false
+		m.runPending = false
 	}
 }
 
-// quiesce has a connection last until nothing is under way any more.
+// quiesce connects and executes steps until no message is in transit and no run is active.
 func (m *model) quiesce() {
 	m.connect()
 	for len(m.toEngine)+len(m.toService)+len(m.running) > 0 {
@@ -285,43 +285,43 @@
 	}
 }
 
-// TestLostConnections: whatever is lost, read late or ends at whatever moment, a run that may
-// happen once does, and no run is left without an end, a wait or a failure.
+// TestLostConnections checks random orders of lost connections, late reads and run ends. A run that is
+// not idempotent is executed at most once, and each run ends, is given up or has a timeout.
 func TestLostConnections(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		effect := Idempotency(rapid.IntRange(int(NotIdempotent), int(Idempotent)).Draw(t, "effect"))
-		m := &model{effect: effect, running: map[int]bool{}, runs: map[int]int{}}
+		idempotency := Idempotency(rapid.IntRange(int(NotIdempotent), int(Idempotent)).Draw(t, "idempotency"))
+		m := &model{idempotency: idempotency, running: map[int]bool{}, runCounts: map[int]int{}}
 		for _, what := range rapid.SliceOfN(rapid.SampledFrom(steps), maxSteps, maxSteps).Draw(t, "steps") {
 			m.step(what)
 		}
 		m.quiesce()
-		for run, times := range m.runs {
-			if m.effect == NotIdempotent {
-				require.LessOrEqual(t, times, 1, "runs of %d", run)
+		for run, count := range m.runCounts {
+			if m.idempotency == NotIdempotent {
+				require.LessOrEqual(t, count, 1, "executions of run %d", run)
 			}
 		}
-		require.False(t, m.wanted && m.effect == Idempotent, "not repeated until it has ended")
-		require.False(t, m.wanted && !m.awaits, "nobody waits for it")
-		require.False(t, m.wanted && m.runs[m.run] > 0, "it ran, and its end was not heard")
+		require.False(t, m.runPending && m.idempotency == Idempotent, "an idempotent run was not sent again until it ended")
+		require.False(t, m.runPending && !m.awaitingTimeout, "a pending run has no timeout")
+		require.False(t, m.runPending && m.runCounts[m.run] > 0, "the end of an executed run was not received")
 	})
 }
 
-// TestConfirmedRunIsNotRepeated: an answer to a poll behind RUN shows that it was read, and one to
-// a poll before it does not.
+// TestConfirmedRunIsNotRepeated checks that the answer to a poll sent after RUN acknowledges RUN, and
+// that the answer to a poll sent before RUN does not.
 func TestConfirmedRunIsNotRepeated(t *testing.T) {
 	for _, tt := range []struct {
 		answers int
 		want    State
 	}{{0, Unconfirmed}, {1, Unconfirmed}, {2, Acknowledged}} {
-		var on ConnectionPolls
+		var polls ConnectionPolls
 		var c Command
-		on.PollSent()
-		c.MarkSent(&on)
-		on.PollSent()
+		polls.PollSent()
+		c.MarkSent(&polls)
+		polls.PollSent()
 		for range tt.answers {
-			on.PollAnswered()
+			polls.PollAnswered()
 		}
-		c.MarkConnectionLost(&on)
-		assert.Equal(t, tt.want, c.State(), "%d answers", tt.answers)
+		c.MarkConnectionLost(&polls)
+		assert.Equal(t, tt.want, c.State(), "after %d poll answers", tt.answers)
 	}
 }
--- a/internal/transport/engine/late_stop_test.go
+++ b/internal/transport/engine/late_stop_test.go
@@ -9,85 +9,87 @@
 	"oxbowbridge/internal/proxy/exchange"
 )
 
-// stoppedOnLostConnection returns a fixture and its second connection. On the first, RUN and HALT of
-// trace1 were written, and not read before the second took its place; there the run was stopped.
-func stoppedOnLostConnection(t *testing.T) (*fixture, func(text string, events int) []exchange.Event, func(want string)) {
+// newFixtureWithLostHalt returns a fixture, and engineSends and engineReads for its second connection.
+// The engine did not read RUN and HALT of traceID1 on the first connection. On the second one both were
+// sent again, and the run was stopped.
+func newFixtureWithLostHalt(t *testing.T) (*sessionFixture, func(text string, events int) []exchange.Event, func(want string)) {
 	t.Helper()
-	f := newFixture(t, false)
-	c := f.attach(0, "HELLO WARM 20000", 1)
-	f.says(c, "STATS sync 1\r\n", 0)
-	f.link.Run(exchange.Job{TraceID: trace1, Class: "balance-view", Timeout: time.Minute, Idempotent: true})
-	f.link.Stop(trace1, false)
-	f.lose(c) // RUN and HALT lie unread in the engine
-	c = f.attach(0, "HELLO WARM 20000", 0)
-	f.says(c, "STATS sync 1\r\n", 0)
-	f.hears(c, "RUN "+trace1+" balance-view 0\r\n\r\n"+"HALT "+trace1+"\r\n")
-	require.Equal(t, ended(exchange.ResultStopped), f.says(c, "DONE 1 "+trace1+" STOPPED 0 0\r\n\r\n", 1))
-	says := func(text string, events int) []exchange.Event { t.Helper(); return f.says(c, text, events) }
-	return f, says, func(want string) { t.Helper(); f.hears(c, want) }
+	f := newSessionFixture(t, false)
+	c := f.connectEngine(0, "HELLO WARM 20000", 1)
+	f.engineSends(c, "STATS sync 1\r\n", 0)
+	f.session.Run(exchange.Job{TraceID: traceID1, Class: "balance-view", Timeout: time.Minute, Idempotent: true})
+	f.session.Stop(traceID1, false)
+	f.closeFromEngine(c) // the engine has not read RUN and HALT
+	c = f.connectEngine(0, "HELLO WARM 20000", 0)
+	f.engineSends(c, "STATS sync 1\r\n", 0)
+	f.engineReads(c, "RUN "+traceID1+" balance-view 0\r\n\r\n"+"HALT "+traceID1+"\r\n")
+	require.Equal(t, runEndedEvents(exchange.ResultStopped), f.engineSends(c, "DONE 1 "+traceID1+" STOPPED 0 0\r\n\r\n", 1))
+	engineSends := func(text string, events int) []exchange.Event { t.Helper(); return f.engineSends(c, text, events) }
+	return f, engineSends, func(want string) { t.Helper(); f.engineReads(c, want) }
 }
 
-// ended is the report of the end of trace1's run.
-func ended(result exchange.Result) []exchange.Event {
-	return []exchange.Event{exchange.Outcome{TraceID: trace1, Stage: exchange.RunEnded, Result: result, Body: []byte{}}}
+// runEndedEvents returns the event that reports the end of traceID1's run.
+func runEndedEvents(result exchange.Result) []exchange.Event {
+	return []exchange.Event{exchange.Outcome{TraceID: traceID1, Stage: exchange.RunEnded, Result: result, Body: []byte{}}}
 }
 
 const (
-	runTrace1     = "RUN " + trace1 + " balance-view 0\r\n\r\n"
-	trace1Stopped = " " + trace1 + " STOPPED 0 0\r\n\r\n"
+	runLine       = "RUN " + traceID1 + " balance-view 0\r\n\r\n"
+	stoppedFields = " " + traceID1 + " STOPPED 0 0\r\n\r\n"
 )
 
-func (f *fixture) restart() {
-	f.link.Run(exchange.Job{TraceID: trace1, Class: "balance-view", Timeout: time.Minute, Idempotent: true, Restarted: true})
+func (f *sessionFixture) submitRestartedRun() {
+	f.session.Run(exchange.Job{TraceID: traceID1, Class: "balance-view", Timeout: time.Minute, Idempotent: true, Restarted: true})
 }
 
 // TestLateStopMeetsRestartedRun guards against a request that fails because the engine reads the HALT of
-// a lost connection after the request's run was ordered anew.
+// a lost connection after RUN was sent for the restarted run.
 func TestLateStopMeetsRestartedRun(t *testing.T) {
-	f, says, hears := stoppedOnLostConnection(t)
-	f.restart()
-	hears(runTrace1)
-	says("DONE 2"+trace1Stopped, 0) // by the HALT of the first connection
-	hears(runTrace1)
-	require.Equal(t, ended(exchange.ResultOK), says("DONE 3 "+trace1+" OK 0 0\r\n\r\n", 1))
-	require.Empty(t, f.link.runs)
+	f, engineSends, engineReads := newFixtureWithLostHalt(t)
+	f.submitRestartedRun()
+	engineReads(runLine)
+	engineSends("DONE 2"+stoppedFields, 0) // caused by the HALT of the first connection
+	engineReads(runLine)
+	require.Equal(t, runEndedEvents(exchange.ResultOK), engineSends("DONE 3 "+traceID1+" OK 0 0\r\n\r\n", 1))
+	require.Empty(t, f.session.runs)
 }
 
-// TestLateStopRepeatsOnce guards against a run that is ordered again and again where the engine stops
-// it each time.
+// TestLateStopRepeatsOnce guards against a run that is sent again without end if the engine stops it each
+// time.
 func TestLateStopRepeatsOnce(t *testing.T) {
-	f, says, hears := stoppedOnLostConnection(t)
-	f.restart()
-	hears(runTrace1)
-	says("DONE 2"+trace1Stopped, 0)
-	hears(runTrace1)
-	require.Equal(t, ended(exchange.ResultStopped), says("DONE 3"+trace1Stopped, 1))
+	f, engineSends, engineReads := newFixtureWithLostHalt(t)
+	f.submitRestartedRun()
+	engineReads(runLine)
+	engineSends("DONE 2"+stoppedFields, 0)
+	engineReads(runLine)
+	require.Equal(t, runEndedEvents(exchange.ResultStopped), engineSends("DONE 3"+stoppedFields, 1))
 }
 
-// TestWantedStopOfRestartedRun guards against a run that is ordered again though it was to stop.
+// TestWantedStopOfRestartedRun guards against sending a run again whose stop was requested.
 func TestWantedStopOfRestartedRun(t *testing.T) {
-	f, says, hears := stoppedOnLostConnection(t)
-	f.restart()
-	hears(runTrace1)
-	f.link.Stop(trace1, true)
-	hears("HALT " + trace1 + "\r\n")
-	require.Equal(t, ended(exchange.ResultStopped), says("DONE 2"+trace1Stopped, 1))
+	f, engineSends, engineReads := newFixtureWithLostHalt(t)
+	f.submitRestartedRun()
+	engineReads(runLine)
+	f.session.Stop(traceID1, true)
+	engineReads("HALT " + traceID1 + "\r\n")
+	require.Equal(t, runEndedEvents(exchange.ResultStopped), engineSends("DONE 2"+stoppedFields, 1))
 }
 
-// TestLateStopDuringCall guards against a repeated run that gets the reply to the stopped run's call.
+// TestLateStopDuringCall guards against a run that is sent again and receives the reply to the stopped
+// run's call.
 func TestLateStopDuringCall(t *testing.T) {
-	f, says, hears := stoppedOnLostConnection(t)
-	f.restart()
-	hears(runTrace1)
-	says("NEED 2 "+trace1+" 1\r\nc\r\n", 1)
-	require.Equal(t, ended(exchange.ResultStopped), says("DONE 3"+trace1Stopped, 1))
+	f, engineSends, engineReads := newFixtureWithLostHalt(t)
+	f.submitRestartedRun()
+	engineReads(runLine)
+	engineSends("NEED 2 "+traceID1+" 1\r\nc\r\n", 1)
+	require.Equal(t, runEndedEvents(exchange.ResultStopped), engineSends("DONE 3"+stoppedFields, 1))
 }
 
-// TestFirstRunEndedAtCall guards against a first run that is ordered again: the engine has stopped it
-// because its request is over.
+// TestFirstRunEndedAtCall guards against sending a run again that was not restarted. The engine stops such
+// a run only because its request has ended.
 func TestFirstRunEndedAtCall(t *testing.T) {
-	f, says, hears := stoppedOnLostConnection(t)
-	f.link.Run(exchange.Job{TraceID: trace1, Class: "balance-view", Timeout: time.Minute, Idempotent: true})
-	hears(runTrace1)
-	require.Equal(t, ended(exchange.ResultStopped), says("DONE 2"+trace1Stopped, 1))
+	f, engineSends, engineReads := newFixtureWithLostHalt(t)
+	f.session.Run(exchange.Job{TraceID: traceID1, Class: "balance-view", Timeout: time.Minute, Idempotent: true})
+	engineReads(runLine)
+	require.Equal(t, runEndedEvents(exchange.ResultStopped), engineSends("DONE 2"+stoppedFields, 1))
 }
--- a/internal/transport/engine/out_of_turn_test.go
+++ b/internal/transport/engine/out_of_turn_test.go
@@ -16,12 +16,13 @@
 )
 
 const (
-	outOfTurnSteps       = 60
-	outOfTurnConnections = 5
+	dispatcherSteps    = 60
+	invalidConnections = 5
 )
 
-// saidOutOfTurn are messages of an engine, valid and not; %n is a number, %t a trace id.
-var saidOutOfTurn = []string{
+// unexpectedMessages are valid and invalid messages from an engine. %n stands for a notification number, %t
+// for a trace id.
+var unexpectedMessages = []string{
 	"HELLO WARM 20000\r\n", "HELLO COLD 3\r\n", "HELLO\r\n", "HELLO WARM x\r\n", "STATS sync 1\r\n", "STATS gauges 1 1 1 1\r\n",
 	"STATS gauges x\r\n", "STATS\r\n", "NO RUN %t\r\n", "NO HALT %t\r\n", "NO\r\n", "NOTE %n x\r\n",
 	"DONE %n %t OK 1 2\r\nab\r\n", "DONE %n %t STOPPED 1 0\r\n\r\n", "DONE %n %t MOOT 0 0\r\n\r\n",
@@ -29,34 +30,34 @@
 	"DONE 1 2 3 4 -1\r\n", "HEL", "DONE %n %t OK 1 99\r\nshort",
 }
 
-// TestEngineOutOfTurn: an engine that says anything at any moment, before ATTACH, after the end of
-// a run, in pieces, and closes in between, does not end the process, and the next connection to a
-// good one serves.
+// TestEngineOutOfTurn checks that an engine that sends arbitrary messages at any time does not crash the
+// process. The messages are sent before ATTACH, after the end of a run and in fragments, with closed
+// connections in between. Afterwards the next connection to a correct engine works.
 func TestEngineOutOfTurn(t *testing.T) {
 	for seed := range uint64(outofturn.Seeds) {
-		playOutOfTurn(t, seed, seed%2 == 0)
+		runUnexpectedMessages(t, seed, seed%2 == 0)
 	}
 }
 
-func playOutOfTurn(t *testing.T, seed uint64, pauses bool) {
+func runUnexpectedMessages(t *testing.T, seed uint64, pausesOnStop bool) {
 	rng := rand.New(rand.NewPCG(seed, 1))
-	f := newFixture(t, pauses)
-	over := make(chan struct{})
+	f := newSessionFixture(t, pausesOnStop)
+	engineDone := make(chan struct{})
 	go func() {
-		defer close(over)
-		outofturn.Chatter(f.listener, seed, outOfTurnConnections, sayOutOfTurn)
+		defer close(engineDone)
+		outofturn.Chatter(f.listener, seed, invalidConnections, randomMessage)
 	}()
-	f.link.Open()
-	ordered := 0
-	for step := 0; !isClosed(over); step++ {
-		if step < outOfTurnSteps {
-			ordered = f.doAnything(rng, ordered)
+	f.session.Open()
+	submitted := 0
+	for step := 0; !isClosed(engineDone); step++ {
+		if step < dispatcherSteps {
+			submitted = f.callRandomMethod(rng, submitted)
 		}
-		f.link.Timers.RunDue(f.link.Now())
-		f.turn()
+		f.session.Timers.RunDue(f.session.Now())
+		f.handleEvents()
 		time.Sleep(100 * time.Microsecond)
 	}
-	require.LessOrEqual(t, len(f.link.runs), ordered, "seed %d", seed)
+	require.LessOrEqual(t, len(f.session.runs), submitted, "seed %d", seed)
 
 	var c net.Conn
 	go func() {
@@ -65,15 +66,15 @@
 			f.exchange.Post(exchange.Callback(func() { c = conn }))
 		}
 	}()
-	f.await("another connection", func() bool { f.link.Timers.RunDue(f.link.Now()); return c != nil })
+	f.waitFor("another connection from the session", func() bool { f.session.Timers.RunDue(f.session.Now()); return c != nil })
 	t.Cleanup(func() { c.Close() })
-	f.hears(c, fmt.Sprintf("ATTACH %d\r\n", f.link.lastNotification))
-	const last = "ffffffffffffffff"
-	f.link.Run(exchange.Job{TraceID: last, Class: "c", Timeout: time.Minute})
-	next := f.link.lastNotification + 1
-	_, err := io.WriteString(c, fmt.Sprintf("HELLO WARM 30000\r\nDONE %d %s OK 1 0\r\n\r\n", next, last))
+	f.engineReads(c, fmt.Sprintf("ATTACH %d\r\n", f.session.lastNotification))
+	const lastTraceID = "ffffffffffffffff"
+	f.session.Run(exchange.Job{TraceID: lastTraceID, Class: "c", Timeout: time.Minute})
+	nextNotification := f.session.lastNotification + 1
+	_, err := io.WriteString(c, fmt.Sprintf("HELLO WARM 30000\r\nDONE %d %s OK 1 0\r\n\r\n", nextNotification, lastTraceID))
 	require.NoError(t, err)
-	f.await("the end of a run", func() bool { return f.link.runs[last] == nil })
+	f.waitFor("the end of the last run", func() bool { return f.session.runs[lastTraceID] == nil })
 }
 
 func isClosed(c <-chan struct{}) bool {
@@ -85,32 +86,32 @@
 	}
 }
 
-// doAnything calls the session in one of the ways in which the dispatcher does, and returns how
-// many runs were ordered so far.
-func (f *fixture) doAnything(rng *rand.Rand, ordered int) int {
-	trace := fmt.Sprintf("%016x", 1+rng.IntN(1+ordered))
+// callRandomMethod calls a random method of the session, as the dispatcher may, and returns how many runs
+// were submitted so far.
+func (f *sessionFixture) callRandomMethod(rng *rand.Rand, submitted int) int {
+	traceID := fmt.Sprintf("%016x", 1+rng.IntN(1+submitted))
 	switch rng.IntN(7) {
 	case 0, 1:
-		ordered++
-		f.link.Run(exchange.Job{TraceID: fmt.Sprintf("%016x", ordered), Class: "c", Timeout: time.Minute, Idempotent: rng.IntN(2) == 0})
+		submitted++
+		f.session.Run(exchange.Job{TraceID: fmt.Sprintf("%016x", submitted), Class: "c", Timeout: time.Minute, Idempotent: rng.IntN(2) == 0})
 	case 2:
-		f.link.Stop(trace, rng.IntN(2) == 0)
+		f.session.Stop(traceID, rng.IntN(2) == 0)
 	case 3:
-		f.link.Resume(trace)
+		f.session.Resume(traceID)
 	case 4:
-		f.link.DeliverReply(trace, []byte("r"))
+		f.session.DeliverReply(traceID, []byte("r"))
 	case 5:
-		f.link.RequestGauges()
+		f.session.RequestGauges()
 	case 6:
-		f.link.Discard(trace)
+		f.session.Discard(traceID)
 	}
-	return ordered
+	return submitted
 }
 
-// sayOutOfTurn returns a message that nobody has asked for.
-func sayOutOfTurn(rng *rand.Rand) string {
-	text := saidOutOfTurn[rng.IntN(len(saidOutOfTurn))]
+// randomMessage returns a random element of unexpectedMessages with its placeholders filled in.
+func randomMessage(rng *rand.Rand) string {
+	text := unexpectedMessages[rng.IntN(len(unexpectedMessages))]
 	number := 1 + rng.IntN(9)
-	trace := fmt.Sprintf("%016x", 1+rng.IntN(9))
-	return strings.NewReplacer("%n", fmt.Sprint(number), "%t", trace).Replace(text)
+	traceID := fmt.Sprintf("%016x", 1+rng.IntN(9))
+	return strings.NewReplacer("%n", fmt.Sprint(number), "%t", traceID).Replace(text)
 }
--- a/internal/transport/engine/protocol.go
+++ b/internal/transport/engine/protocol.go
@@ -8,9 +8,9 @@
 	"oxbowbridge/internal/transport/lineproto"
 )
 
-// The commands to the engine, as the protocol names them. These names appear in no other file.
+// Commands to the engine, with their arguments. Only this file contains the protocol's names.
 const (
-	commandAttach       = "ATTACH" // number of the last notice that was read, 0 after a start
+	commandAttach       = "ATTACH" // number of the last notification received, 0 if there is none
 	commandRun          = "RUN"    // trace id, class, and the body
 	commandStop         = "HALT"   // trace id
 	commandResume       = "RESUME" // trace id
@@ -18,28 +18,29 @@
 	commandStats        = "STAT"   // a tag, which the answer repeats
 )
 
-// The tags of commandStats.
+// Tags of commandStats.
 const (
-	tagSync   = "sync"   // the answer shows that all missed notices have been read
-	tagGauges = "gauges" // the answer is reported
+	tagSync   = "sync"   // the answer shows that all missed notifications have been received
+	tagGauges = "gauges" // the gauges in the answer are posted to the exchange
 )
 
-// The messages of the engine. Those of the second group are notices, which are numbered.
+// Messages from the engine, with their arguments. Those in the second group are notifications, which
+// carry a sequence number.
 const (
-	messageHello    = "HELLO" // state at its start, milliseconds since then
+	messageHello    = "HELLO" // state when the engine started, milliseconds since its start
 	messageStats    = "STATS" // tag, and the gauges in the order of the settings
-	messageRejected = "NO"    // the command that was not carried out
+	messageRejected = "NO"    // the rejected command
 
 	notificationDone       = "DONE" // number, trace id, result, duration in milliseconds, and the body
 	notificationCallNeeded = "NEED" // number, trace id, and the body of the call
-	notificationRemark     = "NOTE" // number, and a text without a meaning
+	notificationRemark     = "NOTE" // number, and a free text, which is ignored
 )
 
-// stateColdStart, in messageHello, is the state of an engine that started cold and warms up; any
-// other state is that of a warm one.
+// stateColdStart is the state in messageHello of an engine that started with cold caches and is
+// warming up. Any other state means that the engine is warm.
 const stateColdStart = "COLD"
 
-// results are the results of a run, as noticeDone names them.
+// results maps the result words of notificationDone to the results of a run.
 var results = map[string]exchange.Result{
 	"OK":      exchange.ResultOK,
 	"ERROR":   exchange.ResultError,
@@ -47,7 +48,7 @@
 	"MOOT":    exchange.ResultObsolete,
 }
 
-// hasPayload reports whether a payload follows a line of the engine.
+// hasPayload reports whether a payload follows a line from the engine.
 func hasPayload(words []string) bool {
 	return words[0] == notificationDone || words[0] == notificationCallNeeded
 }
@@ -56,10 +57,10 @@
 	return kind == notificationDone || kind == notificationCallNeeded || kind == notificationRemark
 }
 
-// greeting is a messageHello.
+// greeting is the content of a messageHello.
 type greeting struct {
 	state    string
-	uptimeMs int64 // since the engine's start
+	uptimeMs int64 // milliseconds since the engine's start
 }
 
 func parseGreeting(words []string) (greeting, error) {
@@ -82,7 +83,7 @@
 	return gauges, nil
 }
 
-// completion is a noticeDone.
+// completion is the content of a notificationDone: the end of a run.
 type completion struct {
 	traceID  string
 	result   exchange.Result
@@ -90,8 +91,8 @@
 	body     []byte
 }
 
-// parseCompletion reads a noticeDone. Where the result or the duration is at fault it reports
-// so, and the run counts as failed.
+// parseCompletion parses a notificationDone. If the result or the duration is invalid, ok is false
+// and the completion's result is exchange.ResultError.
 func parseCompletion(m lineproto.Message) (c completion, ok bool) {
 	c.traceID = m.Words[2]
 	c.body = m.Payload
--- a/internal/transport/engine/receive.go
+++ b/internal/transport/engine/receive.go
@@ -12,7 +12,7 @@
 	"oxbowbridge/internal/transport/lineproto"
 )
 
-// receive handles one message of the engine.
+// receive handles one message from the engine.
 func (s *Session) receive(m lineproto.Message) {
 	s.unansweredPolls = 0
 	words := m.Words
@@ -31,11 +31,11 @@
 }
 
 func (s *Session) logInvalidLine(words []string) {
-	s.Log.Warn("engine line not understood", zap.Strings("words", words))
+	s.Log.Warn("invalid line from the engine", zap.Strings("words", words))
 }
 
-// receiveGreeting sends the runs that wait for the engine, and asks it for an answer that
-// follows all missed notices (see resync).
+// receiveGreeting handles a HELLO. It sends the runs that were submitted without a connection, and a
+// poll that the engine answers after all missed notifications (see resync).
 func (s *Session) receiveGreeting(words []string) {
 	hello, err := parseGreeting(words)
 	if err != nil {
@@ -55,12 +55,12 @@
 		return
 	}
 	s.readyPosted = true
-	s.Log.Info("engine up", zap.String("state", hello.state), zap.Int64("uptime_ms", hello.uptimeMs))
+	s.Log.Info("engine connected for the first time", zap.String("state", hello.state), zap.Int64("uptime_ms", hello.uptimeMs))
 	s.Exchange.Post(exchange.RunnerReady{ColdStart: hello.state == stateColdStart, Uptime: hello.uptime()})
 }
 
-// checkForRestart notices an engine that has restarted under this process: its notices are numbered from
-// 1 again, and of the runs of the one before it will tell nothing.
+// checkForRestart detects an engine that has restarted since an earlier connection. Such an engine
+// numbers its notifications from 1 again, and sends none about runs of the earlier process.
 func (s *Session) checkForRestart(uptime time.Duration) {
 	if s.readyPosted && uptime < s.engineUptime {
 		s.Log.Warn("engine restarted", zap.Int64("uptime_ms", uptime.Milliseconds()), zap.Int("runs", len(s.runs)))
@@ -84,7 +84,8 @@
 	s.Exchange.Post(gauges)
 }
 
-// receiveNotification handles a notice, unless it is repeated after an ATTACH.
+// receiveNotification handles a notification. One that was received before is ignored, as the engine
+// may repeat notifications after an ATTACH.
 func (s *Session) receiveNotification(m lineproto.Message) {
 	words := m.Words
 	number, err := strconv.ParseUint(words[1], 10, 64)
@@ -107,7 +108,7 @@
 	}
 }
 
-// receiveCall reports the call that a run waits for.
+// receiveCall reports to the exchange the call that a run is waiting for.
 func (s *Session) receiveCall(traceID string, body []byte) {
 	if r := s.runs[traceID]; r != nil {
 		s.confirmCommands(r)
@@ -118,11 +119,11 @@
 	s.Exchange.Post(exchange.Outcome{TraceID: traceID, Stage: exchange.CallNeeded, Body: body})
 }
 
-// receiveCompletion reports the end of a run. One that was stopped where that pauses it, and
-// whose request is not answered, stays known: it may be resumed.
+// receiveCompletion reports the end of a run. A run that HALT has paused stays registered while its
+// request has no response, since it may be resumed.
 func (s *Session) receiveCompletion(m lineproto.Message) {
 	done, ok := parseCompletion(m)
-	if !ok { // the run counts as failed all the same, see parseCompletion
+	if !ok { // the run is reported as failed, see parseCompletion
 		s.logInvalidLine(m.Words)
 	}
 	r := s.runs[done.traceID]
@@ -143,26 +144,27 @@
 	s.postCompletion(done)
 }
 
-// mayBeLateStop reports whether a HALT that was meant for an earlier run of the request may have
-// stopped this one: the engine may read it from a lost connection after this run was ordered. A run
-// that had come to a call is not repeated, as the reply to that call could reach the next run.
+// mayBeLateStop reports whether a HALT for an earlier run of the request may have stopped this one.
+// That happens if the engine reads the HALT from a lost connection after it has read this run's RUN.
+// A run that has made a call is not sent again, because the reply to that call could reach the next
+// run.
 func (s *Session) mayBeLateStop(r *run) bool {
 	return r.job.Restarted && !r.stopRequested && !s.pausesOnStop &&
 		r.idempotency() == delivery.Idempotent && r.runCommand.State() != delivery.Started
 }
 
-// resendStoppedRun orders a run once more after a late stop.
+// resendStoppedRun sends RUN again for a run that a late HALT has stopped.
 func (s *Session) resendStoppedRun(r *run) {
-	s.Log.Warn("run stopped by a late command, ordered again", zap.String("trace_id", r.job.TraceID))
+	s.Log.Warn("delayed HALT from a lost connection stopped a new run; sending the run again", zap.String("trace_id", r.job.TraceID))
 	s.Timers.Cancel(r.notificationTimer)
 	r.notificationTimer = nil
-	r.job.Restarted = false // one that is stopped again is reported
+	r.job.Restarted = false // if the run is stopped once more, its end is reported
 	r.submittedAt = s.Now()
 	s.sendRun(r)
 }
 
-// receiveRejection handles a command that was not carried out. The engine rejects a RUN whose
-// trace id no balancer has sent to this process: the caller made it up.
+// receiveRejection handles a command that the engine has rejected. It rejects a RUN if no balancer has
+// sent a request with that trace id to this machine: the caller made the trace id up.
 func (s *Session) receiveRejection(words []string) {
 	s.Log.Warn("engine rejected a command", zap.String("command", strings.Join(words[1:], " ")))
 	if len(words) < 3 || words[1] != commandRun || s.runs[words[2]] == nil {
--- a/internal/transport/engine/resync.go
+++ b/internal/transport/engine/resync.go
@@ -8,7 +8,7 @@
 	"oxbowbridge/internal/transport/session"
 )
 
-// markConnectionLost notes for all commands that the current connection is lost or replaced.
+// markConnectionLost marks all commands on the current connection, which was lost or replaced.
 func (s *Session) markConnectionLost() {
 	for _, r := range s.runs {
 		r.runCommand.MarkConnectionLost(&s.polls)
@@ -17,11 +17,12 @@
 	}
 }
 
-// resyncCounts is what resync did, for the log.
+// resyncCounts counts the commands that resync sent again, awaits or gave up, for the log.
 type resyncCounts struct{ resent, awaited, givenUp int }
 
-// resync deals with the commands that an earlier connection may have lost, as package delivery
-// decides. It waits until the notices that were missed are read, and acts once a connection.
+// resync handles the commands that may have been lost with an earlier connection, as package delivery
+// decides. It is called once the missed notifications have been received, and runs once for each
+// connection.
 func (s *Session) resync() {
 	if s.resynced {
 		return
@@ -41,7 +42,7 @@
 	}
 }
 
-// resyncRun deals with the commands for one run.
+// resyncRun handles the commands for one run.
 func (s *Session) resyncRun(r *run, history delivery.NotificationHistory, counts *resyncCounts) {
 	switch r.runCommand.Resync(history, r.idempotency()) {
 	case delivery.Send:
@@ -58,17 +59,17 @@
 	if r.hasReply {
 		s.resyncReply(r, history, counts)
 	}
-	// RESUME names neither class nor body: it goes on with a run that is paused, and can start none.
+	// RESUME may be sent twice. It carries neither class nor body, so it can only continue a paused run.
 	if r.resumeRequested && r.resumeCommand.State() != delivery.Sent {
 		s.sendResume(r)
 	}
-	if r.stopRequested { // HALT does nothing to a run that is over
+	if r.stopRequested { // HALT has no effect on a run that has ended
 		s.send(commandStop, r.job.TraceID)
 	}
 }
 
-// resyncReply deals with the reply to a call. A run may need one call after the other, and a reply
-// that is sent twice may reach the next of them.
+// resyncReply handles the reply to a call. A run may make several calls in turn, so a reply that is
+// sent twice may be taken for the reply to the next call.
 func (s *Session) resyncReply(r *run, history delivery.NotificationHistory, counts *resyncCounts) {
 	switch r.replyCommand.Resync(history, delivery.NotIdempotent) {
 	case delivery.Send:
@@ -80,8 +81,8 @@
 	}
 }
 
-// startNotificationTimeout deals with a run of which no notice has come for longer than runs of its class take, while
-// others do end, or when its request is due (see overdue).
+// startNotificationTimeout starts the timer that calls onNotificationTimeout if no notification about
+// the run arrives within the usual duration of its class, or before the request's deadline.
 func (s *Session) startNotificationTimeout(r *run) {
 	if r.notificationTimer == nil {
 		r.waitingSince = s.Now()
@@ -94,10 +95,11 @@
 	r.notificationTimer = s.Timers.Schedule(due, func() { s.onNotificationTimeout(r) })
 }
 
-// onNotificationTimeout sends a run again that was read and may be repeated, or gives it up. One that was read and
-// may not be repeated has until its request is due: it may just take long.
+// onNotificationTimeout sends an acknowledged idempotent run again, or gives a run up. It waits further
+// while no run that was submitted later has ended, since the engine may hang. A run that is
+// acknowledged and not idempotent has until the request's deadline, since the run may only be slow.
 func (s *Session) onNotificationTimeout(r *run) {
-	engineCompletesRuns := s.lastEndedSubmittedAt > r.waitingSince // it does not merely hang
+	engineCompletesRuns := s.lastEndedSubmittedAt > r.waitingSince // false while the engine hangs
 	acknowledged := !r.latestCommandMayBeLost()
 	switch {
 	case s.Now() >= r.deadline:
@@ -114,7 +116,7 @@
 	}
 }
 
-// durationEstimator estimates how long runs of a class take.
+// durationEstimator returns the estimator of the run duration for a class, and creates it if needed.
 func (s *Session) durationEstimator(class string) *session.LatencyEstimator {
 	estimator := s.runDurations[class]
 	if estimator == nil {
@@ -124,21 +126,22 @@
 	return estimator
 }
 
-// observeRunEnd notes that a run has ended in the engine.
+// observeRunEnd records the duration of a run that has ended in the engine.
 func (s *Session) observeRunEnd(r *run) {
 	s.lastEndedSubmittedAt = max(s.lastEndedSubmittedAt, r.submittedAt)
 	s.durationEstimator(r.job.Class).Observe(s.Now() - r.submittedAt)
 }
 
-// confirmCommands ends the wait of await: a notice shows that the engine has read all commands of the
-// run that it waits for.
+// confirmCommands stops the timer of startNotificationTimeout after a notification about the run. The
+// notification shows that the engine has read all pending commands for the run.
 func (s *Session) confirmCommands(r *run) {
 	s.Timers.Cancel(r.notificationTimer)
 	r.notificationTimer = nil
 	r.runCommand.MarkStarted()
 }
 
-// giveUpRun fails a run of which nothing can be known any more, and stops it in case that it runs.
+// giveUpRun reports a run as failed whose outcome can't be determined, and sends HALT in case the
+// engine still runs it.
 func (s *Session) giveUpRun(r *run) {
 	s.Log.Warn("run given up, its engine connection was lost", zap.String("trace_id", r.job.TraceID),
 		zap.Stringer("run", r.runCommand.State()), zap.Stringer("reply", r.replyCommand.State()))
--- a/internal/transport/engine/run.go
+++ b/internal/transport/engine/run.go
@@ -8,25 +8,25 @@
 	"oxbowbridge/internal/transport/engine/delivery"
 )
 
-// run is a run that was ordered and has not ended. Each command for it is followed until the
-// engine is known to have read it (see package delivery).
+// run is a run that was submitted and has not ended. The delivery of each command for it is tracked
+// until the engine is known to have read the command (see package delivery).
 type run struct {
 	job               exchange.Job
 	submittedAt       time.Duration
-	deadline          time.Duration    // when its request is due; it is not awaited any longer
+	deadline          time.Duration    // of the request; the run is given up at the latest then
 	runCommand        delivery.Command // RUN
-	stopRequested     bool             // it is to be stopped, and no notice has confirmed that
-	requestAnswered   bool             // its request is answered: it is not resumed
-	resumeRequested   bool             // it is to go on, and no notice has confirmed that
-	resumeCommand     delivery.Command // RESUME, if it resumes
-	hasReply          bool             // there is a reply to the call that it waits for
+	stopRequested     bool             // HALT was requested and no notification has confirmed it
+	requestAnswered   bool             // the request has its response, so the run is not resumed
+	resumeRequested   bool             // RESUME was requested and no notification has confirmed it
+	resumeCommand     delivery.Command // RESUME, if resumeRequested
+	hasReply          bool             // the reply to the call that the run is waiting for is in reply
 	reply             []byte
-	replyCommand      delivery.Command  // FEED, if there is a reply
-	notificationTimer *timerqueue.Timer // gives it up if no notice shows that a command was read; or nil
-	waitingSince      time.Duration     // if awaiting
+	replyCommand      delivery.Command  // FEED, if hasReply
+	notificationTimer *timerqueue.Timer // calls onNotificationTimeout; nil if it is not scheduled
+	waitingSince      time.Duration     // when notificationTimer was first scheduled
 }
 
-// idempotency says whether a repeated RUN does harm.
+// idempotency says whether RUN may be sent more than once.
 func (r *run) idempotency() delivery.Idempotency {
 	if r.job.Idempotent {
 		return delivery.Idempotent
@@ -34,12 +34,14 @@
 	return delivery.NotIdempotent
 }
 
-// latestCommandMayBeLost tells whether nothing shows that the engine has read the latest command for the run.
+// latestCommandMayBeLost reports whether the connection was lost before the engine was known to have
+// read the latest command for the run.
 func (r *run) latestCommandMayBeLost() bool {
 	return r.runCommand.State() == delivery.Unconfirmed || r.hasReply && r.replyCommand.State() == delivery.Unconfirmed
 }
 
-// Run orders a run. Without a connection it waits for one: what was never sent can't have run.
+// Run submits a run to the engine. Without a connection RUN is sent once there is one, which is safe
+// because a run that was never sent can't have started.
 func (s *Session) Run(job exchange.Job) {
 	r := &run{job: job, submittedAt: s.Now(), deadline: s.Now() + job.Timeout}
 	s.runs[job.TraceID] = r
@@ -53,7 +55,7 @@
 	s.sendPayload(r.job.Body, commandRun, r.job.TraceID, r.job.Class)
 }
 
-// Stop stops a run. One whose request is answered is not resumed.
+// Stop sends HALT for a run. If answered, the request has its response and the run is not resumed.
 func (s *Session) Stop(traceID string, answered bool) {
 	r := s.runs[traceID]
 	if r == nil {
@@ -62,7 +64,7 @@
 	r.stopRequested = true
 	r.requestAnswered = r.requestAnswered || answered
 	r.resumeRequested = false
-	if r.runCommand.State() == delivery.NotSent { // the engine has never heard of it
+	if r.runCommand.State() == delivery.NotSent { // RUN was never sent, so there is nothing to stop
 		s.finishRun(traceID, exchange.ResultStopped)
 		return
 	}
@@ -71,7 +73,7 @@
 	}
 }
 
-// Resume goes on with a run that is paused.
+// Resume continues a paused run.
 func (s *Session) Resume(traceID string) {
 	r := s.runs[traceID]
 	if r == nil {
@@ -89,10 +91,10 @@
 	s.send(commandResume, r.job.TraceID)
 }
 
-// Discard forgets a run that is paused: its request is over.
+// Discard removes a paused run whose request has ended.
 func (s *Session) Discard(traceID string) { s.removeRun(traceID) }
 
-// DeliverReply gives a run the reply to the call that it waits for.
+// DeliverReply sends a run the reply to the call that the run is waiting for.
 func (s *Session) DeliverReply(traceID string, reply []byte) {
 	r := s.runs[traceID]
 	if r == nil {
@@ -111,12 +113,12 @@
 	s.sendPayload(r.reply, commandDeliverReply, r.job.TraceID)
 }
 
-// finishRun forgets a run and reports its end, without a notice of the engine.
+// finishRun removes a run and reports its result without a notification from the engine.
 func (s *Session) finishRun(traceID string, result exchange.Result) {
 	s.reportCompletion(completion{traceID: traceID, result: result})
 }
 
-// reportCompletion forgets a run and reports its end.
+// reportCompletion removes a run and reports its end to the exchange.
 func (s *Session) reportCompletion(done completion) {
 	s.removeRun(done.traceID)
 	s.postCompletion(done)
--- a/internal/transport/engine/session.go
+++ b/internal/transport/engine/session.go
@@ -15,54 +15,56 @@
 )
 
 const (
-	// Delay before a connection is dialed again, which doubles with each failure.
+	// Backoff before the next dial. The delay doubles with each failure.
 	minReconnectDelay = time.Millisecond
 	maxReconnectDelay = 500 * time.Millisecond
 
-	// greetingTimeout is how long a connection waits for HELLO before another one is opened beside
-	// it. An engine that is not up yet sends none, but neither does one that has lost the connection.
+	// greetingTimeout is how long a connection may wait for HELLO before another one is dialed in
+	// parallel. An engine that is still starting sends no HELLO, but neither does one that has lost
+	// the connection.
 	greetingTimeout = 2 * time.Second
 
-	// The engine counts as lost after more than maxUnansweredPolls polls without a message. Polls
-	// that are closer than minPollInterval count as one: that takes at least 5 s, and longer where
-	// RequestGauges is called less often.
+	// The connection counts as lost after more than maxUnansweredPolls polls without a message from
+	// the engine. Polls that are closer together than minPollInterval count as one, so that takes at
+	// least 5 s, and longer if RequestGauges is called less often.
 	minPollInterval    = 250 * time.Millisecond
 	maxUnansweredPolls = 20
 )
 
 var errEngineSilent = errors.New("no message from the engine")
 
-// connNumber numbers connections, and dials of them, from 1.
+// connNumber is the number of a dial, from 1, and of the connection that it opens.
 type connNumber int
 
-// noConn stands for no connection.
+// noConn is the value of currentConn without a connection.
 const noConn connNumber = 0
 
-// Session is the exchange.Runner that speaks to the engine.
+// Session is the exchange.Runner that runs requests at the engine.
 type Session struct {
 	session.Config
 	addr                 string
-	pausesOnStop         bool // a stopped run is paused, and can be resumed
+	pausesOnStop         bool // HALT pauses a run, which can then be resumed
 	conn                 *eventloop.Conn
 	currentConn          connNumber // number of conn, or noConn
 	latestDial           connNumber
-	greetingReceived     bool                     // HELLO has arrived on the current connection
-	resynced             bool                     // resync was done on the current connection
-	polls                delivery.ConnectionPolls // what the current connection shows to be read
-	readyPosted          bool                     // HELLO has arrived once
+	greetingReceived     bool                     // HELLO was received on the current connection
+	resynced             bool                     // resync has run on the current connection
+	polls                delivery.ConnectionPolls // on the current connection
+	readyPosted          bool                     // exchange.RunnerReady was posted, after the first HELLO
 	engineUptime         time.Duration            // at the latest HELLO
-	lastNotification     uint64
-	notificationsMissing bool // notices are missing before the first one on the current connection
+	lastNotification     uint64                   // number of the last notification received
+	notificationsMissing bool                     // the engine has dropped notifications that were not received, or has restarted
 	reconnectDelay       time.Duration
 	reconnectTimer       *timerqueue.Timer
-	unansweredPolls      int           // since the latest message of the engine
-	lastCountedPollAt    time.Duration // when the latest of them was
+	unansweredPolls      int           // since the latest message from the engine
+	lastCountedPollAt    time.Duration // when unansweredPolls was last increased
 	runs                 map[string]*run
-	runDurations         map[string]*session.LatencyEstimator // of runs, by class
-	lastEndedSubmittedAt time.Duration                        // when the latest run that has ended was ordered
+	runDurations         map[string]*session.LatencyEstimator // by class
+	lastEndedSubmittedAt time.Duration                        // latest submission time of the runs that have ended
 }
 
-// New returns a Session that is not connected. pausesOnStop tells what HALT does to a run.
+// New returns a Session that is not connected. With pausesOnStop, HALT pauses a run instead of ending
+// it.
 func New(addr string, pausesOnStop bool, deps session.Config) *Session {
 	return &Session{
 		Config:         deps,
@@ -74,8 +76,8 @@
 	}
 }
 
-// Open connects, and connects again whenever the connection is lost. A current connection is
-// used until the new one takes its place.
+// Open dials the engine, and reconnects whenever the connection is lost. An existing connection stays
+// in use until the new one replaces it.
 func (s *Session) Open() {
 	s.Timers.Cancel(s.reconnectTimer)
 	s.latestDial++
@@ -85,7 +87,7 @@
 		Parser:  lineproto.Parser{HasPayload: hasPayload},
 		Current: func() bool { return n == s.currentConn || n == s.latestDial },
 		OnMessage: func(m lineproto.Message) {
-			if n == s.currentConn { // one that is not open yet has had no ATTACH to answer
+			if n == s.currentConn { // before that, ATTACH was not sent and no message is expected
 				s.receive(m)
 			}
 		},
@@ -93,8 +95,8 @@
 	}, func(c *eventloop.Conn, err error) { s.dialCompleted(n, c, err) })
 }
 
-// SetAddress goes on at another address. Runs and numbers of notices stay as they are: it is the
-// same engine.
+// SetAddress reconnects at another address of the same engine. Runs and notification numbers are
+// retained.
 func (s *Session) SetAddress(addr string) {
 	if addr == s.addr {
 		return
@@ -104,13 +106,13 @@
 	s.Open()
 }
 
-// dialCompleted makes a connection the current one, unless a later dial has taken its place.
+// dialCompleted makes a connection the current one, unless another dial was started since.
 func (s *Session) dialCompleted(n connNumber, c *eventloop.Conn, err error) {
 	if err != nil {
 		s.connectionLost(n, err)
 		return
 	}
-	if n != s.latestDial { // another dial is under way, or this connection was lost already
+	if n != s.latestDial { // another dial is in progress, or this connection is already lost
 		c.Abort()
 		return
 	}
@@ -129,14 +131,15 @@
 	s.Timers.Schedule(s.Now()+greetingTimeout, func() { s.checkGreeting(n) })
 }
 
-// checkGreeting opens another connection if the given one is the latest and had no HELLO so far.
+// checkGreeting opens another connection if connection n is the latest and has received no HELLO.
 func (s *Session) checkGreeting(n connNumber) {
 	if n == s.currentConn && n == s.latestDial && !s.greetingReceived {
 		s.Open()
 	}
 }
 
-// connectionLost dials once more if the current connection or the latest dial has failed.
+// connectionLost handles the failure of connection or dial n. If n is the latest dial, it schedules
+// another one.
 func (s *Session) connectionLost(n connNumber, err error) {
 	if n == s.currentConn {
 		s.conn.Abort()
@@ -148,16 +151,16 @@
 	if n != s.latestDial {
 		return
 	}
-	s.latestDial++ // nothing more is expected of the dial that failed
+	s.latestDial++ // later events of the failed dial are ignored
 	s.Log.Warn("engine connection lost", zap.Error(err), zap.Int64("retry_in_ms", s.reconnectDelay.Milliseconds()))
 	s.reconnectTimer = s.Timers.Schedule(s.Now()+s.reconnectDelay, s.Open)
 	s.reconnectDelay = min(2*s.reconnectDelay, maxReconnectDelay)
 }
 
-// RequestGauges polls the engine for the gauges, and guards against a connection that stays open
-// and silent: an engine that was up once answers, also while its work hangs. Polls are counted
-// rather than time, so that a pause of this process does not count. Before the engine has been up
-// no answer is expected.
+// RequestGauges polls the engine for the gauges. It also detects a connection that stays open without
+// any message: a started engine answers polls even while its runs hang. It counts polls and
+// not elapsed time, so that a pause of this process does not look like a silent engine. Polls count
+// only after the first HELLO, since an engine that is still starting does not answer.
 func (s *Session) RequestGauges() {
 	if s.greetingReceived {
 		s.poll(tagGauges)
@@ -176,8 +179,8 @@
 	}
 }
 
-// poll asks the engine for its gauges. Its answer also shows that all commands before it on the
-// connection were read.
+// poll requests the engine's gauges. The answer also shows that the engine has read all earlier
+// commands on the connection.
 func (s *Session) poll(tag string) {
 	s.polls.PollSent()
 	s.send(commandStats, tag)
