--- a/internal/transport/engine/session.go
+++ b/internal/transport/engine/session.go
@@ -83,9 +83,9 @@
 	s.latestDial++
 	n := s.latestDial
 	s.Dial(s.addr, &session.LineHandler{
-		Config:  s.Config,
-		Parser:  lineproto.Parser{HasPayload: hasPayload},
-		Current: func() bool { return n == s.currentConn || n == s.latestDial },
+		Config:    s.Config,
+		Parser:    lineproto.Parser{HasPayload: hasPayload},
+		IsCurrent: func() bool { return n == s.currentConn || n == s.latestDial },
 		OnMessage: func(m lineproto.Message) {
 			if n == s.currentConn { // before that, ATTACH was not sent and no message is expected
 				s.receive(m)
--- a/internal/transport/frontend/conn.go
+++ b/internal/transport/frontend/conn.go
@@ -42,12 +42,12 @@
 
 	lastActive      time.Time // when a request last ended, or the connection was made; AJP: also when one began
 	openRequests    int       // that have begun and have no answer
-	refusing        bool      // no request begins any more; closed once those that are open are answered
-	completeRequest bool      // a complete request, or a keep-alive of the protocol, has arrived
+	rejectsRequests bool      // no request begins any more; closed once those that are open are answered
+	receivedRequest bool      // a complete request, or a keep-alive of the protocol, has arrived
 	partialMessage  bool      // the parser held part of a message after the latest bytes
 	stall           stall
 
-	consecutiveFaults atomic.Int32 // faulty requests since the latest good one
+	consecutiveInvalid atomic.Int32 // faulty requests since the latest good one
 
 	// Of the event loop's goroutine alone.
 	malformed    bool // the input was at fault; what follows is dropped
@@ -66,7 +66,7 @@
 	c.parse(received)
 	partial := c.codec.HoldsPartialMessage()
 	c.Lock()
-	c.partialMessage = partial && !c.refusing
+	c.partialMessage = partial && !c.rejectsRequests
 	c.Unlock()
 }
 
@@ -75,7 +75,7 @@
 func (c *Conn) OnClose(error) {
 	c.server.remove(c)
 	c.Lock()
-	c.refusing = true
+	c.rejectsRequests = true
 	unanswered := c.codec.DiscardAll()
 	c.Unlock()
 	for _, r := range unanswered {
@@ -85,7 +85,7 @@
 
 // RejectsRequests reports whether no request begins on the connection any more, as it is being
 // closed. That may be so without a drain of the service. The lock is held.
-func (c *Conn) RejectsRequests() bool { return c.refusing }
+func (c *Conn) RejectsRequests() bool { return c.rejectsRequests }
 
 // OpenRequests is the number of requests that have begun and have no answer. The lock is held.
 func (c *Conn) OpenRequests() int { return c.openRequests }
@@ -99,7 +99,7 @@
 // RequestArrived notes that a request, or a keep-alive of the protocol, has arrived
 // completely: the caller is not stalled. The lock is held.
 func (c *Conn) RequestArrived() {
-	c.completeRequest = true
+	c.receivedRequest = true
 	c.stall.sweeps = 0
 }
 
@@ -108,7 +108,7 @@
 func (c *Conn) Drain() {
 	c.Lock()
 	defer c.Unlock()
-	c.refusing = true
+	c.rejectsRequests = true
 	c.partialMessage = false
 	c.openRequests -= c.codec.DiscardIncomplete()
 	c.closeOnceAnswered()
@@ -117,17 +117,17 @@
 // closeOnceAnswered lets no request begin any more, and closes the connection gracefully if
 // none is open. The lock is held.
 func (c *Conn) closeOnceAnswered() {
-	c.refusing = true
+	c.rejectsRequests = true
 	if c.openRequests <= 0 {
 		c.CloseGracefully()
 	}
 }
 
-// requestSettled counts an open request as answered. The lock is held.
-func (c *Conn) requestSettled() {
+// requestAnswered counts an open request as answered. The lock is held.
+func (c *Conn) requestAnswered() {
 	c.openRequests--
 	c.lastActive = time.Now()
-	if c.refusing {
+	if c.rejectsRequests {
 		c.closeOnceAnswered()
 	}
 }
--- a/internal/transport/frontend/evict.go
+++ b/internal/transport/frontend/evict.go
@@ -7,9 +7,9 @@
 	"oxbowbridge/internal/proxy/exchange"
 )
 
-// minFirstRequestTime is how long a new connection has for its first request before it may be
+// firstRequestGracePeriod is how long a new connection has for its first request before it may be
 // evicted: the request may have been sent with the connection.
-const minFirstRequestTime = exchange.MaxCloseRace
+const firstRequestGracePeriod = exchange.MaxCloseRace
 
 // evictOne closes a connection to make room for a new one, and reports whether it found one. The
 // order of candidates, within each group the one inactive for longest first:
@@ -27,9 +27,9 @@
 // try first, found without sorting.
 func (s *Server) evictOne() bool {
 	now := time.Now()
-	fresh, used := s.longestInactive()
+	unused, used := s.longestInactive()
 	switch {
-	case fresh != nil && hadFirstRequestTime(fresh, now) && s.evictIdle(fresh, now):
+	case unused != nil && firstRequestGraceOver(unused, now) && s.evictIdle(unused, now):
 		return true
 	case used != nil && s.evictIdle(used, now):
 		return true
@@ -40,36 +40,36 @@
 // longestInactive returns, of the connections without a complete request and of the others, the
 // one that has been inactive for longest, nil if there is none. It is the quick way for the many
 // new connections of a busy frontend.
-func (s *Server) longestInactive() (fresh, used *Conn) {
-	var freshSince, usedSince time.Time
+func (s *Server) longestInactive() (unused, used *Conn) {
+	var unusedSince, usedSince time.Time
 	for c := range s.conns {
-		since, isFresh := c.activity()
+		since, isUnused := c.activity()
 		switch {
-		case isFresh && (fresh == nil || since.Before(freshSince)):
-			fresh, freshSince = c, since
-		case !isFresh && (used == nil || since.Before(usedSince)):
+		case isUnused && (unused == nil || since.Before(unusedSince)):
+			unused, unusedSince = c, since
+		case !isUnused && (used == nil || since.Before(usedSince)):
 			used, usedSince = c, since
 		}
 	}
-	return fresh, used
+	return unused, used
 }
 
 // evictAny looks at all connections, where those inactive for longest can't be evicted.
 func (s *Server) evictAny(now time.Time) bool {
-	fresh, used := s.byInactivity()
-	firstTooNew := slices.IndexFunc(fresh, func(c *Conn) bool { return !hadFirstRequestTime(c, now) })
+	unused, used := s.byInactivity()
+	firstTooNew := slices.IndexFunc(unused, func(c *Conn) bool { return !firstRequestGraceOver(c, now) })
 	if firstTooNew < 0 {
-		firstTooNew = len(fresh)
+		firstTooNew = len(unused)
 	}
-	for _, c := range slices.Concat(fresh[:firstTooNew], used, fresh[firstTooNew:]) {
+	for _, c := range slices.Concat(unused[:firstTooNew], used, unused[firstTooNew:]) {
 		if s.evictIdle(c, now) {
 			return true
 		}
 	}
-	for _, c := range fresh {
+	for _, c := range unused {
 		if !c.HasUnread() {
 			c.Drain()
-			s.forget(c)
+			s.untrack(c)
 			return true
 		}
 	}
@@ -78,21 +78,21 @@
 
 // byInactivity lists the connections without a complete request, and the others, those that
 // have been inactive for longest first.
-func (s *Server) byInactivity() (fresh, used []*Conn) {
+func (s *Server) byInactivity() (unused, used []*Conn) {
 	lastActive := make(map[*Conn]time.Time, len(s.conns))
 	for c := range s.conns {
-		at, isFresh := c.activity()
-		lastActive[c] = at
-		if isFresh {
-			fresh = append(fresh, c)
+		activeAt, isUnused := c.activity()
+		lastActive[c] = activeAt
+		if isUnused {
+			unused = append(unused, c)
 		} else {
 			used = append(used, c)
 		}
 	}
 	longestFirst := func(a, b *Conn) int { return lastActive[a].Compare(lastActive[b]) }
-	slices.SortFunc(fresh, longestFirst)
+	slices.SortFunc(unused, longestFirst)
 	slices.SortFunc(used, longestFirst)
-	return fresh, used
+	return unused, used
 }
 
 // evictIdle closes a connection if it is idle, and reports whether it was.
@@ -100,19 +100,19 @@
 	if !c.CloseIfIdle(now, 0) {
 		return false
 	}
-	s.forget(c)
+	s.untrack(c)
 	return true
 }
 
 // activity returns when the connection was last active, and whether it has had no complete
 // request yet.
-func (c *Conn) activity() (lastActive time.Time, fresh bool) {
+func (c *Conn) activity() (lastActive time.Time, unused bool) {
 	c.Lock()
 	defer c.Unlock()
-	return c.lastActive, !c.completeRequest
+	return c.lastActive, !c.receivedRequest
 }
 
-func hadFirstRequestTime(c *Conn, now time.Time) bool {
+func firstRequestGraceOver(c *Conn, now time.Time) bool {
 	lastActive, _ := c.activity()
-	return now.Sub(lastActive) >= minFirstRequestTime
+	return now.Sub(lastActive) >= firstRequestGracePeriod
 }
--- a/internal/transport/frontend/golden_test.go
+++ b/internal/transport/frontend/golden_test.go
@@ -17,15 +17,15 @@
 func TestGoldenFields(t *testing.T) {
 	now := time.Now()
 	classes := map[string]Class{"read": {Index: 3}, "write": {Index: 4, NeedsIdempotencyKey: true}}
-	needed := map[string]string{"Trace-Id": "0123456789abcdef", "Reserve-Kb": "1.5", "Accepted-At-Ms": strconv.FormatInt(now.UnixMilli(), 10)}
-	read := func(path, method, name, value string) (*exchange.Request, error) {
-		got := maps.Clone(needed)
+	requiredHeaders := map[string]string{"Trace-Id": "0123456789abcdef", "Reserve-Kb": "1.5", "Accepted-At-Ms": strconv.FormatInt(now.UnixMilli(), 10)}
+	decode := func(path, method, name, value string) (*exchange.Request, error) {
+		headers := maps.Clone(requiredHeaders)
 		if name != "" {
-			got[name] = value
+			headers[name] = value
 		}
-		return RawRequest{Path: path, Method: method, Header: func(name string) string { return got[name] }}.Decode(classes, now)
+		return RawRequest{Path: path, Method: method, Header: func(name string) string { return headers[name] }}.Decode(classes, now)
 	}
-	plain, err := read("/call/read", "POST", "", "")
+	plain, err := decode("/call/read", "POST", "", "")
 	require.NoError(t, err)
 	require.LessOrEqual(t, now.Sub(plain.Arrived), time.Millisecond)
 	plain.Arrived = time.Time{}
@@ -46,21 +46,21 @@
 		{"Standing", "0.5", func(r *exchange.Request) { r.Rank = 0.5 }},
 		{"Trace-Id", "ABCDEF0123456789", func(r *exchange.Request) { r.TraceID = "ABCDEF0123456789" }},
 	} {
-		r, err := read("/call/read", "POST", f.name, f.value)
+		r, err := decode("/call/read", "POST", f.name, f.value)
 		require.NoError(t, err, f.name)
 		r.Arrived = time.Time{}
 		want := *plain
 		f.set(&want)
 		require.Equal(t, want, *r, f.name)
 	}
-	r, err := read("/call/write", "POST", "Replay-Key", "key~1")
+	r, err := decode("/call/write", "POST", "Replay-Key", "key~1")
 	require.NoError(t, err)
 	require.Equal(t, "key~1", r.IdempotencyKey)
-	early, err := read("/call/read", "POST", "Accepted-At-Ms", strconv.FormatInt(now.Add(-time.Second).UnixMilli(), 10))
+	early, err := decode("/call/read", "POST", "Accepted-At-Ms", strconv.FormatInt(now.Add(-time.Second).UnixMilli(), 10))
 	require.NoError(t, err)
 	require.InDelta(t, time.Second, now.Sub(early.Arrived), float64(time.Millisecond))
 
-	for _, bad := range [][4]string{
+	for _, invalid := range [][4]string{
 		{"/call/none", "POST"}, {"/read", "POST"}, {"/call/read", "GET"}, {"/call/write", "POST"},
 		{"/call/write", "POST", "Replay-Key", strings.Repeat("k", 129)}, {"/call/write", "POST", "Replay-Key", "a,b"}, {"/call/write", "POST", "Replay-Key", "a b"},
 		{"/call/read", "POST", "Trace-Id", "0123"}, {"/call/read", "POST", "Trace-Id", ""}, {"/call/read", "POST", "Is-Retry", "0"},
@@ -71,10 +71,10 @@
 		{"/call/read", "POST", "Reserve-Kb", "0"}, {"/call/read", "POST", "Reserve-Kb", "2000"}, {"/call/read", "POST", "Reserve-Kb", "1e2"},
 		{"/call/read", "POST", "Standing", "1"}, {"/call/read", "POST", "Standing", "-0.5"}, {"/call/read", "POST", "Standing", "NaN"},
 	} {
-		_, err := read(bad[0], bad[1], bad[2], bad[3])
-		require.Error(t, err, bad)
-		if bad[2] != "" {
-			require.ErrorContains(t, err, bad[2])
+		_, err := decode(invalid[0], invalid[1], invalid[2], invalid[3])
+		require.Error(t, err, invalid)
+		if invalid[2] != "" {
+			require.ErrorContains(t, err, invalid[2])
 		}
 	}
 }
--- a/internal/transport/frontend/limits.go
+++ b/internal/transport/frontend/limits.go
@@ -12,37 +12,37 @@
 // Limits on one caller, far above what a balancer needs. Beyond the first two the connection is
 // drained; beyond the others, for callers that do not read or that flood, it is aborted.
 const (
-	maxConsecutiveFaults = 16        // faulty requests without a good one between them; one more drains
-	maxSkippedBytes      = 64 << 10  // input that belongs to no request, between two that do
-	maxUnreadAnswerBytes = 192 << 10 // answers that wait to be read when more input arrives
-	maxBytesAfterFault   = 1 << 20   // dropped input, while requests before the fault are answered
+	maxConsecutiveInvalid  = 16        // faulty requests without a good one between them; one more drains
+	maxSkippedBytes        = 64 << 10  // input that belongs to no request, between two that do
+	maxUnreadResponseBytes = 192 << 10 // answers that wait to be read when more input arrives
+	maxBytesAfterMalformed = 1 << 20   // dropped input, while requests before the fault are answered
 )
 
 var (
-	errTooManyFaults = fmt.Errorf("more than %d faulty requests in a row", maxConsecutiveFaults)
-	errTooMuchInput  = fmt.Errorf("more than %d bytes that belong to no request", maxSkippedBytes)
-	errAnswersUnread = fmt.Errorf("more than %d bytes of answers not read", maxUnreadAnswerBytes)
+	errTooManyInvalid  = fmt.Errorf("more than %d faulty requests in a row", maxConsecutiveInvalid)
+	errTooMuchInput    = fmt.Errorf("more than %d bytes that belong to no request", maxSkippedBytes)
+	errResponsesUnread = fmt.Errorf("more than %d bytes of answers not read", maxUnreadResponseBytes)
 )
 
 // parse feeds the Codec and applies the limits.
 func (c *Conn) parse(received []byte) {
 	if c.malformed {
 		c.skippedBytes += len(received)
-		if c.skippedBytes > maxBytesAfterFault {
+		if c.skippedBytes > maxBytesAfterMalformed {
 			c.Abort()
 		}
 		return
 	}
 	err := c.codec.Feed(received)
-	if err == nil && c.PendingBytes() > maxUnreadAnswerBytes {
-		err = errAnswersUnread
+	if err == nil && c.PendingBytes() > maxUnreadResponseBytes {
+		err = errResponsesUnread
 	}
 	if err == nil {
 		return
 	}
 	c.malformed = true
 	c.server.Log.Warn("malformed input, connection closed", zap.String("protocol", c.server.Protocol), zap.Error(err))
-	if errors.Is(err, errAnswersUnread) {
+	if errors.Is(err, errResponsesUnread) {
 		c.Abort()
 	} else {
 		c.Drain()
@@ -62,16 +62,16 @@
 
 // CountInvalidRequest counts a faulty request, against callers that send nothing else.
 func (c *Conn) CountInvalidRequest() error {
-	if c.consecutiveFaults.Add(1) > maxConsecutiveFaults {
-		return errTooManyFaults
+	if c.consecutiveInvalid.Add(1) > maxConsecutiveInvalid {
+		return errTooManyInvalid
 	}
 	return nil
 }
 
 // CountResponse counts an answered request: a good one makes up for the faulty ones before it.
-func (c *Conn) CountResponse(answer exchange.Response) {
-	if !answer.InvalidRequest {
-		c.consecutiveFaults.Store(0)
+func (c *Conn) CountResponse(response exchange.Response) {
+	if !response.InvalidRequest {
+		c.consecutiveInvalid.Store(0)
 		return
 	}
 	if c.CountInvalidRequest() != nil {
--- a/internal/transport/frontend/open_request.go
+++ b/internal/transport/frontend/open_request.go
@@ -64,8 +64,8 @@
 	open.settled = true
 	release()
 	c.Write(encoded)
-	c.refusing = c.refusing || !keepAlive
-	c.requestSettled()
+	c.rejectsRequests = c.rejectsRequests || !keepAlive
+	c.requestAnswered()
 }
 
 // ReportAborted notifies the exchange that the caller has aborted a request.
--- a/internal/transport/frontend/reap.go
+++ b/internal/transport/frontend/reap.go
@@ -39,7 +39,7 @@
 	unsent := c.PendingBytes()
 	unread := unsent > 0 && unsent >= c.stall.unsentBytes
 	c.stall.unsentBytes = unsent
-	requestDue := c.hasPartialMessage() || !c.completeRequest && !c.refusing
+	requestDue := c.hasPartialMessage() || !c.receivedRequest && !c.rejectsRequests
 	if !requestDue && !unread {
 		c.stall.sweeps = 0
 		return progressing
@@ -62,13 +62,13 @@
 func (c *Conn) CloseIfIdle(now time.Time, idle time.Duration) bool {
 	c.Lock()
 	defer c.Unlock()
-	if c.refusing {
+	if c.rejectsRequests {
 		return c.finishDrain()
 	}
 	if c.hasPartialMessage() || c.openRequests > 0 || now.Sub(c.lastActive) < idle || !c.CloseIfQuiet() {
 		return false
 	}
-	c.refusing = true
+	c.rejectsRequests = true
 	return true
 }
 
--- a/internal/transport/frontend/request.go
+++ b/internal/transport/frontend/request.go
@@ -78,8 +78,8 @@
 
 func (r RawRequest) decodeIdempotencyKey(req *exchange.Request) error {
 	req.IdempotencyKey = r.Header(headerIdempotencyKey)
-	notPlain := func(c rune) bool { return c <= ' ' || c > '~' || c == ',' }
-	if req.IdempotencyKey == "" || len(req.IdempotencyKey) > maxIdempotencyKeyBytes || strings.ContainsFunc(req.IdempotencyKey, notPlain) {
+	isInvalid := func(c rune) bool { return c <= ' ' || c > '~' || c == ',' }
+	if req.IdempotencyKey == "" || len(req.IdempotencyKey) > maxIdempotencyKeyBytes || strings.ContainsFunc(req.IdempotencyKey, isInvalid) {
 		return fmt.Errorf("%s %.80q: want 1 to %d plain characters", headerIdempotencyKey, req.IdempotencyKey, maxIdempotencyKeyBytes)
 	}
 	return nil
--- a/internal/transport/frontend/request_test.go
+++ b/internal/transport/frontend/request_test.go
@@ -11,17 +11,17 @@
 // TestOptionalFields: fields that only the callers of some sites send.
 func TestOptionalFields(t *testing.T) {
 	now := time.Now()
-	got := map[string]string{"Trace-Id": "0123456789abcdef", "Reserve-Kb": "1", "Project": "north", "Max-Wait-Ms": "5220"}
-	f := RawRequest{Path: "/call/read", Method: "POST", Header: func(name string) string { return got[name] }}
+	headers := map[string]string{"Trace-Id": "0123456789abcdef", "Reserve-Kb": "1", "Project": "north", "Max-Wait-Ms": "5220"}
+	raw := RawRequest{Path: "/call/read", Method: "POST", Header: func(name string) string { return headers[name] }}
 	classes := map[string]Class{"read": {Index: 3}}
-	got["Accepted-At-Ms"] = strconv.FormatInt(now.UnixMilli(), 10)
-	r, err := f.Decode(classes, now)
+	headers["Accepted-At-Ms"] = strconv.FormatInt(now.UnixMilli(), 10)
+	r, err := raw.Decode(classes, now)
 	require.NoError(t, err)
 	require.Equal(t, "north", r.Tenant)
 	require.Equal(t, 5220*time.Millisecond, r.Timeout)
-	delete(got, "Project")
-	delete(got, "Max-Wait-Ms")
-	r, err = f.Decode(classes, now)
+	delete(headers, "Project")
+	delete(headers, "Max-Wait-Ms")
+	r, err = raw.Decode(classes, now)
 	require.NoError(t, err)
 	require.Empty(t, r.Tenant)
 	require.Zero(t, r.Timeout)
--- a/internal/transport/frontend/response.go
+++ b/internal/transport/frontend/response.go
@@ -16,22 +16,22 @@
 }
 
 // NewHTTPResponse returns the response for an answer.
-func NewHTTPResponse(answer exchange.Response) HTTPResponse {
-	switch answer.Kind {
+func NewHTTPResponse(response exchange.Response) HTTPResponse {
+	switch response.Kind {
 	case exchange.Succeeded:
-		return HTTPResponse{Status: http.StatusOK, Body: answer.Body}
+		return HTTPResponse{Status: http.StatusOK, Body: response.Body}
 	case exchange.Failed:
 		return HTTPResponse{Status: http.StatusInternalServerError}
 	}
-	response := HTTPResponse{Status: http.StatusServiceUnavailable}
-	if answer.RetryAfter > 0 {
-		roundedUp := (answer.RetryAfter + time.Millisecond - 1) / time.Millisecond
-		response.Headers = append(response.Headers, Header{headerRetryAfter, strconv.FormatInt(int64(roundedUp), 10)})
+	httpResponse := HTTPResponse{Status: http.StatusServiceUnavailable}
+	if response.RetryAfter > 0 {
+		roundedUp := (response.RetryAfter + time.Millisecond - 1) / time.Millisecond
+		httpResponse.Headers = append(httpResponse.Headers, Header{headerRetryAfter, strconv.FormatInt(int64(roundedUp), 10)})
 	}
-	if answer.NoRetryElsewhere {
-		response.Headers = append(response.Headers, Header{headerNoOtherServer, headerNoOtherServerSet})
+	if response.NoRetryElsewhere {
+		httpResponse.Headers = append(httpResponse.Headers, Header{headerNoOtherServer, headerNoOtherServerSet})
 	}
-	return response
+	return httpResponse
 }
 
 // CommonHeaders returns the headers of every response: the advertised value, where the
--- a/internal/transport/frontend/server.go
+++ b/internal/transport/frontend/server.go
@@ -74,11 +74,11 @@
 func (s *Server) remove(c *Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.forget(c)
+	s.untrack(c)
 }
 
-// forget stops counting a connection. The lock is held.
-func (s *Server) forget(c *Conn) {
+// untrack stops counting a connection. The lock is held.
+func (s *Server) untrack(c *Conn) {
 	if _, ok := s.conns[c]; ok {
 		delete(s.conns, c)
 		s.pool.AddCallers(-1)
--- a/internal/transport/lineproto/parser.go
+++ b/internal/transport/lineproto/parser.go
@@ -23,7 +23,7 @@
 	HasPayload func(words []string) bool
 
 	buf          []byte
-	words        []string // of a line whose payload is incomplete
+	pendingWords []string // of a line whose payload is incomplete
 	payloadBytes int      // length of that payload
 }
 
@@ -33,9 +33,9 @@
 	rest := p.buf
 	defer func() { p.buf = append(p.buf[:0], rest...) }()
 	for {
-		next := p.line
-		if p.words != nil {
-			next = p.payload
+		next := p.parseLine
+		if p.pendingWords != nil {
+			next = p.parsePayload
 		}
 		m, n, err := next(rest)
 		if err != nil || n == 0 {
@@ -48,9 +48,9 @@
 	}
 }
 
-// line reads a line and returns how many bytes it took, 0 if it is incomplete. The message is
+// parseLine reads a parseLine and returns how many bytes it took, 0 if it is incomplete. The message is
 // nil if a payload follows.
-func (p *Parser) line(b []byte) (m *Message, n int, err error) {
+func (p *Parser) parseLine(b []byte) (m *Message, n int, err error) {
 	end := bytes.Index(b, []byte(lineEnd))
 	switch {
 	case end > maxLineBytes, end < 0 && len(b) > maxLineBytes:
@@ -71,21 +71,21 @@
 	if err != nil || p.payloadBytes < 0 || p.payloadBytes > maxPayloadBytes {
 		return nil, 0, fmt.Errorf("%w: length %q of %s", ErrMalformed, length, words[0])
 	}
-	p.words = words
+	p.pendingWords = words
 	return nil, n, nil
 }
 
-// payload reads the payload that is due, and returns how many bytes it took, 0 if it is
+// parsePayload reads the parsePayload that is due, and returns how many bytes it took, 0 if it is
 // incomplete.
-func (p *Parser) payload(b []byte) (m *Message, n int, err error) {
+func (p *Parser) parsePayload(b []byte) (m *Message, n int, err error) {
 	n = p.payloadBytes + len(lineEnd)
 	if len(b) < n {
 		return nil, 0, nil
 	}
 	if string(b[p.payloadBytes:n]) != lineEnd {
-		return nil, 0, fmt.Errorf("%w: no CR LF after the %d bytes of %s", ErrMalformed, p.payloadBytes, p.words[0])
+		return nil, 0, fmt.Errorf("%w: no CR LF after the %d bytes of %s", ErrMalformed, p.payloadBytes, p.pendingWords[0])
 	}
-	m = &Message{Words: p.words, Payload: bytes.Clone(b[:p.payloadBytes])}
-	p.words = nil
+	m = &Message{Words: p.pendingWords, Payload: bytes.Clone(b[:p.payloadBytes])}
+	p.pendingWords = nil
 	return m, n, nil
 }
--- a/internal/transport/lineproto/parser_test.go
+++ b/internal/transport/lineproto/parser_test.go
@@ -13,7 +13,7 @@
 	f.Add([]byte("DONE -1\r\n"), 1)
 	f.Add([]byte("DONE 99999999999\r\n"), 4)
 	f.Add([]byte("\r\n"), 1)
-	f.Fuzz(func(t *testing.T, in []byte, cut int) {
+	f.Fuzz(func(t *testing.T, input []byte, splitAt int) {
 		read := func(pieces ...[]byte) (out []Message) {
 			p := Parser{HasPayload: func(w []string) bool { return w[0] == "DONE" }}
 			for _, b := range pieces {
@@ -23,8 +23,8 @@
 			}
 			return out
 		}
-		cut = min(max(cut, 0), len(in))
-		require.Equal(t, read(in), read(in[:cut], in[cut:]))
+		splitAt = min(max(splitAt, 0), len(input))
+		require.Equal(t, read(input), read(input[:splitAt], input[splitAt:]))
 	})
 }
 
--- a/internal/transport/records/client.go
+++ b/internal/transport/records/client.go
@@ -13,13 +13,13 @@
 // Client is the exchange.DependencyClient that speaks to the records service.
 type Client struct {
 	session.Config
-	addr    string            // "" without a service
-	pool    *fdquota.ConnPool // of descriptors for connections
-	linger  time.Duration     // for which a canceled call still counts at the service
-	calls   map[string]*call
-	queue   []*call // without a connection, oldest first
-	idle    []*conn // the latest used last
-	latency session.LatencyEstimator
+	addr      string            // "" without a service
+	connPool  *fdquota.ConnPool // of descriptors for connections
+	linger    time.Duration     // for which a canceled call still counts at the service
+	calls     map[string]*call
+	queue     []*call // without a connection, oldest first
+	idleConns []*conn // the latest used last
+	latency   session.LatencyEstimator
 }
 
 // call is a call that has not ended.
@@ -27,7 +27,7 @@
 	exchange.Job
 	conn        *conn // nil while it has none
 	deadline    time.Duration
-	sends       int
+	sendCount   int
 	failedDials int
 	retryTimer  *timerqueue.Timer // of the next placement
 }
@@ -36,7 +36,7 @@
 const maxSends = 3
 
 // mayResend reports whether the call may be sent once more after it may have run.
-func (k *call) mayResend() bool { return k.Idempotent && k.sends < maxSends }
+func (k *call) mayResend() bool { return k.Idempotent && k.sendCount < maxSends }
 
 // New returns a Client that connects when there are calls, as far as the pool has descriptors for
 // them. Without an address each call ends as unreachable. A canceled call may go on counting for
@@ -44,12 +44,12 @@
 // request has one at a time.
 func New(addr string, pool *fdquota.ConnPool, linger time.Duration, deps session.Config) *Client {
 	return &Client{
-		Config:  deps,
-		addr:    addr,
-		pool:    pool,
-		linger:  linger,
-		calls:   map[string]*call{},
-		latency: session.NewLatencyEstimator(),
+		Config:   deps,
+		addr:     addr,
+		connPool: pool,
+		linger:   linger,
+		calls:    map[string]*call{},
+		latency:  session.NewLatencyEstimator(),
 	}
 }
 
@@ -59,18 +59,18 @@
 		return
 	}
 	c.addr = addr
-	for len(c.idle) > 0 {
-		c.idle[0].discard()
+	for len(c.idleConns) > 0 {
+		c.idleConns[0].discard()
 	}
 }
 
 // Call makes a call, in place of an earlier one for the same request; the outcome is posted to
 // the exchange.
-func (c *Client) Call(a exchange.Job) {
-	c.Cancel(a.TraceID)
-	k := &call{Job: a, deadline: c.Now() + a.Timeout}
-	c.calls[a.TraceID] = k
-	c.place(k)
+func (c *Client) Call(job exchange.Job) {
+	c.Cancel(job.TraceID)
+	k := &call{Job: job, deadline: c.Now() + job.Timeout}
+	c.calls[job.TraceID] = k
+	c.assignConn(k)
 }
 
 // Cancel ends a call. No outcome follows. Its connection is not used again, since the reply
@@ -86,11 +86,11 @@
 		c.queue = slices.DeleteFunc(c.queue, func(queued *call) bool { return queued == k })
 		return
 	}
-	k.conn.cancel()
+	k.conn.cancelCall()
 }
 
-// finish reports the end of a call.
-func (c *Client) finish(k *call, result exchange.Result, body []byte) {
+// finishCall reports the end of a call.
+func (c *Client) finishCall(k *call, result exchange.Result, body []byte) {
 	delete(c.calls, k.TraceID)
 	c.Exchange.Post(exchange.Outcome{TraceID: k.TraceID, Stage: exchange.CallEnded, Result: result, Body: body})
 }
--- a/internal/transport/records/client_test.go
+++ b/internal/transport/records/client_test.go
@@ -19,29 +19,29 @@
 	"oxbowbridge/internal/transport/session"
 )
 
-// rig is a Link whose core is the test, and a records service that answers each call when
+// clientFixture is a Link whose core is the test, and a records service that answers each call when
 // the test says so.
-type rig struct {
+type clientFixture struct {
 	t        *testing.T
 	pool     *fdquota.ConnPool
 	client   *Client
 	exchange *exchange.Exchange
-	calls    chan received // that have reached the service
+	calls    chan receivedCall // that have reached the service
 	outcomes []exchange.Outcome
 }
 
-// received is a call as the service sees it.
-type received struct {
-	trace string
-	conn  net.Conn
+// receivedCall is a call as the service sees it.
+type receivedCall struct {
+	traceID string
+	conn    net.Conn
 }
 
-func newRig(t *testing.T, most int) *rig {
-	pool := fdquota.NewConnPool(fdquota.Quotas{Connections: 2 * most, ReservedCalls: most})
+func newClientFixture(t *testing.T, maxCalls int) *clientFixture {
+	pool := fdquota.NewConnPool(fdquota.Quotas{Connections: 2 * maxCalls, ReservedCalls: maxCalls})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { ln.Close() })
-	r := &rig{t: t, pool: pool, exchange: exchange.New(100), calls: make(chan received, 100)}
+	r := &clientFixture{t: t, pool: pool, exchange: exchange.New(100), calls: make(chan receivedCall, 100)}
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -55,33 +55,33 @@
 	loop, err := eventloop.New(16)
 	require.NoError(t, err)
 	t.Cleanup(loop.Stop)
-	began := time.Now()
+	start := time.Now()
 	r.client = New(ln.Addr().String(), pool, 0, session.Config{Exchange: r.exchange, Loop: loop, Timers: &timerqueue.Queue{},
-		Now: func() time.Duration { return time.Since(began) }, Log: zap.NewNop()})
+		Now: func() time.Duration { return time.Since(start) }, Log: zap.NewNop()})
 	return r
 }
 
-func (r *rig) serve(c net.Conn) {
+func (r *clientFixture) serve(c net.Conn) {
 	in := bufio.NewReader(c)
 	for {
 		line, err := in.ReadString('\n')
 		if err != nil {
 			return
 		}
-		var trace string
+		var traceID string
 		var ms, length int
-		if _, err := fmt.Sscanf(line, "OP %s %d %d", &trace, &ms, &length); err != nil {
+		if _, err := fmt.Sscanf(line, "OP %s %d %d", &traceID, &ms, &length); err != nil {
 			continue
 		}
 		if _, err := io.CopyN(io.Discard, in, int64(length+2)); err != nil {
 			return
 		}
-		r.calls <- received{trace, c}
+		r.calls <- receivedCall{traceID, c}
 	}
 }
 
-// turn does what the dispatcher does: it carries out callbacks, and keeps outcomes.
-func (r *rig) turn() {
+// handleEvents does what the dispatcher does: it carries out callbacks, and keeps outcomes.
+func (r *clientFixture) handleEvents() {
 	for _, e := range r.exchange.Dequeue(nil) {
 		switch e := e.(type) {
 		case exchange.Callback:
@@ -92,15 +92,15 @@
 	}
 }
 
-func (r *rig) await(what string, ok func() bool) {
+func (r *clientFixture) waitFor(what string, condition func() bool) {
 	r.t.Helper()
-	require.Eventually(r.t, func() bool { r.turn(); return ok() }, 20*time.Second, time.Millisecond, what)
+	require.Eventually(r.t, func() bool { r.handleEvents(); return condition() }, 20*time.Second, time.Millisecond, what)
 }
 
-// arrived is the next call that reaches the service.
-func (r *rig) arrived() (c received) {
+// nextCall is the next call that reaches the service.
+func (r *clientFixture) nextCall() (c receivedCall) {
 	r.t.Helper()
-	r.await("a call at the service", func() bool {
+	r.waitFor("a call at the service", func() bool {
 		select {
 		case c = <-r.calls:
 			return true
@@ -111,29 +111,29 @@
 	return c
 }
 
-func (c received) reply(t *testing.T) {
-	_, err := fmt.Fprintf(c.conn, "%s DONE 2\r\nok\r\n", c.trace)
+func (c receivedCall) sendReply(t *testing.T) {
+	_, err := fmt.Fprintf(c.conn, "%s DONE 2\r\nok\r\n", c.traceID)
 	require.NoError(t, err)
 }
 
-func trace(n int) string { return strings.Repeat("0", 15) + fmt.Sprintf("%x", n) }
+func testTraceID(n int) string { return strings.Repeat("0", 15) + fmt.Sprintf("%x", n) }
 
 // TestBoundOnConnections: a connection that is closed to make room for one call makes
 // none for the next that queues. Calls that are not idempotent each need a connection of
 // their own, so that every reply leaves an idle one behind.
 func TestBoundOnConnections(t *testing.T) {
-	for most := 1; most <= 3; most++ {
-		r := newRig(t, most)
+	for maxCalls := 1; maxCalls <= 3; maxCalls++ {
+		r := newClientFixture(t, maxCalls)
 		const calls = 9
 		for n := range calls {
-			r.client.Call(exchange.Job{TraceID: trace(n), Timeout: time.Minute, Body: []byte("x")})
+			r.client.Call(exchange.Job{TraceID: testTraceID(n), Timeout: time.Minute, Body: []byte("x")})
 		}
 		for n := range calls {
-			c := r.arrived()
-			require.LessOrEqual(t, r.pool.Calls(), most)
-			c.reply(t)
-			r.await("the outcome", func() bool {
-				require.LessOrEqual(t, r.pool.Calls(), most, "after %d replies, %d at most", n+1, most)
+			c := r.nextCall()
+			require.LessOrEqual(t, r.pool.Calls(), maxCalls)
+			c.sendReply(t)
+			r.waitFor("the outcome", func() bool {
+				require.LessOrEqual(t, r.pool.Calls(), maxCalls, "after %d replies, %d at most", n+1, maxCalls)
 				return len(r.outcomes) == n+1
 			})
 		}
--- a/internal/transport/records/conn.go
+++ b/internal/transport/records/conn.go
@@ -54,14 +54,14 @@
 	c.Dial(cn.addr, &session.LineHandler{
 		Config:    c.Config,
 		Parser:    lineproto.Parser{HasPayload: hasPayload},
-		Current:   func() bool { return cn.state != connClosed },
+		IsCurrent: func() bool { return cn.state != connClosed },
 		OnMessage: cn.receive,
-		OnLost:    cn.lost,
-	}, cn.opened)
+		OnLost:    cn.connectionLost,
+	}, cn.dialCompleted)
 }
 
-// opened sends the call, unless it was canceled meanwhile.
-func (c *conn) opened(socket *eventloop.Conn, err error) {
+// dialCompleted sends the call, unless it was canceled meanwhile.
+func (c *conn) dialCompleted(socket *eventloop.Conn, err error) {
 	closed := c.state == connClosed
 	switch {
 	case err != nil && !closed:
@@ -70,7 +70,7 @@
 		socket.Abort()
 	case err == nil:
 		c.socket = socket
-		c.begin(c.call)
+		c.sendCall(c.call)
 	}
 }
 
@@ -82,33 +82,33 @@
 	k.failedDials++
 	if k.failedDials >= maxDials || client.Now() >= k.deadline || client.addr == "" {
 		client.Log.Warn("records service not reached", zap.Error(err))
-		c.end(exchange.ResultUnreachable)
+		c.closeAndFinish(exchange.ResultUnreachable)
 		return
 	}
-	c.detach()
-	client.placeAfter(k, dialRetryDelay<<(k.failedDials-1))
+	c.detachCall()
+	client.assignConnAfter(k, dialRetryDelay<<(k.failedDials-1))
 	c.discard()
 }
 
-// begin sends a call.
-func (c *conn) begin(k *call) {
+// sendCall sends a call.
+func (c *conn) sendCall(k *call) {
 	client := c.client
 	c.state = c.state.next(callSent)
 	c.call = k
 	k.conn = c
-	k.sends++
+	k.sendCount++
 	c.latestTraceID = k.TraceID
 	c.strayReplies = 0
 	c.sentAt = client.Now()
 	timeout := strconv.FormatInt(timeoutMs(k.deadline-c.sentAt), 10)
 	c.socket.Write(lineproto.AppendWithPayload(nil, k.Body, commandCall, k.TraceID, timeout))
 	if k.mayResend() { // against replies that never come, or are never completed
-		c.timer = client.Timers.Schedule(c.sentAt+client.latency.ReplyTimeout(), func() { c.lost(errReplyTimeout) })
+		c.timer = client.Timers.Schedule(c.sentAt+client.latency.ReplyTimeout(), func() { c.connectionLost(errReplyTimeout) })
 	}
 }
 
-// cancel gives up the call of the connection.
-func (c *conn) cancel() {
+// cancelCall gives up the call of the connection.
+func (c *conn) cancelCall() {
 	traceID := c.call.TraceID
 	c.call = nil
 	if c.socket != nil {
@@ -121,26 +121,26 @@
 func (c *conn) receive(m lineproto.Message) {
 	reply, err := parseReply(m)
 	if err != nil { // nothing after it can be trusted
-		c.lost(err)
+		c.connectionLost(err)
 		return
 	}
 	if c.state != connBusy || c.call.TraceID != reply.traceID { // while dialing its call is not sent yet
-		c.countStray()
+		c.countStrayReply()
 		return
 	}
 	if reply.result == exchange.ResultOK { // a rejection comes sooner
 		c.client.latency.Observe(c.client.Now() - c.sentAt)
 	}
-	c.client.finish(c.detach(), reply.result, reply.body)
+	c.client.finishCall(c.detachCall(), reply.result, reply.body)
 	c.release()
 }
 
-// countStray counts a copy of a reply, or a reply without a call, against a service that sends
+// countStrayReply counts a copy of a reply, or a reply without a call, against a service that sends
 // them without end.
-func (c *conn) countStray() {
+func (c *conn) countStrayReply() {
 	c.strayReplies++
 	if c.strayReplies > maxStrayReplies {
-		c.lost(fmt.Errorf("%w: %d that belong to no call", errMalformedReply, c.strayReplies))
+		c.connectionLost(fmt.Errorf("%w: %d that belong to no call", errMalformedReply, c.strayReplies))
 	}
 }
 
@@ -152,18 +152,18 @@
 		return
 	}
 	c.state = c.state.next(callReplied)
-	client.idle = append(client.idle, c)
+	client.idleConns = append(client.idleConns, c)
 	client.Timers.Cancel(c.timer)
 	c.timer = client.Timers.Schedule(client.Now()+maxIdleTime, c.discard)
-	if len(client.idle) > maxIdleConns {
-		client.idle[0].discard()
+	if len(client.idleConns) > maxIdleConns {
+		client.idleConns[0].discard()
 	}
-	client.placeNext()
+	client.assignConnToNext()
 }
 
-// lost ends a connection that was closed, whose input was malformed, or whose reply did not
+// connectionLost ends a connection that was closed, whose input was malformed, or whose reply did not
 // come in time.
-func (c *conn) lost(err error) {
+func (c *conn) connectionLost(err error) {
 	if c.state == connDialing {
 		c.dialFailed(err)
 		return
@@ -174,52 +174,52 @@
 		}
 		c.client.Log.Warn("records connection lost", zap.String("trace_id", c.call.TraceID), zap.Error(err))
 	}
-	c.end(exchange.ResultConnectionLost)
+	c.closeAndFinish(exchange.ResultConnectionLost)
 }
 
-// end closes the connection, ends its call with the result unless that may be sent again, and
+// closeAndFinish closes the connection, ends its call with the result unless that may be sent again, and
 // lets the next call connect.
-func (c *conn) end(result exchange.Result) {
+func (c *conn) closeAndFinish(result exchange.Result) {
 	client := c.client
 	c.close()
 	if c.call != nil {
-		k := c.detach()
+		k := c.detachCall()
 		if result == exchange.ResultConnectionLost && k.mayResend() && client.Now()+client.linger < k.deadline {
 			client.resend(k)
 		} else {
-			client.finish(k, result, nil)
+			client.finishCall(k, result, nil)
 		}
 	}
-	client.placeNext()
+	client.assignConnToNext()
 }
 
 // discard closes a connection without a call, and lets the next call connect.
 func (c *conn) discard() {
 	c.close()
-	c.client.placeNext()
+	c.client.assignConnToNext()
 }
 
 // resend places a call again that may have run, once the service has forgotten it.
 func (c *Client) resend(k *call) {
 	if c.linger == 0 {
-		c.place(k)
+		c.assignConn(k)
 	} else {
-		c.placeAfter(k, c.linger)
+		c.assignConnAfter(k, c.linger)
 	}
 }
 
 // close closes the connection and gives its place back to the pool.
 func (c *conn) close() {
 	c.state = c.state.next(connEnded)
-	c.client.pool.ReleaseCall()
+	c.client.connPool.ReleaseCall()
 	c.client.removeIdle(c)
 	if c.socket != nil {
 		c.socket.CloseGracefully()
 	}
 }
 
-// detach takes the call from the connection.
-func (c *conn) detach() *call {
+// detachCall takes the call from the connection.
+func (c *conn) detachCall() *call {
 	k := c.call
 	c.call = nil
 	k.conn = nil
--- a/internal/transport/records/early_reply_test.go
+++ b/internal/transport/records/early_reply_test.go
@@ -13,13 +13,13 @@
 // TestReplyBeforeCall: a service that replies under the right trace id before it was called, on a
 // connection that is still opening, neither ends the process nor answers the call.
 func TestReplyBeforeCall(t *testing.T) {
-	r := newRig(t, 4)
-	const early = "0123456789abcdef"
-	r.client.Call(exchange.Job{TraceID: early, Timeout: time.Minute, Body: []byte("body")})
-	dialing := r.client.calls[early].conn
+	r := newClientFixture(t, 4)
+	const traceID = "0123456789abcdef"
+	r.client.Call(exchange.Job{TraceID: traceID, Timeout: time.Minute, Body: []byte("body")})
+	dialing := r.client.calls[traceID].conn
 	require.Equal(t, connDialing, dialing.state)
-	dialing.receive(lineproto.Message{Words: []string{early, "DONE", "5"}, Payload: []byte("early")})
-	r.arrived().reply(t)
-	r.await("the outcome", func() bool { return len(r.outcomes) > 0 })
-	require.Equal(t, []exchange.Outcome{{TraceID: early, Stage: exchange.CallEnded, Body: []byte("ok")}}, r.outcomes)
+	dialing.receive(lineproto.Message{Words: []string{traceID, "DONE", "5"}, Payload: []byte("early")})
+	r.nextCall().sendReply(t)
+	r.waitFor("the outcome", func() bool { return len(r.outcomes) > 0 })
+	require.Equal(t, []exchange.Outcome{{TraceID: traceID, Stage: exchange.CallEnded, Body: []byte("ok")}}, r.outcomes)
 }
--- a/internal/transport/records/golden_test.go
+++ b/internal/transport/records/golden_test.go
@@ -25,7 +25,7 @@
 	loop, err := eventloop.New(4)
 	require.NoError(t, err)
 	defer loop.Stop()
-	r := &rig{t: t, exchange: exchange.New(10)}
+	r := &clientFixture{t: t, exchange: exchange.New(10)}
 	pool := fdquota.NewConnPool(fdquota.Quotas{Connections: 8, ReservedCalls: 4})
 	r.client = New(ln.Addr().String(), pool, 0, session.Config{Exchange: r.exchange, Loop: loop, Timers: &timerqueue.Queue{},
 		Now: func() time.Duration { return time.Minute }, Log: zap.NewNop()}) // the clock stands still: so does the time in each line
@@ -36,10 +36,10 @@
 		require.NoError(t, c.SetReadDeadline(time.Now().Add(20*time.Second)))
 		return c
 	}
-	hears := func(c net.Conn, want string) {
+	serviceReads := func(c net.Conn, want string) {
 		t.Helper()
 		var got bytes.Buffer
-		r.await("bytes at the service", func() bool {
+		r.waitFor("bytes at the service", func() bool {
 			b := make([]byte, len(want)-got.Len())
 			c.SetReadDeadline(time.Now().Add(5 * time.Millisecond))
 			n, _ := c.Read(b)
@@ -48,9 +48,9 @@
 		})
 		require.Equal(t, want, got.String())
 	}
-	const name = "0123456789abcdef"
-	call := func(safe bool) {
-		r.client.Call(exchange.Job{TraceID: name, Idempotent: safe, Timeout: 1500 * time.Millisecond, Body: []byte("call")})
+	const traceID = "0123456789abcdef"
+	call := func(idempotent bool) {
+		r.client.Call(exchange.Job{TraceID: traceID, Idempotent: idempotent, Timeout: 1500 * time.Millisecond, Body: []byte("call")})
 	}
 	for _, reply := range []struct {
 		text    string
@@ -66,16 +66,16 @@
 		r.outcomes = nil
 		call(false)
 		c := accept()
-		hears(c, "OP "+name+" 1500 4\r\ncall\r\n")
-		_, err := c.Write([]byte(name + " " + reply.text))
+		serviceReads(c, "OP "+traceID+" 1500 4\r\ncall\r\n")
+		_, err := c.Write([]byte(traceID + " " + reply.text))
 		require.NoError(t, err)
-		r.await("the outcome", func() bool { return len(r.outcomes) == 1 })
-		reply.outcome.TraceID, reply.outcome.Stage = name, exchange.CallEnded
+		r.waitFor("the outcome", func() bool { return len(r.outcomes) == 1 })
+		reply.outcome.TraceID, reply.outcome.Stage = traceID, exchange.CallEnded
 		require.Equal(t, []exchange.Outcome{reply.outcome}, r.outcomes, reply.text)
 	}
 	call(false)
 	c := accept()
-	hears(c, "OP "+name+" 1500 4\r\ncall\r\n")
-	r.client.Cancel(name)
-	hears(c, "UNOP "+name+"\r\n")
+	serviceReads(c, "OP "+traceID+" 1500 4\r\ncall\r\n")
+	r.client.Cancel(traceID)
+	serviceReads(c, "UNOP "+traceID+"\r\n")
 }
--- a/internal/transport/registry/out_of_turn_test.go
+++ b/internal/transport/registry/out_of_turn_test.go
@@ -15,85 +15,85 @@
 )
 
 const (
-	outOfTurnPause = 200 * time.Microsecond // for a socket that is being opened
-	registryCount  = 2
+	socketOpenDelay = 200 * time.Microsecond // for a socket that is being opened
+	registryCount   = 2
 )
 
-// outOfTurn is a Reporter whose dispatcher is the test, and registries that the test speaks for.
-type outOfTurn struct {
+// reporterFixture is a Reporter whose dispatcher is the test, and registries that the test speaks for.
+type reporterFixture struct {
 	t            *testing.T
 	reporter     *Reporter
 	exchange     *exchange.Exchange
 	now          time.Duration
 	addrs        []string
-	sockets      []net.PacketConn // nil while that registry is gone
-	sender       net.Addr         // of the latest report
+	registries   []net.PacketConn // nil while that registry is gone
+	reporterAddr net.Addr         // of the latest report
 	available    bool             // as the dispatcher said last
 	deregistered bool
 }
 
-func newOutOfTurn(t *testing.T) outofturn.Play {
-	f := &outOfTurn{t: t, exchange: exchange.New(100), available: true}
+func newReporterFixture(t *testing.T) outofturn.Play {
+	f := &reporterFixture{t: t, exchange: exchange.New(100), available: true}
 	for range registryCount {
 		socket, err := net.ListenPacket("udp", "127.0.0.1:0")
 		require.NoError(t, err)
-		f.sockets = append(f.sockets, socket)
+		f.registries = append(f.registries, socket)
 		f.addrs = append(f.addrs, socket.LocalAddr().String())
 	}
 	f.reporter = New(f.addrs[0], "n3", session.Config{Exchange: f.exchange, Timers: &timerqueue.Queue{},
 		Now: func() time.Duration { return f.now }, Log: zap.NewNop()})
 	t.Cleanup(func() {
-		for i := range f.sockets {
-			f.vanish(i)
+		for i := range f.registries {
+			f.stopRegistry(i)
 		}
 	})
 	return f
 }
 
-func (f *outOfTurn) vanish(i int) {
-	if f.sockets[i] != nil {
-		f.sockets[i].Close()
-		f.sockets[i] = nil
+func (f *reporterFixture) stopRegistry(i int) {
+	if f.registries[i] != nil {
+		f.registries[i].Close()
+		f.registries[i] = nil
 	}
 }
 
-// comeBack has a registry listen at its address again.
-func (f *outOfTurn) comeBack(i int) {
-	if f.sockets[i] != nil {
+// restartRegistry has a registry listen at its address again.
+func (f *reporterFixture) restartRegistry(i int) {
+	if f.registries[i] != nil {
 		return
 	}
 	require.Eventually(f.t, func() bool {
 		socket, err := net.ListenPacket("udp", f.addrs[i])
-		f.sockets[i] = socket
+		f.registries[i] = socket
 		if err != nil {
-			f.sockets[i] = nil
+			f.registries[i] = nil
 		}
 		return err == nil
 	}, 10*time.Second, time.Millisecond)
 }
 
 // Turn has what was posted handled.
-func (f *outOfTurn) Turn() {
-	time.Sleep(outOfTurnPause)
+func (f *reporterFixture) Turn() {
+	time.Sleep(socketOpenDelay)
 	f.reporter.Timers.RunDue(f.now)
 	for _, e := range f.exchange.Dequeue(nil) {
 		e.(exchange.Callback)()
 	}
 }
 
-// hear returns the reports that a registry has not read yet, each of which is one of the two.
-func (f *outOfTurn) hear(i int) (reports []string) {
-	if f.sockets[i] == nil {
+// readReports returns the reports that a registry has not read yet, each of which is one of the two.
+func (f *reporterFixture) readReports(i int) (reports []string) {
+	if f.registries[i] == nil {
 		return nil
 	}
 	buffer := make([]byte, 100)
 	for {
-		require.NoError(f.t, f.sockets[i].SetReadDeadline(time.Now().Add(time.Millisecond)))
-		n, from, err := f.sockets[i].ReadFrom(buffer)
+		require.NoError(f.t, f.registries[i].SetReadDeadline(time.Now().Add(time.Millisecond)))
+		n, from, err := f.registries[i].ReadFrom(buffer)
 		if err != nil {
 			return reports
 		}
-		f.sender = from
+		f.reporterAddr = from
 		text := string(buffer[:n])
 		require.Contains(f.t, []string{"PULSE n3 open", "PULSE n3 closed"}, text)
 		reports = append(reports, text)
@@ -101,31 +101,31 @@
 }
 
 // Step does one of the things that a dispatcher or a registry does.
-func (f *outOfTurn) Step(what, which byte) {
-	i := int(which) % registryCount
-	switch what % 10 {
+func (f *reporterFixture) Step(action, value byte) {
+	i := int(value) % registryCount
+	switch action % 10 {
 	case 0, 1:
 		f.reporter.Register()
 	case 2:
 		if !f.deregistered {
-			f.available = which%3 > 0
+			f.available = value%3 > 0
 		}
-		f.reporter.SetAvailable(which%3 > 0)
+		f.reporter.SetAvailable(value%3 > 0)
 	case 3:
 		f.reporter.SetAddress(f.addrs[i])
 	case 4:
-		f.vanish(i)
+		f.stopRegistry(i)
 	case 5:
-		f.comeBack(i)
+		f.restartRegistry(i)
 	case 6, 7:
 		f.now += reportInterval
 	case 8:
-		f.hear(i)
-		if f.sender != nil && f.sockets[i] != nil {
-			f.sockets[i].WriteTo(make([]byte, which), f.sender)
+		f.readReports(i)
+		if f.reporterAddr != nil && f.registries[i] != nil {
+			f.registries[i].WriteTo(make([]byte, value), f.reporterAddr)
 		}
 	default:
-		if which < 8 {
+		if value < 8 {
 			f.reporter.Deregister()
 			f.deregistered = true
 		}
@@ -136,39 +136,39 @@
 // does not end the reports: one that is well again hears what the dispatcher said last, and
 // nothing but "closed" after the end.
 func FuzzRegistryOutOfTurn(f *testing.F) {
-	outofturn.Fuzz(f, newOutOfTurn)
+	outofturn.Fuzz(f, newReporterFixture)
 }
 
 // EndWell has all registries come back, and the reporter go on with another period.
-func (f *outOfTurn) EndWell() {
-	for i := range f.sockets {
-		f.comeBack(i)
+func (f *reporterFixture) EndWell() {
+	for i := range f.registries {
+		f.restartRegistry(i)
 	}
 	f.reporter.SetAddress(f.addrs[0])
 	f.reporter.SetAddress(f.addrs[1])
 	f.Turn()
-	f.hear(0)
-	f.hear(1)
+	f.readReports(0)
+	f.readReports(1)
 	if !f.deregistered {
 		f.reporter.Register()
 	}
 	var reports []string
-	heard := func() bool {
+	reportReceived := func() bool {
 		f.now += reportInterval
 		f.Turn()
-		reports = append(reports, f.hear(1)...)
+		reports = append(reports, f.readReports(1)...)
 		return len(reports) > 0
 	}
 	if f.deregistered {
-		heard()
+		reportReceived()
 		require.NotContains(f.t, reports, "PULSE n3 open")
 		return
 	}
-	require.Eventually(f.t, heard, 10*time.Second, time.Millisecond)
+	require.Eventually(f.t, reportReceived, 10*time.Second, time.Millisecond)
 	want := "PULSE n3 open"
 	if !f.available {
 		want = "PULSE n3 closed"
 	}
 	require.Equal(f.t, want, reports[0])
-	require.Empty(f.t, f.hear(0), "reports at the address before")
+	require.Empty(f.t, f.readReports(0), "reports at the address before")
 }
--- a/internal/transport/registry/protocol.go
+++ b/internal/transport/registry/protocol.go
@@ -12,7 +12,7 @@
 	unavailable availability = "closed" // listed, and takes no work
 )
 
-// report returns the datagram of a report.
-func report(name string, a availability) []byte {
+// encodeReport returns the datagram of a encodeReport.
+func encodeReport(name string, a availability) []byte {
 	return []byte(commandReport + " " + name + " " + string(a))
 }
--- a/internal/transport/registry/reporter.go
+++ b/internal/transport/registry/reporter.go
@@ -73,14 +73,14 @@
 	switch {
 	case r.addr == "":
 	case r.socket == nil:
-		r.open()
+		r.openSocket()
 	default:
-		r.send(r.availability)
+		r.sendReport(r.availability)
 	}
 }
 
-// open opens a socket and sends a report once it is open.
-func (r *Reporter) open() {
+// openSocket opens a socket and sends a report once it is openSocket.
+func (r *Reporter) openSocket() {
 	s := &socket{}
 	r.socket = s
 	r.DialDatagram(r.addr, func(conn *eventloop.DatagramConn, err error) {
@@ -88,13 +88,13 @@
 		switch {
 		case err != nil && current:
 			r.socket = nil
-			r.noteUnreachable(err)
+			r.handleSendFailure(err)
 		case err != nil:
 		case !current:
 			conn.Close()
 		default:
 			s.conn = conn
-			r.send(r.availability)
+			r.sendReport(r.availability)
 		}
 	})
 }
@@ -118,17 +118,17 @@
 
 // SetAvailable reports from now on that this service is available, or that it is listed and
 // takes no work. Reports get lost: each that follows says the same.
-func (r *Reporter) SetAvailable(ok bool) {
+func (r *Reporter) SetAvailable(isAvailable bool) {
 	if r.state == deregistered {
 		return
 	}
 	before := r.availability
 	r.availability = available
-	if !ok {
+	if !isAvailable {
 		r.availability = unavailable
 	}
 	if r.state == reporting && r.availability != before {
-		r.send(r.availability)
+		r.sendReport(r.availability)
 	}
 }
 
@@ -138,23 +138,23 @@
 	r.state = deregistered
 	r.availability = unavailable
 	r.Timers.Cancel(r.timer)
-	r.send(r.availability)
+	r.sendReport(r.availability)
 }
 
-// send sends a report, if the socket is open.
-func (r *Reporter) send(a availability) {
+// sendReport sends a report, if the socket is open.
+func (r *Reporter) sendReport(availability availability) {
 	if r.socket == nil || r.socket.conn == nil {
 		return
 	}
-	if err := r.socket.conn.Send(report(r.name, a)); err != nil {
-		r.noteUnreachable(err)
+	if err := r.socket.conn.Send(encodeReport(r.name, availability)); err != nil {
+		r.handleSendFailure(err)
 	} else {
 		r.unreachable = false
 	}
 }
 
-// noteUnreachable logs once that reports can't be sent. The next one is sent all the same.
-func (r *Reporter) noteUnreachable(err error) {
+// handleSendFailure logs once that reports can't be sent. The next one is sent all the same.
+func (r *Reporter) handleSendFailure(err error) {
 	if !r.unreachable {
 		r.Log.Warn("registry not reached", zap.Error(err))
 	}
--- a/internal/transport/session/line_handler.go
+++ b/internal/transport/session/line_handler.go
@@ -6,9 +6,9 @@
 type LineHandler struct {
 	Config Config
 	Parser lineproto.Parser // of the event loop's goroutine
-	// Current reports whether the session still uses the connection; if not, nothing more is
+	// IsCurrent reports whether the session still uses the connection; if not, nothing more is
 	// reported. It and the other functions are called on the dispatcher's goroutine.
-	Current   func() bool
+	IsCurrent func() bool
 	OnMessage func(lineproto.Message)
 	// OnLost is called when the connection is closed, and when its input is malformed: nothing after
 	// that can be trusted.
@@ -36,7 +36,7 @@
 
 func (h *LineHandler) post(f func()) {
 	h.Config.post(func() {
-		if h.Current() {
+		if h.IsCurrent() {
 			f()
 		}
 	})
