--- a/internal/transport/lineproto/parser.go
+++ b/internal/transport/lineproto/parser.go
@@ -8,26 +8,26 @@
 	"strings"
 )
 
-// Limits in bytes, without the CR LF.
+// Limits in bytes, not counting CR LF.
 const (
 	maxLineBytes    = 1 << 10
 	maxPayloadBytes = 64 << 10
 )
 
-// ErrMalformed is wrapped by all errors of a Parser.
+// ErrMalformed is wrapped by every error that a Parser returns.
 var ErrMalformed = errors.New("malformed line")
 
-// Parser cuts a stream into messages. After an error it must not be used again.
+// Parser splits a byte stream into messages. It must not be used after an error.
 type Parser struct {
-	// HasPayload tells by a line's words whether a payload follows it.
+	// HasPayload reports whether a payload follows the line with the given words.
 	HasPayload func(words []string) bool
 
 	buf          []byte
-	pendingWords []string // of a line whose payload is incomplete
-	payloadBytes int      // length of that payload
+	pendingWords []string // words of a line whose payload is incomplete, else nil
+	payloadBytes int      // payload length of pendingWords
 }
 
-// Feed takes the next bytes and calls handle with each message that they complete.
+// Feed parses the next bytes of the stream and calls handle for each message that is complete.
 func (p *Parser) Feed(b []byte, handle func(Message)) error {
 	p.buf = append(p.buf, b...)
 	rest := p.buf
@@ -48,8 +48,8 @@
 	}
 }
 
-// parseLine reads a parseLine and returns how many bytes it took, 0 if it is incomplete. The message is
-// nil if a payload follows.
+// parseLine parses a line at the start of b and returns its length n, 0 if the line is incomplete. The
+// message is nil if a payload follows.
 func (p *Parser) parseLine(b []byte) (m *Message, n int, err error) {
 	end := bytes.Index(b, []byte(lineEnd))
 	switch {
@@ -61,7 +61,7 @@
 	n = end + len(lineEnd)
 	words := strings.Fields(string(b[:end]))
 	if len(words) == 0 {
-		return nil, 0, fmt.Errorf("%w: empty", ErrMalformed)
+		return nil, 0, fmt.Errorf("%w: line has no words", ErrMalformed)
 	}
 	if !p.HasPayload(words) {
 		return &Message{Words: words}, n, nil
@@ -69,21 +69,21 @@
 	length := words[len(words)-1]
 	p.payloadBytes, err = strconv.Atoi(length)
 	if err != nil || p.payloadBytes < 0 || p.payloadBytes > maxPayloadBytes {
-		return nil, 0, fmt.Errorf("%w: length %q of %s", ErrMalformed, length, words[0])
+		return nil, 0, fmt.Errorf("%w: invalid payload length %q of %s", ErrMalformed, length, words[0])
 	}
 	p.pendingWords = words
 	return nil, n, nil
 }
 
-// parsePayload reads the parsePayload that is due, and returns how many bytes it took, 0 if it is
-// incomplete.
+// parsePayload parses the payload of pendingWords at the start of b. It returns the number of bytes
+// parsed, 0 if the payload is incomplete.
 func (p *Parser) parsePayload(b []byte) (m *Message, n int, err error) {
 	n = p.payloadBytes + len(lineEnd)
 	if len(b) < n {
 		return nil, 0, nil
 	}
 	if string(b[p.payloadBytes:n]) != lineEnd {
-		return nil, 0, fmt.Errorf("%w: no CR LF after the %d bytes of %s", ErrMalformed, p.payloadBytes, p.pendingWords[0])
+		return nil, 0, fmt.Errorf("%w: no CR LF after the %d-byte payload of %s", ErrMalformed, p.payloadBytes, p.pendingWords[0])
 	}
 	m = &Message{Words: p.pendingWords, Payload: bytes.Clone(b[:p.payloadBytes])}
 	p.pendingWords = nil
--- a/internal/transport/lineproto/parser_test.go
+++ b/internal/transport/lineproto/parser_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// FuzzParser: whatever comes, in whatever pieces, the messages are the same and
-// nothing panics.
+// FuzzParser checks that the parser does not panic, and that it returns the same messages wherever the
+// input is split.
 func FuzzParser(f *testing.F) {
 	f.Add([]byte("DONE 1 9b1f03aa5c7e2d41 OK 5 4\r\nbody\r\nNOTE 2 a\r\n"), 33)
 	f.Add([]byte("DONE -1\r\n"), 1)
@@ -28,7 +28,7 @@
 	})
 }
 
-// TestAppend: what is appended is read back, and the bytes are the protocol's.
+// TestAppend checks the bytes of appended messages, and that the parser returns the same messages.
 func TestAppend(t *testing.T) {
 	b := AppendLine(nil, "ATTACH", "0")
 	b = AppendWithPayload(b, []byte("body\r\n"), "RUN", "9b1f03aa5c7e2d41", "nom-submit")
--- a/internal/transport/records/client.go
+++ b/internal/transport/records/client.go
@@ -10,38 +10,38 @@
 	"oxbowbridge/internal/transport/session"
 )
 
-// Client is the exchange.DependencyClient that speaks to the records service.
+// Client is the exchange.DependencyClient for the records service.
 type Client struct {
 	session.Config
-	addr      string            // "" without a service
-	connPool  *fdquota.ConnPool // of descriptors for connections
-	linger    time.Duration     // for which a canceled call still counts at the service
+	addr      string            // empty if there is no records service
+	connPool  *fdquota.ConnPool // limits the number of connections
+	linger    time.Duration     // how long a canceled call still counts at the service
 	calls     map[string]*call
-	queue     []*call // without a connection, oldest first
-	idleConns []*conn // the latest used last
+	queue     []*call // calls that wait for a connection, oldest first
+	idleConns []*conn // most recently used last
 	latency   session.LatencyEstimator
 }
 
 // call is a call that has not ended.
 type call struct {
 	exchange.Job
-	conn        *conn // nil while it has none
+	conn        *conn // nil while the call has no connection
 	deadline    time.Duration
 	sendCount   int
 	failedDials int
-	retryTimer  *timerqueue.Timer // of the next placement
+	retryTimer  *timerqueue.Timer // assigns a connection after a delay
 }
 
-// maxSends is how often an idempotent call is sent.
+// maxSends is the maximum number of attempts of an idempotent call.
 const maxSends = 3
 
-// mayResend reports whether the call may be sent once more after it may have run.
+// mayResend reports whether the call may be sent again although the service may have run it.
 func (k *call) mayResend() bool { return k.Idempotent && k.sendCount < maxSends }
 
-// New returns a Client that connects when there are calls, as far as the pool has descriptors for
-// them. Without an address each call ends as unreachable. A canceled call may go on counting for
-// linger at a service that several share: a call is sent again only after that, so that each
-// request has one at a time.
+// New returns a Client that connects on demand, as long as the pool has descriptors for calls. Without
+// an address each call ends as unreachable. A service that is shared by several clients may count a
+// canceled call for the time linger. A call is sent again only after that time, so that each request
+// counts as at most one call.
 func New(addr string, pool *fdquota.ConnPool, linger time.Duration, deps session.Config) *Client {
 	return &Client{
 		Config:   deps,
@@ -53,7 +53,7 @@
 	}
 }
 
-// SetAddress has new calls go to another address. Those that were sent stay where they are.
+// SetAddress sends new calls to another address. Calls in flight continue on their connections.
 func (c *Client) SetAddress(addr string) {
 	if addr == c.addr {
 		return
@@ -64,8 +64,8 @@
 	}
 }
 
-// Call makes a call, in place of an earlier one for the same request; the outcome is posted to
-// the exchange.
+// Call starts a call and posts its outcome to the exchange. It cancels an earlier call for the same
+// request.
 func (c *Client) Call(job exchange.Job) {
 	c.Cancel(job.TraceID)
 	k := &call{Job: job, deadline: c.Now() + job.Timeout}
@@ -73,8 +73,8 @@
 	c.assignConn(k)
 }
 
-// Cancel ends a call. No outcome follows. Its connection is not used again, since the reply
-// may still come on it.
+// Cancel cancels a call, whose outcome is then not posted. Its connection is closed, since the reply
+// may still arrive on it.
 func (c *Client) Cancel(traceID string) {
 	k := c.calls[traceID]
 	if k == nil {
@@ -89,7 +89,7 @@
 	k.conn.cancelCall()
 }
 
-// finishCall reports the end of a call.
+// finishCall removes a call and posts its outcome.
 func (c *Client) finishCall(k *call, result exchange.Result, body []byte) {
 	delete(c.calls, k.TraceID)
 	c.Exchange.Post(exchange.Outcome{TraceID: k.TraceID, Stage: exchange.CallEnded, Result: result, Body: body})
--- a/internal/transport/records/client_test.go
+++ b/internal/transport/records/client_test.go
@@ -19,18 +19,18 @@
 	"oxbowbridge/internal/transport/session"
 )
 
-// clientFixture is a Link whose core is the test, and a records service that answers each call when
-// the test says so.
+// clientFixture holds a Client and a records service. The test acts as the dispatcher, and decides when
+// the service replies to each call.
 type clientFixture struct {
 	t        *testing.T
 	pool     *fdquota.ConnPool
 	client   *Client
 	exchange *exchange.Exchange
-	calls    chan receivedCall // that have reached the service
+	calls    chan receivedCall // calls received by the service
 	outcomes []exchange.Outcome
 }
 
-// receivedCall is a call as the service sees it.
+// receivedCall is a call that the service has received.
 type receivedCall struct {
 	traceID string
 	conn    net.Conn
@@ -80,7 +80,7 @@
 	}
 }
 
-// handleEvents does what the dispatcher does: it carries out callbacks, and keeps outcomes.
+// handleEvents acts as the dispatcher: it runs the posted callbacks and stores the outcomes.
 func (r *clientFixture) handleEvents() {
 	for _, e := range r.exchange.Dequeue(nil) {
 		switch e := e.(type) {
@@ -97,7 +97,7 @@
 	require.Eventually(r.t, func() bool { r.handleEvents(); return condition() }, 20*time.Second, time.Millisecond, what)
 }
 
-// nextCall is the next call that reaches the service.
+// nextCall waits for the next call at the service.
 func (r *clientFixture) nextCall() (c receivedCall) {
 	r.t.Helper()
 	r.waitFor("a call at the service", func() bool {
@@ -118,9 +118,9 @@
 
 func testTraceID(n int) string { return strings.Repeat("0", 15) + fmt.Sprintf("%x", n) }
 
-// TestBoundOnConnections: a connection that is closed to make room for one call makes
-// none for the next that queues. Calls that are not idempotent each need a connection of
-// their own, so that every reply leaves an idle one behind.
+// TestBoundOnConnections guards against more connections than the limit. They arise if the slot of an idle
+// connection that was closed for one call is also given to the next queued call. Each call that is not
+// idempotent needs a new connection, so every reply leaves an idle connection.
 func TestBoundOnConnections(t *testing.T) {
 	for maxCalls := 1; maxCalls <= 3; maxCalls++ {
 		r := newClientFixture(t, maxCalls)
@@ -133,7 +133,7 @@
 			require.LessOrEqual(t, r.pool.Calls(), maxCalls)
 			c.sendReply(t)
 			r.waitFor("the outcome", func() bool {
-				require.LessOrEqual(t, r.pool.Calls(), maxCalls, "after %d replies, %d at most", n+1, maxCalls)
+				require.LessOrEqual(t, r.pool.Calls(), maxCalls, "connections after %d replies, want at most %d", n+1, maxCalls)
 				return len(r.outcomes) == n+1
 			})
 		}
--- a/internal/transport/records/conn.go
+++ b/internal/transport/records/conn.go
@@ -16,22 +16,24 @@
 )
 
 const (
-	// maxIdleTime is for how long an idle connection is kept. The service closes one after 10 s,
-	// and some hops on the way drop it earlier; a call that meets such an end proves nothing.
+	// maxIdleTime is how long an idle connection is cached. The service closes idle connections after
+	// 10 s, and some network hops drop them earlier. A call that fails on a dropped connection says
+	// nothing about the service.
 	maxIdleTime  = time.Second
 	maxIdleConns = 16
 
-	// Dials for one call: the service may be moving to another address. The delay doubles with each.
+	// Dials for one call. Dials are retried since the service may be moving to another address. The
+	// delay doubles with each dial.
 	maxDials       = 5
 	dialRetryDelay = 20 * time.Millisecond
 
-	// maxStrayReplies is how many replies without a call one call may bring with it.
+	// maxStrayReplies is how many replies that match no call are tolerated per call.
 	maxStrayReplies = 16
 )
 
 var (
-	errMalformedReply = errors.New("reply not understood")
-	errReplyTimeout   = errors.New("no reply")
+	errMalformedReply = errors.New("malformed reply")
+	errReplyTimeout   = errors.New("timeout while waiting for the reply")
 )
 
 // conn is a connection to the service.
@@ -40,14 +42,14 @@
 	addr          string
 	socket        *eventloop.Conn // nil while dialing
 	state         connState
-	call          *call  // while dialing or busy
-	latestTraceID string // of its latest call, of which copies of the reply may still come
-	strayReplies  int    // since its latest call
+	call          *call  // set while dialing or busy
+	latestTraceID string // trace id of the latest call; duplicate replies to it may still arrive
+	strayReplies  int    // since the latest call
 	sentAt        time.Duration
-	timer         *timerqueue.Timer // of the reply, or of the end of idleness
+	timer         *timerqueue.Timer // reply timeout while busy, idle timeout while idle
 }
 
-// connect dials for a call, for which acquireConn has taken a place.
+// connect dials a connection for a call. The caller has acquired a slot with acquireConnSlot.
 func (c *Client) connect(k *call) {
 	cn := &conn{client: c, addr: c.addr, call: k}
 	k.conn = cn
@@ -60,7 +62,7 @@
 	}, cn.dialCompleted)
 }
 
-// dialCompleted sends the call, unless it was canceled meanwhile.
+// dialCompleted sends the call, unless it was canceled during the dial.
 func (c *conn) dialCompleted(socket *eventloop.Conn, err error) {
 	closed := c.state == connClosed
 	switch {
@@ -74,14 +76,15 @@
 	}
 }
 
-// dialFailed has the call placed again after a delay: it was not sent, and the service may come
-// back or be moving to another address. A call that finds none in that time has failed.
+// dialFailed schedules another dial for the call after a delay, since the service may be restarting or
+// moving to another address. That is safe because the call was not sent. After maxDials dials, or at
+// its deadline, the call ends as unreachable.
 func (c *conn) dialFailed(err error) {
 	client := c.client
 	k := c.call
 	k.failedDials++
 	if k.failedDials >= maxDials || client.Now() >= k.deadline || client.addr == "" {
-		client.Log.Warn("records service not reached", zap.Error(err))
+		client.Log.Warn("records service unreachable", zap.Error(err))
 		c.closeAndFinish(exchange.ResultUnreachable)
 		return
 	}
@@ -90,7 +93,7 @@
 	c.discard()
 }
 
-// sendCall sends a call.
+// sendCall sends a call on the connection.
 func (c *conn) sendCall(k *call) {
 	client := c.client
 	c.state = c.state.next(callSent)
@@ -102,12 +105,12 @@
 	c.sentAt = client.Now()
 	timeout := strconv.FormatInt(timeoutMs(k.deadline-c.sentAt), 10)
 	c.socket.Write(lineproto.AppendWithPayload(nil, k.Body, commandCall, k.TraceID, timeout))
-	if k.mayResend() { // against replies that never come, or are never completed
+	if k.mayResend() { // the reply may never arrive, or never be complete
 		c.timer = client.Timers.Schedule(c.sentAt+client.latency.ReplyTimeout(), func() { c.connectionLost(errReplyTimeout) })
 	}
 }
 
-// cancelCall gives up the call of the connection.
+// cancelCall cancels the call of the connection and closes the connection.
 func (c *conn) cancelCall() {
 	traceID := c.call.TraceID
 	c.call = nil
@@ -117,34 +120,34 @@
 	c.discard()
 }
 
-// receive handles one message of the service.
+// receive handles one message from the service.
 func (c *conn) receive(m lineproto.Message) {
 	reply, err := parseReply(m)
-	if err != nil { // nothing after it can be trusted
+	if err != nil { // the input after a malformed reply can't be trusted
 		c.connectionLost(err)
 		return
 	}
-	if c.state != connBusy || c.call.TraceID != reply.traceID { // while dialing its call is not sent yet
+	if c.state != connBusy || c.call.TraceID != reply.traceID { // while dialing, the call is not sent yet
 		c.countStrayReply()
 		return
 	}
-	if reply.result == exchange.ResultOK { // a rejection comes sooner
+	if reply.result == exchange.ResultOK { // rejections arrive faster and would lower the estimate
 		c.client.latency.Observe(c.client.Now() - c.sentAt)
 	}
 	c.client.finishCall(c.detachCall(), reply.result, reply.body)
 	c.release()
 }
 
-// countStrayReply counts a copy of a reply, or a reply without a call, against a service that sends
-// them without end.
+// countStrayReply counts a duplicate reply or a reply without a call. It closes the connection if the
+// service sends too many of them.
 func (c *conn) countStrayReply() {
 	c.strayReplies++
 	if c.strayReplies > maxStrayReplies {
-		c.connectionLost(fmt.Errorf("%w: %d that belong to no call", errMalformedReply, c.strayReplies))
+		c.connectionLost(fmt.Errorf("%w: %d replies that belong to no call", errMalformedReply, c.strayReplies))
 	}
 }
 
-// release keeps the connection for the next call, unless the service has another address by now.
+// release makes the connection idle for the next call, or closes it if the service's address has changed.
 func (c *conn) release() {
 	client := c.client
 	if c.addr != client.addr {
@@ -161,15 +164,15 @@
 	client.assignConnToNext()
 }
 
-// connectionLost ends a connection that was closed, whose input was malformed, or whose reply did not
-// come in time.
+// connectionLost handles a connection that was closed, had malformed input or timed out while waiting
+// for the reply.
 func (c *conn) connectionLost(err error) {
 	if c.state == connDialing {
 		c.dialFailed(err)
 		return
 	}
 	if c.call != nil {
-		if errors.Is(err, errReplyTimeout) { // it takes at least so long
+		if errors.Is(err, errReplyTimeout) { // the elapsed time is a lower bound of the latency
 			c.client.latency.Observe(c.client.Now() - c.sentAt)
 		}
 		c.client.Log.Warn("records connection lost", zap.String("trace_id", c.call.TraceID), zap.Error(err))
@@ -177,8 +180,8 @@
 	c.closeAndFinish(exchange.ResultConnectionLost)
 }
 
-// closeAndFinish closes the connection, ends its call with the result unless that may be sent again, and
-// lets the next call connect.
+// closeAndFinish closes the connection and assigns a connection to the next queued call. Its call is
+// sent again if the connection was lost and the call may be resent; else the call ends with the result.
 func (c *conn) closeAndFinish(result exchange.Result) {
 	client := c.client
 	c.close()
@@ -193,13 +196,14 @@
 	client.assignConnToNext()
 }
 
-// discard closes a connection without a call, and lets the next call connect.
+// discard closes a connection without a call, and assigns a connection to the next queued call.
 func (c *conn) discard() {
 	c.close()
 	c.client.assignConnToNext()
 }
 
-// resend places a call again that may have run, once the service has forgotten it.
+// resend assigns another connection to a call that the service may have run, after the linger time for
+// which the service may still count the call.
 func (c *Client) resend(k *call) {
 	if c.linger == 0 {
 		c.assignConn(k)
@@ -208,7 +212,7 @@
 	}
 }
 
-// close closes the connection and gives its place back to the pool.
+// close closes the connection and releases its slot in the pool.
 func (c *conn) close() {
 	c.state = c.state.next(connEnded)
 	c.client.connPool.ReleaseCall()
@@ -218,7 +222,7 @@
 	}
 }
 
-// detachCall takes the call from the connection.
+// detachCall removes the call from the connection and returns it.
 func (c *conn) detachCall() *call {
 	k := c.call
 	c.call = nil
--- a/internal/transport/records/doc.go
+++ b/internal/transport/records/doc.go
@@ -1,8 +1,9 @@
-// Package records is the client of the records service, which takes the calls that runs make to
-// the next tier. It belongs to the dispatcher's goroutine; the event loop's parses what the
-// service sends (see package session).
+// Package records implements the client of the records service, which handles the calls that runs make
+// to the next tier. A client is used on the dispatcher's goroutine only. The event loop's goroutine
+// parses the input from the service (see package session).
 //
-// Each connection carries one call at a time: after a malformed reply a connection is of no use,
-// and must not take other calls with it. There are at most as many connections as the pool has
-// descriptors for calls; further calls queue, and an idle connection makes room for one.
+// Each connection carries one call at a time, since a malformed reply makes the connection unusable
+// and other calls must not fail with it. The number of connections is limited by the descriptors that
+// the pool has for calls. Further calls queue. If none is left, an idle connection is closed to make
+// room for a call.
 package records
--- a/internal/transport/records/early_reply_test.go
+++ b/internal/transport/records/early_reply_test.go
@@ -10,8 +10,8 @@
 	"oxbowbridge/internal/transport/lineproto"
 )
 
-// TestReplyBeforeCall: a service that replies under the right trace id before it was called, on a
-// connection that is still opening, neither ends the process nor answers the call.
+// TestReplyBeforeCall checks that a reply with the right trace id that arrives while the connection is
+// still being dialed, before the call is sent, does not crash the process or complete the call.
 func TestReplyBeforeCall(t *testing.T) {
 	r := newClientFixture(t, 4)
 	const traceID = "0123456789abcdef"
--- a/internal/transport/records/golden_test.go
+++ b/internal/transport/records/golden_test.go
@@ -16,7 +16,7 @@
 	"oxbowbridge/internal/transport/session"
 )
 
-// TestGoldenLines: the bytes of a call and of one that is given up, and the outcome of each
+// TestGoldenLines checks the bytes of a call and of a cancellation, and the outcome of each kind of
 // reply.
 func TestGoldenLines(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -28,7 +28,7 @@
 	r := &clientFixture{t: t, exchange: exchange.New(10)}
 	pool := fdquota.NewConnPool(fdquota.Quotas{Connections: 8, ReservedCalls: 4})
 	r.client = New(ln.Addr().String(), pool, 0, session.Config{Exchange: r.exchange, Loop: loop, Timers: &timerqueue.Queue{},
-		Now: func() time.Duration { return time.Minute }, Log: zap.NewNop()}) // the clock stands still: so does the time in each line
+		Now: func() time.Duration { return time.Minute }, Log: zap.NewNop()}) // a fixed clock, so that the timeout in each call is the same
 	accept := func() net.Conn {
 		c, err := ln.Accept()
 		require.NoError(t, err)
@@ -39,7 +39,7 @@
 	serviceReads := func(c net.Conn, want string) {
 		t.Helper()
 		var got bytes.Buffer
-		r.waitFor("bytes at the service", func() bool {
+		r.waitFor("bytes at the service's end", func() bool {
 			b := make([]byte, len(want)-got.Len())
 			c.SetReadDeadline(time.Now().Add(5 * time.Millisecond))
 			n, _ := c.Read(b)
--- a/internal/transport/records/out_of_turn_test.go
+++ b/internal/transport/records/out_of_turn_test.go
@@ -16,15 +16,15 @@
 
 const callCount = 8
 
-// unexpectedMessages are messages of a records service, valid and not; %t is a trace id.
+// unexpectedMessages are valid and invalid messages from a records service. %t stands for a trace id.
 var unexpectedMessages = []string{
 	"%t DONE 2\r\nok\r\n", "%t WAIT\r\n", "%t ERROR\r\n", "%t PAST\r\n", "%t EMPTY\r\n", "%t\r\n", "%t DONE\r\n", "%t DONE -1\r\n",
 	"%t DONE 99\r\nshort", "%t WHAT\r\n", "DONE\r\n", "\r\n", "\x00\xff\r\n", "%t WA", "%t WAIT 5\r\n",
 }
 
-// TestRecordsOutOfTurn: a service that says anything at any moment, under the right trace ids too
-// and before it was called, does not end the process: each call ends once, and a later one to a
-// good service succeeds.
+// TestRecordsOutOfTurn checks that a service that sends arbitrary messages at any time, including replies
+// with the right trace ids before a call, does not crash the process. Each call ends at most once, and a
+// later call to a correct service succeeds.
 func TestRecordsOutOfTurn(t *testing.T) {
 	for seed := range uint64(outofturn.Seeds) {
 		r := newClientFixture(t, 4)
@@ -42,16 +42,16 @@
 			r.handleEvents()
 		}
 		cancelAt := time.Now().Add(100 * time.Millisecond)
-		r.waitFor("the calls to be over", func() bool {
+		r.waitFor("all calls to end", func() bool {
 			r.client.Timers.RunDue(r.client.Now())
-			if time.Now().After(cancelAt) { // the dispatcher gives up what has no reply
+			if time.Now().After(cancelAt) { // as the dispatcher cancels calls without a reply
 				for n := range callCount {
 					r.client.Cancel(testTraceID(n))
 				}
 			}
 			return len(r.client.calls) == 0
 		})
-		r.handleEvents() // the last outcomes
+		r.handleEvents() // store the last outcomes
 		outcomeCounts := map[string]int{}
 		for _, o := range r.outcomes {
 			outcomeCounts[o.TraceID]++
@@ -61,12 +61,12 @@
 		r.outcomes = nil
 		r.client.Call(exchange.Job{TraceID: testTraceID(9), Timeout: time.Minute, Body: []byte("x")})
 		r.nextCall().sendReply(t)
-		r.waitFor("its outcome", func() bool { return len(r.outcomes) == 1 })
+		r.waitFor("the outcome of the last call", func() bool { return len(r.outcomes) == 1 })
 		require.Equal(t, exchange.ResultOK, r.outcomes[0].Result, "seed %d", seed)
 	}
 }
 
-// randomMessage returns a message that nobody has asked for.
+// randomMessage returns a random element of unexpectedMessages with its placeholder filled in.
 func randomMessage(rng *rand.Rand) string {
 	text := unexpectedMessages[rng.IntN(len(unexpectedMessages))]
 	return strings.ReplaceAll(text, "%t", testTraceID(rng.IntN(callCount)))
--- a/internal/transport/records/placement.go
+++ b/internal/transport/records/placement.go
@@ -7,27 +7,28 @@
 	"oxbowbridge/internal/proxy/exchange"
 )
 
-// assignConn gives a call a connection, or queues it.
+// assignConn assigns a connection to a call, or queues the call.
 func (c *Client) assignConn(k *call) {
 	if !c.tryAssignConn(k) {
 		c.queue = append(c.queue, k)
 	}
 }
 
-// assignConnAfter places a call after a delay.
+// assignConnAfter calls assignConn after a delay.
 func (c *Client) assignConnAfter(k *call, delay time.Duration) {
 	k.retryTimer = c.Timers.Schedule(c.Now()+delay, func() { c.assignConn(k) })
 }
 
-// assignConnToNext places the call that has queued for longest, if there is room.
+// assignConnToNext assigns a connection to the oldest queued call, if one is available.
 func (c *Client) assignConnToNext() {
 	if len(c.queue) > 0 && c.tryAssignConn(c.queue[0]) {
 		c.queue = c.queue[1:]
 	}
 }
 
-// tryAssignConn gives a call an idle connection or a new one, for which an idle one may have to make
-// room. It reports false if the call has to wait. Without an address the call ends here.
+// tryAssignConn assigns an idle connection or a new one to a call. To open a new one, it may close an
+// idle connection. It reports false if the call has to wait. Without an address the call ends as
+// unreachable.
 func (c *Client) tryAssignConn(k *call) bool {
 	if i := c.reusableConn(k); i >= 0 {
 		idle := c.idleConns[i]
@@ -46,10 +47,10 @@
 	return true
 }
 
-// reusableConn returns the index of the idle connection, the latest used first, that may carry a
-// call, -1 if there is none. Only idempotent calls reuse one: an idle connection may have been
-// dropped on the way, and the call that finds out may have to be sent again. Nor may copies of an
-// earlier reply to the same request pass for the reply to this call.
+// reusableConn returns the index of the most recently used idle connection that a call may use, -1 if
+// there is none. Only idempotent calls reuse a connection: the network may have dropped an idle
+// connection, and the call may then have to be sent again. A connection is not reused for the request
+// of its latest call, since a duplicate reply to that call could be taken for the reply to this one.
 func (c *Client) reusableConn(k *call) int {
 	if !k.Idempotent {
 		return -1
@@ -62,9 +63,8 @@
 	return -1
 }
 
-// acquireConnSlot takes the place of one connection from the pool. Where none is left, the
-// connection that has been idle for longest gives up its own, to this call rather than to one
-// that queues.
+// acquireConnSlot acquires a slot for one connection from the pool. If none is left, it closes the
+// connection that has been idle for longest and acquires its slot, ahead of any queued call.
 func (c *Client) acquireConnSlot() bool {
 	if c.connPool.AcquireCall() {
 		return true
@@ -76,7 +76,7 @@
 	return c.connPool.AcquireCall()
 }
 
-// removeIdle takes a connection from the idle ones.
+// removeIdle removes a connection from idleConns and stops its timer.
 func (c *Client) removeIdle(idle *conn) {
 	c.Timers.Cancel(idle.timer)
 	c.idleConns = slices.DeleteFunc(c.idleConns, func(x *conn) bool { return x == idle })
--- a/internal/transport/records/protocol.go
+++ b/internal/transport/records/protocol.go
@@ -8,22 +8,22 @@
 	"oxbowbridge/internal/transport/lineproto"
 )
 
-// The commands to the service, as the protocol names them. These names appear in no other file.
+// Commands to the service, with their arguments. Only this file contains the protocol's names.
 const (
 	commandCall   = "OP"   // trace id, timeout in milliseconds, and the body
 	commandCancel = "UNOP" // trace id
 )
 
-// replyWithBody is the kind of the one reply that has a body.
+// replyWithBody is the only kind of reply that has a body.
 const replyWithBody = "DONE"
 
-// results are the results of a call, as replies name them.
+// results maps the kind of a reply to the result of the call.
 var results = map[string]exchange.Result{
 	replyWithBody: exchange.ResultOK,
-	"WAIT":        exchange.ResultNotStarted, // rejected
+	"WAIT":        exchange.ResultNotStarted, // the service rejected the call
 	"ERROR":       exchange.ResultError,
 	"PAST":        exchange.ResultTimedOut,
-	"EMPTY":       exchange.ResultNotStarted, // no run waits for the call
+	"EMPTY":       exchange.ResultNotStarted, // the service found no run that waits for the call
 }
 
 // reply is the reply to a call.
@@ -33,10 +33,11 @@
 	body    []byte
 }
 
-// hasPayload reports whether a body follows a line of the service.
+// hasPayload reports whether a body follows a line from the service.
 func hasPayload(words []string) bool { return len(words) == 3 && words[1] == replyWithBody }
 
-// parseReply reads a reply: trace id, kind, and for replyWithBody the length of its body.
+// parseReply parses a reply. Its words are the trace id, the kind, and for replyWithBody the length of
+// the body.
 func parseReply(m lineproto.Message) (reply, error) {
 	words := m.Words
 	if len(words) < 2 || !exchange.IsTraceID(words[0]) {
@@ -51,5 +52,5 @@
 	return reply{traceID: words[0], result: result, body: m.Payload}, nil
 }
 
-// timeoutMs is the timeout of a call in commandCall, at least a millisecond.
+// timeoutMs returns a call's timeout for commandCall in milliseconds, at least 1.
 func timeoutMs(timeout time.Duration) int64 { return max(1, timeout.Milliseconds()) }
--- a/internal/transport/records/state.go
+++ b/internal/transport/records/state.go
@@ -1,21 +1,21 @@
 package records
 
-// connState is what a connection to the service is doing.
+// connState is the state of a connection to the service.
 type connState uint8
 
 const (
-	connDialing connState = iota // not open yet: its call was not sent
-	connBusy                     // its call was sent
-	connIdle                     // kept for the next call
+	connDialing connState = iota // the dial is in progress and the call is not sent
+	connBusy                     // a call was sent and has no reply yet
+	connIdle                     // open, without a call
 	connClosed
 )
 
-// String returns the name of s.
+// String returns the state's name.
 func (s connState) String() string {
 	return [...]string{"dialing", "busy", "idle", "closed"}[s]
 }
 
-// connEvent is what happens to a connection.
+// connEvent is an event that changes the state of a connection.
 type connEvent uint8
 
 const (
@@ -24,8 +24,8 @@
 	connEnded
 )
 
-// next returns the state after an event. It holds all transitions; an event that is none in a
-// state leaves it as it is.
+// next returns the state after an event. It contains all transitions. An event without a transition
+// from s leaves the state unchanged.
 func (s connState) next(event connEvent) connState {
 	switch {
 	case event == connEnded:
--- a/internal/transport/records/state_test.go
+++ b/internal/transport/records/state_test.go
@@ -6,10 +6,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestTransitions goes through all pairs of a state and an event.
+// TestTransitions checks the next state for each pair of a state and an event.
 func TestTransitions(t *testing.T) {
 	states := []connState{connDialing, connBusy, connIdle, connClosed}
-	want := map[connEvent][]connState{ // after the event, in the order of states
+	want := map[connEvent][]connState{ // next states, in the order of states
 		callSent:    {connBusy, connBusy, connBusy, connClosed},
 		callReplied: {connDialing, connIdle, connIdle, connClosed},
 		connEnded:   {connClosed, connClosed, connClosed, connClosed},
--- a/internal/transport/registry/deregister_test.go
+++ b/internal/transport/registry/deregister_test.go
@@ -13,8 +13,8 @@
 	"oxbowbridge/internal/transport/session"
 )
 
-// TestDeregisterWhileOpening: a socket that finishes opening after Deregister does not list a
-// service again that takes no more work.
+// TestDeregisterWhileOpening guards against a service that is listed as available again after Deregister,
+// because a socket was still being opened at that time.
 func TestDeregisterWhileOpening(t *testing.T) {
 	registry, err := net.ListenPacket("udp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/transport/registry/golden_test.go
+++ b/internal/transport/registry/golden_test.go
@@ -13,8 +13,8 @@
 	"oxbowbridge/internal/transport/session"
 )
 
-// TestGoldenReports: the bytes of each report, the order of reports over a change of state,
-// a move to another address and the end, after which no report follows.
+// TestGoldenReports checks the bytes of each report, the reports after a change of availability and of the
+// address, and that no report follows Deregister.
 func TestGoldenReports(t *testing.T) {
 	listenDatagram := func() net.PacketConn {
 		conn, err := net.ListenPacket("udp", "127.0.0.1:0")
@@ -43,12 +43,12 @@
 		now += d
 		timers.RunDue(now)
 	}
-	reporter.SetAvailable(false) // nothing is reported before Open
+	reporter.SetAvailable(false) // nothing is reported before Register
 	reporter.SetAvailable(true)
 	reporter.Register()
 	expectReport(first, "PULSE n3 open")
 	advance(299 * time.Millisecond)
-	advance(time.Millisecond) // the period
+	advance(time.Millisecond) // the report interval has passed
 	expectReport(first, "PULSE n3 open")
 	reporter.SetAvailable(false)
 	expectReport(first, "PULSE n3 closed")
--- a/internal/transport/registry/out_of_turn_test.go
+++ b/internal/transport/registry/out_of_turn_test.go
@@ -15,20 +15,21 @@
 )
 
 const (
-	socketOpenDelay = 200 * time.Microsecond // for a socket that is being opened
+	socketOpenDelay = 200 * time.Microsecond // time for a socket to open
 	registryCount   = 2
 )
 
-// reporterFixture is a Reporter whose dispatcher is the test, and registries that the test speaks for.
+// reporterFixture holds a Reporter and two registries. The test acts as the dispatcher and as the
+// registries.
 type reporterFixture struct {
 	t            *testing.T
 	reporter     *Reporter
 	exchange     *exchange.Exchange
 	now          time.Duration
 	addrs        []string
-	registries   []net.PacketConn // nil while that registry is gone
-	reporterAddr net.Addr         // of the latest report
-	available    bool             // as the dispatcher said last
+	registries   []net.PacketConn // nil while the registry is stopped
+	reporterAddr net.Addr         // source address of the latest report
+	available    bool             // latest argument of SetAvailable
 	deregistered bool
 }
 
@@ -57,7 +58,7 @@
 	}
 }
 
-// restartRegistry has a registry listen at its address again.
+// restartRegistry makes a stopped registry listen at its address again.
 func (f *reporterFixture) restartRegistry(i int) {
 	if f.registries[i] != nil {
 		return
@@ -72,7 +73,7 @@
 	}, 10*time.Second, time.Millisecond)
 }
 
-// Turn has what was posted handled.
+// Turn runs due timers and the posted callbacks.
 func (f *reporterFixture) Turn() {
 	time.Sleep(socketOpenDelay)
 	f.reporter.Timers.RunDue(f.now)
@@ -81,7 +82,7 @@
 	}
 }
 
-// readReports returns the reports that a registry has not read yet, each of which is one of the two.
+// readReports returns the reports that a registry has not read yet, and checks that each is valid.
 func (f *reporterFixture) readReports(i int) (reports []string) {
 	if f.registries[i] == nil {
 		return nil
@@ -100,7 +101,7 @@
 	}
 }
 
-// Step does one of the things that a dispatcher or a registry does.
+// Step executes one action of a dispatcher or a registry, which action selects.
 func (f *reporterFixture) Step(action, value byte) {
 	i := int(value) % registryCount
 	switch action % 10 {
@@ -132,14 +133,14 @@
 	}
 }
 
-// FuzzRegistryOutOfTurn: a registry that vanishes, comes back, moves and sends what nobody reads
-// does not end the reports: one that is well again hears what the dispatcher said last, and
-// nothing but "closed" after the end.
+// FuzzRegistryOutOfTurn checks that the reports continue after a registry was stopped, restarted, moved to
+// another address, or has sent unexpected datagrams. A restarted registry receives the availability that
+// the dispatcher set last, and only "closed" after Deregister.
 func FuzzRegistryOutOfTurn(f *testing.F) {
 	outofturn.Fuzz(f, newReporterFixture)
 }
 
-// EndWell has all registries come back, and the reporter go on with another period.
+// EndWell restarts all registries and checks the reports of one more interval.
 func (f *reporterFixture) EndWell() {
 	for i := range f.registries {
 		f.restartRegistry(i)
@@ -170,5 +171,5 @@
 		want = "PULSE n3 closed"
 	}
 	require.Equal(f.t, want, reports[0])
-	require.Empty(f.t, f.readReports(0), "reports at the address before")
+	require.Empty(f.t, f.readReports(0), "reports at the earlier address")
 }
--- a/internal/transport/registry/protocol.go
+++ b/internal/transport/registry/protocol.go
@@ -1,18 +1,18 @@
 package registry
 
-// commandReport begins a report, as the protocol names it; the service's name and its
-// availability follow. These names appear in no other file.
+// commandReport is the first word of a report. The service's name and its availability follow. Only this
+// file contains the protocol's names.
 const commandReport = "PULSE"
 
-// availability is what a report says of the service.
+// availability is the state of the service in a report.
 type availability string
 
 const (
 	available   availability = "open"
-	unavailable availability = "closed" // listed, and takes no work
+	unavailable availability = "closed" // listed, but accepts no requests
 )
 
-// encodeReport returns the datagram of a encodeReport.
+// encodeReport returns a report as a datagram.
 func encodeReport(name string, a availability) []byte {
 	return []byte(commandReport + " " + name + " " + string(a))
 }
--- a/internal/transport/registry/reporter.go
+++ b/internal/transport/registry/reporter.go
@@ -1,6 +1,6 @@
-// Package registry reports this service to the registry that lists it for its balancers. It
-// belongs to the dispatcher's goroutine; sockets are opened on goroutines of their own (see
-// package session).
+// Package registry reports the availability of this service to the service registry, which lists it for
+// its balancers. A Reporter is used on the dispatcher's goroutine only. Each socket is opened on its own
+// goroutine (see package session).
 package registry
 
 import (
@@ -13,12 +13,13 @@
 	"oxbowbridge/internal/transport/session"
 )
 
-// reportInterval is the time between reports. An entry lapses 3 s after its last one, which is 10
-// reports: with a quarter of them lost on the way, all 10 are lost once in a million times.
+// reportInterval is the time between reports. The registry removes an entry 3 s after its last report,
+// which is 10 reports. If a quarter of the datagrams are lost, all 10 are lost with a probability of
+// about one in a million.
 const reportInterval = 300 * time.Millisecond
 
-// state is how far the registration is. It goes one way: reporting by Register, deregistered by
-// Deregister.
+// state is the state of the registration. Register changes it to reporting, and Deregister changes it to
+// deregistered, which is final.
 type state uint8
 
 const (
@@ -27,35 +28,36 @@
 	deregistered
 )
 
-// String returns the name of s.
+// String returns the state's name.
 func (s state) String() string {
 	return [...]string{"unregistered", "reporting", "deregistered"}[s]
 }
 
-// Reporter sends the reports, each a datagram that gets no answer.
+// Reporter sends the reports. Each is a datagram without a response.
 type Reporter struct {
 	session.Config
-	addr         string // "" without a registry
-	name         string // of this service
+	addr         string // empty if there is no registry
+	name         string // name of this service
 	state        state
-	availability availability // in the next report
-	socket       *socket      // nil if the next report is to open one
+	availability availability // sent in the next report
+	socket       *socket      // nil if the next report has to open one
 	timer        *timerqueue.Timer
 	unreachable  bool // the latest report could not be sent
 }
 
-// socket is a socket to one address. A Reporter whose address changes leaves it, also while it
-// is being opened.
+// socket is a datagram socket to one address. The Reporter drops the socket when its address changes,
+// even while the socket is being opened.
 type socket struct {
-	conn *eventloop.DatagramConn // nil until it is open
+	conn *eventloop.DatagramConn // nil until the socket is open
 }
 
-// New returns a Reporter that reports nothing yet, and nothing ever without an address.
+// New returns a Reporter that sends no reports before Register. Without an address it never sends any.
 func New(addr, name string, deps session.Config) *Reporter {
 	return &Reporter{Config: deps, addr: addr, name: name, availability: available}
 }
 
-// Register reports this service from now on, as available until SetAvailable says otherwise.
+// Register starts the periodic reports. The service is reported as available unless SetAvailable has
+// changed that.
 func (r *Reporter) Register() {
 	if r.state == deregistered {
 		return
@@ -79,7 +81,7 @@
 	}
 }
 
-// openSocket opens a socket and sends a report once it is openSocket.
+// openSocket opens a socket and sends a report once the socket is open.
 func (r *Reporter) openSocket() {
 	s := &socket{}
 	r.socket = s
@@ -99,7 +101,7 @@
 	})
 }
 
-// SetAddress reports to another address from now on.
+// SetAddress sends the following reports to another address.
 func (r *Reporter) SetAddress(addr string) {
 	if addr == r.addr {
 		return
@@ -116,8 +118,8 @@
 	}
 }
 
-// SetAvailable reports from now on that this service is available, or that it is listed and
-// takes no work. Reports get lost: each that follows says the same.
+// SetAvailable changes whether this service is reported as available or as accepting no requests. The
+// periodic reports repeat the value, since a datagram may be lost.
 func (r *Reporter) SetAvailable(isAvailable bool) {
 	if r.state == deregistered {
 		return
@@ -132,8 +134,8 @@
 	}
 }
 
-// Deregister reports this service as unavailable, and nothing after that: its entry lapses. Where a
-// socket is being opened, that report is its first.
+// Deregister reports this service as unavailable and stops the reports, so that the registry removes the
+// entry. If a socket is still being opened, that report is sent once it is open.
 func (r *Reporter) Deregister() {
 	r.state = deregistered
 	r.availability = unavailable
@@ -141,7 +143,7 @@
 	r.sendReport(r.availability)
 }
 
-// sendReport sends a report, if the socket is open.
+// sendReport sends a report if the socket is open.
 func (r *Reporter) sendReport(availability availability) {
 	if r.socket == nil || r.socket.conn == nil {
 		return
@@ -153,10 +155,11 @@
 	}
 }
 
-// handleSendFailure logs once that reports can't be sent. The next one is sent all the same.
+// handleSendFailure logs that a report can't be sent, once until a report succeeds. The next report is
+// still sent.
 func (r *Reporter) handleSendFailure(err error) {
 	if !r.unreachable {
-		r.Log.Warn("registry not reached", zap.Error(err))
+		r.Log.Warn("registry unreachable", zap.Error(err))
 	}
 	r.unreachable = true
 }
--- a/internal/transport/session/line_handler.go
+++ b/internal/transport/session/line_handler.go
@@ -2,22 +2,24 @@
 
 import "oxbowbridge/internal/transport/lineproto"
 
-// LineHandler is the eventloop.Handler of a connection that speaks a line protocol.
+// LineHandler is the eventloop.Handler of a connection with a line protocol. It parses the input and
+// calls the session on the dispatcher's goroutine.
 type LineHandler struct {
 	Config Config
-	Parser lineproto.Parser // of the event loop's goroutine
-	// IsCurrent reports whether the session still uses the connection; if not, nothing more is
-	// reported. It and the other functions are called on the dispatcher's goroutine.
+	Parser lineproto.Parser // used on the event loop's goroutine only
+	// IsCurrent reports whether the session still uses the connection. If not, messages and the loss
+	// of the connection are dropped. IsCurrent, OnMessage and OnLost are called on the dispatcher's
+	// goroutine.
 	IsCurrent func() bool
 	OnMessage func(lineproto.Message)
-	// OnLost is called when the connection is closed, and when its input is malformed: nothing after
-	// that can be trusted.
+	// OnLost is called when the connection is closed, and when its input is malformed. Input after a
+	// malformed message is dropped.
 	OnLost func(error)
 
-	malformed bool // of the event loop's goroutine
+	malformed bool // used on the event loop's goroutine only
 }
 
-// OnData parses received bytes.
+// OnData parses received bytes and posts each complete message.
 func (h *LineHandler) OnData(received []byte) {
 	if h.malformed {
 		return
--- a/internal/transport/session/session.go
+++ b/internal/transport/session/session.go
@@ -1,14 +1,14 @@
-// Package session holds what the sessions with the services behind this one share: the engine,
-// the records service, AJP upstreams and the registry. A session is what one of these packages
-// keeps of its service: connections, or a datagram socket of the registry, which are replaced
-// when they are lost or the address changes, and the runs or calls that outlive them.
+// Package session contains the code that is shared by the sessions with outside services: the engine,
+// the records service, AJP upstreams and the service registry. A session holds the connections to its
+// service (for the registry a datagram socket) and replaces them when they are lost or the address
+// changes. It also holds the runs or calls, which outlive a connection.
 //
 // # Goroutines
 //
-// A session belongs to the dispatcher's goroutine. Dials run on goroutines of their own, and the
-// event loop's goroutine parses what arrives; both post what is to be done to the exchange, as a
-// callback that the dispatcher's goroutine carries out. Writes to a connection are made on the
-// dispatcher's goroutine (see package eventloop).
+// A session is used on the dispatcher's goroutine only. Each dial runs on its own goroutine, and the
+// event loop's goroutine parses the input. Both post callbacks to the exchange, which the
+// dispatcher's goroutine runs. Writes to a connection are made on the dispatcher's goroutine (see
+// package eventloop).
 package session
 
 import (
@@ -23,16 +23,16 @@
 
 const dialTimeout = time.Second
 
-// Config is what a session works with.
+// Config contains the dependencies of a session.
 type Config struct {
 	Exchange *exchange.Exchange   // receives outcomes and callbacks
-	Loop     *eventloop.Loop      // of all connections
-	Timers   *timerqueue.Queue    // of the dispatcher's goroutine
+	Loop     *eventloop.Loop      // serves all connections
+	Timers   *timerqueue.Queue    // run by the dispatcher's goroutine
 	Now      func() time.Duration // monotonic, since the start of the process
 	Log      *zap.Logger
 }
 
-// Dial connects and has opened called on the dispatcher's goroutine.
+// Dial connects to addr and calls opened with the result on the dispatcher's goroutine.
 func (d Config) Dial(addr string, h eventloop.Handler, opened func(*eventloop.Conn, error)) {
 	handler := func(*eventloop.Conn) eventloop.Handler { return h }
 	d.Loop.Dial(addr, dialTimeout, handler, func(c *eventloop.Conn, err error) {
@@ -40,12 +40,13 @@
 	})
 }
 
-// DialDatagram opens a socket for datagrams and has opened called on the dispatcher's goroutine.
+// DialDatagram opens a datagram socket to addr and calls opened with the result on the dispatcher's
+// goroutine.
 func (d Config) DialDatagram(addr string, opened func(*eventloop.DatagramConn, error)) {
 	eventloop.DialDatagram(addr, dialTimeout, func(c *eventloop.DatagramConn, err error) {
 		d.post(func() { opened(c, err) })
 	})
 }
 
-// post has f called on the dispatcher's goroutine.
+// post makes the dispatcher's goroutine call f.
 func (d Config) post(f func()) { d.Exchange.Post(exchange.Callback(f)) }
