--- a/internal/transport/frontend/conn.go
+++ b/internal/transport/frontend/conn.go
@@ -9,59 +9,63 @@
 	"oxbowbridge/internal/transport/eventloop"
 )
 
-// Codec is a protocol's part of one connection: its parser, and the requests that have begun
-// on the connection. Its requests are guarded by the lock of the Conn.
+// Codec is the protocol-specific part of one connection: its parser, and the requests that have started
+// on the connection. The lock of the Conn guards the requests.
 type Codec interface {
-	// Feed parses received bytes and handles each message that they complete, until one is at
-	// fault. It is called on the event loop's goroutine, and no more after an error.
+	// Feed parses received bytes and handles each complete message, up to the first malformed one.
+	// It is called on the event loop's goroutine, and not again after an error.
 	Feed(received []byte) error
-	// HoldsPartialMessage reports whether part of a message waits in the parser for the rest.
+	// HoldsPartialMessage reports whether the parser has buffered part of a message.
 	// It is called on the event loop's goroutine.
 	HoldsPartialMessage() bool
-	// HasIncompleteRequest reports whether a request has begun and not arrived completely. The
-	// lock of the Conn is held.
+	// HasIncompleteRequest reports whether a request has started and was not received completely. The
+	// caller holds the lock of the Conn.
 	HasIncompleteRequest() bool
-	// DiscardIncomplete forgets the requests that have not arrived completely, and returns how
-	// many of them had no answer. The lock of the Conn is held.
+	// DiscardIncomplete removes the requests that were not received completely, and returns how many
+	// of them had no response. The caller holds the lock of the Conn.
 	DiscardIncomplete() (unanswered int)
-	// DiscardAll forgets all requests, since their connection is lost, and returns those that were
-	// submitted and have no answer. The lock of the Conn is held.
+	// DiscardAll removes all requests after the connection was closed, and returns those that were
+	// submitted and have no response. The caller holds the lock of the Conn.
 	DiscardAll() (unanswered []*exchange.Request)
 }
 
-// Conn is one connection of a caller. It is open until its caller closes it, until it is idle
-// or stalled for too long (see reap.go), until it is evicted (evict.go), until its caller breaks
-// a limit (limits.go) or until the process drains. Drain makes it refuse further requests; it is
-// closed gracefully once those that are open are answered.
+// Conn is one connection from a caller. It is closed in these cases:
+//   - the caller closes it;
+//   - it is idle or stalled for too long (reap.go);
+//   - it is evicted (evict.go);
+//   - its caller exceeds a limit (limits.go);
+//   - the process drains.
+//
+// Drain makes the connection reject further requests. The connection is closed gracefully once the open
+// requests are answered.
 type Conn struct {
-	// Mutex guards the fields below, unless stated otherwise, and the Codec's requests.
+	// Mutex guards the fields below, unless noted otherwise, and the Codec's requests.
 	sync.Mutex
 	*eventloop.Conn
 	server *Server
 	codec  Codec
 
-	lastActive      time.Time // when a request last ended, or the connection was made; AJP: also when one began
-	openRequests    int       // that have begun and have no answer
-	rejectsRequests bool      // no request begins any more; closed once those that are open are answered
-	receivedRequest bool      // a complete request, or a keep-alive of the protocol, has arrived
-	partialMessage  bool      // the parser held part of a message after the latest bytes
+	lastActive      time.Time // when the connection was opened or a request last ended; with AJP, or last started
+	openRequests    int       // requests that have started and have no response
+	rejectsRequests bool      // no more requests start; the connection is closed once the open ones are answered
+	receivedRequest bool      // a complete request, or a keep-alive of the protocol, was received
+	partialMessage  bool      // the parser had buffered part of a message after the latest bytes
 	stall           stall
 
-	consecutiveInvalid atomic.Int32 // faulty requests since the latest good one
+	consecutiveInvalid atomic.Int32 // invalid requests since the latest valid one
 
-	// Of the event loop's goroutine alone.
-	malformed    bool // the input was at fault; what follows is dropped
-	skippedBytes int  // input that belonged to no request, since the latest one that did
+	// Used on the event loop's goroutine only.
+	malformed    bool // the input was malformed; further input is dropped
+	skippedBytes int  // bytes that belonged to no request, since the latest request
 }
 
-// NewConn returns the frontend's part of a connection whose messages codec parses.
+// NewConn returns a Conn whose input is parsed by codec.
 func NewConn(server *Server, c *eventloop.Conn, codec Codec) *Conn {
 	return &Conn{Conn: c, server: server, codec: codec, lastActive: time.Now()}
 }
 
-// OnData feeds the parser. After a fault nothing can be trusted and the rest is dropped, while
-// the requests that came before it are answered, unless the caller floods the connection or
-// does not read.
+// OnData passes received bytes to the parser. After malformed input, further bytes are dropped. Earlier
+// requests are still answered, unless the caller floods the connection or does not read responses.
 func (c *Conn) OnData(received []byte) {
 	c.parse(received)
 	partial := c.codec.HoldsPartialMessage()
@@ -70,8 +74,8 @@
 	c.Unlock()
 }
 
-// OnClose forgets the connection and reports its open requests as abandoned. What has not
-// arrived to its end was never a request.
+// OnClose removes the closed connection and reports its open requests as aborted by the caller.
+// Requests that were not received completely are discarded.
 func (c *Conn) OnClose(error) {
 	c.server.remove(c)
 	c.Lock()
@@ -83,28 +87,29 @@
 	}
 }
 
-// RejectsRequests reports whether no request begins on the connection any more, as it is being
-// closed. That may be so without a drain of the service. The lock is held.
+// RejectsRequests reports whether the connection starts no more requests because it is being closed,
+// with or without a drain of the service. The caller holds the lock.
 func (c *Conn) RejectsRequests() bool { return c.rejectsRequests }
 
-// OpenRequests is the number of requests that have begun and have no answer. The lock is held.
+// OpenRequests returns the number of requests that have started and have no response. The caller holds
+// the lock.
 func (c *Conn) OpenRequests() int { return c.openRequests }
 
-// RequestStarted counts a request as open. The lock is held.
+// RequestStarted counts another open request. The caller holds the lock.
 func (c *Conn) RequestStarted() { c.openRequests++ }
 
-// MarkActive marks the connection as active now. The lock is held.
+// MarkActive sets the time of the latest activity to now. The caller holds the lock.
 func (c *Conn) MarkActive() { c.lastActive = time.Now() }
 
-// RequestArrived notes that a request, or a keep-alive of the protocol, has arrived
-// completely: the caller is not stalled. The lock is held.
+// RequestArrived records that a request, or a keep-alive of the protocol, was received completely, which
+// shows that the caller is not stalled. The caller holds the lock.
 func (c *Conn) RequestArrived() {
 	c.receivedRequest = true
 	c.stall.sweeps = 0
 }
 
-// Drain lets no request begin any more, forgets what has not arrived completely, and closes
-// the connection gracefully once the open requests are answered.
+// Drain rejects further requests, discards those that were not received completely, and closes the
+// connection gracefully once the open requests are answered.
 func (c *Conn) Drain() {
 	c.Lock()
 	defer c.Unlock()
@@ -114,8 +119,8 @@
 	c.closeOnceAnswered()
 }
 
-// closeOnceAnswered lets no request begin any more, and closes the connection gracefully if
-// none is open. The lock is held.
+// closeOnceAnswered rejects further requests, and closes the connection gracefully if no request is
+// open. The caller holds the lock.
 func (c *Conn) closeOnceAnswered() {
 	c.rejectsRequests = true
 	if c.openRequests <= 0 {
@@ -123,7 +128,7 @@
 	}
 }
 
-// requestAnswered counts an open request as answered. The lock is held.
+// requestAnswered counts an open request as answered. The caller holds the lock.
 func (c *Conn) requestAnswered() {
 	c.openRequests--
 	c.lastActive = time.Now()
@@ -132,16 +137,15 @@
 	}
 }
 
-// HasPartialMessage reports whether part of a message or of a request has arrived, parsed or
-// not.
+// HasPartialMessage reports whether part of a message or of a request was received, parsed or not.
 func (c *Conn) HasPartialMessage() bool {
 	c.Lock()
 	defer c.Unlock()
 	return c.hasPartialMessage() || c.HasUnread()
 }
 
-// hasPartialMessage reports whether part of a message or of a request has been parsed. The lock
-// is held.
+// hasPartialMessage reports whether part of a message or of a request was parsed. The caller holds the
+// lock.
 func (c *Conn) hasPartialMessage() bool {
 	return c.codec.HasIncompleteRequest() || c.partialMessage
 }
--- a/internal/transport/frontend/evict.go
+++ b/internal/transport/frontend/evict.go
@@ -7,24 +7,24 @@
 	"oxbowbridge/internal/proxy/exchange"
 )
 
-// firstRequestGracePeriod is how long a new connection has for its first request before it may be
-// evicted: the request may have been sent with the connection.
+// firstRequestGracePeriod is how long a new connection is protected from eviction (except in groups 3
+// and 4 of evictOne), since its first request may already be on its way.
 const firstRequestGracePeriod = exchange.MaxCloseRace
 
-// evictOne closes a connection to make room for a new one, and reports whether it found one. The
-// order of candidates, within each group the one inactive for longest first:
+// evictOne closes a connection to make room for a new one, and reports whether it could evict one. It
+// tries connections in the order of these groups, and within a group the longest inactive first:
 //
-//  1. no complete request yet, made at least minFirstRequestTime ago, and no part of one;
+//  1. no complete request and no part of one, and opened at least firstRequestGracePeriod ago;
 //  2. idle after at least one complete request;
-//  3. no complete request yet and made just now, no part of one;
-//  4. part of its first request.
+//  3. no complete request and no part of one, and opened more recently;
+//  4. part of the first request received.
 //
-// A connection with open requests, or with bytes that are not parsed yet, is never evicted: a
-// complete request may be among them, and its caller could not know that nothing ran. Rejecting
-// the new connection is safer then. The lock of the Server is held.
+// A connection with open requests or unparsed bytes is never evicted. A complete request may be among
+// the bytes, and the caller could not know that it did not run, so rejecting the new connection is
+// safer. The caller holds the lock of the Server.
 //
-// evictAny is the whole rule; the two candidates that are tried before it are those that it would
-// try first, found without sorting.
+// evictAny implements the complete order. evictOne first tries the longest inactive connections of
+// groups 1 and 2, which it finds without sorting.
 func (s *Server) evictOne() bool {
 	now := time.Now()
 	unused, used := s.longestInactive()
@@ -37,9 +37,9 @@
 	return s.evictAny(now)
 }
 
-// longestInactive returns, of the connections without a complete request and of the others, the
-// one that has been inactive for longest, nil if there is none. It is the quick way for the many
-// new connections of a busy frontend.
+// longestInactive returns the longest inactive connection of those without a complete request (unused)
+// and of those with one (used), nil if there is none. It does not sort, which keeps accepting fast on a
+// busy frontend with many new connections.
 func (s *Server) longestInactive() (unused, used *Conn) {
 	var unusedSince, usedSince time.Time
 	for c := range s.conns {
@@ -54,7 +54,8 @@
 	return unused, used
 }
 
-// evictAny looks at all connections, where those inactive for longest can't be evicted.
+// evictAny tries all connections in the order that evictOne documents. It is called if the longest
+// inactive ones can't be evicted.
 func (s *Server) evictAny(now time.Time) bool {
 	unused, used := s.byInactivity()
 	firstTooNew := slices.IndexFunc(unused, func(c *Conn) bool { return !firstRequestGraceOver(c, now) })
@@ -76,8 +77,8 @@
 	return false
 }
 
-// byInactivity lists the connections without a complete request, and the others, those that
-// have been inactive for longest first.
+// byInactivity returns the connections without a complete request (unused) and those with one (used),
+// each sorted with the longest inactive first.
 func (s *Server) byInactivity() (unused, used []*Conn) {
 	lastActive := make(map[*Conn]time.Time, len(s.conns))
 	for c := range s.conns {
@@ -95,7 +96,7 @@
 	return unused, used
 }
 
-// evictIdle closes a connection if it is idle, and reports whether it was.
+// evictIdle closes a connection if it is idle, and reports whether it did.
 func (s *Server) evictIdle(c *Conn, now time.Time) bool {
 	if !c.CloseIfIdle(now, 0) {
 		return false
@@ -104,8 +105,7 @@
 	return true
 }
 
-// activity returns when the connection was last active, and whether it has had no complete
-// request yet.
+// activity returns when the connection was last active, and whether it has received no complete request.
 func (c *Conn) activity() (lastActive time.Time, unused bool) {
 	c.Lock()
 	defer c.Unlock()
--- a/internal/transport/frontend/golden_test.go
+++ b/internal/transport/frontend/golden_test.go
@@ -12,8 +12,7 @@
 	"oxbowbridge/internal/proxy/exchange"
 )
 
-// TestGoldenFields: what each field of a request on the wire becomes, and which of its values
-// are no request.
+// TestGoldenFields checks how each header of a request is decoded, and which values are rejected.
 func TestGoldenFields(t *testing.T) {
 	now := time.Now()
 	classes := map[string]Class{"read": {Index: 3}, "write": {Index: 4, NeedsIdempotencyKey: true}}
@@ -38,7 +37,7 @@
 		{"Project", "north", func(r *exchange.Request) { r.Tenant = "north" }},
 		{"Lookup-Key", "k", func(r *exchange.Request) { r.HasSubject = true }},
 		{"Is-Retry", "1", func(r *exchange.Request) { r.IsRetry = true }},
-		{"Replay-Key", "k", func(*exchange.Request) {}}, // of this class it is none
+		{"Replay-Key", "k", func(*exchange.Request) {}}, // ignored, as the class needs no idempotency key
 		{"Client-No", "2147483647", func(*exchange.Request) {}},
 		{"Expected-Ms", "12.5", func(r *exchange.Request) { r.ExpectedWork = 12500 * time.Microsecond }},
 		{"Max-Wait-Ms", "1000000000", func(r *exchange.Request) { r.Timeout = 1e9 * time.Millisecond }},
@@ -79,7 +78,7 @@
 	}
 }
 
-// TestGoldenReplies: the status, headers and body of each result.
+// TestGoldenReplies checks the status, headers and body of each kind of response.
 func TestGoldenReplies(t *testing.T) {
 	x := exchange.New(1)
 	require.Empty(t, CommonHeaders(x))
--- a/internal/transport/frontend/headers.go
+++ b/internal/transport/frontend/headers.go
@@ -6,28 +6,28 @@
 // healthCheckPath is the path of a health check.
 const healthCheckPath = "/ping"
 
-// The fields of a request as the protocol names them. These names appear in no other file.
+// Headers of a request. Only this file contains the protocol's names.
 const (
-	HeaderTraceID        = "Trace-Id"       // 16 hex digits, new with every attempt
-	headerAcceptedAt     = "Accepted-At-Ms" // arrival at the machine, Unix milliseconds
-	headerBalancerNumber = "Client-No"      // number of the balancer; checked and not used
+	HeaderTraceID        = "Trace-Id"       // 16 hex digits, different for each attempt
+	headerAcceptedAt     = "Accepted-At-Ms" // arrival time at the machine, Unix milliseconds
+	headerBalancerNumber = "Client-No"      // number of the balancer; validated but not used
 	headerIsRetry        = "Is-Retry"       // "1" marks a retry or a hedged request
 	headerExpectedWork   = "Expected-Ms"    // expected work on one core, milliseconds
 	headerMemory         = "Reserve-Kb"     // memory reserved for the request, kB
-	headerRank           = "Standing"       // rank, from 0 to under 1
-	headerSubject        = "Lookup-Key"     // subject of a read; absent in writes
+	headerRank           = "Standing"       // rank, at least 0 and less than 1
+	headerSubject        = "Lookup-Key"     // subject of a read; absent from writes
 	headerIdempotencyKey = "Replay-Key"     // idempotency key of a deduplicated class
-	headerTenant         = "Project"        // tenant, at sites that have tenants
-	headerTimeout        = "Max-Wait-Ms"    // how long the caller waits, milliseconds since arrival
+	headerTenant         = "Project"        // tenant, at sites with tenants
+	headerTimeout        = "Max-Wait-Ms"    // the caller's timeout, milliseconds since arrival
 )
 
-// The fields of a response as the protocol names them.
+// Headers of a response.
 const (
-	headerRetryAfter       = "Hold-Off-Ms"     // on a rejection: when to come back, milliseconds
-	headerNoOtherServer    = "No-Other-Server" // on a rejection: "1" asks for no retry at another server
+	headerRetryAfter       = "Hold-Off-Ms"     // on a rejection: the earliest retry, in milliseconds
+	headerNoOtherServer    = "No-Other-Server" // on a rejection: "1" tells the caller not to retry at another server
 	headerFeedback         = "Feedback"        // the value that the admission controller advertises
 	headerNoOtherServerSet = "1"
 )
 
-// Header is a field of a response.
+// Header is a header of a response.
 type Header struct{ Name, Value string }
--- a/internal/transport/frontend/limits.go
+++ b/internal/transport/frontend/limits.go
@@ -9,22 +9,23 @@
 	"oxbowbridge/internal/proxy/exchange"
 )
 
-// Limits on one caller, far above what a balancer needs. Beyond the first two the connection is
-// drained; beyond the others, for callers that do not read or that flood, it is aborted.
+// Limits on one connection, far above what a balancer needs. If one of the first two is exceeded, the
+// connection is drained. If one of the others is exceeded, because the caller does not read responses or
+// floods the connection, it is aborted.
 const (
-	maxConsecutiveInvalid  = 16        // faulty requests without a good one between them; one more drains
-	maxSkippedBytes        = 64 << 10  // input that belongs to no request, between two that do
-	maxUnreadResponseBytes = 192 << 10 // answers that wait to be read when more input arrives
-	maxBytesAfterMalformed = 1 << 20   // dropped input, while requests before the fault are answered
+	maxConsecutiveInvalid  = 16        // invalid requests without a valid one between them
+	maxSkippedBytes        = 64 << 10  // input between two requests that belongs to neither
+	maxUnreadResponseBytes = 192 << 10 // unsent responses when more input arrives
+	maxBytesAfterMalformed = 1 << 20   // dropped input after a malformed message, while earlier requests are answered
 )
 
 var (
-	errTooManyInvalid  = fmt.Errorf("more than %d faulty requests in a row", maxConsecutiveInvalid)
+	errTooManyInvalid  = fmt.Errorf("more than %d consecutive invalid requests", maxConsecutiveInvalid)
 	errTooMuchInput    = fmt.Errorf("more than %d bytes that belong to no request", maxSkippedBytes)
-	errResponsesUnread = fmt.Errorf("more than %d bytes of answers not read", maxUnreadResponseBytes)
+	errResponsesUnread = fmt.Errorf("more than %d bytes of responses not read by the caller", maxUnreadResponseBytes)
 )
 
-// parse feeds the Codec and applies the limits.
+// parse passes received bytes to the Codec and enforces the limits.
 func (c *Conn) parse(received []byte) {
 	if c.malformed {
 		c.skippedBytes += len(received)
@@ -49,9 +50,9 @@
 	}
 }
 
-// CountSkippedBytes counts input that belongs to no request, or to one that has failed: to read a body
-// without end would cost more than all that is useful. It is called on the event loop's
-// goroutine.
+// CountSkippedBytes counts input that belongs to no request, or to one that has failed. It returns an
+// error beyond maxSkippedBytes, since reading an endless body would cost more than the valid requests.
+// It is called on the event loop's goroutine.
 func (c *Conn) CountSkippedBytes(bytes int) error {
 	c.skippedBytes += bytes
 	if c.skippedBytes > maxSkippedBytes {
@@ -60,7 +61,8 @@
 	return nil
 }
 
-// CountInvalidRequest counts a faulty request, against callers that send nothing else.
+// CountInvalidRequest counts an invalid request. It returns an error beyond maxConsecutiveInvalid, for
+// callers that send only invalid requests.
 func (c *Conn) CountInvalidRequest() error {
 	if c.consecutiveInvalid.Add(1) > maxConsecutiveInvalid {
 		return errTooManyInvalid
@@ -68,7 +70,8 @@
 	return nil
 }
 
-// CountResponse counts an answered request: a good one makes up for the faulty ones before it.
+// CountResponse updates the count of consecutive invalid requests after a response. A valid request
+// resets the count.
 func (c *Conn) CountResponse(response exchange.Response) {
 	if !response.InvalidRequest {
 		c.consecutiveInvalid.Store(0)
--- a/internal/transport/frontend/open_request.go
+++ b/internal/transport/frontend/open_request.go
@@ -6,24 +6,24 @@
 	"oxbowbridge/internal/proxy/exchange"
 )
 
-// OpenRequest is one request of a connection, from its first byte to its answer; a Codec embeds it in
-// its own. It is guarded by the lock of the connection.
+// OpenRequest is the state of one request on a connection, from its first byte to its response. A Codec
+// embeds it in its own request type. The lock of the connection guards it.
 type OpenRequest struct {
-	settled   bool              // answered, discarded, or its connection lost: nothing is written for it
-	submitted *exchange.Request // nil until it was handed to the exchange
+	settled   bool              // answered or discarded, or the connection is closed: nothing more is written for it
+	submitted *exchange.Request // nil until the request was submitted to the exchange
 }
 
-// Settled reports whether the request has its answer, or will get none.
+// Settled reports whether the request has its response, or will get none.
 func (open *OpenRequest) Settled() bool { return open.settled }
 
-// Discard settles a request without an answer, and reports whether it was open until then.
+// Discard settles a request without a response, and reports whether it was open until then.
 func (open *OpenRequest) Discard() (wasOpen bool) {
 	wasOpen = !open.settled
 	open.settled = true
 	return wasOpen
 }
 
-// PendingRequest returns the request if it was submitted and is not settled, else nil.
+// PendingRequest returns the submitted request if it is not settled, else nil.
 func (open *OpenRequest) PendingRequest() *exchange.Request {
 	if open.settled {
 		return nil
@@ -31,9 +31,10 @@
 	return open.submitted
 }
 
-// Submit hands a request to the exchange, and reports false if the process holds too many. A
-// request that was settled meanwhile is not handed over: its connection was lost, and the exchange
-// would be notified of that before it had the request. It is called on the event loop's goroutine.
+// Submit submits a request to the exchange, and reports false if the process has too many open requests.
+// A request that is already settled is not submitted. Its connection is closed, and the exchange would
+// be notified of the aborted request before it received the request. Submit is called on the event
+// loop's goroutine.
 func (c *Conn) Submit(open *OpenRequest, req *exchange.Request) bool {
 	c.skippedBytes = 0
 	accepted := c.submit(open, req)
@@ -53,8 +54,9 @@
 	return c.server.Exchange.Submit(req)
 }
 
-// WriteResponse writes the last bytes for a request, once; release has the Codec forget it. Without
-// keepAlive the connection takes no further request.
+// WriteResponse writes the response to a request and settles the request, unless it is settled already.
+// It calls release, with which the Codec removes the request. Without keepAlive the connection rejects
+// further requests.
 func (c *Conn) WriteResponse(open *OpenRequest, encoded []byte, keepAlive bool, release func()) {
 	c.Lock()
 	defer c.Unlock()
@@ -68,7 +70,7 @@
 	c.requestAnswered()
 }
 
-// ReportAborted notifies the exchange that the caller has aborted a request.
+// ReportAborted notifies the exchange that the caller has aborted a submitted request.
 func (c *Conn) ReportAborted(open *OpenRequest) {
 	c.Lock()
 	req := open.submitted
@@ -78,7 +80,7 @@
 	}
 }
 
-// LogFailedRequest logs a request that is answered with an error of the caller's.
+// LogFailedRequest logs a request that failed because of an error of the caller.
 func (c *Conn) LogFailedRequest(status int, err error) {
 	c.server.Log.Warn("request failed", zap.Int("status", status), zap.Error(err))
 }
--- a/internal/transport/frontend/reap.go
+++ b/internal/transport/frontend/reap.go
@@ -6,33 +6,33 @@
 	"go.uber.org/zap"
 )
 
-// maxStalledSweeps is the number of sweeps in a row for which a caller may be stalled; the next
-// one closes its connection. With the dispatcher's sweepInterval of 200 ms that is after 2 s.
-// Sweeps are counted rather than time, so that a pause of the machine does not count.
+// maxStalledSweeps is the number of consecutive sweeps during which a caller may make no progress. The
+// next sweep closes its connection, after 2 s with the dispatcher's sweepInterval of 200 ms. Sweeps are
+// counted instead of time, so that a pause of the machine does not count.
 const maxStalledSweeps = 9
 
-// stall counts for how long a caller has made no progress.
+// stall tracks how long a caller has made no progress.
 type stall struct {
-	sweeps      int // in a row without progress
-	unsentBytes int // pending at the latest sweep
+	sweeps      int // consecutive sweeps without progress
+	unsentBytes int // unsent bytes at the latest sweep
 }
 
-// progress is what a sweep finds of a caller.
+// progress is the state of a caller at a sweep.
 type progress uint8
 
 const (
-	progressing progress = iota // nothing is expected of it, or not for long
-	stalled                     // its first request, or the rest of one, is overdue
-	notReading                  // it has read no answer for maxStalledSweeps
+	progressing progress = iota // not stalled, or not for long enough
+	stalled                     // the first request, or the rest of a request, is overdue
+	notReading                  // the caller has read no response bytes for more than maxStalledSweeps
 )
 
-// String returns the name of p.
+// String returns the name of the progress state.
 func (p progress) String() string {
 	return [...]string{"progressing", "stalled", "not reading"}[p]
 }
 
-// checkProgress counts a sweep. A caller without progress has sent no request yet, or only part of
-// one, or has read no bytes of its answers since the sweep before.
+// checkProgress updates the stall counter at a sweep. A caller makes no progress while it has sent no
+// request or only part of one, or if it has read no response bytes since the previous sweep.
 func (c *Conn) checkProgress() progress {
 	c.Lock()
 	defer c.Unlock()
@@ -56,9 +56,9 @@
 }
 
 // CloseIfIdle closes the connection gracefully if no request has been open for the given time, and
-// reports whether it did. A connection with part of a message is not idle; nor is one with unread
-// bytes, which may be a request that was sent long before the close. For a connection that refuses
-// requests see finishDrain.
+// reports whether it did. A connection with part of a message is not idle. A connection with unread bytes
+// is not idle either, since they may be a request that was sent long before the close. A connection
+// that rejects requests is handled by finishDrain.
 func (c *Conn) CloseIfIdle(now time.Time, idle time.Duration) bool {
 	c.Lock()
 	defer c.Unlock()
@@ -72,16 +72,17 @@
 	return true
 }
 
-// finishDrain closes a connection that refuses requests if none is open. It reports whether that
-// is so, also while the connection is closing. The lock is held.
+// finishDrain closes a connection that rejects requests if no request is open. It reports true also if
+// the connection was already closing. The caller holds the lock.
 func (c *Conn) finishDrain() (closed bool) {
 	c.closeOnceAnswered()
 	return c.openRequests == 0
 }
 
-// Sweep closes the connections of callers that have stalled, and those that have been idle for the
-// given time. The connection of a caller that reads no answers is aborted. One whose request is
-// overdue is closed, or drained, unless it has unread bytes: the request may be among them.
+// Sweep closes the connections of stalled callers, and those that have been idle for the given time. The
+// connection of a caller that reads no responses is aborted. A connection whose request is overdue is
+// closed, or drained if it is not idle. It stays open if it has unread bytes, which may contain the
+// request.
 func (s *Server) Sweep(idle time.Duration) {
 	s.mu.Lock()
 	closed := 0
@@ -107,8 +108,9 @@
 	s.CloseIdle(idle)
 }
 
-// CloseIdle closes the connections that have had no open request for the given time. It returns
-// how many remain, one more while the listener is being closed, and how many bytes are pending.
+// CloseIdle closes the connections that have had no open request for the given time. It returns the
+// number of remaining connections, plus one while the listener is being closed, and the number of
+// unsent bytes.
 func (s *Server) CloseIdle(idle time.Duration) (remaining, unsentBytes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/transport/frontend/request.go
+++ b/internal/transport/frontend/request.go
@@ -9,38 +9,38 @@
 	"oxbowbridge/internal/proxy/exchange"
 )
 
-// MaxBodyBytes is the longest body of a request.
+// MaxBodyBytes is the maximum length of a request body.
 const MaxBodyBytes = 2 << 10
 
-// Ranges of a request's fields.
+// Limits of the request fields.
 const (
-	maxArrivalAge          = 2 * time.Minute // a request that arrived earlier is not waited for
-	maxArrivalAhead        = time.Minute     // clocks of one machine differ by less
+	maxArrivalAge          = 2 * time.Minute // the caller of an older request no longer waits for it
+	maxArrivalAhead        = time.Minute     // clocks on one machine differ by less
 	maxIdempotencyKeyBytes = 128
 	maxExpectedWorkMs      = 1e6
 	maxTimeoutMs           = 1e9
-	memoryLimitKB          = 2000 // exclusive, as the protocol has it
+	memoryLimitKB          = 2000 // exclusive, as defined by the protocol
 	rankLimit              = 1    // exclusive
 )
 
-// RawRequest is a request as a protocol carried it, before its fields are checked.
+// RawRequest is a request as received, before its fields are validated.
 type RawRequest struct {
 	Path   string
 	Method string
-	Header func(name string) string // value of a field, "" if it is absent
+	Header func(name string) string // returns the value of a header, "" if it is absent
 }
 
-// Class is what a frontend knows of a class of requests.
+// Class contains the settings of a request class that a frontend needs.
 type Class struct {
-	Index               int  // position in the settings
-	NeedsIdempotencyKey bool // its requests carry an idempotency key
+	Index               int  // index of the class in the settings
+	NeedsIdempotencyKey bool // requests must carry an idempotency key
 }
 
 // IsHealthCheck reports whether the request is a health check.
 func (r RawRequest) IsHealthCheck() bool { return r.Path == healthCheckPath }
 
-// Decode checks the fields and returns the request, without its body and responder. The error
-// names the first field at fault.
+// Decode validates the fields and returns the request without its body and responder. The error names
+// the first invalid field.
 func (r RawRequest) Decode(classes map[string]Class, now time.Time) (*exchange.Request, error) {
 	name, hasPrefix := strings.CutPrefix(r.Path, CallPathPrefix)
 	class, known := classes[name]
@@ -80,31 +80,31 @@
 	req.IdempotencyKey = r.Header(headerIdempotencyKey)
 	isInvalid := func(c rune) bool { return c <= ' ' || c > '~' || c == ',' }
 	if req.IdempotencyKey == "" || len(req.IdempotencyKey) > maxIdempotencyKeyBytes || strings.ContainsFunc(req.IdempotencyKey, isInvalid) {
-		return fmt.Errorf("%s %.80q: want 1 to %d plain characters", headerIdempotencyKey, req.IdempotencyKey, maxIdempotencyKeyBytes)
+		return fmt.Errorf("%s %.80q: want 1 to %d visible ASCII characters without comma", headerIdempotencyKey, req.IdempotencyKey, maxIdempotencyKeyBytes)
 	}
 	return nil
 }
 
-// decodeOrigin reads the fields on the attempt and on the balancer.
+// decodeOrigin decodes the retry mark and checks the balancer's number.
 func (r RawRequest) decodeOrigin(req *exchange.Request) error {
 	switch retry := r.Header(headerIsRetry); retry {
 	case "":
 	case "1":
 		req.IsRetry = true
 	default:
-		return fmt.Errorf("%s %q: want 1 or nothing", headerIsRetry, retry)
+		return fmt.Errorf("%s %q: want 1 or an empty value", headerIsRetry, retry)
 	}
 	if number := r.Header(headerBalancerNumber); number != "" {
 		if _, err := strconv.ParseUint(number, 10, 31); err != nil {
-			return fmt.Errorf("%s %q: want a number", headerBalancerNumber, number)
+			return fmt.Errorf("%s %q: want an integer from 0 to 2147483647", headerBalancerNumber, number)
 		}
 	}
 	return nil
 }
 
-// decodeArrival converts the time of arrival from Unix time to the monotonic clock; an arrival in
-// the future counts as now. Times far from now are rejected: the admission controller would mistake
-// the long wait for an overload of this process.
+// decodeArrival converts the arrival time from Unix time to the monotonic clock. A time in the future
+// counts as now. Times far from now are rejected, since the admission controller would take a long wait
+// for an overload of this process.
 func (r RawRequest) decodeArrival(req *exchange.Request, now time.Time) error {
 	stamp := r.Header(headerAcceptedAt)
 	ms, err := strconv.ParseInt(stamp, 10, 64)
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// numberField is a decimal field of a request.
+// numberField describes a decimal field of a request.
 type numberField struct {
 	header   string
 	required bool
@@ -137,9 +137,9 @@
 			continue
 		}
 		value, err := strconv.ParseFloat(text, 64)
-		onlyDigits := strings.Trim(text, "0123456789.") == "" // ParseFloat also takes signs, exponents and NaN
+		onlyDigits := strings.Trim(text, "0123456789.") == "" // ParseFloat also accepts signs, exponents and NaN
 		if err != nil || !onlyDigits || !f.inRange(value) {
-			return fmt.Errorf("%s %q: not a number in its range", f.header, text)
+			return fmt.Errorf("%s %q: not a decimal number in the valid range", f.header, text)
 		}
 		f.store(value)
 	}
--- a/internal/transport/frontend/request_test.go
+++ b/internal/transport/frontend/request_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestOptionalFields: fields that only the callers of some sites send.
+// TestOptionalFields checks the tenant and the timeout, which only callers at some sites send.
 func TestOptionalFields(t *testing.T) {
 	now := time.Now()
 	headers := map[string]string{"Trace-Id": "0123456789abcdef", "Reserve-Kb": "1", "Project": "north", "Max-Wait-Ms": "5220"}
--- a/internal/transport/frontend/response.go
+++ b/internal/transport/frontend/response.go
@@ -8,14 +8,14 @@
 	"oxbowbridge/internal/proxy/exchange"
 )
 
-// HTTPResponse is a response in the terms of HTTP, which all protocols of the frontends share.
+// HTTPResponse is a response as an HTTP status, headers and a body, which all frontend protocols use.
 type HTTPResponse struct {
 	Status  int // HTTP status
 	Headers []Header
 	Body    []byte
 }
 
-// NewHTTPResponse returns the response for an answer.
+// NewHTTPResponse converts a response of the exchange to an HTTPResponse.
 func NewHTTPResponse(response exchange.Response) HTTPResponse {
 	switch response.Kind {
 	case exchange.Succeeded:
@@ -34,8 +34,8 @@
 	return httpResponse
 }
 
-// CommonHeaders returns the headers of every response: the advertised value, where the
-// settings have one.
+// CommonHeaders returns the headers that every response has: the advertised value, if the settings
+// configure one.
 func CommonHeaders(x *exchange.Exchange) []Header {
 	value, ok := x.AdvertisedValue()
 	if !ok {
--- a/internal/transport/frontend/server.go
+++ b/internal/transport/frontend/server.go
@@ -11,15 +11,15 @@
 	"oxbowbridge/internal/transport/eventloop"
 )
 
-// Config is what a Server works with.
+// Config contains the dependencies and settings of a Server.
 type Config struct {
-	Exchange *exchange.Exchange // receives requests, and notices of callers that are gone
-	Classes  map[string]Class   // of the settings, by the name that the path of a request has
+	Exchange *exchange.Exchange // receives requests and reports of aborted requests
+	Classes  map[string]Class   // by class name, as in the path of a request
 	Log      *zap.Logger
-	Protocol string // field of log messages on malformed input
+	Protocol string // protocol name in log messages about malformed input
 }
 
-// Server is the listener of one protocol, and its connections.
+// Server is the listener of one protocol and its connections.
 type Server struct {
 	Config
 
@@ -27,17 +27,17 @@
 	conns           map[*Conn]struct{}
 	listener        net.Listener
 	maxConns        int
-	pool            *fdquota.ConnPool // of descriptors, shared with calls and other frontends
-	drainingBacklog bool              // the listener still accepts connections that were made before it was closed
+	pool            *fdquota.ConnPool // limits file descriptors; shared with calls and other frontends
+	drainingBacklog bool              // the listener still accepts connections that were in its backlog when it was closed
 }
 
-// NewServer returns a Server that does not listen yet.
+// NewServer returns a Server. Listen opens its listener.
 func NewServer(c Config) *Server { return &Server{Config: c} }
 
-// Listen opens the listener; accept makes the Conn of each new connection. Connections beyond
-// maxConns, or beyond what the pool has, evict others, which leaves descriptors for the sessions
-// with upstream services. Where none can be evicted the new one is closed: nothing runs, and a
-// request that is on its way is sent again elsewhere.
+// Listen opens the listener and calls accept to create the Conn of each new connection. A connection
+// beyond maxConns, or beyond the capacity of the pool, evicts another one, which leaves descriptors for
+// the sessions with outside services. If none can be evicted, the new connection is closed. That is
+// safe: nothing on it has run, so the balancer can retry a request elsewhere.
 func (s *Server) Listen(loop *eventloop.Loop, addr string, maxConns int, pool *fdquota.ConnPool, accept func(*eventloop.Conn) *Conn) error {
 	s.conns = map[*Conn]struct{}{}
 	s.maxConns = maxConns
@@ -45,11 +45,11 @@
 	listener, err := loop.Listen(addr, func(raw *eventloop.Conn) eventloop.Handler {
 		c := accept(raw)
 		if !s.add(c) {
-			s.Log.Warn("connection not accepted", zap.Int("max_connections", maxConns))
+			s.Log.Warn("connection rejected: connection limit reached", zap.Int("max_connections", maxConns))
 			c.CloseGracefully()
 		}
 		return c
-	}, func(err error) { s.Log.Warn("connection not accepted", zap.Error(err)) })
+	}, func(err error) { s.Log.Warn("accepting a connection failed", zap.Error(err)) })
 	if err != nil {
 		return err
 	}
@@ -57,7 +57,8 @@
 	return nil
 }
 
-// add counts a connection, evicting another one if need be, and reports whether it fits.
+// add tracks a new connection and evicts another one if the limit is reached. It reports false if none
+// could be evicted.
 func (s *Server) add(c *Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,14 +71,14 @@
 	return true
 }
 
-// remove forgets a connection that is closed.
+// remove untracks a closed connection.
 func (s *Server) remove(c *Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.untrack(c)
 }
 
-// untrack stops counting a connection. The lock is held.
+// untrack removes a connection from the Server and the pool's count. The caller holds the lock.
 func (s *Server) untrack(c *Conn) {
 	if _, ok := s.conns[c]; ok {
 		delete(s.conns, c)
@@ -85,18 +86,18 @@
 	}
 }
 
-// Addr is the address on which the server listens.
+// Addr returns the address on which the server listens.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-// StopListening accepts the connections that have been made by now, and no others. It does not
-// wait for that: until it is done CloseIdle counts the listener as remaining.
+// StopListening closes the listener after accepting the connections in its backlog. It returns at once.
+// Until the listener is closed, CloseIdle counts it as a remaining connection.
 func (s *Server) StopListening() {
 	s.mu.Lock()
 	s.drainingBacklog = true
 	s.mu.Unlock()
 	go func() {
 		if err := s.listener.Close(); err != nil {
-			s.Log.Warn("listener not closed in order", zap.Error(err))
+			s.Log.Warn("closing the listener failed", zap.Error(err))
 		}
 		s.mu.Lock()
 		s.drainingBacklog = false
--- a/internal/transport/frontend/stop_listening_test.go
+++ b/internal/transport/frontend/stop_listening_test.go
@@ -12,12 +12,13 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-// failingListener can't be closed in order.
+// failingListener is a listener whose Close fails.
 type failingListener struct{ net.Listener }
 
-func (failingListener) Close() error { return errors.New("not refused") }
+func (failingListener) Close() error { return errors.New("close failed") }
 
-// TestListenerFailureIsLogged: guards against a listener that resets callers at its close, and nobody learns why.
+// TestListenerFailureIsLogged guards against a listener whose close fails, and resets callers, without a log
+// entry.
 func TestListenerFailureIsLogged(t *testing.T) {
 	core, logged := observer.New(zapcore.WarnLevel)
 	s := NewServer(Config{Log: zap.New(core)})
@@ -27,5 +28,5 @@
 		remaining, _ := s.CloseIdle(0)
 		return remaining == 0
 	}, 10*time.Second, time.Millisecond)
-	require.Equal(t, 1, logged.FilterMessage("listener not closed in order").Len())
+	require.Equal(t, 1, logged.FilterMessage("closing the listener failed").Len())
 }
