--- a/internal/transport/engine/golden_test.go
+++ b/internal/transport/engine/golden_test.go
@@ -64,7 +64,7 @@
 }
 
 // connectEngine opens the session, checks ATTACH, sends hello, waits for the given number of events and
-// reads the first poll. The caller sends the answer to that poll on the returned connection.
+// reads the first poll. The test sends the answer to that poll on the returned connection.
 func (f *sessionFixture) connectEngine(lastNotice int, hello string, events int) net.Conn {
 	f.t.Helper()
 	f.session.Open()
--- a/internal/transport/engine/protocol.go
+++ b/internal/transport/engine/protocol.go
@@ -68,7 +68,7 @@
 	return greeting{state: words[1], uptimeMs: ms}, err
 }
 
-// uptime is the time since the engine's start.
+// uptime returns the time since the engine's start.
 func (g greeting) uptime() time.Duration { return time.Duration(g.uptimeMs) * time.Millisecond }
 
 func parseGauges(values []string) (exchange.Gauges, error) {
--- a/internal/transport/frontend/conn.go
+++ b/internal/transport/frontend/conn.go
@@ -19,13 +19,13 @@
 	// It is called on the event loop's goroutine.
 	HoldsPartialMessage() bool
 	// HasIncompleteRequest reports whether a request has started and was not received completely. The
-	// caller holds the lock of the Conn.
+	// lock of the Conn must be held.
 	HasIncompleteRequest() bool
 	// DiscardIncomplete removes the requests that were not received completely, and returns how many
-	// of them had no response. The caller holds the lock of the Conn.
+	// of them had no response. The lock of the Conn must be held.
 	DiscardIncomplete() (unanswered int)
 	// DiscardAll removes all requests after the connection was closed, and returns those that were
-	// submitted and have no response. The caller holds the lock of the Conn.
+	// submitted and have no response. The lock of the Conn must be held.
 	DiscardAll() (unanswered []*exchange.Request)
 }
 
@@ -88,21 +88,21 @@
 }
 
 // RejectsRequests reports whether the connection starts no more requests because it is being closed,
-// with or without a drain of the service. The caller holds the lock.
+// with or without a drain of the service. The lock must be held.
 func (c *Conn) RejectsRequests() bool { return c.rejectsRequests }
 
-// OpenRequests returns the number of requests that have started and have no response. The caller holds
-// the lock.
+// OpenRequests returns the number of requests that have started and have no response. The lock must
+// be held.
 func (c *Conn) OpenRequests() int { return c.openRequests }
 
-// RequestStarted counts another open request. The caller holds the lock.
+// RequestStarted counts another open request. The lock must be held.
 func (c *Conn) RequestStarted() { c.openRequests++ }
 
-// MarkActive sets the time of the latest activity to now. The caller holds the lock.
+// MarkActive sets the time of the latest activity to now. The lock must be held.
 func (c *Conn) MarkActive() { c.lastActive = time.Now() }
 
 // RequestArrived records that a request, or a keep-alive of the protocol, was received completely, which
-// shows that the caller is not stalled. The caller holds the lock.
+// shows that the caller is not stalled. The lock must be held.
 func (c *Conn) RequestArrived() {
 	c.receivedRequest = true
 	c.stall.sweeps = 0
@@ -120,7 +120,7 @@
 }
 
 // closeOnceAnswered rejects further requests, and closes the connection gracefully if no request is
-// open. The caller holds the lock.
+// open. The lock must be held.
 func (c *Conn) closeOnceAnswered() {
 	c.rejectsRequests = true
 	if c.openRequests <= 0 {
@@ -128,7 +128,7 @@
 	}
 }
 
-// requestAnswered counts an open request as answered. The caller holds the lock.
+// requestAnswered counts an open request as answered. The lock must be held.
 func (c *Conn) requestAnswered() {
 	c.openRequests--
 	c.lastActive = time.Now()
@@ -144,8 +144,8 @@
 	return c.hasPartialMessage() || c.HasUnread()
 }
 
-// hasPartialMessage reports whether part of a message or of a request was parsed. The caller holds the
-// lock.
+// hasPartialMessage reports whether part of a message or of a request was parsed. The lock must be
+// held.
 func (c *Conn) hasPartialMessage() bool {
 	return c.codec.HasIncompleteRequest() || c.partialMessage
 }
--- a/internal/transport/frontend/evict.go
+++ b/internal/transport/frontend/evict.go
@@ -21,7 +21,7 @@
 //
 // A connection with open requests or unparsed bytes is never evicted. A complete request may be among
 // the bytes, and the caller could not know that it did not run, so rejecting the new connection is
-// safer. The caller holds the lock of the Server.
+// safer. The lock of the Server must be held.
 //
 // evictAny implements the complete order. evictOne first tries the longest inactive connections of
 // groups 1 and 2, which it finds without sorting.
--- a/internal/transport/frontend/reap.go
+++ b/internal/transport/frontend/reap.go
@@ -73,7 +73,7 @@
 }
 
 // finishDrain closes a connection that rejects requests if no request is open. It reports true also if
-// the connection was already closing. The caller holds the lock.
+// the connection was already closing. The lock must be held.
 func (c *Conn) finishDrain() (closed bool) {
 	c.closeOnceAnswered()
 	return c.openRequests == 0
--- a/internal/transport/frontend/server.go
+++ b/internal/transport/frontend/server.go
@@ -78,7 +78,7 @@
 	s.untrack(c)
 }
 
-// untrack removes a connection from the Server and the pool's count. The caller holds the lock.
+// untrack removes a connection from the Server and the pool's count. The lock must be held.
 func (s *Server) untrack(c *Conn) {
 	if _, ok := s.conns[c]; ok {
 		delete(s.conns, c)
