--- a/internal/transport/frontend/golden_test.go
+++ b/internal/transport/frontend/golden_test.go
@@ -12,20 +12,19 @@
 	"oxbowbridge/internal/proxy/exchange"
 )
 
-// TestGoldenFields: what each field of a request on the wire becomes, and which of its values
-// are no request.
+// TestGoldenFields checks how each header of a request is decoded, and which values are rejected.
 func TestGoldenFields(t *testing.T) {
 	now := time.Now()
 	classes := map[string]Class{"read": {Index: 3}, "write": {Index: 4, NeedsIdempotencyKey: true}}
-	needed := map[string]string{"Trace-Id": "0123456789abcdef", "Reserve-Kb": "1.5", "Accepted-At-Ms": strconv.FormatInt(now.UnixMilli(), 10)}
-	read := func(path, method, name, value string) (*exchange.Request, error) {
-		got := maps.Clone(needed)
+	requiredHeaders := map[string]string{"Trace-Id": "0123456789abcdef", "Reserve-Kb": "1.5", "Accepted-At-Ms": strconv.FormatInt(now.UnixMilli(), 10)}
+	decode := func(path, method, name, value string) (*exchange.Request, error) {
+		headers := maps.Clone(requiredHeaders)
 		if name != "" {
-			got[name] = value
+			headers[name] = value
 		}
-		return RawRequest{Path: path, Method: method, Header: func(name string) string { return got[name] }}.Decode(classes, now)
+		return RawRequest{Path: path, Method: method, Header: func(name string) string { return headers[name] }}.Decode(classes, now)
 	}
-	plain, err := read("/call/read", "POST", "", "")
+	plain, err := decode("/call/read", "POST", "", "")
 	require.NoError(t, err)
 	require.LessOrEqual(t, now.Sub(plain.ArrivedAt), time.Millisecond)
 	plain.ArrivedAt = time.Time{}
@@ -38,7 +37,7 @@
 		{"Project", "north", func(r *exchange.Request) { r.Tenant = "north" }},
 		{"Lookup-Key", "k", func(r *exchange.Request) { r.HasLookupKey = true }},
 		{"Is-Retry", "1", func(r *exchange.Request) { r.IsRetry = true }},
-		{"Replay-Key", "k", func(*exchange.Request) {}}, // of this class it is none
+		{"Replay-Key", "k", func(*exchange.Request) {}}, // ignored, as the class needs no idempotency key
 		{"Client-No", "2147483647", func(*exchange.Request) {}},
 		{"Expected-Ms", "12.5", func(r *exchange.Request) { r.ExpectedWork = 12500 * time.Microsecond }},
 		{"Max-Wait-Ms", "1000000000", func(r *exchange.Request) { r.Timeout = 1e9 * time.Millisecond }},
@@ -46,21 +45,21 @@
 		{"Standing", "0.5", func(r *exchange.Request) { r.Rank = 0.5 }},
 		{"Trace-Id", "ABCDEF0123456789", func(r *exchange.Request) { r.TraceID = "ABCDEF0123456789" }},
 	} {
-		r, err := read("/call/read", "POST", f.name, f.value)
+		r, err := decode("/call/read", "POST", f.name, f.value)
 		require.NoError(t, err, f.name)
 		r.ArrivedAt = time.Time{}
 		want := *plain
 		f.set(&want)
 		require.Equal(t, want, *r, f.name)
 	}
-	r, err := read("/call/write", "POST", "Replay-Key", "key~1")
+	r, err := decode("/call/write", "POST", "Replay-Key", "key~1")
 	require.NoError(t, err)
 	require.Equal(t, "key~1", r.IdempotencyKey)
-	early, err := read("/call/read", "POST", "Accepted-At-Ms", strconv.FormatInt(now.Add(-time.Second).UnixMilli(), 10))
+	early, err := decode("/call/read", "POST", "Accepted-At-Ms", strconv.FormatInt(now.Add(-time.Second).UnixMilli(), 10))
 	require.NoError(t, err)
 	require.InDelta(t, time.Second, now.Sub(early.ArrivedAt), float64(time.Millisecond))
 
-	for _, bad := range [][4]string{
+	for _, invalid := range [][4]string{
 		{"/call/none", "POST"}, {"/read", "POST"}, {"/call/read", "GET"}, {"/call/write", "POST"},
 		{"/call/write", "POST", "Replay-Key", strings.Repeat("k", 129)}, {"/call/write", "POST", "Replay-Key", "a,b"}, {"/call/write", "POST", "Replay-Key", "a b"},
 		{"/call/read", "POST", "Trace-Id", "0123"}, {"/call/read", "POST", "Trace-Id", ""}, {"/call/read", "POST", "Is-Retry", "0"},
@@ -71,15 +70,15 @@
 		{"/call/read", "POST", "Reserve-Kb", "0"}, {"/call/read", "POST", "Reserve-Kb", "2000"}, {"/call/read", "POST", "Reserve-Kb", "1e2"},
 		{"/call/read", "POST", "Standing", "1"}, {"/call/read", "POST", "Standing", "-0.5"}, {"/call/read", "POST", "Standing", "NaN"},
 	} {
-		_, err := read(bad[0], bad[1], bad[2], bad[3])
-		require.Error(t, err, bad)
-		if bad[2] != "" {
-			require.ErrorContains(t, err, bad[2])
+		_, err := decode(invalid[0], invalid[1], invalid[2], invalid[3])
+		require.Error(t, err, invalid)
+		if invalid[2] != "" {
+			require.ErrorContains(t, err, invalid[2])
 		}
 	}
 }
 
-// TestGoldenReplies: the status, headers and body of each result.
+// TestGoldenReplies checks the status, headers and body of each kind of response.
 func TestGoldenReplies(t *testing.T) {
 	x := exchange.New(1)
 	require.Empty(t, CommonHeaders(x))
