--- a/internal/cluster/diskidentity/attesters.go
+++ b/internal/cluster/diskidentity/attesters.go
@@ -6,22 +6,23 @@
 	"strings"
 )
 
-// attesterTally sorts the other voters of a disk's configuration by what they can say of the disk.
+// attesterTally classifies the other voters in a disk's configuration by whether they can attest the disk.
 //
-// A voter is replaced if the node of its name answers with another disk: its own was wiped, or was given up for
-// a new identity. Nobody can attest in its place any more, so that LocalDisk.RequiredAttesters does not count it. One that
-// does not answer at all may still have its disk, and is waited for.
+// A voter is replaced if its node answers with a different disk: the voter's disk was wiped, or got a new identity.
+// No node can attest in its place, so it reduces the number of attesters needed. A voter that does not answer may
+// still have its disk, and is missing.
 //
-// What the replaced disk alone had seen is lost with it. If a voter's disk is replaced and another voter's folder was
-// brought back older at the same time, the older one may therefore not be noticed: docs/design/membership.md
-// says how many of both are survived.
+// Watermarks that only a replaced disk had observed are lost. If one voter's disk is replaced while another voter's
+// folder is rolled back, the rollback may therefore go undetected. docs/design/membership.md lists how many
+// replaced and rolled back disks are tolerated.
 type attesterTally struct {
 	attested []string        // member IDs
 	missing  []string        // member IDs
-	replaced []ReplacedVoter // in the order of their IDs
+	replaced []ReplacedVoter // sorted by voter ID
 }
 
-// countAttesters sorts the other voters. What the attested ones say of this disk was checked before.
+// countAttesters classifies the other voters. The caller has checked with behindReason that no peer has observed a
+// later state of this disk.
 func (d *LocalDisk) countAttesters(attestations map[string]Attestation) (tally attesterTally) {
 	cluster := d.presumedCluster(attestations)
 	for _, id := range slices.Sorted(slices.Values(d.Voters)) {
@@ -43,8 +44,8 @@
 	return tally
 }
 
-// presumedCluster is the cluster of a disk, also if its own log does not tell for sure: then it is that of a member
-// that answers with the disk that the configuration names, and else what the log says.
+// presumedCluster returns the ID of the disk's cluster. If d.Cluster is unknown, it is the cluster of a member that
+// answers with the disk named in the configuration, or else d.LoggedCluster.
 func (d *LocalDisk) presumedCluster(attestations map[string]Attestation) string {
 	if d.Cluster != "" {
 		return d.Cluster
@@ -57,15 +58,16 @@
 	return d.LoggedCluster
 }
 
-// showsReplacementOf reports whether an attestation shows that the node of a member has another disk, of this cluster or new.
-// One of another node shows nothing: somebody else answers at the member's address.
+// showsReplacementOf reports whether an attestation proves that a member's node has another disk, which belongs to
+// this cluster or to none. An attestation by a node with another name proves nothing: that node answers at the
+// member's address.
 func (a *Attestation) showsReplacementOf(id, cluster string) bool {
 	sameNode := MemberName(a.ID) == MemberName(id) && MemberDisk(a.ID) != ""
 	return sameNode && (a.Cluster == "" || a.Cluster == cluster)
 }
 
-// attestersNeeded is how many other voters must attest the disk. Replaced voters lower what LocalDisk.RequiredAttesters
-// asks for, but never below what makes a majority with this disk.
+// attestersNeeded returns how many other voters must attest the disk. Replaced voters reduce the number set by
+// LocalDisk.RequiredAttesters, but never below the number that forms a majority together with this disk.
 func (d *LocalDisk) attestersNeeded(tally attesterTally) int {
 	others := len(d.Voters) - 1
 	majority := len(d.Voters) / 2
@@ -79,7 +81,8 @@
 	return min(required, max(majority, others-len(tally.replaced)))
 }
 
-// waitReason says for whom a disk waits that needs a number of attestations, and what operators can do.
+// waitReason returns which voters' attestations are missing if need attestations are required, and what operators
+// can do.
 func (t *attesterTally) waitReason(need int) Reason {
 	stillNeeded := need - len(t.attested)
 	if stillNeeded > len(t.missing) {
--- a/internal/cluster/diskidentity/attesters_test.go
+++ b/internal/cluster/diskidentity/attesters_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestAttestersNeeded: replaced disks are asked for attestations that nobody can give, or count for less than a
-// majority.
+// TestAttestersNeeded guards against waiting for attestations of replaced disks, which no node can give, and against
+// fewer attesters than a majority needs.
 func TestAttestersNeeded(t *testing.T) {
 	for _, c := range []struct{ voters, attesters, replaced, want int }{
 		{3, 0, 0, 1}, {3, 0, 2, 1},
@@ -23,8 +23,8 @@
 	}
 }
 
-// TestAttesterReasons: a node waits, and its reason does not say for which disk, that this disk was replaced, or what
-// to do.
+// TestAttesterReasons guards against a reason that does not name the voters that are waited for, the replaced
+// disks, or what operators can do.
 func TestAttesterReasons(t *testing.T) {
 	for _, c := range []struct {
 		attestations map[string]Attestation
--- a/internal/cluster/diskidentity/golden_test.go
+++ b/internal/cluster/diskidentity/golden_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestGolden: what nodes tell each other, and keep, of disks.
+// TestGolden guards against a change of the JSON that nodes exchange and store about disks, and of the verdicts' names.
 func TestGolden(t *testing.T) {
 	mark := Watermark{Starts: 1, Term: 2, LastTerm: 3, LastIndex: 4}
 	for text, value := range map[string]any{
--- a/internal/cluster/diskidentity/join.go
+++ b/internal/cluster/diskidentity/join.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// CheckJoin decides on a request to become a member. It returns nil if it is granted, and the reason for
-// operators if not. removed are the names that operators have removed; isUp reports whether a member
-// was heard from recently.
+// CheckJoin decides on a node's request to become a member. It returns nil if the request is granted, and
+// otherwise the reason, for operators. removed lists the names of nodes that operators have removed; isUp
+// reports whether a member has answered recently.
 func CheckJoin(id string, members, removed []string, isUp func(id string) bool, maxMembers int) error {
 	name := MemberName(id)
 	if slices.Contains(removed, name) {
--- a/internal/cluster/diskidentity/member_id.go
+++ b/internal/cluster/diskidentity/member_id.go
@@ -2,20 +2,20 @@
 
 import "strings"
 
-// idSeparator separates the name and the disk in a member's ID.
+// idSeparator separates the node name and the disk identity in a member ID.
 const idSeparator = "@"
 
-// MemberID is the ID of a member: a name and the identity of its disk.
+// MemberID returns the member ID for a node name and a disk identity.
 func MemberID(name, disk string) string { return name + idSeparator + disk }
 
-// MemberName is the name in a member's ID.
+// MemberName returns the node name in a member ID.
 func MemberName(id string) string {
 	name, _, _ := strings.Cut(id, idSeparator)
 	return name
 }
 
-// MemberDisk is the disk in a member's ID. It is "" for a member of an earlier version, whose ID is
-// the name alone.
+// MemberDisk returns the disk identity in a member ID. It is "" for a member of an earlier version, whose
+// ID is only the name.
 func MemberDisk(id string) string {
 	_, disk, _ := strings.Cut(id, idSeparator)
 	return disk
--- a/internal/cluster/diskidentity/reason.go
+++ b/internal/cluster/diskidentity/reason.go
@@ -5,20 +5,20 @@
 	"strings"
 )
 
-// Reason is why Decide has decided, for operators.
+// Reason explains a verdict of Decide to operators.
 type Reason struct {
 	Text string
-	// Replaced are the voters that can't attest the disk and are not waited for, in the order of their IDs.
+	// Replaced lists the voters that can't attest the disk as their own disk was replaced, sorted by voter ID.
 	Replaced []ReplacedVoter
 }
 
-// ReplacedVoter is a voter whose node answers with another disk.
+// ReplacedVoter is a voter whose node answers with a different disk.
 type ReplacedVoter struct {
 	Voter     string // member ID
-	Successor string // member ID with which the node answers
+	Successor string // member ID of the node's present disk
 }
 
-// String is the text and the replaced voters.
+// String returns the text, followed by the replaced voters.
 func (r Reason) String() string {
 	if len(r.Replaced) == 0 {
 		return r.Text
--- a/internal/cluster/diskidentity/verdict.go
+++ b/internal/cluster/diskidentity/verdict.go
@@ -8,49 +8,50 @@
 	"strings"
 )
 
-// Attestation is what a node reports of its disk, and of the disk of the node that asks.
+// Attestation is a node's report of its own disk, and of the watermark that it has observed of the
+// requesting node's disk.
 type Attestation struct {
 	ID               string     `json:"id"`
 	Cluster          string     `json:"cluster,omitempty"`
-	PreviousClusters []string   `json:"was,omitempty"`     // that this cluster was recovered from
-	Fresh            bool       `json:"fresh"`             // an empty folder that never replaced another
-	ConfigIndex      uint64     `json:"config"`            // of the latest configuration in its log
-	Members          []string   `json:"members,omitempty"` // in that configuration
-	Voters           []string   `json:"voters,omitempty"`  // of them
-	LastObserved     *Watermark `json:"seen,omitempty"`    // of the asker's disk; nil if it never was
+	PreviousClusters []string   `json:"was,omitempty"`     // IDs of the clusters from which this cluster was recovered
+	Fresh            bool       `json:"fresh"`             // the folder is empty and did not replace another one
+	ConfigIndex      uint64     `json:"config"`            // log index of the latest configuration in its log
+	Members          []string   `json:"members,omitempty"` // member IDs in that configuration
+	Voters           []string   `json:"voters,omitempty"`  // voters in that configuration
+	LastObserved     *Watermark `json:"seen,omitempty"`    // of the requesting node's disk; nil if never observed
 }
 
-// LocalDisk is what a node knows of its disk when it starts.
+// LocalDisk is the state of a node's own disk when the node starts.
 type LocalDisk struct {
 	ID             string
-	Cluster        string // "" if it is not known for sure
-	LoggedCluster  string // the cluster in the log while Cluster is ""; it may not be committed
-	Fresh          bool   // an empty folder that never replaced another
-	Empty          bool   // nothing in the log
+	Cluster        string // confirmed cluster ID, "" if unknown
+	LoggedCluster  string // cluster ID in the log, possibly uncommitted; set while Cluster is ""
+	Fresh          bool   // the folder is empty and did not replace another one
+	Empty          bool   // the log is empty
 	Watermark      Watermark
-	ConfigIndex    uint64   // of the latest configuration in the log
-	Members        []string // in that configuration
-	Voters         []string // of them
-	InitialMembers []string // names of those who make the cluster; nil on a node that is none of them
-	// RequiredAttesters is how many other voters must attest this disk: 0 is as many as make a majority
-	// with it, -1 is all of them. Replaced voters lower it, see attestersNeeded.
+	ConfigIndex    uint64   // log index of the latest configuration in the log
+	Members        []string // member IDs in that configuration
+	Voters         []string // voters in that configuration
+	InitialMembers []string // names of the nodes that create the cluster; nil on any other node
+	// RequiredAttesters is how many other voters must attest this disk: 0 means as many as form a majority
+	// together with it, -1 means all. Replaced voters reduce it, see attestersNeeded.
 	RequiredAttesters int
 }
 
 // Verdict is what a node may do with its disk.
 //
-// VerdictBootstrap prints as "found", in the sense of to found a cluster.
+// VerdictBootstrap prints as "found", in the sense of founding a cluster.
 //
-// VerdictWait is decided again at the next attestation. After VerdictNewIdentity the disk is another
-// member's, and joins. The other verdicts are final for one run of Raft.
+// After VerdictWait, the node decides again when it receives the next attestation. After VerdictNewIdentity,
+// the disk belongs to a new member, which joins the cluster. The other verdicts are final for one run of Raft.
 type Verdict int
 
-// The verdicts, in the order of their numbers, which are not stored.
+// The verdicts. Their numeric values are not stored.
 const (
-	VerdictWait        Verdict = iota // for attestations
-	VerdictBootstrap                  // make a cluster of all founders
-	VerdictJoin                       // replicate the log without a vote, and request to be a member
-	VerdictResume                     // go on as the member that it was
+	VerdictWait        Verdict = iota // wait for attestations
+	VerdictBootstrap                  // create the cluster with all initial members
+	VerdictJoin                       // replicate the log without a vote, and request membership
+	VerdictResume                     // continue as the same member
 	VerdictNewIdentity                // give the disk a new identity, and then join
 )
 
@@ -58,16 +59,16 @@
 	return [...]string{"wait", "found", "join", "resume", "renew"}[v]
 }
 
-// Decide is what a node may do, and the reason. attestations are by name; a node that is not among
-// them has not answered. The rules are checked in this order:
+// Decide returns what a node may do with its disk, and the reason. attestations has the peers' attestations
+// by node name; a peer that is not in the map has not answered. The rules are evaluated in this order:
 //
-//  1. The cluster was recovered as another one: wait, until an operator moves the folder away.
+//  1. The cluster was recovered as another one: VerdictWait, until an operator moves the folder away.
 //  2. The log is empty: see decideEmpty.
-//  3. A peer has a later configuration without this disk, or has observed more of this disk than it
-//     holds: renew.
-//  4. The disk has no vote: join.
-//  5. Too few other voters attest the disk: wait. See attesterTally.
-//  6. Otherwise: resume.
+//  3. A peer has a later configuration without this disk, or has observed a later state of this disk:
+//     VerdictNewIdentity.
+//  4. The disk has no vote: VerdictJoin.
+//  5. Too few other voters attest the disk: VerdictWait. See attesterTally.
+//  6. Otherwise: VerdictResume.
 func Decide(local LocalDisk, attestations map[string]Attestation) (Verdict, Reason) {
 	if successor := SuccessorCluster(cmp.Or(local.Cluster, local.LoggedCluster), attestations); successor != "" {
 		return VerdictWait, Reason{Text: fmt.Sprintf("this folder to be moved away: its cluster was recovered as %s", successor)}
@@ -92,8 +93,8 @@
 	return VerdictResume, tally.resumeReason()
 }
 
-// SuccessorCluster is the ID of the cluster that was recovered from one, or "". Nodes of the old cluster
-// must not act as if it still existed.
+// SuccessorCluster returns the ID of a cluster that was recovered from the given cluster, or "". Nodes of the
+// old cluster must not serve once there is a successor.
 func SuccessorCluster(cluster string, attestations map[string]Attestation) string {
 	for _, a := range attestations {
 		if cluster != "" && a.Cluster != cluster && slices.Contains(a.PreviousClusters, cluster) {
@@ -103,15 +104,15 @@
 	return ""
 }
 
-// foreign reports whether an attestation is known to be of another cluster.
+// foreign reports whether an attestation is known to come from another cluster.
 func (d *LocalDisk) foreign(a Attestation) bool {
 	return d.Cluster != "" && a.Cluster != "" && d.Cluster != a.Cluster
 }
 
-// adoptConfiguration sets d's configuration, which is the caller's copy, to the latest one that a peer
-// reports, if that is later than d's. It returns a reason if that one lacks this disk: the disk was removed.
-// Of several with the same index, which differ only if a leader's change was overwritten by another's, one that
-// lacks this disk counts.
+// adoptConfiguration sets d's configuration to the latest one that a peer reports, if that is later than d's. It
+// returns a reason if the latest configuration does not contain this disk, that is, if the disk was removed. If
+// several configurations have the latest index, one without this disk decides. They differ only if one leader's
+// change was overwritten by another leader's.
 func (d *LocalDisk) adoptConfiguration(attestations map[string]Attestation) (removed string) {
 	latest := d.latestConfigurations(attestations)
 	if len(latest) == 0 {
@@ -128,7 +129,8 @@
 	return ""
 }
 
-// latestConfigurations are the attestations with the latest configuration, by name; none if d's is as late.
+// latestConfigurations returns the attestations with the latest configuration, sorted by node name. It returns
+// none if d's configuration is at least as late.
 func (d *LocalDisk) latestConfigurations(attestations map[string]Attestation) (latest []Attestation) {
 	index := d.ConfigIndex
 	for _, name := range slices.Sorted(maps.Keys(attestations)) {
@@ -145,7 +147,7 @@
 	return latest
 }
 
-// behindReason is "" unless some peer, voter or not, has observed more of this disk than it holds.
+// behindReason returns a reason if any peer, voter or not, has observed a later state of this disk, or "".
 func (d *LocalDisk) behindReason(attestations map[string]Attestation) string {
 	for _, a := range attestations {
 		if a.LastObserved != nil && !d.foreign(a) && d.Watermark.Behind(*a.LastObserved) {
@@ -155,9 +157,9 @@
 	return ""
 }
 
-// decideEmpty decides for an empty log. A cluster is made by the first of the founders by name
-// alone, and only once each founder attests that it is new: one that does not answer may hold what a
-// cluster has acknowledged.
+// decideEmpty decides for a disk with an empty log. Only the initial member with the lowest name creates the
+// cluster, and only when all initial members attest that their disks are fresh: an initial member that does not
+// answer may have entries that a cluster has acknowledged.
 func decideEmpty(local LocalDisk, attestations map[string]Attestation) (Verdict, string) {
 	if !local.Fresh {
 		return VerdictJoin, "the folder took the place of one that can't be trusted"
@@ -182,7 +184,7 @@
 	return VerdictBootstrap, "all founders are new"
 }
 
-// clusterMember is a node whose log is a cluster's, or "".
+// clusterMember returns the ID of a node whose log belongs to a cluster, or "".
 func clusterMember(attestations map[string]Attestation) string {
 	for _, name := range slices.Sorted(maps.Keys(attestations)) {
 		if a := attestations[name]; !a.Fresh && (a.Cluster != "" || a.ConfigIndex > 0) {
@@ -192,8 +194,8 @@
 	return ""
 }
 
-// replacementFolder is a founder whose empty folder took the place of another one, or "". It does not know whether
-// that one held what a cluster has acknowledged.
+// replacementFolder returns the ID of an initial member whose empty folder replaced another one, or "". The replaced
+// folder may have had entries that a cluster has acknowledged.
 func replacementFolder(local LocalDisk, attestations map[string]Attestation) string {
 	for _, founder := range local.InitialMembers {
 		if a, answered := attestations[founder]; answered && !a.Fresh {
--- a/internal/cluster/lease/expiry.go
+++ b/internal/cluster/lease/expiry.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// WaiterTimeout is how long a waiter stays in a queue without a new request. A request that waits at
-// the leader counts as sent again each second (store.waiterRefreshInterval).
+// WaiterTimeout is how long a waiter stays queued without a new request. While a request waits at the
+// leader, the leader refreshes its waiter every second (store.waiterRefreshInterval).
 const WaiterTimeout = 3 * time.Second
 
-// fullScanInterval is when DueOps looks at all leases again if nothing is due before.
+// fullScanInterval is the maximum time between two scans of all leases by DueOps.
 const fullScanInterval = time.Hour
 
-// DeadlineTable is the leader's record of when leases end and when waiters were last heard of, for
-// one term of its leadership. All
-// times are the leader's own, monotonic. It is not safe for concurrent use.
+// DeadlineTable is the leader's record of the leases' deadlines and of the waiters' last requests, for
+// one term of its leadership. All times are from the leader's monotonic clock. It is not safe for
+// concurrent use.
 type DeadlineTable struct {
-	expiries     map[string]expiry           // by the lease's name
-	lastHeard    map[waiterKey]time.Duration // when each waiter last sent its request
+	expiries     map[string]expiry           // by lease name
+	lastHeard    map[waiterKey]time.Duration // time of each waiter's last request
 	electedAt    time.Duration
-	scannedToken uint64        // State.LastToken when DueOps last looked at all leases
-	nextDue      time.Duration // nothing is due earlier, unless a token or ticket was given since
+	scannedToken uint64        // State.LastToken at DueOps's last scan of all leases
+	nextDue      time.Duration // nothing is due earlier, unless a token or ticket was issued since
 }
 
 type waiterKey struct{ name, holder string }
@@ -30,11 +30,11 @@
 type expiry struct {
 	token          uint64
 	deadline       time.Duration
-	expiryProposed bool // OpExpire may be in the log already: no keep-alive revives the lease
+	expiryProposed bool // OpExpire may be in the log already: a keep-alive can no longer extend the lease
 }
 
-// NewDeadlineTable returns the table of a leader elected at a time. Each lease that it inherits has
-// its full TTL from then on, as the predecessor may have answered a keep-alive until then.
+// NewDeadlineTable returns the table of a leader elected at electedAt. Each existing lease is extended to
+// a full TTL after that time, as the previous leader may have answered a keep-alive until then.
 func NewDeadlineTable(electedAt time.Duration) *DeadlineTable {
 	return &DeadlineTable{
 		expiries:  map[string]expiry{},
@@ -46,8 +46,8 @@
 
 func (l Lease) ttl() time.Duration { return time.Duration(l.TTLMS) * time.Millisecond }
 
-// expiryOf returns the expiry of a lease. One that the table does not know has its full TTL from
-// now on, which is never too early.
+// expiryOf returns the expiry of a lease. A lease that is not in the table gets a deadline of a full TTL
+// from now, which is never too early.
 func (d *DeadlineTable) expiryOf(name string, l Lease, now time.Duration) expiry {
 	e, ok := d.expiries[name]
 	if !ok || e.token != l.Token {
@@ -58,8 +58,8 @@
 	return e
 }
 
-// Renew extends a lease by a keep-alive. arrivedAt is when that arrived, before this node made
-// sure that it still leads. The error is ErrNotHolder if the lease does not go on.
+// Renew extends a lease on a keep-alive. arrivedAt is when the keep-alive arrived, before this node confirmed
+// its leadership. It returns ErrNotHolder if the lease is not held under the token, is revoked, or is expiring.
 func (d *DeadlineTable) Renew(s *State, name string, token uint64, arrivedAt time.Duration) error {
 	l, ok := s.Leases[name]
 	if !ok || l.Token != token {
@@ -74,10 +74,10 @@
 	return nil
 }
 
-// TryAcquire answers a request for a lease without an entry of the log, if that is possible:
-// the holder's own lease is renewed, and a lease that another one holds stays as it is, with
-// ErrHeld. Otherwise needsLogEntry is true: the request has to go through the log as
-// OpAcquire. enqueue reports whether the caller wants a place in the queue.
+// TryAcquire answers a request for a lease without a log entry, if possible: it renews the lease if the
+// caller is the holder, and returns ErrHeld if another holder has the lease and the caller need not be
+// enqueued. Otherwise needsLogEntry is true, and the request must go through the log as OpAcquire.
+// enqueue reports whether the caller is willing to wait.
 func (d *DeadlineTable) TryAcquire(s *State, name, holder string, enqueue bool, arrivedAt, now time.Duration) (l Lease, needsLogEntry bool, err error) {
 	l, held := s.Leases[name]
 	queued := l.isQueued(holder)
@@ -88,7 +88,7 @@
 	switch {
 	case heldByCaller && d.Renew(s, name, l.Token, arrivedAt) == nil:
 		return l, false, nil
-	case heldByCaller: // its OpExpire may be in the log already
+	case heldByCaller: // OpExpire may be in the log already
 		return l, false, ErrHeld
 	case held && (queued || !enqueue):
 		return l, false, ErrHeld
@@ -96,19 +96,19 @@
 	return l, true, nil
 }
 
-// TouchWaiter notes that a waiter has sent its request again.
+// TouchWaiter records that a waiter has sent its request at time now.
 func (d *DeadlineTable) TouchWaiter(name, holder string, now time.Duration) {
 	d.lastHeard[waiterKey{name, holder}] = now
 }
 
-// Remaining returns how long a lease goes on without a keep-alive, as far as this leader knows.
+// Remaining returns the time until a lease expires without a further keep-alive, by this leader's table.
 func (d *DeadlineTable) Remaining(name string, l Lease, now time.Duration) time.Duration {
 	return d.expiryOf(name, l, now).deadline - now
 }
 
-// DueOps returns the operations that are due, for the log: OpExpire for leases whose TTL is over,
-// and OpWithdraw for waiters that have sent no request for WaiterTimeout. From then on such a lease can't
-// be renewed any more, as its end may be in the log.
+// DueOps returns the operations to append to the log: OpExpire for leases whose deadline has passed, and
+// OpWithdraw for waiters without a request for WaiterTimeout. A lease for which OpExpire was returned can't be
+// renewed, as that operation may be in the log.
 func (d *DeadlineTable) DueOps(s *State, now time.Duration) []Op {
 	if now < d.nextDue && s.LastToken == d.scannedToken {
 		return nil
--- a/internal/cluster/lease/golden_test.go
+++ b/internal/cluster/lease/golden_test.go
@@ -12,8 +12,8 @@
 	"oxbowbridge/internal/testrig/golden"
 )
 
-// TestGoldenTypes: the replicated state of leases, its operations and their results keep
-// their JSON.
+// TestGoldenTypes guards against a change of the JSON encoding of the replicated lease state, of operations and of
+// results.
 func TestGoldenTypes(t *testing.T) {
 	golden.JSON(t, "testdata/types.golden",
 		golden.Sample{Name: "waiter", Value: &Waiter{}},
@@ -25,7 +25,7 @@
 	)
 }
 
-// TestGoldenNames: operations, error codes, error texts and limits, as the log has them.
+// TestGoldenNames guards against a change of operations, error codes, error texts and limits, which are in the log.
 func TestGoldenNames(t *testing.T) {
 	var lines strings.Builder
 	fmt.Fprintln(&lines, OpAcquire, OpWithdraw, OpRelease, OpExpire, OpHandOver, OpRevoke)
--- a/internal/cluster/lease/limits.go
+++ b/internal/cluster/lease/limits.go
@@ -7,29 +7,29 @@
 
 // Limits of the replicated state.
 const (
-	MaxLeases          = 20000          // held at once
-	MaxWaitersPerLease = 64             // in the queue of one lease
-	MaxWaiters         = 4096           // in all queues
+	MaxLeases          = 20000          // leases held at the same time
+	MaxWaitersPerLease = 64             // waiters for one lease
+	MaxWaiters         = 4096           // waiters for all leases
 	MinTTLMS           = 500            // milliseconds
 	MaxTTLMS           = 10 * 60 * 1000 // milliseconds
-	MaxOpsPerEntry     = 256            // operations in one entry of the log
+	MaxOpsPerEntry     = 256            // operations in one log entry
 )
 
-// TokensPerMS is how many tokens a new cluster skips for each millisecond of its clock, so that
-// its tokens are above those of the cluster that it replaces: no cluster grants so many leases in
-// a millisecond.
+// TokensPerMS is the factor from a new cluster's creation time in milliseconds to its token floor. It makes
+// the new cluster's tokens higher than those of the cluster that it replaces, as no cluster grants that many
+// leases in a millisecond.
 const TokensPerMS = 2048
 
-// SafetyMargin is the fraction of a lease's TTL that its holder does not use. It covers a
-// holder's clock that runs up to 10% slow and a leader's that runs up to 10% fast:
-// the holder's usable TTL lasts at most 0.8/0.9 = 0.89 of the TTL, the leader's TTL
-// at least 1/1.1 = 0.91 of it.
+// SafetyMargin is the fraction of a lease's TTL that its holder does not use. It covers a holder's
+// clock that runs up to 10% slow and a leader's clock that runs up to 10% fast: in real time, the
+// holder's usable TTL lasts at most 0.8/0.9 = 0.89 of the TTL, and the leader's TTL at least
+// 1/1.1 = 0.91 of it.
 const SafetyMargin = 0.2
 
 var validName = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._:/-]{0,127}$`)
 
-// Validate checks the names and the TTL, in milliseconds, of a request for a lease. Its error
-// wraps ErrInvalidRequest.
+// Validate checks a lease name, a holder name and a TTL in milliseconds. Its error wraps
+// ErrInvalidRequest.
 func Validate(name, holder string, ttlMS int64) error {
 	switch {
 	case !validName.MatchString(name):
--- a/internal/cluster/lease/ops.go
+++ b/internal/cluster/lease/ops.go
@@ -5,14 +5,14 @@
 // Status is the state of one lease.
 type Status uint8
 
-// States of a lease. See State.Apply for the transitions between them.
+// The states of a lease. State.Apply documents the transitions between them.
 const (
-	StatusFree    Status = iota // nobody holds it
-	StatusHeld                  // its holder may renew it
-	StatusRevoked               // its holder keeps it for what is left of its TTL
+	StatusFree    Status = iota // has no holder
+	StatusHeld                  // the holder may renew it
+	StatusRevoked               // held until its TTL expires; renewals are rejected
 )
 
-// String returns the state as operators see it.
+// String returns the state's name as shown to operators.
 func (s Status) String() string {
 	switch s {
 	case StatusFree:
@@ -25,7 +25,7 @@
 	return fmt.Sprintf("Status(%d)", uint8(s))
 }
 
-// Status returns the lease's state.
+// Status derives the lease's state from its token and its Revoked flag.
 func (l Lease) Status() Status {
 	switch {
 	case l.Token == 0:
@@ -36,38 +36,38 @@
 	return StatusHeld
 }
 
-// OpKind is what an operation does.
+// OpKind is the kind of an operation on a lease.
 type OpKind string
 
-// Kinds of operations, as the log has them.
+// The kinds of operations, as written to the log.
 const (
 	OpAcquire  OpKind = "acquire"
-	OpWithdraw OpKind = "withdraw"  // leave the queue
+	OpWithdraw OpKind = "withdraw"  // a waiter leaves the queue
 	OpRelease  OpKind = "release"   // by the holder
 	OpExpire   OpKind = "expire"    // by the leader
-	OpHandOver OpKind = "hand-over" // release in favour of a named waiter
+	OpHandOver OpKind = "hand-over" // by the holder, to a named waiter
 	OpRevoke   OpKind = "revoke"    // by an operator
 )
 
-// Op is one operation on a lease, in an entry of the log.
+// Op is one operation on a lease. Log entries contain operations.
 type Op struct {
 	Kind     OpKind `json:"do"`
 	Name     string `json:"name"`
-	Holder   string `json:"holder,omitempty"` // who acquires or withdraws; to whom it is handed over
-	TTLMS    int64  `json:"ttl_ms,omitempty"` // milliseconds, of OpAcquire
-	Token    uint64 `json:"token,omitempty"`  // under which it is released, handed over or expired
-	Enqueue  bool   `json:"wait,omitempty"`   // of OpAcquire: wait for a lease that another one holds
+	Holder   string `json:"holder,omitempty"` // of OpAcquire and OpWithdraw: the requester; of OpHandOver: the new holder
+	TTLMS    int64  `json:"ttl_ms,omitempty"` // of OpAcquire, in milliseconds
+	Token    uint64 `json:"token,omitempty"`  // of OpRelease, OpHandOver and OpExpire: the lease's present token
+	Enqueue  bool   `json:"wait,omitempty"`   // of OpAcquire: enqueue the requester if another holder has the lease
 	Priority int    `json:"priority,omitempty"`
 }
 
 // Result is the outcome of an operation.
 type Result struct {
-	Lease  Lease     `json:"lease"` // after the operation, without its waiters; zero if it is free
+	Lease  Lease     `json:"lease"` // the lease after the operation, without waiters; zero if it is free
 	Code   ErrorCode `json:"code,omitempty"`
 	Detail string    `json:"why,omitempty"`
 }
 
-// Err returns the error of the operation, which wraps a sentinel error; nil if it succeeded.
+// Err returns the operation's error, which wraps a sentinel error, or nil if it succeeded.
 func (r Result) Err() error {
 	if sentinel, ok := errorsByCode[r.Code]; ok {
 		return fmt.Errorf("%w: %s", sentinel, r.Detail)
@@ -75,12 +75,12 @@
 	return nil
 }
 
-// Apply carries out an operation, and reports whether it granted the lease to a waiter. These
-// are all transitions of a lease; an operation that a cell does not name leaves it as it is.
+// Apply executes an operation, and reports whether it granted the lease to a waiter. The table shows all
+// transitions of a lease; an operation with "-" leaves the lease unchanged.
 //
 //	           free        held                                 revoked
 //	acquire    held        held (same token), or ErrHeld and    revoked: ErrHeld and
-//	                       a place in the queue                 a place in the queue
+//	                       the caller is enqueued               the caller is enqueued
 //	withdraw   -           held, without that waiter            revoked, without that waiter
 //	release,   -           free, or held by the first waiter    free, or held by the first waiter
 //	  expire
--- a/internal/cluster/lease/state.go
+++ b/internal/cluster/lease/state.go
@@ -8,32 +8,32 @@
 	"slices"
 )
 
-// Waiter is a holder that waits for a lease that another one holds.
+// Waiter is a process that waits for a lease that another holder has.
 type Waiter struct {
 	Holder   string `json:"holder"`
 	TTLMS    int64  `json:"ttl_ms"`             // milliseconds
-	Priority int    `json:"priority,omitempty"` // higher goes first
-	Ticket   uint64 `json:"ticket"`             // grows in the order of arrival
+	Priority int    `json:"priority,omitempty"` // a higher priority is served first
+	Ticket   uint64 `json:"ticket"`             // increases in the order of arrival
 }
 
-// Lease is a lease that is held. The zero value stands for a free one.
+// Lease is a lease that is held. The zero value is a free lease.
 type Lease struct {
 	Holder  string   `json:"holder"`
 	Token   uint64   `json:"token"`
 	TTLMS   int64    `json:"ttl_ms"`            // milliseconds
-	Revoked bool     `json:"revoked,omitempty"` // keep-alives do not count any more; it ends with its TTL
-	Waiters []Waiter `json:"waiters,omitempty"` // the next holder first
+	Revoked bool     `json:"revoked,omitempty"` // keep-alives are rejected; the lease ends with its TTL
+	Waiters []Waiter `json:"waiters,omitempty"` // in the order in which they are served
 }
 
-// State is the replicated part. A snapshot holds its fields.
+// State is the replicated state of all leases. Snapshots contain its fields.
 type State struct {
-	LastToken   uint64           `json:"last"`   // the highest token or ticket given, for any name
-	WaiterCount int              `json:"queued"` // in all queues
-	Leases      map[string]Lease `json:"leases"` // by name; only those that are held
+	LastToken   uint64           `json:"last"`   // highest issued token or ticket, for any lease
+	WaiterCount int              `json:"queued"` // waiters for all leases
+	Leases      map[string]Lease `json:"leases"` // held leases by name
 }
 
-// NewState returns a state without a lease. Its tokens are all above tokenFloor, so that a store
-// restored from a backup does not repeat those of the old one.
+// NewState returns a state without leases. It issues tokens above tokenFloor, so that a store restored from a
+// backup does not issue a token of the original store again.
 func NewState(tokenFloor uint64) *State {
 	return &State{LastToken: tokenFloor, Leases: map[string]Lease{}}
 }
@@ -49,7 +49,7 @@
 }
 
 // RaiseTokenFloor makes all later tokens greater than floor. A cluster that was recovered, or
-// restored from a backup, must not give a token of its predecessor again.
+// restored from a backup, must not issue a token of its predecessor again.
 func (s *State) RaiseTokenFloor(floor uint64) {
 	const highestFloor = math.MaxInt64 >> 1 // leaves enough tokens above it
 	s.LastToken = max(s.LastToken, min(floor, highestFloor))
@@ -60,10 +60,10 @@
 	return s.LastToken
 }
 
-// Acquire grants a lease that is free. It returns the same token again to the present holder,
-// whose answer may have been lost; no other process goes by that name. If another holder has
-// the lease, the error is ErrHeld; with enqueue, the caller is then put in the queue, once.
-// The TTL is in milliseconds.
+// Acquire grants a lease that is free. If the caller holds the lease already, Acquire returns the lease
+// with the same token, as the earlier answer may have been lost; holder names are unique to a process. If
+// another holder has the lease, the error is ErrHeld; with enqueue, the caller is added to the queue, at
+// most once. The TTL is in milliseconds.
 func (s *State) Acquire(name, holder string, ttlMS int64, enqueue bool, priority int) (Lease, error) {
 	if err := Validate(name, holder, ttlMS); err != nil {
 		return Lease{}, err
@@ -90,7 +90,7 @@
 	return slices.ContainsFunc(l.Waiters, func(w Waiter) bool { return w.Holder == holder })
 }
 
-// enqueue puts a waiter behind those of its priority.
+// enqueue adds a waiter to the queue, after the waiters with the same or a higher priority.
 func (s *State) enqueue(name string, w Waiter) Lease {
 	w.Ticket = s.nextToken()
 	s.WaiterCount++
@@ -103,7 +103,7 @@
 	return l
 }
 
-// Withdraw takes a waiter out of the queue.
+// Withdraw removes a waiter from the queue.
 func (s *State) Withdraw(name, holder string) {
 	l, ok := s.Leases[name]
 	if !ok {
@@ -115,14 +115,14 @@
 	s.Leases[name] = l
 }
 
-// End ends a lease that was released or has expired. If anybody waits for it, the first one
-// has it at once, under a new token: granted is true then, and next is that lease.
+// End ends a lease that was released or has expired. If there are waiters, it grants the lease to the
+// first one under a new token: granted is then true, and next is the new lease.
 func (s *State) End(name string, token uint64) (next Lease, granted bool, err error) {
 	return s.endInFavorOf(name, token, 0)
 }
 
-// endInFavorOf ends a lease and grants it to the waiter at an index of the queue (0 is the next
-// one), if there is a queue.
+// endInFavorOf ends a lease. If there are waiters, it grants the lease to the one at the given index of the
+// queue.
 func (s *State) endInFavorOf(name string, token uint64, index int) (next Lease, granted bool, err error) {
 	l, ok := s.Leases[name]
 	if !ok || l.Token != token {
@@ -144,7 +144,7 @@
 	return next, true, nil
 }
 
-// handOver ends a lease in favour of a holder that waits for it.
+// handOver ends a lease and grants it to the waiter named to.
 func (s *State) handOver(name string, token uint64, to string) (Lease, error) {
 	l, ok := s.Leases[name]
 	if !ok || l.Token != token {
@@ -158,7 +158,7 @@
 	return next, err
 }
 
-// revoke ends a lease when the TTL of its last keep-alive is over.
+// revoke marks a lease as revoked: it can't be renewed, and ends a TTL after its last keep-alive.
 func (s *State) revoke(name string) (Lease, error) {
 	l, ok := s.Leases[name]
 	if !ok {
--- a/internal/cluster/lease/state_test.go
+++ b/internal/cluster/lease/state_test.go
@@ -8,15 +8,15 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestFencingToken: one that checked, stood still and acts late is refused by a resource that
-// keeps the highest token, and not by one that doesn't.
+// TestFencingToken guards against a late write of a holder that was suspended after its MayAct check: a resource that
+// stores the highest token rejects it.
 func TestFencingToken(t *testing.T) {
 	s, f := NewState(0), &fencedResource{}
 	first, err := s.Acquire(modelLeaseName, "h1", 500, false, 0)
 	assert.NoError(t, err)
 	h := &HolderState{TTL: modelTTL}
 	h.RecordGrant(first.Token, 0)
-	assert.True(t, h.MayAct(399*time.Millisecond)) // checks, and is stopped for three times the lease
+	assert.True(t, h.MayAct(399*time.Millisecond)) // the holder checks, and is then suspended beyond its deadline
 	assert.False(t, h.MayAct(400*time.Millisecond))
 	_, granted, err := s.End(modelLeaseName, first.Token)
 	assert.NoError(t, err)
@@ -24,13 +24,13 @@
 	second, err := s.Acquire(modelLeaseName, "h2", 500, false, 0)
 	assert.NoError(t, err)
 	assert.True(t, f.Admit(second.Token))
-	assert.False(t, f.Admit(first.Token), "acts on waking up")
+	assert.False(t, f.Admit(first.Token), "the late write of the first holder")
 	assert.False(t, s.IsHeld(modelLeaseName, first.Token))
 	assert.True(t, s.IsHeld(modelLeaseName, second.Token))
 }
 
-// TestWaitersQueue: who waits is served by priority, then in the order of coming, one at a time;
-// tokens only grow, also in a state that is restored; bounds are kept.
+// TestWaitersQueue checks that waiters are served one at a time, by priority and then by order of arrival, that tokens
+// increase, also above the floor of a restored state, and that the limits apply.
 func TestWaitersQueue(t *testing.T) {
 	s := NewState(41)
 	l, err := s.Acquire(modelLeaseName, "a", 500, false, 0)
@@ -42,7 +42,7 @@
 	}
 	repeated, err := s.Acquire(modelLeaseName, "a", 500, true, 0)
 	assert.NoError(t, err)
-	assert.Equal(t, l.Token, repeated.Token, "its answer was lost")
+	assert.Equal(t, l.Token, repeated.Token, "the holder repeats its request")
 	s.Withdraw(modelLeaseName, "c")
 	var order []string
 	for token := l.Token; ; {
--- a/internal/cluster/leaseclient/acquire.go
+++ b/internal/cluster/leaseclient/acquire.go
@@ -14,13 +14,13 @@
 // AcquireOptions are the parameters of Acquire.
 type AcquireOptions struct {
 	Name     string
-	TTL      time.Duration // lease.MinTTLMS to lease.MaxTTLMS
-	Priority int           // among waiters, higher goes first
-	Wait     bool          // for a lease that another process holds, until the context ends
+	TTL      time.Duration // lease.MinTTLMS to lease.MaxTTLMS milliseconds
+	Priority int           // among waiters, a higher priority is served first
+	Wait     bool          // wait for a lease that another process holds, until the context ends
 }
 
-// Acquire retries until it holds the lease, the store rejects the request, or ctx ends. Without
-// Wait, a lease that another process holds is lease.ErrHeld.
+// Acquire requests a lease and retries until the lease is held, the store rejects the request, or ctx ends.
+// Without Wait, it returns lease.ErrHeld if another process holds the lease.
 func (m *Manager) Acquire(ctx context.Context, options AcquireOptions) (*Lease, error) {
 	l := &Lease{Name: options.Name, manager: m, ttl: options.TTL, state: lease.HolderState{TTL: options.TTL}}
 	if !m.register(l) {
@@ -33,7 +33,7 @@
 	return l, nil
 }
 
-// register enters a lease under its name, unless this process has one of that name.
+// register adds a lease to the manager. It returns false if the manager already has a lease with that name.
 func (m *Manager) register(l *Lease) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -71,16 +71,16 @@
 	}
 }
 
-// confirmByRenewal renews a lease whose grant came after a long wait: its time is counted from the
-// renewal. It reports whether the holder may act.
+// confirmByRenewal renews a lease whose grant arrived after a long wait, so that the deadline is measured
+// from the renewal instead of the request. It reports whether the holder may act.
 func (m *Manager) confirmByRenewal(ctx context.Context, node *storeclient.Client, l *Lease, token uint64) bool {
 	sentAt := m.now()
 	lost, err := node.RenewLeases(ctx, []lease.FencingToken{{Name: l.Name, Token: token}})
 	return err == nil && len(lost) == 0 && m.activate(l, token, sentAt)
 }
 
-// activate records a grant. If the holder may still act under it, the lease is kept alive from
-// now on.
+// activate records a grant and reports whether the holder may still act under it. If so, it starts the
+// lease's deadline timer and renewals.
 func (m *Manager) activate(l *Lease, token uint64, sentAt time.Duration) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -94,7 +94,7 @@
 	l.timer = time.AfterFunc(l.state.Deadline()-now, l.onDeadline)
 	select {
 	case m.leaseAdded <- struct{}{}:
-	default: // the loop is woken already
+	default: // a wake-up of the renewal loop is already pending
 	}
 	return true
 }
--- a/internal/cluster/leaseclient/check.go
+++ b/internal/cluster/leaseclient/check.go
@@ -10,12 +10,12 @@
 	"oxbowbridge/internal/cluster/storeclient"
 )
 
-const checkAttemptTimeout = 500 * time.Millisecond // for one node's answer to Check
+const checkAttemptTimeout = 500 * time.Millisecond // for one node's answer to a request of Check
 
-// Check asks the store whether it still has the lease as held under this token. It is for a holder that
-// has stopped without an answer and says why: the answer allows no further act under the lease. It
-// returns ErrLost if the lease is revoked, expired or another holder's. It retries until the store
-// answers or ctx ends, which leaves the question open.
+// Check asks the store whether the lease is still held under this token. A holder that stopped because no
+// keep-alive was answered calls it to report the cause; a nil result does not allow the holder to act again.
+// Check returns ErrLost if the lease is revoked, has expired or has another holder. It retries until the store
+// answers or ctx ends; if ctx ends, the lease's state is unknown.
 func (l *Lease) Check(ctx context.Context) error {
 	return l.manager.callUntilFinal(ctx, func(node *storeclient.Client) (bool, error) {
 		held, err := l.isHeld(ctx, node)
@@ -26,7 +26,7 @@
 	})
 }
 
-// isHeld asks one node whether the store has the lease as held under its token, and not revoked.
+// isHeld asks one node whether the lease is held under its token and not revoked.
 func (l *Lease) isHeld(ctx context.Context, node *storeclient.Client) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, checkAttemptTimeout)
 	defer cancel()
@@ -37,7 +37,7 @@
 	return status.Token == l.Token && !status.Revoked, err
 }
 
-// isFree reports whether the store says that nobody holds a lease.
+// isFree reports whether an error is the store's answer for a lease that has no holder.
 func isFree(err error) bool {
 	var status *storeapi.StatusError
 	return errors.As(err, &status) && status.StatusCode == http.StatusNotFound
--- a/internal/cluster/leaseclient/errors.go
+++ b/internal/cluster/leaseclient/errors.go
@@ -8,23 +8,24 @@
 )
 
 var (
-	// ErrExpired ends the context of a lease that could not be kept alive in time.
+	// ErrExpired is the cause if a lease's context ends because no keep-alive was answered in time.
 	ErrExpired = errors.New("lease could not be kept alive in time")
-	// ErrLost ends the context of a lease that the store says this process does not hold any more.
+	// ErrLost is the cause if a lease's context ends because the store reports that this process no longer
+	// holds the lease.
 	ErrLost = errors.New("lease is lost")
-	// ErrReleased ends the context of a lease that was given back.
-	ErrReleased = errors.New("lease was given back")
-	// ErrAlreadyHeld refuses a lease that this process holds, or waits for, already.
-	ErrAlreadyHeld = errors.New("this process has the lease already")
+	// ErrReleased is the cause if a lease's context ends because the lease was released.
+	ErrReleased = errors.New("lease was released")
+	// ErrAlreadyHeld means that this process already holds the lease or waits for it.
+	ErrAlreadyHeld = errors.New("this process already holds or requests the lease")
 )
 
-// isRejected reports whether the store has refused a request in a way that a retry does not change.
+// isRejected reports whether the store has rejected a request with a status below 500, so that a retry is futile.
 func isRejected(err error) bool {
 	var status *storeapi.StatusError
 	return errors.As(err, &status) && status.StatusCode < http.StatusInternalServerError
 }
 
-// isNotHeld reports whether the store says that a lease is not held under the token any more.
+// isNotHeld reports whether an error is the store's answer for a lease that is no longer held under the token.
 func isNotHeld(err error) bool {
 	var status *storeapi.StatusError
 	return errors.As(err, &status) && status.StatusCode == http.StatusGone
--- a/internal/cluster/leaseclient/holdername.go
+++ b/internal/cluster/leaseclient/holdername.go
@@ -8,7 +8,7 @@
 	"os"
 )
 
-// NewHolderName returns a holder's name that no other process has: HOST:PID:RANDOM.
+// NewHolderName returns a unique holder name for this process: HOST:PID:RANDOM.
 func NewHolderName() string {
 	const randomBytes = 6
 	host, _ := os.Hostname()
--- a/internal/cluster/leaseclient/lease.go
+++ b/internal/cluster/leaseclient/lease.go
@@ -12,7 +12,7 @@
 // Lease is a lease that this process holds.
 type Lease struct {
 	Name  string
-	Token uint64 // the fencing token's number
+	Token uint64 // number in the fencing token
 
 	manager *Manager
 	ttl     time.Duration
@@ -21,12 +21,12 @@
 	cancel  context.CancelCauseFunc
 	timer   *time.Timer // calls onDeadline
 
-	renewalError error // of the latest keep-alive, nil if that was answered; guarded by the manager's lock
+	renewalError error // error of the latest keep-alive, nil if it was answered; guarded by the manager's lock
 }
 
-// Context ends when the holder must have stopped acting, whether or not any node answers. Its
-// cause wraps ErrExpired, ErrLost or ErrReleased. A process may be suspended between looking at it
-// and acting; what matters needs the fencing token as well.
+// Context returns a context that ends when the holder must stop acting, also if no node answers. Its
+// cause wraps ErrExpired, ErrLost or ErrReleased. A process may be suspended between a check of the
+// context and its next action; writes that must not be stale also need the fencing token.
 func (l *Lease) Context() context.Context { return l.ctx }
 
 // FencingToken returns the fencing token for writes that depend on the lease.
@@ -34,14 +34,15 @@
 	return lease.FencingToken{Name: l.Name, Token: l.Token}
 }
 
-// Deadline returns when the holder must have stopped acting, unless a keep-alive is answered before.
+// Deadline returns the time by which the holder must stop acting, unless a keep-alive is answered before.
 func (l *Lease) Deadline() time.Time {
 	l.manager.mu.Lock()
 	defer l.manager.mu.Unlock()
 	return l.manager.startedAt.Add(l.state.Deadline())
 }
 
-// onDeadline runs when the deadline may have come. A keep-alive may have moved it.
+// onDeadline runs when the timer fires. It ends the lease, or resets the timer if a keep-alive has extended
+// the deadline.
 func (l *Lease) onDeadline() {
 	l.manager.mu.Lock()
 	defer l.manager.mu.Unlock()
@@ -53,8 +54,8 @@
 	l.endLocked(l.expiredErrorLocked())
 }
 
-// ExpiredError returns the error of a holder that stops because no keep-alive is answered in time. It
-// wraps ErrExpired and says how the latest keep-alive has failed.
+// ExpiredError returns the error for a holder that stops because no keep-alive was answered in time. It
+// wraps ErrExpired and the error of the latest keep-alive.
 func (l *Lease) ExpiredError() error {
 	l.manager.mu.Lock()
 	defer l.manager.mu.Unlock()
@@ -62,7 +63,7 @@
 }
 
 func (l *Lease) expiredErrorLocked() error {
-	if l.renewalError == nil { // this process was late itself, or the answer is
+	if l.renewalError == nil { // this process was suspended or late, or the answer is
 		return fmt.Errorf("%w: %s (no keep-alive has failed)", ErrExpired, l.Name)
 	}
 	return fmt.Errorf("%w: %s (last keep-alive: %w)", ErrExpired, l.Name, l.renewalError)
@@ -70,7 +71,7 @@
 
 func (l *Lease) lostError() error { return fmt.Errorf("%w: %s", ErrLost, l.Name) }
 
-// endLocked ends a lease that was not released. The manager's lock is held.
+// endLocked ends a lease that expired or was lost. The caller holds the manager's lock.
 func (l *Lease) endLocked(cause error) {
 	l.state.MarkLost()
 	l.cancelContext(cause)
@@ -82,8 +83,8 @@
 	l.cancel(cause)
 }
 
-// Release gives the lease back; the first waiter, if any, has it next. All that was done under the
-// lease must have ended. It retries until the store answers or ctx ends.
+// Release releases the lease; the store grants it to the first waiter, if any. The holder must have stopped
+// acting under the lease before. Release retries until the store answers or ctx ends.
 func (l *Lease) Release(ctx context.Context) error {
 	m := l.manager
 	m.mu.Lock()
@@ -94,10 +95,10 @@
 	token := l.state.Release()
 	l.cancelContext(fmt.Errorf("%w: %s", ErrReleased, l.Name))
 	m.mu.Unlock()
-	defer m.unregister(l) // it is not acquired again before the store has released it, or ctx has ended
+	defer m.unregister(l) // only now may this process acquire a lease with that name again
 	return m.callUntilFinal(ctx, func(node *storeclient.Client) (bool, error) {
 		err := node.ReleaseLease(ctx, l.Name, token, "")
-		if err == nil || isNotHeld(err) { // released by an attempt whose answer was lost, or expired
+		if err == nil || isNotHeld(err) { // an earlier attempt released it and its answer was lost, or it expired
 			return true, nil
 		}
 		return isRejected(err), err
--- a/internal/cluster/leaseclient/manager.go
+++ b/internal/cluster/leaseclient/manager.go
@@ -1,6 +1,6 @@
-// Package leaseclient holds leases of the replicated store for one process. It acquires them,
-// keeps all of them alive together, and ends a lease's context in time when the lease can't be
-// kept. The rules about who may act until when are those of package lease.
+// Package leaseclient holds leases of the replicated store for one process. It acquires leases, renews
+// them in batches, and ends a lease's context by its deadline if the lease can't be renewed. Package
+// lease documents until when a holder may act.
 package leaseclient
 
 import (
@@ -12,27 +12,27 @@
 )
 
 const (
-	maxRequestWait = 10 * time.Second       // for which one request waits in a queue; it is then sent again
-	releaseTimeout = 500 * time.Millisecond // to give a lease back when a task or the manager ends; part of the shutdown, so it is short
+	maxRequestWait = 10 * time.Second       // maximum queueing time of one request; the request is then repeated
+	releaseTimeout = 500 * time.Millisecond // to release a lease when a task or the manager ends; short, as it delays the shutdown
 )
 
-// Manager holds the leases of a process. It is safe for concurrent use.
+// Manager acquires and renews the leases of a process. It is safe for concurrent use.
 type Manager struct {
 	holder          string
 	client          *storeclient.Client
-	startedAt       time.Time // the monotonic origin of all times that package lease gets
+	startedAt       time.Time // monotonic origin of all times passed to package lease
 	ctx             context.Context
 	stop            context.CancelFunc
 	renewalLoopDone sync.WaitGroup
 	leaseAdded      chan struct{} // wakes the renewal loop
 
 	mu        sync.Mutex
-	leases    map[string]*Lease // by name, also those that are being acquired or released
-	nodeIndex int               // the node that answered last
+	leases    map[string]*Lease // by name, including leases that are being acquired or released
+	nodeIndex int               // index, modulo the number of nodes, of the node to call next
 }
 
 // New returns a manager for the store whose nodes have the given admin addresses. No other process may
-// use the holder's name. Close ends it.
+// use the same holder name. The caller must call Close.
 func New(nodes []string, holder string) *Manager {
 	m := &Manager{
 		holder:     holder,
@@ -41,16 +41,16 @@
 		leaseAdded: make(chan struct{}, 1),
 		leases:     map[string]*Lease{},
 	}
-	m.client.Retry.MaxRetries = 0 // the manager retries by itself, at another node
+	m.client.Retry.MaxRetries = 0 // the manager itself retries, at another node
 	m.ctx, m.stop = context.WithCancel(context.Background())
 	m.renewalLoopDone.Go(m.renewalLoop)
 	return m
 }
 
-// Holder returns the holder's name.
+// Holder returns the name under which this process holds leases.
 func (m *Manager) Holder() string { return m.holder }
 
-// Close releases all leases, for releaseTimeout at most, and ends the manager.
+// Close releases all leases, waiting at most releaseTimeout, and stops the renewal loop.
 func (m *Manager) Close() {
 	m.mu.Lock()
 	var leases []*Lease
@@ -71,7 +71,7 @@
 
 func (m *Manager) now() time.Duration { return time.Since(m.startedAt) }
 
-// unregister removes a lease that is not held any more.
+// unregister removes a lease that is no longer held.
 func (m *Manager) unregister(l *Lease) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -84,7 +84,8 @@
 	}
 }
 
-// node returns a client of a single node: the one that answered last, or the next one.
+// node returns a client for a single node: the present one, or with next the one after it, which becomes the
+// present one.
 func (m *Manager) node(next bool) *storeclient.Client {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/cluster/leaseclient/renew.go
+++ b/internal/cluster/leaseclient/renew.go
@@ -9,19 +9,19 @@
 	"oxbowbridge/internal/cluster/storeapi"
 )
 
-// From when a keep-alive is due, a third of the TTL after the last one, to the holder's deadline there
-// is about half of the TTL (1 - lease.SafetyMargin - 1/3).
+// usableTTLDivisor approximates the time from when a keep-alive is due, a third of the TTL after the last one,
+// to the holder's deadline as TTL/usableTTLDivisor. The exact fraction is 1 - lease.SafetyMargin - 1/3 = 0.47.
 const usableTTLDivisor = 2
 
 const (
 	maxRenewalTimeout  = 2 * time.Second        // for the answer to a keep-alive
-	maxRenewalWait     = time.Second            // between two looks at what is due
-	maxRenewalBackoff  = 125 * time.Millisecond // pause after a keep-alive that failed
-	renewalAttempts    = 4                      // that fit between when a keep-alive is due and the holder's deadline
-	renewalBatchWindow = 0.1                    // of the TTL by which a keep-alive may be early, to go with others
+	maxRenewalWait     = time.Second            // between two checks for due renewals
+	maxRenewalBackoff  = 125 * time.Millisecond // after a failed keep-alive
+	renewalAttempts    = 4                      // that fit between the time at which a keep-alive is due and the holder's deadline
+	renewalBatchWindow = 0.1                    // fraction of the TTL by which a keep-alive may be sent early, in a batch with others
 )
 
-// renewalLoop keeps all leases alive until the manager is closed.
+// renewalLoop renews all leases until the manager is closed.
 func (m *Manager) renewalLoop() {
 	failed := false
 	for {
@@ -48,15 +48,15 @@
 	}
 }
 
-// renewalBatch is the leases to renew now.
+// renewalBatch contains the leases to renew now.
 type renewalBatch struct {
 	leases    []lease.FencingToken
 	timeout   time.Duration // for the answer
-	nextCheck time.Duration // until the next look, if there are no leases to renew
+	nextCheck time.Duration // time until the next check, if there are no leases to renew
 }
 
-// dueRenewals returns the leases whose keep-alive is due, with those whose keep-alive is due so soon
-// that it may go with them.
+// dueRenewals returns the leases whose keep-alive is due. If there are any, the batch also contains the leases
+// whose keep-alive is due within renewalBatchWindow.
 func (m *Manager) dueRenewals() renewalBatch {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -84,8 +84,8 @@
 	return batch
 }
 
-// renew sends one keep-alive, and reports whether it was answered. After a failure the next node is
-// asked.
+// renew sends one keep-alive for a batch of leases, and reports whether it was answered. With nextNode, it sends
+// the keep-alive to the next node.
 func (m *Manager) renew(leases []lease.FencingToken, timeout time.Duration, nextNode bool) bool {
 	ctx, cancel := context.WithTimeout(m.ctx, timeout)
 	defer cancel()
@@ -96,7 +96,7 @@
 	for _, renewed := range leases {
 		l := m.leases[renewed.Name]
 		if l == nil || l.state.Token != renewed.Token {
-			continue // released or granted anew meanwhile
+			continue // released, or granted under a new token, in the meantime
 		}
 		l.renewalError = err
 		if err != nil {
--- a/internal/cluster/leaseclient/retry.go
+++ b/internal/cluster/leaseclient/retry.go
@@ -8,8 +8,8 @@
 	"oxbowbridge/internal/cluster/storeclient"
 )
 
-// callUntilFinal calls one node after another until a call reports that its result is final, which it
-// returns. If ctx ends before, it returns the error of ctx joined with that of the last call.
+// callUntilFinal calls the nodes in turn until a call reports that its result is final, and returns that
+// result. If ctx ends before, it returns the error of ctx joined with the error of the last call.
 func (m *Manager) callUntilFinal(ctx context.Context, call func(*storeclient.Client) (final bool, err error)) error {
 	for failed := 0; ; failed++ {
 		final, err := call(m.node(failed > 0))
@@ -24,8 +24,8 @@
 	}
 }
 
-// retryBackoff returns the pause after a number of failed attempts. It stays short, as a lease's time
-// runs meanwhile.
+// retryBackoff returns the backoff after a number of failed attempts. It stays short, as the lease's TTL
+// elapses during the backoff.
 func (m *Manager) retryBackoff(failed int) time.Duration {
 	const (
 		maxBackoffSteps = 4
--- a/internal/cluster/leaseclient/retry_test.go
+++ b/internal/cluster/leaseclient/retry_test.go
@@ -20,9 +20,9 @@
 
 const (
 	testTTL = 10 * time.Second
-	// finalAnswerTimeout is how long a call may take whose nodes give a final answer.
+	// finalAnswerTimeout limits calls that get a final answer.
 	finalAnswerTimeout = 10 * time.Second
-	// noAnswerTimeout is when a call is given up whose nodes never give a final answer.
+	// noAnswerTimeout ends calls that never get a final answer.
 	noAnswerTimeout = 300 * time.Millisecond
 
 	answerHeld        = `200 {"token":7}`
@@ -40,15 +40,15 @@
 	"410": http.StatusGone, "503": http.StatusServiceUnavailable,
 }
 
-// storeStandIn is two nodes that grant a lease, and give the next of the answers to whatever comes after, the last one
-// again and again.
+// storeStandIn is a stand-in for a store with two nodes. It grants a lease, and answers each later request with the
+// next of answers; it repeats the last one.
 type storeStandIn struct {
 	mu             sync.Mutex
 	answers        []string
-	requestedNodes []int // node by node, after the grant
+	requestedNodes []int // node that received each request after the grant
 }
 
-// acquire returns a lease of the stand-in.
+// acquire starts the stand-in's nodes and acquires a lease from them.
 func (s *storeStandIn) acquire(t *testing.T) *Lease {
 	var nodes []string
 	for node := range 2 {
@@ -79,14 +79,14 @@
 	io.WriteString(w, body)
 }
 
-// nodesRequested returns which nodes were asked, in order.
+// nodesRequested returns the node that received each request after the grant, in order.
 func (s *storeStandIn) nodesRequested() []int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.requestedNodes
 }
 
-// TestCheckRetries guards against a Check that takes a node's failure for an answer, or asks again after an answer.
+// TestCheckRetries guards against a Check that treats a node's failure as an answer, or retries after an answer.
 func TestCheckRetries(t *testing.T) {
 	for name, test := range map[string]struct {
 		answers        []string
@@ -117,7 +117,7 @@
 	}
 }
 
-// TestReleaseRetries guards against a Release that gives up at a node's failure, or fails where the lease is gone already.
+// TestReleaseRetries guards against a Release that stops at a node's failure, or fails if the lease has already ended.
 func TestReleaseRetries(t *testing.T) {
 	for name, test := range map[string]struct {
 		answers        []string
@@ -143,7 +143,7 @@
 	}
 }
 
-// TestCallEndsWithContext guards against a call that goes on after its context has ended.
+// TestCallEndsWithContext guards against a call that continues after its context has ended.
 func TestCallEndsWithContext(t *testing.T) {
 	for name, call := range map[string]func(*Lease, context.Context) error{"Check": (*Lease).Check, "Release": (*Lease).Release} {
 		t.Run(name, func(t *testing.T) {
@@ -156,7 +156,7 @@
 	}
 }
 
-// TestCanceledCallReportsCause guards against a call that is given up and does not say why it got no answer.
+// TestCanceledCallReportsCause guards against a canceled call whose error lacks the error of its last attempt.
 func TestCanceledCallReportsCause(t *testing.T) {
 	manager := New([]string{"127.0.0.1:1"}, "holder")
 	t.Cleanup(manager.Close)
--- a/internal/cluster/leaseclient/task.go
+++ b/internal/cluster/leaseclient/task.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	minTaskBackoff = time.Second // before a task is started again; doubles after each run
+	minTaskBackoff = time.Second // before a task is run again; doubles after each run
 	maxTaskBackoff = 10 * time.Second
 )
 
-// Task is work that one process of many does at a time.
+// Task is work that at most one process does at a time, under a lease.
 type Task struct {
-	Name string // of its lease
+	Name string // name of the lease
 	TTL  time.Duration
-	// Run works until ctx ends, which it does when the lease can't be kept, or returns earlier. The
-	// lease is then released, and another process may run the task.
+	// Run does the work until ctx ends, or returns earlier. ctx ends if the lease is lost or RunTask ends. After Run
+	// returns, the lease is released, and another process may run the task.
 	Run func(ctx context.Context, l *Lease) error
 }
 
@@ -43,7 +43,7 @@
 	}
 }
 
-// runOnce runs a task under its lease, and returns how long that took.
+// runOnce runs a task under its lease and returns the run's duration.
 func (m *Manager) runOnce(ctx context.Context, task Task, l *Lease, log *zap.Logger) time.Duration {
 	log.Info("lease acquired", zap.Uint64("token", l.Token))
 	started := time.Now()
@@ -65,6 +65,6 @@
 	cancel(nil)
 	releaseCtx, done := context.WithTimeout(context.WithoutCancel(ctx), releaseTimeout)
 	defer done()
-	l.Release(releaseCtx) // if this fails, others wait until it expires
+	l.Release(releaseCtx) // if the release fails, the lease expires after its TTL
 	return err
 }
--- a/internal/cluster/membership/choice.go
+++ b/internal/cluster/membership/choice.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// promotionCandidate is the learner that gets the next vote: a preferred one, then one of the zone with the
-// fewest voters, then the one that misses the fewest entries, then the lowest ID.
+// promotionCandidate returns the healthy learner to promote next. Learners are ordered by: preferred by an
+// operator, fewest voters in the learner's zone, fewest missing log entries, lowest ID.
 func (p Policy) promotionCandidate(v View, c voterCounts) (best Member, found bool) {
 	for _, m := range v.Members {
 		if m.Role != Learner || m.Leaving || !p.healthy(m) {
@@ -21,7 +21,7 @@
 	return best, found
 }
 
-// comparePromotionCandidates is below 0 if a goes before b.
+// comparePromotionCandidates returns a negative number if a is promoted before b.
 func (c voterCounts) comparePromotionCandidates(a, b Member) int {
 	return cmp.Or(
 		-compareBool(a.VotePreferred, b.VotePreferred),
@@ -31,9 +31,8 @@
 	)
 }
 
-// demotionCandidate is the voter that gives up its vote first, never the leader: one that is not
-// preferred, then one that is not healthy, then one of the zone with the most voters, then the
-// highest ID.
+// demotionCandidate returns the voter to demote next, which is never the leader. Voters are ordered
+// by: not preferred by an operator, not healthy, most voters in the voter's zone, highest ID.
 func (p Policy) demotionCandidate(v View, c voterCounts) (best Member, found bool) {
 	for _, m := range v.Members {
 		if m.Role != Voter || m.ID == v.Leader || p.shouldLoseVote(m) {
@@ -47,7 +46,7 @@
 	return best, found
 }
 
-// compareDemotionCandidates is below 0 if a goes before b.
+// compareDemotionCandidates returns a negative number if a is demoted before b.
 func (p Policy) compareDemotionCandidates(c voterCounts, a, b Member) int {
 	return cmp.Or(
 		compareBool(a.VotePreferred, b.VotePreferred),
@@ -57,7 +56,7 @@
 	)
 }
 
-// compareBool puts false before true.
+// compareBool orders false before true.
 func compareBool(a, b bool) int {
 	switch {
 	case a == b:
@@ -68,7 +67,7 @@
 	return 1
 }
 
-// votersPerZoneRange is the lowest and the highest number of staying voters in a zone.
+// votersPerZoneRange returns the lowest and the highest number of retained voters in a zone.
 func (c voterCounts) votersPerZoneRange() (minVoters, maxVoters int) {
 	counts := slices.Collect(maps.Values(c.zones))
 	return slices.Min(counts), slices.Max(counts)
--- a/internal/cluster/membership/golden_test.go
+++ b/internal/cluster/membership/golden_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestGoldenStrings: the words that operators read of GET /members.
+// TestGoldenStrings guards against a change of the texts that GET /members returns to operators.
 func TestGoldenStrings(t *testing.T) {
 	for r, text := range map[Role]string{Learner: "learner", Voter: "voter"} {
 		assert.Equal(t, text, r.String())
--- a/internal/cluster/membership/lost_disks_events_test.go
+++ b/internal/cluster/membership/lost_disks_events_test.go
@@ -1,7 +1,7 @@
 package membership
 
-// countFault counts one more fault of a kind, if the limit allows it. Faults without a limit are not counted, so
-// that states that differ in nothing else are one.
+// countFault counts a fault and returns true, or returns false if the limit is reached. Faults without a limit are
+// not counted: otherwise states that differ only in the count would be explored separately.
 func countFault(count *int8, limit int8) bool {
 	switch {
 	case limit == unlimited:
@@ -13,13 +13,13 @@
 	return true
 }
 
-// transition is a state that may be next.
+// transition is a state that follows one event, with the outcome of that event.
 type transition struct {
 	state   diskModel
 	outcome outcome
 }
 
-// transitions are all states that may be next.
+// transitions returns the states after each possible event.
 func (w diskModel) transitions(r diskRules) (next []transition) {
 	add := func(change func(*diskModel) bool) {
 		x := w
@@ -63,7 +63,8 @@
 	return r.limits.rolledBack != 0
 }
 
-// assignEmptyFolder gives a node an empty folder, if the model has an identity left for it.
+// assignEmptyFolder gives a node an empty folder with a new disk identity. It returns false if the node has used
+// maxGenerations identities.
 func (w *diskModel) assignEmptyFolder(i int) bool {
 	node := &w.nodes[i]
 	if node.nextGeneration >= maxGenerations {
@@ -90,7 +91,8 @@
 	return true
 }
 
-// unmountFolder has an empty folder in the place of the true one, as with a mount that is missing.
+// unmountFolder replaces a node's folder by an empty one and sets the original aside, as if its file system were
+// not mounted.
 func (w *diskModel) unmountFolder(i int, r diskRules) bool {
 	folder := w.nodes[i].diskState
 	if folder.logLength == 0 || w.unmounted[i].logLength > 0 || !w.assignEmptyFolder(i) {
@@ -100,7 +102,7 @@
 	return countFault(&w.faults.unmounted, r.limits.unmounted)
 }
 
-// remountFolder puts the true folder back.
+// remountFolder restores the folder that unmountFolder has set aside.
 func (w *diskModel) remountFolder(i int) bool {
 	if w.unmounted[i].logLength == 0 {
 		return false
--- a/internal/cluster/membership/lost_disks_model_test.go
+++ b/internal/cluster/membership/lost_disks_model_test.go
@@ -2,35 +2,35 @@
 
 import "oxbowbridge/internal/cluster/diskidentity"
 
-// The model of lost disks: what nodes hold on their disks, and what was acknowledged. Its nodes decide
-// by diskidentity.Decide and Policy.NextStep, as the real ones do. A log is a length, as all logs are
-// prefixes of one history until an acknowledged entry is lost, which is what the model looks for.
+// diskModel models the contents of the nodes' disks and the acknowledged log entries. Its nodes decide with
+// diskidentity.Decide and Policy.NextStep, as real nodes do. A log is represented by its length: all logs are
+// prefixes of one history until an acknowledged entry is lost, which is the failure that the model searches for.
 const (
 	maxNodes       = 5
-	maxGenerations = 3 // disks that a node has one after the other
+	maxGenerations = 3 // successive disks of a node
 	maxLogLength   = 6
 )
 
-// modelCluster is the ID of the cluster whose log the nodes hold.
+// modelCluster is the cluster ID in the nodes' logs.
 const modelCluster = "c"
 
-// diskWatermark is how far a disk has come.
+// diskWatermark corresponds to diskidentity.Watermark, with a constant term.
 type diskWatermark struct{ starts, logLength int8 }
 
-// diskState is what a folder holds.
+// diskState is the content of a node's storage folder.
 type diskState struct {
 	generation, starts, logLength int8
 	reidentified                  bool
-	observed                      [maxNodes][maxGenerations]diskWatermark // of the others' disks
+	observed                      [maxNodes][maxGenerations]diskWatermark // last observed watermarks of the peers' disks
 }
 
 type diskNode struct {
 	diskState
-	up, running    bool // running: Raft runs
+	up, running    bool // running: the node runs Raft
 	nextGeneration int8 // generation of its next disk
 }
 
-// cluster is the ID of the cluster in the folder's log, or "".
+// cluster returns the cluster ID in the folder's log, or "" for an empty log.
 func (d *diskState) cluster() string {
 	if d.logLength == 0 {
 		return ""
@@ -38,42 +38,43 @@
 	return modelCluster
 }
 
-// config is the role of each disk of each node: 0 none, 1 learner, 2 voter.
+// config is a Raft configuration: the role of each disk (generation) of each node. 0 is no member, 1 is a learner,
+// 2 is a voter.
 type config [maxNodes][maxGenerations]int8
 
 type diskModel struct {
 	size        int
 	nodes       [maxNodes]diskNode
-	backups     [maxNodes]diskState // of which logLength 0 is none
-	unmounted   [maxNodes]diskState // the true folder while an empty one is in its place; logLength 0 is none
-	faults      diskFaults          // that have happened, as far as they are limited
-	ackedLength int8
-	lastLength  int8
-	history     [maxLogLength + 1]config // the configuration as of each length
+	backups     [maxNodes]diskState      // logLength 0: no backup
+	unmounted   [maxNodes]diskState      // folders set aside by unmountFolder; logLength 0: none
+	faults      diskFaults               // faults injected so far, without those of an unlimited kind
+	ackedLength int8                     // length of the log up to the last acknowledged entry
+	lastLength  int8                     // length of the longest log
+	history     [maxLogLength + 1]config // configuration after each log length
 }
 
-// diskFaults are numbers of faults.
+// diskFaults counts faults, or limits them.
 type diskFaults struct {
-	wiped      int8 // folders that were wiped
-	rolledBack int8 // folders that were replaced by an older copy
-	unmounted  int8 // nodes that were started with an empty folder while their true one is elsewhere
+	wiped      int8 // wiped folders
+	rolledBack int8 // folders replaced by an older backup
+	unmounted  int8 // folders that are not mounted, so that the node starts with an empty one
 }
 
-// outcome is that of an event.
+// outcome is the result of an event.
 type outcome int
 
 const (
 	converged      outcome = iota
-	lostButStored          // a node without an acknowledged entry can lead, although some folder has the entry
-	lostEverywhere         // the same, and no folder has the entry any more
+	lostButStored          // a node without an acknowledged entry can become leader; some folder still has the entry
+	lostEverywhere         // a node without an acknowledged entry can become leader; no folder has the entry
 )
 
-// unlimited is as many faults as there are events.
+// unlimited, as a limit of diskFaults, allows any number of faults.
 const unlimited = -1
 
-// diskRules are what the checked nodes decide by, and the faults that they have to survive.
+// diskRules holds the rules by which the model's nodes decide, and the limits of the injected faults.
 type diskRules struct {
-	diskIDs   bool // a member is a name and a disk, and asks others when it starts
+	diskIDs   bool // member IDs contain the disk identity, and nodes call diskidentity.Decide when they start
 	attesters int
 	limits    diskFaults
 }
@@ -93,8 +94,8 @@
 	return list
 }
 
-// leader is a node that can win an election with those that run, or -1, and whether one
-// can that has not all that was acknowledged.
+// leader returns a running node that can win an election, or -1. entryLost reports whether a node that misses
+// an acknowledged entry can win one.
 func (w *diskModel) leader() (lead int, entryLost bool) {
 	lead = -1
 	for i := range w.size {
@@ -121,7 +122,7 @@
 	return lead, entryLost
 }
 
-// decide has a node decide on its disk.
+// decide applies node i's verdict on its disk.
 func (w *diskModel) decide(i int, r diskRules) {
 	x := &w.nodes[i]
 	if !r.diskIDs {
@@ -156,8 +157,8 @@
 	}
 }
 
-// converge has nodes that wait look again, the leader bring all members up to date, and
-// all that are up see each other, until nothing changes or an acknowledged entry is lost.
+// converge repeats the following until nothing changes or an acknowledged entry is lost: waiting nodes decide again,
+// the leader replicates its log to all running members, and the nodes that are up observe each other.
 func (w *diskModel) converge(r diskRules) outcome {
 	for {
 		before := *w
@@ -188,7 +189,7 @@
 	}
 }
 
-// anyDiskStores reports whether some folder still has a log of this length.
+// anyDiskStores reports whether any folder, mounted or not, has a log of at least this length.
 func (w *diskModel) anyDiskStores(logLength int8) bool {
 	for i := range w.size {
 		if max(w.nodes[i].logLength, w.unmounted[i].logLength) >= logLength {
@@ -198,9 +199,9 @@
 	return false
 }
 
-// isStalled reports whether nobody leads although all nodes are up, and enough voters to elect a leader have
-// the disks with which they are voters. No event but another fault or start changes that. A node that waits after
-// it has used the model's identities up may have to renew its disk, which the model can't: that does not count.
+// isStalled reports whether no node leads although all nodes are up and a majority of the voters still has the disks
+// named in the configuration. Only another fault or a restart can end that state. A waiting node that has used all
+// of its maxGenerations identities is excluded: it may need a new identity, which the model can't give it.
 func (w *diskModel) isStalled() bool {
 	voters, present := 0, 0
 	for i := range w.size {
@@ -222,8 +223,8 @@
 	return lead < 0 && present >= Quorum(voters)
 }
 
-// observePeers has all nodes that are up observe each other. Like the real ones they remember each disk that they
-// have observed, also after its node has another one.
+// observePeers records the watermarks that the nodes that are up observe of each other. As in the real store, a
+// node keeps the watermark of each disk that it has observed, also after the disk was replaced.
 func (w *diskModel) observePeers() {
 	for i := range w.size {
 		for j := range w.size {
@@ -238,7 +239,7 @@
 	}
 }
 
-// commit adds an entry, if one can be.
+// commit appends an entry with a configuration change and commits it. It returns false if no leader can do so.
 func (w *diskModel) commit(change func(*config)) bool {
 	lead, _ := w.leader()
 	if lead < 0 || w.lastLength >= maxLogLength || w.nodes[lead].logLength != w.lastLength {
--- a/internal/cluster/membership/lost_disks_test.go
+++ b/internal/cluster/membership/lost_disks_test.go
@@ -10,22 +10,22 @@
 	"github.com/stretchr/testify/require"
 )
 
-var diskDepth = flag.Int("disk-depth", 7, "events that the model of lost disks goes through")
+var diskDepth = flag.Int("disk-depth", 7, "maximum number of events that the model of lost disks explores")
 
-// mixedFaultEvents is how many events it takes three voters, one of which is brought back older while another one is
-// wiped, to lose an acknowledged entry that no folder has any more.
+// mixedFaultEvents is the number of events after which three voters lose an acknowledged entry on all disks, if one
+// folder is rolled back to an older backup and another one is wiped.
 const mixedFaultEvents = 10
 
-// exploration is what explore has found. The numbers of events are 0 for what it has not found.
+// exploration is the result of explore. A number of events is 0 if the failure was not found.
 type exploration struct {
 	states               int
 	depthReached         int
 	lostAfter            int // events until an acknowledged entry was lost, whether or not a folder has it
-	lostWhileStoredAfter int // the same, while some folder still had it
-	stalledAfter         int // events until the cluster stood still
+	lostWhileStoredAfter int // events until an acknowledged entry was lost while some folder still had it
+	stalledAfter         int // events until the cluster was stalled (isStalled)
 }
 
-// newDiskModel is a cluster of size nodes that are up, the first of which are voters.
+// newDiskModel returns a cluster of size nodes that are up. The first nodes are the voters.
 func newDiskModel(size, voters int, r diskRules) diskModel {
 	w := diskModel{size: size, lastLength: 1}
 	for i := range size {
@@ -39,11 +39,11 @@
 	return w
 }
 
-// explore goes through all states up to a depth of events, or until it finds an acknowledged entry lost while
-// a folder has it.
+// explore searches all states up to a depth of events, breadth first. It stops early if an acknowledged entry is
+// lost while a folder still has it.
 func explore(start diskModel, r diskRules, depth int) (found exploration) {
 	hashSeed := maphash.MakeSeed()
-	seen := map[uint64]bool{maphash.Comparable(hashSeed, start): true} // hashes, as the states take too much memory
+	seen := map[uint64]bool{maphash.Comparable(hashSeed, start): true} // hashes: the states themselves need too much memory
 	layer := []diskModel{start}
 	for ; found.depthReached < depth && found.lostWhileStoredAfter == 0; found.depthReached++ {
 		var next []diskModel
@@ -66,7 +66,7 @@
 	return found
 }
 
-// record records what a successor after a number of events shows for the first time.
+// record stores the number of events of a failure that transition x is the first to show.
 func (e *exploration) record(x transition, events int) {
 	if x.outcome != converged && e.lostAfter == 0 {
 		e.lostAfter = events
@@ -79,10 +79,11 @@
 	}
 }
 
-// TestLostDisks: if members are names alone, acknowledged entries are lost when a node loses its disk;
-// if they are names and disks, none is, up to the depth. One folder that is replaced by an older copy
-// loses none if all other voters must attest when a node starts. If a majority is enough, the case
-// that can't be told from a loss of power to all nodes is found, and no other is shorter.
+// TestLostDisks guards against the loss of acknowledged entries when folders are wiped or rolled back:
+//   - If member IDs are names only, a wiped folder loses entries.
+//   - If member IDs contain the disk identity, wiped folders lose no entry within the depth.
+//   - One folder rolled back to an older backup loses no entry if all other voters must attest a disk. If a
+//     majority is enough, the shortest loss found is the one that can't be told apart from a power failure of all nodes.
 func TestLostDisks(t *testing.T) {
 	t.Parallel()
 	for n := 3; n <= maxNodes; n++ {
@@ -92,11 +93,11 @@
 		}
 		namesOnly := diskRules{limits: diskFaults{wiped: unlimited}}
 		found := explore(newDiskModel(n, 3, namesOnly), namesOnly, 7)
-		assert.NotZero(t, found.lostAfter, "%d nodes without identity", n)
-		t.Logf("%d nodes, names alone: an acknowledged entry is lost after %d events", n, found.lostAfter)
+		assert.NotZero(t, found.lostAfter, "%d nodes without disk identities", n)
+		t.Logf("%d nodes without disk identities: an acknowledged entry is lost after %d events", n, found.lostAfter)
 		for _, r := range []diskRules{{diskIDs: true, limits: diskFaults{wiped: unlimited}}, {diskIDs: true, attesters: -1, limits: diskFaults{wiped: unlimited, rolledBack: 1}}} {
 			if r.limits.rolledBack > 0 && n == maxNodes {
-				depth-- // it has the most states by far
+				depth-- // this case has by far the most states
 			}
 			found := explore(newDiskModel(n, 3, r), r, depth)
 			assert.Zero(t, found.lostWhileStoredAfter, "%d nodes, %+v", n, r)
@@ -108,19 +109,19 @@
 	}
 	r := diskRules{diskIDs: true, limits: diskFaults{wiped: unlimited, rolledBack: 1}}
 	found := explore(newDiskModel(3, 3, r), r, 8)
-	t.Logf("3 nodes, a majority attests, older copies come back: after %d events", found.lostAfter)
+	t.Logf("3 nodes, a majority attests, one folder rolled back: an acknowledged entry is lost after %d events", found.lostAfter)
 	assert.Contains(t, []int{6, 7, 8}, found.lostAfter)
 }
 
-// toleratedFaults is a number of faults at once that a cluster with vouchers -1 survives: it loses no acknowledged
-// entry, and serves again when all nodes are up.
+// toleratedFaults is a combination of faults that a cluster with the setting vouchers -1 tolerates: it loses no
+// acknowledged entry, and elects a leader when all nodes are up.
 type toleratedFaults struct {
 	voters         int
 	faults         diskFaults
-	depthReduction int // fewer events than -disk-depth
+	depthReduction int // subtracted from -disk-depth
 }
 
-// toleratedFaultCases is what docs/design/membership.md promises.
+// toleratedFaultCases lists the faults that docs/design/membership.md documents as tolerated.
 var toleratedFaultCases = []toleratedFaults{
 	{voters: 3, faults: diskFaults{rolledBack: 1}, depthReduction: -1},
 	{voters: 3, faults: diskFaults{wiped: unlimited}, depthReduction: -1},
@@ -134,8 +135,8 @@
 	{voters: 5, faults: diskFaults{wiped: 2}, depthReduction: 1},
 }
 
-// TestToleratedDiskFaults: nodes that are all up wait for each other for ever, or an acknowledged entry is lost, although no
-// more disks were replaced or brought back older than vouchers -1 promises to survive.
+// TestToleratedDiskFaults guards against a deadlock of nodes that are all up, and against the loss of an acknowledged
+// entry, within the faults that the setting vouchers -1 tolerates.
 func TestToleratedDiskFaults(t *testing.T) {
 	t.Parallel()
 	for _, tolerated := range toleratedFaultCases {
@@ -144,14 +145,15 @@
 			r := diskRules{diskIDs: true, attesters: -1, limits: tolerated.faults}
 			found := explore(newDiskModel(tolerated.voters, tolerated.voters, r), r, *diskDepth-tolerated.depthReduction)
 			assert.Zero(t, found.lostAfter, "an acknowledged entry is lost")
-			assert.Zero(t, found.stalledAfter, "nobody leads")
+			assert.Zero(t, found.stalledAfter, "no node can become leader")
 			t.Logf("%+v", found)
 		})
 	}
 }
 
-// TestMajorityAttests: with vouchers 0, nodes that are all up wait for each other for ever after disks were lost. Older
-// folders are left out, as vouchers 0 promises nothing about them.
+// TestMajorityAttests guards against a deadlock of nodes that are all up after disks were wiped, and against the loss
+// of an acknowledged entry, with the setting vouchers 0. Rolled back folders are not tested, as vouchers 0 does not
+// tolerate them.
 func TestMajorityAttests(t *testing.T) {
 	t.Parallel()
 	for voters := 3; voters <= maxNodes; voters++ {
@@ -162,8 +164,8 @@
 	}
 }
 
-// newLaggingBackedUpModel is a cluster of three in which node 0 is down and misses an acknowledged entry, and the others
-// have backups without it.
+// newLaggingBackedUpModel returns a cluster of three nodes. Node 0 is down and misses an acknowledged entry; the
+// backups of the other nodes lack that entry too.
 func newLaggingBackedUpModel(t *testing.T, r diskRules) diskModel {
 	w := newDiskModel(3, 3, r)
 	require.True(t, w.backUpFolder(1, r))
@@ -175,13 +177,13 @@
 	return w
 }
 
-// TestUntoleratedDiskFaults: more faults at once than vouchers -1 promises to survive lose an acknowledged entry. If a
-// change of the rules survives them, the promise can grow.
+// TestUntoleratedDiskFaults checks that more faults than the setting vouchers -1 tolerates lose an acknowledged entry.
+// If it fails because no entry is lost, these faults can be documented as tolerated.
 func TestUntoleratedDiskFaults(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		faults diskFaults
-		stored bool // a folder still has the lost entry
+		stored bool // whether a folder still has the lost entry
 	}{
 		{diskFaults{rolledBack: 2}, false},
 		{diskFaults{rolledBack: 1, wiped: 1}, false},
@@ -191,6 +193,6 @@
 		found := explore(newLaggingBackedUpModel(t, r), r, mixedFaultEvents-3)
 		assert.NotZero(t, found.lostAfter, "%+v", c)
 		assert.Equal(t, c.stored, found.lostWhileStoredAfter > 0, "%+v", c)
-		t.Logf("three voters, %+v: after %d further events", c.faults, found.lostAfter)
+		t.Logf("three voters, %+v: an acknowledged entry is lost after %d further events", c.faults, found.lostAfter)
 	}
 }
--- a/internal/cluster/membership/model_test.go
+++ b/internal/cluster/membership/model_test.go
@@ -9,20 +9,20 @@
 	"github.com/stretchr/testify/assert"
 )
 
-var depth = flag.Int("depth", 7, "events that the model checker goes through")
+var depth = flag.Int("depth", 7, "maximum number of events that the model checker explores")
 
-// node is a node in the checked model.
+// node is the state of one node in clusterModel.
 type node struct {
 	member, voter, up, downTooLong, caughtUp, leaving bool
 }
 
-// clusterModel is a state of the model: what there is, the leader, and a change that is not
-// committed yet.
+// clusterModel is a state of the membership model: the nodes, the leader, and the change that is not
+// committed.
 type clusterModel struct {
 	nodes   [5]node
 	size    int
-	leader  int  // -1 if there is none
-	pending Step // appended by the leader
+	leader  int  // index of the leader, -1 if there is none
+	pending Step // appended to the leader's log, not committed
 }
 
 var zoneOfNode = [5]string{"a", "a", "b", "b", "c"}
@@ -31,15 +31,15 @@
 	return Policy{TargetVoters: 3, ReplaceAfter: time.Minute, RemoveLearnerAfter: time.Minute}
 }
 
-func id(i int) string { return fmt.Sprint(i) }
+func nodeID(i int) string { return fmt.Sprint(i) }
 
 func (w *clusterModel) view() View {
-	v := View{Leader: id(w.leader), ChangePending: w.pending.Kind != StepNone, SinceChange: time.Hour}
+	v := View{Leader: nodeID(w.leader), ChangePending: w.pending.Kind != StepNone, SinceChange: time.Hour}
 	for i, n := range w.nodes[:w.size] {
 		if !n.member {
 			continue
 		}
-		m := Member{ID: id(i), Zone: zoneOfNode[i], Up: n.up, Leaving: n.leaving}
+		m := Member{ID: nodeID(i), Zone: zoneOfNode[i], Up: n.up, Leaving: n.leaving}
 		if n.voter {
 			m.Role = Voter
 		}
@@ -54,15 +54,16 @@
 	return v
 }
 
-// voters counts all, those that are up, and those of them that have the log.
-func (w *clusterModel) voters() (all, up, sound int) {
+// voters returns the numbers of all voters, of voters that are up, and of voters that are up and have the
+// complete log.
+func (w *clusterModel) voters() (all, up, upToDate int) {
 	for _, n := range w.nodes {
 		if n.member && n.voter {
 			all++
 			if n.up {
 				up++
 				if n.caughtUp {
-					sound++
+					upToDate++
 				}
 			}
 		}
@@ -70,18 +71,18 @@
 	return
 }
 
-func (w *clusterModel) alive() bool {
-	all, up, sound := w.voters()
-	return up >= Quorum(all) && sound > 0
+func (w *clusterModel) canElectLeader() bool {
+	all, up, upToDate := w.voters()
+	return up >= Quorum(all) && upToDate > 0
 }
 
-// electAndReplicate elects a leader if one can be, and lets the cluster write: who is not up
-// then misses something.
+// electAndReplicate elects a leader if a majority is up and an up-to-date voter exists. If a majority is up to
+// date, the leader commits an entry, which the nodes that are down then miss.
 func (w *clusterModel) electAndReplicate() {
 	if w.leader >= 0 && !(w.nodes[w.leader].up && w.nodes[w.leader].voter) {
-		w.leader, w.pending = -1, Step{} // lost before it was committed
+		w.leader, w.pending = -1, Step{} // the pending change is lost uncommitted
 	}
-	if !w.alive() {
+	if !w.canElectLeader() {
 		return
 	}
 	for i, n := range w.nodes {
@@ -89,7 +90,7 @@
 			w.leader = i
 		}
 	}
-	if _, _, sound := w.voters(); w.leader >= 0 && sound >= Quorum(func() int { a, _, _ := w.voters(); return a }()) {
+	if _, _, upToDate := w.voters(); w.leader >= 0 && upToDate >= Quorum(func() int { a, _, _ := w.voters(); return a }()) {
 		for i := range w.nodes {
 			if !w.nodes[i].up {
 				w.nodes[i].caughtUp = false
@@ -98,9 +99,9 @@
 	}
 }
 
-func (w *clusterModel) do(s Step) {
+func (w *clusterModel) apply(s Step) {
 	for i := range w.nodes {
-		if id(i) != s.ID {
+		if nodeID(i) != s.ID {
 			continue
 		}
 		switch s.Kind {
@@ -116,8 +117,8 @@
 	}
 }
 
-// events are all that may happen next.
-func (w clusterModel) events() (next []clusterModel) {
+// nextStates returns the states after each possible event.
+func (w clusterModel) nextStates() (next []clusterModel) {
 	add := func(change func(*clusterModel)) {
 		x := w
 		change(&x)
@@ -130,7 +131,7 @@
 		n := w.nodes[i]
 		switch {
 		case !n.member && n.up:
-			add(func(x *clusterModel) { x.nodes[i].member = true }) // joins, with an empty log
+			add(func(x *clusterModel) { x.nodes[i].member = true }) // joins with an empty log
 		case n.member && n.up:
 			add(func(x *clusterModel) { x.nodes[i].up = false })
 			add(func(x *clusterModel) { x.nodes[i].caughtUp = true })
@@ -143,8 +144,8 @@
 		}
 	}
 	if w.pending.Kind != StepNone {
-		add(func(x *clusterModel) { x.pending = Step{} }) // the message is lost
-		add(func(x *clusterModel) { s := x.pending; x.pending = Step{}; x.do(s) })
+		add(func(x *clusterModel) { x.pending = Step{} }) // the pending change is lost
+		add(func(x *clusterModel) { s := x.pending; x.pending = Step{}; x.apply(s) })
 	} else if w.leader >= 0 {
 		if s := modelPolicy().NextStep(w.view()); s.Kind != StepNone {
 			add(func(x *clusterModel) { x.pending = s })
@@ -153,9 +154,9 @@
 	return next
 }
 
-// TestEveryOrder explores all orders of failures, recoveries, joins, leaves, lost
-// messages and decisions of clusters of up to five nodes, to a depth. No decision
-// costs a majority or the last copy, and left alone, decisions come to an end.
+// TestEveryOrder explores all orders of failures, recoveries, joins, removals, lost changes and decisions in
+// clusters of three to five nodes, up to *depth events. It guards against a step that loses the majority or the
+// last up-to-date voter, and against steps that never end.
 func TestEveryOrder(t *testing.T) {
 	for n := 3; n <= 5; n++ {
 		start := clusterModel{size: n}
@@ -163,25 +164,25 @@
 			start.nodes[i] = node{member: i < 3, voter: i < 3, up: true, caughtUp: i < 3}
 		}
 		start.electAndReplicate()
-		seen, layer, decisions := map[clusterModel]bool{start: true}, []clusterModel{start}, 0
+		seen, frontier, decisions := map[clusterModel]bool{start: true}, []clusterModel{start}, 0
 		for range *depth {
 			var next []clusterModel
-			for _, w := range layer {
+			for _, w := range frontier {
 				if w.leader >= 0 && w.pending.Kind == StepNone {
 					if s := modelPolicy().NextStep(w.view()); s.Kind != StepNone {
 						decisions++
 						checkStep(t, w, s)
 					}
-					checkEnds(t, w)
+					checkConvergence(t, w)
 				}
-				for _, x := range w.events() {
+				for _, x := range w.nextStates() {
 					if !seen[x] {
 						seen[x] = true
 						next = append(next, x)
 					}
 				}
 			}
-			if layer = next; t.Failed() {
+			if frontier = next; t.Failed() {
 				return
 			}
 		}
@@ -190,50 +191,52 @@
 	}
 }
 
-// checkStep: one decision costs neither the majority nor the last copy.
+// checkStep fails the test if step s loses the majority or the last up-to-date voter, removes a voter, or is
+// taken without a majority.
 func checkStep(t *testing.T, w clusterModel, s Step) {
-	all, _, sound := w.voters()
+	all, _, upToDate := w.voters()
 	x := w
-	x.do(s)
-	allAfter, _, soundAfter := x.voters()
-	if sound >= Quorum(all) && soundAfter < Quorum(allAfter) {
+	x.apply(s)
+	allAfter, _, upToDateAfter := x.voters()
+	if upToDate >= Quorum(all) && upToDateAfter < Quorum(allAfter) {
 		t.Errorf("%v %s loses the majority: %+v", s.Kind, s.ID, w)
 	}
-	if soundAfter == 0 || s.Kind == StepRemove && x.nodes[s.ID[0]-'0'].voter {
-		t.Errorf("%v %s gives up the last copy, or a voter: %+v", s.Kind, s.ID, w)
+	if upToDateAfter == 0 || s.Kind == StepRemove && x.nodes[s.ID[0]-'0'].voter {
+		t.Errorf("%v %s loses the last up-to-date voter, or removes a voter: %+v", s.Kind, s.ID, w)
 	}
-	if sound < Quorum(all) {
-		t.Errorf("%v %s without a majority: %+v", s.Kind, s.ID, w)
+	if upToDate < Quorum(all) {
+		t.Errorf("%v %s is taken without a majority: %+v", s.Kind, s.ID, w)
 	}
 }
 
-// checkEnds: with nothing else happening, decisions end, and never undo each other.
-func checkEnds(t *testing.T, w clusterModel) {
-	x, was := w, map[clusterModel]bool{}
+// checkConvergence fails the test if steps repeat a state when no other event happens, or end while a healthy
+// learner could replace a voter.
+func checkConvergence(t *testing.T, w clusterModel) {
+	x, visited := w, map[clusterModel]bool{}
 	for {
 		s := modelPolicy().NextStep(x.view())
 		if s.Kind == StepNone {
 			break
 		}
-		if was[x] {
-			t.Errorf("decisions go in circles from %+v", w)
+		if visited[x] {
+			t.Errorf("steps repeat a state, starting from %+v", w)
 			return
 		}
-		was[x] = true
-		x.do(s)
+		visited[x] = true
+		x.apply(s)
 	}
-	// Where enough sound nodes are there, they have the votes in the end.
-	all, _, sound := x.voters()
-	standby, outgoing := 0, 0
+	// If a majority is up to date, the steps must have used every standby that can become a voter.
+	all, _, upToDate := x.voters()
+	standby, replaceable := 0, 0
 	for i, n := range x.nodes {
 		if n.member && !n.voter && n.up && n.caughtUp && !n.leaving {
 			standby++
 		}
 		if n.member && n.voter && (n.leaving || !n.up && n.downTooLong) && i != x.leader {
-			outgoing++
+			replaceable++
 		}
 	}
-	if standby > 0 && sound >= Quorum(all) && (all-outgoing < 3 || outgoing > 0) {
-		t.Errorf("a standby is there, and is not used: from %+v to %+v", w, x)
+	if standby > 0 && upToDate >= Quorum(all) && (all-replaceable < 3 || replaceable > 0) {
+		t.Errorf("a standby was not promoted: start %+v, end %+v", w, x)
 	}
 }
--- a/internal/cluster/membership/step.go
+++ b/internal/cluster/membership/step.go
@@ -1,29 +1,29 @@
 package membership
 
-// StepKind is what a step does.
+// StepKind is the kind of a membership change.
 type StepKind int
 
-// The kinds of steps, with the change of role that each makes.
+// The kinds of steps, with the role change of each.
 const (
 	StepNone               StepKind = iota
 	StepPromote                     // learner to voter
 	StepDemote                      // voter to learner
-	StepRemove                      // learner to no member
-	StepTransferLeadership          // of the leadership, to the member
+	StepRemove                      // learner to non-member
+	StepTransferLeadership          // leadership moves to the member
 )
 
 func (k StepKind) String() string {
 	return [...]string{"none", "promote", "demote", "remove", "transfer leadership to"}[k]
 }
 
-// Step is one change, or none.
+// Step is one membership change. The zero value is no change.
 type Step struct {
 	Kind   StepKind
-	ID     string // of the member
-	Reason string // for operators
+	ID     string // member ID
+	Reason string // shown to operators
 }
 
-// rules in the order in which they are checked. The first one with a step decides.
+// rules are evaluated in this order. The first rule that returns a step decides.
 var rules = [...]func(Policy, View, voterCounts) Step{
 	Policy.demoteLostDisk,
 	Policy.promoteUpToTarget,
@@ -33,8 +33,8 @@
 	Policy.removeLearner,
 }
 
-// NextStep is the step to take now. There is none while a change is pending or settles, or without a
-// healthy majority.
+// NextStep returns the step to take now. It returns no step while a change is pending, for SettleTime after a
+// change, or if no majority of the voters is healthy.
 func (p Policy) NextStep(v View) Step {
 	c := p.countVoters(v)
 	if v.ChangePending || v.SinceChange < p.SettleTime || c.healthy < Quorum(c.voters) {
@@ -48,8 +48,8 @@
 	return Step{}
 }
 
-// demoteLostDisk takes the vote of a lost disk at once: it can't come back, and counts against the
-// majority.
+// demoteLostDisk demotes a voter whose disk is lost without waiting for a replacement: the disk can't
+// return, and its vote counts towards the majority that is needed.
 func (p Policy) demoteLostDisk(v View, c voterCounts) Step {
 	for _, m := range v.Members {
 		if m.Role == Voter && m.DiskLost && p.keepsQuorumWithout(c, m) {
@@ -59,9 +59,9 @@
 	return Step{}
 }
 
-// promoteUpToTarget gives a learner the vote that is missing. It comes before the demotion of a voter that
-// is to lose its vote (losesVote), so that the replacement votes first. One more healthy voter never
-// costs the majority, as that grows by one at most.
+// promoteUpToTarget promotes a learner while fewer voters are retained than wanted. It runs before reduceVoters,
+// so that a replacement votes before the voter that it replaces is demoted. One more healthy voter never loses
+// the majority, as the quorum grows by one at most.
 func (p Policy) promoteUpToTarget(v View, c voterCounts) Step {
 	if c.retained >= p.TargetVoters {
 		return Step{}
@@ -73,8 +73,8 @@
 	return Step{Kind: StepPromote, ID: m.ID, Reason: "fewer voters than wanted"}
 }
 
-// reduceVoters takes the votes of voters that leave, are lost or were down for too long, and then those
-// beyond the wanted number.
+// reduceVoters demotes voters that are leaving, have lost their disk or were down for too long, and then
+// the voters above TargetVoters.
 func (p Policy) reduceVoters(v View, c voterCounts) Step {
 	if step, decided := p.demoteLeavingOrDown(v, c); decided {
 		return step
@@ -82,14 +82,13 @@
 	return p.demoteSurplus(v, c)
 }
 
-// demoteLeavingOrDown takes the vote of the first voter, in the order of View.Members, that is to lose it
-// (losesVote):
+// demoteLeavingOrDown demotes the first voter, in the order of View.Members, for which shouldLoseVote holds:
 //
-//   - Once enough other voters stay, any such voter loses its vote.
-//   - While fewer stay than wanted, a leaving voter loses its vote if there is no learner to promote, and
-//     one that is down or lost keeps it.
-//   - If it is the leader, it transfers the leadership first. While no voter can take that, nothing is
-//     done, and no voter after the leader is looked at.
+//   - If at least TargetVoters other voters are retained, any such voter is demoted.
+//   - If fewer are retained, a leaving voter is demoted only if there is no learner to promote. A voter that is
+//     down or has lost its disk is not demoted.
+//   - If the voter is the leader, it transfers the leadership first. While no voter can become leader, there is
+//     no step, and the voters after the leader are not considered.
 func (p Policy) demoteLeavingOrDown(v View, c voterCounts) (step Step, decided bool) {
 	_, standby := p.promotionCandidate(v, c)
 	for _, m := range v.Members {
@@ -109,7 +108,7 @@
 	return Step{}, false
 }
 
-// demoteSurplus takes one of the votes beyond the wanted number.
+// demoteSurplus demotes one voter if more voters are retained than wanted.
 func (p Policy) demoteSurplus(v View, c voterCounts) Step {
 	if c.retained <= p.TargetVoters {
 		return Step{}
@@ -120,8 +119,8 @@
 	return Step{}
 }
 
-// promotePreferred gives a vote to a learner that operators prefer, if another voter can give up
-// its own: reduceVoters takes that next.
+// promotePreferred promotes a learner that an operator prefers as a voter, if there is a voter to demote in
+// exchange. The next step, by reduceVoters, demotes that voter.
 func (p Policy) promotePreferred(v View, c voterCounts) Step {
 	m, ok := p.promotionCandidate(v, c)
 	if !ok || !m.VotePreferred {
@@ -134,8 +133,8 @@
 	return Step{Kind: StepPromote, ID: m.ID, Reason: "an operator wants it to have a vote"}
 }
 
-// balanceZones promotes in the zone with the fewest voters, if another zone has at least two voters
-// more: reduceVoters takes a vote there next.
+// balanceZones promotes a learner in the zone with the fewest voters, if another zone has at least two more
+// voters. The next step, by reduceVoters, demotes a voter in that other zone.
 func (p Policy) balanceZones(v View, c voterCounts) Step {
 	if len(c.zones) < 2 {
 		return Step{}
@@ -147,12 +146,12 @@
 	}
 	replaced, ok := p.demotionCandidate(v, c)
 	if !ok || replaced.VotePreferred || c.zones[replaced.Zone]-c.zones[m.Zone] < 2 {
-		return Step{} // reduceVoters would take the vote elsewhere
+		return Step{} // reduceVoters would demote a voter in another zone
 	}
 	return Step{Kind: StepPromote, ID: m.ID, Reason: "its zone has two voters less than another"}
 }
 
-// removeLearner removes learners that leave, whose disk is lost, or that were down for too long.
+// removeLearner removes a learner that is leaving, has lost its disk, or was down for too long.
 func (p Policy) removeLearner(v View, _ voterCounts) Step {
 	for _, m := range v.Members {
 		if m.Role == Learner && p.shouldRemove(m) {
@@ -162,7 +161,7 @@
 	return Step{}
 }
 
-// transferLeadership moves the leadership to a healthy voter that stays.
+// transferLeadership transfers the leadership to a healthy voter that keeps its vote.
 func (p Policy) transferLeadership(v View, reason string) Step {
 	for _, m := range v.Members {
 		if m.Role == Voter && m.ID != v.Leader && p.healthy(m) && !p.shouldLoseVote(m) {
--- a/internal/cluster/membership/view.go
+++ b/internal/cluster/membership/view.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Role is what a member is in the latest configuration, which is not committed yet while
-// View.ChangePending.
+// Role is a member's role in the latest Raft configuration. That configuration is not committed while
+// View.ChangePending is true.
 type Role int
 
-// The roles.
+// The member roles.
 const (
 	Learner Role = iota // replicates the log and has no vote
 	Voter
@@ -14,45 +14,46 @@
 
 func (r Role) String() string { return [...]string{"learner", "voter"}[r] }
 
-// Member is one member as the leader sees it.
+// Member is the state of one member as the leader observes it.
 type Member struct {
 	ID            string
-	Zone          string // failure domain; "" is one too
+	Zone          string // failure domain; "" is a zone of its own
 	Role          Role
 	Up            bool
-	DownFor       time.Duration // 0 if it is up
-	EntriesBehind uint64        // log entries that it misses
-	Leaving       bool          // an operator wants it removed
-	DiskLost      bool          // the node of this name has another disk
-	VotePreferred bool          // an operator wants it to have a vote
+	DownFor       time.Duration // 0 if the member is up
+	EntriesBehind uint64        // number of missing log entries
+	Leaving       bool          // an operator has requested the removal
+	DiskLost      bool          // the node with this name has a different disk
+	VotePreferred bool          // an operator prefers this member as a voter
 }
 
-// View is all that a decision rests on.
+// View is the state of the cluster as the leader observes it, the input of a decision.
 type View struct {
 	Leader        string // member ID
 	Members       []Member
 	ChangePending bool          // the latest configuration is not committed
-	SinceChange   time.Duration // since the change before, or since this leader was elected
+	SinceChange   time.Duration // time since the last change, or since the election of this leader
 }
 
-// Policy is what operators set. Its methods decide.
+// Policy holds the operators' settings for membership changes. NextStep decides by them.
 type Policy struct {
-	TargetVoters       int           // wanted number; an even one survives no more failures than the odd one below it
-	ReplaceAfter       time.Duration // a voter that is down for so long gives its vote to a learner
-	RemoveLearnerAfter time.Duration // a learner that is down for so long is removed; 0 is never
+	TargetVoters       int           // wanted number of voters; an even number tolerates no more failures than the odd number below it
+	ReplaceAfter       time.Duration // downtime after which a learner replaces a voter
+	RemoveLearnerAfter time.Duration // downtime after which a learner is removed; 0 means never
 	SettleTime         time.Duration // minimum time between two changes
-	MaxEntriesBehind   uint64        // log entries that a healthy member may miss
+	MaxEntriesBehind   uint64        // log entries that a healthy member may be behind
 }
 
-// Quorum is the majority of a number of voters.
+// Quorum returns the size of a majority of the given number of voters.
 func Quorum(voters int) int { return voters/2 + 1 }
 
-// healthy reports whether a member counts for the majority: up, with its disk, and with the log.
+// healthy reports whether a member counts towards a healthy majority: it is up, has its disk, and is at most
+// MaxEntriesBehind log entries behind.
 func (p Policy) healthy(m Member) bool {
 	return m.Up && !m.DiskLost && m.EntriesBehind <= p.MaxEntriesBehind
 }
 
-// shouldLoseVote reports whether a voter's vote is to go to another member.
+// shouldLoseVote reports whether another member is to replace a voter.
 func (p Policy) shouldLoseVote(m Member) bool {
 	return m.Leaving || m.DiskLost || !m.Up && m.DownFor >= p.ReplaceAfter
 }
@@ -62,7 +63,7 @@
 	return m.Leaving || m.DiskLost || !m.Up && p.RemoveLearnerAfter > 0 && m.DownFor >= p.RemoveLearnerAfter
 }
 
-// departureReason is why a member loses its vote or its place.
+// departureReason returns why a member is demoted or removed.
 func departureReason(m Member) string {
 	switch {
 	case m.DiskLost:
@@ -73,12 +74,12 @@
 	return "it was down for too long"
 }
 
-// voterCounts counts the voters of a view.
+// voterCounts holds the numbers of voters in a view.
 type voterCounts struct {
 	voters   int
-	healthy  int            // of the voters
-	retained int            // voters that keep their vote (not losesVote)
-	zones    map[string]int // staying voters, also of zones that have none and could have one
+	healthy  int            // healthy voters
+	retained int            // voters for which shouldLoseVote is false
+	zones    map[string]int // retained voters by zone; 0 for a zone that has only healthy learners
 }
 
 func (p Policy) countVoters(v View) voterCounts {
@@ -102,7 +103,7 @@
 	return c
 }
 
-// keepsQuorumWithout reports whether the voters without one of them still have a healthy majority.
+// keepsQuorumWithout reports whether the other voters have a healthy majority if voter m is demoted.
 func (p Policy) keepsQuorumWithout(c voterCounts, m Member) bool {
 	healthy := c.healthy
 	if p.healthy(m) {
