--- a/internal/cluster/diskidentity/attesters.go
+++ b/internal/cluster/diskidentity/attesters.go
@@ -31,7 +31,7 @@
 		case id == d.ID:
 		case MemberName(id) == MemberName(d.ID): // an earlier disk of this node
 			tally.replaced = append(tally.replaced, ReplacedVoter{Voter: id, Successor: d.ID})
-		case !answered || d.foreign(a):
+		case !answered || d.isFromOtherCluster(a):
 			tally.missing = append(tally.missing, id)
 		case a.ID == id:
 			tally.attested = append(tally.attested, id)
@@ -81,8 +81,8 @@
 	return min(required, max(majority, others-len(tally.replaced)))
 }
 
-// waitReason returns which voters' attestations are missing if need attestations are required, and what operators
-// can do.
+// waitReason returns the reason for VerdictWait if need attestations are required: the voters whose attestations
+// are missing, and what operators can do.
 func (t *attesterTally) waitReason(need int) Reason {
 	stillNeeded := need - len(t.attested)
 	if stillNeeded > len(t.missing) {
--- a/internal/cluster/diskidentity/verdict.go
+++ b/internal/cluster/diskidentity/verdict.go
@@ -18,7 +18,7 @@
 	ConfigIndex      uint64     `json:"config"`            // log index of the latest configuration in its log
 	Members          []string   `json:"members,omitempty"` // member IDs in that configuration
 	Voters           []string   `json:"voters,omitempty"`  // voters in that configuration
-	LastObserved     *Watermark `json:"seen,omitempty"`    // of the requesting node's disk; nil if never observed
+	LastObserved     *Watermark `json:"seen,omitempty"`    // watermark observed of the requesting node's disk; nil if none
 }
 
 // LocalDisk is the state of a node's own disk when the node starts.
@@ -63,7 +63,7 @@
 // by node name; a peer that is not in the map has not answered. The rules are evaluated in this order:
 //
 //  1. The cluster was recovered as another one: VerdictWait, until an operator moves the folder away.
-//  2. The log is empty: see decideEmpty.
+//  2. The log is empty: see decideEmptyLog.
 //  3. A peer has a later configuration without this disk, or has observed a later state of this disk:
 //     VerdictNewIdentity.
 //  4. The disk has no vote: VerdictJoin.
@@ -74,7 +74,7 @@
 		return VerdictWait, Reason{Text: fmt.Sprintf("this folder to be moved away: its cluster was recovered as %s", successor)}
 	}
 	if local.Empty {
-		verdict, text := decideEmpty(local, attestations)
+		verdict, text := decideEmptyLog(local, attestations)
 		return verdict, Reason{Text: text}
 	}
 	if removed := local.adoptConfiguration(attestations); removed != "" {
@@ -104,15 +104,15 @@
 	return ""
 }
 
-// foreign reports whether an attestation is known to come from another cluster.
-func (d *LocalDisk) foreign(a Attestation) bool {
+// isFromOtherCluster reports whether an attestation is known to come from another cluster.
+func (d *LocalDisk) isFromOtherCluster(a Attestation) bool {
 	return d.Cluster != "" && a.Cluster != "" && d.Cluster != a.Cluster
 }
 
-// adoptConfiguration sets d's configuration to the latest one that a peer reports, if that is later than d's. It
-// returns a reason if the latest configuration does not contain this disk, that is, if the disk was removed. If
-// several configurations have the latest index, one without this disk decides. They differ only if one leader's
-// change was overwritten by another leader's.
+// adoptConfiguration sets d's configuration to the latest one that a peer reports, if that is later than d's. d is
+// the caller's copy. It returns a reason if the latest configuration does not contain this disk, that is, if the
+// disk was removed. If several configurations have the latest index, one without this disk decides. They differ
+// only if one leader's change was overwritten by another leader's.
 func (d *LocalDisk) adoptConfiguration(attestations map[string]Attestation) (removed string) {
 	latest := d.latestConfigurations(attestations)
 	if len(latest) == 0 {
@@ -135,7 +135,7 @@
 	index := d.ConfigIndex
 	for _, name := range slices.Sorted(maps.Keys(attestations)) {
 		a := attestations[name]
-		if a.ConfigIndex < index || a.ConfigIndex == d.ConfigIndex || d.foreign(a) {
+		if a.ConfigIndex < index || a.ConfigIndex == d.ConfigIndex || d.isFromOtherCluster(a) {
 			continue
 		}
 		if a.ConfigIndex > index {
@@ -150,32 +150,32 @@
 // behindReason returns a reason if any peer, voter or not, has observed a later state of this disk, or "".
 func (d *LocalDisk) behindReason(attestations map[string]Attestation) string {
 	for _, a := range attestations {
-		if a.LastObserved != nil && !d.foreign(a) && d.Watermark.Behind(*a.LastObserved) {
+		if a.LastObserved != nil && !d.isFromOtherCluster(a) && d.Watermark.Behind(*a.LastObserved) {
 			return fmt.Sprintf("%s has seen this disk at %+v, it is at %+v", a.ID, *a.LastObserved, d.Watermark)
 		}
 	}
 	return ""
 }
 
-// decideEmpty decides for a disk with an empty log. Only the initial member with the lowest name creates the
+// decideEmptyLog decides for a disk with an empty log. Only the initial member with the lowest name creates the
 // cluster, and only when all initial members attest that their disks are fresh: an initial member that does not
 // answer may have entries that a cluster has acknowledged.
-func decideEmpty(local LocalDisk, attestations map[string]Attestation) (Verdict, string) {
+func decideEmptyLog(local LocalDisk, attestations map[string]Attestation) (Verdict, string) {
 	if !local.Fresh {
 		return VerdictJoin, "the folder took the place of one that can't be trusted"
 	}
-	if member := clusterMember(attestations); member != "" {
+	if member := findClusterMember(attestations); member != "" {
 		return VerdictJoin, fmt.Sprintf("%s is of a cluster", member)
 	}
 	name := MemberName(local.ID)
 	if !slices.Contains(local.InitialMembers, name) {
 		return VerdictJoin, "the configuration names others as those who make the cluster"
 	}
-	if replacement := replacementFolder(local, attestations); replacement != "" {
+	if replacement := findReplacementFolder(local, attestations); replacement != "" {
 		return VerdictWait, fmt.Sprintf("a node of the cluster, or a founder that says that there is none: "+
 			"the folder of %s took the place of one that can't be trusted; if there never was a cluster, remove it and start that node again", replacement)
 	}
-	if missing := missingFounders(local, attestations); len(missing) > 0 {
+	if missing := missingInitialMembers(local, attestations); len(missing) > 0 {
 		return VerdictWait, fmt.Sprintf("%s must say whether there is a cluster yet", strings.Join(missing, ", "))
 	}
 	if first := slices.Min(local.InitialMembers); first != name {
@@ -184,8 +184,8 @@
 	return VerdictBootstrap, "all founders are new"
 }
 
-// clusterMember returns the ID of a node whose log belongs to a cluster, or "".
-func clusterMember(attestations map[string]Attestation) string {
+// findClusterMember returns the ID of a node whose log belongs to a cluster, or "".
+func findClusterMember(attestations map[string]Attestation) string {
 	for _, name := range slices.Sorted(maps.Keys(attestations)) {
 		if a := attestations[name]; !a.Fresh && (a.Cluster != "" || a.ConfigIndex > 0) {
 			return a.ID
@@ -194,21 +194,21 @@
 	return ""
 }
 
-// replacementFolder returns the ID of an initial member whose empty folder replaced another one, or "". The replaced
+// findReplacementFolder returns the ID of an initial member whose empty folder replaced another one, or "". The replaced
 // folder may have had entries that a cluster has acknowledged.
-func replacementFolder(local LocalDisk, attestations map[string]Attestation) string {
-	for _, founder := range local.InitialMembers {
-		if a, answered := attestations[founder]; answered && !a.Fresh {
+func findReplacementFolder(local LocalDisk, attestations map[string]Attestation) string {
+	for _, initialMember := range local.InitialMembers {
+		if a, answered := attestations[initialMember]; answered && !a.Fresh {
 			return a.ID
 		}
 	}
 	return ""
 }
 
-func missingFounders(local LocalDisk, attestations map[string]Attestation) (missing []string) {
-	for _, founder := range local.InitialMembers {
-		if _, ok := attestations[founder]; !ok && founder != MemberName(local.ID) {
-			missing = append(missing, founder)
+func missingInitialMembers(local LocalDisk, attestations map[string]Attestation) (missing []string) {
+	for _, initialMember := range local.InitialMembers {
+		if _, ok := attestations[initialMember]; !ok && initialMember != MemberName(local.ID) {
+			missing = append(missing, initialMember)
 		}
 	}
 	slices.Sort(missing)
--- a/internal/cluster/diskidentity/verdict_test.go
+++ b/internal/cluster/diskidentity/verdict_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-var founders = []string{"a", "b", "c"}
+var initialMembers = []string{"a", "b", "c"}
 
 // voterWatermark is the watermark of voterDisk.
 var voterWatermark = Watermark{Starts: 3, Term: 5, LastTerm: 4, LastIndex: 40}
@@ -19,11 +19,11 @@
 	ConfigIndex:    7,
 	Members:        []string{"a@1", "b@1", "c@1"},
 	Voters:         []string{"a@1", "b@1", "c@1"},
-	InitialMembers: founders,
+	InitialMembers: initialMembers,
 }
 
 func freshDisk(name string) LocalDisk {
-	return LocalDisk{ID: MemberID(name, "1"), Fresh: true, Empty: true, InitialMembers: founders}
+	return LocalDisk{ID: MemberID(name, "1"), Fresh: true, Empty: true, InitialMembers: initialMembers}
 }
 
 // modifiedVoterDisk returns voterDisk with a change.
@@ -71,13 +71,13 @@
 		{"all fresh, not the lowest name", freshDisk("b"), attestationsByName(freshAttestation("a@1"), freshAttestation("c@1")), VerdictJoin},
 		{"one initial member does not answer", freshDisk("a"), attestationsByName(freshAttestation("b@1")), VerdictWait},
 		{"one fresh peer, one member of a cluster", freshDisk("a"), attestationsByName(freshAttestation("b@1"), attestationFrom("c@1", nil)), VerdictJoin},
-		{"empty folder that replaced another one", LocalDisk{ID: "a@2", Empty: true, InitialMembers: founders}, attestationsByName(freshAttestation("b@1"), freshAttestation("c@1")), VerdictJoin},
+		{"empty folder that replaced another one", LocalDisk{ID: "a@2", Empty: true, InitialMembers: initialMembers}, attestationsByName(freshAttestation("b@1"), freshAttestation("c@1")), VerdictJoin},
 		{"initial member with a replaced folder", freshDisk("a"), attestationsByName(Attestation{ID: "b@2"}, freshAttestation("c@1")), VerdictWait},
 		{"initial member with a replaced folder, one member of a cluster", freshDisk("a"), attestationsByName(Attestation{ID: "b@2"}, attestationFrom("c@1", nil)), VerdictJoin},
 		{"initial member with a replaced folder, one log without a cluster ID", freshDisk("a"), attestationsByName(Attestation{ID: "b@2"}, attestationFrom("c@1", func(a *Attestation) { a.Cluster = "" })), VerdictJoin},
-		{"initial member with a replaced folder, local node is no initial member", LocalDisk{ID: "d@1", Fresh: true, Empty: true, InitialMembers: founders}, attestationsByName(freshAttestation("a@1"), Attestation{ID: "b@2"}, freshAttestation("c@1")), VerdictJoin},
+		{"initial member with a replaced folder, local node is no initial member", LocalDisk{ID: "d@1", Fresh: true, Empty: true, InitialMembers: initialMembers}, attestationsByName(freshAttestation("a@1"), Attestation{ID: "b@2"}, freshAttestation("c@1")), VerdictJoin},
 		{"the only initial member", LocalDisk{ID: "a@1", Fresh: true, Empty: true, InitialMembers: []string{"a"}}, nil, VerdictBootstrap},
-		{"not an initial member", LocalDisk{ID: "d@1", Fresh: true, Empty: true, InitialMembers: founders}, attestationsByName(freshAttestation("a@1"), freshAttestation("b@1"), freshAttestation("c@1")), VerdictJoin},
+		{"not an initial member", LocalDisk{ID: "d@1", Fresh: true, Empty: true, InitialMembers: initialMembers}, attestationsByName(freshAttestation("a@1"), freshAttestation("b@1"), freshAttestation("c@1")), VerdictJoin},
 		{"no peer answers", voterDisk, nil, VerdictWait},
 		{"one peer observed the present state", voterDisk, attestationsByName(attestationFrom("b@1", nil)), VerdictResume},
 		{"one peer observed an earlier state", voterDisk, attestationsByName(attestationFrom("b@1", withLastObserved(Watermark{Starts: 1}))), VerdictResume},
--- a/internal/cluster/lease/limits.go
+++ b/internal/cluster/lease/limits.go
@@ -10,8 +10,8 @@
 	MaxLeases          = 20000          // leases held at the same time
 	MaxWaitersPerLease = 64             // waiters for one lease
 	MaxWaiters         = 4096           // waiters for all leases
-	MinTTLMS           = 500            // milliseconds
-	MaxTTLMS           = 10 * 60 * 1000 // milliseconds
+	MinTTLMS           = 500            // minimum TTL in milliseconds
+	MaxTTLMS           = 10 * 60 * 1000 // maximum TTL in milliseconds
 	MaxOpsPerEntry     = 256            // operations in one log entry
 )
 
--- a/internal/cluster/lease/model_test.go
+++ b/internal/cluster/lease/model_test.go
@@ -105,7 +105,7 @@
 	operatorOps                                                                 bool          // leases are also revoked and handed over
 	holderTick, leaderTick                                                      time.Duration // duration of a tick by a holder's clock and by the leader's clock
 	tokenLimit                                                                  uint16        // states that issue this token are not explored
-	messagesPerHolder                                                           int           // in flight for one holder at a time
+	messagesPerHolder                                                           int           // messages in flight for one holder at a time
 }
 
 func defaultRules() modelRules {
@@ -147,11 +147,11 @@
 // record copies the State and the DeadlineTable back into the modelState.
 func (w *modelState) record(s *State, t *DeadlineTable) {
 	w.lastToken, w.holder, w.token, w.waiter, w.tableToken, w.tableRemaining, w.expiryProposed, w.revoked = uint16(s.LastToken), 0, 0, 0, 0, 0, false, false
-	number := func(h string) uint8 { return h[1] - '0' }
+	processNumber := func(h string) uint8 { return h[1] - '0' }
 	if l, ok := s.Leases[modelLeaseName]; ok {
-		w.holder, w.token, w.revoked = number(l.Holder), uint16(l.Token), l.Revoked
+		w.holder, w.token, w.revoked = processNumber(l.Holder), uint16(l.Token), l.Revoked
 		if len(l.Waiters) > 0 {
-			w.waiter = number(l.Waiters[0].Holder)
+			w.waiter = processNumber(l.Waiters[0].Holder)
 		}
 		if e, ok := t.expiries[modelLeaseName]; ok && e.token == l.Token {
 			w.tableToken, w.tableRemaining, w.expiryProposed = uint16(e.token), milliseconds(max(e.deadline, -1).Milliseconds()), e.expiryProposed
@@ -217,12 +217,12 @@
 }
 
 // nextStates returns the states after each possible event, and the names of the events.
-func (w modelState) nextStates(r modelRules) (next []modelState, names []string) {
+func (w modelState) nextStates(r modelRules) (next []modelState, events []string) {
 	add := func(event string, change func(*modelState)) {
 		x := w
 		change(&x)
 		if x.lastToken < r.tokenLimit && x != w {
-			next, names = append(next, x), append(names, event)
+			next, events = append(next, x), append(events, event)
 		}
 	}
 	add("tick", func(x *modelState) {
@@ -295,20 +295,20 @@
 			})
 		}
 		for k, m := range w.messages[i][:r.messagesPerHolder] {
-			at := func(x *modelState) *message { return &x.messages[i][k] }
+			messageIn := func(x *modelState) *message { return &x.messages[i][k] }
 			switch {
 			case m.kind == noMessage:
 				if h.token == 0 {
-					add(holderName(i)+" requests the lease", func(x *modelState) { *at(x) = message{kind: acquire} })
+					add(holderName(i)+" requests the lease", func(x *modelState) { *messageIn(x) = message{kind: acquire} })
 				} else {
-					add(holderName(i)+" sends a keep-alive", func(x *modelState) { *at(x) = message{kind: renew, token: h.token} })
+					add(holderName(i)+" sends a keep-alive", func(x *modelState) { *messageIn(x) = message{kind: renew, token: h.token} })
 					for _, k := range []messageKind{release, handOver} {
 						if k == handOver && !r.operatorOps {
 							continue
 						}
 						add(holderName(i)+map[messageKind]string{release: " releases", handOver: " hands over"}[k], func(x *modelState) {
 							released := h.state()
-							*at(x) = message{kind: k, token: uint16(released.Release())}
+							*messageIn(x) = message{kind: k, token: uint16(released.Release())}
 							if x.holders[i] = newModelHolder(released); r.noReleasedTokenCheck {
 								x.holders[i].releasedToken = 0
 							}
@@ -317,19 +317,19 @@
 				}
 				continue
 			case m.stage == sent:
-				add(holderName(i)+"'s message arrives", func(x *modelState) { at(x).stage = arrived })
+				add(holderName(i)+"'s message arrives", func(x *modelState) { messageIn(x).stage = arrived })
 				if w.leaderChanged {
-					add(holderName(i)+"'s message arrives at the former leader", func(x *modelState) { at(x).stage, at(x).toFormerLeader = arrived, true })
+					add(holderName(i)+"'s message arrives at the former leader", func(x *modelState) { messageIn(x).stage, messageIn(x).toFormerLeader = arrived, true })
 				}
 			case m.stage == arrived && (!m.toFormerLeader || r.noLeaderCheck && m.kind == renew):
-				add(holderName(i)+"'s message is answered", func(x *modelState) { x.processMessage(i, at(x), r) })
+				add(holderName(i)+"'s message is answered", func(x *modelState) { x.processMessage(i, messageIn(x), r) })
 			case m.stage == answered:
-				add(holderName(i)+" receives the answer", func(x *modelState) { x.receiveAnswer(i, m, r); *at(x) = message{} })
+				add(holderName(i)+" receives the answer", func(x *modelState) { x.receiveAnswer(i, m, r); *messageIn(x) = message{} })
 			}
-			add(holderName(i)+"'s message is lost", func(x *modelState) { *at(x) = message{} })
+			add(holderName(i)+"'s message is lost", func(x *modelState) { *messageIn(x) = message{} })
 		}
 	}
-	return next, names
+	return next, events
 }
 
 // explore searches breadth first for a state in which two holders may act or the resource accepts a stale token.
@@ -344,12 +344,12 @@
 	for range depth {
 		var next []modelState
 		for _, w := range layer {
-			list, names := w.nextStates(r)
-			for i, x := range list {
+			successors, events := w.nextStates(r)
+			for i, x := range successors {
 				if _, known := visited[x]; known {
 					continue
 				}
-				visited[x] = predecessor{w, names[i]}
+				visited[x] = predecessor{w, events[i]}
 				if len(x.holdersAllowedToAct(r.holderCount)) > 1 || x.staleTokenAccepted {
 					for ; x != start; x = visited[x].from {
 						path = append(path, visited[x].event)
@@ -395,14 +395,14 @@
 		rng, w, highest := rand.New(rand.NewPCG(seed, 1)), modelState{}, uint16(0)
 		var path []string
 		for range 400 {
-			list, names := w.nextStates(r)
-			choice := rng.IntN(len(list))
-			if x := list[choice]; x.token != w.token && x.token != 0 {
+			successors, events := w.nextStates(r)
+			choice := rng.IntN(len(successors))
+			if x := successors[choice]; x.token != w.token && x.token != 0 {
 				granted++
 				assert.Greater(t, x.token, highest, "seed %d", seed)
 				highest = x.token
 			}
-			w, path = list[choice], append(path, names[choice])
+			w, path = successors[choice], append(path, events[choice])
 			if len(w.holdersAllowedToAct(r.holderCount)) > 1 || w.staleTokenAccepted {
 				return granted, fmt.Sprintf("seed %d: %v", seed, path[max(0, len(path)-40):])
 			}
--- a/internal/cluster/lease/ops.go
+++ b/internal/cluster/lease/ops.go
@@ -43,10 +43,10 @@
 const (
 	OpAcquire  OpKind = "acquire"
 	OpWithdraw OpKind = "withdraw"  // a waiter leaves the queue
-	OpRelease  OpKind = "release"   // by the holder
-	OpExpire   OpKind = "expire"    // by the leader
-	OpHandOver OpKind = "hand-over" // by the holder, to a named waiter
-	OpRevoke   OpKind = "revoke"    // by an operator
+	OpRelease  OpKind = "release"   // the holder releases the lease
+	OpExpire   OpKind = "expire"    // the leader ends the lease after its deadline
+	OpHandOver OpKind = "hand-over" // the holder transfers the lease to a named waiter
+	OpRevoke   OpKind = "revoke"    // an operator revokes the lease
 )
 
 // Op is one operation on a lease. Log entries contain operations.
@@ -54,7 +54,7 @@
 	Kind     OpKind `json:"do"`
 	Name     string `json:"name"`
 	Holder   string `json:"holder,omitempty"` // of OpAcquire and OpWithdraw: the requester; of OpHandOver: the new holder
-	TTLMS    int64  `json:"ttl_ms,omitempty"` // of OpAcquire, in milliseconds
+	TTLMS    int64  `json:"ttl_ms,omitempty"` // of OpAcquire: the TTL in milliseconds
 	Token    uint64 `json:"token,omitempty"`  // of OpRelease, OpHandOver and OpExpire: the lease's present token
 	Enqueue  bool   `json:"wait,omitempty"`   // of OpAcquire: enqueue the requester if another holder has the lease
 	Priority int    `json:"priority,omitempty"`
--- a/internal/cluster/lease/state.go
+++ b/internal/cluster/lease/state.go
@@ -11,7 +11,7 @@
 // Waiter is a process that waits for a lease that another holder has.
 type Waiter struct {
 	Holder   string `json:"holder"`
-	TTLMS    int64  `json:"ttl_ms"`             // milliseconds
+	TTLMS    int64  `json:"ttl_ms"`             // requested TTL in milliseconds
 	Priority int    `json:"priority,omitempty"` // a higher priority is served first
 	Ticket   uint64 `json:"ticket"`             // increases in the order of arrival
 }
@@ -20,7 +20,7 @@
 type Lease struct {
 	Holder  string   `json:"holder"`
 	Token   uint64   `json:"token"`
-	TTLMS   int64    `json:"ttl_ms"`            // milliseconds
+	TTLMS   int64    `json:"ttl_ms"`            // TTL in milliseconds
 	Revoked bool     `json:"revoked,omitempty"` // keep-alives are rejected; the lease ends with its TTL
 	Waiters []Waiter `json:"waiters,omitempty"` // in the order in which they are served
 }
@@ -51,7 +51,7 @@
 // RaiseTokenFloor makes all later tokens greater than floor. A cluster that was recovered, or
 // restored from a backup, must not issue a token of its predecessor again.
 func (s *State) RaiseTokenFloor(floor uint64) {
-	const highestFloor = math.MaxInt64 >> 1 // leaves enough tokens above it
+	const highestFloor = math.MaxInt64 >> 1 // leaves enough higher tokens for later grants
 	s.LastToken = max(s.LastToken, min(floor, highestFloor))
 }
 
--- a/internal/cluster/leaseclient/renew.go
+++ b/internal/cluster/leaseclient/renew.go
@@ -9,15 +9,15 @@
 	"oxbowbridge/internal/cluster/storeapi"
 )
 
-// usableTTLDivisor approximates the time from when a keep-alive is due, a third of the TTL after the last one,
-// to the holder's deadline as TTL/usableTTLDivisor. The exact fraction is 1 - lease.SafetyMargin - 1/3 = 0.47.
-const usableTTLDivisor = 2
+// renewalWindowDivisor approximates the time from when a keep-alive is due, a third of the TTL after the last one,
+// to the holder's deadline as TTL/renewalWindowDivisor. The exact fraction is 1 - lease.SafetyMargin - 1/3 = 0.47.
+const renewalWindowDivisor = 2
 
 const (
-	maxRenewalTimeout  = 2 * time.Second        // for the answer to a keep-alive
-	maxRenewalWait     = time.Second            // between two checks for due renewals
-	maxRenewalBackoff  = 125 * time.Millisecond // after a failed keep-alive
-	renewalAttempts    = 4                      // that fit between the time at which a keep-alive is due and the holder's deadline
+	maxRenewalTimeout  = 2 * time.Second        // timeout of a keep-alive
+	maxRenewalWait     = time.Second            // maximum time between two checks for due renewals
+	maxRenewalBackoff  = 125 * time.Millisecond // maximum backoff after a failed keep-alive
+	renewalAttempts    = 4                      // keep-alives that can be sent between the due time and the holder's deadline
 	renewalBatchWindow = 0.1                    // fraction of the TTL by which a keep-alive may be sent early, in a batch with others
 )
 
@@ -51,7 +51,7 @@
 // renewalBatch contains the leases to renew now.
 type renewalBatch struct {
 	leases    []lease.FencingToken
-	timeout   time.Duration // for the answer
+	timeout   time.Duration // timeout of the keep-alive
 	nextCheck time.Duration // time until the next check, if there are no leases to renew
 }
 
@@ -75,7 +75,7 @@
 		early := time.Duration(float64(l.ttl) * renewalBatchWindow)
 		if l.state.ShouldRenew(now + early) {
 			batch.leases = append(batch.leases, l.FencingToken())
-			batch.timeout = min(batch.timeout, l.ttl/(usableTTLDivisor*renewalAttempts))
+			batch.timeout = min(batch.timeout, l.ttl/(renewalWindowDivisor*renewalAttempts))
 		}
 	}
 	if !anyDue {
--- a/internal/cluster/leaseclient/retry_test.go
+++ b/internal/cluster/leaseclient/retry_test.go
@@ -58,9 +58,9 @@
 	}
 	manager := New(nodes, "holder")
 	t.Cleanup(manager.Close)
-	held, err := manager.Acquire(t.Context(), AcquireOptions{Name: "l", TTL: testTTL})
+	acquired, err := manager.Acquire(t.Context(), AcquireOptions{Name: "l", TTL: testTTL})
 	require.NoError(t, err)
-	return held
+	return acquired
 }
 
 func (s *storeStandIn) serve(w http.ResponseWriter, r *http.Request, node int) {
--- a/internal/cluster/leaseclient/task.go
+++ b/internal/cluster/leaseclient/task.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	minTaskBackoff = time.Second // before a task is run again; doubles after each run
+	minTaskBackoff = time.Second // backoff before a task is run again; doubles after each run
 	maxTaskBackoff = 10 * time.Second
 )
 
--- a/internal/cluster/membership/lost_disks_model_test.go
+++ b/internal/cluster/membership/lost_disks_model_test.go
@@ -96,8 +96,8 @@
 
 // leader returns a running node that can win an election, or -1. entryLost reports whether a node that misses
 // an acknowledged entry can win one.
-func (w *diskModel) leader() (lead int, entryLost bool) {
-	lead = -1
+func (w *diskModel) leader() (leaderIndex int, entryLost bool) {
+	leaderIndex = -1
 	for i := range w.size {
 		x := w.nodes[i]
 		conf := w.history[x.logLength]
@@ -114,12 +114,12 @@
 			if x.logLength < w.ackedLength {
 				entryLost = true
 			}
-			if lead < 0 || x.logLength > w.nodes[lead].logLength {
-				lead = i
+			if leaderIndex < 0 || x.logLength > w.nodes[leaderIndex].logLength {
+				leaderIndex = i
 			}
 		}
 	}
-	return lead, entryLost
+	return leaderIndex, entryLost
 }
 
 // decide applies node i's verdict on its disk.
@@ -130,7 +130,7 @@
 		return
 	}
 	conf := w.history[x.logLength]
-	own := diskidentity.LocalDisk{ID: diskID(i, x.generation), Cluster: x.cluster(), Fresh: x.logLength == 0 && !x.reidentified, Empty: x.logLength == 0, ConfigIndex: uint64(x.logLength), RequiredAttesters: r.attesters,
+	localDisk := diskidentity.LocalDisk{ID: diskID(i, x.generation), Cluster: x.cluster(), Fresh: x.logLength == 0 && !x.reidentified, Empty: x.logLength == 0, ConfigIndex: uint64(x.logLength), RequiredAttesters: r.attesters,
 		Watermark: diskidentity.Watermark{Starts: uint64(x.starts), Term: 1, LastTerm: 1, LastIndex: uint64(x.logLength)}, InitialMembers: []string{"a", "b", "c"},
 		Members: w.memberIDs(conf, 1), Voters: w.memberIDs(conf, 2)}
 	attestations := map[string]diskidentity.Attestation{}
@@ -146,7 +146,7 @@
 		}
 		attestations[diskidentity.MemberName(attestation.ID)] = attestation
 	}
-	switch v, _ := diskidentity.Decide(own, attestations); v {
+	switch v, _ := diskidentity.Decide(localDisk, attestations); v {
 	case diskidentity.VerdictResume, diskidentity.VerdictJoin:
 		x.running = true
 	case diskidentity.VerdictNewIdentity:
@@ -167,15 +167,15 @@
 				w.decide(i, r)
 			}
 		}
-		lead, entryLost := w.leader()
+		leaderIndex, entryLost := w.leader()
 		switch {
 		case entryLost && w.anyDiskStores(w.ackedLength):
 			return lostButStored
 		case entryLost:
 			return lostEverywhere
 		}
-		if lead >= 0 {
-			conf, n := w.history[w.nodes[lead].logLength], w.nodes[lead].logLength
+		if leaderIndex >= 0 {
+			conf, n := w.history[w.nodes[leaderIndex].logLength], w.nodes[leaderIndex].logLength
 			for i := range w.size {
 				if x := &w.nodes[i]; x.running && conf[i][x.generation] > 0 {
 					x.logLength = max(x.logLength, n)
@@ -219,8 +219,8 @@
 			}
 		}
 	}
-	lead, _ := w.leader()
-	return lead < 0 && present >= Quorum(voters)
+	leaderIndex, _ := w.leader()
+	return leaderIndex < 0 && present >= Quorum(voters)
 }
 
 // observePeers records the watermarks that the nodes that are up observe of each other. As in the real store, a
@@ -232,17 +232,17 @@
 			if i == j || !x.up || !y.up {
 				continue
 			}
-			mark := &x.observed[j][y.generation]
-			mark.starts = max(mark.starts, y.starts)
-			mark.logLength = max(mark.logLength, y.logLength)
+			watermark := &x.observed[j][y.generation]
+			watermark.starts = max(watermark.starts, y.starts)
+			watermark.logLength = max(watermark.logLength, y.logLength)
 		}
 	}
 }
 
 // commit appends an entry with a configuration change and commits it. It returns false if no leader can do so.
 func (w *diskModel) commit(change func(*config)) bool {
-	lead, _ := w.leader()
-	if lead < 0 || w.lastLength >= maxLogLength || w.nodes[lead].logLength != w.lastLength {
+	leaderIndex, _ := w.leader()
+	if leaderIndex < 0 || w.lastLength >= maxLogLength || w.nodes[leaderIndex].logLength != w.lastLength {
 		return false
 	}
 	w.lastLength++
@@ -250,7 +250,7 @@
 	change(&w.history[w.lastLength])
 	conf := w.history[w.lastLength]
 	for i := range w.size {
-		if x := &w.nodes[i]; x.running && (conf[i][x.generation] > 0 || i == lead) {
+		if x := &w.nodes[i]; x.running && (conf[i][x.generation] > 0 || i == leaderIndex) {
 			x.logLength = w.lastLength
 		}
 	}
@@ -258,9 +258,9 @@
 	return true
 }
 
-func (w *diskModel) view(lead int) View {
-	v := View{Leader: diskID(lead, w.nodes[lead].generation), SinceChange: 1 << 40}
-	conf := w.history[w.nodes[lead].logLength]
+func (w *diskModel) view(leaderIndex int) View {
+	v := View{Leader: diskID(leaderIndex, w.nodes[leaderIndex].generation), SinceChange: 1 << 40}
+	conf := w.history[w.nodes[leaderIndex].logLength]
 	for i := range w.size {
 		x := w.nodes[i]
 		for g := range int8(maxGenerations) {
@@ -268,7 +268,7 @@
 				continue
 			}
 			m := Member{ID: diskID(i, g), Role: Role(conf[i][g] - 1), Up: x.running && x.generation == g, DiskLost: x.up && x.generation != g}
-			if x.logLength < w.nodes[lead].logLength {
+			if x.logLength < w.nodes[leaderIndex].logLength {
 				m.EntriesBehind = 1
 			}
 			v.Members = append(v.Members, m)
@@ -278,11 +278,11 @@
 }
 
 func (w *diskModel) changeMembership() bool {
-	lead, _ := w.leader()
-	if lead < 0 {
+	leaderIndex, _ := w.leader()
+	if leaderIndex < 0 {
 		return false
 	}
-	s := modelPolicy().NextStep(w.view(lead))
+	s := modelPolicy().NextStep(w.view(leaderIndex))
 	if s.Kind == StepNone || s.Kind == StepTransferLeadership {
 		return false
 	}
@@ -293,9 +293,9 @@
 }
 
 func (w *diskModel) join(i int) bool {
-	lead, _ := w.leader()
+	leaderIndex, _ := w.leader()
 	x := w.nodes[i]
-	if lead < 0 || !x.running || w.history[w.lastLength][i][x.generation] != 0 {
+	if leaderIndex < 0 || !x.running || w.history[w.lastLength][i][x.generation] != 0 {
 		return false
 	}
 	return w.commit(func(c *config) { c[i][x.generation] = 1 })
--- a/internal/cluster/membership/lost_disks_test.go
+++ b/internal/cluster/membership/lost_disks_test.go
@@ -22,7 +22,7 @@
 	depthReached         int
 	lostAfter            int // events until an acknowledged entry was lost, whether or not a folder has it
 	lostWhileStoredAfter int // events until an acknowledged entry was lost while some folder still had it
-	stalledAfter         int // events until the cluster was stalled (isStalled)
+	stalledAfter         int // events until isStalled was true
 }
 
 // newDiskModel returns a cluster of size nodes that are up. The first nodes are the voters.
