--- a/internal/cluster/leaseclient/acquire.go
+++ b/internal/cluster/leaseclient/acquire.go
@@ -15,7 +15,7 @@
 type AcquireOptions struct {
 	Name     string
 	TTL      time.Duration // lease.MinTTLMS to lease.MaxTTLMS milliseconds
-	Priority int           // among waiters, a higher priority is served first
+	Priority int           // priority among waiters; a higher one is served first
 	Wait     bool          // wait for a lease that another process holds, until the context ends
 }
 
--- a/internal/cluster/leaseclient/lease.go
+++ b/internal/cluster/leaseclient/lease.go
@@ -63,7 +63,7 @@
 }
 
 func (l *Lease) expiredErrorLocked() error {
-	if l.renewalError == nil { // this process was suspended or late, or the answer is
+	if l.renewalError == nil { // this process was suspended, or the answer is late
 		return fmt.Errorf("%w: %s (no keep-alive has failed)", ErrExpired, l.Name)
 	}
 	return fmt.Errorf("%w: %s (last keep-alive: %w)", ErrExpired, l.Name, l.renewalError)
@@ -95,7 +95,7 @@
 	token := l.state.Release()
 	l.cancelContext(fmt.Errorf("%w: %s", ErrReleased, l.Name))
 	m.mu.Unlock()
-	defer m.unregister(l) // only now may this process acquire a lease with that name again
+	defer m.unregister(l) // deferred: no new lease with this name before the store has released it or ctx has ended
 	return m.callUntilFinal(ctx, func(node *storeclient.Client) (bool, error) {
 		err := node.ReleaseLease(ctx, l.Name, token, "")
 		if err == nil || isNotHeld(err) { // an earlier attempt released it and its answer was lost, or it expired
--- a/internal/cluster/leaseclient/manager.go
+++ b/internal/cluster/leaseclient/manager.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// node returns a client for a single node: the present one, or with next the one after it, which becomes the
-// present one.
+// node returns a client for a single node: the current node, or, if next is true, the following one, which then
+// becomes the current node.
 func (m *Manager) node(next bool) *storeclient.Client {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/cluster/leaseclient/task.go
+++ b/internal/cluster/leaseclient/task.go
@@ -52,7 +52,7 @@
 	return time.Since(started)
 }
 
-// runUnderLease runs a task until it returns, ctx ends or the lease is lost, and releases the
+// runUnderLease runs a task until the task returns, ctx ends or the lease is lost, and then releases the
 // lease.
 func (m *Manager) runUnderLease(ctx context.Context, task Task, l *Lease) error {
 	taskCtx, cancel := context.WithCancelCause(l.Context())
