--- a/admission/timers.go
+++ b/admission/timers.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Timers: the gauge tick, and the timer that wakes the controller.
+// Timers: the gauge tick, and the timer for the next due time.
 
 const (
-	// gaugeInterval is the time between gauge ticks: twice per averaging time of the gauges.
+	// gaugeInterval is the time between gauge ticks: half of the averaging time of the gauges.
 	gaugeInterval = 250 * time.Millisecond
-	// minTimerSpan is the least time of a timer where MinInterval is 0.
-	minTimerSpan = time.Microsecond
+	// minTimerDelay is the minimum delay of a timer if MinInterval is 0.
+	minTimerDelay = time.Microsecond
 )
 
-// timerFired forgets the timer if it is the latest one, and takes the gauges if a
-// gauge tick is due.
-func (c *Controller) timerFired(e TimerFired) {
+// handleTimerFired clears the pending timer if the event is from the latest timer, and performs a
+// gauge tick if one is due.
+func (c *Controller) handleTimerFired(e TimerFired) {
 	if e.TimerID == c.timerID {
 		c.timerAt = 0
 	}
@@ -22,24 +22,24 @@
 	}
 }
 
-// gaugeTick makes the decisions that hold until the next tick.
+// gaugeTick updates the decisions that hold until the next gauge tick.
 func (c *Controller) gaugeTick(g Gauges) {
 	c.nextGaugeAt = c.now + gaugeInterval
 	c.expireKeys()
-	c.runTimes.forget()
-	c.adjustLimit(g)
-	c.endEpisode()
+	c.runTimes.limitHistory()
+	c.adjustConcurrencyLimit(g)
+	c.updatePolicy()
 	c.updateHealth()
 	c.updateAdvert()
 	c.updateIdleTimeout()
 	if c.recentArrivals[0] == 0 {
-		c.readDelayFraction *= 1 - requestSmoothing // decays without arrivals, so that health recovers
+		c.readDelayFraction *= 1 - requestSmoothingFactor // decays without arrivals, so that health recovers
 	}
-	c.recentArrivals.nextTick()
+	c.recentArrivals.startGaugeTick()
 }
 
-// armTimer asks for the earliest time at which something is due: the next gauge
-// tick or the expiry of a request. An earlier timer that is still pending is enough.
+// armTimer requests a timer for the earliest due time, which is the next gauge tick or the expiry
+// of a request. It requests none if an earlier timer is pending.
 func (c *Controller) armTimer() {
 	next := c.nextGaugeAt
 	for _, r := range c.requests {
@@ -47,7 +47,7 @@
 			next = min(next, c.expiry(r))
 		}
 	}
-	next = max(next, c.now+max(c.settings.MinInterval, minTimerSpan))
+	next = max(next, c.now+max(c.settings.MinInterval, minTimerDelay))
 	if c.timerAt == 0 || next < c.timerAt {
 		c.timerID++
 		c.timerAt = next
--- a/internal/cluster/diskidentity/attesters.go
+++ b/internal/cluster/diskidentity/attesters.go
@@ -6,35 +6,36 @@
 	"strings"
 )
 
-// attesterTally sorts the other voters of a disk's configuration by what they can say of the disk.
+// attesterTally classifies the other voters in a disk's configuration by whether they can attest the disk.
 //
-// A voter is replaced if the node of its name answers with another disk: its own was wiped, or was given up for
-// a new identity. Nobody can attest in its place any more, so that LocalDisk.Attesters does not count it. One that
-// does not answer at all may still have its disk, and is waited for.
+// A voter is replaced if its node answers with a different disk: the voter's disk was wiped, or got a new identity.
+// No node can attest in its place, so it reduces the number of attesters needed. A voter that does not answer may
+// still have its disk, and is missing.
 //
-// What the replaced disk alone had seen is lost with it. If a voter's disk is replaced and another voter's folder was
-// brought back older at the same time, the older one may therefore not be noticed: docs/design/membership.md
-// says how many of both are survived.
+// Watermarks that only a replaced disk had observed are lost. If one voter's disk is replaced while another voter's
+// folder is rolled back, the rollback may therefore go undetected. docs/design/membership.md lists how many
+// replaced and rolled back disks are tolerated.
 type attesterTally struct {
 	attested []string        // member IDs
 	missing  []string        // member IDs
-	replaced []ReplacedVoter // in the order of their IDs
+	replaced []ReplacedVoter // sorted by voter ID
 }
 
-// countAttesters sorts the other voters. What the attested ones say of this disk was checked before.
+// countAttesters classifies the other voters. The caller has checked with behindReason that no peer has observed a
+// later state of this disk.
 func (d *LocalDisk) countAttesters(attestations map[string]Attestation) (tally attesterTally) {
-	cluster := d.likelyCluster(attestations)
+	cluster := d.presumedCluster(attestations)
 	for _, id := range slices.Sorted(slices.Values(d.Voters)) {
 		a, answered := attestations[MemberName(id)]
 		switch {
 		case id == d.ID:
 		case MemberName(id) == MemberName(d.ID): // an earlier disk of this node
 			tally.replaced = append(tally.replaced, ReplacedVoter{Voter: id, Successor: d.ID})
-		case !answered || d.foreign(a):
+		case !answered || d.isFromOtherCluster(a):
 			tally.missing = append(tally.missing, id)
 		case a.ID == id:
 			tally.attested = append(tally.attested, id)
-		case a.replaces(id, cluster):
+		case a.showsReplacementOf(id, cluster):
 			tally.replaced = append(tally.replaced, ReplacedVoter{Voter: id, Successor: a.ID})
 		default:
 			tally.missing = append(tally.missing, id)
@@ -43,9 +44,9 @@
 	return tally
 }
 
-// likelyCluster is the cluster of a disk, also if its own log does not tell for sure: then it is that of a member
-// that answers with the disk that the configuration names, and else what the log says.
-func (d *LocalDisk) likelyCluster(attestations map[string]Attestation) string {
+// presumedCluster returns the ID of the disk's cluster. If d.Cluster is unknown, it is the cluster of a member that
+// answers with the disk named in the configuration, or else d.LoggedCluster.
+func (d *LocalDisk) presumedCluster(attestations map[string]Attestation) string {
 	if d.Cluster != "" {
 		return d.Cluster
 	}
@@ -57,44 +58,46 @@
 	return d.LoggedCluster
 }
 
-// replaces reports whether an attestation shows that the node of a member has another disk, of this cluster or new.
-// One of another node shows nothing: somebody else answers at the member's address.
-func (a *Attestation) replaces(id, cluster string) bool {
+// showsReplacementOf reports whether an attestation proves that a member's node has another disk, which belongs to
+// this cluster or to none. An attestation by a node with another name proves nothing: that node answers at the
+// member's address.
+func (a *Attestation) showsReplacementOf(id, cluster string) bool {
 	sameNode := MemberName(a.ID) == MemberName(id) && MemberDisk(a.ID) != ""
 	return sameNode && (a.Cluster == "" || a.Cluster == cluster)
 }
 
-// attestersNeeded is how many other voters must attest the disk. Replaced voters lower what LocalDisk.Attesters
-// asks for, but never below what makes a majority with this disk.
+// attestersNeeded returns how many other voters must attest the disk. Replaced voters reduce the number set by
+// LocalDisk.RequiredAttesters, but never below the number that forms a majority together with this disk.
 func (d *LocalDisk) attestersNeeded(tally attesterTally) int {
 	others := len(d.Voters) - 1
 	majority := len(d.Voters) / 2
-	wanted := d.Attesters
+	required := d.RequiredAttesters
 	switch {
-	case wanted == 0:
+	case required == 0:
 		return majority
-	case wanted < 0:
-		wanted = others
+	case required < 0:
+		required = others
 	}
-	return min(wanted, max(majority, others-len(tally.replaced)))
+	return min(required, max(majority, others-len(tally.replaced)))
 }
 
-// waitReason says for whom a disk waits that needs a number of attestations, and what operators can do.
+// waitReason returns the reason for VerdictWait if need attestations are required: the voters whose attestations
+// are missing, and what operators can do.
 func (t *attesterTally) waitReason(need int) Reason {
-	lacking := need - len(t.attested)
-	if lacking > len(t.missing) {
+	stillNeeded := need - len(t.attested)
+	if stillNeeded > len(t.missing) {
 		return Reason{
 			Text:     "a majority of the voters must have their disks: start them with the folders of those disks, or recover a lost majority",
 			Replaced: t.replaced,
 		}
 	}
-	silent := slices.Clone(t.missing)
+	candidates := slices.Clone(t.missing)
 	for _, r := range t.replaced {
-		silent = append(silent, r.Voter)
+		candidates = append(candidates, r.Voter)
 	}
-	slices.Sort(silent)
+	slices.Sort(candidates)
 	return Reason{
-		Text:     fmt.Sprintf("%d of %s must say that this disk is not older than what it acknowledged", lacking, strings.Join(silent, ", ")),
+		Text:     fmt.Sprintf("%d of %s must say that this disk is not older than what it acknowledged", stillNeeded, strings.Join(candidates, ", ")),
 		Replaced: t.replaced,
 	}
 }
--- a/internal/cluster/diskidentity/attesters_test.go
+++ b/internal/cluster/diskidentity/attesters_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestAttestersNeeded: replaced disks are asked for attestations that nobody can give, or count for less than a
-// majority.
+// TestAttestersNeeded guards against waiting for attestations of replaced disks, which no node can give, and against
+// fewer attesters than a majority needs.
 func TestAttestersNeeded(t *testing.T) {
 	for _, c := range []struct{ voters, attesters, replaced, want int }{
 		{3, 0, 0, 1}, {3, 0, 2, 1},
@@ -18,26 +18,26 @@
 		{3, 7, 0, 2}, {3, 7, 1, 1},
 		{1, -1, 0, 0}, {1, 0, 0, 0},
 	} {
-		disk := LocalDisk{Attesters: c.attesters, Voters: make([]string, c.voters)}
+		disk := LocalDisk{RequiredAttesters: c.attesters, Voters: make([]string, c.voters)}
 		assert.Equal(t, c.want, disk.attestersNeeded(attesterTally{replaced: make([]ReplacedVoter, c.replaced)}), "%+v", c)
 	}
 }
 
-// TestAttesterReasons: a node waits, and its reason does not say for which disk, that this disk was replaced, or what
-// to do.
+// TestAttesterReasons guards against a reason that does not name the voters that are waited for, the replaced
+// disks, or what operators can do.
 func TestAttesterReasons(t *testing.T) {
 	for _, c := range []struct {
 		attestations map[string]Attestation
 		want         string
 	}{
 		{nil, "2 of b@1, c@1 must say that this disk is not older than what it acknowledged"},
-		{byName(isNew("c@2")), "1 of b@1, c@1 must say that this disk is not older than what it acknowledged; c@1 can't, as its node has c@2 now"},
-		{byName(isNew("b@2"), isNew("c@2")), "a majority of the voters must have their disks: start them with the folders of those disks, or recover a lost majority; b@1 can't, as its node has b@2 now; c@1 can't, as its node has c@2 now"},
-		{byName(attests("b@1", nil), isNew("c@2")), "1 others have seen no more of this disk; c@1 can't, as its node has c@2 now"},
+		{attestationsByName(freshAttestation("c@2")), "1 of b@1, c@1 must say that this disk is not older than what it acknowledged; c@1 can't, as its node has c@2 now"},
+		{attestationsByName(freshAttestation("b@2"), freshAttestation("c@2")), "a majority of the voters must have their disks: start them with the folders of those disks, or recover a lost majority; b@1 can't, as its node has b@2 now; c@1 can't, as its node has c@2 now"},
+		{attestationsByName(attestationFrom("b@1", nil), freshAttestation("c@2")), "1 others have seen no more of this disk; c@1 can't, as its node has c@2 now"},
 	} {
-		_, reason := Decide(allAttest, c.attestations)
+		_, reason := Decide(allAttestersDisk, c.attestations)
 		assert.Equal(t, c.want, reason.String())
 	}
-	_, reason := Decide(voter, byName(isNew("b@2")))
+	_, reason := Decide(voterDisk, attestationsByName(freshAttestation("b@2")))
 	assert.Equal(t, "1 of b@1, c@1 must say that this disk is not older than what it acknowledged; b@1 can't, as its node has b@2 now", reason.String())
 }
--- a/internal/cluster/lease/golden_test.go
+++ b/internal/cluster/lease/golden_test.go
@@ -12,8 +12,8 @@
 	"oxbowbridge/internal/testrig/golden"
 )
 
-// TestGoldenTypes: the replicated state of leases, its operations and their results keep
-// their JSON.
+// TestGoldenTypes guards against a change of the JSON encoding of the replicated lease state, of operations and of
+// results.
 func TestGoldenTypes(t *testing.T) {
 	golden.JSON(t, "testdata/types.golden",
 		golden.Sample{Name: "waiter", Value: &Waiter{}},
@@ -25,7 +25,7 @@
 	)
 }
 
-// TestGoldenNames: operations, error codes, error texts and limits, as the log has them.
+// TestGoldenNames guards against a change of operations, error codes, error texts and limits, which are in the log.
 func TestGoldenNames(t *testing.T) {
 	var lines strings.Builder
 	fmt.Fprintln(&lines, OpAcquire, OpWithdraw, OpRelease, OpExpire, OpHandOver, OpRevoke)
@@ -43,10 +43,10 @@
 		{Kind: OpRelease, Name: "job", Token: 9}, {Kind: OpHandOver, Name: "job", Token: 11, Holder: "h3"}, {Kind: "steal", Name: "job"}, {Kind: OpRevoke, Name: "job"},
 		{Kind: OpHandOver, Name: "job", Token: 11, Holder: "h2"}, {Kind: OpExpire, Name: "job", Token: 13}, {Kind: OpRevoke, Name: "job"},
 	} {
-		r, given := s.Apply(o)
+		r, granted := s.Apply(o)
 		text, err := json.Marshal(r)
 		require.NoError(t, err)
-		fmt.Fprintf(&lines, "%s %s %v %v\n", o.Kind, text, given, r.Err())
+		fmt.Fprintf(&lines, "%s %s %v %v\n", o.Kind, text, granted, r.Err())
 	}
 	golden.Text(t, "testdata/names.golden", lines.String())
 }
--- a/internal/cluster/leaseclient/acquire.go
+++ b/internal/cluster/leaseclient/acquire.go
@@ -14,37 +14,37 @@
 // AcquireOptions are the parameters of Acquire.
 type AcquireOptions struct {
 	Name     string
-	TTL      time.Duration // lease.MinTTLMS to lease.MaxTTLMS
-	Priority int           // among waiters, higher goes first
-	Wait     bool          // for a lease that another process holds, until the context ends
+	TTL      time.Duration // lease.MinTTLMS to lease.MaxTTLMS milliseconds
+	Priority int           // priority among waiters; a higher one is served first
+	Wait     bool          // wait for a lease that another process holds, until the context ends
 }
 
-// Acquire retries until it holds the lease, the store rejects the request, or ctx ends. Without
-// Wait, a lease that another process holds is lease.ErrHeld.
+// Acquire requests a lease and retries until the lease is held, the store rejects the request, or ctx ends.
+// Without Wait, it returns lease.ErrHeld if another process holds the lease.
 func (m *Manager) Acquire(ctx context.Context, options AcquireOptions) (*Lease, error) {
 	l := &Lease{Name: options.Name, manager: m, ttl: options.TTL, state: lease.HolderState{TTL: options.TTL}}
-	if !m.reserve(l) {
+	if !m.register(l) {
 		return nil, fmt.Errorf("%w: %s", ErrAlreadyHeld, options.Name)
 	}
-	if err := m.obtain(ctx, l, options); err != nil {
-		m.forget(l)
+	if err := m.acquireFromStore(ctx, l, options); err != nil {
+		m.unregister(l)
 		return nil, err
 	}
 	return l, nil
 }
 
-// reserve enters a lease under its name, unless this process has one of that name.
-func (m *Manager) reserve(l *Lease) bool {
+// register adds a lease to the manager. It returns false if the manager already has a lease with that name.
+func (m *Manager) register(l *Lease) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if _, taken := m.leases[l.Name]; taken {
+	if _, registered := m.leases[l.Name]; registered {
 		return false
 	}
 	m.leases[l.Name] = l
 	return true
 }
 
-func (m *Manager) obtain(ctx context.Context, l *Lease, options AcquireOptions) error {
+func (m *Manager) acquireFromStore(ctx context.Context, l *Lease, options AcquireOptions) error {
 	request := storeapi.AcquireRequest{Holder: m.holder, TTLMS: options.TTL.Milliseconds(), Priority: options.Priority}
 	if options.Wait {
 		request.WaitMS = maxRequestWait.Milliseconds()
@@ -55,7 +55,7 @@
 		granted, err := node.AcquireLease(ctx, l.Name, request)
 		switch {
 		case err == nil:
-			if m.activate(l, granted.Token, sentAt) || m.confirm(ctx, node, l, granted.Token) {
+			if m.activate(l, granted.Token, sentAt) || m.confirmByRenewal(ctx, node, l, granted.Token) {
 				return nil
 			}
 		case errors.Is(err, lease.ErrHeld) && !options.Wait, isRejected(err):
@@ -66,21 +66,21 @@
 			return errors.Join(ctx.Err(), err)
 		case <-m.ctx.Done():
 			return errors.Join(ErrReleased, err)
-		case <-time.After(m.retryPause(failed + 1)):
+		case <-time.After(m.retryBackoff(failed + 1)):
 		}
 	}
 }
 
-// confirm renews a lease whose grant came after a long wait: its time is counted from the
-// renewal. It reports whether the holder may act.
-func (m *Manager) confirm(ctx context.Context, node *storeclient.Client, l *Lease, token uint64) bool {
+// confirmByRenewal renews a lease whose grant arrived after a long wait, so that the deadline is measured
+// from the renewal instead of the request. It reports whether the holder may act.
+func (m *Manager) confirmByRenewal(ctx context.Context, node *storeclient.Client, l *Lease, token uint64) bool {
 	sentAt := m.now()
 	lost, err := node.RenewLeases(ctx, []lease.FencingToken{{Name: l.Name, Token: token}})
 	return err == nil && len(lost) == 0 && m.activate(l, token, sentAt)
 }
 
-// activate records a grant. If the holder may still act under it, the lease is kept alive from
-// now on.
+// activate records a grant and reports whether the holder may still act under it. If so, it starts the
+// lease's deadline timer and renewals.
 func (m *Manager) activate(l *Lease, token uint64, sentAt time.Duration) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -93,8 +93,8 @@
 	l.ctx, l.cancel = context.WithCancelCause(context.Background())
 	l.timer = time.AfterFunc(l.state.Deadline()-now, l.onDeadline)
 	select {
-	case m.newLease <- struct{}{}:
-	default: // the loop is woken already
+	case m.leaseAdded <- struct{}{}:
+	default: // a wake-up of the renewal loop is already pending
 	}
 	return true
 }
--- a/internal/cluster/membership/golden_test.go
+++ b/internal/cluster/membership/golden_test.go
@@ -6,12 +6,12 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestGoldenStrings: the words that operators read of GET /members.
+// TestGoldenStrings guards against a change of the texts that GET /members returns to operators.
 func TestGoldenStrings(t *testing.T) {
 	for r, text := range map[Role]string{Learner: "learner", Voter: "voter"} {
 		assert.Equal(t, text, r.String())
 	}
-	for k, text := range map[StepKind]string{StepNone: "none", StepPromote: "promote", StepDemote: "demote", StepRemove: "remove", StepTransfer: "transfer leadership to"} {
+	for k, text := range map[StepKind]string{StepNone: "none", StepPromote: "promote", StepDemote: "demote", StepRemove: "remove", StepTransferLeadership: "transfer leadership to"} {
 		assert.Equal(t, text, k.String())
 	}
 	for text, m := range map[string]Member{"its disk is gone": {DiskLost: true}, "it leaves": {Leaving: true}, "it was down for too long": {}} {
--- a/internal/cluster/store/config.go
+++ b/internal/cluster/store/config.go
@@ -119,10 +119,10 @@
 // membershipPolicy returns the policy by which the leader changes the membership.
 func (c *Config) membershipPolicy() membership.Policy {
 	return membership.Policy{
-		Voters:           cmp.Or(c.Voters, len(c.Peers)),
-		ReplaceAfter:     cmp.Or(time.Duration(c.ReplaceAfterMS)*time.Millisecond, defaultReplaceVoterAfter),
-		ForgetAfter:      cmp.Or(time.Duration(c.ForgetAfterMS)*time.Millisecond, defaultRemoveLearnerAfter),
-		SettleTime:       minMembershipChangeInterval,
-		MaxEntriesBehind: maxEntriesBehind,
+		TargetVoters:       cmp.Or(c.Voters, len(c.Peers)),
+		ReplaceAfter:       cmp.Or(time.Duration(c.ReplaceAfterMS)*time.Millisecond, defaultReplaceVoterAfter),
+		RemoveLearnerAfter: cmp.Or(time.Duration(c.ForgetAfterMS)*time.Millisecond, defaultRemoveLearnerAfter),
+		SettleTime:         minMembershipChangeInterval,
+		MaxEntriesBehind:   maxEntriesBehind,
 	}
 }
--- a/internal/cluster/store/members.go
+++ b/internal/cluster/store/members.go
@@ -116,8 +116,8 @@
 		return out, err
 	}
 	observed := s.observeMembers(inc)
-	step := s.cfg.membershipPolicy().Next(observed.view)
-	out = storeapi.Members{Leader: s.self.Name, ConfigIndex: observed.conf.Index, WantedVoters: s.cfg.membershipPolicy().Voters, Removed: s.removedNames()}
+	step := s.cfg.membershipPolicy().NextStep(observed.view)
+	out = storeapi.Members{Leader: s.self.Name, ConfigIndex: observed.conf.Index, WantedVoters: s.cfg.membershipPolicy().TargetVoters, Removed: s.removedNames()}
 	for _, m := range observed.view.Members {
 		server, _ := findServer(observed.conf, m.ID)
 		out.Members = append(out.Members, describeMember(m, step, server, inc.memberID))
@@ -186,7 +186,7 @@
 		return memberNotFound(name)
 	}
 	preferred := s.countPreferredVoters(name)
-	if limit := s.cfg.membershipPolicy().Voters; preferred >= limit {
+	if limit := s.cfg.membershipPolicy().TargetVoters; preferred >= limit {
 		return fmt.Errorf("%w: %d others are wanted as voters already, of %d", ErrMemberRejected, preferred, limit)
 	}
 	return s.recordIntent(kv.PreferredVoterPrefix+name, "")
--- a/internal/cluster/store/verdict.go
+++ b/internal/cluster/store/verdict.go
@@ -19,9 +19,9 @@
 }
 
 // awaitVerdict waits until the peers' reports (peerPoller.pollLoop) determine what the disk may be used
-// for. Until each peer has been polled once, it accepts only VerdictRenew, because a peer that has not
+// for. Until each peer has been polled once, it accepts only VerdictNewIdentity, because a peer that has not
 // been polled may have observed a higher watermark of this disk. During that time the wait reason remains
-// reportsWaitReason. It carries out VerdictRenew itself, and then returns VerdictJoin with the disk under
+// reportsWaitReason. It carries out VerdictNewIdentity itself, and then returns VerdictJoin with the disk under
 // its new identity.
 func (s *Store) awaitVerdict(disk *diskState) (*diskState, diskidentity.Verdict, error) {
 	replaced := map[string]string{}
@@ -30,7 +30,7 @@
 		verdict, reason := diskidentity.Decide(disk.local, reports.recent)
 		s.logReplacedVoters(reason.Replaced, replaced)
 		switch {
-		case verdict == diskidentity.VerdictRenew:
+		case verdict == diskidentity.VerdictNewIdentity:
 			s.logVerdict(disk, verdict, reason)
 			renewed, err := s.renewDisk(disk, reason.Text)
 			return renewed, diskidentity.VerdictJoin, err
--- a/internal/transport/engine/session.go
+++ b/internal/transport/engine/session.go
@@ -15,54 +15,56 @@
 )
 
 const (
-	// Delay before a connection is dialed again, which doubles with each failure.
+	// Backoff before the next dial. The delay doubles with each failure.
 	minReconnectDelay = time.Millisecond
 	maxReconnectDelay = 500 * time.Millisecond
 
-	// greetingTimeout is how long a connection waits for HELLO before another one is opened beside
-	// it. An engine that is not up yet sends none, but neither does one that has lost the connection.
+	// greetingTimeout is how long a connection may wait for HELLO before another one is dialed in
+	// parallel. An engine that is still starting sends no HELLO, but neither does one that has lost
+	// the connection.
 	greetingTimeout = 2 * time.Second
 
-	// The engine counts as lost after more than maxUnansweredPolls polls without a message. Polls
-	// that are closer than minPollInterval count as one: that takes at least 5 s, and longer where
-	// RequestGauges is called less often.
+	// The connection counts as lost after more than maxUnansweredPolls polls without a message from
+	// the engine. Polls that are closer together than minPollInterval count as one, so that takes at
+	// least 5 s, and longer if RequestGauges is called less often.
 	minPollInterval    = 250 * time.Millisecond
 	maxUnansweredPolls = 20
 )
 
-var errSilent = errors.New("no message from the engine")
+var errEngineSilent = errors.New("no message from the engine")
 
-// connNumber numbers connections, and dials of them, from 1.
+// connNumber is the number of a dial, from 1, and of the connection that it opens.
 type connNumber int
 
-// noConn stands for no connection.
+// noConn is the value of currentConn without a connection.
 const noConn connNumber = 0
 
-// Session is the exchange.Runner that speaks to the engine.
+// Session is the exchange.Runner that runs requests at the engine.
 type Session struct {
 	session.Config
-	addr            string
-	pausesOnStop    bool // a stopped run is paused, and can be resumed
-	conn            *eventloop.Conn
-	current         connNumber // number of conn, or noConn
-	latestDial      connNumber
-	greeted         bool                // HELLO has arrived on the current connection
-	synced          bool                // resync was done on the current connection
-	delivered       delivery.Connection // what the current connection shows to be read
-	ready           bool                // HELLO has arrived once
-	engineUptime    time.Duration       // at the latest HELLO
-	lastNotice      uint64
-	noticesMissing  bool // notices are missing before the first one on the current connection
-	reconnectDelay  time.Duration
-	reconnectTimer  *timerqueue.Timer
-	unansweredPolls int           // since the latest message of the engine
-	lastCountedPoll time.Duration // when the latest of them was
-	runs            map[string]*run
-	durations       map[string]*session.LatencyEstimator // of runs, by class
-	lastEndedOrder  time.Duration                        // when the latest run that has ended was ordered
+	addr                 string
+	pausesOnStop         bool // HALT pauses a run, which can then be resumed
+	conn                 *eventloop.Conn
+	currentConn          connNumber // number of conn, or noConn
+	latestDial           connNumber
+	greetingReceived     bool                     // HELLO was received on the current connection
+	resynced             bool                     // resync has run on the current connection
+	polls                delivery.ConnectionPolls // on the current connection
+	readyPosted          bool                     // exchange.RunnerReady was posted, after the first HELLO
+	engineUptime         time.Duration            // at the latest HELLO
+	lastNotification     uint64                   // number of the last notification received
+	notificationsMissing bool                     // the engine has dropped notifications that were not received, or has restarted
+	reconnectDelay       time.Duration
+	reconnectTimer       *timerqueue.Timer
+	unansweredPolls      int           // since the latest message from the engine
+	lastCountedPollAt    time.Duration // when unansweredPolls was last increased
+	runs                 map[string]*run
+	runDurations         map[string]*session.LatencyEstimator // by class
+	lastEndedSubmittedAt time.Duration                        // latest submission time of the runs that have ended
 }
 
-// New returns a Session that is not connected. pausesOnStop tells what HALT does to a run.
+// New returns a Session that is not connected. With pausesOnStop, HALT pauses a run instead of ending
+// it.
 func New(addr string, pausesOnStop bool, deps session.Config) *Session {
 	return &Session{
 		Config:         deps,
@@ -70,31 +72,31 @@
 		pausesOnStop:   pausesOnStop,
 		reconnectDelay: minReconnectDelay,
 		runs:           map[string]*run{},
-		durations:      map[string]*session.LatencyEstimator{},
+		runDurations:   map[string]*session.LatencyEstimator{},
 	}
 }
 
-// Open connects, and connects again whenever the connection is lost. A current connection is
-// used until the new one takes its place.
+// Open dials the engine, and reconnects whenever the connection is lost. An existing connection stays
+// in use until the new one replaces it.
 func (s *Session) Open() {
 	s.Timers.Cancel(s.reconnectTimer)
 	s.latestDial++
 	n := s.latestDial
 	s.Dial(s.addr, &session.LineHandler{
-		Config:  s.Config,
-		Parser:  lineproto.Parser{HasPayload: hasPayload},
-		Current: func() bool { return n == s.current || n == s.latestDial },
+		Config:    s.Config,
+		Parser:    lineproto.Parser{HasPayload: hasPayload},
+		IsCurrent: func() bool { return n == s.currentConn || n == s.latestDial },
 		OnMessage: func(m lineproto.Message) {
-			if n == s.current { // one that is not open yet has had no ATTACH to answer
+			if n == s.currentConn { // before that, ATTACH was not sent and no message is expected
 				s.receive(m)
 			}
 		},
-		OnLost: func(err error) { s.lost(n, err) },
-	}, func(c *eventloop.Conn, err error) { s.opened(n, c, err) })
+		OnLost: func(err error) { s.connectionLost(n, err) },
+	}, func(c *eventloop.Conn, err error) { s.dialCompleted(n, c, err) })
 }
 
-// SetAddress goes on at another address. Runs and numbers of notices stay as they are: it is the
-// same engine.
+// SetAddress reconnects at another address of the same engine. Runs and notification numbers are
+// retained.
 func (s *Session) SetAddress(addr string) {
 	if addr == s.addr {
 		return
@@ -104,82 +106,83 @@
 	s.Open()
 }
 
-// opened makes a connection the current one, unless a later dial has taken its place.
-func (s *Session) opened(n connNumber, c *eventloop.Conn, err error) {
+// dialCompleted makes a connection the current one, unless another dial was started since.
+func (s *Session) dialCompleted(n connNumber, c *eventloop.Conn, err error) {
 	if err != nil {
-		s.lost(n, err)
+		s.connectionLost(n, err)
 		return
 	}
-	if n != s.latestDial { // another dial is under way, or this connection was lost already
+	if n != s.latestDial { // another dial is in progress, or this connection is already lost
 		c.Abort()
 		return
 	}
 	if s.conn != nil {
 		s.conn.Abort()
-		s.leaveConnection()
+		s.markConnectionLost()
 	}
 	s.conn = c
-	s.current = n
-	s.greeted = false
-	s.synced = false
-	s.delivered = delivery.Connection{}
-	s.noticesMissing = false
+	s.currentConn = n
+	s.greetingReceived = false
+	s.resynced = false
+	s.polls = delivery.ConnectionPolls{}
+	s.notificationsMissing = false
 	s.unansweredPolls = 0
-	s.send(commandAttach, strconv.FormatUint(s.lastNotice, 10))
+	s.send(commandAttach, strconv.FormatUint(s.lastNotification, 10))
 	s.Timers.Schedule(s.Now()+greetingTimeout, func() { s.checkGreeting(n) })
 }
 
-// checkGreeting opens another connection if the given one is the latest and had no HELLO so far.
+// checkGreeting opens another connection if connection n is the latest and has received no HELLO.
 func (s *Session) checkGreeting(n connNumber) {
-	if n == s.current && n == s.latestDial && !s.greeted {
+	if n == s.currentConn && n == s.latestDial && !s.greetingReceived {
 		s.Open()
 	}
 }
 
-// lost dials once more if the current connection or the latest dial has failed.
-func (s *Session) lost(n connNumber, err error) {
-	if n == s.current {
+// connectionLost handles the failure of connection or dial n. If n is the latest dial, it schedules
+// another one.
+func (s *Session) connectionLost(n connNumber, err error) {
+	if n == s.currentConn {
 		s.conn.Abort()
-		s.leaveConnection()
+		s.markConnectionLost()
 		s.conn = nil
-		s.current = noConn
-		s.greeted = false
+		s.currentConn = noConn
+		s.greetingReceived = false
 	}
 	if n != s.latestDial {
 		return
 	}
-	s.latestDial++ // nothing more is expected of the dial that failed
+	s.latestDial++ // later events of the failed dial are ignored
 	s.Log.Warn("engine connection lost", zap.Error(err), zap.Int64("retry_in_ms", s.reconnectDelay.Milliseconds()))
 	s.reconnectTimer = s.Timers.Schedule(s.Now()+s.reconnectDelay, s.Open)
 	s.reconnectDelay = min(2*s.reconnectDelay, maxReconnectDelay)
 }
 
-// RequestGauges polls the engine for the gauges, and guards against a connection that stays open
-// and silent: an engine that was up once answers, also while its work hangs. Polls are counted
-// rather than time, so that a pause of this process does not count. Before the engine has been up
-// no answer is expected.
+// RequestGauges polls the engine for the gauges. It also detects a connection that stays open without
+// any message: a started engine answers polls even while its runs hang. It counts polls and
+// not elapsed time, so that a pause of this process does not look like a silent engine. Polls count
+// only after the first HELLO, since an engine that is still starting does not answer.
 func (s *Session) RequestGauges() {
-	if s.greeted {
+	if s.greetingReceived {
 		s.poll(tagGauges)
 	}
-	if s.conn == nil || !s.ready {
+	if s.conn == nil || !s.readyPosted {
 		return
 	}
 	now := s.Now()
-	if now-s.lastCountedPoll < minPollInterval {
+	if now-s.lastCountedPollAt < minPollInterval {
 		return
 	}
-	s.lastCountedPoll = now
+	s.lastCountedPollAt = now
 	s.unansweredPolls++
 	if s.unansweredPolls > maxUnansweredPolls {
-		s.lost(s.current, errSilent)
+		s.connectionLost(s.currentConn, errEngineSilent)
 	}
 }
 
-// poll asks the engine for its gauges. Its answer also shows that all commands before it on the
-// connection were read.
+// poll requests the engine's gauges. The answer also shows that the engine has read all earlier
+// commands on the connection.
 func (s *Session) poll(tag string) {
-	s.delivered.PollSent()
+	s.polls.PollSent()
 	s.send(commandStats, tag)
 }
 
--- a/internal/transport/frontend/response.go
+++ b/internal/transport/frontend/response.go
@@ -8,34 +8,34 @@
 	"oxbowbridge/internal/proxy/exchange"
 )
 
-// HTTPResponse is a response in the terms of HTTP, which all protocols of the frontends share.
+// HTTPResponse is a response as an HTTP status, headers and a body, which all frontend protocols use.
 type HTTPResponse struct {
 	Status  int // HTTP status
 	Headers []Header
 	Body    []byte
 }
 
-// NewHTTPResponse returns the response for an answer.
-func NewHTTPResponse(answer exchange.Response) HTTPResponse {
-	switch answer.Kind {
+// NewHTTPResponse converts a response of the exchange to an HTTPResponse.
+func NewHTTPResponse(response exchange.Response) HTTPResponse {
+	switch response.Kind {
 	case exchange.Succeeded:
-		return HTTPResponse{Status: http.StatusOK, Body: answer.Body}
+		return HTTPResponse{Status: http.StatusOK, Body: response.Body}
 	case exchange.Failed:
 		return HTTPResponse{Status: http.StatusInternalServerError}
 	}
-	response := HTTPResponse{Status: http.StatusServiceUnavailable}
-	if answer.RetryAfter > 0 {
-		roundedUp := (answer.RetryAfter + time.Millisecond - 1) / time.Millisecond
-		response.Headers = append(response.Headers, Header{headerRetryAfter, strconv.FormatInt(int64(roundedUp), 10)})
+	httpResponse := HTTPResponse{Status: http.StatusServiceUnavailable}
+	if response.RetryAfter > 0 {
+		roundedUp := (response.RetryAfter + time.Millisecond - 1) / time.Millisecond
+		httpResponse.Headers = append(httpResponse.Headers, Header{headerRetryAfter, strconv.FormatInt(int64(roundedUp), 10)})
 	}
-	if answer.NoRetryElsewhere {
-		response.Headers = append(response.Headers, Header{headerNoOtherServer, headerNoOtherServerSet})
+	if response.NoRetryElsewhere {
+		httpResponse.Headers = append(httpResponse.Headers, Header{headerNoOtherServer, headerNoOtherServerSet})
 	}
-	return response
+	return httpResponse
 }
 
-// CommonHeaders returns the headers of every response: the advertised value, where the
-// settings have one.
+// CommonHeaders returns the headers that every response has: the advertised value, if the settings
+// configure one.
 func CommonHeaders(x *exchange.Exchange) []Header {
 	value, ok := x.AdvertisedValue()
 	if !ok {
--- a/internal/transport/lineproto/parser_test.go
+++ b/internal/transport/lineproto/parser_test.go
@@ -6,14 +6,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// FuzzParser: whatever comes, in whatever pieces, the messages are the same and
-// nothing panics.
+// FuzzParser checks that the parser does not panic, and that it returns the same messages wherever the
+// input is split.
 func FuzzParser(f *testing.F) {
 	f.Add([]byte("DONE 1 9b1f03aa5c7e2d41 OK 5 4\r\nbody\r\nNOTE 2 a\r\n"), 33)
 	f.Add([]byte("DONE -1\r\n"), 1)
 	f.Add([]byte("DONE 99999999999\r\n"), 4)
 	f.Add([]byte("\r\n"), 1)
-	f.Fuzz(func(t *testing.T, in []byte, cut int) {
+	f.Fuzz(func(t *testing.T, input []byte, splitAt int) {
 		read := func(pieces ...[]byte) (out []Message) {
 			p := Parser{HasPayload: func(w []string) bool { return w[0] == "DONE" }}
 			for _, b := range pieces {
@@ -23,12 +23,12 @@
 			}
 			return out
 		}
-		cut = min(max(cut, 0), len(in))
-		require.Equal(t, read(in), read(in[:cut], in[cut:]))
+		splitAt = min(max(splitAt, 0), len(input))
+		require.Equal(t, read(input), read(input[:splitAt], input[splitAt:]))
 	})
 }
 
-// TestAppend: what is appended is read back, and the bytes are the protocol's.
+// TestAppend checks the bytes of appended messages, and that the parser returns the same messages.
 func TestAppend(t *testing.T) {
 	b := AppendLine(nil, "ATTACH", "0")
 	b = AppendWithPayload(b, []byte("body\r\n"), "RUN", "9b1f03aa5c7e2d41", "nom-submit")
--- a/internal/transport/records/client.go
+++ b/internal/transport/records/client.go
@@ -10,71 +10,71 @@
 	"oxbowbridge/internal/transport/session"
 )
 
-// Client is the exchange.DependencyClient that speaks to the records service.
+// Client is the exchange.DependencyClient for the records service.
 type Client struct {
 	session.Config
-	addr    string            // "" without a service
-	pool    *fdquota.ConnPool // of descriptors for connections
-	linger  time.Duration     // for which a canceled call still counts at the service
-	calls   map[string]*call
-	queue   []*call // without a connection, oldest first
-	idle    []*conn // the latest used last
-	latency session.LatencyEstimator
+	addr      string            // empty if there is no records service
+	connPool  *fdquota.ConnPool // limits the number of connections
+	linger    time.Duration     // how long a canceled call still counts at the service
+	calls     map[string]*call
+	queue     []*call // calls that wait for a connection, oldest first
+	idleConns []*conn // most recently used last
+	latency   session.LatencyEstimator
 }
 
 // call is a call that has not ended.
 type call struct {
 	exchange.Job
-	conn        *conn // nil while it has none
+	conn        *conn // nil while the call has no connection
 	deadline    time.Duration
-	sends       int
+	sendCount   int
 	failedDials int
-	retryTimer  *timerqueue.Timer // of the next placement
+	retryTimer  *timerqueue.Timer // assigns a connection after a delay
 }
 
-// maxSends is how often an idempotent call is sent.
+// maxSends is the maximum number of attempts of an idempotent call.
 const maxSends = 3
 
-// mayResend reports whether the call may be sent once more after it may have run.
-func (k *call) mayResend() bool { return k.Idempotent && k.sends < maxSends }
+// mayResend reports whether the call may be sent again although the service may have run it.
+func (k *call) mayResend() bool { return k.Idempotent && k.sendCount < maxSends }
 
-// New returns a Client that connects when there are calls, as far as the pool has descriptors for
-// them. Without an address each call ends as unreachable. A canceled call may go on counting for
-// linger at a service that several share: a call is sent again only after that, so that each
-// request has one at a time.
+// New returns a Client that connects on demand, as long as the pool has descriptors for calls. Without
+// an address each call ends as unreachable. A service that is shared by several clients may count a
+// canceled call for the time linger. A call is sent again only after that time, so that each request
+// counts as at most one call.
 func New(addr string, pool *fdquota.ConnPool, linger time.Duration, deps session.Config) *Client {
 	return &Client{
-		Config:  deps,
-		addr:    addr,
-		pool:    pool,
-		linger:  linger,
-		calls:   map[string]*call{},
-		latency: session.NewLatencyEstimator(),
+		Config:   deps,
+		addr:     addr,
+		connPool: pool,
+		linger:   linger,
+		calls:    map[string]*call{},
+		latency:  session.NewLatencyEstimator(),
 	}
 }
 
-// SetAddress has new calls go to another address. Those that were sent stay where they are.
+// SetAddress sends new calls to another address. Calls in flight continue on their connections.
 func (c *Client) SetAddress(addr string) {
 	if addr == c.addr {
 		return
 	}
 	c.addr = addr
-	for len(c.idle) > 0 {
-		c.idle[0].discard()
+	for len(c.idleConns) > 0 {
+		c.idleConns[0].discard()
 	}
 }
 
-// Call makes a call, in place of an earlier one for the same request; the outcome is posted to
-// the exchange.
-func (c *Client) Call(a exchange.Job) {
-	c.Cancel(a.TraceID)
-	k := &call{Job: a, deadline: c.Now() + a.Timeout}
-	c.calls[a.TraceID] = k
-	c.place(k)
+// Call starts a call and posts its outcome to the exchange. It cancels an earlier call for the same
+// request.
+func (c *Client) Call(job exchange.Job) {
+	c.Cancel(job.TraceID)
+	k := &call{Job: job, deadline: c.Now() + job.Timeout}
+	c.calls[job.TraceID] = k
+	c.assignConn(k)
 }
 
-// Cancel ends a call. No outcome follows. Its connection is not used again, since the reply
-// may still come on it.
+// Cancel cancels a call, whose outcome is then not posted. Its connection is closed, since the reply
+// may still arrive on it.
 func (c *Client) Cancel(traceID string) {
 	k := c.calls[traceID]
 	if k == nil {
@@ -86,11 +86,11 @@
 		c.queue = slices.DeleteFunc(c.queue, func(queued *call) bool { return queued == k })
 		return
 	}
-	k.conn.cancel()
+	k.conn.cancelCall()
 }
 
-// finish reports the end of a call.
-func (c *Client) finish(k *call, result exchange.Result, body []byte) {
+// finishCall removes a call and posts its outcome.
+func (c *Client) finishCall(k *call, result exchange.Result, body []byte) {
 	delete(c.calls, k.TraceID)
 	c.Exchange.Post(exchange.Outcome{TraceID: k.TraceID, Stage: exchange.CallEnded, Result: result, Body: body})
 }
