--- a/internal/cluster/store/config.go
+++ b/internal/cluster/store/config.go
@@ -28,13 +28,13 @@
 	// Self has the addresses of a node that is not in Peers and joins an existing cluster.
 	Self *Peer `json:"self,omitempty"`
 
-	// Voters is the target number of voters; 0 means the number of Peers.
-	Voters int `json:"voters"`
-	// ReplaceAfterMS is how long a voter is down before a learner replaces it as a voter, in milliseconds; 0
+	// TargetVoters is the target number of voters; 0 means the number of Peers.
+	TargetVoters int `json:"voters"`
+	// ReplaceVoterAfterMS is how long a voter is down before a learner replaces it, in milliseconds; 0
 	// means one minute.
-	ReplaceAfterMS int64 `json:"replace_after_ms"`
-	// ForgetAfterMS is how long a learner is down before it is removed, in milliseconds; 0 means one day.
-	ForgetAfterMS int64 `json:"forget_after_ms"`
+	ReplaceVoterAfterMS int64 `json:"replace_after_ms"`
+	// RemoveLearnerAfterMS is how long a learner is down before it is removed, in milliseconds; 0 means one day.
+	RemoveLearnerAfterMS int64 `json:"forget_after_ms"`
 	// RequiredAttesters is how many other voters must attest the disk of a starting node before the node may
 	// vote. A voter attests that it has not observed a higher watermark of the disk than the disk has now. 0
 	// means as many as form a majority with this node, -1 means all other voters. The documentation and the
@@ -119,9 +119,9 @@
 // membershipPolicy returns the policy by which the leader changes the membership.
 func (c *Config) membershipPolicy() membership.Policy {
 	return membership.Policy{
-		TargetVoters:       cmp.Or(c.Voters, len(c.Peers)),
-		ReplaceAfter:       cmp.Or(time.Duration(c.ReplaceAfterMS)*time.Millisecond, defaultReplaceVoterAfter),
-		RemoveLearnerAfter: cmp.Or(time.Duration(c.ForgetAfterMS)*time.Millisecond, defaultRemoveLearnerAfter),
+		TargetVoters:       cmp.Or(c.TargetVoters, len(c.Peers)),
+		ReplaceAfter:       cmp.Or(time.Duration(c.ReplaceVoterAfterMS)*time.Millisecond, defaultReplaceVoterAfter),
+		RemoveLearnerAfter: cmp.Or(time.Duration(c.RemoveLearnerAfterMS)*time.Millisecond, defaultRemoveLearnerAfter),
 		SettleTime:         minMembershipChangeInterval,
 		MaxEntriesBehind:   maxEntriesBehind,
 	}
--- a/internal/cluster/store/config_check.go
+++ b/internal/cluster/store/config_check.go
@@ -48,13 +48,13 @@
 
 func (c *Config) checkLimits() error {
 	switch {
-	case c.Voters < 0 || c.Voters > maxVoters:
+	case c.TargetVoters < 0 || c.TargetVoters > maxVoters:
 		return fmt.Errorf("voters: must be 0 to %d", maxVoters)
 	case c.RequiredAttesters < -1 || c.RequiredAttesters > maxVoters:
 		return fmt.Errorf("vouchers: must be -1 to %d", maxVoters)
-	case c.ReplaceAfterMS < 0:
+	case c.ReplaceVoterAfterMS < 0:
 		return errors.New("replace_after_ms: must not be negative")
-	case c.ForgetAfterMS < 0:
+	case c.RemoveLearnerAfterMS < 0:
 		return errors.New("forget_after_ms: must not be negative")
 	case len(c.Peers) > maxMembers:
 		return fmt.Errorf("peers: more than the maximum of %d", maxMembers)
--- a/internal/cluster/store/golden_test.go
+++ b/internal/cluster/store/golden_test.go
@@ -163,7 +163,7 @@
 // TestGoldenConfig checks the JSON keys of the store's section of the configuration file.
 func TestGoldenConfig(t *testing.T) {
 	peer := Peer{Name: "n1", Raft: "127.0.0.1:1", Admin: "127.0.0.1:2", Zone: "z"}
-	c := Config{Node: "n1", Dir: "/d", Peers: []Peer{peer}, Self: &peer, Voters: 3, ReplaceAfterMS: 4, ForgetAfterMS: 5, RequiredAttesters: 6,
+	c := Config{Node: "n1", Dir: "/d", Peers: []Peer{peer}, Self: &peer, TargetVoters: 3, ReplaceVoterAfterMS: 4, RemoveLearnerAfterMS: 5, RequiredAttesters: 6,
 		Backup: BackupConfig{Dir: "/b", Every: "1h", MaxFiles: 7}}
 	c.SQL.Driver, c.SQL.DSN = "sqlite", "file:x"
 	peerText := `{"name":"n1","raft":"127.0.0.1:1","admin":"127.0.0.1:2","zone":"z"}`
