--- a/internal/cluster/store/members.go
+++ b/internal/cluster/store/members.go
@@ -117,7 +117,12 @@
 	}
 	observed := s.observeMembers(inc)
 	step := s.cfg.membershipPolicy().NextStep(observed.view)
-	out = storeapi.Members{Leader: s.self.Name, ConfigIndex: observed.conf.Index, WantedVoters: s.cfg.membershipPolicy().TargetVoters, Removed: s.removedNames()}
+	out = storeapi.Members{
+		Leader:       s.self.Name,
+		ConfigIndex:  observed.conf.Index,
+		WantedVoters: s.cfg.membershipPolicy().TargetVoters,
+		Removed:      s.removedNames(),
+	}
 	for _, m := range observed.view.Members {
 		server, _ := findServer(observed.conf, m.ID)
 		out.Members = append(out.Members, describeMember(m, step, server, inc.memberID))
--- a/internal/cluster/store/restart_test.go
+++ b/internal/cluster/store/restart_test.go
@@ -16,23 +16,23 @@
 // each one logs and writes to the disk. Only the first restart has no pause. Once the address is free, the
 // node serves.
 func TestRestartsArePaced(t *testing.T) {
-	const wantLines, minimum = 4, 3 * time.Second // pauses of 0, 1 and 2 s before the three restarts
-	inUse, err := net.Listen("tcp", "127.0.0.1:0")
+	const wantEnds, minDuration = 4, 3 * time.Second // pauses of 0, 1 and 2 s before the three restarts
+	occupied, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer inUse.Close()
+	defer occupied.Close()
 	core, logs := observer.New(zap.ErrorLevel)
-	self := Peer{Name: "a", Raft: inUse.Addr().String(), Admin: "127.0.0.1:1"}
+	self := Peer{Name: "a", Raft: occupied.Addr().String(), Admin: "127.0.0.1:1"}
 	s, err := New(Config{Node: "a", Dir: t.TempDir(), Peers: []Peer{self}}, zap.New(core))
 	require.NoError(t, err)
 	require.NoError(t, s.Start())
 	defer s.Close()
 	ended := func() []observer.LoggedEntry { return logs.FilterMessage("incarnation ended").All() }
-	require.Eventually(t, func() bool { return len(ended()) >= wantLines }, 30*time.Second, time.Millisecond)
-	lines := ended()
-	assert.GreaterOrEqual(t, lines[wantLines-1].Time.Sub(lines[0].Time), minimum)
+	require.Eventually(t, func() bool { return len(ended()) >= wantEnds }, 30*time.Second, time.Millisecond)
+	ends := ended()
+	assert.GreaterOrEqual(t, ends[wantEnds-1].Time.Sub(ends[0].Time), minDuration)
 	assert.Eventually(t, func() bool { return strings.Contains(s.WaitReason(), "raft address") }, 30*time.Second, time.Millisecond,
-		"the reason is that of the last incarnation, also between two")
-	require.NoError(t, inUse.Close())
+		"between two incarnations, WaitReason returns the error that ended the last one")
+	require.NoError(t, occupied.Close())
 	require.Eventually(t, func() bool { return s.WaitReason() == "" }, 30*time.Second, 10*time.Millisecond)
 }
 
--- a/internal/cluster/store/snapshot_leases_test.go
+++ b/internal/cluster/store/snapshot_leases_test.go
@@ -34,10 +34,10 @@
 			op := lease.Op{Kind: []lease.OpKind{lease.OpAcquire, lease.OpAcquire, lease.OpWithdraw, lease.OpRelease, lease.OpExpire, lease.OpRevoke, lease.OpHandOver}[rng.IntN(7)],
 				Name: fmt.Sprint("job", rng.IntN(3)), Holder: fmt.Sprint("h", rng.IntN(5)), TTLMS: 1000, Enqueue: rng.IntN(2) == 0, Priority: rng.IntN(2)}
 			op.Token = original.data.Leases.Leases[op.Name].Token
-			text, err := json.Marshal(kv.Request{LeaseOps: []lease.Op{op}})
+			encoded, err := json.Marshal(kv.Request{LeaseOps: []lease.Op{op}})
 			require.NoError(t, err)
 			for _, s := range append(restoredStates, original) {
-				s.Apply(&raft.Log{Index: i, Data: text})
+				s.Apply(&raft.Log{Index: i, Data: encoded})
 			}
 			if rng.IntN(40) == 0 {
 				snap, err := original.Snapshot()
@@ -53,12 +53,12 @@
 			}
 		}
 		want, _ := json.Marshal(original.data)
-		for _, c := range restoredStates {
-			got, _ := json.Marshal(c.data)
+		for _, restored := range restoredStates {
+			got, _ := json.Marshal(restored.data)
 			require.Equal(t, string(want), string(got), "seed %d", seed)
 		}
-		for _, l := range snapshots { // a snapshot can be encoded after later entries were applied
-			_, err := json.Marshal(l.(*snapshot).State)
+		for _, snap := range snapshots { // a snapshot can be encoded after later entries were applied
+			_, err := json.Marshal(snap.(*snapshot).State)
 			require.NoError(t, err)
 		}
 	}
--- a/internal/cluster/store/wait_reason_test.go
+++ b/internal/cluster/store/wait_reason_test.go
@@ -40,7 +40,7 @@
 // TestWaitReasonIsCurrent guards against a status that shows the wait reason of an earlier incarnation
 // while the node reads its disk or starts Raft. The test records the wait reason at each file operation.
 func TestWaitReasonIsCurrent(t *testing.T) {
-	const previousReason = "an error of the incarnation before"
+	const previousReason = "error of an earlier incarnation"
 	s := newSingleNodeStore(t, zap.NewNop())
 	var mu sync.Mutex
 	var reasons []string
@@ -77,7 +77,7 @@
 	var inc *incarnation
 	for range 2 {
 		inc = awaitNextIncarnation(t, s, inc)
-		inc.reportFailure(errors.New("the same"))
+		inc.reportFailure(errors.New("repeated failure"))
 	}
 	awaitNextIncarnation(t, s, inc)
 	assert.Len(t, logs.FilterMessage("store not serving").All(), 2)
@@ -90,7 +90,7 @@
 	s := newSingleNodeStore(t, zap.New(core))
 	for range 3 {
 		s.setWaitReasonSilently(reportsWaitReason)
-		s.setAndLogWaitReason(diskidentity.Reason{Text: "the same"})
+		s.setAndLogWaitReason(diskidentity.Reason{Text: "repeated reason"})
 	}
 	assert.Len(t, logs.FilterMessage("store not serving").All(), 1)
 }
