--- a/internal/cluster/store/peer_reports.go
+++ b/internal/cluster/store/peer_reports.go
@@ -18,24 +18,25 @@
 
 var errNoServingPeer = errors.New("no node of the cluster serves")
 
-// forgetReports drops what was reported to a disk that this node no longer has.
-func (p *peers) forgetReports() {
+// clearReports discards all reports. It is called when the storage folder is opened, because the reports
+// were made about a previous disk or incarnation of this node.
+func (p *peerPoller) clearReports() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	clear(p.reports)
 }
 
-// lastReport is what a node reported last, and whether that is recent.
-func (p *peers) lastReport(name string) (report peerReport, recent bool) {
+// lastReport returns a node's last report, and whether it is recent.
+func (p *peerPoller) lastReport(name string) (report peerReport, recent bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	report = p.reports[name]
 	return report, report.recent()
 }
 
-// checksums are those that the other voters of a configuration reported of their states, and how
-// many voters there are.
-func (p *peers) checksums(conf raftstorage.Configuration, self string) (list []kv.ChecksumHistory, voters int) {
+// checksums returns the recent state checksums that the other voters of a configuration have reported, and
+// the number of voters.
+func (p *peerPoller) checksums(conf raftstorage.Configuration, self string) (list []kv.ChecksumHistory, voters int) {
 	for _, server := range conf.Servers {
 		id := string(server.ID)
 		if server.Suffrage != raft.Voter {
@@ -50,18 +51,18 @@
 	return list, voters
 }
 
-// attestations are what the peers report of disks at one time.
-type attestations struct {
-	recent    map[string]diskidentity.Attestation // by name, without those of earlier versions
-	allPolled bool                                // each node was polled once or more, with a report or an error
-	changed   <-chan struct{}                     // closed at the next report
+// peerAttestations are the peers' attestations of disks at one time.
+type peerAttestations struct {
+	recent    map[string]diskidentity.Attestation // by node name, without nodes of earlier versions
+	allPolled bool                                // whether each node was polled at least once, with a report or an error
+	changed   <-chan struct{}                     // closed when the next poll result is recorded
 }
 
-// attestations are the recent reports on disks.
-func (p *peers) attestations() attestations {
+// attestations returns the attestations in recent reports.
+func (p *peerPoller) attestations() peerAttestations {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	out := attestations{recent: map[string]diskidentity.Attestation{}, allPolled: true, changed: p.changed}
+	out := peerAttestations{recent: map[string]diskidentity.Attestation{}, allPolled: true, changed: p.changed}
 	for name := range p.targets {
 		if r := p.reports[name]; r.receivedAt.IsZero() && r.err == nil {
 			out.allPolled = false
@@ -75,8 +76,8 @@
 	return out
 }
 
-// servingAddresses are the admin addresses of the peers that serve.
-func (p *peers) servingAddresses() (list []string) {
+// servingAddresses returns the admin addresses of the peers that serve.
+func (p *peerPoller) servingAddresses() (list []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for name, r := range p.reports {
@@ -87,29 +88,30 @@
 	return list
 }
 
-// requestJoin asks the serving peers, one after the other until one agrees, to add this member.
-func (p *peers) requestJoin(ctx context.Context, inc *incarnation) error {
+// requestJoin requests membership for this node from the serving peers, one after the other until one
+// accepts.
+func (p *peerPoller) requestJoin(ctx context.Context, inc *incarnation) error {
 	self := p.store.self
-	text, err := json.Marshal(storeapi.JoinRequest{ID: inc.memberID, RaftAddress: self.Raft, AdminAddress: self.Admin, Zone: self.Zone, SupportsLeases: true})
+	body, err := json.Marshal(storeapi.JoinRequest{ID: inc.memberID, RaftAddress: self.Raft, AdminAddress: self.Admin, Zone: self.Zone, SupportsLeases: true})
 	if err != nil {
 		return err
 	}
-	var refusals []string
+	var rejections []string
 	for _, addr := range p.servingAddresses() {
-		err := p.postJoin(ctx, addr, text)
+		err := p.postJoin(ctx, addr, body)
 		if err == nil {
 			return nil
 		}
-		refusals = append(refusals, err.Error())
+		rejections = append(rejections, err.Error())
 	}
-	if len(refusals) == 0 {
+	if len(rejections) == 0 {
 		return errNoServingPeer
 	}
-	return fmt.Errorf("not taken in: %s", strings.Join(refusals, "; "))
+	return fmt.Errorf("not taken in: %s", strings.Join(rejections, "; "))
 }
 
-func (p *peers) postJoin(ctx context.Context, addr string, text []byte) error {
+func (p *peerPoller) postJoin(ctx context.Context, addr string, body []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, storeapi.CommitTimeout)
 	defer cancel()
-	return p.client.WithCommitTimeout().CallNode(ctx, addr, http.MethodPost, "/members", text, nil)
+	return p.client.WithCommitTimeout().CallNode(ctx, addr, http.MethodPost, "/members", body, nil)
 }
