--- a/bench/durable/compaction.go
+++ b/bench/durable/compaction.go
@@ -13,32 +13,32 @@
 	"oxbowbridge/internal/storage/durable/plan"
 )
 
-// The store and the load that puts are measured with while maintenance works.
+// Store size and load for the latency of puts during maintenance.
 const (
-	compactionKeys       = 40_000
-	compactionValueBytes = 1024
-	compactionRate       = 400 // puts a second
-	compactionSpans      = 4   // times the length of other loads
+	compactionKeys           = 40_000
+	compactionValueBytes     = 1024
+	compactionPutsPerSecond  = 400
+	compactionDurationFactor = 4 // multiple of bench.loadDuration
 )
 
 var compactionQuantiles = []float64{50, 99, 99.9}
 
-// compactionFigures are the latencies of puts in ms, by quantile and round, and what
-// maintenance did in that time.
-type compactionFigures struct {
+// compactionResults are the latencies of puts in ms, by quantile and round, and the work
+// of maintenance in the rounds with maintenance.
+type compactionResults struct {
 	idle        [][]float64
-	working     [][]float64
+	busy        [][]float64
 	movedBytes  int64
 	checkpoints int64
 }
 
-// compaction compares puts while maintenance compacts and checkpoints with puts while
-// nothing is due, in turns.
+// compaction compares the latency of puts during compactions and checkpoints with the
+// latency while no maintenance is due. The two cases alternate in each round.
 func (b *bench) compaction() error {
 	fmt.Print("\n## A put during maintenance\n\n| quantile | idle, ms | compacting, ms | ratio |\n| --- | --- | --- | --- |\n")
-	f := compactionFigures{
-		idle:    make([][]float64, len(compactionQuantiles)),
-		working: make([][]float64, len(compactionQuantiles)),
+	f := compactionResults{
+		idle: make([][]float64, len(compactionQuantiles)),
+		busy: make([][]float64, len(compactionQuantiles)),
 	}
 	for round := range b.rounds {
 		for _, working := range []bool{false, true} {
@@ -49,17 +49,17 @@
 	}
 	for i, quantile := range compactionQuantiles {
 		fmt.Printf("| %g%% | %s | %s | %s |\n", quantile, medianAndRange(f.idle[i], "%.2f"),
-			medianAndRange(f.working[i], "%.2f"), medianAndRange(ratios(f.working[i], f.idle[i]), "%.2f"))
+			medianAndRange(f.busy[i], "%.2f"), medianAndRange(ratios(f.busy[i], f.idle[i]), "%.2f"))
 	}
-	fmt.Printf("\n%d puts/s of %d B over %d keys; %.1f MB were moved and %d checkpoints taken meanwhile.\n",
-		compactionRate, compactionValueBytes, compactionKeys, float64(f.movedBytes)/1e6, f.checkpoints)
+	fmt.Printf("\n%d puts/s of %d B over %d keys; %.1f MB were moved and %d checkpoints taken during the puts.\n",
+		compactionPutsPerSecond, compactionValueBytes, compactionKeys, float64(f.movedBytes)/1e6, f.checkpoints)
 	return nil
 }
 
-// compactionRound measures one store, of which half of the log is dead.
-func (b *bench) compactionRound(f *compactionFigures, round int, working bool) error {
+// compactionRound measures one new store. Half of its log is dead data.
+func (b *bench) compactionRound(f *compactionResults, round int, working bool) error {
 	options := durable.Options{}
-	if !working { // nothing is ever due
+	if !working { // limits so high that no maintenance is due
 		options.Maintenance = plan.Limits{MinCheckpointLogBytes: 1 << 40, GarbageRatio: 1e6, PendingDropRatio: 1e6}
 	}
 	path := filepath.Join(b.dir, fmt.Sprint("compaction-", working, round))
@@ -80,7 +80,7 @@
 	after := store.Stats()
 	figures := f.idle
 	if working {
-		figures = f.working
+		figures = f.busy
 		f.movedBytes += after.MovedBytes - before.MovedBytes
 		f.checkpoints += after.Checkpoints - before.Checkpoints
 	}
@@ -106,14 +106,14 @@
 
 func compactionKey(rng *rand.Rand) []byte { return fmt.Appendf(nil, "%08d", rng.IntN(compactionKeys)) }
 
-// measurePuts puts on schedule, whatever the last put took, and returns the latencies
-// in nanoseconds since each put was due.
+// measurePuts runs puts at a fixed rate, independent of their latencies (open loop). It
+// returns the latencies in nanoseconds, measured from the time each put was due.
 func (b *bench) measurePuts(store *durable.Store, rng *rand.Rand) (*hdrhistogram.Histogram, error) {
 	latencies := hdrhistogram.New(1, int64(time.Minute), 3)
-	began := time.Now()
-	count := int(compactionSpans * b.loadDuration.Seconds() * compactionRate)
+	start := time.Now()
+	count := int(compactionDurationFactor * b.loadDuration.Seconds() * compactionPutsPerSecond)
 	for i := range count {
-		due := began.Add(time.Duration(i) * time.Second / compactionRate)
+		due := start.Add(time.Duration(i) * time.Second / compactionPutsPerSecond)
 		time.Sleep(time.Until(due))
 		if err := store.Put(compactionKey(rng), make([]byte, compactionValueBytes)); err != nil {
 			return nil, err
--- a/bench/durable/engines.go
+++ b/bench/durable/engines.go
@@ -12,15 +12,16 @@
 	"oxbowbridge/internal/storage/durable/vfs"
 )
 
-// engine is a store that is measured: each put returns once it is on disk.
+// engine is a key-value store to measure. Each put returns after its sync.
 type engine interface {
 	put(key, value []byte) error
-	// load puts many keys, in few syncs.
+	// load puts many keys with few syncs.
 	load(count int, key, value func(i int) []byte) error
 	close() error
 }
 
-// engineKind is a way to open an engine; all others are compared with the first.
+// engineKind is a kind of engine with the function that opens it. The first kind is
+// compared with the others.
 type engineKind struct {
 	name string
 	open func(path string) (engine, error)
@@ -35,8 +36,8 @@
 
 const boltBatchName = "bbolt Batch"
 
-// loadBatch is how many keys load puts at once.
-const loadBatch = 10_000
+// loadBatchKeys is the number of keys that load puts in one transaction.
+const loadBatchKeys = 10_000
 
 type durableEngine struct{ *durable.Store }
 
@@ -45,7 +46,7 @@
 	return durableEngine{store}, err
 }
 
-// openStore opens a durable store on a real folder.
+// openStore opens a durable store in a folder on disk.
 func openStore(path string, options durable.Options) (*durable.Store, error) {
 	fs, err := vfs.OpenDir(path)
 	if err != nil {
@@ -67,9 +68,9 @@
 func (e durableEngine) close() error                { return e.Close() }
 
 func (e durableEngine) load(count int, key, value func(int) []byte) error {
-	for begin := 0; begin < count; begin += loadBatch {
+	for start := 0; start < count; start += loadBatchKeys {
 		var b durable.Batch
-		for i := begin; i < min(count, begin+loadBatch); i++ {
+		for i := start; i < min(count, start+loadBatchKeys); i++ {
 			b.Put(key(i), value(i), 0)
 		}
 		if _, err := e.Apply(&b, durable.Synced); err != nil {
@@ -81,7 +82,7 @@
 
 type boltEngine struct {
 	db    *bbolt.DB
-	batch bool // puts of several writers share a transaction
+	batch bool // use DB.Batch, in which puts of several writers share a transaction
 }
 
 var boltBucket = []byte("b")
@@ -110,9 +111,9 @@
 func (e boltEngine) close() error { return e.db.Close() }
 
 func (e boltEngine) load(count int, key, value func(int) []byte) error {
-	for begin := 0; begin < count; begin += loadBatch {
+	for start := 0; start < count; start += loadBatchKeys {
 		err := e.db.Update(func(tx *bbolt.Tx) error {
-			for i := begin; i < min(count, begin+loadBatch); i++ {
+			for i := start; i < min(count, start+loadBatchKeys); i++ {
 				if err := tx.Bucket(boltBucket).Put(key(i), value(i)); err != nil {
 					return err
 				}
@@ -137,7 +138,7 @@
 	if err != nil {
 		return nil, err
 	}
-	db.SetMaxOpenConns(1) // one writer at a time is what SQLite has
+	db.SetMaxOpenConns(1) // SQLite allows one writer at a time
 	if _, err := db.Exec("CREATE TABLE IF NOT EXISTS t (k BLOB PRIMARY KEY, v BLOB) WITHOUT ROWID"); err != nil {
 		return nil, err
 	}
@@ -153,21 +154,21 @@
 func (e sqliteEngine) close() error { return e.db.Close() }
 
 func (e sqliteEngine) load(count int, key, value func(int) []byte) error {
-	for begin := 0; begin < count; begin += loadBatch {
-		if err := e.loadBatch(begin, min(count, begin+loadBatch), key, value); err != nil {
+	for start := 0; start < count; start += loadBatchKeys {
+		if err := e.loadBatch(start, min(count, start+loadBatchKeys), key, value); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (e sqliteEngine) loadBatch(begin, end int, key, value func(int) []byte) error {
+func (e sqliteEngine) loadBatch(start, end int, key, value func(int) []byte) error {
 	tx, err := e.db.BeginTx(context.Background(), nil)
 	if err != nil {
 		return err
 	}
 	put := tx.Stmt(e.upsert)
-	for i := begin; i < end; i++ {
+	for i := start; i < end; i++ {
 		if _, err := put.Exec(key(i), value(i)); err != nil {
 			return err
 		}
--- a/bench/durable/figures.go
+++ b/bench/durable/figures.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// medianAndRange formats the median of some figures, with the smallest and the largest.
+// medianAndRange formats the median, the minimum and the maximum of some figures.
 func medianAndRange(figures []float64, format string) string {
 	sorted := slices.Sorted(slices.Values(figures))
 	smallest := sorted[0]
@@ -15,7 +15,7 @@
 	return fmt.Sprintf(format+" ("+format+" to "+format+")", median, smallest, largest)
 }
 
-// ratios divides round by round.
+// ratios returns the quotients of the figures of each round.
 func ratios(dividends, divisors []float64) []float64 {
 	quotients := make([]float64, len(dividends))
 	for i := range dividends {
@@ -24,16 +24,16 @@
 	return quotients
 }
 
-// heapBytes is what is reachable on the heap.
+// heapBytes returns the length of the reachable objects on the heap.
 func heapBytes() uint64 {
 	runtime.GC()
-	runtime.GC() // a second time for what finalizers released
+	runtime.GC() // frees objects that finalizers released after the first collection
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
 	return stats.HeapAlloc
 }
 
-// heapGrowth is by how many bytes the heap has grown for each key.
-func heapGrowth(before uint64, keys int) float64 {
+// heapGrowthPerKey returns the growth of the heap in bytes per key.
+func heapGrowthPerKey(before uint64, keys int) float64 {
 	return float64(int64(heapBytes())-int64(before)) / float64(keys)
 }
--- a/bench/durable/index.go
+++ b/bench/durable/index.go
@@ -10,24 +10,25 @@
 	"github.com/tidwall/btree"
 )
 
-// indexItem has the size of an index entry.
+// indexItem has the size of an entry of the store's index.
 type indexItem struct {
 	key string
 	_   [4]uint64
 }
 
-// indexStructure is a structure that an index could have.
+// indexStructure is a data structure for an index.
 type indexStructure interface {
 	insert(key string)
 	contains(key string) bool
 	overwrite(key string)
-	// copy is what a checkpoint would read while writes go on.
+	// copy returns a copy that a checkpoint can read during further writes.
 	copy() indexStructure
-	// walk visits all keys in their order, and returns how many there are.
+	// walk visits all keys in ascending order, and returns their number.
 	walk() int
 }
 
-// index compares the persistent tree with plain structures, for what an index does.
+// index compares the persistent B-tree with a map and a sorted slice, for the operations
+// of an index.
 func (b *bench) index() error {
 	count := b.keys / 4
 	fmt.Printf("\n## Index structures, %d keys\n\n"+
@@ -36,7 +37,7 @@
 		"| --- | --- | --- | --- | --- | --- | --- |\n", count)
 	keys := make([]string, count)
 	for i := range keys {
-		keys[i] = fmt.Sprintf("rec/%012d", uint64(i)*0x9e3779b97f4a7c15%1e12) // in no order
+		keys[i] = fmt.Sprintf("rec/%012d", uint64(i)*0x9e3779b97f4a7c15%1e12) // unordered
 	}
 	measureIndex("persistent B-tree (used)", keys, newTreeIndex)
 	measureIndex("map, copied and sorted", keys, newMapIndex)
@@ -44,42 +45,43 @@
 	return nil
 }
 
-// measureIndex measures one structure, and prints its row.
-func measureIndex(name string, keys []string, build func() indexStructure) {
+// measureIndex measures one structure and prints its row of the table.
+func measureIndex(name string, keys []string, newStructure func() indexStructure) {
 	before := heapBytes()
-	s := build()
-	insert := perKey(keys, s.insert)
-	heapPerKey := heapGrowth(before, len(keys))
+	s := newStructure()
+	insert := measureNanosPerKey(keys, s.insert)
+	heapPerKey := heapGrowthPerKey(before, len(keys))
 	found := 0
-	lookUp := perKey(keys, func(key string) {
+	lookUp := measureNanosPerKey(keys, func(key string) {
 		if s.contains(key) {
 			found++
 		}
 	})
-	began := time.Now()
+	start := time.Now()
 	copied := s.copy()
-	copyMicros := float64(time.Since(began).Nanoseconds()) / 1000
-	overwrite := perKey(keys, s.overwrite)
-	began = time.Now()
+	copyMicros := float64(time.Since(start).Nanoseconds()) / 1000
+	overwrite := measureNanosPerKey(keys, s.overwrite)
+	start = time.Now()
 	walked := copied.walk()
-	walk := nanosPerKey(began, len(keys))
+	walk := elapsedNanosPerKey(start, len(keys))
 	fmt.Printf("| %s | %.0f | %.0f | %.0f | %.1f | %.0f | %.0f |\n",
 		name, insert, lookUp, overwrite, copyMicros, walk, heapPerKey)
 	runtime.KeepAlive(s)
 	runtime.KeepAlive(found + walked)
 }
 
-// perKey is how many nanoseconds a function takes for each key.
-func perKey(keys []string, use func(key string)) float64 {
+// measureNanosPerKey calls a function for each key, and returns the mean time per key in
+// nanoseconds.
+func measureNanosPerKey(keys []string, use func(key string)) float64 {
 	began := time.Now()
 	for _, key := range keys {
 		use(key)
 	}
-	return nanosPerKey(began, len(keys))
+	return elapsedNanosPerKey(began, len(keys))
 }
 
-func nanosPerKey(began time.Time, keys int) float64 {
-	return float64(time.Since(began).Nanoseconds()) / float64(keys)
+func elapsedNanosPerKey(start time.Time, keys int) float64 {
+	return float64(time.Since(start).Nanoseconds()) / float64(keys)
 }
 
 // treeIndex is the persistent B-tree of the store's index.
@@ -107,7 +109,7 @@
 	return count
 }
 
-// mapIndex is a plain map, which is sorted for a walk.
+// mapIndex is a map. A walk sorts its items.
 type mapIndex map[string]indexItem
 
 func newMapIndex() indexStructure { return mapIndex{} }
--- a/bench/durable/main.go
+++ b/bench/durable/main.go
@@ -1,10 +1,10 @@
-// Durable measures internal/storage/durable side by side with bbolt and SQLite (both with
-// every write synced), and its index with a plain map and a sorted slice:
+// Durable compares internal/storage/durable with bbolt and SQLite, all with every write
+// synced, and its index with a map and a sorted slice:
 //
 //	go run ./bench/durable                 all tables, as Markdown
 //	go run ./bench/durable -only puts,open
 //
-// Ratios within one run count, not times: they depend on the disk under -dir.
+// Compare only ratios within one run: absolute times depend on the disk of -dir.
 package main
 
 import (
@@ -17,11 +17,11 @@
 	"time"
 )
 
-// bench is what all measurements share.
+// bench is the configuration of all measurements.
 type bench struct {
 	dir          string
 	rounds       int
-	keys         int           // of the large stores
+	keys         int           // number of keys of the large stores
 	loadDuration time.Duration // of each measurement of writes
 }
 
@@ -29,18 +29,18 @@
 	log.SetFlags(0)
 	b := bench{}
 	only := ""
-	flag.StringVar(&b.dir, "dir", "", "folder for the files (default: a temporary one)")
-	flag.IntVar(&b.rounds, "rounds", 3, "how often each measurement is repeated")
-	flag.IntVar(&b.keys, "keys", 1_000_000, "keys of the large stores")
-	flag.DurationVar(&b.loadDuration, "span", time.Second, "length of each measurement of writes")
-	flag.StringVar(&only, "only", "puts,compaction,open,space,index", "which tables")
+	flag.StringVar(&b.dir, "dir", "", "parent folder of the temporary files (default: the system's temporary folder)")
+	flag.IntVar(&b.rounds, "rounds", 3, "number of repetitions of each measurement")
+	flag.IntVar(&b.keys, "keys", 1_000_000, "number of keys of the large stores")
+	flag.DurationVar(&b.loadDuration, "span", time.Second, "duration of each measurement of writes")
+	flag.StringVar(&only, "only", "puts,compaction,open,space,index", "comma-separated names of the tables to measure")
 	flag.Parse()
 	if err := b.run(only); err != nil {
 		log.Fatal(err)
 	}
 }
 
-// run measures the tables of a list of names, in a temporary folder.
+// run measures the tables in a comma-separated list of names, in a temporary folder.
 func (b *bench) run(names string) error {
 	dir, err := os.MkdirTemp(b.dir, "durable-bench")
 	if err != nil {
@@ -59,7 +59,7 @@
 	for name := range strings.SplitSeq(names, ",") {
 		measure := tables[name]
 		if measure == nil {
-			return fmt.Errorf("no table %q", name)
+			return fmt.Errorf("unknown table %q", name)
 		}
 		if err := measure(); err != nil {
 			return fmt.Errorf("%s: %w", name, err)
--- a/bench/durable/open.go
+++ b/bench/durable/open.go
@@ -11,25 +11,25 @@
 func recordKey(i int) []byte   { return fmt.Appendf(nil, "rec/%012d", i) }
 func recordValue(i int) []byte { return fmt.Appendf(nil, "%032d", i) }
 
-// open measures opening a large store of small records, and the memory that holds.
+// open measures the time to open a large store of small records, and its memory usage.
 func (b *bench) open() error {
 	fmt.Printf("\n## Opening a store of %d records (16 B keys, 32 B values)\n\n"+
 		"| engine | open and read one, ms | heap, B a key | file, MB |\n"+
 		"| --- | --- | --- | --- |\n", b.keys)
 	for i, kind := range engines {
 		if kind.name == boltBatchName {
-			continue // the same files as the other bbolt
+			continue // bbolt Batch has the same files as bbolt Update
 		}
 		path := filepath.Join(b.dir, fmt.Sprint("open-", i))
-		if err := b.openKind(kind, path); err != nil {
+		if err := b.measureOpen(kind, path); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// openKind fills a store, opens it several times, and prints its row.
-func (b *bench) openKind(kind engineKind, path string) error {
+// measureOpen fills a store, opens it several times, and prints its row of the table.
+func (b *bench) measureOpen(kind engineKind, path string) error {
 	defer os.RemoveAll(path)
 	if err := b.fill(kind, path); err != nil {
 		return err
@@ -37,14 +37,14 @@
 	var millis []float64
 	heapPerKey := 0.0
 	for range b.rounds {
-		elapsed, heap, err := b.openOnce(kind, path)
+		elapsed, heap, err := b.measureOpenOnce(kind, path)
 		if err != nil {
 			return err
 		}
 		millis = append(millis, elapsed.Seconds()*1000)
 		heapPerKey = heap
 	}
-	size, err := sizeOf(path)
+	size, err := totalFileBytes(path)
 	if err != nil {
 		return err
 	}
@@ -52,7 +52,8 @@
 	return nil
 }
 
-// fill makes a store, in the state that maintenance leaves it in.
+// fill creates a store with b.keys records. For the durable store it waits until
+// maintenance has taken a checkpoint of most of the log.
 func (b *bench) fill(kind engineKind, path string) error {
 	store, err := kind.open(path)
 	if err != nil {
@@ -69,10 +70,11 @@
 	return store.close()
 }
 
-// openOnce opens a store and reads one key, if it has its index in memory.
-func (b *bench) openOnce(kind engineKind, path string) (elapsed time.Duration, heapPerKey float64, err error) {
+// measureOpenOnce opens a store and returns the elapsed time. For the durable store, whose
+// index is in memory, the time includes the read of one key.
+func (b *bench) measureOpenOnce(kind engineKind, path string) (elapsed time.Duration, heapPerKey float64, err error) {
 	before := heapBytes()
-	began := time.Now()
+	start := time.Now()
 	store, err := kind.open(path)
 	if err != nil {
 		return 0, 0, err
@@ -82,14 +84,14 @@
 			return 0, 0, err
 		}
 	}
-	elapsed = time.Since(began)
-	heapPerKey = heapGrowth(before, b.keys)
+	elapsed = time.Since(start)
+	heapPerKey = heapGrowthPerKey(before, b.keys)
 	runtime.KeepAlive(store)
 	return elapsed, heapPerKey, store.close()
 }
 
-// sizeOf is the length of a file, or of all files of a folder, in bytes.
-func sizeOf(path string) (total int64, err error) {
+// totalFileBytes returns the length of a file, or of all files in a folder, in bytes.
+func totalFileBytes(path string) (total int64, err error) {
 	err = filepath.WalkDir(path, func(_ string, entry os.DirEntry, err error) error {
 		if err != nil || entry.IsDir() {
 			return err
--- a/bench/durable/puts.go
+++ b/bench/durable/puts.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// puts counts synced puts a second, the engines taking turns in each round.
+// puts measures the rate of synced puts. The engines alternate in each round.
 func (b *bench) puts() error {
 	fmt.Print("\n## Synced puts a second\n\n" +
 		"| writers | value | engine | puts/s | durable is |\n" +
@@ -24,13 +24,13 @@
 	return nil
 }
 
-// comparePuts measures all engines, and prints their rows.
+// comparePuts measures all engines and prints their rows of the table.
 func (b *bench) comparePuts(writers, valueBytes int) error {
 	rates := make([][]float64, len(engines))
 	for round := range b.rounds {
 		for i, kind := range engines {
 			path := filepath.Join(b.dir, fmt.Sprintf("puts-%d-%d-%d-%d", writers, valueBytes, i, round))
-			rate, err := b.putRate(kind, path, writers, valueBytes)
+			rate, err := b.measurePutRate(kind, path, writers, valueBytes)
 			if err != nil {
 				return err
 			}
@@ -47,30 +47,31 @@
 	return nil
 }
 
-// putRate is the puts a second of one engine, on a new store.
-func (b *bench) putRate(kind engineKind, path string, writers, valueBytes int) (float64, error) {
+// measurePutRate returns the puts per second of one engine with a new store.
+func (b *bench) measurePutRate(kind engineKind, path string, writers, valueBytes int) (float64, error) {
 	defer os.RemoveAll(path)
 	store, err := kind.open(path)
 	if err != nil {
 		return 0, err
 	}
-	rate, err := b.write(store, writers, valueBytes)
+	rate, err := b.measureWriteRate(store, writers, valueBytes)
 	if err != nil {
 		return 0, fmt.Errorf("%s: %w", kind.name, err)
 	}
 	return rate, store.close()
 }
 
-// write is the puts a second that so many writers reach, over keys of their own.
-func (b *bench) write(store engine, writers, valueBytes int) (float64, error) {
+// measureWriteRate returns the puts per second of a number of writers. Each writer has its
+// own keys.
+func (b *bench) measureWriteRate(store engine, writers, valueBytes int) (float64, error) {
 	var puts atomic.Int64
-	var running sync.WaitGroup
+	var writersDone sync.WaitGroup
 	errs := make(chan error, writers)
-	began := time.Now()
+	start := time.Now()
 	for w := range writers {
-		running.Go(func() {
+		writersDone.Go(func() {
 			value := make([]byte, valueBytes)
-			for i := 0; time.Since(began) < b.loadDuration; i++ {
+			for i := 0; time.Since(start) < b.loadDuration; i++ {
 				if err := store.put(fmt.Appendf(nil, "%03d/%08d", w, i), value); err != nil {
 					errs <- err
 					return
@@ -79,8 +80,8 @@
 			}
 		})
 	}
-	running.Wait()
-	elapsed := time.Since(began)
+	writersDone.Wait()
+	elapsed := time.Since(start)
 	select {
 	case err := <-errs:
 		return 0, err
--- a/bench/durable/space.go
+++ b/bench/durable/space.go
@@ -12,21 +12,23 @@
 )
 
 const (
-	// spaceKeyBytes is the length of the keys of space.
+	// spaceKeyBytes is the length of a key in the space measurements.
 	spaceKeyBytes = len("key/00000000")
-	// spaceOverwrites is how often each key is overwritten.
+	// spaceOverwrites is the number of times that each key is overwritten.
 	spaceOverwrites = 20
-	// maintenancePause is the time in which maintenance has done all that is due.
-	maintenancePause = 4 * time.Second
+	// maintenanceSettleTime is a wait after which maintenance has completed all steps that
+	// are due.
+	maintenanceSettleTime = 4 * time.Second
 )
 
-// space overwrites every key 20 times and compares the folder with what is live.
+// space overwrites every key 20 times and compares the size of the folder with the live
+// data.
 func (b *bench) space() error {
 	fmt.Print("\n## Space after every key was overwritten 20 times\n\n" +
 		"| value | keys | data | largest folder | after the last write | compacted |\n" +
 		"| --- | --- | --- | --- | --- | --- |\n")
 	for _, c := range []struct{ valueBytes, keys int }{{32, 100_000}, {128, 50_000}, {1024, 20_000}, {16 << 10, 1000}} {
-		if err := b.spaceOf(c.valueBytes, c.keys); err != nil {
+		if err := b.measureSpace(c.valueBytes, c.keys); err != nil {
 			return err
 		}
 	}
@@ -34,8 +36,8 @@
 	return nil
 }
 
-// spaceOf measures one store, and prints its row.
-func (b *bench) spaceOf(valueBytes, keys int) error {
+// measureSpace measures one store and prints its row of the table.
+func (b *bench) measureSpace(valueBytes, keys int) error {
 	path := filepath.Join(b.dir, fmt.Sprint("space-", valueBytes))
 	defer os.RemoveAll(path)
 	store, err := openStore(path, durable.Options{})
@@ -46,7 +48,7 @@
 	if err != nil {
 		return err
 	}
-	time.Sleep(maintenancePause)
+	time.Sleep(maintenanceSettleTime)
 	data := float64(keys * (valueBytes + spaceKeyBytes))
 	settled := store.Stats().UsedBytes
 	if err := store.Compact(context.Background()); err != nil {
@@ -57,8 +59,8 @@
 	return store.Close()
 }
 
-// overwriteAll writes each key, and overwrites it, and returns the largest size of the
-// folder in bytes while keys were overwritten.
+// overwriteAll writes each key and then overwrites it spaceOverwrites times. It returns
+// the maximum size of the folder during the overwrites, in bytes.
 func overwriteAll(store *durable.Store, valueBytes, keys int) (peak int64, err error) {
 	const (
 		syncInterval = 500 // puts
--- a/internal/storage/atomicfile/atomicfile.go
+++ b/internal/storage/atomicfile/atomicfile.go
@@ -1,8 +1,8 @@
-// Package atomicfile writes files that exist completely, and durably, or not at all.
+// Package atomicfile writes files atomically and durably.
 //
-// It holds no state; its functions may be called from any goroutine. A crash in the
-// middle of a call may leave a partial file beside the new one's name, with
-// TemporaryInfix in its name, which nothing reads and which may be removed.
+// It has no state, and its functions are safe for concurrent use. A crash during a call
+// may leave a partial temporary file in the folder of the new file. Its name contains
+// TemporaryInfix. Nothing reads it, and it may be removed.
 package atomicfile
 
 import (
@@ -14,13 +14,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// TemporaryInfix follows the new file's name, before random digits, in the name of a
-// file that is still being written. Such files are for their owner only.
+// TemporaryInfix is the part between the new file's name and random digits in the name
+// of a temporary file. Only the owner may read or write a temporary file.
 const TemporaryInfix = ".partial-"
 
-// WriteNew writes a file that must not exist yet, or fails with an error that matches
-// fs.ErrExist. The name exists only once the content is on disk; when WriteNew returns
-// nil, the name is on disk too.
+// WriteNew writes a new file with data. If the file exists already, it fails with an
+// error that matches fs.ErrExist. The name appears only once the content is on disk; when
+// WriteNew returns nil, the name is on disk too.
 func WriteNew(path string, data []byte) error {
 	dir := filepath.Dir(path)
 	temporary, err := writeTemporary(dir, filepath.Base(path), data)
@@ -33,7 +33,8 @@
 	return syncDir(dir)
 }
 
-// writeTemporary writes and syncs a new file with a name of its own, and returns its path.
+// writeTemporary writes and syncs a temporary file with a unique name, and returns its
+// path.
 func writeTemporary(dir, name string, data []byte) (path string, err error) {
 	f, err := os.CreateTemp(dir, name+TemporaryInfix+"*")
 	if err != nil {
@@ -46,8 +47,8 @@
 	return f.Name(), nil
 }
 
-// publish gives a file its final name, unless that exists: then it fails with
-// fs.ErrExist, and the file stays as it is.
+// publish moves a temporary file to its final path. If that path exists, it fails with
+// fs.ErrExist and changes neither file.
 func publish(temporary, path string) error {
 	err := os.Link(temporary, path)
 	if errors.Is(err, fs.ErrExist) {
@@ -60,7 +61,7 @@
 }
 
 // renameNew renames a file to a name that must not exist. Some network file systems
-// can't, but have hard links.
+// don't support this, but support hard links.
 func renameNew(from, to string) error {
 	err := unix.Renameat2(unix.AT_FDCWD, from, unix.AT_FDCWD, to, unix.RENAME_NOREPLACE)
 	if err != nil {
@@ -69,7 +70,7 @@
 	return nil
 }
 
-// syncDir makes the names in a folder durable.
+// syncDir makes the file names in a folder durable.
 func syncDir(path string) error {
 	dir, err := os.Open(path)
 	if err != nil {
--- a/internal/storage/atomicfile/atomicfile_test.go
+++ b/internal/storage/atomicfile/atomicfile_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestWriteNew: a new file has the data and is for its owner only; one that exists is
-// left as it is.
+// TestWriteNew: a new file has the data and only the owner may access it. An existing
+// file is not changed.
 func TestWriteNew(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "file")
 	require.NoError(t, WriteNew(path, []byte("first")))
@@ -24,14 +24,14 @@
 	assert.EqualValues(t, 0o600, info.Mode().Perm())
 }
 
-// TestWriteNewWithoutFolder: nothing is made in a folder that does not exist.
+// TestWriteNewWithoutFolder: a missing folder is not created.
 func TestWriteNewWithoutFolder(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "missing")
 	assert.ErrorIs(t, WriteNew(filepath.Join(dir, "file"), []byte("data")), fs.ErrNotExist)
 	assert.NoDirExists(t, dir)
 }
 
-// TestRenameNew: guards against a replaced file where the file system has no hard links.
+// TestRenameNew: on a file system without hard links, an existing file is not replaced.
 func TestRenameNew(t *testing.T) {
 	dir := t.TempDir()
 	from, to := filepath.Join(dir, "from"), filepath.Join(dir, "to")
--- a/internal/storage/atomicfile/crash_test.go
+++ b/internal/storage/atomicfile/crash_test.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	crashPathVariable = "ATOMICFILE_CRASH_PATH" // has the test binary write this file, and die of it
+	crashPathVariable = "ATOMICFILE_CRASH_PATH" // if set, the test binary writes this file and is killed by a signal
 	crashAfterBytes   = 4 << 10
 	crashDataBytes    = 64 << 10
 )
@@ -25,17 +25,17 @@
 	os.Exit(m.Run())
 }
 
-// crashInWrite writes a file that exceeds the process's limit of a file's length: the kernel takes the first bytes, and
-// ends the process by SIGXFSZ at the next ones.
+// crashInWrite writes a file that exceeds RLIMIT_FSIZE: the kernel writes the bytes up to
+// the limit, and kills the process by SIGXFSZ at the next write.
 func crashInWrite(path string) {
 	resetSignal(syscall.SIGXFSZ)
 	setLimit(syscall.RLIMIT_CORE, 0)
 	setLimit(syscall.RLIMIT_FSIZE, crashAfterBytes)
 	err := WriteNew(path, make([]byte, crashDataBytes))
-	panic(err) // the signal did not come
+	panic(err) // the signal was not delivered
 }
 
-// resetSignal gives a signal its default action, in place of the Go runtime's, which ignores it.
+// resetSignal restores the default action of a signal. The Go runtime ignores SIGXFSZ.
 func resetSignal(signal syscall.Signal) {
 	var defaultAction struct{ handler, flags, restorer, mask uint64 } // the kernel's struct sigaction
 	_, _, errno := syscall.RawSyscall6(syscall.SYS_RT_SIGACTION, uintptr(signal),
@@ -51,8 +51,8 @@
 	}
 }
 
-// TestCrashInWrite: guards against a partial file under the final name after a process died in the middle of a write,
-// and against a name that can't be written any more.
+// TestCrashInWrite: after a process was killed during a write, no file exists under the
+// final name, and the name can still be written.
 func TestCrashInWrite(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "file")
 	child := exec.Command(os.Args[0])
@@ -69,7 +69,8 @@
 	assert.Equal(t, "whole", string(data))
 }
 
-// TestNothingLeftBeside: guards against temporary files that stay after a call that returned, with and without an error.
+// TestNothingLeftBeside: no temporary file remains after a call that returned, with or
+// without an error.
 func TestNothingLeftBeside(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "file")
--- a/internal/storage/durable/batch.go
+++ b/internal/storage/durable/batch.go
@@ -5,8 +5,8 @@
 	"fmt"
 )
 
-// Batch is a list of operations that take effect together, in their order. Its
-// zero value is empty. It holds copies of what it is given.
+// Batch is an atomic list of operations, which are applied in the order in which they
+// were added. The zero value is an empty batch. Keys and values are copied.
 type Batch struct {
 	payload          []byte
 	opCount          uint32
@@ -24,25 +24,26 @@
 	b.hasEmptyKey = b.hasEmptyKey || len(o.key) == 0 && o.kind != opDeleteRange
 }
 
-// Put sets a key. A key with an expiry above 0 is not found by reads at that time
-// or later; the unit of time is the caller's.
+// Put sets a key. Reads at the expiry or later don't find the key; an expiry of 0 or
+// less means never. The caller chooses the unit of time.
 func (b *Batch) Put(key, value []byte, expiry int64) {
 	b.add(op{kind: opPut, key: key, value: value, expiry: expiry})
 	b.maxValueLen = max(b.maxValueLen, len(value))
 	b.hasPuts = true
 }
 
-// Delete removes a key, if it is there.
+// Delete removes a key, if it exists.
 func (b *Batch) Delete(key []byte) { b.add(op{kind: opDelete, key: key}) }
 
-// DeleteRange removes the keys in [from, to). A nil end means all that follow.
+// DeleteRange removes the keys in [from, to). If to is empty, the range has no upper
+// bound.
 func (b *Batch) DeleteRange(from, to []byte) {
 	b.add(op{kind: opDeleteRange, key: from, value: to})
 	b.maxKeyLen = max(b.maxKeyLen, len(to))
 	b.hasReversedRange = b.hasReversedRange || len(to) > 0 && bytes.Compare(from, to) > 0
 }
 
-// move writes a live value again at the end of the log.
+// move adds an operation that rewrites a live value at the end of the log.
 func (b *Batch) move(o op, version uint64) {
 	o.kind = opMove
 	o.version = version
@@ -53,16 +54,16 @@
 	b.add(op{kind: opExpire, key: []byte(key), version: version})
 }
 
-// Len is the number of operations.
+// Len returns the number of operations.
 func (b *Batch) Len() int { return int(b.opCount) }
 
-// Bytes is the encoded length on disk, in bytes.
+// Bytes returns the encoded length on disk, in bytes.
 func (b *Batch) Bytes() int { return batchHeaderLen + len(b.payload) }
 
-// Reset empties the batch for another use, once Apply has returned.
+// Reset empties the batch for reuse. It must not be called before Apply has returned.
 func (b *Batch) Reset() { *b = Batch{payload: b.payload[:0]} }
 
-// check finds what the options don't allow.
+// check fails if the batch is empty or violates the limits of the options.
 func (b *Batch) check(o *Options) error {
 	switch {
 	case b.hasEmptyKey || b.maxKeyLen > o.MaxKeyBytes:
--- a/internal/storage/durable/batch_header.go
+++ b/internal/storage/durable/batch_header.go
@@ -2,12 +2,13 @@
 
 import "encoding/binary"
 
-// All integers are little endian. docs/design/durable-store.md has the layouts.
+// All integers are little endian. docs/design/durable-store.md specifies the layouts.
 const (
 	batchMagic = 0x78b0f4a3
 	// batchHeaderLen is the length of a batch's header in bytes.
 	batchHeaderLen = 40
-	// checksummedHeaderLen is the part of the header that its checksum covers, in bytes.
+	// checksummedHeaderLen is the length of the part of the header that its checksum
+	// covers, in bytes.
 	checksummedHeaderLen = batchHeaderLen - checksumLen
 )
 
@@ -32,8 +33,8 @@
 	checksum         uint32 // of this header
 }
 
-// encode sets the lengths and checksums for a payload, writes the header into b
-// and returns the header's checksum.
+// encode sets the payload length and the checksums, writes the header to b and returns
+// the header's checksum.
 func (h *batchHeader) encode(b, payload []byte, salt uint32) uint32 {
 	h.payloadLen = uint32(len(payload))
 	h.payloadChecksum = checksum(salt, payload)
@@ -50,7 +51,8 @@
 	return h.checksum
 }
 
-// parseBatchHeader reads a header. It accepts only what encode wrote.
+// parseBatchHeader reads a header. It returns ok false if the magic or the checksum is
+// wrong.
 func parseBatchHeader(b []byte, salt uint32) (h batchHeader, ok bool) {
 	if len(b) < batchHeaderLen {
 		return h, false
@@ -73,7 +75,7 @@
 	}, true
 }
 
-// matches checks a payload's checksum and that its operations can be read.
+// matches reports whether a payload has the header's checksum and valid operations.
 func (h *batchHeader) matches(payload []byte, salt uint32) bool {
-	return checksum(salt, payload) == h.payloadChecksum && forEachOp(payload, h.opCount, checkOp) == nil
+	return checksum(salt, payload) == h.payloadChecksum && forEachOp(payload, h.opCount, validateOp) == nil
 }
--- a/internal/storage/durable/checkpoint.go
+++ b/internal/storage/durable/checkpoint.go
@@ -6,9 +6,9 @@
 	"io/fs"
 )
 
-// beginCheckpoint copies the index between two groups, with all of the log synced,
-// and creates the checkpoint's file.
-func (m *maintainer) beginCheckpoint() error {
+// startCheckpoint syncs the log and copies the index between two groups, and creates the
+// checkpoint's file.
+func (m *maintainer) startCheckpoint() error {
 	s := m.store
 	w := &checkpointWriter{}
 	err := s.runInCommitter(func() error {
@@ -27,7 +27,7 @@
 		return err
 	}
 	m.nextCheckpoint++
-	if err := w.begin(s.fs); err != nil {
+	if err := w.start(s.fs); err != nil {
 		s.fs.Remove(checkpointName(w.header.number))
 		return m.checkpointFailed(err)
 	}
@@ -36,7 +36,8 @@
 	return nil
 }
 
-// checkpointFailed makes the store read-only unless the disk is merely full.
+// checkpointFailed makes the store read-only, unless the disk is full and the content on
+// disk is known. In that case it releases the reserve.
 func (m *maintainer) checkpointFailed(err error) error {
 	if isCleanDiskFull(err) {
 		m.store.releaseReserve()
@@ -45,15 +46,15 @@
 	return m.store.enterReadOnly(fmt.Errorf("checkpoint: %w", err))
 }
 
-// continueCheckpoint writes about budget bytes, and has the manifest name the
-// checkpoint when it is complete.
+// continueCheckpoint writes about budget bytes of the running checkpoint, and installs
+// the checkpoint when it is complete.
 func (m *maintainer) continueCheckpoint(budget int64) error {
 	s := m.store
 	w := m.checkpoint
-	before := w.size
+	sizeBefore := w.size
 	done, err := w.writeNext(budget)
-	m.planner.Charge(w.size - before)
-	s.usedBytes.Add(w.size - before)
+	m.planner.Charge(w.size - sizeBefore)
+	s.usedBytes.Add(w.size - sizeBefore)
 	if err != nil {
 		return m.checkpointFailed(err)
 	}
@@ -68,9 +69,9 @@
 	return m.installCheckpoint(w.ref())
 }
 
-// installCheckpoint has the manifest name a complete checkpoint in place of the
-// older of the two. It is read back first, so that a faulty one never replaces a
-// good one.
+// installCheckpoint replaces the older of the two checkpoints in the manifest by a new
+// complete one. It first reads the new file back, so that a damaged checkpoint never
+// replaces a valid one.
 func (m *maintainer) installCheckpoint(ref checkpointRef) error {
 	s := m.store
 	if _, err := readCheckpoint(s.fs, ref, s.storeID, func(indexEntry) {}); err != nil {
@@ -83,7 +84,7 @@
 		replaced = next.checkpoints[0]
 		next.checkpoints = [retainedCheckpoints]checkpointRef{next.checkpoints[1], ref}
 		if next.checkpoints[0].number != 0 {
-			next.firstSegment = 0 // with two checkpoints the log may lose its beginning
+			next.firstSegment = 0 // from now on the first segments may be dropped
 		}
 	})
 	if err != nil {
@@ -105,8 +106,8 @@
 	return nil
 }
 
-// removeCheckpoint removes a checkpoint of which size bytes were written, and that
-// the manifest does not name. Recovery removes it if this fails.
+// removeCheckpoint removes a checkpoint of size bytes that the manifest does not name.
+// If the removal fails, the next recovery removes the file.
 func (s *Store) removeCheckpoint(number uint32, size int64) {
 	if s.fs.Remove(checkpointName(number)) == nil {
 		s.usedBytes.Add(-size)
--- a/internal/storage/durable/checkpoint_entry.go
+++ b/internal/storage/durable/checkpoint_entry.go
@@ -6,11 +6,12 @@
 	"math"
 )
 
-// entryHasExpiry is set in an entry's flags, beside its place, if an expiry follows.
+// entryHasExpiry is the bit of an entry's flags that tells that an expiry follows. The
+// other bits are the value's place.
 const entryHasExpiry = 0x80
 
-// appendEntry encodes one entry behind the one with the previous key in the same
-// block, with which it shares the start of the key. The seq is the checkpoint's.
+// appendEntry encodes one entry of a block. The prefix that its key shares with the
+// previous key of the block is not repeated. The seq is the checkpoint's.
 func appendEntry(b []byte, e *indexEntry, previousKey string, seq uint64) []byte {
 	key := e.key()
 	shared := 0
@@ -41,10 +42,10 @@
 	return b
 }
 
-var errMalformedEntry = errors.New("entry can't be read")
+var errMalformedEntry = errors.New("checkpoint entry is malformed")
 
-// parseEntry reads one entry. The key is that of the entry before it in the block;
-// its buffer is reused for newKey.
+// parseEntry reads one entry. The argument key is the previous key of the block; its
+// buffer is reused for newKey.
 func parseEntry(b []byte, key []byte, seq uint64) (e indexEntry, newKey, rest []byte, err error) {
 	in := byteReader{rest: b}
 	shared := in.uvarint()
@@ -79,7 +80,7 @@
 	return e, key, in.rest, nil
 }
 
-// parseEntryValue reads an inline value, or the place of one on disk.
+// parseEntryValue reads an inline value, or the location of a value on disk.
 func parseEntryValue(in *byteReader, e *indexEntry) (value []byte) {
 	switch e.place {
 	case valueInline:
--- a/internal/storage/durable/checkpoint_reader.go
+++ b/internal/storage/durable/checkpoint_reader.go
@@ -10,20 +10,20 @@
 
 // checkpointReader reads a checkpoint block by block.
 type checkpointReader struct {
-	name       string
-	file       vfs.File
-	size       int64  // bytes of the file
-	offset     int64  // of the next block
-	chain      uint32 // checksum of the last block, or of the header
-	block      []byte // payload of the last block
-	header     checkpointHeader
-	entryCount uint64
-	lastKey    string
+	name          string
+	file          vfs.File
+	size          int64  // length of the file in bytes
+	offset        int64  // of the next block
+	chainChecksum uint32 // checksum of the last block, or of the header
+	block         []byte // payload of the last block
+	header        checkpointHeader
+	entryCount    uint64
+	lastKey       string
 }
 
-// readCheckpoint reads a complete checkpoint, entry by entry in the order of keys.
-// It fails with an error that matches ErrDamaged on anything that a
-// checkpointWriter did not write, possibly after some entries were visited.
+// readCheckpoint reads a complete checkpoint and visits its entries in ascending order
+// of keys. If the file is damaged, it returns an error that matches ErrDamaged, possibly
+// after it visited some entries.
 func readCheckpoint(fs vfs.FS, ref checkpointRef, storeID uint64, visit func(indexEntry)) (checkpointHeader, error) {
 	name := checkpointName(ref.number)
 	f, err := fs.Open(name)
@@ -52,7 +52,7 @@
 		return err
 	}
 	if r.size != ref.size {
-		return newFault(r.name, 0, "%d bytes long, want %d", r.size, ref.size)
+		return newFileFault(r.name, 0, "%d bytes long, want %d", r.size, ref.size)
 	}
 	b := make([]byte, headerLen)
 	if err := readFull(r.file, b, 0); err != nil {
@@ -63,9 +63,9 @@
 	}
 	h := &r.header
 	if h.storeID != storeID || h.number != ref.number || h.logPosition.seq != ref.seq || h.logPosition.segment != ref.segment {
-		return newFault(r.name, headerStoreOffset, "belongs to another store or another time")
+		return newFileFault(r.name, headerStoreOffset, "belongs to another store or another time")
 	}
-	r.chain = binary.LittleEndian.Uint32(b[headerLen-checksumLen:])
+	r.chainChecksum = binary.LittleEndian.Uint32(b[headerLen-checksumLen:])
 	r.offset = headerLen
 	return nil
 }
@@ -78,7 +78,7 @@
 	}
 	n := int64(binary.LittleEndian.Uint32(header[:]))
 	if n < 1 || n > maxBlockBytes || n > r.size-r.offset-blockHeaderLen {
-		return newFault(r.name, r.offset, "block's length is wrong")
+		return newFileFault(r.name, r.offset, "block's length is wrong")
 	}
 	if int64(cap(r.block)) < n {
 		r.block = make([]byte, n)
@@ -87,26 +87,26 @@
 	if err := readFull(r.file, r.block, r.offset+blockHeaderLen); err != nil {
 		return r.endFault(err)
 	}
-	r.chain = checksum(r.chain, r.block)
-	if r.chain != binary.LittleEndian.Uint32(header[4:]) {
-		return newFault(r.name, r.offset, "block's checksum is wrong")
+	r.chainChecksum = checksum(r.chainChecksum, r.block)
+	if r.chainChecksum != binary.LittleEndian.Uint32(header[4:]) {
+		return newFileFault(r.name, r.offset, "block's checksum is wrong")
 	}
 	r.offset += blockHeaderLen + n
 	return nil
 }
 
-// visitBlock visits the entries of a block, or checks the end.
+// visitBlock visits the entries of a block, or checks the end block.
 func (r *checkpointReader) visitBlock(visit func(indexEntry)) (done bool, err error) {
 	switch r.block[0] {
 	case blockEnd:
 		if len(r.block) != blockEndLen || binary.LittleEndian.Uint64(r.block[1:]) != r.entryCount || r.offset != r.size {
-			return false, newFault(r.name, r.offset, "ends too early or too late")
+			return false, newFileFault(r.name, r.offset, "ends too early or too late")
 		}
 		return true, nil
 	case blockEntries:
 		return false, r.visitEntries(visit)
 	}
-	return false, newFault(r.name, r.offset, "unknown block")
+	return false, newFileFault(r.name, r.offset, "unknown block")
 }
 
 func (r *checkpointReader) visitEntries(visit func(indexEntry)) error {
@@ -116,7 +116,7 @@
 		var err error
 		e, key, rest, err = parseEntry(rest, key, r.header.logPosition.seq)
 		if err != nil || e.key() <= r.lastKey {
-			return newFault(r.name, r.offset, "entry %d can't be read", r.entryCount)
+			return newFileFault(r.name, r.offset, "entry %d can't be read", r.entryCount)
 		}
 		r.lastKey = e.key()
 		r.entryCount++
@@ -125,11 +125,11 @@
 	return nil
 }
 
-// endFault makes an early end of the file a fault, and leaves errors of the device
-// as they are.
+// endFault converts an unexpected end of the file to a fault, and returns other errors
+// unchanged.
 func (r *checkpointReader) endFault(err error) error {
 	if errors.Is(err, io.ErrUnexpectedEOF) {
-		return newFault(r.name, r.offset, "is cut short")
+		return newFileFault(r.name, r.offset, "is cut short")
 	}
 	return err
 }
--- a/internal/storage/durable/checkpoint_writer.go
+++ b/internal/storage/durable/checkpoint_writer.go
@@ -8,8 +8,8 @@
 	"oxbowbridge/internal/storage/durable/vfs"
 )
 
-// checkpointSyncBytes is how much is written between two syncs, so that none of
-// them has much to write.
+// checkpointSyncBytes is the number of bytes written between two syncs, so that each
+// sync is short.
 const checkpointSyncBytes = 1 << 20
 
 // checkpointWriter writes a checkpoint in steps.
@@ -17,18 +17,18 @@
 	header        checkpointHeader
 	file          vfs.File
 	iterator      btree.IterG[indexEntry]
-	hasMore       bool  // the iterator is at an entry
+	hasMore       bool  // the iterator points to an entry
 	size          int64 // bytes written
 	unsyncedBytes int64
-	blockChain    uint32 // checksum of the last block, or of the header
+	chainChecksum uint32 // checksum of the last block, or of the header
 	entryCount    uint64
-	previousKey   string // in this block
-	block         []byte // header and payload of the block that is filled
+	previousKey   string // in the current block
+	block         []byte // header and payload of the current block
 }
 
-// begin makes the file of a checkpoint whose header and iterator are set. The tree
-// that the iterator reads must not change any more.
-func (w *checkpointWriter) begin(fs vfs.FS) error {
+// start creates the file and writes the header. The fields header and iterator must be
+// set, and the tree that the iterator reads must not change any more.
+func (w *checkpointWriter) start(fs vfs.FS) error {
 	f, err := fs.Create(checkpointName(w.header.number))
 	if err != nil {
 		return err
@@ -36,7 +36,7 @@
 	w.file = f
 	w.hasMore = w.iterator.First()
 	b := w.header.encode()
-	w.blockChain = binary.LittleEndian.Uint32(b[headerLen-checksumLen:])
+	w.chainChecksum = binary.LittleEndian.Uint32(b[headerLen-checksumLen:])
 	return w.write(b)
 }
 
@@ -60,19 +60,19 @@
 	return nil
 }
 
-// beginBlock leaves space for the block's header, and sets its kind.
-func (w *checkpointWriter) beginBlock(kind byte) {
+// startBlock starts a block: it reserves space for the header and sets the kind.
+func (w *checkpointWriter) startBlock(kind byte) {
 	w.block = append(w.block[:0], make([]byte, blockHeaderLen)...)
 	w.block = append(w.block, kind)
 	w.previousKey = ""
 }
 
-// flushBlock sets the block's header and writes it.
+// flushBlock sets the header of the current block and writes the block.
 func (w *checkpointWriter) flushBlock() error {
 	payload := w.block[blockHeaderLen:]
-	w.blockChain = checksum(w.blockChain, payload)
+	w.chainChecksum = checksum(w.chainChecksum, payload)
 	binary.LittleEndian.PutUint32(w.block, uint32(len(payload)))
-	binary.LittleEndian.PutUint32(w.block[4:], w.blockChain)
+	binary.LittleEndian.PutUint32(w.block[4:], w.chainChecksum)
 	err := w.write(w.block)
 	w.block = w.block[:0]
 	return err
@@ -81,9 +81,9 @@
 // writeNext writes about budget bytes, and reports whether the checkpoint is
 // complete and synced.
 func (w *checkpointWriter) writeNext(budget int64) (done bool, err error) {
-	begin := w.size
+	startSize := w.size
 	for ; w.hasMore; w.hasMore = w.iterator.Next() {
-		if w.size-begin >= budget {
+		if w.size-startSize >= budget {
 			return false, nil
 		}
 		if err := w.add(w.iterator.Item()); err != nil {
@@ -96,7 +96,7 @@
 
 func (w *checkpointWriter) add(e indexEntry) error {
 	if len(w.block) == 0 {
-		w.beginBlock(blockEntries)
+		w.startBlock(blockEntries)
 	}
 	w.block = appendEntry(w.block, &e, w.previousKey, w.header.logPosition.seq)
 	w.previousKey = e.key()
@@ -107,14 +107,14 @@
 	return nil
 }
 
-// finish writes the last block of entries and the end, and syncs.
+// finish writes the last block of entries and the end block, and syncs.
 func (w *checkpointWriter) finish() error {
 	if len(w.block) > 0 {
 		if err := w.flushBlock(); err != nil {
 			return err
 		}
 	}
-	w.beginBlock(blockEnd)
+	w.startBlock(blockEnd)
 	w.block = binary.LittleEndian.AppendUint64(w.block, w.entryCount)
 	if err := w.flushBlock(); err != nil {
 		return err
@@ -122,7 +122,7 @@
 	return w.sync()
 }
 
-// ref is the manifest's reference to the complete checkpoint.
+// ref returns the manifest's reference to the complete checkpoint.
 func (w *checkpointWriter) ref() checkpointRef {
 	return checkpointRef{
 		number:  w.header.number,
--- a/internal/storage/durable/commit.go
+++ b/internal/storage/durable/commit.go
@@ -2,23 +2,23 @@
 
 import "fmt"
 
-// maxSegmentBytes bounds a segment: offsets in the index have 32 bits.
+// maxSegmentBytes bounds the length of a segment: the index stores offsets in 32 bits.
 const maxSegmentBytes = 2 << 30
 
 // groupBufferFactor is the multiple of MaxGroupBytes above which the committer's
 // buffer is freed after a group.
 const groupBufferFactor = 4
 
-// logTail is where the committer writes.
+// logTail is the end of the log, to which the committer appends.
 type logTail struct {
-	segment     *segment
-	end         position
-	buffer      []byte // encoded batches of the group that is written
-	hasUnsynced bool   // something was written since the last sync
+	segment           *segment
+	end               position
+	buffer            []byte // encoded batches of the current group
+	hasUnsyncedWrites bool   // a write followed the last sync
 }
 
-// runCommitter writes queued requests in groups, with one sync each, until the
-// queue is closed.
+// runCommitter commits queued requests in groups until the queue is closed. A group
+// needs at most one sync.
 func (s *Store) runCommitter() {
 	defer close(s.committerDone)
 	var group []*request
@@ -28,8 +28,9 @@
 	}
 }
 
-// collectGroup dequeues requests up to MaxGroupBytes. A request to run a function is
-// carried out here, after the batches before it were committed.
+// collectGroup dequeues batches until the queue is empty or the group has at least
+// MaxGroupBytes. If a request has a function, collectGroup commits the batches before it
+// and then runs the function.
 func (s *Store) collectGroup(group []*request, first *request) []*request {
 	groupBytes := 0
 	for r := first; r != nil; r = s.nextQueued() {
@@ -48,7 +49,7 @@
 	return group
 }
 
-// nextQueued is the next request, or nil if none waits.
+// nextQueued returns the next request, or nil if the queue is empty.
 func (s *Store) nextQueued() *request {
 	select {
 	case r := <-s.requests:
@@ -58,20 +59,21 @@
 	}
 }
 
-// commitGroup writes, syncs and applies a group, and answers it.
+// commitGroup writes, syncs and applies a group, and reports the result of each
+// request.
 func (s *Store) commitGroup(group []*request) {
 	group = s.admitGroup(group)
 	if len(group) == 0 {
 		return
 	}
 	if err := s.prepareSegment(); err != nil {
-		failAll(group, err)
+		failGroup(group, err)
 		return
 	}
 	end := s.encodeGroup(group)
-	s.logTail.hasUnsynced = true
-	begin := s.logTail.end.offset
-	if _, err := s.logTail.segment.file.WriteAt(s.logTail.buffer, begin); err != nil {
+	s.logTail.hasUnsyncedWrites = true
+	startOffset := s.logTail.end.offset
+	if _, err := s.logTail.segment.file.WriteAt(s.logTail.buffer, startOffset); err != nil {
 		s.handleWriteError(group, err)
 		return
 	}
@@ -80,15 +82,15 @@
 	s.logBytesSinceCheckpoint.Add(written)
 	s.stats.groups.Add(1)
 	s.logTail.end = end
-	if anySynced(group) {
+	if hasSyncedRequest(group) {
 		if err := s.syncLog(); err != nil {
-			failAll(group, err)
+			failGroup(group, err)
 			return
 		}
 	} else {
 		s.unsyncedSince.CompareAndSwap(0, max(1, int64(s.maintenance.now())))
 	}
-	s.publishGroup(group, begin)
+	s.publishGroup(group, startOffset)
 	if cap(s.logTail.buffer) > groupBufferFactor*s.options.MaxGroupBytes {
 		s.logTail.buffer = nil
 	}
@@ -98,8 +100,8 @@
 	}
 }
 
-// prepareSegment rotates the segment if it is due. A full disk puts that off until
-// the segment has reached maxSegmentBytes.
+// prepareSegment rotates the active segment if it is long enough. If the disk is full,
+// the segment grows further, up to maxSegmentBytes.
 func (s *Store) prepareSegment() error {
 	if s.logTail.segment.size >= s.options.Maintenance.SegmentBytes(s.liveBytes.Load()) {
 		if err := s.rotateSegment(); err != nil && !isDiskFull(err) {
@@ -112,16 +114,16 @@
 	return nil
 }
 
-// publishGroup makes a written group visible to readers. The group's first byte is
-// at begin in the segment.
-func (s *Store) publishGroup(group []*request, begin int64) {
+// publishGroup makes a written group visible to readers. The group starts at
+// startOffset in the segment.
+func (s *Store) publishGroup(group []*request, startOffset int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	segment := s.logTail.segment
 	for _, r := range group {
 		payload := s.logTail.buffer[r.bufferOffset+batchHeaderLen:][:r.header.payloadLen]
-		err := s.index.apply(segment.number, begin+int64(r.bufferOffset), r.header, payload)
-		if err != nil { // its operations were encoded just now
+		err := s.index.apply(segment.number, startOffset+int64(r.bufferOffset), r.header, payload)
+		if err != nil { // impossible: this process encoded the operations
 			panic("durable: " + err.Error())
 		}
 	}
@@ -130,11 +132,11 @@
 	s.liveBytes.Store(s.index.liveBytes)
 }
 
-// admitGroup answers the requests that the limits leave no space for, and returns
-// the others.
+// admitGroup rejects the requests for which the limits leave no space, and returns
+// the other requests.
 func (s *Store) admitGroup(group []*request) []*request {
 	if err := s.ReadOnlyError(); err != nil {
-		failAll(group, err)
+		failGroup(group, err)
 		return nil
 	}
 	limits := &s.options.Maintenance
@@ -153,13 +155,13 @@
 	return admitted
 }
 
-func failAll(group []*request, err error) {
+func failGroup(group []*request, err error) {
 	for _, r := range group {
 		r.done(0, err)
 	}
 }
 
-func anySynced(group []*request) bool {
+func hasSyncedRequest(group []*request) bool {
 	for _, r := range group {
 		if r.level == Synced {
 			return true
@@ -168,8 +170,8 @@
 	return false
 }
 
-// encodeGroup fills the buffer with a group's batches, and returns the position
-// behind them.
+// encodeGroup fills the buffer with a group's batches, and returns the position after
+// the last batch.
 func (s *Store) encodeGroup(group []*request) position {
 	end := s.logTail.end
 	salt := s.logTail.segment.salt
@@ -180,37 +182,38 @@
 		buffer = append(buffer, r.batch.payload...)
 		payload := buffer[r.bufferOffset+batchHeaderLen:]
 		end.seq++
-		sealOps(payload, salt, end.seq)
+		setOpChecksums(payload, salt, end.seq)
 		r.header = batchHeader{
 			seq:              end.seq,
 			syncedSeq:        s.syncedSeq,
 			opCount:          r.batch.opCount,
-			previousChecksum: end.chain,
+			previousChecksum: end.chainChecksum,
 		}
-		end.chain = r.header.encode(buffer[r.bufferOffset:], payload, salt)
+		end.chainChecksum = r.header.encode(buffer[r.bufferOffset:], payload, salt)
 	}
 	end.offset += int64(len(buffer))
 	s.logTail.buffer = buffer
 	return end
 }
 
-// handleWriteError answers a group whose write failed. If the disk is full, what
-// reached the file is truncated away and the truncation synced, before the caller
-// learns that the batch is not there.
+// handleWriteError reports the failure of a group's write. If the disk is full, it
+// first truncates the partial write and syncs the truncation, so that a batch that was
+// reported as rejected can't reappear after a crash. It then retries the batches one by
+// one; deletes and batches of maintenance may use the reserve.
 func (s *Store) handleWriteError(group []*request, err error) {
 	if !isDiskFull(err) {
-		failAll(group, s.enterReadOnly(err))
+		failGroup(group, s.enterReadOnly(err))
 		return
 	}
 	if truncateErr := s.logTail.segment.file.Truncate(s.logTail.end.offset); truncateErr != nil {
-		failAll(group, s.enterReadOnly(truncateErr))
+		failGroup(group, s.enterReadOnly(truncateErr))
 		return
 	}
 	if syncErr := s.syncLog(); syncErr != nil {
-		failAll(group, syncErr)
+		failGroup(group, syncErr)
 		return
 	}
-	if len(group) > 1 { // some of them may fit
+	if len(group) > 1 { // single batches may fit
 		for _, r := range group {
 			s.commitGroup([]*request{r})
 		}
@@ -225,13 +228,13 @@
 	r.done(0, fmt.Errorf("%w: %w", ErrFull, err))
 }
 
-// syncLog syncs the active segment. After a failed sync it is unknown what is on
-// disk, so the store becomes read-only and the sync is not retried.
+// syncLog syncs the active segment. After a failed sync the content on disk is unknown,
+// so the store becomes read-only and the sync is not retried.
 func (s *Store) syncLog() error {
 	if err := s.ReadOnlyError(); err != nil {
 		return err
 	}
-	if !s.logTail.hasUnsynced {
+	if !s.logTail.hasUnsyncedWrites {
 		return nil
 	}
 	s.unsyncedSince.Store(0)
@@ -239,7 +242,7 @@
 	if err := s.logTail.segment.file.Sync(); err != nil {
 		return s.enterReadOnly(fmt.Errorf("%s: %w", segmentName(s.logTail.segment.number), syncError{err}))
 	}
-	s.logTail.hasUnsynced = false
+	s.logTail.hasUnsyncedWrites = false
 	s.mu.Lock()
 	s.syncedSeq = s.logTail.end.seq
 	s.mu.Unlock()
--- a/internal/storage/durable/compaction.go
+++ b/internal/storage/durable/compaction.go
@@ -2,24 +2,24 @@
 
 import "fmt"
 
-// maxMoveBatchBytes is the length at which a batch of moves is written.
+// maxMoveBatchBytes is the payload length at which a batch of moves is written.
 const maxMoveBatchBytes = 128 << 10
 
 // compaction moves the live values of a sealed segment to the end of the log.
 type compaction struct {
-	segment *segment
-	offset  int64  // of the next batch
-	payload []byte // of the last batch that was read; reused for the next
+	segment    *segment
+	nextOffset int64  // of the next batch
+	payload    []byte // of the last batch that was read; reused for the next
 }
 
-// loggedBatch is a batch as it was read from the log. The payload is valid until the
-// next one is read.
+// loggedBatch is a batch read from the log. The payload is valid until the next batch
+// is read.
 type loggedBatch struct {
 	header  batchHeader
 	payload []byte
 }
 
-// size is the length in the log, in bytes.
+// size returns the length of the batch in the log, in bytes.
 func (b *loggedBatch) size() int64 { return batchHeaderLen + int64(len(b.payload)) }
 
 // moveWriter collects moves and writes them in batches.
@@ -29,7 +29,7 @@
 	written int64 // bytes
 }
 
-// flush writes the collected moves, buffered.
+// flush writes the collected moves as one batch, without a sync.
 func (w *moveWriter) flush() error {
 	if w.batch.Len() == 0 {
 		return nil
@@ -49,16 +49,16 @@
 	return err
 }
 
-// compactSegment reads and writes about budget bytes. It returns the bytes that it
-// read and wrote, and whether the segment is done with. A key
-// that is written meanwhile is left alone: a move takes effect only for the version
-// that it was made from.
+// compactSegment moves live values until it has read and written about budget bytes.
+// It returns the bytes read and written, and whether the compaction of the segment has
+// ended. A concurrent write of a key takes precedence: a move has no effect unless the
+// key still has the version that was read.
 func (s *Store) compactSegment(c *compaction, budget int64) (spent int64, done bool, err error) {
 	moves := &moveWriter{store: s}
 	read := int64(0)
 	for read+moves.written < budget {
 		liveValues, size := s.segmentState(c.segment)
-		if liveValues == 0 && moves.batch.Len() == 0 || c.offset >= size {
+		if liveValues == 0 && moves.batch.Len() == 0 || c.nextOffset >= size {
 			err := moves.flush()
 			if err == nil && liveValues > 0 {
 				s.markUnreadable(c.segment)
@@ -70,14 +70,14 @@
 			return read + moves.written, true, err
 		}
 		if !ok {
-			c.offset = size // recovery truncated the log here, or repair did
+			c.nextOffset = size // no valid batch follows: a recovery or repair ended the log here
 			continue
 		}
 		read += batch.size()
-		if err := s.moveLive(c, moves, &batch); err != nil {
+		if err := s.moveLiveValues(c, moves, &batch); err != nil {
 			return read + moves.written, true, err
 		}
-		c.offset += batch.size()
+		c.nextOffset += batch.size()
 	}
 	err = moves.flush()
 	return read + moves.written, false, err
@@ -91,16 +91,16 @@
 	return segment.liveValues, segment.size
 }
 
-// markUnreadable marks a segment that still has live values after its last batch
-// was moved: they lie where no batch can be read.
+// markUnreadable marks a segment that still has live values after compaction read all
+// its batches: those values are where no batch can be read.
 func (s *Store) markUnreadable(segment *segment) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	segment.unreadable = segment.liveValues > 0
 }
 
-// moveLive adds a move for each operation of a batch that the index refers to.
-func (s *Store) moveLive(c *compaction, moves *moveWriter, batch *loggedBatch) error {
+// moveLiveValues adds a move for each operation of a batch that the index refers to.
+func (s *Store) moveLiveValues(c *compaction, moves *moveWriter, batch *loggedBatch) error {
 	return forEachOp(batch.payload, batch.header.opCount, func(o op) error {
 		if !o.kind.storesValue() {
 			return nil
@@ -108,7 +108,7 @@
 		s.mu.RLock()
 		e, found := s.index.tree.Get(searchKey(string(o.key)))
 		s.mu.RUnlock()
-		if !found || !e.inSegment(c.segment.number, c.offset+batchHeaderLen+int64(o.offset)) {
+		if !found || !e.inSegment(c.segment.number, c.nextOffset+batchHeaderLen+int64(o.offset)) {
 			return nil
 		}
 		moves.batch.move(o, e.version)
@@ -119,25 +119,25 @@
 	})
 }
 
-// readBatch reads the batch at the offset. It is not ok if no complete batch is there,
-// before the segment's length in bytes.
+// readBatch reads the batch at c.nextOffset. It returns ok false if there is no valid
+// batch that ends within the segment's size in bytes.
 func (c *compaction) readBatch(size int64) (batch loggedBatch, ok bool, err error) {
-	if size-c.offset < batchHeaderLen {
+	if size-c.nextOffset < batchHeaderLen {
 		return batch, false, nil
 	}
 	var encoded [batchHeaderLen]byte
-	if err := readFull(c.segment.file, encoded[:], c.offset); err != nil {
+	if err := readFull(c.segment.file, encoded[:], c.nextOffset); err != nil {
 		return batch, false, fmt.Errorf("compaction: %s: %w", segmentName(c.segment.number), err)
 	}
 	h, ok := parseBatchHeader(encoded[:], c.segment.salt)
-	if !ok || int64(h.payloadLen) > size-c.offset-batchHeaderLen {
+	if !ok || int64(h.payloadLen) > size-c.nextOffset-batchHeaderLen {
 		return batch, false, nil
 	}
 	if cap(c.payload) < int(h.payloadLen) {
 		c.payload = make([]byte, h.payloadLen)
 	}
 	payload := c.payload[:h.payloadLen]
-	if err := readFull(c.segment.file, payload, c.offset+batchHeaderLen); err != nil {
+	if err := readFull(c.segment.file, payload, c.nextOffset+batchHeaderLen); err != nil {
 		return batch, false, fmt.Errorf("compaction: %s: %w", segmentName(c.segment.number), err)
 	}
 	return loggedBatch{h, payload}, h.matches(payload, c.segment.salt), nil
--- a/internal/storage/durable/concurrency_test.go
+++ b/internal/storage/durable/concurrency_test.go
@@ -14,9 +14,9 @@
 	"oxbowbridge/internal/storage/durable/plan"
 )
 
-// TestConcurrentWritersAndMaintenance: while writers overwrite pairs of keys,
-// maintenance compacts and drops what snapshots read. In every snapshot a pair is equal, and a scan ends with what it
-// began with.
+// TestConcurrentWritersAndMaintenance: writers overwrite pairs of keys while maintenance
+// compacts and drops segments that snapshots read. In every snapshot both keys of a pair
+// have the same value, and two scans of a snapshot return the same values.
 func TestConcurrentWritersAndMaintenance(t *testing.T) {
 	o := Options{MaxInlineBytes: 8, Maintenance: plan.Limits{
 		MinSegmentBytes:       8 << 10,
@@ -28,16 +28,16 @@
 	s, _, err := Open(f, o)
 	require.NoError(t, err)
 	const writers, writes = 4, 1500
-	var writing, reading sync.WaitGroup
+	var writersDone, readersDone sync.WaitGroup
 	stop := make(chan struct{})
 	for w := range writers {
-		writing.Add(1)
+		writersDone.Add(1)
 		go func() {
-			defer writing.Done()
+			defer writersDone.Done()
 			rng := rand.New(rand.NewPCG(uint64(w), 1))
 			for i := range writes {
 				var b Batch
-				k, v := rng.IntN(20), []byte(testValue(i, 1+rng.IntN(40)))
+				k, v := rng.IntN(20), []byte(repeatedNumber(i, 1+rng.IntN(40)))
 				b.Put(fmt.Appendf(nil, "%d/a/%d", w, k), v, 0)
 				b.Put(fmt.Appendf(nil, "%d/b/%d", w, k), v, 0)
 				_, err := s.Apply(&b, Level(i%2))
@@ -46,9 +46,9 @@
 		}()
 	}
 	for range 3 {
-		reading.Add(1)
+		readersDone.Add(1)
 		go func() {
-			defer reading.Done()
+			defer readersDone.Done()
 			for n := 0; ; n++ {
 				select {
 				case <-stop:
@@ -71,7 +71,7 @@
 					}))
 				}
 				for k, v := range first {
-					assert.Equal(t, v, first[k[:2]+string('a'+'b'-k[2])+k[3:]], "a pair is written at once")
+					assert.Equal(t, v, first[k[:2]+string('a'+'b'-k[2])+k[3:]], "both keys of a pair are written in one batch")
 					got, err := s.Get([]byte(k), 0)
 					assert.NoError(t, err)
 					assert.NotEmpty(t, got)
@@ -80,9 +80,9 @@
 			}
 		}()
 	}
-	writing.Wait()
+	writersDone.Wait()
 	close(stop)
-	reading.Wait()
+	readersDone.Wait()
 	require.NoError(t, s.Compact(t.Context()))
 	st := s.Stats()
 	assert.Positive(t, st.DroppedSegments)
@@ -96,41 +96,42 @@
 	require.NoError(t, s.Close())
 }
 
-// TestWriteOvertakesMove: a key is written after compaction has read its old value and
-// before the move comes to the log. The move must not count, now or after a restart.
+// TestWriteOvertakesMove: a key is written after compaction has read its old value, but
+// before the move is in the log. The move must have no effect, before and after a
+// restart.
 func TestWriteOvertakesMove(t *testing.T) {
 	f, o := &faultfs.FS{}, smallOptions()
 	b, err := newWorkload(f, o)
 	require.NoError(t, err)
-	require.NoError(t, b.store.Put([]byte("k"), []byte(testValue(1, 30))))
-	require.NoError(t, b.store.Put([]byte("gone"), []byte(testValue(1, 30))))
+	require.NoError(t, b.store.Put([]byte("k"), []byte(repeatedNumber(1, 30))))
+	require.NoError(t, b.store.Put([]byte("gone"), []byte(repeatedNumber(1, 30))))
 	require.NoError(t, b.store.rotateSegment())
-	hold, done := make(chan struct{}), make(chan error, 3)
-	b.store.submit(&request{run: func() error { <-hold; return nil }, done: func(uint64, error) {}})
-	for len(b.store.requests) > 0 { // until the committer holds it
+	releaseCommitter, results := make(chan struct{}), make(chan error, 3)
+	b.store.submit(&request{run: func() error { <-releaseCommitter; return nil }, done: func(uint64, error) {}})
+	for len(b.store.requests) > 0 { // until the committer has dequeued the function
 		runtime.Gosched()
 	}
-	var put, del Batch
-	put.Put([]byte("k"), []byte(testValue(2, 30)), 0)
-	del.Delete([]byte("gone"))
-	for _, c := range []*Batch{&put, &del} {
-		b.store.Submit(c, Synced, func(_ uint64, err error) { done <- err })
+	var put, deletion Batch
+	put.Put([]byte("k"), []byte(repeatedNumber(2, 30)), 0)
+	deletion.Delete([]byte("gone"))
+	for _, c := range []*Batch{&put, &deletion} {
+		b.store.Submit(c, Synced, func(_ uint64, err error) { results <- err })
 	}
 	go func() {
-		_, _, err := b.store.compactSegment(&compaction{segment: b.store.index.segments[1], offset: headerLen}, 1<<20)
-		done <- err
+		_, _, err := b.store.compactSegment(&compaction{segment: b.store.index.segments[1], nextOffset: headerLen}, 1<<20)
+		results <- err
 	}()
 	for len(b.store.requests) < 3 {
 		runtime.Gosched()
 	}
-	close(hold)
+	close(releaseCommitter)
 	for range 3 {
-		require.NoError(t, <-done)
+		require.NoError(t, <-results)
 	}
 	for range 2 {
 		v, err := b.store.Get([]byte("k"), 0)
 		require.NoError(t, err)
-		require.Equal(t, testValue(2, 30), string(v))
+		require.Equal(t, repeatedNumber(2, 30), string(v))
 		_, err = b.store.Get([]byte("gone"), 0)
 		require.ErrorIs(t, err, ErrNotFound)
 		require.NoError(t, b.store.Close())
@@ -139,30 +140,31 @@
 	}
 }
 
-// TestGroupAfterFunction: guards against a group that closes early because batches before a queued function, which
-// were already committed, still count toward its length: that costs a sync more than needed.
+// TestGroupAfterFunction: batches committed before a queued function must not count
+// toward the length of the group after it. Otherwise that group is cut short, and an
+// additional sync is needed.
 func TestGroupAfterFunction(t *testing.T) {
 	const groupBytes, valueBytes = 4096, 1500
 	s, _, err := Open(&faultfs.FS{}, Options{MaxGroupBytes: groupBytes, ManualMaintenance: true})
 	require.NoError(t, err)
 	defer s.Close()
 	before := s.Stats()
-	hold, done := make(chan struct{}), make(chan error, 5)
-	answer := func(_ uint64, err error) { done <- err }
-	s.submit(&request{run: func() error { <-hold; return nil }, done: func(uint64, error) {}})
+	releaseCommitter, results := make(chan struct{}), make(chan error, 5)
+	reportResult := func(_ uint64, err error) { results <- err }
+	s.submit(&request{run: func() error { <-releaseCommitter; return nil }, done: func(uint64, error) {}})
 	submitBatch := func(key string) {
 		var b Batch
 		b.Put([]byte(key), make([]byte, valueBytes), 0)
-		s.Submit(&b, Synced, answer)
+		s.Submit(&b, Synced, reportResult)
 	}
 	submitBatch("before/0")
 	submitBatch("before/1")
-	s.submit(&request{run: func() error { return nil }, done: answer})
+	s.submit(&request{run: func() error { return nil }, done: reportResult})
 	submitBatch("after/0")
 	submitBatch("after/1")
-	close(hold)
+	close(releaseCommitter)
 	for range 5 {
-		require.NoError(t, <-done)
+		require.NoError(t, <-results)
 	}
 	after := s.Stats()
 	assert.EqualValues(t, 4, after.Batches-before.Batches)
--- a/internal/storage/durable/corrupt_test.go
+++ b/internal/storage/durable/corrupt_test.go
@@ -15,18 +15,18 @@
 	"oxbowbridge/internal/storage/durable/faultfs"
 )
 
-// workloadFolders are a workload's folder in service, with a compaction half done, and
-// after it was closed.
-func workloadFolders(t *testing.T) (b *workload, images map[string]map[string][]byte) {
+// newWorkloadImages runs a workload and returns images of its folder: "in service", with a
+// compaction in progress, and "closed".
+func newWorkloadImages(t *testing.T) (b *workload, images map[string]map[string][]byte) {
 	f, o := &faultfs.FS{}, smallOptions()
 	o.ReserveBytes = 1
 	b, err := newWorkload(f, o)
 	require.NoError(t, err)
-	require.NoError(t, b.runDay())
-	for i := 0; b.store.maintenance.compaction == nil || b.store.maintenance.compaction.offset <= headerLen; i++ {
-		require.Less(t, i, 500, "a compaction must be half done")
+	require.NoError(t, b.runAllOperations())
+	for i := 0; b.store.maintenance.compaction == nil || b.store.maintenance.compaction.nextOffset <= headerLen; i++ {
+		require.Less(t, i, 500, "a compaction must be in progress")
 		if i%3 == 0 {
-			require.NoError(t, b.apply(Synced, change{puts: map[string]string{fmt.Sprintf("k%02d", i%9): testValue(i, 25)}}))
+			require.NoError(t, b.apply(Synced, change{puts: map[string]string{fmt.Sprintf("k%02d", i%9): repeatedNumber(i, 25)}}))
 		}
 		require.NoError(t, b.runMaintenance(1))
 	}
@@ -53,16 +53,17 @@
 	return b, images
 }
 
-// checkDamagedFolder opens a folder; the result is a state that existed, or a typed
-// error. The state may be older by maxLostBatches: where a cut removes the end of the
-// log and the folder was not closed, it can't be detected.
-func checkDamagedFolder(t *testing.T, b *workload, image map[string][]byte, what string, maxLostBatches int, repair bool) (opened bool) {
+// checkOpenOfDamagedFolder checks that a damaged folder opens with a state that existed,
+// or fails with a DamagedError and is not changed. The state may lack the last
+// maxLostBatches batches: if the folder was not closed, recovery can't detect that the
+// end of the log is missing.
+func checkOpenOfDamagedFolder(t *testing.T, b *workload, image map[string][]byte, what string, maxLostBatches int, repair bool) (opened bool) {
 	f := faultfs.FromImage(image)
 	before := f.Steps()
 	s, r, err := Open(f, smallOptions())
 	if err == nil {
 		got, damaged := readState(t, s)
-		if i := slices.Index(b.states, got); i < 0 && damaged == 0 || damaged > 0 && !isPartOfState(b, got) {
+		if i := slices.Index(b.states, got); i < 0 && damaged == 0 || damaged > 0 && !isSubsetOfAnyState(b, got) {
 			t.Errorf("%s: no such state: %s\n%+v", what, got, r)
 		} else if damaged == 0 && !slices.Contains(b.states[max(0, len(b.states)-1-maxLostBatches):], got) {
 			t.Errorf("%s: the state is older than it may be\n%+v", what, r)
@@ -94,18 +95,19 @@
 		t.Errorf("%s: after repair: %v", what, err)
 		return false
 	}
-	if got, _ := readState(t, s); !isPartOfState(b, got) {
+	if got, _ := readState(t, s); !isSubsetOfAnyState(b, got) {
 		t.Errorf("%s: after repair, no such state: %s", what, got)
 	}
-	if err := s.Put([]byte("after"), []byte(testValue(3, 30))); err != nil {
+	if err := s.Put([]byte("after"), []byte(repeatedNumber(3, 30))); err != nil {
 		t.Errorf("%s: after repair: %v", what, err)
 	}
 	s.Close()
 	return false
 }
 
-// isPartOfState: a state that existed has all these keys, with these values.
-func isPartOfState(b *workload, got string) bool {
+// isSubsetOfAnyState reports whether a state of the workload has all these keys with the
+// same values.
+func isSubsetOfAnyState(b *workload, got string) bool {
 	pairs := strings.Split(strings.TrimSuffix(got, ";"), ";")
 	return got == "" || slices.ContainsFunc(b.states, func(s string) bool {
 		s = ";" + s
@@ -113,18 +115,19 @@
 	})
 }
 
-// TestEveryByteDamaged cuts every file at every byte, and changes every byte.
+// TestEveryByteDamaged truncates every file at every byte, changes every byte, and
+// removes every file. No damage may give a state that never existed.
 func TestEveryByteDamaged(t *testing.T) {
-	b, images := workloadFolders(t)
+	b, images := newWorkloadImages(t)
 	patterns, repairs := []byte{0x01, 0x80, 0xff}, 23
 	if *longRun {
 		patterns, repairs = []byte{0x01, 0x02, 0x04, 0x08, 0x10, 0x20, 0x40, 0x80, 0xff, 0x55}, 1
 	}
 	for when, image := range images {
-		var opened, refused atomic.Int64
+		var opened, rejected atomic.Int64
 		for _, name := range slices.Sorted(maps.Keys(image)) {
 			content := image[name]
-			count := func(i int, changed []byte, what string) {
+			checkChanged := func(i int, changed []byte, what string) {
 				maxLostBatches := 0
 				if when == "in service" {
 					maxLostBatches = 1
@@ -134,40 +137,41 @@
 				}
 				c := maps.Clone(image)
 				c[name] = changed
-				if checkDamagedFolder(t, b, c, fmt.Sprintf("%s, %s %s byte %d", when, name, what, i), maxLostBatches, i%repairs == 0) {
+				if checkOpenOfDamagedFolder(t, b, c, fmt.Sprintf("%s, %s %s byte %d", when, name, what, i), maxLostBatches, i%repairs == 0) {
 					opened.Add(1)
 				} else {
-					refused.Add(1)
+					rejected.Add(1)
 				}
 			}
 			runParallel(t, len(content), func(i int) {
-				count(i, slices.Clone(content[:i]), "cut at")
+				checkChanged(i, slices.Clone(content[:i]), "cut at")
 				for _, p := range patterns {
 					c := slices.Clone(content)
 					c[i] ^= p
-					count(i, c, fmt.Sprintf("xor %#x at", p))
+					checkChanged(i, c, fmt.Sprintf("xor %#x at", p))
 				}
 			})
 			c := maps.Clone(image)
 			delete(c, name)
-			checkDamagedFolder(t, b, c, when+", without "+name, 0, true)
+			checkOpenOfDamagedFolder(t, b, c, when+", without "+name, 0, true)
 		}
-		t.Logf("%s: %d folders opened, %d refused", when, opened.Load(), refused.Load())
+		t.Logf("%s: %d folders opened, %d refused", when, opened.Load(), rejected.Load())
 		require.Positive(t, opened.Load())
-		require.Positive(t, refused.Load())
+		require.Positive(t, rejected.Load())
 	}
 }
 
-// TestSwappedFiles: complete files of another time or another store are detected.
+// TestSwappedFiles: a file that was replaced by another file of the same store, or by
+// the file of that name of another store, is detected.
 func TestSwappedFiles(t *testing.T) {
-	b, images := workloadFolders(t)
+	b, images := newWorkloadImages(t)
 	image := images["closed"]
 	names := slices.Sorted(maps.Keys(image))
 	for _, from := range names {
 		for _, to := range names {
 			c := maps.Clone(image)
 			c[to] = image[from]
-			checkDamagedFolder(t, b, c, from+" in place of "+to, 0, true)
+			checkOpenOfDamagedFolder(t, b, c, from+" in place of "+to, 0, true)
 		}
 	}
 	o := smallOptions()
@@ -175,7 +179,7 @@
 	f := &faultfs.FS{}
 	other, err := newWorkload(f, o)
 	require.NoError(t, err)
-	require.NoError(t, other.runDay())
+	require.NoError(t, other.runAllOperations())
 	require.NoError(t, other.store.Close())
 	for name, data := range f.Image() {
 		c := maps.Clone(image)
@@ -197,25 +201,26 @@
 	}
 }
 
-// TestReusedBlock: where a batch was torn, the disk gives back what stood there in an
-// earlier use of the same segment: complete batches, with the right numbers.
+// TestReusedBlock: the disk blocks of a torn tail still hold complete batches with the
+// expected sequence numbers, written by an earlier use of the same segment number.
+// Recovery must not replay them.
 func TestReusedBlock(t *testing.T) {
-	fill := func(f *faultfs.FS, word string) {
+	writeBatches := func(f *faultfs.FS, value string) {
 		s, _, err := Open(f, smallOptions())
 		require.NoError(t, err)
 		for i := range 4 {
-			require.NoError(t, s.Put(fmt.Append(nil, i), []byte(word)))
+			require.NoError(t, s.Put(fmt.Append(nil, i), []byte(value)))
 		}
 		require.NoError(t, s.Sync())
 		s.maintenance.stop()
 	}
 	f, old := &faultfs.FS{}, &faultfs.FS{}
-	fill(f, "new")
-	fill(old, "old")
+	writeBatches(f, "new")
+	writeBatches(old, "old")
 	name := segmentName(1)
-	image, before := f.Image(), old.Image()[name]
-	size := (len(image[name]) - headerLen) / 4
-	image[name] = append(image[name][:headerLen+2*size:headerLen+2*size], before[headerLen+2*size:]...)
+	image, oldContent := f.Image(), old.Image()[name]
+	batchLen := (len(image[name]) - headerLen) / 4
+	image[name] = append(image[name][:headerLen+2*batchLen:headerLen+2*batchLen], oldContent[headerLen+2*batchLen:]...)
 	s, _, err := Open(faultfs.FromImage(image), smallOptions())
 	if err != nil {
 		require.ErrorIs(t, err, ErrDamaged)
@@ -225,10 +230,10 @@
 	require.Equal(t, "0=new;1=new;", got)
 }
 
-// TestCrashInRepair stops the machine at every step of repairs of all kinds of
-// damage. Afterwards the folder is as damaged as before, or repaired.
+// TestCrashInRepair injects a crash at every I/O step of the repair of several kinds of
+// damage. After the crash the folder is repaired, or can still be repaired.
 func TestCrashInRepair(t *testing.T) {
-	b, images := workloadFolders(t)
+	b, images := newWorkloadImages(t)
 	image := images["closed"]
 	names := slices.Sorted(maps.Keys(image))
 	segments, checkpoints, damages := []string{}, []string{}, 0
@@ -252,18 +257,18 @@
 	for _, name := range segments {
 		damage = append(damage, func(c map[string][]byte) { c[name] = c[name][:len(c[name])/2] }, func(c map[string][]byte) { delete(c, name) })
 	}
-	for d, spoil := range damage {
+	for d, corrupt := range damage {
 		c := map[string][]byte{}
 		for name, data := range image {
 			c[name] = slices.Clone(data)
 		}
-		spoil(c)
-		sound := faultfs.FromImage(c)
-		if _, err := Repair(sound, smallOptions()); errors.Is(err, ErrUnrecoverable) || sound.Steps() == 0 {
+		corrupt(c)
+		faultless := faultfs.FromImage(c)
+		if _, err := Repair(faultless, smallOptions()); errors.Is(err, ErrUnrecoverable) || faultless.Steps() == 0 {
 			continue
 		}
 		damages++
-		for k := 1; k <= sound.Steps(); k++ {
+		for k := 1; k <= faultless.Steps(); k++ {
 			for seed := range uint64(4) {
 				f := faultfs.FromImage(c)
 				f.FaultAt = func(step int, _, _ string) faultfs.Fault {
@@ -283,8 +288,8 @@
 				}
 				require.NoError(t, err, "damage %d, step %d, seed %d", d, k, seed)
 				got, _ := readState(t, s)
-				require.True(t, isPartOfState(b, got), "damage %d, step %d, seed %d: %s", d, k, seed, got)
-				require.NoError(t, s.Put([]byte("after"), []byte(testValue(3, 30))))
+				require.True(t, isSubsetOfAnyState(b, got), "damage %d, step %d, seed %d: %s", d, k, seed, got)
+				require.NoError(t, s.Put([]byte("after"), []byte(repeatedNumber(3, 30))))
 				require.NoError(t, s.Close())
 			}
 		}
--- a/internal/storage/durable/crash_test.go
+++ b/internal/storage/durable/crash_test.go
@@ -18,9 +18,9 @@
 	"oxbowbridge/internal/testrig/rapidseed"
 )
 
-var longRun = flag.Bool("full", false, "run the long form of the sweeps")
+var longRun = flag.Bool("full", false, "run the crash and damage tests with more seeds and patterns")
 
-// TestMain has the short form try the same histories each time.
+// TestMain sets a fixed seed for rapid, unless the flag -full is given.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if !*longRun {
@@ -29,16 +29,17 @@
 	os.Exit(m.Run())
 }
 
-// TestCrashAtEveryStep stops the machine at each I/O step of the workload, with all, none
-// or any part of what no sync covered on disk, and again at each step of the
-// recovery. What was acknowledged is there, and nothing is half there.
+// TestCrashAtEveryStep injects a crash or an I/O error at each I/O step of the workload,
+// and a crash at each step of the recovery after it. All, none or a random part of the
+// unsynced data survives. After recovery all acknowledged batches must exist, and no
+// batch may exist in part.
 func TestCrashAtEveryStep(t *testing.T) {
-	sound := &faultfs.FS{}
-	b, err := newWorkload(sound, smallOptions())
+	faultless := &faultfs.FS{}
+	b, err := newWorkload(faultless, smallOptions())
 	require.NoError(t, err)
-	require.NoError(t, b.runDay())
+	require.NoError(t, b.runAllOperations())
 	require.NoError(t, b.store.Close())
-	steps := sound.Steps()
+	steps := faultless.Steps()
 	require.Greater(t, steps, 300)
 	seeds := uint64(4)
 	if *longRun {
@@ -54,14 +55,14 @@
 			}}
 			b, err := newWorkload(f, smallOptions())
 			if err == nil {
-				if err = b.runDay(); err == nil {
+				if err = b.runAllOperations(); err == nil {
 					err = b.store.Close()
 				} else {
 					b.store.Close()
 				}
 			}
 			if fault == faultfs.Crash && err == nil {
-				t.Errorf("step %d: nobody noticed", k+1)
+				t.Errorf("step %d: a crash caused no error", k+1)
 			}
 			for seed := range seeds {
 				keep := []float64{0.5, 0, 1, 0.9}[seed%4]
@@ -69,13 +70,13 @@
 				if seed%4 == 0 && fault == faultfs.Crash {
 					crashDuringRecovery(t, b, g, seed)
 				}
-				checkReopened(t, b, g, fmt.Sprintf("%v at step %d, seed %d", fault, k+1, seed))
+				checkRecoveredState(t, b, g, fmt.Sprintf("%v at step %d, seed %d", fault, k+1, seed))
 			}
 		}
 	})
 }
 
-// crashDuringRecovery stops the recovery at its first, second, third... step.
+// crashDuringRecovery injects a crash at each I/O step of the recovery in turn.
 func crashDuringRecovery(t *testing.T, b *workload, g *faultfs.FS, seed uint64) {
 	image := g.Image()
 	for k := 1; ; k++ {
@@ -96,42 +97,43 @@
 			t.Errorf("recovery, step %d: %v", k, err)
 			return
 		}
-		checkReopened(t, b, h.AfterCrash(rand.New(rand.NewPCG(uint64(k), seed)), 0.5), fmt.Sprintf("recovery, step %d", k))
+		checkRecoveredState(t, b, h.AfterCrash(rand.New(rand.NewPCG(uint64(k), seed)), 0.5), fmt.Sprintf("recovery, step %d", k))
 	}
 }
 
-// checkReopened checks that a folder opens without damage, in a state that is not older than what was acknowledged.
-func checkReopened(t *testing.T, b *workload, f *faultfs.FS, when string) {
+// checkRecoveredState checks that a folder opens without damage, in a state of the
+// workload that is not older than the last acknowledged one.
+func checkRecoveredState(t *testing.T, b *workload, f *faultfs.FS, description string) {
 	s, r, err := Open(f, smallOptions())
 	if err != nil {
-		t.Errorf("%s: %v", when, err)
+		t.Errorf("%s: %v", description, err)
 		return
 	}
 	got, damaged := readState(t, s)
 	if damaged > 0 {
-		t.Errorf("%s: %d values are damaged", when, damaged)
+		t.Errorf("%s: %d values are damaged", description, damaged)
 	}
 	if r.Loss == AcknowledgedLoss || !slices.Contains(b.states[b.acknowledged:], got) {
-		t.Errorf("%s: not a state from %d on: %s\n%+v", when, b.acknowledged, got, r)
+		t.Errorf("%s: not a state from %d on: %s\n%+v", description, b.acknowledged, got, r)
 	}
-	if err := s.Put([]byte("after"), []byte(testValue(1, 30))); err != nil {
-		t.Errorf("%s: %v", when, err)
+	if err := s.Put([]byte("after"), []byte(repeatedNumber(1, 30))); err != nil {
+		t.Errorf("%s: %v", description, err)
 	}
 	want, _ := readState(t, s)
 	s.maintenance.stop()
 	s, _, err = Open(f.AfterCrash(rand.New(rand.NewPCG(1, 1)), 0), smallOptions())
 	if err != nil {
-		t.Errorf("%s, after a write and another crash: %v", when, err)
+		t.Errorf("%s, after a write and another crash: %v", description, err)
 		return
 	}
 	if got, _ := readState(t, s); got != want {
-		t.Errorf("%s, after a write and another crash: %s, want %s", when, got, want)
+		t.Errorf("%s, after a write and another crash: %s, want %s", description, got, want)
 	}
 	s.Close()
 }
 
-// runParallel runs n cases on all cores.
-func runParallel(t *testing.T, n int, do func(i int)) {
+// runParallel runs n cases on all cores, and stops at the first failure.
+func runParallel(t *testing.T, n int, runCase func(i int)) {
 	var wg sync.WaitGroup
 	var next atomic.Int64
 	for range runtime.GOMAXPROCS(0) {
@@ -139,22 +141,22 @@
 		go func() {
 			defer wg.Done()
 			for i := int(next.Add(1)) - 1; i < n && !t.Failed(); i = int(next.Add(1)) - 1 {
-				do(i)
+				runCase(i)
 			}
 		}()
 	}
 	wg.Wait()
 }
 
-// TestKilledThenCrashed: a process is killed with a buffered batch that no sync
-// covered; the next one shows it to readers, so a crash of the machine may not take
-// it back.
+// TestKilledThenCrashed: a process is killed after an unsynced batch. The next process
+// makes the batch visible to readers, so a crash of the machine after that must not
+// lose it.
 func TestKilledThenCrashed(t *testing.T) {
 	f := &faultfs.FS{}
 	b, err := newWorkload(f, smallOptions())
 	require.NoError(t, err)
 	require.NoError(t, b.apply(Buffered, change{puts: map[string]string{"a": "1"}}))
-	b.store.lock.Close() // as the system does
+	b.store.lock.Close() // the kernel releases the lock of a killed process
 	s, _, err := Open(f, smallOptions())
 	require.NoError(t, err)
 	v, err := s.Get([]byte("a"), 0)
--- a/internal/storage/durable/errors.go
+++ b/internal/storage/durable/errors.go
@@ -6,36 +6,37 @@
 	"strings"
 )
 
-// Errors of reads and of the store's state.
+// Errors of reads, of the store's state and of its files.
 var (
-	// ErrNotFound means that the key is not there, or has expired.
+	// ErrNotFound means that the key does not exist or has expired.
 	ErrNotFound = errors.New("key not found")
 	// ErrClosed means that the store, or the snapshot, was closed.
 	ErrClosed = errors.New("store is closed")
-	// ErrFull means that the batch was rejected for want of space; nothing of it is
-	// there. Deletes still work.
+	// ErrFull means that the batch was rejected for lack of disk space and nothing of
+	// it was stored. Deletes still work.
 	ErrFull = errors.New("store is full")
-	// ErrReadOnly means that a write or sync failed, and that nothing more is written.
-	// Batches in flight then may be there or not after the store is opened again.
+	// ErrReadOnly means that a write or sync failed and the store accepts no more
+	// writes. Batches in flight at the failure may or may not exist after the store is
+	// reopened.
 	ErrReadOnly = errors.New("store is read-only")
-	// ErrDamaged means that what was acknowledged, or may have been, can't be read.
+	// ErrDamaged means that data which was acknowledged, or may have been, can't be read.
 	ErrDamaged = errors.New("store is damaged")
-	// ErrUnrecoverable means that no consistent state can be recovered at all.
+	// ErrUnrecoverable means that no consistent state can be recovered.
 	ErrUnrecoverable = errors.New("nothing can be recovered")
-	// ErrTooManySnapshots means that Options.MaxSnapshots are open.
+	// ErrTooManySnapshots means that Options.MaxSnapshots snapshots are open already.
 	ErrTooManySnapshots = errors.New("too many open snapshots")
 )
 
-// Errors of the caller; nothing was written.
+// Errors for invalid arguments; nothing was written.
 var (
-	// ErrKeyLength means that a key is empty or above Options.MaxKeyBytes.
+	// ErrKeyLength means that a key is empty or longer than Options.MaxKeyBytes.
 	ErrKeyLength = errors.New("key is empty or too long")
-	// ErrValueLength means that a value is above Options.MaxValueBytes.
+	// ErrValueLength means that a value is longer than Options.MaxValueBytes.
 	ErrValueLength = errors.New("value is too long")
-	// ErrBatchLength means that a batch is empty or above Options.MaxBatchBytes.
+	// ErrBatchLength means that a batch is empty or longer than Options.MaxBatchBytes.
 	ErrBatchLength = errors.New("batch is empty or too long")
-	// ErrRangeOrder means that a range to delete ends before it begins.
-	ErrRangeOrder = errors.New("range ends before it begins")
+	// ErrRangeOrder means that the end of a range to delete is before its start.
+	ErrRangeOrder = errors.New("range ends before its start")
 )
 
 // DamagedError says why a folder was not opened. It matches ErrDamaged, and
@@ -51,12 +52,12 @@
 	return fmt.Sprintf("%v: %s", ErrDamaged, strings.Join(faults, "; "))
 }
 
-// Is matches the sentinels that the report stands for.
+// Is matches ErrDamaged, and ErrUnrecoverable if the report says so.
 func (e *DamagedError) Is(target error) bool {
 	return target == ErrDamaged || target == ErrUnrecoverable && e.Report.Unrecoverable
 }
 
-// fileFault is one thing found wrong in a file. It matches ErrDamaged.
+// fileFault is a fault found in a file. It matches ErrDamaged.
 type fileFault struct {
 	file   string
 	offset int64 // bytes
@@ -69,6 +70,6 @@
 
 func (f *fileFault) Is(target error) bool { return target == ErrDamaged }
 
-func newFault(file string, offset int64, format string, args ...any) error {
+func newFileFault(file string, offset int64, format string, args ...any) error {
 	return &fileFault{file, offset, fmt.Sprintf(format, args...)}
 }
--- a/internal/storage/durable/example_test.go
+++ b/internal/storage/durable/example_test.go
@@ -22,13 +22,13 @@
 	}
 	store, report, err := durable.Open(fs, durable.Options{})
 	if err != nil {
-		log.Fatal(err) // a *durable.DamagedError: the operator decides on a repair
+		log.Fatal(err) // for a *durable.DamagedError the operator decides whether to run Repair
 	}
 	fmt.Println("missing:", report.Loss)
 
-	var b durable.Batch // takes effect completely or not at all
+	var b durable.Batch // its operations are applied atomically
 	b.Put([]byte("volume/kamloops"), []byte("200 GJ"), 0)
-	b.Put([]byte("lease/kamloops"), []byte("desk-1"), 1_700_000_060) // until then
+	b.Put([]byte("lease/kamloops"), []byte("desk-1"), 1_700_000_060) // with an expiry
 	if _, err := store.Apply(&b, durable.Synced); err != nil {
 		log.Fatal(err)
 	}
--- a/internal/storage/durable/expire.go
+++ b/internal/storage/durable/expire.go
@@ -1,7 +1,8 @@
 package durable
 
-// Expire deletes up to limit keys that have expired at now, buffered, and returns
-// how many. Keys that are written again meanwhile stay.
+// Expire deletes up to limit keys that have expired at now, in one buffered batch, and
+// returns the number of deletes in the batch. A key that is written concurrently is not
+// deleted.
 func (s *Store) Expire(now int64, limit int) (int, error) {
 	var b Batch
 	s.mu.RLock()
--- a/internal/storage/durable/faultfs/crash.go
+++ b/internal/storage/durable/faultfs/crash.go
@@ -6,17 +6,17 @@
 	"slices"
 )
 
-// sectorBytes is what a disk writes completely or not at all.
+// sectorBytes is the length of a disk sector, which a disk writes atomically.
 const sectorBytes = 512
 
-// AfterCrash is the folder as a new process may find it after a loss of power. What no
-// sync covered survives with the probability keep: 0 loses all of it, 1 keeps all of
-// it, and between them any part survives, by sectors and by names.
-func (f *FS) AfterCrash(rng *rand.Rand, keep float64) *FS {
+// AfterCrash returns a folder with a possible content after a power failure. Each
+// unsynced sector and each unsynced change of a file name survives with the given
+// probability; synced data always survives.
+func (f *FS) AfterCrash(rng *rand.Rand, survivalProbability float64) *FS {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.init()
-	survives := func() bool { return rng.Float64() < keep }
+	survives := func() bool { return rng.Float64() < survivalProbability }
 	names := f.namesAfterCrash(survives)
 	after := &FS{files: map[string]*inode{}, synced: map[string]*inode{}}
 	for _, name := range sortedNames(names) {
@@ -25,7 +25,7 @@
 	return after
 }
 
-// namesAfterCrash applies the surviving changes of names to the synced folder.
+// namesAfterCrash applies the surviving changes of file names to the synced folder.
 func (f *FS) namesAfterCrash(survives func() bool) map[string]*inode {
 	names := maps.Clone(f.synced)
 	for _, change := range f.pending {
@@ -64,7 +64,7 @@
 	return data
 }
 
-// Image returns each file's content, synced or not.
+// Image returns the current content of each file, including unsynced writes.
 func (f *FS) Image() map[string][]byte {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -75,7 +75,7 @@
 	return image
 }
 
-// FromImage is a folder of these files, all synced.
+// FromImage returns a folder with these files. All of them are synced.
 func FromImage(image map[string][]byte) *FS {
 	f := &FS{}
 	f.init()
--- a/internal/storage/durable/faultfs/faultfs.go
+++ b/internal/storage/durable/faultfs/faultfs.go
@@ -1,13 +1,12 @@
-// Package faultfs has file systems that fail on demand, for tests of what is built on
-// internal/storage/durable/vfs.
+// Package faultfs has implementations of vfs.FS with fault injection, for tests of code
+// that uses internal/storage/durable/vfs.
 //
-// [FS] is a folder in memory. It keeps apart what was synced and what was only
-// written, so that [FS.AfterCrash] may lose, keep or tear whatever no sync has
-// covered, as a disk and its file system may. [Injector] adds faults to another
-// folder, such as a real one.
+// [FS] is a folder in memory. It distinguishes synced data from unsynced writes, so that
+// [FS.AfterCrash] can lose, retain or tear unsynced writes, as a disk and its file system
+// may do in a power failure. [Injector] adds faults to another folder, such as a real
+// one.
 //
-// Both may be used from many goroutines. Injected errors match syscall.EIO or
-// syscall.ENOSPC.
+// Both are safe for concurrent use. Injected errors match syscall.EIO or syscall.ENOSPC.
 package faultfs
 
 import (
@@ -18,29 +17,30 @@
 	"oxbowbridge/internal/storage/durable/vfs"
 )
 
-// Fault is what an operation does in place of its work.
+// Fault is a fault that is injected into an operation.
 type Fault int
 
 // The faults.
 const (
 	// NoFault lets the operation succeed.
 	NoFault Fault = iota
-	// Crash has this operation and all that follow fail; AfterCrash has the folder then.
+	// Crash fails this operation and all later ones. AfterCrash returns the folder after
+	// the crash.
 	Crash
-	// IOError has the operation fail with EIO.
+	// IOError fails the operation with EIO.
 	IOError
-	// ShortWrite has a write stop half way with EIO; other operations fail.
+	// ShortWrite fails the operation with EIO; a write has then written half of its data.
 	ShortWrite
 )
 
-// FS is a folder in memory. Its zero value is empty, and never fails.
+// FS is a folder in memory. The zero value is an empty folder without faults.
 type FS struct {
-	// FaultAt decides on each operation that changes something, counted from 1; op is
-	// "create", "write", "truncate", "sync", "rename", "remove" or "syncdir". Nil
-	// injects nothing.
+	// FaultAt returns the fault for each operation that changes the folder. Operations
+	// are counted from 1; op is "create", "write", "truncate", "sync", "rename",
+	// "remove" or "syncdir". If FaultAt is nil, no faults are injected.
 	FaultAt func(step int, op, name string) Fault
-	// Capacity is the sum of all files' lengths, in bytes, beyond which writes fail
-	// with ENOSPC; 0 is no bound.
+	// Capacity bounds the total length of all files in bytes; a write beyond it fails
+	// with ENOSPC. 0 means no bound.
 	Capacity int64
 
 	mu      sync.Mutex
@@ -48,27 +48,28 @@
 	synced  map[string]*inode // as of the last SyncDir
 	pending []dirChange       // since the last SyncDir
 	locked  bool
-	steps   int // operations that change something
+	steps   int // number of operations that changed the folder, including failed ones
 	crashed bool
 }
 
 var _ vfs.FS = (*FS)(nil)
 
-// dirChange is one change of the folder's names since the last SyncDir.
+// dirChange is a change of a file name since the last SyncDir.
 type dirChange struct {
 	removed string // "" if none
 	added   string
-	target  *inode // of the added name; nil if none
+	target  *inode // file of the added name; nil if none
 }
 
 // inode is the content of a file.
 type inode struct {
 	data    []byte
 	synced  []byte
-	pending []pendingWrite // since the last sync of the file
+	pending []pendingWrite // writes since the last sync of the file
 }
 
-// pendingWrite is data written at an offset, or a new length if data is nil.
+// pendingWrite is data written at an offset. If data is nil, it is a truncation to the
+// length in offset.
 type pendingWrite struct {
 	offset int64
 	data   []byte
@@ -76,8 +77,8 @@
 
 var errShortWrite = fmt.Errorf("short: %w", syscall.EIO)
 
-// checkFault counts an operation, and returns the error that is injected. The
-// caller holds the lock.
+// checkFault counts an operation, and returns the injected error, if any. The caller
+// holds the lock.
 func (f *FS) checkFault(op, name string) error {
 	if f.crashed {
 		return fmt.Errorf("%s %s: crashed: %w", op, name, syscall.EIO)
@@ -98,7 +99,7 @@
 	return fmt.Errorf("%s %s: %w", op, name, syscall.EIO)
 }
 
-// Steps is how many operations that change something were begun.
+// Steps returns the number of operations that changed the folder, including failed ones.
 func (f *FS) Steps() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/storage/durable/faultfs/file.go
+++ b/internal/storage/durable/faultfs/file.go
@@ -15,7 +15,7 @@
 	name  string
 }
 
-// ReadAt reads what was written, synced or not.
+// ReadAt reads the current content, including unsynced writes.
 func (m *memFile) ReadAt(p []byte, offset int64) (int, error) {
 	m.fs.mu.Lock()
 	defer m.fs.mu.Unlock()
@@ -29,7 +29,7 @@
 	return n, nil
 }
 
-// WriteAt writes as much as the injected fault and the capacity allow.
+// WriteAt writes as many bytes as the injected fault and the capacity allow.
 func (m *memFile) WriteAt(p []byte, offset int64) (int, error) {
 	m.fs.mu.Lock()
 	defer m.fs.mu.Unlock()
@@ -39,7 +39,7 @@
 	} else if err != nil {
 		return 0, err
 	}
-	if excess := m.excessBytes(offset + int64(len(p))); excess > 0 { // what fits is written, as by a disk
+	if excess := m.excessBytes(offset + int64(len(p))); excess > 0 { // the part that fits is written, as on a disk
 		p = p[:max(0, int64(len(p))-excess)]
 		err = &fs.PathError{Op: "write", Path: m.name, Err: syscall.ENOSPC}
 	}
@@ -50,8 +50,8 @@
 	return len(p), err
 }
 
-// excessBytes is by how much the folder would be above its capacity if the file
-// grew to a length.
+// excessBytes returns the number of bytes by which the folder would exceed its capacity
+// if the file had at least the given size.
 func (m *memFile) excessBytes(size int64) int64 {
 	if m.fs.Capacity <= 0 {
 		return 0
@@ -61,7 +61,7 @@
 	return max(0, growth-free)
 }
 
-// Truncate sets the length.
+// Truncate sets the length in bytes.
 func (m *memFile) Truncate(size int64) error {
 	m.fs.mu.Lock()
 	defer m.fs.mu.Unlock()
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// Size is the length in bytes.
+// Size returns the length in bytes.
 func (m *memFile) Size() (int64, error) {
 	m.fs.mu.Lock()
 	defer m.fs.mu.Unlock()
@@ -95,7 +95,7 @@
 // Close does nothing; the file may still be used.
 func (m *memFile) Close() error { return nil }
 
-// writeAt returns data with p at an offset, extended by zeros if need be.
+// writeAt writes p to data at an offset and returns data, extended if necessary.
 func writeAt(data []byte, offset int64, p []byte) []byte {
 	if end := offset + int64(len(p)); end > int64(len(data)) {
 		data = resized(data, end)
@@ -104,7 +104,7 @@
 	return data
 }
 
-// resized returns data at a length, extended by zeros if need be.
+// resized returns data truncated or extended by zeros to the given size.
 func resized(data []byte, size int64) []byte {
 	if size <= int64(len(data)) {
 		return data[:size:size]
--- a/internal/storage/durable/faultfs/folder.go
+++ b/internal/storage/durable/faultfs/folder.go
@@ -8,7 +8,7 @@
 	"oxbowbridge/internal/storage/durable/vfs"
 )
 
-// Open opens a file that exists.
+// Open opens an existing file.
 func (f *FS) Open(name string) (vfs.File, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -18,7 +18,7 @@
 	return nil, &fs.PathError{Op: "open", Path: name, Err: fs.ErrNotExist}
 }
 
-// Create makes a file, or truncates one that exists.
+// Create creates a file, or truncates an existing one.
 func (f *FS) Create(name string) (vfs.File, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -38,7 +38,7 @@
 	return &memFile{f, n, name}, nil
 }
 
-// Remove removes a file, durably after SyncDir.
+// Remove removes a file. The removal is durable after SyncDir.
 func (f *FS) Remove(name string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -53,7 +53,8 @@
 	return nil
 }
 
-// Rename replaces the target, durably after SyncDir.
+// Rename renames a file, and replaces an existing target. The change is durable after
+// SyncDir.
 func (f *FS) Rename(from, to string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -70,7 +71,7 @@
 	return nil
 }
 
-// List returns all files, in the order of their names.
+// List returns all files, sorted by name.
 func (f *FS) List() ([]vfs.FileInfo, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -81,7 +82,7 @@
 	return list, nil
 }
 
-// SyncDir makes what was created, renamed and removed durable.
+// SyncDir makes created, renamed and removed file names durable.
 func (f *FS) SyncDir() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -94,7 +95,7 @@
 	return nil
 }
 
-// Lock takes the folder's lock; there is one, whatever the name.
+// Lock acquires the folder's only lock; the name is ignored.
 func (f *FS) Lock(string) (io.Closer, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -102,20 +103,20 @@
 		return nil, vfs.ErrLocked
 	}
 	f.locked = true
-	return unlock{f}, nil
+	return folderLock{f}, nil
 }
 
-type unlock struct{ fs *FS }
+type folderLock struct{ fs *FS }
 
 // Close releases the lock.
-func (u unlock) Close() error {
+func (u folderLock) Close() error {
 	u.fs.mu.Lock()
 	defer u.fs.mu.Unlock()
 	u.fs.locked = false
 	return nil
 }
 
-// usedBytes is the sum of all files' lengths. The caller holds the lock.
+// usedBytes returns the total length of all files. The caller holds the lock.
 func (f *FS) usedBytes() (total int64) {
 	for _, n := range f.files {
 		total += int64(len(n.data))
--- a/internal/storage/durable/faultfs/injector.go
+++ b/internal/storage/durable/faultfs/injector.go
@@ -10,26 +10,26 @@
 
 // Faults of an Injector.
 const (
-	// DiskFull: files can't grow, nor new ones be made.
+	// DiskFull fails every create and write with ENOSPC.
 	DiskFull = "full"
-	// FailWrites: every write fails with EIO.
+	// FailWrites fails every create and write with EIO.
 	FailWrites = "write"
-	// FailSyncs: every sync fails with EIO.
+	// FailSyncs fails every sync with EIO.
 	FailSyncs = "sync"
 )
 
 // Injector adds faults to another folder, such as a real one.
 type Injector struct {
 	vfs.FS
-	// ActiveFault is one of the faults, or "" for none. It is called before each
-	// operation that changes something, from any goroutine.
+	// ActiveFault returns the fault to inject, or "" for none. It is called before each
+	// create, write and sync, from any goroutine.
 	ActiveFault func() string
 }
 
 var _ vfs.FS = (*Injector)(nil)
 
-// injected is the error of an operation under the active fault, or nil.
-func (i *Injector) injected(op, name string) error {
+// injectedError returns the error that the active fault causes for an operation, or nil.
+func (i *Injector) injectedError(op, name string) error {
 	fault := i.ActiveFault()
 	writes := op == "create" || op == "write"
 	switch {
@@ -41,30 +41,31 @@
 	return nil
 }
 
-// Open opens a file that exists.
+// Open opens an existing file.
 func (i *Injector) Open(name string) (vfs.File, error) {
 	f, err := i.FS.Open(name)
 	return i.wrapFile(f, name, err)
 }
 
-// Create makes a file, or truncates one that exists.
+// Create creates a file, or truncates an existing one, unless a fault is active.
 func (i *Injector) Create(name string) (vfs.File, error) {
-	if err := i.injected("create", name); err != nil {
+	if err := i.injectedError("create", name); err != nil {
 		return nil, err
 	}
 	f, err := i.FS.Create(name)
 	return i.wrapFile(f, name, err)
 }
 
-// SyncDir makes what was created, renamed and removed durable.
+// SyncDir makes created, renamed and removed file names durable, unless a fault is
+// active.
 func (i *Injector) SyncDir() error {
-	if err := i.injected("sync", "."); err != nil {
+	if err := i.injectedError("sync", "."); err != nil {
 		return err
 	}
 	return i.FS.SyncDir()
 }
 
-// Lock takes the folder's lock. It never fails by injection.
+// Lock acquires the folder's lock. No fault is injected.
 func (i *Injector) Lock(name string) (io.Closer, error) { return i.FS.Lock(name) }
 
 func (i *Injector) wrapFile(f vfs.File, name string, err error) (vfs.File, error) {
@@ -83,7 +84,7 @@
 
 // WriteAt writes, unless a fault is active.
 func (f *injectedFile) WriteAt(b []byte, offset int64) (int, error) {
-	if err := f.injector.injected("write", f.name); err != nil {
+	if err := f.injector.injectedError("write", f.name); err != nil {
 		return 0, err
 	}
 	return f.File.WriteAt(b, offset)
@@ -91,7 +92,7 @@
 
 // Sync syncs, unless a fault is active.
 func (f *injectedFile) Sync() error {
-	if err := f.injector.injected("sync", f.name); err != nil {
+	if err := f.injector.injectedError("sync", f.name); err != nil {
 		return err
 	}
 	return f.File.Sync()
--- a/internal/storage/durable/file_header.go
+++ b/internal/storage/durable/file_header.go
@@ -11,11 +11,11 @@
 	headerStoreOffset   = 12
 )
 
-// fileFormat is what tells files of one kind from those of another.
+// fileFormat identifies the files of one kind.
 type fileFormat struct {
 	magic       string // the first bytes of the file
 	kind        fileKind
-	description string // in errors
+	description string // for error messages
 }
 
 var (
@@ -24,8 +24,8 @@
 	manifestFormat   = fileFormat{magic: "oxbwMAN\n", kind: 'm', description: "a manifest"}
 )
 
-// newHeader begins the header of a file, of a length in bytes: magic, format version
-// and store are at the same places in all files.
+// newHeader returns a header of a length in bytes, with the fields that have the same
+// offsets in all files: magic, format version and store ID.
 func (f *fileFormat) newHeader(length int, storeID uint64) []byte {
 	b := make([]byte, length)
 	copy(b, f.magic)
@@ -34,31 +34,31 @@
 	return b
 }
 
-// headerChecksum is the checksum that the header of the file with a number must end
-// with.
+// headerChecksum returns the checksum that must be at the end of the header of the file
+// with that number.
 func (f *fileFormat) headerChecksum(b []byte, number uint32) uint32 {
 	storeID := binary.LittleEndian.Uint64(b[headerStoreOffset:])
-	return checksum(saltOf(storeID, f.kind, number), b[:len(b)-checksumLen])
+	return checksum(fileSalt(storeID, f.kind, number), b[:len(b)-checksumLen])
 }
 
-// sealHeader ends a header with its checksum, and returns that.
-func (f *fileFormat) sealHeader(b []byte, number uint32) uint32 {
+// setHeaderChecksum writes the checksum at the end of a header, and returns it.
+func (f *fileFormat) setHeaderChecksum(b []byte, number uint32) uint32 {
 	c := f.headerChecksum(b, number)
 	binary.LittleEndian.PutUint32(b[len(b)-checksumLen:], c)
 	return c
 }
 
-// checkHeader fails, with an error that matches ErrDamaged, on a header that
-// sealHeader did not write for this file, or that has another format version.
+// checkHeader fails with an error that matches ErrDamaged if the header was not written
+// for this file, or has another format version.
 func (f *fileFormat) checkHeader(b []byte, number uint32, name string) error {
 	if string(b[:len(f.magic)]) != f.magic {
-		return newFault(name, 0, "not %s", f.description)
+		return newFileFault(name, 0, "not %s", f.description)
 	}
 	if binary.LittleEndian.Uint32(b[len(b)-checksumLen:]) != f.headerChecksum(b, number) {
-		return newFault(name, 0, "header's checksum is wrong")
+		return newFileFault(name, 0, "header's checksum is wrong")
 	}
 	if v := binary.LittleEndian.Uint32(b[headerVersionOffset:]); v != formatVersion {
-		return newFault(name, headerVersionOffset, "format %d, want %d", v, formatVersion)
+		return newFileFault(name, headerVersionOffset, "format %d, want %d", v, formatVersion)
 	}
 	return nil
 }
--- a/internal/storage/durable/fileio.go
+++ b/internal/storage/durable/fileio.go
@@ -9,7 +9,7 @@
 	"oxbowbridge/internal/storage/durable/vfs"
 )
 
-// syncError marks a sync that failed: what was written before it is in doubt.
+// syncError marks the error of a failed sync: the content on disk is unknown after it.
 type syncError struct{ err error }
 
 func (e syncError) Error() string { return "sync: " + e.err.Error() }
@@ -21,13 +21,13 @@
 	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT)
 }
 
-// isCleanDiskFull reports whether the disk is full and no sync failed, so that what
-// is on disk is known.
+// isCleanDiskFull reports whether the disk is full and no sync failed, so that the
+// content on disk is known.
 func isCleanDiskFull(err error) bool {
 	return isDiskFull(err) && !errors.As(err, &syncError{})
 }
 
-// writeFile makes a small file and syncs its content. The caller syncs the folder.
+// writeFile creates a small file and syncs its content. The caller syncs the folder.
 func writeFile(fs vfs.FS, name string, data []byte) error {
 	f, err := fs.Create(name)
 	if err != nil {
@@ -63,7 +63,8 @@
 	return b, readFull(f, b, 0)
 }
 
-// readFull reads exactly len(b) bytes; an early end is io.ErrUnexpectedEOF.
+// readFull reads exactly len(b) bytes. If the file ends before that, it returns
+// io.ErrUnexpectedEOF.
 func readFull(f io.ReaderAt, b []byte, offset int64) error {
 	n, err := f.ReadAt(b, offset)
 	if n == len(b) {
--- a/internal/storage/durable/filenames.go
+++ b/internal/storage/durable/filenames.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// LockName is the name of the file whose lock is the lock of the folder.
+// LockName is the name of the folder's lock file.
 const LockName = "LOCK"
 
 // The names of a store's other files.
@@ -16,15 +16,15 @@
 	reserveName      = "RESERVE"
 	segmentSuffix    = ".log"
 	checkpointSuffix = ".ckp"
-	// quarantinePrefix begins the names of files that a repair took out of use.
+	// quarantinePrefix is the prefix of files that a repair took out of use.
 	quarantinePrefix = "damaged-"
 )
 
 func segmentName(n uint32) string    { return fmt.Sprintf("%08d%s", n, segmentSuffix) }
 func checkpointName(n uint32) string { return fmt.Sprintf("%08d%s", n, checkpointSuffix) }
 
-// parseNumberedName reads the number from a name that segmentName or
-// checkpointName gave.
+// parseNumberedName parses the number of a name that segmentName or checkpointName
+// returned.
 func parseNumberedName(name, suffix string) (uint32, bool) {
 	digits, ok := strings.CutSuffix(name, suffix)
 	if !ok {
--- a/internal/storage/durable/format_test.go
+++ b/internal/storage/durable/format_test.go
@@ -17,12 +17,12 @@
 	"oxbowbridge/internal/storage/durable/vfs"
 )
 
-// The folders under testdata were written by the first release of format 1. They are
-// written anew, with this flag, for a new format only.
-var writeFixtures = flag.Bool("write-fixtures", false, "write the folders of testdata anew")
+// The folders under testdata were written by the first release of format 1. The flag
+// rewrites them; use it only for a new format version.
+var writeFixtures = flag.Bool("write-fixtures", false, "rewrite the folders in testdata")
 
-// formatOptions has segments, checkpoints and compactions happen within some KB, and
-// the same bytes written in each run.
+// formatOptions returns limits so low that some KB of writes cause new segments,
+// checkpoints and compactions. The written bytes are the same in each run.
 func formatOptions() durable.Options {
 	return durable.Options{
 		StoreID:           0x0ddba11c0ffee,
@@ -43,23 +43,23 @@
 	}
 }
 
-// formatCase is one folder of testdata, and how it was written.
+// formatCase is a folder in testdata, with the function that wrote it.
 type formatCase struct {
 	name           string
 	write          func(t *testing.T, store *durable.Store)
-	tornTail       int64 // bytes taken off the last batch of a log that was not closed; 0 if the store was closed
-	truncatedBytes int64 // as Open reports
+	tornTailBytes  int64 // bytes truncated from the last batch of a store that was not closed; 0 if the store was closed
+	truncatedBytes int64 // in the report of Open
 	loss           durable.Loss
 }
 
 var formatCases = []formatCase{
 	{name: "checkpoint", write: writeCheckpointFixture, loss: durable.NoLoss},
 	{name: "compacted", write: writeCompactedFixture, loss: durable.NoLoss},
-	{name: "torn", write: writeTornFixture, tornTail: 7, truncatedBytes: 105, loss: durable.TailLoss},
+	{name: "torn", write: writeTornFixture, tornTailBytes: 7, truncatedBytes: 105, loss: durable.TailLoss},
 }
 
-// TestFormatWritten: the same operations give the same bytes as when the fixtures
-// were written.
+// TestFormatWritten: the operations that created the fixtures still write the same
+// bytes.
 func TestFormatWritten(t *testing.T) {
 	for _, c := range formatCases {
 		t.Run(c.name, func(t *testing.T) {
@@ -67,20 +67,20 @@
 			store := openFolder(t, dir)
 			c.write(t, store)
 			fixture := filepath.Join("testdata", c.name)
-			if c.tornTail == 0 {
+			if c.tornTailBytes == 0 {
 				require.NoError(t, store.Close())
 			} else {
 				torn := t.TempDir()
 				require.NoError(t, os.CopyFS(torn, os.DirFS(dir)))
 				require.NoError(t, store.Close())
 				dir = torn
-				tearTail(t, dir, c.tornTail)
+				truncateNewestSegment(t, dir, c.tornTailBytes)
 			}
 			if *writeFixtures {
 				require.NoError(t, os.RemoveAll(fixture))
 				require.NoError(t, os.CopyFS(fixture, os.DirFS(dir)))
 			}
-			want, got := folderBytes(t, fixture), folderBytes(t, dir)
+			want, got := readFolder(t, fixture), readFolder(t, dir)
 			for name := range want {
 				assert.Equal(t, want[name], got[name], name)
 			}
@@ -89,8 +89,8 @@
 	}
 }
 
-// TestFormatRead: what was written then is read back key by key; the store goes on
-// from there, and has all of it when it is opened again.
+// TestFormatRead: the fixtures are read key by key, further writes are accepted, and the
+// store has all keys after it is reopened.
 func TestFormatRead(t *testing.T) {
 	for _, c := range formatCases {
 		t.Run(c.name, func(t *testing.T) {
@@ -102,7 +102,7 @@
 			assert.Empty(t, store.Report().Faults)
 			assert.Empty(t, store.Report().Warnings)
 			golden := filepath.Join("testdata", c.name+".contents")
-			got := contents(t, store)
+			got := dumpKeys(t, store)
 			if *writeFixtures {
 				require.NoError(t, os.WriteFile(golden, []byte(got), 0o600))
 			}
@@ -110,15 +110,15 @@
 			require.NoError(t, err)
 			require.Equal(t, string(want), got)
 			for i := range 20 {
-				require.NoError(t, store.Put(fmt.Appendf(nil, "later/%02d", i), longValue(i, 90)))
-				step(t, store, time.Hour+time.Duration(i)*time.Second, 5)
+				require.NoError(t, store.Put(fmt.Appendf(nil, "later/%02d", i), generatedValue(i, 90)))
+				runMaintenance(t, store, time.Hour+time.Duration(i)*time.Second, 5)
 			}
 			require.NoError(t, store.Delete([]byte("later/03")))
-			after := contents(t, store)
+			after := dumpKeys(t, store)
 			require.NoError(t, store.Close())
 			store = openFolder(t, dir)
 			assert.Equal(t, durable.NoLoss, store.Report().Loss)
-			require.Equal(t, after, contents(t, store))
+			require.Equal(t, after, dumpKeys(t, store))
 			assert.Equal(t, 19, strings.Count(after, "later/"))
 			for line := range strings.Lines(string(want)) {
 				assert.Contains(t, after, line)
@@ -128,39 +128,39 @@
 	}
 }
 
-// writeCheckpointFixture leaves two checkpoints with values in memory and on disk,
-// keys that expire, and batches of every public operation behind them.
+// writeCheckpointFixture writes a store with two checkpoints, values in memory and on
+// disk, keys that expire, and batches of every public operation after the checkpoints.
 func writeCheckpointFixture(t *testing.T, store *durable.Store) {
 	for i := range 40 {
 		var b durable.Batch
 		b.Put(fmt.Appendf(nil, "short/%02d", i), fmt.Appendf(nil, "%d", i), 0)
-		b.Put(fmt.Appendf(nil, "long/%02d", i), longValue(i, 60+i), 0)
-		b.Put(fmt.Appendf(nil, "lease/%02d", i%5), longValue(i, 5+10*(i%2)), 1_700_000_000+int64(i))
+		b.Put(fmt.Appendf(nil, "long/%02d", i), generatedValue(i, 60+i), 0)
+		b.Put(fmt.Appendf(nil, "lease/%02d", i%5), generatedValue(i, 5+10*(i%2)), 1_700_000_000+int64(i))
 		apply(t, store, &b, durable.Synced)
-		step(t, store, time.Duration(i)*time.Second, 4)
+		runMaintenance(t, store, time.Duration(i)*time.Second, 4)
 	}
 	require.GreaterOrEqual(t, store.Stats().Checkpoints, int64(2))
 	var b durable.Batch
 	b.Put([]byte("tail"), []byte("behind the checkpoint"), 0)
 	b.Delete([]byte("short/07"))
 	b.DeleteRange([]byte("long/10"), []byte("long/15"))
-	b.Put([]byte("long/12"), longValue(12, 30), 1_800_000_000)
+	b.Put([]byte("long/12"), generatedValue(12, 30), 1_800_000_000)
 	apply(t, store, &b, durable.Buffered)
 	require.NoError(t, store.Put([]byte("empty"), nil))
 }
 
-// writeCompactedFixture leaves a log from which segments were dropped, and which
-// holds moves and expiries.
+// writeCompactedFixture writes a store whose log has moves and expires, and of which
+// some segments were dropped.
 func writeCompactedFixture(t *testing.T, store *durable.Store) {
 	for i := range 60 {
 		var b durable.Batch
-		b.Put(fmt.Appendf(nil, "hot/%d", i%3), longValue(i, 80), 0)
+		b.Put(fmt.Appendf(nil, "hot/%d", i%3), generatedValue(i, 80), 0)
 		if i%10 == 0 {
-			b.Put(fmt.Appendf(nil, "cold/%02d", i), longValue(i, 70), 0)
+			b.Put(fmt.Appendf(nil, "cold/%02d", i), generatedValue(i, 70), 0)
 		}
-		b.Put(fmt.Appendf(nil, "due/%02d", i), longValue(i, 14), 100+int64(i))
+		b.Put(fmt.Appendf(nil, "due/%02d", i), generatedValue(i, 14), 100+int64(i))
 		apply(t, store, &b, durable.Synced)
-		step(t, store, time.Duration(i)*time.Second, 4)
+		runMaintenance(t, store, time.Duration(i)*time.Second, 4)
 	}
 	n, err := store.Expire(130, 100)
 	require.NoError(t, err)
@@ -169,24 +169,25 @@
 	stat := store.Stats()
 	require.Positive(t, stat.MovedBytes)
 	require.Positive(t, stat.DroppedSegments)
-	require.NoError(t, store.Put([]byte("last"), longValue(1, 20)))
+	require.NoError(t, store.Put([]byte("last"), generatedValue(1, 20)))
 	n, err = store.Expire(140, 100)
 	require.NoError(t, err)
 	require.Equal(t, 10, n)
 }
 
-// writeTornFixture ends with a buffered batch, which the test cuts short.
+// writeTornFixture writes a store that ends with a buffered batch, which the test
+// truncates.
 func writeTornFixture(t *testing.T, store *durable.Store) {
 	for i := range 12 {
-		require.NoError(t, store.Put(fmt.Appendf(nil, "key/%02d", i), longValue(i, 50)))
-		step(t, store, time.Duration(i)*time.Second, 2)
+		require.NoError(t, store.Put(fmt.Appendf(nil, "key/%02d", i), generatedValue(i, 50)))
+		runMaintenance(t, store, time.Duration(i)*time.Second, 2)
 	}
 	var b durable.Batch
-	b.Put([]byte("lost"), longValue(9, 60), 0)
+	b.Put([]byte("lost"), generatedValue(9, 60), 0)
 	apply(t, store, &b, durable.Buffered)
 }
 
-func longValue(seed, length int) []byte {
+func generatedValue(seed, length int) []byte {
 	value := make([]byte, length)
 	for i := range value {
 		value[i] = byte('a' + (seed*7+i*i)%26)
@@ -207,15 +208,15 @@
 	require.NoError(t, err)
 }
 
-func step(t *testing.T, store *durable.Store, now time.Duration, steps int) {
+func runMaintenance(t *testing.T, store *durable.Store, now time.Duration, steps int) {
 	for range steps {
 		_, err := store.RunMaintenance(now)
 		require.NoError(t, err)
 	}
 }
 
-// contents lists every key with its version, expiry and value.
-func contents(t *testing.T, store *durable.Store) string {
+// dumpKeys lists every key with its version, expiry and value.
+func dumpKeys(t *testing.T, store *durable.Store) string {
 	snapshot, err := store.Snapshot()
 	require.NoError(t, err)
 	defer snapshot.Close()
@@ -232,8 +233,8 @@
 	return list.String()
 }
 
-// folderBytes gives the files by name, without the lock, which is empty.
-func folderBytes(t *testing.T, path string) map[string][]byte {
+// readFolder returns the files by name, without the lock file, which is empty.
+func readFolder(t *testing.T, path string) map[string][]byte {
 	entries, err := os.ReadDir(path)
 	require.NoError(t, err)
 	files := map[string][]byte{}
@@ -247,8 +248,8 @@
 	return files
 }
 
-// tearTail cuts bytes off the newest segment.
-func tearTail(t *testing.T, path string, bytes int64) {
+// truncateNewestSegment truncates the newest segment by a number of bytes.
+func truncateNewestSegment(t *testing.T, path string, bytes int64) {
 	segments, err := filepath.Glob(filepath.Join(path, "*.log"))
 	require.NoError(t, err)
 	newest := segments[len(segments)-1]
--- a/internal/storage/durable/index.go
+++ b/internal/storage/durable/index.go
@@ -4,23 +4,23 @@
 	"github.com/tidwall/btree"
 )
 
-// valuePlace is where an entry's value is. It is stored in checkpoints.
+// valuePlace is the location of an entry's value. Checkpoints store it.
 type valuePlace uint8
 
 const (
 	valueInline valuePlace = iota // in memory, after the key
 	valueOnDisk                   // in a segment
-	valueLost                     // nowhere: a repair found it unreadable
+	valueLost                     // nowhere: recovery or a repair found it unreadable
 )
 
-// indexEntry is one key of the index: 48 bytes, and data.
+// indexEntry is one key of the index. It takes 48 bytes in addition to data.
 type indexEntry struct {
-	data    string // the key; after it the value, if that is inline
-	version uint64 // the batch that put it
+	data    string // the key, followed by an inline value
+	version uint64 // sequence number of the batch that put the value
 	expiry  int64  // 0 is never
-	segment uint32 // where the operation that has the value is
-	offset  uint32 // bytes, in the segment
-	size    uint32 // bytes, of the operation
+	segment uint32 // number of the segment with the operation that has the value
+	offset  uint32 // of the operation in the segment, in bytes
+	size    uint32 // of the operation, in bytes
 	keyLen  uint16
 	place   valuePlace
 }
@@ -28,8 +28,8 @@
 func (e *indexEntry) key() string   { return e.data[:e.keyLen] }
 func (e *indexEntry) value() string { return e.data[e.keyLen:] }
 
-// liveBytes is the entry's part of the live data: the length of the operation on
-// disk, or of key and value in memory.
+// liveBytes returns the entry's contribution to the live data: the length of the
+// operation on disk, or of key and value in memory.
 func (e *indexEntry) liveBytes() int64 {
 	if e.place == valueOnDisk {
 		return int64(e.size)
@@ -37,20 +37,20 @@
 	return int64(len(e.data))
 }
 
-// expired reports whether readers at a time must not find the key.
+// expired reports whether the key has expired at now.
 func (e *indexEntry) expired(now int64) bool { return e.expiry > 0 && e.expiry <= now }
 
-// inSegment reports whether the value is in the operation at an offset of a segment.
+// inSegment reports whether the value is in the operation at that offset of the segment.
 func (e *indexEntry) inSegment(segment uint32, offset int64) bool {
 	return e.place == valueOnDisk && e.segment == segment && int64(e.offset) == offset
 }
 
 func lessByKey(a, b indexEntry) bool { return a.data[:a.keyLen] < b.data[:b.keyLen] }
 
-// searchKey is an entry that compares equal to the entry of a key.
+// searchKey returns an entry that compares equal to the entry of a key.
 func searchKey(key string) indexEntry { return indexEntry{data: key, keyLen: uint16(len(key))} }
 
-// expiration is a key that expires.
+// expiration is a key that expires, with its expiry.
 type expiration struct {
 	expiry int64
 	key    string
@@ -60,14 +60,15 @@
 	return a.expiry < b.expiry || a.expiry == b.expiry && a.key < b.key
 }
 
-// index holds all keys, and counts what of the log they refer to. Store.mu guards
-// it, but for the committer, which alone changes it and may read it without.
+// index holds all keys, and counts the live data in each segment. Only the committer
+// changes it, while it holds Store.mu, so the committer may read it without the lock.
+// Other readers must hold Store.mu.
 type index struct {
 	tree           *btree.BTreeG[indexEntry]
 	expirations    *btree.BTreeG[expiration]
 	segments       map[uint32]*segment
-	maxInlineBytes int   // values up to this length are held in memory
-	liveBytes      int64 // of keys and values
+	maxInlineBytes int   // values up to this length are stored in memory
+	liveBytes      int64 // sum of indexEntry.liveBytes
 	valuesOnDisk   int64
 	valuesLost     int64
 }
@@ -85,9 +86,9 @@
 	}
 }
 
-// apply carries out one batch, read from or just written to a segment at the
-// offset of its header. It is the only way in which the index changes, in service
-// and in recovery alike.
+// apply applies one batch. The offset is the position of the batch's header in the
+// segment, in bytes. Every batch changes the index through apply, whether it was
+// just written or is replayed in recovery.
 func (x *index) apply(segment uint32, offset int64, h batchHeader, payload []byte) error {
 	return forEachOp(payload, h.opCount, func(o op) error {
 		switch o.kind {
@@ -110,7 +111,8 @@
 	})
 }
 
-// findVersion finds the operation's key, if it still has the operation's version.
+// findVersion returns the entry of the operation's key, and whether that entry has the
+// operation's version.
 func (x *index) findVersion(o op) (indexEntry, bool) {
 	e, ok := x.tree.Get(searchKey(string(o.key)))
 	return e, ok && e.version == o.version
@@ -144,7 +146,8 @@
 	}
 }
 
-// deleteRange deletes the keys in [from, to); an empty end means all that follow.
+// deleteRange deletes the keys in [from, to). If to is empty, the range has no upper
+// bound.
 func (x *index) deleteRange(seq uint64, from, to string) {
 	var deleted []indexEntry
 	x.tree.Ascend(searchKey(from), func(e indexEntry) bool {
@@ -159,7 +162,7 @@
 	}
 }
 
-// account updates the counts as an entry is added (sign 1) or removed (-1).
+// account updates the counts when an entry is added (sign 1) or removed (sign -1).
 func (x *index) account(e *indexEntry, sign int64, seq uint64) {
 	x.liveBytes += sign * e.liveBytes()
 	x.accountExpiry(e, sign)
@@ -179,8 +182,9 @@
 	}
 }
 
-// accountExpiry keeps the expirations in step with the tree. A put accounts the
-// new entry before the old one, which may have the same expiry.
+// accountExpiry adds or removes the expiration of an entry. A put calls it for the new
+// entry before the replaced one, so it must not remove an expiration that the new entry
+// has as well.
 func (x *index) accountExpiry(e *indexEntry, sign int64) {
 	if e.expiry <= 0 {
 		return
@@ -194,7 +198,7 @@
 	}
 }
 
-// loadSorted adds an entry of a checkpoint; entries come in the order of keys.
+// loadSorted adds an entry of a checkpoint. Calls must be in ascending order of keys.
 func (x *index) loadSorted(e indexEntry) {
 	x.tree.Load(e)
 	x.account(&e, 1, 0)
--- a/internal/storage/durable/inspect.go
+++ b/internal/storage/durable/inspect.go
@@ -6,14 +6,14 @@
 	"oxbowbridge/internal/storage/durable/vfs"
 )
 
-// View is what a folder would recover to, read without changing anything.
+// View is the state that recovery of a folder gives, read without changing the folder.
 type View struct {
 	recovery *recovery
-	// Report says what is wrong with the folder. Verify and ReportUnreadable add to it.
+	// Report lists the faults of the folder. Verify and ReportUnreadable add to it.
 	Report *Report
 }
 
-// Inspect reads a folder, in whatever state it is. The caller holds its lock.
+// Inspect reads a folder, damaged or not. The caller holds the folder's lock.
 func Inspect(fsys vfs.FS, o Options) (*View, error) {
 	o, err := o.withDefaults()
 	if err != nil {
@@ -26,7 +26,7 @@
 	return &View{r, r.report}, nil
 }
 
-// Scan visits all keys that have not expired at now, in their order, until visit
+// Scan visits all keys that have not expired at now, in ascending order, until visit
 // returns false.
 func (v *View) Scan(now int64, visit func(Item) bool) {
 	if v.recovery.index == nil {
@@ -37,7 +37,7 @@
 	})
 }
 
-// ReportUnreadable adds a value that Item.Value could not read to the report.
+// ReportUnreadable adds the error of Item.Value to the report.
 func (v *View) ReportUnreadable(i Item, err error) {
 	if !i.Lost {
 		v.Report.LostKeys++
@@ -45,20 +45,20 @@
 	v.Report.addFault(err)
 }
 
-// Uninitialized means that nothing was ever acknowledged here.
+// Uninitialized reports whether no batch was ever acknowledged in the folder.
 func (v *View) Uninitialized() bool { return v.recovery.uninitialized }
 
-// FolderStats are the figures of a folder that is not open.
+// FolderStats are statistics of a folder whose store is not open.
 type FolderStats struct {
 	*Report
-	UsedBytes               int64 `json:"used_bytes"` // of all files
+	UsedBytes               int64 `json:"used_bytes"` // length of all files
 	LiveBytes               int64 `json:"live_bytes"`
-	KeysOnDisk              int64 `json:"keys_on_disk"` // whose value is not held in memory
+	KeysOnDisk              int64 `json:"keys_on_disk"` // number of keys whose value would not be in memory
 	LogBytesSinceCheckpoint int64 `json:"log_behind_bytes"`
 	QuarantinedFiles        int   `json:"files_set_aside"` // by repairs
 }
 
-// Stats returns the figures.
+// Stats returns the statistics of the folder.
 func (v *View) Stats() FolderStats {
 	stats := FolderStats{Report: v.Report, LogBytesSinceCheckpoint: v.recovery.logBytesSinceCheckpoint}
 	for name, size := range v.recovery.files {
@@ -74,5 +74,5 @@
 	return stats
 }
 
-// Close closes the files.
+// Close closes the segment files.
 func (v *View) Close() { v.recovery.close() }
--- a/internal/storage/durable/maintenance.go
+++ b/internal/storage/durable/maintenance.go
@@ -13,21 +13,21 @@
 
 var errMaintenanceStopped = errors.New("maintenance is stopped")
 
-// maintainer carries out what the plan decides, one step at a time, beside the
-// writes. Its own goroutine does so, unless Options.ManualMaintenance is set.
+// maintainer runs the steps that the planner decides, one at a time and concurrently
+// with writes. It has its own goroutine unless Options.ManualMaintenance is set.
 type maintainer struct {
 	store      *Store
 	start      time.Time
 	manualTime atomic.Int64  // in ns, of the last RunMaintenance
 	quit       chan struct{} // closed to stop
-	loopDone   chan struct{} // closed when the loop has ended
+	loopDone   chan struct{} // closed when the loop has returned
 
-	mu              sync.Mutex // held for a step
+	mu              sync.Mutex // held during a step
 	planner         plan.Planner
-	checkpoint      *checkpointWriter // the one that is being written, or nil
-	compaction      *compaction       // the one that is running, or nil
-	nextCheckpoint  uint32            // number
-	coveredLogBytes int64             // that the running checkpoint covers
+	checkpoint      *checkpointWriter // the checkpoint that is being written, or nil
+	compaction      *compaction       // the running compaction, or nil
+	nextCheckpoint  uint32            // number of the next checkpoint
+	coveredLogBytes int64             // log since the previous checkpoint that the running one covers
 	lastStepFailed  bool
 
 	errMu   sync.Mutex
@@ -43,7 +43,8 @@
 	m.nextCheckpoint = r.maxCheckpoint + 1
 }
 
-// now is the time since the store was opened, or the last manual time.
+// now returns the time since the store was opened, or the time that was passed to the
+// last RunMaintenance if Options.ManualMaintenance is set.
 func (m *maintainer) now() time.Duration {
 	if m.store.options.ManualMaintenance {
 		return time.Duration(m.manualTime.Load())
@@ -51,7 +52,7 @@
 	return time.Since(m.start)
 }
 
-// run takes steps until it is stopped or the store is read-only.
+// run runs steps until the maintainer is stopped or the store is read-only.
 func (m *maintainer) run() {
 	defer close(m.loopDone)
 	timer := time.NewTimer(0)
@@ -62,7 +63,7 @@
 			return
 		case <-timer.C:
 		}
-		result, err := m.runStep(paced)
+		result, err := m.runStep(rateLimited)
 		if errors.Is(err, ErrReadOnly) {
 			return
 		}
@@ -70,7 +71,7 @@
 	}
 }
 
-// stop waits for the running step, and abandons unfinished tasks.
+// stop waits for the running step, stops the loop and abandons unfinished tasks.
 func (m *maintainer) stop() {
 	close(m.quit)
 	<-m.loopDone
@@ -101,19 +102,19 @@
 	m.lastErr = err
 }
 
-// RunMaintenance takes one step of maintenance, where Options.ManualMaintenance
-// leaves that to the caller. The time since any fixed moment must never go back. It
-// reports whether there was something to do.
+// RunMaintenance runs one step of maintenance for a store with
+// Options.ManualMaintenance. The time now is measured from any fixed point and must not
+// decrease from call to call. RunMaintenance reports whether there was work to do.
 func (s *Store) RunMaintenance(now time.Duration) (worked bool, err error) {
 	s.maintenance.manualTime.Store(int64(now))
-	result, err := s.maintenance.runStep(paced)
+	result, err := s.maintenance.runStep(rateLimited)
 	return result.worked, err
 }
 
-// Compact reclaims all space that can be, whatever the rate limits.
+// Compact reclaims all space that can be reclaimed, regardless of the rate limit.
 func (s *Store) Compact(ctx context.Context) error {
 	for ctx.Err() == nil {
-		result, err := s.maintenance.runStep(reclaimingAll)
+		result, err := s.maintenance.runStep(reclaimAll)
 		if err != nil || !result.worked {
 			return err
 		}
@@ -121,21 +122,22 @@
 	return ctx.Err()
 }
 
-// stepMode is how much maintenance a step may do.
+// stepMode selects the limits of a maintenance step.
 type stepMode int
 
 const (
-	paced         stepMode = iota // within the plan's limits
-	reclaimingAll                 // as plan.State.ReclaimAll
+	rateLimited stepMode = iota // within the planner's limits
+	reclaimAll                  // without limits, see plan.State.ReclaimAll
 )
 
-// stepResult is what came of a step.
+// stepResult is the result of a step.
 type stepResult struct {
 	delay  time.Duration // until the next step
-	worked bool          // there was something to do
+	worked bool          // there was work to do
 }
 
-// runStep takes the next step of the plan. A failed step abandons the running tasks.
+// runStep runs the next step that the planner decides. If it fails, the running tasks
+// are abandoned.
 func (m *maintainer) runStep(mode stepMode) (stepResult, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -148,7 +150,7 @@
 		return stepResult{}, err
 	}
 	state := m.observe()
-	state.ReclaimAll = mode == reclaimingAll
+	state.ReclaimAll = mode == reclaimAll
 	m.lastStepFailed = false
 	step := m.planner.Next(state)
 	if step.Kind == plan.Idle {
@@ -165,7 +167,7 @@
 	return stepResult{delay: step.Delay, worked: true}, err
 }
 
-// execute carries out a step of the plan.
+// execute runs a step.
 func (m *maintainer) execute(step plan.Step) error {
 	s := m.store
 	switch step.Kind {
@@ -177,11 +179,11 @@
 		return s.runInCommitter(s.rotateSegment)
 	case plan.RestoreReserve:
 		return s.restoreReserve()
-	case plan.BeginCheckpoint:
-		return m.beginCheckpoint()
-	case plan.BeginCompaction:
+	case plan.StartCheckpoint:
+		return m.startCheckpoint()
+	case plan.StartCompaction:
 		s.mu.RLock()
-		m.compaction = &compaction{segment: s.index.segments[step.Segment], offset: headerLen}
+		m.compaction = &compaction{segment: s.index.segments[step.Segment], nextOffset: headerLen}
 		s.mu.RUnlock()
 		return nil
 	case plan.ContinueTask:
@@ -193,7 +195,8 @@
 	return fmt.Errorf("durable: unknown maintenance step %v", step.Kind)
 }
 
-// continueCompaction reads and writes about budget bytes of the running compaction.
+// continueCompaction continues the running compaction until it has read and written
+// about budget bytes.
 func (m *maintainer) continueCompaction(budget int64) error {
 	spent, done, err := m.store.compactSegment(m.compaction, budget)
 	m.planner.Charge(spent)
--- a/internal/storage/durable/maintenance_state.go
+++ b/internal/storage/durable/maintenance_state.go
@@ -8,7 +8,7 @@
 	"oxbowbridge/internal/storage/durable/plan"
 )
 
-// observe is the state that the plan decides on.
+// observe returns the state for the planner.
 func (m *maintainer) observe() plan.State {
 	s := m.store
 	state := plan.State{
@@ -29,10 +29,10 @@
 		state.Task = plan.Compacting
 	}
 	s.manifestMu.Lock()
-	older := s.manifest.checkpoints[0]
+	olderCheckpoint := s.manifest.checkpoints[0]
 	s.manifestMu.Unlock()
-	state.OlderCheckpointSeq = older.seq
-	state.OlderCheckpointSegment = older.segment
+	state.OlderCheckpointSeq = olderCheckpoint.seq
+	state.OlderCheckpointSegment = olderCheckpoint.segment
 	s.observeIndex(&state)
 	return state
 }
--- a/internal/storage/durable/manifest.go
+++ b/internal/storage/durable/manifest.go
@@ -13,7 +13,7 @@
 	// retainedCheckpoints is how many checkpoints the manifest names, oldest first. If
 	// the newest can't be read, recovery loads the other one and replays more of the log.
 	retainedCheckpoints = 2
-	// newestCheckpoint is the index of the newest one in manifest.checkpoints.
+	// newestCheckpoint is the index of the newest checkpoint in manifest.checkpoints.
 	newestCheckpoint = retainedCheckpoints - 1
 	// manifestNumber is the manifest's file number in the salt of its checksum; segments
 	// and checkpoints are numbered from 1.
@@ -38,21 +38,21 @@
 	checkpointRefLen = 24
 )
 
-// checkpointRef is what the manifest knows of a checkpoint; number 0 is none.
+// checkpointRef is the manifest's reference to a checkpoint; number 0 means none.
 type checkpointRef struct {
 	number  uint32
-	seq     uint64 // the last batch that it holds
+	seq     uint64 // sequence number of the last batch that the checkpoint covers
 	size    int64  // bytes
-	segment uint32 // where the log behind it begins
+	segment uint32 // segment in which the replay after the checkpoint starts
 }
 
-// manifest names the files that belong to the store. It is replaced as a unit.
+// manifest names the files that belong to the store. Its file is replaced atomically.
 type manifest struct {
 	storeID       uint64
 	generation    uint64 // number of times that the manifest was written
-	activeSegment uint32 // the segment that is written to; during a rotation the next one
-	syncedSeq     uint64 // all batches up to this one were on disk
-	firstSegment  uint32 // where replay without a checkpoint begins; 0 if the log's beginning may be missing
+	activeSegment uint32 // the segment to which batches are appended, or during a rotation the next one
+	syncedSeq     uint64 // all batches up to this one were on disk when the manifest was written
+	firstSegment  uint32 // segment in which a replay without a checkpoint starts; 0 if segments may have been dropped
 	checkpoints   [retainedCheckpoints]checkpointRef
 }
 
@@ -70,13 +70,13 @@
 		e.PutUint64(field[refSizeOffset:], uint64(ref.size))
 		e.PutUint32(field[refSegmentOffset:], ref.segment)
 	}
-	manifestFormat.sealHeader(b, manifestNumber)
+	manifestFormat.setHeaderChecksum(b, manifestNumber)
 	return b
 }
 
 func parseManifest(b []byte) (*manifest, error) {
 	if len(b) != manifestLen {
-		return nil, newFault(manifestName, 0, "%d bytes long, want %d", len(b), manifestLen)
+		return nil, newFileFault(manifestName, 0, "%d bytes long, want %d", len(b), manifestLen)
 	}
 	if err := manifestFormat.checkHeader(b, manifestNumber, manifestName); err != nil {
 		return nil, err
@@ -101,7 +101,8 @@
 	return m, nil
 }
 
-// write replaces the manifest: a new file, synced and renamed, and the folder synced.
+// write replaces the manifest: it writes and syncs a new file, renames it and syncs the
+// folder.
 func (m *manifest) write(fs vfs.FS) error {
 	m.generation++
 	if err := writeFile(fs, manifestTempName, m.encode()); err != nil {
--- a/internal/storage/durable/model_test.go
+++ b/internal/storage/durable/model_test.go
@@ -13,17 +13,17 @@
 	"oxbowbridge/internal/storage/durable/plan"
 )
 
-// TestAgainstModel runs random operations, snapshots, maintenance, crashes and reopenings
-// beside a plain map.
+// TestAgainstModel compares a store with a map while it runs random writes, snapshots,
+// maintenance, crashes and restarts.
 func TestAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := &faultfs.FS{}
 		b, err := newWorkload(f, smallOptions())
 		require.NoError(t, err)
 		var snapshot *Snapshot
-		var frozen string
+		var snapshotModel string
 		key := rapid.Custom(func(t *rapid.T) string { return fmt.Sprintf("k%02d", rapid.IntRange(0, 15).Draw(t, "key")) })
-		some := rapid.Custom(func(t *rapid.T) change {
+		randomChange := rapid.Custom(func(t *rapid.T) change {
 			c := change{puts: rapid.MapOfN(key, rapid.StringN(0, 60, 80), 0, 4).Draw(t, "put"), deletes: rapid.SliceOfN(key, 0, 2).Draw(t, "del")}
 			if rapid.IntRange(0, 9).Draw(t, "range") == 0 {
 				c.deleteFrom, c.deleteTo = "k03", "k06"
@@ -33,14 +33,16 @@
 			}
 			return c
 		})
-		check := func(t *rapid.T) {
+		compareWithModel := func(t *rapid.T) {
 			got, damaged := readState(t, b.store)
 			require.Zero(t, damaged)
-			require.Equal(t, modelText(b.model), got)
+			require.Equal(t, formatModel(b.model), got)
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"synced":   func(t *rapid.T) { require.NoError(t, b.apply(Synced, rapid.SliceOfN(some, 1, 4).Draw(t, "group")...)) },
-			"buffered": func(t *rapid.T) { require.NoError(t, b.apply(Buffered, some.Draw(t, "batch"))) },
+			"synced": func(t *rapid.T) {
+				require.NoError(t, b.apply(Synced, rapid.SliceOfN(randomChange, 1, 4).Draw(t, "group")...))
+			},
+			"buffered": func(t *rapid.T) { require.NoError(t, b.apply(Buffered, randomChange.Draw(t, "batch"))) },
 			"maintain": func(t *rapid.T) { require.NoError(t, b.runMaintenance(rapid.IntRange(1, 20).Draw(t, "steps"))) },
 			"compact":  func(t *rapid.T) { require.NoError(t, b.store.Compact(t.Context())) },
 			"snapshot": func(t *rapid.T) {
@@ -49,7 +51,7 @@
 				}
 				snapshot, err = b.store.Snapshot()
 				require.NoError(t, err)
-				frozen = modelText(b.model)
+				snapshotModel = formatModel(b.model)
 			},
 			"look": func(t *rapid.T) {
 				if snapshot == nil {
@@ -62,7 +64,7 @@
 					got[i.Key] = string(v)
 					return true
 				}))
-				require.Equal(t, frozen, modelText(got))
+				require.Equal(t, snapshotModel, formatModel(got))
 			},
 			"reopen": func(t *rapid.T) {
 				require.NoError(t, b.store.Close())
@@ -89,13 +91,13 @@
 				p.Close()
 				b.store, b.model, b.states, b.acknowledged, b.now, snapshot = s, m, []string{got}, 0, 0, nil
 			},
-			"": check,
+			"": compareWithModel,
 		})
 	})
 }
 
-// FuzzBatch: nothing that a log may hold makes recovery panic, accept what no writer
-// wrote, or read on after it.
+// FuzzBatch: no content of a log makes the parser panic, accept an operation that no
+// writer encodes, or read past the end.
 func FuzzBatch(f *testing.F) {
 	var b Batch
 	b.Put([]byte("key"), []byte("value"), 7)
@@ -157,7 +159,8 @@
 	})
 }
 
-// TestSpaceStaysBounded: maintenance keeps up with writes that never stop, within its target.
+// TestSpaceStaysBounded: under continuous overwrites, maintenance keeps the disk usage
+// below 2.5 times the live data.
 func TestSpaceStaysBounded(t *testing.T) {
 	f := &faultfs.FS{}
 	o := Options{
@@ -181,7 +184,7 @@
 		}
 	}
 	st := b.store.Stats()
-	t.Logf("live %d, at most %d used", st.LiveBytes, peak)
+	t.Logf("live data: %d bytes, peak usage: %d bytes", st.LiveBytes, peak)
 	require.Less(t, float64(peak), 2.5*float64(st.LiveBytes))
 	require.NoError(t, b.store.Close())
 }
--- a/internal/storage/durable/op.go
+++ b/internal/storage/durable/op.go
@@ -6,7 +6,7 @@
 	"math"
 )
 
-// maxOpOverhead is the most bytes that an operation has besides key and value:
+// maxOpOverhead is the maximum number of bytes of an operation besides key and value:
 // the kind, four varints and a checksum.
 const maxOpOverhead = 1 + 4*binary.MaxVarintLen64 + checksumLen
 
@@ -15,12 +15,12 @@
 const (
 	opPut         opKind = iota + 1
 	opDelete             // removes a key
-	opDeleteRange        // removes the keys from key up to, but not including, value
-	opMove               // a put of what is live already, if the key still has the version
-	opExpire             // a delete, if the key still has the version
+	opDeleteRange        // removes the keys in [key, value)
+	opMove               // rewrites a live value, if the key still has the operation's version
+	opExpire             // removes a key, if it still has the operation's version
 )
 
-// String is the kind as reports name it.
+// String returns the name of the kind in reports.
 func (k opKind) String() string {
 	if k < opPut || k > opExpire {
 		return "unknown"
@@ -34,31 +34,31 @@
 	}[k]
 }
 
-// hasVersion reports whether the operation carries a version: moves and expires
-// apply to one version of a key only.
+// hasVersion reports whether the operation has a version: moves and expires apply to
+// one version of a key only.
 func (k opKind) hasVersion() bool { return k == opMove || k == opExpire }
 
-// hasValue reports whether the operation carries a value. A delete range carries
-// the end of the range as its value.
+// hasValue reports whether the operation has a value. The value of a delete range is
+// the end of the range.
 func (k opKind) hasValue() bool { return k.storesValue() || k == opDeleteRange }
 
 // storesValue reports whether readers may read the operation's value from the log.
-// Such an operation also carries an expiry and a checksum.
+// Such an operation also has an expiry and a checksum.
 func (k opKind) storesValue() bool { return k == opPut || k == opMove }
 
 // op is one operation of a batch. Its slices point into the batch.
 type op struct {
 	kind    opKind
-	version uint64 // of moves and expires
-	expiry  int64  // of puts and moves; 0 is never
+	version uint64 // only moves and expires
+	expiry  int64  // only puts and moves; 0 is never
 	key     []byte
 	value   []byte
-	offset  int // in the payload
+	offset  int // bytes, in the payload
 	size    int // encoded length in bytes
 }
 
-// appendOp encodes an operation. The checksum of a put or move is left zero, as it
-// depends on the file; sealOps sets it.
+// appendOp encodes an operation. It leaves the checksum of a put or move zero, because
+// the checksum depends on the file; setOpChecksums sets it.
 func appendOp(b []byte, o op) []byte {
 	b = append(b, byte(o.kind))
 	if o.kind.hasVersion() {
@@ -81,9 +81,10 @@
 	return b
 }
 
-var errMalformedOp = errors.New("operation can't be read")
+var errMalformedOp = errors.New("operation is malformed")
 
-// uvarint accepts the shortest form only, so that no two encodings mean the same.
+// uvarint decodes a varint. It rejects all but the shortest encoding, so that each
+// value has exactly one.
 func uvarint(b []byte) (uint64, int) {
 	v, n := binary.Uvarint(b)
 	if n > 1 && b[n-1] == 0 {
@@ -92,11 +93,11 @@
 	return v, n
 }
 
-// zigzag turns an unsigned varint into the signed number that it encodes.
+// zigzag decodes the signed number from an unsigned varint.
 func zigzag(v uint64) int64 { return int64(v>>1) ^ -int64(v&1) }
 
-// byteReader reads fields from the front of a buffer. After the first field that
-// does not fit, failed is set and all further fields are zero.
+// byteReader reads fields from the front of a buffer. If a field is longer than the
+// rest of the buffer, failed is set and that field and all later ones are zero.
 type byteReader struct {
 	rest   []byte
 	failed bool
@@ -158,7 +159,7 @@
 	return o, nil
 }
 
-// forEachOp reads count operations, which must fill the payload.
+// forEachOp visits count operations, which must fill the payload exactly.
 func forEachOp(payload []byte, count uint32, visit func(op) error) error {
 	offset := 0
 	for range count {
@@ -177,8 +178,8 @@
 	return nil
 }
 
-// checkOp finds operations that no Batch can hold.
-func checkOp(o op) error {
+// validateOp rejects operations that no valid Batch contains.
+func validateOp(o op) error {
 	if len(o.key) > math.MaxUint16 {
 		return errMalformedOp
 	}
@@ -188,16 +189,17 @@
 	return nil
 }
 
-// The mask of operation checksums, the one that LevelDB uses.
+// Constants of the CRC mask for operation checksums; LevelDB uses the same mask.
 const (
 	maskRotation = 15
 	maskDelta    = 0xa282ead8
 )
 
-// opChecksum is the checksum at the end of a put or move: over the file's salt, the
-// batch's number and the operation, so that an older value can't pass for it. It is
-// masked: a CRC over bytes that end with their own plain CRC is the same for all
-// such bytes of one length, and the batch's checksum would then bind nothing.
+// opChecksum returns the checksum at the end of a put or move. It covers the file's
+// salt, the sequence number of the batch and the operation, so that an older value is
+// not accepted in its place. It is masked, because the CRC over bytes that end with
+// their own plain CRC depends only on their length: the checksum of the batch, which
+// covers the operation and its checksum, would not detect a replaced operation.
 func opChecksum(salt uint32, seq uint64, encoded []byte) uint32 {
 	var number [8]byte
 	binary.LittleEndian.PutUint64(number[:], seq)
@@ -205,12 +207,12 @@
 	return (c>>maskRotation | c<<(32-maskRotation)) + maskDelta
 }
 
-// sealOps sets the checksums of all operations in a payload.
-func sealOps(payload []byte, salt uint32, batchSeq uint64) {
+// setOpChecksums sets the checksums of all puts and moves in a payload.
+func setOpChecksums(payload []byte, salt uint32, batchSeq uint64) {
 	for offset := 0; offset < len(payload); {
 		o, err := parseOp(payload, offset)
 		if err != nil {
-			panic("durable: a batch that was just encoded can't be read")
+			panic("durable: newly encoded batch is malformed")
 		}
 		if o.kind.storesValue() {
 			encoded := payload[offset : offset+o.size]
--- a/internal/storage/durable/open.go
+++ b/internal/storage/durable/open.go
@@ -9,9 +9,10 @@
 	"oxbowbridge/internal/storage/durable/vfs"
 )
 
-// Open opens a store, or makes one in an empty folder, and reports what it found. A
-// folder that misses what was acknowledged, or may have been, is not opened: the
-// error is a *DamagedError, nothing was changed, and Repair is the caller's choice.
+// Open opens a store, or creates one in an empty folder, and reports what it found. A
+// folder in which data is missing that was acknowledged, or may have been, is not
+// opened: the error is a *DamagedError, nothing is changed, and the caller decides
+// whether to run Repair.
 func Open(fs vfs.FS, o Options) (*Store, *Report, error) {
 	o, err := o.withDefaults()
 	if err != nil {
@@ -48,7 +49,7 @@
 		return nil, r.report, err
 	}
 	s := newStore(fs, o, lock, r)
-	if err := s.measureFolder(); err != nil {
+	if err := s.measureUsedBytes(); err != nil {
 		r.close()
 		return nil, r.report, err
 	}
@@ -56,7 +57,7 @@
 	return s, r.report, nil
 }
 
-// newStore takes over what was recovered. Nothing runs yet.
+// newStore returns a store with the recovered state. It starts no goroutine.
 func newStore(fs vfs.FS, o Options, lock io.Closer, r *recovery) *Store {
 	s := &Store{
 		fs:            fs,
@@ -80,7 +81,7 @@
 	return s
 }
 
-// start begins the store's goroutines.
+// start starts the store's goroutines.
 func (s *Store) start() {
 	go s.runCommitter()
 	if s.options.ManualMaintenance {
@@ -90,8 +91,8 @@
 	}
 }
 
-// initialize makes the first segment and the manifest. Until the manifest's name
-// is on disk, the folder counts as empty.
+// initialize creates the first segment and the manifest. Until the manifest's name
+// is on disk, recovery treats the folder as empty.
 func initialize(fs vfs.FS, o *Options, r *recovery) error {
 	id := o.StoreID
 	if id == 0 {
@@ -114,7 +115,7 @@
 	r.segments = []uint32{first}
 	r.files = map[string]int64{segmentName(first): headerLen}
 	r.maxSegment = first
-	r.end = position{segment: first, offset: headerLen, chain: h.checksum}
+	r.end = position{segment: first, offset: headerLen, chainChecksum: h.checksum}
 	if err := r.resetIndex(fs, o); err != nil {
 		return err
 	}
@@ -122,7 +123,8 @@
 	return nil
 }
 
-// finishRecovery makes the recovered state durable, and removes what a crash left over.
+// finishRecovery makes the recovered state durable, and removes files that a crash left
+// over.
 func finishRecovery(fs vfs.FS, r *recovery) error {
 	last := r.index.segments[r.end.segment]
 	if r.report.TruncatedBytes > 0 {
@@ -146,13 +148,13 @@
 		if err := fs.Remove(name); err != nil {
 			return err
 		}
-		r.forgetSegment(name)
+		r.removeSegmentFromIndex(name)
 	}
 	return nil
 }
 
-// dropUnreadableCheckpoint has the manifest name the readable checkpoint alone, as
-// the newest, with the log behind it.
+// dropUnreadableCheckpoint writes a manifest that names only the readable checkpoint,
+// as the newest one.
 func (r *recovery) dropUnreadableCheckpoint(fs vfs.FS) error {
 	readable := r.checkpoints[newestCheckpoint]
 	if readable.number == 0 {
@@ -163,8 +165,8 @@
 	return r.manifest.write(fs)
 }
 
-// isLeftover reports whether a crash left a file behind that neither the manifest nor
-// the log needs.
+// isLeftover reports whether a file is left over from a crash: neither the manifest nor
+// the log needs it.
 func (r *recovery) isLeftover(name string) bool {
 	if name == manifestTempName {
 		return true
@@ -184,8 +186,8 @@
 	return true
 }
 
-// forgetSegment takes a removed file out of the index, if it was a segment.
-func (r *recovery) forgetSegment(name string) {
+// removeSegmentFromIndex removes a deleted file from the index, if it was a segment.
+func (r *recovery) removeSegmentFromIndex(name string) {
 	n, ok := parseNumberedName(name, segmentSuffix)
 	if !ok {
 		return
--- a/internal/storage/durable/options.go
+++ b/internal/storage/durable/options.go
@@ -9,45 +9,48 @@
 	"oxbowbridge/internal/storage/durable/plan"
 )
 
-// Options are a store's limits. Zero values stand for those of DefaultOptions.
+// Options are a store's limits. A zero field takes its value from DefaultOptions.
 type Options struct {
 	// MaxKeyBytes bounds one key; default 4 KiB, at most 65535.
 	MaxKeyBytes int
 	// MaxValueBytes bounds one value; default 8 MiB.
 	MaxValueBytes int
 	// MaxBatchBytes bounds the encoded form of one batch; default 16 MiB, at most
-	// 256 MiB. A key and a value of full length must fit.
+	// 256 MiB. A key of MaxKeyBytes with a value of MaxValueBytes must fit.
 	MaxBatchBytes int
-	// MaxInlineBytes is the length up to which a value is held in memory with its
+	// MaxInlineBytes is the length up to which a value is stored in memory with its
 	// key; default 64, at most 4096.
 	MaxInlineBytes int
-	// MaxQueuedBatches bounds the batches that wait for the committer; further
-	// callers block. Default 1024.
+	// MaxQueuedBatches bounds the queue of batches that wait for the committer; when it
+	// is full, callers block. Default 1024.
 	MaxQueuedBatches int
-	// MaxGroupBytes is the length at which a group, which shares one sync, takes no
-	// further batch; default 1 MiB.
+	// MaxGroupBytes is the length at which a group of batches, which shares one sync,
+	// accepts no further batch; default 1 MiB.
 	MaxGroupBytes int
-	// MaxSnapshots bounds the snapshots that are open at once; default 256.
+	// MaxSnapshots bounds the number of open snapshots; default 256.
 	MaxSnapshots int
-	// ReserveBytes are set aside on disk, so that deletes and maintenance work when
-	// the disk is full; default 1 MiB.
+	// ReserveBytes is the length of the reserve file. It is removed when the disk is
+	// full, so that deletes and maintenance still work. Default 1 MiB.
 	ReserveBytes int
-	// StoreID tells files of one store from those of another; 0 draws a random one.
+	// StoreID distinguishes the files of this store from those of other stores; 0
+	// selects a random one.
 	StoreID uint64
-	// Maintenance says when to seal, checkpoint, compact and drop, and how fast.
+	// Maintenance sets when segments are sealed, compacted and dropped, when
+	// checkpoints are taken, and the rate of that work.
 	Maintenance plan.Limits
-	// ManualMaintenance leaves maintenance to calls of RunMaintenance.
+	// ManualMaintenance disables background maintenance; the caller calls
+	// RunMaintenance.
 	ManualMaintenance bool
 }
 
-// Bounds of Options, in bytes: keys have a length of 16 bits in the index.
+// Upper bounds of Options, in bytes. The index stores key lengths in 16 bits.
 const (
 	maxKeyBytesLimit    = math.MaxUint16
 	maxBatchBytesLimit  = 1 << 28
 	maxInlineBytesLimit = 4096
 )
 
-// DefaultOptions are the options in force where none are given.
+// DefaultOptions returns the options that replace zero fields of Options.
 func DefaultOptions() Options {
 	return Options{
 		MaxKeyBytes:      4 << 10,
@@ -62,8 +65,8 @@
 	}
 }
 
-// withDefaults replaces zero values by those of DefaultOptions. It fails if an option
-// is out of its range.
+// withDefaults replaces zero fields by those of DefaultOptions. It fails if an option
+// is out of range.
 func (o Options) withDefaults() (Options, error) {
 	defaults := DefaultOptions()
 	o.MaxKeyBytes = cmp.Or(o.MaxKeyBytes, defaults.MaxKeyBytes)
@@ -82,21 +85,22 @@
 	return o, err
 }
 
-// validate checks the ranges of options that have their defaults, but for Maintenance.
+// validate checks the ranges of all options except Maintenance, after withDefaults has
+// replaced zero fields.
 func (o *Options) validate() error {
 	smallest := min(o.MaxKeyBytes, o.MaxValueBytes, o.MaxBatchBytes, o.MaxInlineBytes,
 		o.MaxQueuedBatches, o.MaxGroupBytes, o.MaxSnapshots, o.ReserveBytes)
 	switch {
 	case smallest < 0:
-		return errors.New("a limit is negative")
+		return errors.New("options: a limit is negative")
 	case o.MaxKeyBytes > maxKeyBytesLimit:
-		return fmt.Errorf("keys of %d bytes are too long, want at most %d", o.MaxKeyBytes, maxKeyBytesLimit)
+		return fmt.Errorf("options: MaxKeyBytes is %d, want at most %d", o.MaxKeyBytes, maxKeyBytesLimit)
 	case o.MaxBatchBytes > maxBatchBytesLimit:
-		return fmt.Errorf("batches of %d bytes are too long, want at most %d", o.MaxBatchBytes, maxBatchBytesLimit)
+		return fmt.Errorf("options: MaxBatchBytes is %d, want at most %d", o.MaxBatchBytes, maxBatchBytesLimit)
 	case o.MaxValueBytes+o.MaxKeyBytes+maxOpOverhead > o.MaxBatchBytes:
-		return errors.New("a batch must hold a key and a value of full length")
+		return errors.New("options: MaxBatchBytes is too small for a key of MaxKeyBytes with a value of MaxValueBytes")
 	case o.MaxInlineBytes > maxInlineBytesLimit:
-		return fmt.Errorf("at most %d bytes are held in memory with a key", maxInlineBytesLimit)
+		return fmt.Errorf("options: MaxInlineBytes is out of range, want at most %d", maxInlineBytesLimit)
 	}
 	return nil
 }
--- a/internal/storage/durable/plan/limits.go
+++ b/internal/storage/durable/plan/limits.go
@@ -6,42 +6,44 @@
 	"time"
 )
 
-// Limits are what an operator may set. Zero values stand for those of DefaultLimits.
+// Limits are the configurable limits of maintenance. A zero field takes its value from
+// DefaultLimits.
 type Limits struct {
-	// MaxBytes bounds all files together; default 4 GiB. Puts are rejected a little
-	// before it.
+	// MaxBytes bounds the length of all files together; default 4 GiB. Puts are rejected
+	// earlier, see Limits.HeadroomBytes.
 	MaxBytes int64
-	// MinSegmentBytes and MaxSegmentBytes bound a segment; defaults 256 KiB and
-	// 64 MiB, at most 1 GiB.
+	// MinSegmentBytes and MaxSegmentBytes bound the length at which a segment is sealed;
+	// defaults 256 KiB and 64 MiB, at most 1 GiB.
 	MinSegmentBytes int64
 	MaxSegmentBytes int64
-	// MinCheckpointLogBytes is the shortest log that a checkpoint is worth; default
-	// 4 MiB.
+	// MinCheckpointLogBytes is the length of the log since the last checkpoint below
+	// which a busy store takes no checkpoint for the length of the log; default 4 MiB.
 	MinCheckpointLogBytes int64
-	// CheckpointLogRatio: a checkpoint is due when the log after the last one is
-	// this multiple of the checkpoint's length; default 1.
+	// CheckpointLogRatio: a checkpoint is due when the log since the last checkpoint has
+	// this multiple of that checkpoint's length; default 1.
 	CheckpointLogRatio float64
-	// GarbageRatio is the dead data, as a ratio of the live data, that compaction
-	// tolerates; default 0.3.
+	// GarbageRatio is the ratio of dead to live data that compaction tolerates; default
+	// 0.3.
 	GarbageRatio float64
-	// PendingDropRatio is the data, as a ratio of the live data, that may wait for
-	// the two checkpoints after which it is dropped; default 0.25.
+	// PendingDropRatio is the maximum ratio of data in segments that wait to be dropped
+	// to live data. Such a segment is dropped after two checkpoints; default 0.25.
 	PendingDropRatio float64
-	// BytesPerSecond is what maintenance writes and reads while the folder is not
-	// above its target; default 8 MiB. See Limits.Rate.
+	// BytesPerSecond is the I/O rate of maintenance while the folder is not larger than
+	// its target; default 8 MiB. See Limits.Rate.
 	BytesPerSecond int64
-	// MaxStepBytes is what one step writes or reads; default 128 KiB.
+	// MaxStepBytes is the I/O budget of one step; default 128 KiB.
 	MaxStepBytes int64
-	// MaxUnsyncedAge is how long a buffered write may stay unsynced; default 200 ms.
+	// MaxUnsyncedAge is the maximum time for which a buffered write stays unsynced;
+	// default 200 ms.
 	MaxUnsyncedAge time.Duration
-	// IdleCheckpointDelay is how long nothing must be written for a checkpoint to be
-	// due early; default 1 s.
+	// IdleCheckpointDelay is the time without writes after which the store is idle, so
+	// that a checkpoint is due earlier; default 1 s.
 	IdleCheckpointDelay time.Duration
-	// RetryDelay is the pause after a step that failed; default 1 s.
+	// RetryDelay is the delay after a failed step; default 1 s.
 	RetryDelay time.Duration
 }
 
-// DefaultLimits suit a store of some MB to some GB on a disk that others use too.
+// DefaultLimits returns limits for a store of some MB to some GB on a shared disk.
 func DefaultLimits() Limits {
 	return Limits{
 		MaxBytes:              4 << 30,
@@ -62,8 +64,8 @@
 // segmentBytesLimit bounds Limits.MaxSegmentBytes.
 const segmentBytesLimit = 1 << 30
 
-// WithDefaults replaces zero values by those of DefaultLimits. It fails if a limit is
-// out of its range.
+// WithDefaults replaces zero fields by those of DefaultLimits. It fails if a limit is
+// out of range.
 func (l Limits) WithDefaults() (Limits, error) {
 	defaults := DefaultLimits()
 	l.MaxBytes = cmp.Or(l.MaxBytes, defaults.MaxBytes)
@@ -81,7 +83,7 @@
 	return l, l.validate()
 }
 
-// validate checks the ranges of limits that have their defaults.
+// validate checks the ranges of the limits, after WithDefaults has replaced zero fields.
 func (l *Limits) validate() error {
 	smallestBytes := min(l.MaxBytes, l.MinSegmentBytes, l.MaxSegmentBytes, l.MinCheckpointLogBytes, l.BytesPerSecond, l.MaxStepBytes)
 	shortestDelay := min(l.MaxUnsyncedAge, l.IdleCheckpointDelay, l.RetryDelay)
@@ -92,18 +94,18 @@
 	case !(smallestRatio > 0):
 		return errors.New("maintenance: a ratio is not above 0")
 	case l.MinSegmentBytes > l.MaxSegmentBytes:
-		return errors.New("maintenance: the shortest segment is longer than the longest")
+		return errors.New("maintenance: MinSegmentBytes is larger than MaxSegmentBytes")
 	case l.MaxSegmentBytes > segmentBytesLimit:
-		return errors.New("maintenance: segments are at most 1 GiB long")
+		return errors.New("maintenance: MaxSegmentBytes is larger than 1 GiB")
 	}
 	return nil
 }
 
-// segmentsOfLiveData is the number of segments that the live data would fill: a
-// segment is sealed at that part of it, so that one dead segment wastes little.
-const segmentsOfLiveData = 8
+// targetSegmentCount is the number of segments into which the live data is divided. With
+// more segments, a dead segment that is not yet dropped wastes less space.
+const targetSegmentCount = 8
 
-// SegmentBytes is the length at which a segment is sealed.
+// SegmentBytes returns the length at which a segment is sealed.
 func (l Limits) SegmentBytes(liveBytes int64) int64 {
-	return min(max(liveBytes/segmentsOfLiveData, l.MinSegmentBytes), l.MaxSegmentBytes)
+	return min(max(liveBytes/targetSegmentCount, l.MinSegmentBytes), l.MaxSegmentBytes)
 }
--- a/internal/storage/durable/plan/planner.go
+++ b/internal/storage/durable/plan/planner.go
@@ -5,29 +5,29 @@
 const (
 	// idleDelay is the time between two decisions when there is nothing to do.
 	idleDelay = 100 * time.Millisecond
-	// minBudgetDelay bounds the wait for the budget from below.
+	// minBudgetDelay is the shortest wait for the budget to grow.
 	minBudgetDelay = time.Millisecond
 )
 
-// Planner decides on the steps of maintenance and accounts for their budget. Set
-// Limits and leave the rest zero.
+// Planner decides on maintenance steps and accounts for their I/O budget. Set Limits;
+// the zero values of the other fields are ready to use.
 type Planner struct {
 	Limits      Limits
-	budgetBytes float64       // may be spent now; below 0 after a step that spent more
+	budgetBytes float64       // current budget; negative after a step that exceeded it
 	started     bool          // a decision was made before
 	lastTime    time.Duration // State.Now of the last decision
 	lastSeq     uint64        // State.Seq of the last decision
-	idleSince   time.Duration // the first State.Now with that Seq
-	restUntil   time.Duration // State.Now at which the rest after a failure ends
+	idleSince   time.Duration // the first State.Now with lastSeq
+	retryAt     time.Duration // State.Now at which the delay after a failed step ends
 }
 
-// Charge takes the bytes that a step wrote and read from the budget.
+// Charge subtracts the bytes that a step read and wrote from the budget.
 func (p *Planner) Charge(bytes int64) { p.budgetBytes -= float64(bytes) }
 
-// Next decides on the next step, the first of these that is due: flush, rest after a
+// Next returns the next step. It is the first of these that is due: flush, wait after a
 // failure, drop a segment, continue the running task within the budget, checkpoint,
-// compact, restore the reserve. With State.ReclaimAll neither the budget nor the
-// tolerated garbage counts.
+// compact, restore the reserve. With State.ReclaimAll the budget, the delay after a
+// failure and the tolerated dead data are ignored.
 func (p *Planner) Next(s State) Step {
 	l := &p.Limits
 	rate := l.Rate(s.Space)
@@ -35,8 +35,8 @@
 	if s.HasUnsynced && (s.ReclaimAll || s.Now-s.UnsyncedSince >= l.MaxUnsyncedAge) {
 		return Step{Kind: Flush}
 	}
-	if s.Now < p.restUntil && !s.ReclaimAll {
-		return Step{Delay: min(p.restUntil-s.Now, idleDelay)}
+	if s.Now < p.retryAt && !s.ReclaimAll {
+		return Step{Delay: min(p.retryAt-s.Now, idleDelay)}
 	}
 	if n, ok := s.droppableSegment(); ok {
 		return Step{Kind: DropSegment, Segment: n}
@@ -48,10 +48,10 @@
 		return p.taskStep(rate)
 	}
 	if l.checkpointDue(s, s.Now-p.idleSince >= l.IdleCheckpointDelay) {
-		return Step{Kind: BeginCheckpoint}
+		return Step{Kind: StartCheckpoint}
 	}
 	if n, ok := l.compactionCandidate(s); ok {
-		return Step{Kind: BeginCompaction, Segment: n}
+		return Step{Kind: StartCompaction, Segment: n}
 	}
 	if s.ReserveMissing {
 		space := s.Space
@@ -63,8 +63,8 @@
 	return Step{Delay: idleDelay}
 }
 
-// advance brings the budget and the times up to the state's. The budget grows at the
-// rate (bytes per second), up to Limits.MaxStepBytes.
+// advance updates the budget and the times to State.Now. The budget grows at the rate,
+// in bytes per second, up to Limits.MaxStepBytes.
 func (p *Planner) advance(s State, rate float64) {
 	if p.started {
 		p.budgetBytes = min(p.budgetBytes+rate*(s.Now-p.lastTime).Seconds(), float64(p.Limits.MaxStepBytes))
@@ -76,16 +76,16 @@
 	p.started = true
 	p.lastTime = s.Now
 	if s.LastStepFailed {
-		p.restUntil = s.Now + p.Limits.RetryDelay
+		p.retryAt = s.Now + p.Limits.RetryDelay
 	}
 }
 
-// minTaskBudgetDivisor is the part of Limits.MaxStepBytes that the budget must have
-// for a task to continue, so that steps are not tiny.
+// minTaskBudgetDivisor: a task continues when the budget is at least
+// Limits.MaxStepBytes divided by this, which avoids very small steps.
 const minTaskBudgetDivisor = 2
 
-// taskStep continues the running task, or waits until the budget allows it. The rate
-// is in bytes per second.
+// taskStep returns a step that continues the running task, or one that waits until the
+// budget suffices. The rate is in bytes per second.
 func (p *Planner) taskStep(rate float64) Step {
 	required := float64(p.Limits.MaxStepBytes) / minTaskBudgetDivisor
 	if p.budgetBytes >= required {
@@ -97,19 +97,19 @@
 }
 
 const (
-	// idleCheckpointLogDivisor and idleCheckpointLiveDivisor are the parts of
-	// MinCheckpointLogBytes and of the live data; with that much log and droppable data
-	// a checkpoint is due while the store is idle.
+	// idleCheckpointLogDivisor and idleCheckpointLiveDivisor divide
+	// MinCheckpointLogBytes and the live data. While the store is idle, a checkpoint is
+	// due when the log and the data that wait for it reach the larger of the quotients.
 	idleCheckpointLogDivisor  = 16
 	idleCheckpointLiveDivisor = 20
-	// pendingDropLogDivisor is the part of MinCheckpointLogBytes from which on data that
-	// only waits for a checkpoint to be dropped makes one due.
+	// pendingDropLogDivisor divides MinCheckpointLogBytes. The quotient is the minimum
+	// of data waiting to be dropped at which a checkpoint is due.
 	pendingDropLogDivisor = 4
 )
 
-// checkpointDue reports whether a checkpoint is due: the log after the last one is
-// long, or the store is idle and there is something to gain, or much data waits for a
-// checkpoint to be dropped.
+// checkpointDue reports whether a checkpoint is due: the log since the last checkpoint
+// is long, or the store is idle and a checkpoint shortens the next replay or frees
+// space, or much data can't be dropped before a checkpoint.
 func (l *Limits) checkpointDue(s State, idle bool) bool {
 	if s.Seq <= s.OlderCheckpointSeq {
 		return false // both checkpoints cover the whole log
@@ -121,32 +121,32 @@
 	pending := s.pendingDropBytes()
 	idleDue := max(l.MinCheckpointLogBytes/idleCheckpointLogDivisor, s.Space.LiveBytes/idleCheckpointLiveDivisor)
 	if idle && s.LogBytesSinceCheckpoint+pending >= idleDue {
-		return true // no write is delayed, and the next start replays less
+		return true // a checkpoint delays no writes now, and the next start replays less
 	}
 	pendingDue := int64(l.PendingDropRatio * float64(s.Space.LiveBytes))
 	return pending >= max(l.MinCheckpointLogBytes/pendingDropLogDivisor, pendingDue)
 }
 
-// minGainDivisor is the part of GarbageRatio that the ratio of dead to live data in a
-// segment must exceed for a compaction of it.
+// minGainDivisor: a segment is compacted only if its ratio of dead to live data exceeds
+// GarbageRatio divided by this.
 const minGainDivisor = 4
 
-// compactionCandidate finds the segment with the most dead data for each live byte
-// that compaction would move, if there is more dead data than is tolerated.
+// compactionCandidate returns the segment with the highest ratio of dead to live data,
+// if the dead data of all segments exceeds the tolerated amount.
 func (l *Limits) compactionCandidate(s State) (number uint32, ok bool) {
 	var dead int64
-	bestGain := 0.0
+	bestRatio := 0.0
 	for _, segment := range s.Segments {
 		if !segment.Sealed || segment.LiveValues == 0 {
 			continue
 		}
 		dead += segment.deadBytes()
 		gain := float64(segment.deadBytes()) / float64(segment.LiveBytes+1)
-		if gain > bestGain && !segment.Unreadable {
+		if gain > bestRatio && !segment.Unreadable {
 			number = segment.Number
-			bestGain = gain
+			bestRatio = gain
 		}
 	}
 	tolerated := int64(l.GarbageRatio*float64(s.Space.LiveBytes)) + l.MinSegmentBytes
-	return number, number != 0 && dead > tolerated && bestGain > l.GarbageRatio/minGainDivisor
+	return number, number != 0 && dead > tolerated && bestRatio > l.GarbageRatio/minGainDivisor
 }
--- a/internal/storage/durable/plan/reclaim.go
+++ b/internal/storage/durable/plan/reclaim.go
@@ -1,17 +1,17 @@
 package plan
 
 const (
-	// reclaimStepBytes is the budget of one step when all space is reclaimed.
+	// reclaimStepBytes is the budget of one step with State.ReclaimAll.
 	reclaimStepBytes = 1 << 20
-	// minReclaimSegmentBytes is the length up to which a segment is not rewritten.
+	// minReclaimSegmentBytes is the length up to which a segment is not compacted.
 	minReclaimSegmentBytes = 4 << 10
-	// minReclaimDivisor is the part of its length that a segment must have as dead data
-	// to be rewritten.
+	// minReclaimDivisor: a segment is compacted only if its dead data exceeds its length
+	// divided by this.
 	minReclaimDivisor = 8
 )
 
-// reclaimStep reclaims all space: every segment with dead data is compacted, and two
-// checkpoints release what is dead.
+// reclaimStep returns the next step with State.ReclaimAll. Every segment with dead data
+// is compacted, and after two checkpoints the dead segments can be dropped.
 func reclaimStep(s State) Step {
 	if s.Task != NoTask {
 		return Step{Kind: ContinueTask, BudgetBytes: reclaimStepBytes}
@@ -23,7 +23,7 @@
 		if !segment.Sealed {
 			return Step{Kind: SealSegment}
 		}
-		return Step{Kind: BeginCompaction, Segment: segment.Number}
+		return Step{Kind: StartCompaction, Segment: segment.Number}
 	}
 	if n := len(s.Segments); n > 0 {
 		active := s.Segments[n-1]
@@ -32,7 +32,7 @@
 		}
 	}
 	if s.Seq > s.OlderCheckpointSeq {
-		return Step{Kind: BeginCheckpoint}
+		return Step{Kind: StartCheckpoint}
 	}
 	if s.ReserveMissing {
 		return Step{Kind: RestoreReserve}
@@ -40,8 +40,8 @@
 	return Step{Delay: idleDelay}
 }
 
-// worthReclaiming reports whether a segment has enough dead data, beside live values,
-// to be rewritten.
+// worthReclaiming reports whether a segment has live values and enough dead data to be
+// compacted.
 func worthReclaiming(s Segment) bool {
 	return s.LiveValues > 0 && !s.Unreadable && s.deadBytes() > s.Bytes/minReclaimDivisor && s.Bytes > minReclaimSegmentBytes
 }
--- a/internal/storage/durable/plan/state.go
+++ b/internal/storage/durable/plan/state.go
@@ -6,22 +6,22 @@
 type Segment struct {
 	Number     uint32
 	Bytes      int64
-	LiveBytes  int64  // of the values that the index refers to here
-	LiveValues int64  // how many they are
-	EmptiedSeq uint64 // the batch after which no value was live
-	Sealed     bool   // nothing is appended any more
-	Unreadable bool   // compaction found damage in it
+	LiveBytes  int64  // length of the operations that the index refers to
+	LiveValues int64  // number of values that the index refers to
+	EmptiedSeq uint64 // sequence number of the batch after which no value was live
+	Sealed     bool   // no batch is appended any more
+	Unreadable bool   // compaction found damage in the segment
 }
 
-// deadBytes is what compaction of the segment would reclaim.
+// deadBytes returns the length of the data that compaction of the segment would reclaim.
 func (s *Segment) deadBytes() int64 { return s.Bytes - s.LiveBytes }
 
-// Task is the work that maintenance has begun and not completed.
+// Task is the task that maintenance has started and not completed.
 type Task int
 
 // The tasks.
 const (
-	// NoTask means that nothing is unfinished.
+	// NoTask means that no task is running.
 	NoTask Task = iota
 	// Checkpointing means that a checkpoint is being written.
 	Checkpointing
@@ -29,26 +29,26 @@
 	Compacting
 )
 
-// State is all that a decision depends on.
+// State is the input of a decision.
 type State struct {
-	Now                     time.Duration // since any fixed moment
-	Segments                []Segment     // in the order of their numbers
-	Seq                     uint64        // the last batch
-	OlderCheckpointSeq      uint64        // last batch of the older of the two checkpoints; 0 if there is none
-	OlderCheckpointSegment  uint32        // where the log behind it begins
-	OldestSnapshotSeq       uint64        // of the open snapshots; Seq if none is open
+	Now                     time.Duration // measured from any fixed point in time
+	Segments                []Segment     // in ascending order of numbers
+	Seq                     uint64        // sequence number of the last batch
+	OlderCheckpointSeq      uint64        // last batch in the older of the two checkpoints; 0 if there is none
+	OlderCheckpointSegment  uint32        // segment in which the replay after that checkpoint starts
+	OldestSnapshotSeq       uint64        // last batch in the oldest open snapshot; Seq if none is open
 	UnsyncedSince           time.Duration // time of the oldest unsynced write
 	HasUnsynced             bool
 	LogBytesSinceCheckpoint int64 // length of the log after the newest checkpoint
 	Space                   Space
 	Task                    Task
-	LastStepFailed          bool // the step before this decision
-	ReserveMissing          bool // the reserve is not on disk
-	ReclaimAll              bool // an operator wants all space back now
+	LastStepFailed          bool // the previous step failed
+	ReserveMissing          bool // the reserve file is not on disk
+	ReclaimAll              bool // reclaim all space now, without a rate limit
 }
 
-// pendingDropBytes is the length of the segments that can be dropped once both
-// checkpoints are newer.
+// pendingDropBytes returns the length of the segments without live values that open
+// snapshots don't need. They can be dropped once both checkpoints are newer.
 func (s *State) pendingDropBytes() (total int64) {
 	for _, segment := range s.Segments {
 		if segment.Sealed && segment.LiveValues == 0 && segment.EmptiedSeq <= s.OldestSnapshotSeq {
@@ -58,8 +58,8 @@
 	return total
 }
 
-// droppableSegment finds a segment that neither the index, nor a retained checkpoint
-// with the log behind it, nor an open snapshot needs.
+// droppableSegment returns a segment that is not needed by the index, by a retained
+// checkpoint or the replay after it, or by an open snapshot.
 func (s *State) droppableSegment() (number uint32, ok bool) {
 	for _, segment := range s.Segments {
 		if segment.Sealed && segment.LiveValues == 0 && segment.Number < s.OlderCheckpointSegment &&
@@ -70,30 +70,30 @@
 	return 0, false
 }
 
-// StepKind is what to do.
+// StepKind is the kind of a step.
 type StepKind int
 
 // The kinds of steps.
 const (
-	// Idle means that there is nothing to do before Step.Delay.
+	// Idle means that no step is due; the next decision is due after Step.Delay.
 	Idle StepKind = iota
 	// Flush syncs the log.
 	Flush
 	// DropSegment removes Step.Segment.
 	DropSegment
-	// ContinueTask goes on with the running task, for Step.BudgetBytes.
+	// ContinueTask continues the running task, for about Step.BudgetBytes.
 	ContinueTask
 	// RestoreReserve writes the reserve file.
 	RestoreReserve
 	// SealSegment rotates the active segment.
 	SealSegment
-	// BeginCheckpoint begins a checkpoint.
-	BeginCheckpoint
-	// BeginCompaction begins the compaction of Step.Segment.
-	BeginCompaction
+	// StartCheckpoint starts a checkpoint.
+	StartCheckpoint
+	// StartCompaction starts the compaction of Step.Segment.
+	StartCompaction
 )
 
-// String is the kind in words.
+// String returns the name of the kind.
 func (k StepKind) String() string {
 	return [...]string{
 		Idle:            "wait",
@@ -102,15 +102,15 @@
 		ContinueTask:    "continue",
 		RestoreReserve:  "restore reserve",
 		SealSegment:     "seal",
-		BeginCheckpoint: "begin checkpoint",
-		BeginCompaction: "begin compaction",
+		StartCheckpoint: "begin checkpoint",
+		StartCompaction: "begin compaction",
 	}[k]
 }
 
-// Step is one decision.
+// Step is a decision of the planner.
 type Step struct {
 	Kind        StepKind
 	Segment     uint32        // of DropSegment and BeginCompaction
-	BudgetBytes int64         // that ContinueTask may write and read
-	Delay       time.Duration // until the next decision, whatever the kind
+	BudgetBytes int64         // number of bytes to read and write, for ContinueTask
+	Delay       time.Duration // time until the next decision, for all kinds
 }
--- a/internal/storage/durable/read.go
+++ b/internal/storage/durable/read.go
@@ -10,14 +10,14 @@
 // Item is one key of a scan.
 type Item struct {
 	Key     string
-	Version uint64 // the batch that put it
+	Version uint64 // sequence number of the batch that put the value
 	Expiry  int64  // 0 is never
-	Lost    bool   // a repair found the value missing
+	Lost    bool   // the value is lost: recovery or a repair found it unreadable
 	value   func() ([]byte, error)
 }
 
-// Value reads the value, from disk if it must. It may be called until the scan
-// visits the next key.
+// Value returns the value; a value that is not in memory is read from disk. It may be
+// called until the scan visits the next key.
 func (i *Item) Value() ([]byte, error) { return i.value() }
 
 func newItem(e indexEntry, segment *segment) Item {
@@ -30,7 +30,8 @@
 	}
 }
 
-// readValue reads an entry's value; the segment is the one that the entry refers to.
+// readValue returns an entry's value. The segment is the one that the entry refers to,
+// or nil if that is missing.
 func readValue(e *indexEntry, segment *segment) ([]byte, error) {
 	switch {
 	case e.place == valueInline:
@@ -43,8 +44,8 @@
 	return segment.readValue(e)
 }
 
-// scanTree visits the keys in [from, to) that have not expired; an empty end means
-// all that follow.
+// scanTree visits the keys in [from, to) that have not expired at now. If to is empty,
+// the range has no upper bound.
 func scanTree(tree *btree.BTreeG[indexEntry], from, to string, now int64, visit func(indexEntry) bool) {
 	tree.Ascend(searchKey(from), func(e indexEntry) bool {
 		switch {
@@ -57,8 +58,9 @@
 	})
 }
 
-// find looks a key up. A segment is returned if the value must be read from it.
-func find(
+// lookUp returns the entry of a key, and the segment from which the value must be read,
+// or nil if the value is in memory.
+func lookUp(
 	tree *btree.BTreeG[indexEntry], segments map[uint32]*segment, key string, now int64,
 ) (indexEntry, *segment, error) {
 	if len(key) == 0 || len(key) > math.MaxUint16 {
--- a/internal/storage/durable/records_test.go
+++ b/internal/storage/durable/records_test.go
@@ -8,22 +8,22 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestRecordBytes states the bytes of each record that the store writes. A record is
-// changed by a new format version only.
+// TestRecordBytes checks the encoded bytes of each record that the store writes. They
+// may change only with a new format version.
 func TestRecordBytes(t *testing.T) {
 	const store, number = 0x0123456789abcdef, 7
-	salt := saltOf(store, 'l', number)
-	sealed := func(o op) []byte {
+	salt := fileSalt(store, 'l', number)
+	encodeWithChecksum := func(o op) []byte {
 		payload := appendOp(nil, o)
-		sealOps(payload, salt, 300)
+		setOpChecksums(payload, salt, 300)
 		return payload
 	}
-	payload := append(sealed(op{kind: opPut, key: []byte("key"), value: []byte("value"), expiry: 1_700_000_000}),
-		sealed(op{kind: opDelete, key: []byte("other")})...)
+	payload := append(encodeWithChecksum(op{kind: opPut, key: []byte("key"), value: []byte("value"), expiry: 1_700_000_000}),
+		encodeWithChecksum(op{kind: opDelete, key: []byte("other")})...)
 	header := make([]byte, batchHeaderLen)
 	batch := batchHeader{seq: 300, syncedSeq: 299, opCount: 2, previousChecksum: 0xdeadbeef}
 	batch.encode(header, payload, salt)
-	entryOf := func(e indexEntry, key, value string) []byte {
+	encodeEntry := func(e indexEntry, key, value string) []byte {
 		e.data, e.keyLen, e.version = key+value, uint16(len(key)), 290
 		return appendEntry(nil, &e, "keep", 300)
 	}
@@ -34,31 +34,31 @@
 	}{
 		{"batch header", header,
 			"a3f4b0781b0000002c010000000000002b0100000000000002000000efbeadde0e83c24d84418ae9"},
-		{"put", sealed(op{kind: opPut, key: []byte("key"), value: []byte("value")}),
+		{"put", encodeWithChecksum(op{kind: opPut, key: []byte("key"), value: []byte("value")}),
 			"010305006b657976616c7565e24fa488"},
-		{"put with expiry", sealed(op{kind: opPut, key: []byte("key"), value: []byte("value"), expiry: 1_700_000_000}),
+		{"put with expiry", encodeWithChecksum(op{kind: opPut, key: []byte("key"), value: []byte("value"), expiry: 1_700_000_000}),
 			"01030580c49fd50c6b657976616c756548fbebc9"},
-		{"delete", sealed(op{kind: opDelete, key: []byte("key")}),
+		{"delete", encodeWithChecksum(op{kind: opDelete, key: []byte("key")}),
 			"02036b6579"},
-		{"delete range", sealed(op{kind: opDeleteRange, key: []byte("a"), value: []byte("b")}),
+		{"delete range", encodeWithChecksum(op{kind: opDeleteRange, key: []byte("a"), value: []byte("b")}),
 			"0301016162"},
-		{"delete range without end", sealed(op{kind: opDeleteRange, key: []byte("a")}),
+		{"delete range without end", encodeWithChecksum(op{kind: opDeleteRange, key: []byte("a")}),
 			"03010061"},
-		{"move", sealed(op{kind: opMove, key: []byte("key"), value: []byte("value"), expiry: 50, version: 290}),
+		{"move", encodeWithChecksum(op{kind: opMove, key: []byte("key"), value: []byte("value"), expiry: 50, version: 290}),
 			"04a2020305646b657976616c7565423e6e5e"},
-		{"expire", sealed(op{kind: opExpire, key: []byte("key"), version: 290}),
+		{"expire", encodeWithChecksum(op{kind: opExpire, key: []byte("key"), version: 290}),
 			"05a202036b6579"},
-		{"segment header", (&segmentHeader{storeID: store, number: number, previousSize: 4096, previousSeq: 299, previousChain: 0xcafe}).encode(),
+		{"segment header", (&segmentHeader{storeID: store, number: number, previousSize: 4096, previousSeq: 299, previousChecksum: 0xcafe}).encode(),
 			"6f7862774c4f470a01000000efcdab89674523010700000000100000000000002b01000000000000feca000000000000" +
 				"000000000000000000000000d9d20b15"},
-		{"checkpoint header", (&checkpointHeader{store, number, position{segment: 5, offset: 1234, seq: 299, chain: 0xcafe}}).encode(),
+		{"checkpoint header", (&checkpointHeader{store, number, position{segment: 5, offset: 1234, seq: 299, chainChecksum: 0xcafe}}).encode(),
 			"6f786277434b500a01000000efcdab8967452301070000002b0100000000000005000000d204000000000000feca0000" +
 				"0000000000000000000000005806b906"},
-		{"checkpoint entry, inline", entryOf(indexEntry{place: valueInline}, "key", "value"),
+		{"checkpoint entry, inline", encodeEntry(indexEntry{place: valueInline}, "key", "value"),
 			"020179000a0576616c7565"},
-		{"checkpoint entry, on disk with expiry", entryOf(indexEntry{place: valueOnDisk, expiry: 50, segment: 5, offset: 1234, size: 99}, "key", ""),
+		{"checkpoint entry, on disk with expiry", encodeEntry(indexEntry{place: valueOnDisk, expiry: 50, segment: 5, offset: 1234, size: 99}, "key", ""),
 			"020179810a6405d20963"},
-		{"checkpoint entry, lost", entryOf(indexEntry{place: valueLost}, "key", ""),
+		{"checkpoint entry, lost", encodeEntry(indexEntry{place: valueLost}, "key", ""),
 			"020179020a"},
 		{"manifest", (&manifest{storeID: store, generation: 9, activeSegment: 7, syncedSeq: 299, firstSegment: 1,
 			checkpoints: [retainedCheckpoints]checkpointRef{{2, 200, 4000, 5}, {3, 280, 4100, 6}}}).encode(),
--- a/internal/storage/durable/recover.go
+++ b/internal/storage/durable/recover.go
@@ -9,23 +9,23 @@
 	"oxbowbridge/internal/storage/durable/vfs"
 )
 
-// recovery is the state that a folder recovers to. Reading it changes nothing.
+// recovery is the state recovered from a folder. Recovery itself changes no file.
 type recovery struct {
-	uninitialized           bool // nothing was ever acknowledged here
+	uninitialized           bool // no batch was ever acknowledged in the folder
 	manifest                *manifest
 	index                   *index
-	end                     position // of the recovered state
+	end                     position // of the last valid batch
 	logBytesSinceCheckpoint int64
-	checkpoints             [retainedCheckpoints]checkpointRef // unreadable ones are zero
-	files                   map[string]int64                   // size in bytes by name
+	checkpoints             [retainedCheckpoints]checkpointRef // zero for an unreadable checkpoint
+	files                   map[string]int64                   // file lengths in bytes, by name
 	maxSegment              uint32
 	maxCheckpoint           uint32
-	maxSeq                  uint64 // of any batch that left a trace, also beyond the end
+	maxSeq                  uint64 // highest sequence number found in any file, also after the end
 	report                  *Report
 	segments                []uint32 // numbers, ascending
 }
 
-// close closes the segments.
+// close closes the segment files.
 func (r *recovery) close() {
 	if r.index == nil {
 		return
@@ -36,8 +36,8 @@
 }
 
 // recoverFrom reads a folder as far as it is consistent: the manifest, the newest
-// readable checkpoint, and the log after it. The error is one of the device; what
-// is wrong with the files is in the report.
+// readable checkpoint, and the log after it. It returns an error only for failed I/O;
+// faults in the files are listed in the report.
 func recoverFrom(fsys vfs.FS, o *Options) (*recovery, error) {
 	list, err := fsys.List()
 	if err != nil {
@@ -60,7 +60,7 @@
 	return r, nil
 }
 
-// listFiles notes all files, and returns the numbers of the checkpoints.
+// listFiles records all files, and returns the numbers of the checkpoints.
 func (r *recovery) listFiles(list []vfs.FileInfo) (checkpoints []uint32) {
 	for _, f := range list {
 		r.files[f.Name] = f.Size
@@ -77,8 +77,8 @@
 	return checkpoints
 }
 
-// loadCheckpoint loads the newest checkpoint that is readable into the index, and
-// returns the position where the log goes on.
+// loadCheckpoint loads the newest readable checkpoint into the index, and returns the
+// position in the log at which the replay starts.
 func (r *recovery) loadCheckpoint(fsys vfs.FS, o *Options) (position, error) {
 	for i := newestCheckpoint; i >= 0; i-- {
 		ref := r.checkpoints[i]
@@ -88,7 +88,7 @@
 		if err := r.resetIndex(fsys, o); err != nil {
 			return position{}, err
 		}
-		start, err := r.tryCheckpoint(fsys, ref)
+		start, err := r.loadCheckpointFile(fsys, ref)
 		if err == nil {
 			return start, nil
 		}
@@ -109,15 +109,15 @@
 	return position{}, nil
 }
 
-// tryCheckpoint fills the empty index from a checkpoint. Values that lie beyond the
-// end of their segment are marked as lost.
-func (r *recovery) tryCheckpoint(fsys vfs.FS, ref checkpointRef) (position, error) {
-	var missing []indexEntry
+// loadCheckpointFile fills the empty index from a checkpoint. It marks values as lost
+// whose segment is missing or too short.
+func (r *recovery) loadCheckpointFile(fsys vfs.FS, ref checkpointRef) (position, error) {
+	var unreadable []indexEntry
 	header, err := readCheckpoint(fsys, ref, r.manifest.storeID, func(e indexEntry) {
 		if e.place == valueOnDisk {
 			s := r.index.segments[e.segment]
 			if s == nil || int64(e.offset)+int64(e.size) > s.size {
-				missing = append(missing, e)
+				unreadable = append(unreadable, e)
 			}
 		}
 		r.index.loadSorted(e)
@@ -126,14 +126,14 @@
 		return position{}, err
 	}
 	r.report.CheckpointNumber = ref.number
-	for _, e := range missing {
+	for _, e := range unreadable {
 		r.report.addFault(fmt.Errorf("%s: value of %q is missing", segmentName(e.segment), e.key()))
 	}
-	r.index.markLost(header.logPosition.seq, missing)
+	r.index.markLost(header.logPosition.seq, unreadable)
 	return header.logPosition, nil
 }
 
-// resetIndex opens all segments for an empty index.
+// resetIndex replaces the index by an empty one and opens all segments for it.
 func (r *recovery) resetIndex(fsys vfs.FS, o *Options) error {
 	r.close()
 	r.index = newIndex(o.MaxInlineBytes)
@@ -147,14 +147,15 @@
 			number: n,
 			file:   f,
 			size:   r.files[name],
-			salt:   saltOf(r.manifest.storeID, segmentFormat.kind, n),
+			salt:   fileSalt(r.manifest.storeID, segmentFormat.kind, n),
 			sealed: true,
 		}
 	}
 	return nil
 }
 
-// summarize fills in what service and reports need, once the index is complete.
+// summarize sets the fields of the segments and of the report that depend on the
+// complete index.
 func (r *recovery) summarize() {
 	if r.index == nil {
 		return
--- a/internal/storage/durable/recover_manifest.go
+++ b/internal/storage/durable/recover_manifest.go
@@ -12,14 +12,14 @@
 
 // loadManifest reads the manifest, or reconstructs it if it is missing or damaged.
 func (r *recovery) loadManifest(fsys vfs.FS, checkpoints []uint32) error {
-	b, err := readFile(fsys, manifestName, manifestLen+1) // a longer file shows by its length
+	b, err := readFile(fsys, manifestName, manifestLen+1) // one more byte, to detect a file that is too long
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
 		if len(checkpoints) == 0 && r.holdsNoBatch() {
 			r.uninitialized = true
 			return nil
 		}
-		err = newFault(manifestName, 0, "is missing")
+		err = newFileFault(manifestName, 0, "is missing")
 	case err != nil:
 		return fmt.Errorf("%s: %w", manifestName, err)
 	default:
@@ -35,7 +35,7 @@
 }
 
 // holdsNoBatch reports whether there is no segment, or only the first one without a
-// batch: a crash came before the manifest was created.
+// batch. A crash before the first manifest was written leaves such a folder.
 func (r *recovery) holdsNoBatch() bool {
 	switch len(r.segments) {
 	case 0:
@@ -46,8 +46,8 @@
 	return false
 }
 
-// reconstructManifest makes up for a manifest that can't be read, from the headers
-// of the other files.
+// reconstructManifest reconstructs an unreadable manifest from the headers of the other
+// files.
 func (r *recovery) reconstructManifest(fsys vfs.FS, checkpoints []uint32) error {
 	r.manifest = &manifest{activeSegment: r.maxSegment}
 	var refs []checkpointRef
