--- a/internal/storage/durable/repair.go
+++ b/internal/storage/durable/repair.go
@@ -6,17 +6,19 @@
 	"oxbowbridge/internal/storage/durable/vfs"
 )
 
-// repairStepBytes is the length of the pieces in which a repair writes checkpoints.
-const repairStepBytes = 1 << 20
+// repairCheckpointChunkBytes is the budget of each call of checkpointWriter.writeNext
+// in a repair.
+const repairCheckpointChunkBytes = 1 << 20
 
-// Repair makes a damaged folder one that opens, with the last consistent state that
-// can be recovered. Batches after the damage are lost, and their sequence numbers
-// are not used again. A key whose value can't be read stays in the index, marked as
-// lost: Get fails for it until it is written or deleted. Files that are no longer
-// used get a name that begins with "damaged-". A folder that opens is not changed.
+// Repair changes a damaged folder so that it can be opened with the last consistent
+// state that can be recovered. Batches after the damage are lost, and their sequence
+// numbers are not reused. A key whose value can't be read stays in the index, marked as
+// lost: Get fails for it until the key is written or deleted. Files that the repaired
+// store does not use are renamed with the prefix "damaged-". A folder that is not
+// damaged is not changed.
 //
-// The report is of the folder before. What was written for the repair counts only
-// once the manifest has been replaced, so a crash on the way changes nothing.
+// The report describes the folder before the repair. The repair takes effect when the
+// manifest is replaced; a crash before that leaves the old state in place.
 func Repair(fsys vfs.FS, o Options) (*Report, error) {
 	o, err := o.withDefaults()
 	if err != nil {
@@ -49,8 +51,8 @@
 	return r.report, r.quarantine(fsys)
 }
 
-// writeRepaired writes the recovered state as two checkpoints with an empty log
-// behind them, and puts a manifest in place that has only those.
+// writeRepaired writes the recovered state as two checkpoints followed by an empty
+// segment, and replaces the manifest by one that names only these files.
 func (r *recovery) writeRepaired(fsys vfs.FS) error {
 	header := segmentHeader{storeID: r.manifest.storeID, number: r.maxSegment + 1, previousSeq: r.maxSeq + 1}
 	if err := writeFile(fsys, segmentName(header.number), header.encode()); err != nil {
@@ -79,16 +81,16 @@
 	return nil
 }
 
-// writeCheckpoint writes the index as a checkpoint, and reads it back.
+// writeCheckpoint writes the index as a checkpoint, and reads it back to verify it.
 func (r *recovery) writeCheckpoint(fsys vfs.FS, number uint32, start position) (checkpointRef, error) {
 	header := checkpointHeader{r.manifest.storeID, number, start}
 	w := &checkpointWriter{header: header, iterator: r.index.tree.Iter()}
-	if err := w.begin(fsys); err != nil {
+	if err := w.start(fsys); err != nil {
 		return checkpointRef{}, err
 	}
 	for done := false; !done; {
 		var err error
-		if done, err = w.writeNext(repairStepBytes); err != nil {
+		if done, err = w.writeNext(repairCheckpointChunkBytes); err != nil {
 			return checkpointRef{}, err
 		}
 	}
@@ -100,8 +102,8 @@
 	return ref, err
 }
 
-// quarantine renames the files that the repaired store does not use. Segments that
-// hold live values stay.
+// quarantine renames the files that the repaired store does not use. Segments with
+// live values keep their names.
 func (r *recovery) quarantine(fsys vfs.FS) error {
 	for name := range r.files {
 		if !r.isReplaced(name) {
@@ -114,8 +116,8 @@
 	return fsys.SyncDir()
 }
 
-// isReplaced reports whether a file is a checkpoint, or a segment without live
-// values: the repaired store does not read it.
+// isReplaced reports whether a file is a checkpoint or a segment without live values.
+// The repaired store reads none of these.
 func (r *recovery) isReplaced(name string) bool {
 	if _, ok := parseNumberedName(name, checkpointSuffix); ok {
 		return true
--- a/internal/storage/durable/replay.go
+++ b/internal/storage/durable/replay.go
@@ -9,23 +9,23 @@
 	"io"
 )
 
-// replay applies the log from a position on, as far as it is consistent.
+// replay applies the log from a position onward, as far as the log is consistent.
 func (r *recovery) replay(start position) error {
 	r.end = start
 	for number := start.segment; ; number++ {
 		s := r.index.segments[number]
 		if s == nil {
 			if number <= r.manifest.activeSegment {
-				r.report.addFault(newFault(segmentName(number), 0, "is missing"))
+				r.report.addFault(newFileFault(segmentName(number), 0, "is missing"))
 			}
 			r.finishReplay(number)
 			return nil
 		}
-		entered, err := r.enterSegment(s, number == start.segment)
+		accepted, err := r.checkSegmentHeader(s, number == start.segment)
 		if err != nil {
 			return err
 		}
-		if !entered {
+		if !accepted {
 			r.finishReplay(number)
 			return nil
 		}
@@ -40,10 +40,11 @@
 	}
 }
 
-// enterSegment checks a segment's header against the position of the replay.
-func (r *recovery) enterSegment(s *segment, first bool) (ok bool, err error) {
+// checkSegmentHeader checks a segment's header against the position that the replay has
+// reached, and moves the position to the segment's first batch.
+func (r *recovery) checkSegmentHeader(s *segment, first bool) (ok bool, err error) {
 	if s.number > r.manifest.activeSegment && s.size <= headerLen {
-		return false, nil // a crash came before the manifest named it
+		return false, nil // a crash preceded the manifest that would name the segment
 	}
 	name := segmentName(s.number)
 	h, err := s.readHeader()
@@ -51,7 +52,7 @@
 		return false, fmt.Errorf("%s: %w", name, err)
 	}
 	if err == nil {
-		err = r.checkSequence(s, &h, first)
+		err = r.checkSegmentOrder(s, &h, first)
 	}
 	if err != nil {
 		r.report.addFault(err)
@@ -63,54 +64,56 @@
 	return true, nil
 }
 
-// checkSequence finds a segment that does not belong at the position of the replay.
-func (r *recovery) checkSequence(s *segment, h *segmentHeader, first bool) error {
+// checkSegmentOrder fails if a segment does not follow the position that the replay has
+// reached.
+func (r *recovery) checkSegmentOrder(s *segment, h *segmentHeader, first bool) error {
 	name := segmentName(s.number)
 	if h.storeID != r.manifest.storeID || h.number != s.number {
-		return newFault(name, headerStoreOffset, "belongs to another store or another place")
+		return newFileFault(name, headerStoreOffset, "belongs to another store or another place")
 	}
 	if first {
 		return r.checkFirstSegment(name, h)
 	}
-	if h.previousSeq != r.end.seq || h.previousChain != r.end.chain || h.previousSize != r.end.offset {
-		return newFault(name, segmentPreviousSizeOffset, "does not follow the segment before")
+	if h.previousSeq != r.end.seq || h.previousChecksum != r.end.chainChecksum || h.previousSize != r.end.offset {
+		return newFileFault(name, segmentPreviousSizeOffset, "does not follow the segment before")
 	}
 	if s.number > r.manifest.activeSegment {
-		return newFault(name, 0, "is newer than the manifest")
+		return newFileFault(name, 0, "is newer than the manifest")
 	}
 	return nil
 }
 
-// checkFirstSegment checks the segment that the replay begins in. In the middle of
-// a segment the first batch's chain proves more than the header could.
+// checkFirstSegment checks the segment in which the replay starts. It checks nothing if
+// the replay starts in the middle of a segment, because the first batch has the
+// checksum of the previous one.
 func (r *recovery) checkFirstSegment(name string, h *segmentHeader) error {
 	if r.end.offset != headerLen {
 		return nil
 	}
-	if r.end.chain == 0 && r.report.CheckpointNumber == 0 {
-		r.end.chain = h.checksum
+	if r.end.chainChecksum == 0 && r.report.CheckpointNumber == 0 {
+		r.end.chainChecksum = h.checksum
 		r.end.seq = h.previousSeq
 	}
-	if h.checksum != r.end.chain || h.previousSeq != r.end.seq {
-		return newFault(name, segmentPreviousSeqOffset, "is not the one that the checkpoint was taken with")
+	if h.checksum != r.end.chainChecksum || h.previousSeq != r.end.seq {
+		return newFileFault(name, segmentPreviousSeqOffset, "is not the one that the checkpoint was taken with")
 	}
 	return nil
 }
 
-// replaySegment applies the batches of one segment. It is complete if the next may
-// follow.
+// replaySegment applies the batches of one segment. It returns complete true if the
+// replay may continue with the next segment.
 func (r *recovery) replaySegment(s *segment) (complete bool, err error) {
 	name := segmentName(s.number)
 	if r.end.offset > s.size {
-		r.report.addFault(newFault(name, s.size, "is cut short before byte %d, where a checkpoint was taken", r.end.offset))
+		r.report.addFault(newFileFault(name, s.size, "is cut short before byte %d, where a checkpoint was taken", r.end.offset))
 		return false, nil
 	}
-	begin := r.end.offset
+	startOffset := r.end.offset
 	err = readBatches(s, &r.end, func(h batchHeader, payload []byte, offset int64) error {
 		r.report.ReplayedBatches++
 		return r.index.apply(s.number, offset, h, payload)
 	})
-	r.logBytesSinceCheckpoint += r.end.offset - begin
+	r.logBytesSinceCheckpoint += r.end.offset - startOffset
 	switch {
 	case errors.Is(err, ErrDamaged):
 		return false, r.classifyTail(s, err)
@@ -120,10 +123,10 @@
 	return true, nil
 }
 
-// classifyTail decides whether the bytes after the last good batch of a segment
-// are a torn tail, which may be truncated, or damage: a later segment, or a later
-// batch whose header has a higher syncedSeq, proves that acknowledged batches are
-// missing.
+// classifyTail decides whether the bytes after the last valid batch of a segment are a
+// torn tail, which may be truncated, or damage. They are damage if a later segment
+// exists, or a later batch has a higher syncedSeq in its header: both prove that
+// acknowledged batches are missing.
 func (r *recovery) classifyTail(s *segment, fault error) error {
 	laterSyncedSeq, err := findSyncedSeq(s, r.end)
 	if err != nil {
@@ -145,7 +148,7 @@
 }
 
 // finishReplay checks the end of the replay against the manifest. The argument is
-// the first segment that the replay did not enter.
+// the number of the first segment that was not replayed.
 func (r *recovery) finishReplay(next uint32) {
 	r.maxSeq = max(r.maxSeq, r.end.seq)
 	if r.end.seq < r.manifest.syncedSeq {
@@ -153,36 +156,36 @@
 	}
 	for _, n := range r.segments {
 		if n >= next && n > r.manifest.activeSegment && r.files[segmentName(n)] > headerLen {
-			r.report.addFault(newFault(segmentName(n), 0, "is newer than the manifest"))
+			r.report.addFault(newFileFault(segmentName(n), 0, "is newer than the manifest"))
 			break
 		}
 	}
 }
 
-// scanChunkBytes is the length of reads of the log.
+// scanChunkBytes is the length of one read of the log.
 const scanChunkBytes = 256 << 10
 
-// visitBatch is called for a batch at an offset of its segment. The payload is valid
-// during the call only.
-type visitBatch func(h batchHeader, payload []byte, offset int64) error
+// batchVisitor is called with a batch and its offset in the segment. The payload is
+// valid only during the call.
+type batchVisitor func(h batchHeader, payload []byte, offset int64) error
 
-// batchReader reads the batches of a segment one after the other.
+// batchReader reads the batches of a segment in sequence.
 type batchReader struct {
 	segment *segment
-	in      io.Reader // the segment's bytes from the position on
-	at      *position // behind the last batch that was read
+	in      io.Reader // reads the segment from the position onward
+	end     *position // after the last batch that was visited
 	payload []byte    // of the last batch; reused for the next
 }
 
-// readBatches reads the batches of a segment from a position on, each checked
-// completely before it is visited, and moves the position behind it. It returns nil at
-// the segment's end, and an error that matches ErrDamaged at a place from which no
-// batch can be read.
-func readBatches(s *segment, at *position, visit visitBatch) error {
-	remaining := io.NewSectionReader(s.file, at.offset, s.size-at.offset)
-	bufferBytes := int(min(s.size-at.offset+1, scanChunkBytes))
-	r := &batchReader{segment: s, in: bufio.NewReaderSize(remaining, bufferBytes), at: at}
-	for at.offset < s.size {
+// readBatches visits the batches of a segment from a position onward. It verifies each
+// batch before the visit and advances the position after it. It returns nil at the end
+// of the segment, and an error that matches ErrDamaged if no valid batch is at the
+// position.
+func readBatches(s *segment, end *position, visit batchVisitor) error {
+	remaining := io.NewSectionReader(s.file, end.offset, s.size-end.offset)
+	bufferBytes := int(min(s.size-end.offset+1, scanChunkBytes))
+	r := &batchReader{segment: s, in: bufio.NewReaderSize(remaining, bufferBytes), end: end}
+	for end.offset < s.size {
 		h, err := r.readHeader()
 		if err != nil {
 			return err
@@ -190,19 +193,19 @@
 		if err := r.readPayload(&h); err != nil {
 			return err
 		}
-		if err := visit(h, r.payload, at.offset); err != nil {
+		if err := visit(h, r.payload, end.offset); err != nil {
 			return err
 		}
-		at.offset += batchHeaderLen + int64(h.payloadLen)
-		at.seq = h.seq
-		at.chain = h.checksum
+		end.offset += batchHeaderLen + int64(h.payloadLen)
+		end.seq = h.seq
+		end.chainChecksum = h.checksum
 	}
 	return nil
 }
 
-// readHeader reads the next batch's header, which must follow the batch before.
+// readHeader reads the next batch's header, which must continue the sequence.
 func (r *batchReader) readHeader() (batchHeader, error) {
-	remainingBytes := r.segment.size - r.at.offset
+	remainingBytes := r.segment.size - r.end.offset
 	if remainingBytes < batchHeaderLen {
 		return batchHeader{}, r.fault("batch is cut short")
 	}
@@ -214,7 +217,7 @@
 	switch {
 	case !ok:
 		return h, r.fault("batch's header is wrong")
-	case h.seq != r.at.seq+1 || h.previousChecksum != r.at.chain:
+	case h.seq != r.end.seq+1 || h.previousChecksum != r.end.chainChecksum:
 		return h, r.fault("batch does not follow the one before")
 	case int64(h.payloadLen) > remainingBytes-batchHeaderLen:
 		return h, r.fault("batch is cut short")
@@ -237,13 +240,13 @@
 	return nil
 }
 
-// fault is damage at the batch that is read.
+// fault returns a fault at the offset of the batch that is being read.
 func (r *batchReader) fault(reason string) error {
-	return newFault(segmentName(r.segment.number), r.at.offset, "%s", reason)
+	return newFileFault(segmentName(r.segment.number), r.end.offset, "%s", reason)
 }
 
-// findSyncedSeq searches the bytes behind a bad place for headers of later batches,
-// and returns the highest syncedSeq that they state; 0 if there is none.
+// findSyncedSeq searches the bytes from a position onward for headers of later batches,
+// and returns the highest syncedSeq in them, or 0 if there is none.
 func findSyncedSeq(s *segment, from position) (seq uint64, err error) {
 	magic := binary.LittleEndian.AppendUint32(nil, batchMagic)
 	chunk := make([]byte, min(scanChunkBytes+batchHeaderLen, max(0, s.size-from.offset)))
--- a/internal/storage/durable/rotate.go
+++ b/internal/storage/durable/rotate.go
@@ -1,8 +1,8 @@
 package durable
 
-// rotateSegment seals the active segment and goes on in a new one; the committer
-// alone may call it. The manifest knows of the new segment before it holds a
-// batch, so that a lost segment is noticed.
+// rotateSegment seals the active segment and makes a new segment the active one. Only
+// the committer may call it. The manifest names the new segment before it holds a
+// batch, so that recovery detects a missing segment.
 func (s *Store) rotateSegment() error {
 	if err := s.syncLog(); err != nil {
 		return err
@@ -10,11 +10,11 @@
 	old := s.logTail.segment
 	end := s.logTail.end
 	header := segmentHeader{
-		storeID:       s.storeID,
-		number:        old.number + 1,
-		previousSize:  end.offset,
-		previousSeq:   end.seq,
-		previousChain: end.chain,
+		storeID:          s.storeID,
+		number:           old.number + 1,
+		previousSize:     end.offset,
+		previousSeq:      end.seq,
+		previousChecksum: end.chainChecksum,
 	}
 	if err := s.createSegment(&header); err != nil {
 		return err
@@ -27,7 +27,7 @@
 		number:     header.number,
 		file:       file,
 		size:       headerLen,
-		salt:       saltOf(header.storeID, segmentFormat.kind, header.number),
+		salt:       fileSalt(header.storeID, segmentFormat.kind, header.number),
 		emptiedSeq: end.seq,
 	}
 	s.mu.Lock()
@@ -43,8 +43,8 @@
 	return nil
 }
 
-// createSegment writes a segment's file and has the manifest name it. If the disk
-// is full, the file is removed again.
+// createSegment creates a segment's file and records it in the manifest. If the disk
+// is full, it removes the file.
 func (s *Store) createSegment(header *segmentHeader) error {
 	name := segmentName(header.number)
 	err := writeFile(s.fs, name, header.encode())
--- a/internal/storage/durable/segment.go
+++ b/internal/storage/durable/segment.go
@@ -9,41 +9,42 @@
 
 // Offsets of a segment header's fields, in bytes.
 const (
-	segmentNumberOffset        = 20
-	segmentPreviousSizeOffset  = 24
-	segmentPreviousSeqOffset   = 32
-	segmentPreviousChainOffset = 40
+	segmentNumberOffset           = 20
+	segmentPreviousSizeOffset     = 24
+	segmentPreviousSeqOffset      = 32
+	segmentPreviousChecksumOffset = 40
 )
 
-// segment is one file of the log. Store.mu guards the fields that change.
+// segment is one file of the log. Store.mu guards the mutable fields.
 type segment struct {
 	number     uint32
 	file       vfs.File
-	size       int64 // bytes, up to the end of the last good batch
+	size       int64 // bytes, up to the end of the last valid batch
 	salt       uint32
-	liveBytes  int64  // of the values that the index refers to here
-	liveValues int64  // how many they are
-	emptiedSeq uint64 // the batch after which no value was live
-	sealed     bool   // nothing is appended any more
-	unreadable bool   // compaction found damage in it
+	liveBytes  int64  // length of the operations that the index refers to
+	liveValues int64  // number of values that the index refers to
+	emptiedSeq uint64 // sequence number of the batch after which no value was live
+	sealed     bool   // no batch is appended any more
+	unreadable bool   // compaction found damage in the segment
 }
 
-// position is a place in the log, between two batches.
+// position is a position in the log, between two batches.
 type position struct {
-	segment uint32
-	offset  int64  // bytes
-	seq     uint64 // of the batch before
-	chain   uint32 // header checksum of the batch before, or of the segment's header
+	segment       uint32
+	offset        int64  // bytes
+	seq           uint64 // sequence number of the previous batch
+	chainChecksum uint32 // checksum of the header of the previous batch, or of the segment if it has none
 }
 
-// segmentHeader is at the start of a segment and binds it to the one before.
+// segmentHeader is the header of a segment. It identifies the end of the previous
+// segment, so that recovery detects a segment out of sequence.
 type segmentHeader struct {
-	storeID       uint64
-	number        uint32
-	previousSize  int64  // bytes of the segment before
-	previousSeq   uint64 // the last batch before this segment
-	previousChain uint32 // checksum of that batch's header
-	checksum      uint32 // of this header; the first batch chains to it
+	storeID          uint64
+	number           uint32
+	previousSize     int64  // bytes of the segment before
+	previousSeq      uint64 // the last batch before this segment
+	previousChecksum uint32 // checksum of that batch's header
+	checksum         uint32 // of this header; the first batch chains to it
 }
 
 func (h *segmentHeader) encode() []byte {
@@ -52,14 +53,14 @@
 	e.PutUint32(b[segmentNumberOffset:], h.number)
 	e.PutUint64(b[segmentPreviousSizeOffset:], uint64(h.previousSize))
 	e.PutUint64(b[segmentPreviousSeqOffset:], h.previousSeq)
-	e.PutUint32(b[segmentPreviousChainOffset:], h.previousChain)
-	h.checksum = segmentFormat.sealHeader(b, h.number)
+	e.PutUint32(b[segmentPreviousChecksumOffset:], h.previousChecksum)
+	h.checksum = segmentFormat.setHeaderChecksum(b, h.number)
 	return b
 }
 
 func parseSegmentHeader(b []byte, name string) (segmentHeader, error) {
 	if len(b) < headerLen {
-		return segmentHeader{}, newFault(name, 0, "header is cut short")
+		return segmentHeader{}, newFileFault(name, 0, "header is cut short")
 	}
 	b = b[:headerLen]
 	e := binary.LittleEndian
@@ -68,12 +69,12 @@
 		return segmentHeader{}, err
 	}
 	return segmentHeader{
-		storeID:       e.Uint64(b[headerStoreOffset:]),
-		number:        number,
-		previousSize:  int64(e.Uint64(b[segmentPreviousSizeOffset:])),
-		previousSeq:   e.Uint64(b[segmentPreviousSeqOffset:]),
-		previousChain: e.Uint32(b[segmentPreviousChainOffset:]),
-		checksum:      e.Uint32(b[headerLen-checksumLen:]),
+		storeID:          e.Uint64(b[headerStoreOffset:]),
+		number:           number,
+		previousSize:     int64(e.Uint64(b[segmentPreviousSizeOffset:])),
+		previousSeq:      e.Uint64(b[segmentPreviousSeqOffset:]),
+		previousChecksum: e.Uint32(b[segmentPreviousChecksumOffset:]),
+		checksum:         e.Uint32(b[headerLen-checksumLen:]),
 	}, nil
 }
 
@@ -86,8 +87,8 @@
 	return parseSegmentHeader(b, segmentName(s.number))
 }
 
-// readValue reads an entry's value from the file and proves that it is the one
-// that the entry refers to.
+// readValue reads an entry's value from the file and verifies that it is the value that
+// the entry refers to.
 func (s *segment) readValue(e *indexEntry) ([]byte, error) {
 	b := make([]byte, e.size)
 	if err := readFull(s.file, b, int64(e.offset)); err != nil {
--- a/internal/storage/durable/snapshot.go
+++ b/internal/storage/durable/snapshot.go
@@ -2,9 +2,9 @@
 
 import "github.com/tidwall/btree"
 
-// Snapshot is a consistent read view of the store as of one batch, whatever is
-// written later. It is held in memory and writes no file. The segments that it may
-// read are not removed before it is closed, so close it soon.
+// Snapshot is a consistent read view of the store after one batch, unaffected by later
+// writes. It writes no file. Segments that it may read are not removed until it is
+// closed, so close it soon.
 type Snapshot struct {
 	store  *Store
 	seq    uint64
@@ -12,7 +12,7 @@
 	closed bool // guarded by store.mu
 }
 
-// Snapshot takes a snapshot. It costs the same for any number of keys.
+// Snapshot takes a snapshot in constant time.
 func (s *Store) Snapshot() (*Snapshot, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -27,7 +27,7 @@
 	return snapshot, nil
 }
 
-// Seq is the number of the last batch that the snapshot has.
+// Seq returns the sequence number of the last batch in the snapshot.
 func (p *Snapshot) Seq() uint64 { return p.seq }
 
 // Close releases the snapshot. Closing it again does nothing.
@@ -38,14 +38,15 @@
 	delete(p.store.snapshots, p)
 }
 
-// Get returns the value of a key that has not expired at now.
+// Get returns the value of a key, or ErrNotFound if the key does not exist or has
+// expired at now.
 func (p *Snapshot) Get(key []byte, now int64) ([]byte, error) {
 	p.store.mu.RLock()
 	if p.closed {
 		p.store.mu.RUnlock()
 		return nil, ErrClosed
 	}
-	e, segment, err := find(p.tree, p.store.index.segments, string(key), now)
+	e, segment, err := lookUp(p.tree, p.store.index.segments, string(key), now)
 	p.store.mu.RUnlock()
 	if err != nil || segment == nil {
 		return []byte(e.value()), err
@@ -53,8 +54,8 @@
 	return segment.readValue(&e)
 }
 
-// Scan visits the keys in [from, to) that have not expired at now, in their order;
-// a nil end means all that follow. It ends early when visit returns false.
+// Scan visits the keys in [from, to) that have not expired at now, in ascending order.
+// If to is nil, the range has no upper bound. Scan stops when visit returns false.
 func (p *Snapshot) Scan(from, to []byte, now int64, visit func(Item) bool) error {
 	var err error
 	scanTree(p.tree, string(from), string(to), now, func(e indexEntry) bool {
--- a/internal/storage/durable/space.go
+++ b/internal/storage/durable/space.go
@@ -2,8 +2,9 @@
 
 import "oxbowbridge/internal/storage/durable/plan"
 
-// measureFolder adds up the files of the folder.
-func (s *Store) measureFolder() error {
+// measureUsedBytes sets usedBytes to the length of all files, and checks for the reserve
+// file.
+func (s *Store) measureUsedBytes() error {
 	list, err := s.fs.List()
 	if err != nil {
 		return err
@@ -28,8 +29,8 @@
 	}
 }
 
-// releaseReserve gives the reserve to deletes and maintenance, and reports whether
-// there was one.
+// releaseReserve removes the reserve file, so that deletes and maintenance can write. It
+// reports whether space was freed.
 func (s *Store) releaseReserve() bool {
 	if !s.reserveOnDisk.CompareAndSwap(true, false) {
 		return false
@@ -42,7 +43,7 @@
 	return true
 }
 
-// restoreReserve sets aside the space that lets deletes work when the disk is full.
+// restoreReserve writes the reserve file again.
 func (s *Store) restoreReserve() error {
 	if err := writeFile(s.fs, reserveName, make([]byte, s.options.ReserveBytes)); err != nil {
 		s.fs.Remove(reserveName)
--- a/internal/storage/durable/stats.go
+++ b/internal/storage/durable/stats.go
@@ -2,7 +2,7 @@
 
 import "sync/atomic"
 
-// counters count since the store was opened.
+// counters are counted from the time the store was opened.
 type counters struct {
 	batches         atomic.Int64
 	syncs           atomic.Int64
@@ -14,20 +14,20 @@
 	movedBytes      atomic.Int64
 }
 
-// Stats is what a store holds and does.
+// Stats are statistics of an open store.
 type Stats struct {
 	Seq                     uint64 `json:"seq"`    // the last batch that readers see
 	SyncedSeq               uint64 `json:"synced"` // the last batch on disk
 	Keys                    int    `json:"keys"`
-	KeysOnDisk              int64  `json:"keys_on_disk"` // whose value is not held in memory
+	KeysOnDisk              int64  `json:"keys_on_disk"` // number of keys whose value is not in memory
 	LiveBytes               int64  `json:"live_bytes"`
-	UsedBytes               int64  `json:"used_bytes"` // of all files
+	UsedBytes               int64  `json:"used_bytes"` // length of all files
 	MaxBytes                int64  `json:"max_bytes"`
 	Segments                int    `json:"segments"`
-	DeadBytes               int64  `json:"dead_bytes"` // of sealed segments
+	DeadBytes               int64  `json:"dead_bytes"` // in sealed segments
 	LogBytesSinceCheckpoint int64  `json:"log_behind_bytes"`
-	CheckpointBytes         int64  `json:"checkpoint_bytes"` // of the newest
-	// The counters begin when the store is opened.
+	CheckpointBytes         int64  `json:"checkpoint_bytes"` // length of the newest checkpoint
+	// Counters since the store was opened.
 	Batches         int64 `json:"batches"`
 	Syncs           int64 `json:"syncs"`
 	Groups          int64 `json:"groups"`
@@ -36,13 +36,13 @@
 	Compactions     int64 `json:"compactions"`
 	DroppedSegments int64 `json:"segments_dropped"`
 	MovedBytes      int64 `json:"moved_bytes"` // by compactions
-	// The state of this moment.
+	// Current state.
 	Snapshots        int    `json:"snapshots"`
 	ReadOnlyReason   string `json:"read_only,omitempty"`
-	MaintenanceError string `json:"upkeep_error,omitempty"` // of the last step
+	MaintenanceError string `json:"upkeep_error,omitempty"` // of the last maintenance step
 }
 
-// Stats returns the figures of this moment.
+// Stats returns the current statistics.
 func (s *Store) Stats() Stats {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
--- a/internal/storage/durable/store.go
+++ b/internal/storage/durable/store.go
@@ -9,8 +9,7 @@
 	"oxbowbridge/internal/storage/durable/vfs"
 )
 
-// Store is an open store. All its methods may be called at once from many
-// goroutines.
+// Store is an open store. It is safe for concurrent use.
 type Store struct {
 	fs      vfs.FS
 	options Options
@@ -18,41 +17,40 @@
 	report  *Report
 	storeID uint64
 
-	// The committer owns the tail of the log.
 	requests      chan *request
-	committerDone chan struct{} // closed when the committer has ended
-	logTail       logTail
+	committerDone chan struct{} // closed when the committer has returned
+	logTail       logTail       // owned by the committer
 
-	closeMu sync.RWMutex // held for reading while a request is queued
+	closeMu sync.RWMutex // read-locked while a request is queued
 	closed  bool
 
 	mu          sync.RWMutex
 	index       *index
-	seq         uint64 // of the last batch that readers see
-	syncedSeq   uint64 // of the last batch that is on disk; only the committer changes it
+	seq         uint64 // sequence number of the last batch that readers see
+	syncedSeq   uint64 // sequence number of the last batch on disk; only the committer changes it
 	snapshots   map[*Snapshot]struct{}
 	readOnlyErr error
 
 	manifestMu sync.Mutex
 	manifest   manifest
 
-	usedBytes               atomic.Int64 // of all files
-	checkpointBytes         atomic.Int64 // of the newest checkpoint
-	liveBytes               atomic.Int64
-	logBytesSinceCheckpoint atomic.Int64 // after the newest checkpoint
+	usedBytes               atomic.Int64 // length of all files
+	checkpointBytes         atomic.Int64 // length of the newest checkpoint
+	liveBytes               atomic.Int64 // length of the live keys and values
+	logBytesSinceCheckpoint atomic.Int64 // length of the log after the newest checkpoint
 	reserveOnDisk           atomic.Bool
-	reserveReleased         atomic.Bool  // it was on disk, and went to deletes or maintenance
-	unsyncedSince           atomic.Int64 // time of the oldest unsynced write, in ns of maintainer.now; 0 if none
+	reserveReleased         atomic.Bool  // the reserve file was removed so that deletes and maintenance can write
+	unsyncedSince           atomic.Int64 // time of the oldest unsynced write, from maintainer.now in ns; 0 if none
 
 	maintenance maintainer
 	stats       counters
 }
 
-// Report is what Open found.
+// Report returns the report of the recovery by Open.
 func (s *Store) Report() *Report { return s.report }
 
-// Get returns the value of a key, as the last batch left it, unless it has expired
-// at now.
+// Get returns the value that the last visible batch left under a key, or ErrNotFound
+// if the key does not exist or has expired at now.
 func (s *Store) Get(key []byte, now int64) ([]byte, error) {
 	for {
 		s.mu.RLock()
@@ -60,7 +58,7 @@
 			s.mu.RUnlock()
 			return nil, ErrClosed
 		}
-		e, segment, err := find(s.index.tree, s.index.segments, string(key), now)
+		e, segment, err := lookUp(s.index.tree, s.index.segments, string(key), now)
 		s.mu.RUnlock()
 		if err != nil || segment == nil {
 			return []byte(e.value()), err
@@ -76,7 +74,7 @@
 }
 
 // segmentDropped reports whether maintenance has removed the segment since it was
-// looked up. A failed read of it is then no sign of damage.
+// looked up. In that case a failed read of the segment does not indicate damage.
 func (s *Store) segmentDropped(segment *segment) bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -87,28 +85,28 @@
 func (s *Store) Version(key []byte, now int64) (uint64, error) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	e, _, err := find(s.index.tree, s.index.segments, string(key), now)
+	e, _, err := lookUp(s.index.tree, s.index.segments, string(key), now)
 	return e.version, err
 }
 
-// Seq returns the number of the last batch that readers see, and of the last that
-// is on disk.
+// Seq returns the sequence numbers of the last batch that readers see and of the last
+// batch on disk.
 func (s *Store) Seq() (visible, synced uint64) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.seq, s.syncedSeq
 }
 
-// ReadOnlyError says why the store is read-only; nil if it is not. It matches
-// ErrReadOnly.
+// ReadOnlyError returns the reason why the store is read-only, which matches
+// ErrReadOnly, or nil if the store is writable.
 func (s *Store) ReadOnlyError() error {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.readOnlyErr
 }
 
-// enterReadOnly makes the store read-only until it is opened again, and returns
-// the reason: the first one, if there was one before.
+// enterReadOnly makes the store read-only until it is reopened. It returns the reason
+// of the first call.
 func (s *Store) enterReadOnly(err error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -118,7 +116,8 @@
 	return s.readOnlyErr
 }
 
-// Close waits for queued batches, syncs, and unlocks the folder. Snapshots end.
+// Close waits for queued batches, syncs the log, closes all snapshots and unlocks the
+// folder.
 func (s *Store) Close() error {
 	s.closeMu.Lock()
 	if s.closed {
@@ -138,7 +137,8 @@
 	return err
 }
 
-// persistState syncs the log and has the manifest say so, once the committer has ended.
+// persistState syncs the log and records the synced sequence number in the manifest.
+// The committer must have returned.
 func (s *Store) persistState() error {
 	if err := s.ReadOnlyError(); err != nil {
 		return err
@@ -149,7 +149,7 @@
 	return s.updateManifest(func(*manifest) {})
 }
 
-// closeFiles ends all snapshots and closes the segments.
+// closeFiles closes all snapshots and segment files.
 func (s *Store) closeFiles() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -163,7 +163,7 @@
 }
 
 // updateManifest changes the manifest and replaces its file. After an error that
-// matches ErrReadOnly either of the two may be on disk.
+// matches ErrReadOnly the old or the new manifest may be on disk.
 func (s *Store) updateManifest(change func(*manifest)) error {
 	s.manifestMu.Lock()
 	defer s.manifestMu.Unlock()
--- a/internal/storage/durable/store_test.go
+++ b/internal/storage/durable/store_test.go
@@ -19,7 +19,8 @@
 	"oxbowbridge/internal/storage/durable/vfs"
 )
 
-// smallOptions has all kinds of maintenance happen within some KB.
+// smallOptions returns limits so low that some KB of writes cause all kinds of
+// maintenance.
 func smallOptions() Options {
 	return Options{
 		StoreID:           0x5eed,
@@ -40,12 +41,12 @@
 	}
 }
 
-// workload is a store and the model of its content, with all states that it went through.
+// workload is a store with a model of its content and a history of the model's states.
 type workload struct {
 	store        *Store
 	model        map[string]string
-	states       []string // one for each batch that was submitted
-	acknowledged int      // index of the last state that must survive
+	states       []string // formatted model after each submitted batch; the first is the empty one
+	acknowledged int      // index in states of the last acknowledged state, which must survive
 	now          time.Duration
 }
 
@@ -54,7 +55,7 @@
 	return &workload{store: s, model: map[string]string{}, states: []string{""}}, err
 }
 
-func modelText(m map[string]string) string {
+func formatModel(m map[string]string) string {
 	var b strings.Builder
 	for _, k := range slices.Sorted(maps.Keys(m)) {
 		fmt.Fprintf(&b, "%s=%s;", k, m[k])
@@ -62,7 +63,7 @@
 	return b.String()
 }
 
-// change is one batch and its effect on the model.
+// change is a batch in a form that also applies to the model.
 type change struct {
 	puts       map[string]string
 	deletes    []string
@@ -87,32 +88,32 @@
 	return &b
 }
 
-// apply submits batches as one group.
+// apply commits one batch for each change, all in one group.
 func (b *workload) apply(level Level, changes ...change) error {
-	hold, first := make(chan struct{}), len(b.states)
-	b.store.submit(&request{run: func() error { <-hold; return nil }, done: func(uint64, error) {}})
+	releaseCommitter, firstState := make(chan struct{}), len(b.states)
+	b.store.submit(&request{run: func() error { <-releaseCommitter; return nil }, done: func(uint64, error) {}})
 	var wg sync.WaitGroup
 	errs := make([]error, len(changes))
 	for i, c := range changes {
 		wg.Add(1)
 		batch := c.batch(b.model)
-		b.states = append(b.states, modelText(b.model))
+		b.states = append(b.states, formatModel(b.model))
 		b.store.Submit(batch, level, func(_ uint64, err error) { errs[i] = err; wg.Done() })
 	}
-	close(hold)
+	close(releaseCommitter)
 	wg.Wait()
 	for i, err := range errs {
 		if err != nil {
 			return err
 		}
 		if level == Synced {
-			b.acknowledged = first + i
+			b.acknowledged = firstState + i
 		}
 	}
 	return nil
 }
 
-// runMaintenance takes a number of steps.
+// runMaintenance runs a number of maintenance steps.
 func (b *workload) runMaintenance(steps int) error {
 	for range steps {
 		b.now += 2 * time.Millisecond
@@ -123,7 +124,8 @@
 	return nil
 }
 
-// readState reads everything; keys whose value is damaged are left out, and counted.
+// readState formats all keys and values. It omits keys whose value is damaged, and
+// returns their number.
 func readState(t require.TestingT, s *Store) (text string, damaged int) {
 	p, err := s.Snapshot()
 	require.NoError(t, err)
@@ -139,25 +141,26 @@
 		m[i.Key] = string(v)
 		return true
 	}))
-	return modelText(m), damaged
+	return formatModel(m), damaged
 }
 
-func testValue(i, n int) string { return strings.Repeat(fmt.Sprintf("%d,", i), n) }
+func repeatedNumber(i, n int) string { return strings.Repeat(fmt.Sprintf("%d,", i), n) }
 
-// runDay goes through all that a store does, and ends early at an error.
-func (b *workload) runDay() error {
+// runAllOperations applies all kinds of changes and maintenance to the store. It stops at the
+// first error.
+func (b *workload) runAllOperations() error {
 	for i := range 30 {
-		if err := b.apply(Synced, change{puts: map[string]string{fmt.Sprintf("k%02d", i%9): testValue(i, 4+i%30), "last": fmt.Sprint(i)}}); err != nil {
+		if err := b.apply(Synced, change{puts: map[string]string{fmt.Sprintf("k%02d", i%9): repeatedNumber(i, 4+i%30), "last": fmt.Sprint(i)}}); err != nil {
 			return err
 		}
 		if i%4 == 1 {
-			if err := b.apply(Buffered, change{puts: map[string]string{"lossy": testValue(i, 20)}}); err != nil {
+			if err := b.apply(Buffered, change{puts: map[string]string{"lossy": repeatedNumber(i, 20)}}); err != nil {
 				return err
 			}
 		}
 		if i%7 == 3 {
-			if err := b.apply(Synced, change{puts: map[string]string{"g1": testValue(i, 9)}}, change{deletes: []string{"k03", "g1"}},
-				change{puts: map[string]string{"g2": testValue(i, 2), "g3": testValue(i, 40)}}); err != nil {
+			if err := b.apply(Synced, change{puts: map[string]string{"g1": repeatedNumber(i, 9)}}, change{deletes: []string{"k03", "g1"}},
+				change{puts: map[string]string{"g2": repeatedNumber(i, 2), "g3": repeatedNumber(i, 40)}}); err != nil {
 				return err
 			}
 		}
@@ -200,7 +203,7 @@
 	_, err = s.Get([]byte("a"), 0)
 	assert.ErrorIs(t, err, ErrNotFound)
 	v, err = before.Get([]byte("a"), 0)
-	require.NoError(t, err, "a snapshot does not move")
+	require.NoError(t, err, "a snapshot is not affected by later writes")
 	assert.Equal(t, "1", string(v))
 	_, err = s.Get([]byte("c"), 49)
 	assert.NoError(t, err)
@@ -236,14 +239,16 @@
 	require.NoError(t, s.Close())
 }
 
-// TestWorkload: the workload on a sound folder uses every part, and space is reclaimed.
+// TestWorkload: without faults the workload causes checkpoints, compactions and dropped
+// segments, and the recorded usage equals the length of the files. Without this, the
+// crash tests with the same workload could miss steps of maintenance.
 func TestWorkload(t *testing.T) {
 	f := &faultfs.FS{}
 	b, err := newWorkload(f, smallOptions())
 	require.NoError(t, err)
-	require.NoError(t, b.runDay())
+	require.NoError(t, b.runAllOperations())
 	got, damaged := readState(t, b.store)
-	assert.Equal(t, modelText(b.model), got)
+	assert.Equal(t, formatModel(b.model), got)
 	assert.Zero(t, damaged)
 	st := b.store.Stats()
 	assert.Greater(t, st.Checkpoints, int64(2))
@@ -261,11 +266,11 @@
 	require.NoError(t, err)
 	assert.Equal(t, NoLoss, r.Loss)
 	got, _ = readState(t, s)
-	assert.Equal(t, modelText(b.model), got)
+	assert.Equal(t, formatModel(b.model), got)
 	require.NoError(t, s.Close())
 }
 
-// TestGroupCommit: writers at once share syncs, and each sees its own write.
+// TestGroupCommit: concurrent writers share syncs, and each reads its own write.
 func TestGroupCommit(t *testing.T) {
 	f := &faultfs.FS{FaultAt: func(_ int, op, _ string) faultfs.Fault {
 		if op == "sync" {
@@ -296,14 +301,14 @@
 	require.NoError(t, s.Close())
 }
 
-// TestSpaceExhausted: MaxBytes, then a full disk, reject puts and lose nothing;
-// deletes work, and free space.
+// TestSpaceExhausted: when MaxBytes is reached or the disk is full, puts are rejected
+// and no data is lost. Deletes still work and free space.
 func TestSpaceExhausted(t *testing.T) {
-	for _, disk := range []bool{false, true} {
-		t.Run(fmt.Sprint("disk=", disk), func(t *testing.T) {
+	for _, limitedDisk := range []bool{false, true} {
+		t.Run(fmt.Sprint("disk=", limitedDisk), func(t *testing.T) {
 			f, o := &faultfs.FS{}, smallOptions()
 			o.ReserveBytes = 6 << 10
-			if disk {
+			if limitedDisk {
 				f.Capacity = 24 << 10
 			} else {
 				o.Maintenance.MaxBytes = 24 << 10
@@ -330,17 +335,17 @@
 			}
 			_, err = b.store.Get(fmt.Appendf(nil, "%04d", n), 0)
 			require.ErrorIs(t, err, ErrNotFound)
-			hold, answers := make(chan struct{}), make(chan error, 2) // one group: what fits of it is taken
-			b.store.submit(&request{run: func() error { <-hold; return nil }, done: func(uint64, error) {}})
+			releaseCommitter, results := make(chan struct{}), make(chan error, 2) // one group, of which one batch fits
+			b.store.submit(&request{run: func() error { <-releaseCommitter; return nil }, done: func(uint64, error) {}})
 			var big, deletion Batch
 			big.Put([]byte("big"), bytes.Repeat([]byte{'x'}, 2000), 0)
 			deletion.Delete([]byte("0000"))
 			for _, c := range []*Batch{&big, &deletion} {
-				b.store.Submit(c, Synced, func(_ uint64, err error) { answers <- err })
+				b.store.Submit(c, Synced, func(_ uint64, err error) { results <- err })
 			}
-			close(hold)
-			require.ErrorIs(t, <-answers, ErrFull)
-			require.NoError(t, <-answers)
+			close(releaseCommitter)
+			require.ErrorIs(t, <-results, ErrFull)
+			require.NoError(t, <-results)
 			for i := range n * 3 / 4 {
 				require.NoError(t, b.store.Delete(fmt.Appendf(nil, "%04d", i)), i)
 				if _, uerr := b.store.RunMaintenance(time.Duration(n+i) * time.Second); uerr != nil {
@@ -359,14 +364,14 @@
 	}
 }
 
-// TestFailedSyncIsPermanent: after a failed sync the store stays read-only, though
-// the next sync would succeed.
+// TestFailedSyncIsPermanent: after a failed sync the store stays read-only, even if the
+// next sync would succeed.
 func TestFailedSyncIsPermanent(t *testing.T) {
-	armed := false
+	failNextSync := false
 	f := &faultfs.FS{}
 	f.FaultAt = func(_ int, op, _ string) faultfs.Fault {
-		if armed && op == "sync" {
-			armed = false
+		if failNextSync && op == "sync" {
+			failNextSync = false
 			return faultfs.IOError
 		}
 		return faultfs.NoFault
@@ -374,7 +379,7 @@
 	s, _, err := Open(f, smallOptions())
 	require.NoError(t, err)
 	require.NoError(t, s.Put([]byte("a"), []byte("1")))
-	armed = true
+	failNextSync = true
 	err = s.Put([]byte("b"), []byte("2"))
 	assert.ErrorIs(t, err, ErrReadOnly)
 	assert.ErrorContains(t, err, "sync")
--- a/internal/storage/durable/stream/format_test.go
+++ b/internal/storage/durable/stream/format_test.go
@@ -15,14 +15,15 @@
 	"oxbowbridge/internal/storage/durable/vfs"
 )
 
-// The folder testdata/cut was written by the first release of the format; it is
-// written anew, with this flag, for a new format only.
-var writeFixtures = flag.Bool("write-fixtures", false, "write the folder of testdata anew")
+// The folder testdata/cut was written by the first release of the format. The flag
+// rewrites it; use it only for a new format version.
+var writeFixtures = flag.Bool("write-fixtures", false, "rewrite the folder in testdata")
 
 const fixture = "testdata/cut"
 
-// TestStreamFormat: a stream that was cut at both ends is written as it was, read
-// back entry by entry, and goes on, also beside another stream of the same store.
+// TestStreamFormat: streams that were truncated at both ends are written with the bytes
+// of the fixture. They are read entry by entry and accept further entries, with two
+// streams in one store.
 func TestStreamFormat(t *testing.T) {
 	written := t.TempDir()
 	writeStreams(t, written)
@@ -48,11 +49,11 @@
 	assert.ErrorIs(t, err, stream.ErrEntryNotFound)
 	_, err = entries.Get(33)
 	assert.ErrorIs(t, err, stream.ErrEntryNotFound)
-	assert.ErrorIs(t, entries.Append(34, [][]byte{entry(34)}, durable.Synced), stream.ErrGap)
-	require.NoError(t, entries.Append(33, [][]byte{entry(33), entry(34)}, durable.Synced))
+	assert.ErrorIs(t, entries.Append(34, [][]byte{testEntry(34)}, durable.Synced), stream.ErrGap)
+	require.NoError(t, entries.Append(33, [][]byte{testEntry(33), testEntry(34)}, durable.Synced))
 	require.NoError(t, entries.TruncateFront(20, durable.Buffered))
 	require.NoError(t, votes.TruncateFront(504, durable.Synced))
-	require.NoError(t, votes.Append(7, [][]byte{entry(7)}, durable.Buffered))
+	require.NoError(t, votes.Append(7, [][]byte{testEntry(7)}, durable.Buffered))
 	require.NoError(t, store.Close())
 
 	store = openStore(t, dir)
@@ -66,16 +67,16 @@
 	store := openStore(t, dir)
 	entries, votes := openStreams(t, store)
 	for n := uint64(10); n < 40; n += 3 {
-		require.NoError(t, entries.Append(n, [][]byte{entry(n), entry(n + 1), entry(n + 2)}, durable.Synced))
+		require.NoError(t, entries.Append(n, [][]byte{testEntry(n), testEntry(n + 1), testEntry(n + 2)}, durable.Synced))
 	}
-	require.NoError(t, votes.Append(501, [][]byte{entry(501), entry(502), entry(503)}, durable.Synced))
+	require.NoError(t, votes.Append(501, [][]byte{testEntry(501), testEntry(502), testEntry(503)}, durable.Synced))
 	require.NoError(t, entries.TruncateFront(14, durable.Synced))
 	require.NoError(t, entries.TruncateBack(33, durable.Synced))
 	require.NoError(t, store.Close())
 }
 
-// entry gives an entry whose length, short or long, follows from its number.
-func entry(n uint64) []byte {
+// testEntry returns the entry with a number. Its length depends on the number.
+func testEntry(n uint64) []byte {
 	return fmt.Appendf(nil, "entry %d%0*d", n, 1+n*13%120, n)
 }
 
@@ -101,6 +102,6 @@
 	for n := first; n <= last; n++ {
 		got, err := s.Get(n)
 		require.NoError(t, err)
-		require.Equal(t, string(entry(n)), string(got))
+		require.Equal(t, string(testEntry(n)), string(got))
 	}
 }
--- a/internal/storage/durable/stream/stream.go
+++ b/internal/storage/durable/stream/stream.go
@@ -1,14 +1,14 @@
-// Package stream keeps numbered entries without gaps in a durable store: they are
-// appended at the end, read by number, and truncated at either end, like the log of
-// a replicated state machine.
+// Package stream stores consecutively numbered entries in a durable store. Entries are
+// appended at the end, read by number, and truncated at either end, as in the log of a
+// replicated state machine.
 //
 // Each entry is one key: the stream's prefix and the entry's number in 8 bytes, big
-// endian. One store can hold several streams beside other keys.
+// endian. One store can hold several streams and other keys.
 //
-// One goroutine at a time may change a stream; any may read it. Bounds change only
-// after the store has acknowledged the change, so readers never see an entry that a
-// failed write left out. Each change is one batch of the store and thus atomic in a
-// crash. Errors of the store are passed on.
+// Only one goroutine at a time may change a stream; any goroutine may read it. Bounds
+// change only after the store has acknowledged the change, so readers never see an
+// entry whose write failed. Each change is one batch of the store and therefore atomic.
+// Errors of the store are returned unchanged.
 package stream
 
 import (
@@ -22,17 +22,17 @@
 )
 
 var (
-	// ErrGap means that an entry would not follow the last one, or that the store
-	// holds entries with a gap.
-	ErrGap = errors.New("entry does not follow the last")
-	// ErrEntryNotFound means that a number lies outside of the stream.
+	// ErrGap means that an appended entry would not follow the last one, or that the
+	// numbers of the entries in the store are not consecutive.
+	ErrGap = errors.New("entry does not follow the last entry")
+	// ErrEntryNotFound means that the stream has no entry with that number.
 	ErrEntryNotFound = errors.New("no such entry")
 )
 
 // numberLen is the length of an entry's number in its key, in bytes.
 const numberLen = 8
 
-// Stream is one stream.
+// Stream is a stream of numbered entries under one key prefix.
 type Stream struct {
 	store  *durable.Store
 	prefix []byte
@@ -42,7 +42,8 @@
 	last  uint64 // 0 if the stream is empty
 }
 
-// Open finds the entries that the store has under a prefix.
+// Open opens the stream under a prefix. Its bounds are those of the entries in the
+// store.
 func Open(store *durable.Store, prefix string) (*Stream, error) {
 	s := &Stream{store: store, prefix: []byte(prefix)}
 	snapshot, err := store.Snapshot()
@@ -58,10 +59,11 @@
 	return s, errors.Join(scanErr, entryErr)
 }
 
-// addExisting extends the bounds by the next key of the store.
+// addExisting extends the bounds by the next key in the store. It fails if the key is
+// not an entry's or does not follow the last entry.
 func (s *Stream) addExisting(key string) error {
 	if len(key) != len(s.prefix)+numberLen {
-		return fmt.Errorf("stream %q: key %q is not of a stream", s.prefix, key)
+		return fmt.Errorf("stream %q: key %q is not the key of an entry", s.prefix, key)
 	}
 	n := binary.BigEndian.Uint64([]byte(key[len(s.prefix):]))
 	if s.last != 0 && n != s.last+1 {
@@ -78,7 +80,8 @@
 	return binary.BigEndian.AppendUint64(bytes.Clone(s.prefix), n)
 }
 
-// prefixEnd is the first key behind the prefix; nil if there is none.
+// prefixEnd returns the first key after all keys with the prefix, or nil if there is
+// none.
 func (s *Stream) prefixEnd() []byte {
 	end := bytes.Clone(s.prefix)
 	for i := len(end) - 1; i >= 0; i-- {
@@ -90,28 +93,29 @@
 	return nil
 }
 
-// Bounds returns the first and the last number; 0 if the stream is empty.
+// Bounds returns the numbers of the first and the last entry, or 0 and 0 if the stream
+// is empty.
 func (s *Stream) Bounds() (first, last uint64) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.first, s.last
 }
 
-// Get reads one entry. Outside of the bounds it fails with ErrEntryNotFound.
+// Get returns one entry, or ErrEntryNotFound if the number is out of bounds.
 func (s *Stream) Get(n uint64) ([]byte, error) {
 	if first, last := s.Bounds(); n < first || n > last || n == 0 {
-		return nil, fmt.Errorf("%w: %d, there are %d to %d", ErrEntryNotFound, n, first, last)
+		return nil, fmt.Errorf("%w: %d, want %d to %d", ErrEntryNotFound, n, first, last)
 	}
 	entry, err := s.store.Get(s.key(n), 0)
-	if errors.Is(err, durable.ErrNotFound) { // truncated meanwhile
+	if errors.Is(err, durable.ErrNotFound) { // truncated concurrently
 		err = fmt.Errorf("%w: %d", ErrEntryNotFound, n)
 	}
 	return entry, err
 }
 
-// Append adds entries from a number on, which must follow the last, or fails with
-// ErrGap; an empty stream begins anywhere above 0. All of them are there after a
-// crash, or none.
+// Append appends entries; from is the number of the first one. It fails with ErrGap if
+// from does not follow the last entry. In an empty stream, from may be any number above
+// 0. After a crash, either all of the entries exist or none.
 func (s *Stream) Append(from uint64, entries [][]byte, level durable.Level) error {
 	first, last := s.Bounds()
 	if from == 0 || last != 0 && from != last+1 {
@@ -134,7 +138,7 @@
 	return nil
 }
 
-// TruncateFront removes all entries before a number.
+// TruncateFront removes all entries with a number below to.
 func (s *Stream) TruncateFront(to uint64, level durable.Level) error {
 	first, last := s.Bounds()
 	if first == 0 || to <= first {
@@ -152,7 +156,7 @@
 	return nil
 }
 
-// TruncateBack removes a number and all entries after it.
+// TruncateBack removes the entry with the number from and all later entries.
 func (s *Stream) TruncateBack(from uint64, level durable.Level) error {
 	first, last := s.Bounds()
 	if first == 0 || from > last {
--- a/internal/storage/durable/verify.go
+++ b/internal/storage/durable/verify.go
@@ -7,9 +7,9 @@
 	"oxbowbridge/internal/storage/durable/vfs"
 )
 
-// Verify reads every byte in use: the manifest, both checkpoints, all batches of
-// all segments, and each value where the index refers to. What is wrong is in the
-// view's report; the error is one of the device.
+// Verify reads all data in use: the manifest, both checkpoints, all batches of all
+// segments, and each value to which the index refers. It adds faults to the view's
+// report, and returns an error only for failed I/O.
 func (v *View) Verify(fsys vfs.FS) error {
 	r := v.recovery
 	if r.index == nil || r.report.Unrecoverable {
@@ -31,7 +31,7 @@
 	return nil
 }
 
-// verifyCheckpoints reads the checkpoints that recovery did not.
+// verifyCheckpoints reads the checkpoints that recovery did not read.
 func (r *recovery) verifyCheckpoints(fsys vfs.FS) error {
 	for _, ref := range r.manifest.checkpoints {
 		if ref.number == 0 || ref.number == r.report.CheckpointNumber {
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// verifySegment reads a sealed segment from its header on.
+// verifySegment reads the header and all batches of a sealed segment.
 func (r *recovery) verifySegment(s *segment) error {
 	h, err := s.readHeader()
 	if errors.Is(err, ErrDamaged) {
@@ -59,8 +59,8 @@
 	if err != nil {
 		return err
 	}
-	at := position{s.number, headerLen, h.previousSeq, h.checksum}
-	err = readBatches(s, &at, func(batchHeader, []byte, int64) error { return nil })
+	end := position{s.number, headerLen, h.previousSeq, h.checksum}
+	err = readBatches(s, &end, func(batchHeader, []byte, int64) error { return nil })
 	if errors.Is(err, ErrDamaged) {
 		r.report.addWarning("%v", err)
 		return nil
@@ -68,8 +68,8 @@
 	return err
 }
 
-// findUnreadable finds the entries whose value is not where the index has it, and
-// reports them.
+// findUnreadable returns the entries whose value can't be read, and adds a fault for
+// each to the report.
 func (r *recovery) findUnreadable() (unreadable []indexEntry) {
 	r.index.tree.Scan(func(e indexEntry) bool {
 		if e.place != valueOnDisk {
--- a/internal/storage/durable/vfs/dir.go
+++ b/internal/storage/durable/vfs/dir.go
@@ -10,13 +10,14 @@
 	"syscall"
 )
 
-// Dir is a folder of the operating system. It implements FS.
+// Dir is a folder in the operating system's file system. It implements FS.
 type Dir struct {
 	path     string
 	readOnly bool
 }
 
-// OpenDir opens a folder, and makes it (mode 0700) if it is missing; its parent must exist.
+// OpenDir opens a folder, and creates it with mode 0700 if it does not exist. Its parent
+// must exist.
 func OpenDir(path string) (*Dir, error) {
 	if err := os.Mkdir(path, 0o700); err != nil && !errors.Is(err, fs.ErrExist) {
 		return nil, err
@@ -24,8 +25,8 @@
 	return &Dir{path: path}, checkDir(path)
 }
 
-// OpenDirReadOnly opens a folder without changing anything in it: files are opened
-// for reading only, and the lock is taken only if its file exists.
+// OpenDirReadOnly opens a folder read-only: files are opened for reading only, and the
+// lock is acquired only if the lock file exists.
 func OpenDirReadOnly(path string) (*Dir, error) {
 	return &Dir{path: path, readOnly: true}, checkDir(path)
 }
@@ -42,7 +43,7 @@
 
 func (d *Dir) fullPath(name string) string { return filepath.Join(d.path, name) }
 
-// Open opens a file that exists.
+// Open opens an existing file.
 func (d *Dir) Open(name string) (File, error) {
 	mode := os.O_RDWR
 	if d.readOnly {
@@ -51,7 +52,7 @@
 	return wrapFile(os.OpenFile(d.fullPath(name), mode, 0))
 }
 
-// Create makes a file (mode 0600), or truncates one that exists.
+// Create creates a file with mode 0600, or truncates an existing one.
 func (d *Dir) Create(name string) (File, error) {
 	if d.readOnly {
 		return nil, &fs.PathError{Op: "create", Path: d.fullPath(name), Err: syscall.EROFS}
@@ -62,10 +63,10 @@
 // Remove removes a file.
 func (d *Dir) Remove(name string) error { return os.Remove(d.fullPath(name)) }
 
-// Rename replaces the target atomically.
+// Rename renames a file, and replaces an existing target atomically.
 func (d *Dir) Rename(from, to string) error { return os.Rename(d.fullPath(from), d.fullPath(to)) }
 
-// List returns all regular files, in the order of their names.
+// List returns all regular files, sorted by name.
 func (d *Dir) List() ([]FileInfo, error) {
 	entries, err := os.ReadDir(d.path)
 	if err != nil {
@@ -78,7 +79,7 @@
 		}
 		info, err := e.Info()
 		if errors.Is(err, fs.ErrNotExist) {
-			continue // removed meanwhile
+			continue // removed concurrently
 		}
 		if err != nil {
 			return nil, err
@@ -88,7 +89,7 @@
 	return list, nil
 }
 
-// SyncDir makes what was created, renamed and removed durable.
+// SyncDir makes created, renamed and removed file names durable.
 func (d *Dir) SyncDir() error {
 	f, err := os.Open(d.path)
 	if err != nil {
@@ -98,7 +99,8 @@
 	return f.Sync()
 }
 
-// Lock takes an advisory lock (flock), which ends with the process that took it.
+// Lock acquires an advisory lock (flock), which the kernel releases when the process
+// exits.
 func (d *Dir) Lock(name string) (io.Closer, error) {
 	mode := os.O_RDWR | os.O_CREATE
 	if d.readOnly {
@@ -121,7 +123,7 @@
 	return f, nil
 }
 
-// osFile adds Sync and Size to a file of the operating system.
+// osFile adds Sync and Size to an os.File.
 type osFile struct{ *os.File }
 
 func wrapFile(f *os.File, err error) (File, error) {
@@ -131,7 +133,7 @@
 	return osFile{f}, nil
 }
 
-// Sync writes the content and the length; access times need not be durable.
+// Sync makes the content and the length durable, but not the file times.
 func (f osFile) Sync() error {
 	for {
 		err := syscall.Fdatasync(int(f.Fd()))
@@ -141,7 +143,7 @@
 	}
 }
 
-// Size is the length in bytes.
+// Size returns the length in bytes.
 func (f osFile) Size() (int64, error) {
 	info, err := f.Stat()
 	if err != nil {
--- a/internal/storage/durable/vfs/vfs.go
+++ b/internal/storage/durable/vfs/vfs.go
@@ -1,6 +1,6 @@
-// Package vfs is the only way in which the durable store reaches files: one flat
-// folder, positioned reads and writes, and the two kinds of sync that durability
-// depends on. Dir is a real folder; internal/storage/durable/faultfs injects faults.
+// Package vfs is the file system interface of the durable store: one flat folder,
+// reads and writes at offsets, and the two kinds of sync that durability depends on. Dir
+// is a real folder; internal/storage/durable/faultfs has folders with injected faults.
 package vfs
 
 import (
@@ -8,30 +8,32 @@
 	"io"
 )
 
-// ErrLocked means that another process, or another open store, holds the folder's lock.
+// ErrLocked means that another process or another open store holds the folder's lock.
 var ErrLocked = errors.New("folder is in use by another process")
 
-// FS is one folder without sub-folders. Names hold no separator. Its methods may be
-// called from many goroutines. Errors of a missing file match fs.ErrNotExist, those
-// of a full disk match syscall.ENOSPC.
+// FS is one folder without subfolders. File names contain no separator. Implementations
+// are safe for concurrent use. The error for a missing file matches fs.ErrNotExist, the
+// error for a full disk matches syscall.ENOSPC.
 type FS interface {
-	// Open opens a file that exists.
+	// Open opens an existing file.
 	Open(name string) (File, error)
-	// Create makes a file, or truncates one that exists.
+	// Create creates a file, or truncates an existing one.
 	Create(name string) (File, error)
-	// Remove removes a file, durably after SyncDir.
+	// Remove removes a file. The removal is durable after SyncDir.
 	Remove(name string) error
-	// Rename replaces the target atomically, durably after SyncDir.
+	// Rename renames a file, and replaces an existing target atomically. The change is
+	// durable after SyncDir.
 	Rename(from, to string) error
-	// List returns all files, in the order of their names.
+	// List returns all files, sorted by name.
 	List() ([]FileInfo, error)
-	// SyncDir makes what was created, renamed and removed durable.
+	// SyncDir makes created, renamed and removed file names durable.
 	SyncDir() error
-	// Lock takes the folder's lock, or fails with ErrLocked at once. Closing releases it.
+	// Lock acquires the folder's lock, or fails with ErrLocked without waiting. Closing
+	// the result releases the lock.
 	Lock(name string) (io.Closer, error)
 }
 
-// File is an open file. What was written is durable only after Sync.
+// File is an open file. Writes are durable only after Sync.
 type File interface {
 	io.ReaderAt
 	io.WriterAt
@@ -40,7 +42,7 @@
 	Truncate(size int64) error
 	// Sync makes the content and the length durable.
 	Sync() error
-	// Size is the length in bytes.
+	// Size returns the length in bytes.
 	Size() (int64, error)
 }
 
--- a/internal/storage/durable/write.go
+++ b/internal/storage/durable/write.go
@@ -1,31 +1,33 @@
 package durable
 
-// Level is what Apply waits for.
+// Level is the durability of a batch that Apply waits for.
 type Level int
 
 const (
 	// Synced means that the batch is on disk when Apply returns.
 	Synced Level = iota
-	// Buffered means that the batch is written, and seen by readers, but a crash of
-	// the machine may lose it until a later sync (after plan.Limits.MaxUnsyncedAge at
-	// the latest). A crash of the process alone loses nothing.
+	// Buffered means that the batch is written and visible to readers, but not synced.
+	// A crash of the machine may lose it until a later sync, which maintenance starts
+	// plan.Limits.MaxUnsyncedAge after the write at the latest. A crash of the process
+	// alone loses nothing.
 	Buffered
 )
 
-// request is one batch, or one function to run, that waits for the committer.
+// request is a batch or a function that is queued for the committer.
 type request struct {
 	batch        *Batch
 	level        Level
-	maintenance  bool         // of the store itself: written without plan.Limits.Admits
-	run          func() error // to run in place of writing a batch; nil for a batch
+	maintenance  bool         // written by maintenance, and not subject to plan.Limits.Admits
+	run          func() error // the function to run; nil for a batch
 	done         func(seq uint64, err error)
-	header       batchHeader // as it was written
-	bufferOffset int         // of the batch, in the group's buffer
+	header       batchHeader // set when the batch is encoded
+	bufferOffset int         // of the batch in the group's buffer, in bytes
 }
 
-// Apply writes a batch, and returns its sequence number once the level holds. An
-// error that matches ErrReadOnly leaves open whether the batch will be there when
-// the store is next opened; with any other error it is not there.
+// Apply writes a batch, and returns its sequence number once the batch has the
+// durability of the level. After an error that matches ErrReadOnly it is unknown
+// whether the batch will exist when the store is reopened; after any other error the
+// batch does not exist.
 func (s *Store) Apply(b *Batch, level Level) (uint64, error) {
 	type result struct {
 		seq uint64
@@ -37,9 +39,9 @@
 	return r.seq, r.err
 }
 
-// Submit is Apply without waiting: done is called once, usually by the committer,
-// which it must not block. The batch must not be changed until then.
-// Submit blocks while the queue is full.
+// Submit is Apply without waiting for the result, but it blocks while the queue is
+// full. The callback done is called once, usually in the committer goroutine, and must
+// not block. The batch must not be changed until then.
 func (s *Store) Submit(b *Batch, level Level, done func(seq uint64, err error)) {
 	if err := b.check(&s.options); err != nil {
 		done(0, err)
@@ -58,7 +60,7 @@
 	s.requests <- r
 }
 
-// Put writes one key, synced.
+// Put sets one key without an expiry and waits for the sync.
 func (s *Store) Put(key, value []byte) error {
 	var b Batch
 	b.Put(key, value, 0)
@@ -66,7 +68,7 @@
 	return err
 }
 
-// Delete deletes one key, synced.
+// Delete deletes one key and waits for the sync.
 func (s *Store) Delete(key []byte) error {
 	var b Batch
 	b.Delete(key)
@@ -74,10 +76,11 @@
 	return err
 }
 
-// Sync returns when all that was buffered is on disk.
+// Sync waits until all batches written before the call are on disk.
 func (s *Store) Sync() error { return s.runInCommitter(s.syncLog) }
 
-// runInCommitter has the committer run a function between two groups.
+// runInCommitter runs a function in the committer goroutine, between two groups, and
+// returns its error.
 func (s *Store) runInCommitter(run func() error) error {
 	done := make(chan error, 1)
 	s.submit(&request{run: run, done: func(_ uint64, err error) { done <- err }})
