--- a/internal/cluster/backup/backup.go
+++ b/internal/cluster/backup/backup.go
@@ -14,13 +14,13 @@
 
 // MaxBytes is the size of the largest backup without its header: kv.MaxKeys entries, each with the
 // largest value and a key of which every byte is escaped.
-const MaxBytes = kv.MaxKeys * (kv.MaxValueBytes + maxEscapedBytes*kv.MaxKeyBytes + entryOverheadBytes)
+const MaxBytes = kv.MaxKeys * (kv.MaxValueBytes + maxEscapedBytesPerByte*kv.MaxKeyBytes + maxEntryOverheadBytes)
 
 const (
-	format             = "oxbowbridge-backup-1"
-	maxHeaderBytes     = 1 << 10
-	maxEscapedBytes    = 6  // of one byte of a key in JSON
-	entryOverheadBytes = 64 // of the line of one entry
+	formatName             = "oxbowbridge-backup-1"
+	maxHeaderBytes         = 1 << 10
+	maxEscapedBytesPerByte = 6  // of one byte of a key in JSON
+	maxEntryOverheadBytes  = 64 // of the line of one entry
 )
 
 // ErrCorrupt means that a file is no backup, or not as it was written.
--- a/internal/cluster/backup/golden_test.go
+++ b/internal/cluster/backup/golden_test.go
@@ -20,19 +20,19 @@
 
 // TestGoldenFile: a backup file is read whole, and written again byte for byte.
 func TestGoldenFile(t *testing.T) {
-	keys := []Entry{{"a", 3, json.RawMessage(`{"x":[1,2]}`)}, {"b/ü\n", 9, json.RawMessage(`"<&>"`)}}
+	entries := []Entry{{"a", 3, json.RawMessage(`{"x":[1,2]}`)}, {"b/ü\n", 9, json.RawMessage(`"<&>"`)}}
 	var written bytes.Buffer
-	head, err := Write(&written, Header{Cluster: "c1", Revision: 9, TimeMS: 17, Token: 5}, keys)
+	header, err := Write(&written, Header{Cluster: "c1", Revision: 9, TimeMS: 17, Token: 5}, entries)
 	require.NoError(t, err)
 	golden.Text(t, "testdata/small.backup", written.String())
 	stored, err := os.ReadFile("testdata/small.backup")
 	require.NoError(t, err)
-	storedHead, storedKeys, err := Read(bytes.NewReader(stored))
+	storedHeader, storedEntries, err := Read(bytes.NewReader(stored))
 	require.NoError(t, err)
-	require.Equal(t, head, storedHead)
-	require.Equal(t, keys, storedKeys)
-	var again bytes.Buffer
-	_, err = Write(&again, storedHead, storedKeys)
+	require.Equal(t, header, storedHeader)
+	require.Equal(t, entries, storedEntries)
+	var rewritten bytes.Buffer
+	_, err = Write(&rewritten, storedHeader, storedEntries)
 	require.NoError(t, err)
-	require.Equal(t, stored, again.Bytes())
+	require.Equal(t, stored, rewritten.Bytes())
 }
--- a/internal/cluster/backup/read.go
+++ b/internal/cluster/backup/read.go
@@ -11,41 +11,41 @@
 
 // Read reads a backup, all of it or nothing. Its error wraps ErrCorrupt, or the error of r.
 func Read(r io.Reader) (Header, []Entry, error) {
-	text, err := io.ReadAll(io.LimitReader(r, maxHeaderBytes+MaxBytes+1))
+	data, err := io.ReadAll(io.LimitReader(r, maxHeaderBytes+MaxBytes+1))
 	if err != nil {
 		return Header{}, nil, fmt.Errorf("read backup: %w", err)
 	}
-	first, lines, found := bytes.Cut(text, []byte("\n"))
+	headerLine, entryLines, found := bytes.Cut(data, []byte("\n"))
 	if !found {
 		return Header{}, nil, errNoHeader()
 	}
-	header, err := decodeHeader(first)
+	header, err := decodeHeader(headerLine)
 	if err != nil {
 		return Header{}, nil, err
 	}
-	if header.Bytes != len(lines) {
-		return Header{}, nil, fmt.Errorf("%w: %d bytes, not %d, after its first line", ErrCorrupt, len(lines), header.Bytes)
+	if header.Bytes != len(entryLines) {
+		return Header{}, nil, fmt.Errorf("%w: %d bytes, not %d, after its first line", ErrCorrupt, len(entryLines), header.Bytes)
 	}
-	if sum := header.checksum(lines); sum != header.SHA256 {
+	if sum := header.checksum(entryLines); sum != header.SHA256 {
 		return Header{}, nil, fmt.Errorf("%w: checksum %s, not %s", ErrCorrupt, sum, header.SHA256)
 	}
-	entries, err := decodeEntries(lines, header.Keys)
+	entries, err := decodeEntries(entryLines, header.Keys)
 	if err != nil {
 		return Header{}, nil, err
 	}
 	return header, entries, nil
 }
 
-func errNoHeader() error { return fmt.Errorf("%w: no line of %s at its start", ErrCorrupt, format) }
+func errNoHeader() error { return fmt.Errorf("%w: no line of %s at its start", ErrCorrupt, formatName) }
 
 // decodeHeader decodes the first line. JSON has many forms of one value; only the one that Write
 // writes is accepted, so that any changed byte is recognized.
 func decodeHeader(line []byte) (Header, error) {
 	var header Header
-	if len(line) > maxHeaderBytes || json.Unmarshal(line, &header) != nil || header.Format != format {
+	if len(line) > maxHeaderBytes || json.Unmarshal(line, &header) != nil || header.Format != formatName {
 		return Header{}, errNoHeader()
 	}
-	if again, _ := json.Marshal(header); !bytes.Equal(again, line) {
+	if reencoded, _ := json.Marshal(header); !bytes.Equal(reencoded, line) {
 		return Header{}, fmt.Errorf("%w: its first line was changed", ErrCorrupt)
 	}
 	return header, nil
--- a/internal/cluster/backup/write.go
+++ b/internal/cluster/backup/write.go
@@ -10,20 +10,20 @@
 // Write writes a backup. It fills in the header's fields that describe the entries, and returns
 // the header that it has written.
 func Write(w io.Writer, header Header, entries []Entry) (Header, error) {
-	lines, err := encodeEntries(entries)
+	entryLines, err := encodeEntries(entries)
 	if err != nil {
 		return header, err
 	}
-	header.Format = format
+	header.Format = formatName
 	header.Keys = len(entries)
-	header.Bytes = len(lines)
-	header.SHA256 = header.checksum(lines)
-	first, err := json.Marshal(header)
+	header.Bytes = len(entryLines)
+	header.SHA256 = header.checksum(entryLines)
+	headerLine, err := json.Marshal(header)
 	if err == nil {
-		_, err = w.Write(append(first, '\n'))
+		_, err = w.Write(append(headerLine, '\n'))
 	}
 	if err == nil {
-		_, err = w.Write(lines)
+		_, err = w.Write(entryLines)
 	}
 	if err != nil {
 		return header, fmt.Errorf("write backup: %w", err)
--- a/internal/cluster/kv/checksum.go
+++ b/internal/cluster/kv/checksum.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	checksumInterval  = 16   // log entries between two points of a ChecksumHistory
-	maxChecksumPoints = 64   // points that a ChecksumHistory keeps
-	checksumPeriod    = 4096 // log entries after which the running checksum starts anew
-	outcomeBytes      = 64   // enough for the outcome of an entry, as it is encoded for the checksum
+	checksumInterval      = 16   // log entries between two points of a ChecksumHistory
+	maxChecksumPoints     = 64   // points that a ChecksumHistory keeps
+	checksumResetInterval = 4096 // log entries after which the running checksum starts anew
+	outcomeCapacityBytes  = 64   // enough for the outcome of an entry, as it is encoded for the checksum
 )
 
 var checksumTable = crc64.MakeTable(crc64.ECMA)
@@ -25,25 +25,25 @@
 
 // extendChecksum adds a log entry, as it was read, and its outcome.
 func (s *State) extendChecksum(index uint64, data []byte, response *Response, err error) {
-	if index/checksumPeriod > s.Checksum.StartIndex/checksumPeriod {
-		s.Checksum = Checksum{StartIndex: index / checksumPeriod * checksumPeriod}
+	if index/checksumResetInterval > s.Checksum.StartIndex/checksumResetInterval {
+		s.Checksum = Checksum{StartIndex: index / checksumResetInterval * checksumResetInterval}
 	}
-	outcome := make([]byte, 0, outcomeBytes)
+	outcome := make([]byte, 0, outcomeCapacityBytes)
 	outcome = binary.BigEndian.AppendUint64(outcome, index)
 	outcome = binary.BigEndian.AppendUint64(outcome, s.Leases.LastToken)
 	outcome = binary.BigEndian.AppendUint64(outcome, uint64(s.TimeMS))
 	outcome = binary.BigEndian.AppendUint64(outcome, uint64(len(s.Entries)))
 	outcome = binary.BigEndian.AppendUint64(outcome, uint64(len(s.Leases.Leases)))
 	outcome = append(outcome, boolByte(response.Succeeded), boolByte(err != nil))
-	s.Checksum.add(data)
-	s.Checksum.add(outcome)
+	s.Checksum.update(data)
+	s.Checksum.update(outcome)
 	for _, r := range response.LeaseResults {
-		s.Checksum.add(binary.BigEndian.AppendUint64(outcome[:0], r.Lease.Token))
-		s.Checksum.add([]byte(r.Lease.Holder))
+		s.Checksum.update(binary.BigEndian.AppendUint64(outcome[:0], r.Lease.Token))
+		s.Checksum.update([]byte(r.Lease.Holder))
 	}
 }
 
-func (c *Checksum) add(data []byte) { c.Sum = crc64.Update(c.Sum, checksumTable, data) }
+func (c *Checksum) update(data []byte) { c.Sum = crc64.Update(c.Sum, checksumTable, data) }
 
 func boolByte(b bool) byte {
 	if b {
@@ -67,11 +67,11 @@
 // RecordBefore adds a point if one is due, of a state that is about to apply the log entry at an
 // index.
 func (c ChecksumHistory) RecordBefore(index uint64, s *State) ChecksumHistory {
-	at := (index - 1) / checksumInterval * checksumInterval
-	if at == 0 || at < s.Applied || len(c) > 0 && c[len(c)-1].Index >= at {
+	pointIndex := (index - 1) / checksumInterval * checksumInterval
+	if pointIndex == 0 || pointIndex < s.Applied || len(c) > 0 && c[len(c)-1].Index >= pointIndex {
 		return c // the state is beyond it, or it is recorded
 	}
-	c = append(c, ChecksumPoint{at, s.Checksum.StartIndex, s.Checksum.Sum})
+	c = append(c, ChecksumPoint{pointIndex, s.Checksum.StartIndex, s.Checksum.Sum})
 	return c[max(0, len(c)-maxChecksumPoints):]
 }
 
@@ -81,7 +81,7 @@
 func (c ChecksumHistory) Diverged(others []ChecksumHistory, voters int) (index uint64, diverged bool) {
 	for i := len(c) - 1; i >= 0; i-- {
 		local := c[i]
-		for sum, votes := range countSums(others, local) {
+		for sum, votes := range countChecksumVotes(others, local) {
 			if sum == local.Sum {
 				votes++
 			}
@@ -93,8 +93,8 @@
 	return 0, false
 }
 
-// countSums counts the other nodes' checksums at a point that can be compared with a local one.
-func countSums(others []ChecksumHistory, local ChecksumPoint) map[uint64]int {
+// countChecksumVotes counts the other nodes' checksums at a point that can be compared with a local one.
+func countChecksumVotes(others []ChecksumHistory, local ChecksumPoint) map[uint64]int {
 	votes := map[uint64]int{}
 	for _, history := range others {
 		for _, point := range history {
--- a/internal/cluster/kv/checksum_test.go
+++ b/internal/cluster/kv/checksum_test.go
@@ -22,79 +22,79 @@
 			data  []byte
 			r     Request
 		}
-		var log []entry
-		for i := uint64(1); len(log) < 120; i += rapid.Uint64Range(1, 3).Draw(t, "step") { // some indexes are no commands
+		var entries []entry
+		for i := uint64(1); len(entries) < 120; i += rapid.Uint64Range(1, 3).Draw(t, "step") { // some indexes are no commands
 			r := Request{TimeMS: int64(i), LeaseOps: []lease.Op{{Kind: lease.OpAcquire, Name: fmt.Sprint("n", i%5), Holder: fmt.Sprint("h", i), TTLMS: 1000}}}
 			if rapid.Bool().Draw(t, "key") {
 				r = Request{TimeMS: int64(i), Then: []Op{{Kind: "put", Key: fmt.Sprint("k", i%7), Value: json.RawMessage(`1`)}}}
 			}
 			data, err := json.Marshal(r)
 			require.NoError(t, err)
-			log = append(log, entry{i, data, r})
+			entries = append(entries, entry{i, data, r})
 		}
-		cut := rapid.IntRange(1, len(log)-1).Draw(t, "snapshot")
-		odd := rapid.IntRange(0, len(log)-1).Draw(t, "odd")
-		run := func(s *State, from int, odd int) (*State, ChecksumHistory) {
-			var c ChecksumHistory
-			for i, e := range log[from:] {
-				var bad error
-				if from+i == odd {
-					bad = errors.New("carried out as something else")
+		snapshotPosition := rapid.IntRange(1, len(entries)-1).Draw(t, "snapshot")
+		divergentPosition := rapid.IntRange(0, len(entries)-1).Draw(t, "odd")
+		applyEntries := func(s *State, from int, divergent int) (*State, ChecksumHistory) {
+			var history ChecksumHistory
+			for i, e := range entries[from:] {
+				var applyErr error
+				if from+i == divergent {
+					applyErr = errors.New("carried out as something else")
 				}
-				c = c.RecordBefore(e.index, s)
-				s.ApplyEntry(e.index, e.data, &e.r, bad)
+				history = history.RecordBefore(e.index, s)
+				s.ApplyEntry(e.index, e.data, &e.r, applyErr)
 			}
-			return s, c
+			return s, history
 		}
-		_, whole := run(New(), 0, -1)
-		half := New()
-		for _, e := range log[:cut] {
-			half.ApplyEntry(e.index, e.data, &e.r, nil)
+		_, reference := applyEntries(New(), 0, -1)
+		source := New()
+		for _, e := range entries[:snapshotPosition] {
+			source.ApplyEntry(e.index, e.data, &e.r, nil)
 		}
-		text, err := json.Marshal(half)
+		snapshot, err := json.Marshal(source)
 		require.NoError(t, err)
 		restored := New()
-		require.NoError(t, json.Unmarshal(text, restored))
-		_, late := run(restored, cut, -1)
-		_, other := run(New(), 0, odd)
-		_, apart := late.Diverged([]ChecksumHistory{whole, whole}, 3)
-		require.False(t, apart, "a snapshot changes nothing")
-		for _, c := range late {
-			require.Contains(t, whole, c)
+		require.NoError(t, json.Unmarshal(snapshot, restored))
+		_, restoredHistory := applyEntries(restored, snapshotPosition, -1)
+		_, divergentHistory := applyEntries(New(), 0, divergentPosition)
+		_, diverged := restoredHistory.Diverged([]ChecksumHistory{reference, reference}, 3)
+		require.False(t, diverged, "a snapshot changes nothing")
+		for _, point := range restoredHistory {
+			require.Contains(t, reference, point)
 		}
-		last := whole[len(whole)-1].Index
-		at, apart := other.Diverged([]ChecksumHistory{whole, whole}, 3)
-		require.Equal(t, log[odd].index <= last, apart)
-		if apart {
-			require.Equal(t, last, at)
+		lastIndex := reference[len(reference)-1].Index
+		index, diverged := divergentHistory.Diverged([]ChecksumHistory{reference, reference}, 3)
+		require.Equal(t, entries[divergentPosition].index <= lastIndex, diverged)
+		if diverged {
+			require.Equal(t, lastIndex, index)
 		}
-		_, apart = whole.Diverged([]ChecksumHistory{other, whole}, 3)
-		require.False(t, apart, "most agree with it")
-		_, apart = other.Diverged([]ChecksumHistory{whole, whole}, 5)
-		require.False(t, apart, "two of five are not most")
+		_, diverged = reference.Diverged([]ChecksumHistory{divergentHistory, reference}, 3)
+		require.False(t, diverged, "most agree with it")
+		_, diverged = divergentHistory.Diverged([]ChecksumHistory{reference, reference}, 5)
+		require.False(t, diverged, "two of five are not most")
 	})
 }
 
 // TestChecksumStartsAnew: states whose checksums began at different indexes are not compared until
 // both begin at the same one.
 func TestChecksumStartsAnew(t *testing.T) {
-	carry := func(s *State, from, to uint64) (c ChecksumHistory) {
+	applyRange := func(s *State, from, to uint64) (history ChecksumHistory) {
 		for i := from; i <= to; i++ {
-			c = c.RecordBefore(i, s)
+			history = history.RecordBefore(i, s)
 			s.ApplyEntry(i, []byte{byte(i)}, &Request{TimeMS: int64(i)}, nil)
 		}
-		return c
+		return history
 	}
-	a, b := New(), New()
-	carry(a, 1, 100)
-	carry(b, 1, 100)
-	b.Checksum = Checksum{StartIndex: 100}
-	one, two := carry(a, 101, checksumPeriod-1), carry(b, 101, checksumPeriod-1)
-	_, apart := one.Diverged([]ChecksumHistory{two, two}, 3)
-	require.False(t, apart)
-	require.NotEqual(t, a.Checksum, b.Checksum)
-	one, two = carry(a, checksumPeriod, checksumPeriod+100), carry(b, checksumPeriod, checksumPeriod+100)
-	require.Equal(t, a.Checksum, b.Checksum)
-	require.Equal(t, one[len(one)-1], two[len(two)-1])
-	require.LessOrEqual(t, len(one), maxChecksumPoints)
+	state1, state2 := New(), New()
+	applyRange(state1, 1, 100)
+	applyRange(state2, 1, 100)
+	state2.Checksum = Checksum{StartIndex: 100}
+	history1, history2 := applyRange(state1, 101, checksumResetInterval-1), applyRange(state2, 101, checksumResetInterval-1)
+	_, diverged := history1.Diverged([]ChecksumHistory{history2, history2}, 3)
+	require.False(t, diverged)
+	require.NotEqual(t, state1.Checksum, state2.Checksum)
+	history1, history2 = applyRange(state1, checksumResetInterval, checksumResetInterval+100), applyRange(state2, checksumResetInterval, checksumResetInterval+100)
+	require.Equal(t, state1.Checksum, state2.Checksum)
+	require.Equal(t, history1[len(history1)-1], history2[len(history2)-1])
+	require.LessOrEqual(t, len(history1), maxChecksumPoints)
 }
--- a/internal/cluster/kv/golden_test.go
+++ b/internal/cluster/kv/golden_test.go
@@ -34,7 +34,7 @@
 func TestGoldenKeys(t *testing.T) {
 	golden.Text(t, "testdata/keys.golden", fmt.Sprintln(
 		ReservedPrefix, ClusterKey, RestoreKey, PreviousClustersKey, RemovedPrefix, PreferredVoterPrefix, LeasesEnabledKey, StatePrefix,
-		MaxKeyBytes, MaxValueBytes, MaxKeys, MaxOps, MaxSessions, SessionWindow, MaxCachedResponseBytes, SessionTimeoutMS, maxClockAdvanceMS, checksumInterval, maxChecksumPoints, checksumPeriod))
+		MaxKeyBytes, MaxValueBytes, MaxKeys, MaxOps, MaxSessions, MaxCachedResponses, MaxCachedResponseBytes, SessionTimeoutMS, maxClockAdvanceMS, checksumInterval, maxChecksumPoints, checksumResetInterval))
 }
 
 // TestGoldenErrors: texts of errors, which answers over HTTP contain.
@@ -73,12 +73,12 @@
 		`not a request`,
 	} {
 		var r Request
-		bad := json.Unmarshal([]byte(data), &r)
-		if bad != nil {
-			bad = errors.New("not read")
+		decodeErr := json.Unmarshal([]byte(data), &r)
+		if decodeErr != nil {
+			decodeErr = errors.New("not read")
 		}
-		a, changed, err := s.ApplyEntry(uint64(i+1), []byte(data), &r, bad)
-		text, marshalErr := json.Marshal(a)
+		response, changed, err := s.ApplyEntry(uint64(i+1), []byte(data), &r, decodeErr)
+		text, marshalErr := json.Marshal(response)
 		require.NoError(t, marshalErr)
 		fmt.Fprintln(&lines, i+1, string(text), changed, err, s.Checksum.StartIndex, s.Checksum.Sum)
 	}
@@ -86,9 +86,9 @@
 	require.NoError(t, err)
 	fmt.Fprintln(&lines, string(text))
 	golden.Text(t, "testdata/log.golden", lines.String())
-	read := New()
-	require.NoError(t, json.Unmarshal(text, read))
-	again, err := json.Marshal(read)
+	restored := New()
+	require.NoError(t, json.Unmarshal(text, restored))
+	reencoded, err := json.Marshal(restored)
 	require.NoError(t, err)
-	require.Equal(t, string(text), string(again))
+	require.Equal(t, string(text), string(reencoded))
 }
--- a/internal/cluster/kv/kv_test.go
+++ b/internal/cluster/kv/kv_test.go
@@ -22,26 +22,26 @@
 	os.Exit(m.Run())
 }
 
-func put(key, value string) Op { return Op{Kind: "put", Key: key, Value: json.RawMessage(value)} }
+func putOp(key, value string) Op { return Op{Kind: "put", Key: key, Value: json.RawMessage(value)} }
 
-func apply(t require.TestingT, s *State, r Request) Response {
-	a, _, err := s.Apply(s.Applied+1, &r)
+func mustApply(t require.TestingT, s *State, r Request) Response {
+	response, _, err := s.Apply(s.Applied+1, &r)
 	require.NoError(t, err)
-	return a
+	return response
 }
 
 func TestTransactions(t *testing.T) {
 	s := New()
-	a := apply(t, s, Request{If: []Compare{{"a", 0}}, Then: []Op{put("a", "1"), put("b", "2"), {Kind: "get", Key: "a"}}})
-	assert.Equal(t, Response{Succeeded: true, Revision: 1, Results: []Result{{"a", 1, nil}, {"b", 1, nil}, {"a", 1, json.RawMessage("1")}}}, a)
-	a = apply(t, s, Request{If: []Compare{{"a", 0}}, Then: []Op{put("a", "7")}, Else: []Op{{Kind: "get", Key: "a"}, {Kind: "get", Key: "none"}}})
-	assert.Equal(t, Response{Revision: 2, Results: []Result{{"a", 1, json.RawMessage("1")}, {Key: "none"}}}, a)
-	apply(t, s, Request{Then: []Op{put("a", "3"), {Kind: "delete", Key: "b"}}})
+	response := mustApply(t, s, Request{If: []Compare{{"a", 0}}, Then: []Op{putOp("a", "1"), putOp("b", "2"), {Kind: "get", Key: "a"}}})
+	assert.Equal(t, Response{Succeeded: true, Revision: 1, Results: []Result{{"a", 1, nil}, {"b", 1, nil}, {"a", 1, json.RawMessage("1")}}}, response)
+	response = mustApply(t, s, Request{If: []Compare{{"a", 0}}, Then: []Op{putOp("a", "7")}, Else: []Op{{Kind: "get", Key: "a"}, {Kind: "get", Key: "none"}}})
+	assert.Equal(t, Response{Revision: 2, Results: []Result{{"a", 1, json.RawMessage("1")}, {Key: "none"}}}, response)
+	mustApply(t, s, Request{Then: []Op{putOp("a", "3"), {Kind: "delete", Key: "b"}}})
 	assert.Equal(t, Entry{Value: json.RawMessage("3"), ModRevision: 3, CreateRevision: 1, Version: 2}, s.Entries["a"])
 	assert.Zero(t, s.Revision("b"))
-	a = apply(t, s, Request{If: []Compare{{"a", 1}}, Then: []Op{put("a", "4")}})
-	assert.False(t, a.Succeeded)
-	for _, r := range []Request{{Then: []Op{put("", "1")}}, {Then: []Op{put("a", "{")}}, {Then: []Op{put("a", "null")}}, {Then: []Op{{Kind: "swap", Key: "a"}}},
+	response = mustApply(t, s, Request{If: []Compare{{"a", 1}}, Then: []Op{putOp("a", "4")}})
+	assert.False(t, response.Succeeded)
+	for _, r := range []Request{{Then: []Op{putOp("", "1")}}, {Then: []Op{putOp("a", "{")}}, {Then: []Op{putOp("a", "null")}}, {Then: []Op{{Kind: "swap", Key: "a"}}},
 		{Session: 1}, {If: []Compare{{}}}} {
 		before := s.Clone()
 		_, _, err := s.Apply(9, &r)
@@ -52,9 +52,9 @@
 	assert.ErrorIs(t, (&Request{Then: make([]Op, MaxOps+1)}).ValidateSize(), ErrInvalidRequest)
 	full := New()
 	for i := range MaxKeys {
-		apply(t, full, Request{Then: []Op{put(fmt.Sprint(i), "1")}})
+		mustApply(t, full, Request{Then: []Op{putOp(fmt.Sprint(i), "1")}})
 	}
-	_, changed, err := full.Apply(5000, &Request{Then: []Op{put("0", "2"), put("more", "1")}})
+	_, changed, err := full.Apply(5000, &Request{Then: []Op{putOp("0", "2"), putOp("more", "1")}})
 	assert.ErrorIs(t, err, ErrFull)
 	assert.Empty(t, changed)
 	assert.Equal(t, "1", string(full.Entries["0"].Value))
@@ -65,18 +65,18 @@
 func TestSessions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := New()
-		id := apply(t, s, Request{OpenSession: true}).Session
-		first, done := map[uint64]Response{}, uint64(0)
+		id := mustApply(t, s, Request{OpenSession: true}).Session
+		firstResponses, applied := map[uint64]Response{}, uint64(0)
 		for range 60 {
-			n := rapid.Uint64Range(1, 30).Draw(t, "number")
-			r := Request{Session: id, RequestNumber: n, Then: []Op{put("k", fmt.Sprint(n))}}
-			before := s.Entries["k"]
-			a, changed, err := s.Apply(s.Applied+1, &r)
-			if was, again := first[n]; again {
+			number := rapid.Uint64Range(1, 30).Draw(t, "number")
+			r := Request{Session: id, RequestNumber: number, Then: []Op{putOp("k", fmt.Sprint(number))}}
+			entryBefore := s.Entries["k"]
+			response, changed, err := s.Apply(s.Applied+1, &r)
+			if firstResponse, repeated := firstResponses[number]; repeated {
 				require.Empty(t, changed, "twice")
-				require.Equal(t, before, s.Entries["k"])
+				require.Equal(t, entryBefore, s.Entries["k"])
 				if err == nil {
-					require.Equal(t, was, a)
+					require.Equal(t, firstResponse, response)
 				} else {
 					require.ErrorIs(t, err, ErrStaleRequest)
 				}
@@ -86,43 +86,43 @@
 				require.ErrorIs(t, err, ErrStaleRequest)
 				continue
 			}
-			first[n] = a
-			done++
-			require.Equal(t, done, s.Entries["k"].Version)
-			s = restored(t, s)
+			firstResponses[number] = response
+			applied++
+			require.Equal(t, applied, s.Entries["k"].Version)
+			s = restoreFromSnapshot(t, s)
 		}
 	})
 }
 
-// restored is the state after a snapshot.
-func restored(t require.TestingT, s *State) *State {
-	text, err := json.Marshal(s)
+// restoreFromSnapshot is the state after a snapshot.
+func restoreFromSnapshot(t require.TestingT, s *State) *State {
+	snapshot, err := json.Marshal(s)
 	require.NoError(t, err)
-	out := New()
-	require.NoError(t, json.Unmarshal(text, out))
-	return out
+	restored := New()
+	require.NoError(t, json.Unmarshal(snapshot, restored))
+	return restored
 }
 
 func TestSessionsEndByLogTime(t *testing.T) {
 	s := New()
-	id := apply(t, s, Request{OpenSession: true, TimeMS: 1000}).Session
-	put1 := Request{Session: id, RequestNumber: 1, Then: []Op{put("k", "1")}, TimeMS: 1000 + SessionTimeoutMS}
+	id := mustApply(t, s, Request{OpenSession: true, TimeMS: 1000}).Session
+	request := Request{Session: id, RequestNumber: 1, Then: []Op{putOp("k", "1")}, TimeMS: 1000 + SessionTimeoutMS}
 	for s.TimeMS < 1000+SessionTimeoutMS { // each request moves it on by so much at most
-		apply(t, s, Request{Then: []Op{put("x", "1")}, TimeMS: 1000 + SessionTimeoutMS})
+		mustApply(t, s, Request{Then: []Op{putOp("x", "1")}, TimeMS: 1000 + SessionTimeoutMS})
 	}
-	apply(t, s, put1)
-	apply(t, s, Request{Then: []Op{put("x", "1")}, TimeMS: 5}) // another leader's clock is behind
+	mustApply(t, s, request)
+	mustApply(t, s, Request{Then: []Op{putOp("x", "1")}, TimeMS: 5}) // another leader's clock is behind
 	assert.EqualValues(t, 1000+SessionTimeoutMS, s.TimeMS)
-	apply(t, s, Request{Then: []Op{put("x", "2")}, TimeMS: 1 << 50}) // or far ahead
+	mustApply(t, s, Request{Then: []Op{putOp("x", "2")}, TimeMS: 1 << 50}) // or far ahead
 	assert.EqualValues(t, 1000+SessionTimeoutMS+maxClockAdvanceMS, s.TimeMS)
 	for range SessionTimeoutMS / maxClockAdvanceMS {
-		apply(t, s, Request{Then: []Op{put("x", "2")}, TimeMS: 1 << 50})
+		mustApply(t, s, Request{Then: []Op{putOp("x", "2")}, TimeMS: 1 << 50})
 	}
-	_, _, err := s.Apply(99, &put1)
+	_, _, err := s.Apply(99, &request)
 	assert.ErrorIs(t, err, ErrSessionNotFound, "it must not run again")
 	assert.EqualValues(t, 1, s.Entries["k"].Version)
 	for range MaxSessions {
-		apply(t, s, Request{OpenSession: true})
+		mustApply(t, s, Request{OpenSession: true})
 	}
 	_, _, err = s.Apply(s.Applied+1, &Request{OpenSession: true})
 	assert.ErrorIs(t, err, ErrFull)
@@ -132,26 +132,26 @@
 // repeat of what was done is answered as it was; an entry without operations ends idle sessions.
 func TestFenced(t *testing.T) {
 	s := New()
-	a, _, err := s.Apply(1, &Request{TokenFloor: 100, LeaseOps: []lease.Op{{Kind: lease.OpAcquire, Name: "job", Holder: "h", TTLMS: 5000},
+	response, _, err := s.Apply(1, &Request{TokenFloor: 100, LeaseOps: []lease.Op{{Kind: lease.OpAcquire, Name: "job", Holder: "h", TTLMS: 5000},
 		{Kind: lease.OpAcquire, Name: "job", Holder: "other", TTLMS: 5000}}})
 	require.NoError(t, err)
-	held := lease.FencingToken{Name: "job", Token: a.LeaseResults[0].Lease.Token}
-	assert.Greater(t, held.Token, uint64(100))
-	assert.ErrorIs(t, a.LeaseResults[1].Err(), lease.ErrHeld)
-	a, _, err = s.Apply(2, &Request{TimeMS: 1, OpenSession: true})
+	fence := lease.FencingToken{Name: "job", Token: response.LeaseResults[0].Lease.Token}
+	assert.Greater(t, fence.Token, uint64(100))
+	assert.ErrorIs(t, response.LeaseResults[1].Err(), lease.ErrHeld)
+	response, _, err = s.Apply(2, &Request{TimeMS: 1, OpenSession: true})
 	require.NoError(t, err)
-	put := Request{TimeMS: 1, Session: a.Session, RequestNumber: 1, Fences: []lease.FencingToken{held}, Then: []Op{{Kind: "put", Key: "k", Value: []byte("1")}}}
-	_, changed, err := s.Apply(3, &put)
+	request := Request{TimeMS: 1, Session: response.Session, RequestNumber: 1, Fences: []lease.FencingToken{fence}, Then: []Op{{Kind: "put", Key: "k", Value: []byte("1")}}}
+	_, changed, err := s.Apply(3, &request)
 	require.NoError(t, err)
 	assert.Equal(t, []string{"k"}, changed)
-	_, _, err = s.Apply(4, &Request{LeaseOps: []lease.Op{{Kind: lease.OpRelease, Name: "job", Token: held.Token}}})
+	_, _, err = s.Apply(4, &Request{LeaseOps: []lease.Op{{Kind: lease.OpRelease, Name: "job", Token: fence.Token}}})
 	require.NoError(t, err)
-	again, changed, err := s.Apply(5, &put)
+	repeated, changed, err := s.Apply(5, &request)
 	require.NoError(t, err)
 	assert.Empty(t, changed)
-	assert.EqualValues(t, 3, again.Revision)
-	put.RequestNumber = 2
-	_, _, err = s.Apply(6, &put)
+	assert.EqualValues(t, 3, repeated.Revision)
+	request.RequestNumber = 2
+	_, _, err = s.Apply(6, &request)
 	assert.ErrorIs(t, err, ErrFenced)
 	assert.EqualValues(t, 3, s.Revision("k"))
 	for i := range uint64(11) {
--- a/internal/cluster/kv/session.go
+++ b/internal/cluster/kv/session.go
@@ -8,7 +8,7 @@
 
 // Limits of a session.
 const (
-	SessionWindow          = 16             // responses that are cached for one session
+	MaxCachedResponses     = 16             // responses that are cached for one session
 	MaxCachedResponseBytes = 64 << 10       // of values that one cached response may contain
 	SessionTimeoutMS       = 10 * 60 * 1000 // milliseconds of log time after which an idle session ends
 )
@@ -30,11 +30,11 @@
 	return &session{LastSeenMS: x.LastSeenMS, LastRequest: x.LastRequest, Cached: slices.Clone(x.Cached)}
 }
 
-// remember caches the response to a new request.
-func (x *session) remember(number uint64, response Response) {
+// cacheResponse caches the response to a new request.
+func (x *session) cacheResponse(number uint64, response Response) {
 	x.LastRequest = number
 	x.Cached = append(x.Cached, cachedResponse{number, response})
-	excess := max(0, len(x.Cached)-SessionWindow)
+	excess := max(0, len(x.Cached)-MaxCachedResponses)
 	x.Cached = slices.Delete(x.Cached, 0, excess)
 }
 
@@ -71,6 +71,6 @@
 	if err != nil {
 		return response, changed, err
 	}
-	x.remember(r.RequestNumber, response)
+	x.cacheResponse(r.RequestNumber, response)
 	return response, changed, nil
 }
--- a/internal/cluster/kv/state.go
+++ b/internal/cluster/kv/state.go
@@ -41,7 +41,7 @@
 	valueBytes int // or bytesUnknown
 }
 
-const bytesUnknown = -1
+const valueBytesUnknown = -1
 
 // New returns an empty state.
 func New() *State {
@@ -49,7 +49,7 @@
 		Entries:    map[string]Entry{},
 		Sessions:   map[uint64]*session{},
 		Leases:     lease.NewState(0),
-		valueBytes: bytesUnknown,
+		valueBytes: valueBytesUnknown,
 	}
 }
 
@@ -62,7 +62,7 @@
 		Sessions:   map[uint64]*session{},
 		Leases:     s.Leases.Clone(),
 		Checksum:   s.Checksum,
-		valueBytes: bytesUnknown,
+		valueBytes: valueBytesUnknown,
 	}
 	for id, x := range s.Sessions {
 		c.Sessions[id] = x.clone()
@@ -72,7 +72,7 @@
 
 // ValueBytes returns the size of all values in bytes.
 func (s *State) ValueBytes() int {
-	if s.valueBytes == bytesUnknown {
+	if s.valueBytes == valueBytesUnknown {
 		s.valueBytes = 0
 		for _, e := range s.Entries {
 			s.valueBytes += len(e.Value)
@@ -107,7 +107,7 @@
 // keys that it writes. It returns those keys, sorted.
 func (s *State) Apply(index uint64, r *Request) (response Response, changed []string, err error) {
 	s.Applied = index
-	s.advanceTime(r.TimeMS)
+	s.advanceLogTime(r.TimeMS)
 	if err := r.Validate(); err != nil {
 		return Response{}, nil, err
 	}
@@ -127,9 +127,9 @@
 	return s.applyTxn(index, r)
 }
 
-// advanceTime moves the log's time on, never back and by at most maxClockAdvanceMS, and ends the
+// advanceLogTime moves the log's time on, never back and by at most maxClockAdvanceMS, and ends the
 // sessions that have been idle for too long by it.
-func (s *State) advanceTime(timeMS int64) {
+func (s *State) advanceLogTime(timeMS int64) {
 	if s.TimeMS != 0 {
 		timeMS = min(timeMS, s.TimeMS+maxClockAdvanceMS)
 	}
--- a/internal/cluster/kv/txn.go
+++ b/internal/cluster/kv/txn.go
@@ -14,7 +14,7 @@
 	if err := s.checkFences(r.Fences); err != nil {
 		return Response{}, nil, err
 	}
-	response := Response{Succeeded: s.holdAll(r.If), Revision: index}
+	response := Response{Succeeded: s.allComparesHold(r.If), Revision: index}
 	ops := r.Then
 	if !response.Succeeded {
 		ops = r.Else
@@ -29,7 +29,7 @@
 	return response, t.commit(), nil
 }
 
-func (s *State) holdAll(compares []Compare) bool {
+func (s *State) allComparesHold(compares []Compare) bool {
 	for _, c := range compares {
 		if s.Revision(c.Key) != c.Revision {
 			return false
@@ -102,7 +102,7 @@
 func (t *txn) commit() (changed []string) {
 	s := t.state
 	for key, entry := range t.pending {
-		if s.valueBytes != bytesUnknown {
+		if s.valueBytes != valueBytesUnknown {
 			s.valueBytes += len(entry.Value) - len(s.Entries[key].Value)
 		}
 		s.Entries[key] = entry
--- a/internal/cluster/raftstorage/configuration.go
+++ b/internal/cluster/raftstorage/configuration.go
@@ -16,13 +16,13 @@
 // configurationCache is the last configuration in the log, or in the snapshot below it, once it was
 // looked up.
 type configurationCache struct {
-	mu    sync.Mutex
-	known bool
-	conf  Configuration
+	mu            sync.Mutex
+	known         bool
+	configuration Configuration
 }
 
-// forget has the configuration looked up again.
-func (c *configurationCache) forget() {
+// invalidate has the configuration looked up again.
+func (c *configurationCache) invalidate() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.known = false
@@ -31,11 +31,11 @@
 // set is called with the lock held.
 func (c *configurationCache) set(conf Configuration) {
 	c.known = true
-	c.conf = conf
+	c.configuration = conf
 }
 
-// noteStored takes over a configuration among appended entries.
-func (c *configurationCache) noteStored(entries []*raft.Log) {
+// setFromEntries takes over a configuration among appended entries.
+func (c *configurationCache) setFromEntries(entries []*raft.Log) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, entry := range entries {
@@ -48,16 +48,16 @@
 // Configuration is the last one in the log or, below it, in the newest snapshot. It may not be
 // committed yet.
 func (s *Storage) Configuration() (Configuration, error) {
-	s.conf.mu.Lock()
-	defer s.conf.mu.Unlock()
-	if s.conf.known {
-		return s.conf.conf, nil
+	s.configCache.mu.Lock()
+	defer s.configCache.mu.Unlock()
+	if s.configCache.known {
+		return s.configCache.configuration, nil
 	}
 	conf, err := s.findConfiguration()
 	if err != nil {
 		return Configuration{Configuration: conf.Configuration}, err
 	}
-	s.conf.set(conf)
+	s.configCache.set(conf)
 	return conf, nil
 }
 
--- a/internal/cluster/raftstorage/fail_stop.go
+++ b/internal/cluster/raftstorage/fail_stop.go
@@ -16,37 +16,39 @@
 // value shows in Storage.ReadOnlyReason.
 type FailStopStorage struct {
 	*Storage
-	once     sync.Once
-	onFailed func(error)
+	reportOnce sync.Once
+	onFailure  func(error)
 }
 
 // FailStop has onFailed called once, on the first failure.
-func (s *Storage) FailStop(onFailed func(error)) *FailStopStorage {
-	return &FailStopStorage{Storage: s, onFailed: onFailed}
+func (s *Storage) FailStop(onFailure func(error)) *FailStopStorage {
+	return &FailStopStorage{Storage: s, onFailure: onFailure}
 }
 
-// report reports the first failure, and returns err.
-func (f *FailStopStorage) report(err error) error {
+// reportFailure reports the first failure, and returns err.
+func (f *FailStopStorage) reportFailure(err error) error {
 	if err != nil {
-		f.once.Do(func() { f.onFailed(err) })
+		f.reportOnce.Do(func() { f.onFailure(err) })
 	}
 	return err
 }
 
-// exitOn ends the goroutine on a failure.
-func (f *FailStopStorage) exitOn(err error) error {
-	if f.report(err) != nil {
+// exitGoroutineOn ends the goroutine on a failure.
+func (f *FailStopStorage) exitGoroutineOn(err error) error {
+	if f.reportFailure(err) != nil {
 		runtime.Goexit()
 	}
 	return nil
 }
 
 // Set writes a stable key, or ends the goroutine.
-func (f *FailStopStorage) Set(key, value []byte) error { return f.exitOn(f.Storage.Set(key, value)) }
+func (f *FailStopStorage) Set(key, value []byte) error {
+	return f.exitGoroutineOn(f.Storage.Set(key, value))
+}
 
 // SetUint64 writes a number under a stable key, or ends the goroutine.
 func (f *FailStopStorage) SetUint64(key []byte, n uint64) error {
-	return f.exitOn(f.Storage.SetUint64(key, n))
+	return f.exitGoroutineOn(f.Storage.SetUint64(key, n))
 }
 
 // GetLog reads an entry, or ends the goroutine if that fails. raft.ErrLogNotFound is no failure.
@@ -55,18 +57,20 @@
 	if err == nil || errors.Is(err, raft.ErrLogNotFound) {
 		return err
 	}
-	return f.exitOn(err)
+	return f.exitGoroutineOn(err)
 }
 
 // StoreLog appends one entry. Raft steps down if that fails.
-func (f *FailStopStorage) StoreLog(entry *raft.Log) error { return f.report(f.Storage.StoreLog(entry)) }
+func (f *FailStopStorage) StoreLog(entry *raft.Log) error {
+	return f.reportFailure(f.Storage.StoreLog(entry))
+}
 
 // StoreLogs appends entries. Raft steps down if that fails.
 func (f *FailStopStorage) StoreLogs(entries []*raft.Log) error {
-	return f.report(f.Storage.StoreLogs(entries))
+	return f.reportFailure(f.Storage.StoreLogs(entries))
 }
 
 // DeleteRange cuts entries off.
 func (f *FailStopStorage) DeleteRange(from, to uint64) error {
-	return f.report(f.Storage.DeleteRange(from, to))
+	return f.reportFailure(f.Storage.DeleteRange(from, to))
 }
--- a/internal/cluster/raftstorage/fail_stop_test.go
+++ b/internal/cluster/raftstorage/fail_stop_test.go
@@ -12,29 +12,29 @@
 // TestFailStop: where Raft would end the process, as it can't keep a term, the goroutine
 // ends, and the node is told once; an append that fails comes back as an error.
 func TestFailStop(t *testing.T) {
-	f := &faultfs.FS{}
-	d, _, err := OpenFS(f)
+	fs := &faultfs.FS{}
+	storage, _, err := OpenFS(fs)
 	require.NoError(t, err)
-	told := 0
-	g := d.FailStop(func(error) { told++ })
-	require.NoError(t, g.SetUint64([]byte("CurrentTerm"), 1))
-	require.NoError(t, g.StoreLog(entry(1, 1, "a")))
-	require.ErrorIs(t, g.GetLog(2, &raft.Log{}), raft.ErrLogNotFound)
-	require.Zero(t, told)
-	f.FaultAt = func(int, string, string) faultfs.Fault { return faultfs.IOError }
-	require.Error(t, g.StoreLog(entry(2, 1, "b")))
-	went, ended := false, make(chan struct{})
+	reports := 0
+	failStop := storage.FailStop(func(error) { reports++ })
+	require.NoError(t, failStop.SetUint64([]byte("CurrentTerm"), 1))
+	require.NoError(t, failStop.StoreLog(newCommandEntry(1, 1, "a")))
+	require.ErrorIs(t, failStop.GetLog(2, &raft.Log{}), raft.ErrLogNotFound)
+	require.Zero(t, reports)
+	fs.FaultAt = func(int, string, string) faultfs.Fault { return faultfs.IOError }
+	require.Error(t, failStop.StoreLog(newCommandEntry(2, 1, "b")))
+	returned, exited := false, make(chan struct{})
 	go func() {
-		defer close(ended)
-		g.SetUint64([]byte("CurrentTerm"), 2)
-		went = true
+		defer close(exited)
+		failStop.SetUint64([]byte("CurrentTerm"), 2)
+		returned = true
 	}()
-	<-ended
-	require.False(t, went)
-	require.Equal(t, 1, told)
-	require.Error(t, d.ReadOnlyReason())
-	m, err := d.Watermark()
+	<-exited
+	require.False(t, returned)
+	require.Equal(t, 1, reports)
+	require.Error(t, storage.ReadOnlyReason())
+	watermark, err := storage.Watermark()
 	require.NoError(t, err)
-	require.EqualValues(t, 1, m.LastIndex)
-	require.EqualValues(t, 1, m.Term)
+	require.EqualValues(t, 1, watermark.LastIndex)
+	require.EqualValues(t, 1, watermark.Term)
 }
--- a/internal/cluster/raftstorage/golden_test.go
+++ b/internal/cluster/raftstorage/golden_test.go
@@ -17,41 +17,41 @@
 
 // TestGoldenKeys: every key of a folder that a released version wrote, with its bytes.
 func TestGoldenKeys(t *testing.T) {
-	d, _, err := OpenFS(&faultfs.FS{})
+	storage, _, err := OpenFS(&faultfs.FS{})
 	require.NoError(t, err)
 	conf := raft.Configuration{Servers: []raft.Server{{Suffrage: raft.Nonvoter, ID: "n1@5f", Address: "n1@5f|r|a|z"}}}
-	require.NoError(t, d.StoreLogs([]*raft.Log{
+	require.NoError(t, storage.StoreLogs([]*raft.Log{
 		{Index: 5, Term: 1, Type: raft.LogCommand, Data: []byte("five"), Extensions: []byte{1, 2}, AppendedAt: time.Unix(5, 7)},
 		{Index: 6, Term: 300, Type: raft.LogConfiguration, Data: raft.EncodeConfiguration(conf)},
 		{Index: 7, Term: 300, Type: raft.LogNoop},
 	}))
-	require.NoError(t, d.SetUint64([]byte("CurrentTerm"), 300))
-	require.NoError(t, d.Set([]byte("LastVoteCand"), []byte("n1@5f")))
-	require.NoError(t, d.PutLocal("disk", []byte("5f")))
-	require.NoError(t, d.PutLocalUnsynced("seen", []byte("{}")))
-	sink, err := d.Create(raft.SnapshotVersionMax, 6, 300, conf, 6, nil)
+	require.NoError(t, storage.SetUint64([]byte("CurrentTerm"), 300))
+	require.NoError(t, storage.Set([]byte("LastVoteCand"), []byte("n1@5f")))
+	require.NoError(t, storage.PutLocal("disk", []byte("5f")))
+	require.NoError(t, storage.PutLocalUnsynced("seen", []byte("{}")))
+	sink, err := storage.Create(raft.SnapshotVersionMax, 6, 300, conf, 6, nil)
 	require.NoError(t, err)
 	_, err = sink.Write([]byte("the state"))
 	require.NoError(t, err)
 	require.NoError(t, sink.Close())
 	id := sink.ID()
 	require.Regexp(t, `^00000000000000000300-00000000000000000006-\d+-1$`, id)
-	m, err := d.Watermark()
+	watermark, err := storage.Watermark()
 	require.NoError(t, err)
-	assert.Equal(t, diskidentity.Watermark{Term: 300, LastTerm: 300, LastIndex: 7}, m)
+	assert.Equal(t, diskidentity.Watermark{Term: 300, LastTerm: 300, LastIndex: 7}, watermark)
 
-	got := map[string]string{}
-	view, err := d.store.Snapshot()
+	items := map[string]string{}
+	view, err := storage.store.Snapshot()
 	require.NoError(t, err)
 	defer view.Close()
 	require.NoError(t, view.Scan(nil, nil, 0, func(i durable.Item) bool {
-		v, err := i.Value()
+		value, err := i.Value()
 		require.NoError(t, err)
-		text := string(v)
+		text := string(value)
 		if strings.HasPrefix(i.Key, "l/") {
-			text = hex.EncodeToString(v)
+			text = hex.EncodeToString(value)
 		}
-		got[strings.ReplaceAll(i.Key, id, "ID")] = strings.ReplaceAll(text, id, "ID")
+		items[strings.ReplaceAll(i.Key, id, "ID")] = strings.ReplaceAll(text, id, "ID")
 		return true
 	}))
 	assert.Equal(t, map[string]string{
@@ -65,5 +65,5 @@
 		"m/ID": `{"Version":1,"ID":"ID","Index":6,"Term":300,"Peers":null,` +
 			`"Configuration":{"Servers":[{"Suffrage":1,"ID":"n1@5f","Address":"n1@5f|r|a|z"}]},"ConfigurationIndex":6,"Size":9}`,
 		"s/ID/\x00\x00\x00\x00\x00\x00\x00\x00": "the state",
-	}, got)
+	}, items)
 }
--- a/internal/cluster/raftstorage/log.go
+++ b/internal/cluster/raftstorage/log.go
@@ -54,7 +54,7 @@
 		if err := s.log.Append(entries[0].Index, encoded, durable.Synced); err != nil {
 			return err
 		}
-		s.conf.noteStored(entries[:len(encoded)])
+		s.configCache.setFromEntries(entries[:len(encoded)])
 		entries = entries[len(encoded):]
 	}
 	return nil
@@ -81,7 +81,7 @@
 // back.
 func (s *Storage) DeleteRange(from, to uint64) error {
 	first, last := s.log.Bounds()
-	defer s.conf.forget()
+	defer s.configCache.invalidate()
 	switch {
 	case first == 0 || to < first || from > last:
 		return nil
--- a/internal/cluster/raftstorage/log_entry.go
+++ b/internal/cluster/raftstorage/log_entry.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// entryForm is the first byte of an encoded entry.
-	entryForm = 1
+	// entryFormatVersion is the first byte of an encoded entry.
+	entryFormatVersion = 1
 	// entryHeaderBytes is enough for what goes before the extensions.
 	entryHeaderBytes = 32
 )
@@ -22,7 +22,7 @@
 // in the key.
 func encodeEntry(l *raft.Log) []byte {
 	b := make([]byte, 0, entryHeaderBytes+len(l.Extensions)+len(l.Data))
-	b = append(b, entryForm, byte(l.Type))
+	b = append(b, entryFormatVersion, byte(l.Type))
 	b = binary.AppendUvarint(b, l.Term)
 	appendedAt := int64(0)
 	if !l.AppendedAt.IsZero() {
@@ -36,7 +36,7 @@
 
 // decodeEntry reads what encodeEntry wrote. to is changed only without an error; it shares b.
 func decodeEntry(b []byte, to *raft.Log) error {
-	if len(b) < 2 || b[0] != entryForm {
+	if len(b) < 2 || b[0] != entryFormatVersion {
 		return errMalformedEntry
 	}
 	l := raft.Log{Type: raft.LogType(b[1])}
@@ -51,19 +51,19 @@
 		return errMalformedEntry
 	}
 	b = b[n:]
-	extensions, n := binary.Uvarint(b)
-	if n <= 0 || extensions > uint64(len(b)-n) {
+	extensionBytes, n := binary.Uvarint(b)
+	if n <= 0 || extensionBytes > uint64(len(b)-n) {
 		return errMalformedEntry
 	}
 	b = b[n:]
 	if appendedAt != 0 {
 		l.AppendedAt = time.Unix(0, appendedAt)
 	}
-	if extensions > 0 {
-		l.Extensions = b[:extensions:extensions]
+	if extensionBytes > 0 {
+		l.Extensions = b[:extensionBytes:extensionBytes]
 	}
-	if len(b) > int(extensions) {
-		l.Data = b[extensions:]
+	if len(b) > int(extensionBytes) {
+		l.Data = b[extensionBytes:]
 	}
 	*to = l
 	return nil
--- a/internal/cluster/raftstorage/snapshot.go
+++ b/internal/cluster/raftstorage/snapshot.go
@@ -24,12 +24,12 @@
 
 var errSnapshotNotFound = errors.New("no such snapshot")
 
-// snapshots are those of one node. A snapshot is a number of chunks, and exists once its meta key
+// snapshotStore are those of one node. A snapshot is a number of chunks, and exists once its meta key
 // does.
-type snapshots struct {
-	store   *durable.Store
-	mu      sync.Mutex
-	created uint64 // in this process; part of the IDs
+type snapshotStore struct {
+	store        *durable.Store
+	mu           sync.Mutex
+	createdCount uint64 // in this process; part of the IDs
 }
 
 // Create begins a snapshot.
@@ -46,16 +46,16 @@
 		Configuration:      conf,
 		ConfigurationIndex: confIndex,
 	}
-	return &snapshotSink{snapshots: &s.snapshots, onClosed: s.conf.forget, meta: meta}, nil
+	return &snapshotSink{snapshots: &s.snapshots, onClosed: s.configCache.invalidate, meta: meta}, nil
 }
 
 // newID is an ID that sorts by term and index.
-func (s *snapshots) newID(index, term uint64) string {
+func (s *snapshotStore) newID(index, term uint64) string {
 	seq, _ := s.store.Seq()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.created++
-	return fmt.Sprintf("%020d-%020d-%d-%d", term, index, seq, s.created)
+	s.createdCount++
+	return fmt.Sprintf("%020d-%020d-%d-%d", term, index, seq, s.createdCount)
 }
 
 // List is the snapshots, the newest first.
@@ -74,7 +74,7 @@
 	return meta, &snapshotReader{view: view, id: id, unreadBytes: meta.Size}, nil
 }
 
-func (s *snapshots) readMeta(id string) (*raft.SnapshotMeta, error) {
+func (s *snapshotStore) readMeta(id string) (*raft.SnapshotMeta, error) {
 	text, err := s.store.Get(metaKey(id), 0)
 	if errors.Is(err, durable.ErrNotFound) {
 		return nil, errSnapshotNotFound
@@ -86,7 +86,7 @@
 	return meta, json.Unmarshal(text, meta)
 }
 
-func (s *snapshots) list() ([]*raft.SnapshotMeta, error) {
+func (s *snapshotStore) list() ([]*raft.SnapshotMeta, error) {
 	view, err := s.store.Snapshot()
 	if err != nil {
 		return nil, err
@@ -94,7 +94,7 @@
 	defer view.Close()
 	var metas []*raft.SnapshotMeta
 	var malformed error
-	err = view.Scan([]byte(prefixMeta), prefixEnd(prefixMeta), 0, func(i durable.Item) bool {
+	err = view.Scan([]byte(prefixSnapshotMeta), prefixEnd(prefixSnapshotMeta), 0, func(i durable.Item) bool {
 		meta := &raft.SnapshotMeta{}
 		text, err := i.Value()
 		if err == nil {
@@ -112,12 +112,12 @@
 }
 
 // removeUnfinished removes the chunks of snapshots without a meta key.
-func (s *snapshots) removeUnfinished() error {
+func (s *snapshotStore) removeUnfinished() error {
 	metas, err := s.list()
 	if err != nil {
 		return err
 	}
-	ids, err := s.idsOfChunks()
+	ids, err := s.snapshotIDsWithChunks()
 	for _, id := range ids {
 		if slices.ContainsFunc(metas, func(m *raft.SnapshotMeta) bool { return m.ID == id }) {
 			continue
@@ -131,15 +131,15 @@
 	return err
 }
 
-// idsOfChunks are the IDs of all snapshots that have a chunk.
-func (s *snapshots) idsOfChunks() (ids []string, err error) {
+// snapshotIDsWithChunks are the IDs of all snapshots that have a chunk.
+func (s *snapshotStore) snapshotIDsWithChunks() (ids []string, err error) {
 	view, err := s.store.Snapshot()
 	if err != nil {
 		return nil, err
 	}
 	defer view.Close()
-	err = view.Scan([]byte(prefixSnapshot), prefixEnd(prefixSnapshot), 0, func(i durable.Item) bool {
-		id, _, _ := strings.Cut(strings.TrimPrefix(i.Key, prefixSnapshot), "/")
+	err = view.Scan([]byte(prefixSnapshotChunk), prefixEnd(prefixSnapshotChunk), 0, func(i durable.Item) bool {
+		id, _, _ := strings.Cut(strings.TrimPrefix(i.Key, prefixSnapshotChunk), "/")
 		if !slices.Contains(ids, id) {
 			ids = append(ids, id)
 		}
@@ -160,9 +160,9 @@
 	return end
 }
 
-func metaKey(id string) []byte { return []byte(prefixMeta + id) }
+func metaKey(id string) []byte { return []byte(prefixSnapshotMeta + id) }
 
-func chunkPrefix(id string) string { return prefixSnapshot + id + "/" }
+func chunkPrefix(id string) string { return prefixSnapshotChunk + id + "/" }
 
 func chunkKey(id string, n uint64) []byte {
 	return binary.BigEndian.AppendUint64([]byte(chunkPrefix(id)), n)
--- a/internal/cluster/raftstorage/snapshot_sink.go
+++ b/internal/cluster/raftstorage/snapshot_sink.go
@@ -10,12 +10,12 @@
 
 // snapshotSink writes a snapshot, chunk by chunk.
 type snapshotSink struct {
-	snapshots *snapshots
-	meta      raft.SnapshotMeta
-	buffer    []byte // not written yet
-	chunks    uint64 // written
-	ended     bool   // closed or cancelled
-	onClosed  func()
+	snapshots     *snapshotStore
+	meta          raft.SnapshotMeta
+	buffer        []byte // not written yet
+	chunksWritten uint64 // written
+	finished      bool   // closed or cancelled
+	onClosed      func()
 }
 
 // ID is the snapshot's ID.
@@ -25,33 +25,33 @@
 	w.buffer = append(w.buffer, p...)
 	w.meta.Size += int64(len(p))
 	for len(w.buffer) >= snapshotChunkBytes {
-		if err := w.flush(snapshotChunkBytes); err != nil {
+		if err := w.writeChunk(snapshotChunkBytes); err != nil {
 			return 0, err
 		}
 	}
 	return len(p), nil
 }
 
-// flush writes a chunk of n bytes.
-func (w *snapshotSink) flush(n int) error {
+// writeChunk writes a chunk of n bytes.
+func (w *snapshotSink) writeChunk(n int) error {
 	var b durable.Batch
-	b.Put(chunkKey(w.meta.ID, w.chunks), w.buffer[:n], 0)
+	b.Put(chunkKey(w.meta.ID, w.chunksWritten), w.buffer[:n], 0)
 	if _, err := w.snapshots.store.Apply(&b, durable.Buffered); err != nil {
 		return err
 	}
-	w.chunks++
+	w.chunksWritten++
 	w.buffer = append(w.buffer[:0], w.buffer[n:]...)
 	return nil
 }
 
 // Close makes the snapshot exist, and removes the older ones beyond retainedSnapshots.
 func (w *snapshotSink) Close() error {
-	if w.ended {
+	if w.finished {
 		return nil
 	}
-	w.ended = true
+	w.finished = true
 	if len(w.buffer) > 0 {
-		if err := w.flush(len(w.buffer)); err != nil {
+		if err := w.writeChunk(len(w.buffer)); err != nil {
 			return err
 		}
 	}
@@ -78,10 +78,10 @@
 
 // Cancel removes what was written. After Close it does nothing.
 func (w *snapshotSink) Cancel() error {
-	if w.ended {
+	if w.finished {
 		return nil
 	}
-	w.ended = true
+	w.finished = true
 	var b durable.Batch
 	deleteChunks(&b, w.meta.ID)
 	_, err := w.snapshots.store.Apply(&b, durable.Buffered)
--- a/internal/cluster/raftstorage/storage.go
+++ b/internal/cluster/raftstorage/storage.go
@@ -13,11 +13,11 @@
 
 // The prefixes of keys in the durable store.
 const (
-	prefixLog      = "l/" // log entries: the index, of 8 bytes
-	prefixStable   = "c/" // Raft's stable values, such as its current term and its vote: Raft's key
-	prefixLocal    = "k/" // values that the node keeps beside the log (PutLocal): the node's key
-	prefixMeta     = "m/" // descriptions of snapshots: the snapshot's ID
-	prefixSnapshot = "s/" // contents of snapshots: the ID, "/" and the chunk's number, of 8 bytes
+	prefixLog           = "l/" // log entries: the index, of 8 bytes
+	prefixStable        = "c/" // Raft's stable values, such as its current term and its vote: Raft's key
+	prefixLocal         = "k/" // values that the node keeps beside the log (PutLocal): the node's key
+	prefixSnapshotMeta  = "m/" // descriptions of snapshots: the snapshot's ID
+	prefixSnapshotChunk = "s/" // contents of snapshots: the ID, "/" and the chunk's number, of 8 bytes
 )
 
 const (
@@ -38,10 +38,10 @@
 
 // Storage is a node's folder.
 type Storage struct {
-	store     *durable.Store
-	log       *stream.Stream
-	snapshots snapshots
-	conf      configurationCache
+	store       *durable.Store
+	log         *stream.Stream
+	snapshots   snapshotStore
+	configCache configurationCache
 }
 
 // Open opens a node's folder, or makes it. A folder that misses what was acknowledged is not opened
@@ -66,7 +66,7 @@
 	if err != nil {
 		return nil, report, err
 	}
-	s := &Storage{store: store, snapshots: snapshots{store: store}}
+	s := &Storage{store: store, snapshots: snapshotStore{store: store}}
 	if s.log, err = stream.Open(store, prefixLog); err == nil {
 		err = s.snapshots.removeUnfinished()
 	}
--- a/internal/cluster/raftstorage/storage_test.go
+++ b/internal/cluster/raftstorage/storage_test.go
@@ -17,78 +17,78 @@
 	"oxbowbridge/internal/storage/durable/faultfs"
 )
 
-func entry(i, term uint64, data string) *raft.Log {
-	return &raft.Log{Index: i, Term: term, Type: raft.LogCommand, Data: []byte(data), Extensions: []byte{1, 2}, AppendedAt: time.Unix(5, 7)}
+func newCommandEntry(index, term uint64, data string) *raft.Log {
+	return &raft.Log{Index: index, Term: term, Type: raft.LogCommand, Data: []byte(data), Extensions: []byte{1, 2}, AppendedAt: time.Unix(5, 7)}
 }
 
 // TestAfterCrash: what Raft was told is on disk is there after a crash that keeps
 // nothing else, and a snapshot that was not finished leaves nothing.
 func TestAfterCrash(t *testing.T) {
-	f := &faultfs.FS{}
-	d, _, err := OpenFS(f)
+	fs := &faultfs.FS{}
+	storage, _, err := OpenFS(fs)
 	require.NoError(t, err)
-	had, err := raft.HasExistingState(d, d, d)
+	hasState, err := raft.HasExistingState(storage, storage, storage)
 	require.NoError(t, err)
-	assert.False(t, had)
-	require.NoError(t, d.StoreLogs([]*raft.Log{entry(5, 1, "five"), entry(6, 1, "six"), entry(7, 1, "seven")}))
-	require.Error(t, d.StoreLog(entry(9, 1, "gap")))
-	require.NoError(t, d.DeleteRange(7, 7))
-	require.NoError(t, d.StoreLog(entry(7, 2, "again")))
-	require.NoError(t, d.DeleteRange(1, 5))
-	require.NoError(t, d.SetUint64([]byte("CurrentTerm"), 2))
-	long := bytes.Repeat([]byte("snapshot "), 100_000)
+	assert.False(t, hasState)
+	require.NoError(t, storage.StoreLogs([]*raft.Log{newCommandEntry(5, 1, "five"), newCommandEntry(6, 1, "six"), newCommandEntry(7, 1, "seven")}))
+	require.Error(t, storage.StoreLog(newCommandEntry(9, 1, "gap")))
+	require.NoError(t, storage.DeleteRange(7, 7))
+	require.NoError(t, storage.StoreLog(newCommandEntry(7, 2, "again")))
+	require.NoError(t, storage.DeleteRange(1, 5))
+	require.NoError(t, storage.SetUint64([]byte("CurrentTerm"), 2))
+	content := bytes.Repeat([]byte("snapshot "), 100_000)
 	conf := raft.Configuration{Servers: []raft.Server{{ID: "a", Address: "b"}}}
 	for i := uint64(1); i <= 3; i++ {
-		s, err := d.Create(raft.SnapshotVersionMax, i, 1, conf, 1, nil)
+		sink, err := storage.Create(raft.SnapshotVersionMax, i, 1, conf, 1, nil)
 		require.NoError(t, err)
-		for rest := long[:len(long)-int(i)]; len(rest) > 0; rest = rest[min(len(rest), 1000):] {
-			_, err = s.Write(rest[:min(len(rest), 1000)])
+		for rest := content[:len(content)-int(i)]; len(rest) > 0; rest = rest[min(len(rest), 1000):] {
+			_, err = sink.Write(rest[:min(len(rest), 1000)])
 			require.NoError(t, err)
 		}
-		require.NoError(t, s.Close())
-		require.NoError(t, s.Cancel(), "after Close it does nothing")
+		require.NoError(t, sink.Close())
+		require.NoError(t, sink.Cancel(), "after Close it does nothing")
 	}
-	half, err := d.Create(raft.SnapshotVersionMax, 4, 1, conf, 1, nil)
+	unfinished, err := storage.Create(raft.SnapshotVersionMax, 4, 1, conf, 1, nil)
 	require.NoError(t, err)
-	_, err = half.Write(long)
+	_, err = unfinished.Write(content)
 	require.NoError(t, err)
 
-	d, _, err = OpenFS(f.AfterCrash(rand.New(rand.NewPCG(1, 1)), 0.5))
+	storage, _, err = OpenFS(fs.AfterCrash(rand.New(rand.NewPCG(1, 1)), 0.5))
 	require.NoError(t, err)
-	first, _ := d.FirstIndex()
-	last, _ := d.LastIndex()
+	first, _ := storage.FirstIndex()
+	last, _ := storage.LastIndex()
 	assert.Equal(t, [2]uint64{6, 7}, [2]uint64{first, last})
 	var l raft.Log
-	require.NoError(t, d.GetLog(7, &l))
-	assert.Equal(t, entry(7, 2, "again"), &l)
-	assert.ErrorIs(t, d.GetLog(5, &l), raft.ErrLogNotFound)
-	term, err := d.GetUint64([]byte("CurrentTerm"))
+	require.NoError(t, storage.GetLog(7, &l))
+	assert.Equal(t, newCommandEntry(7, 2, "again"), &l)
+	assert.ErrorIs(t, storage.GetLog(5, &l), raft.ErrLogNotFound)
+	term, err := storage.GetUint64([]byte("CurrentTerm"))
 	require.NoError(t, err)
 	assert.EqualValues(t, 2, term)
-	metas, err := d.List()
+	metas, err := storage.List()
 	require.NoError(t, err)
 	require.Len(t, metas, 2)
 	assert.Equal(t, [2]uint64{3, 2}, [2]uint64{metas[0].Index, metas[1].Index})
 	assert.Equal(t, conf, metas[0].Configuration)
-	_, r, err := d.Open(metas[0].ID)
+	_, reader, err := storage.Open(metas[0].ID)
 	require.NoError(t, err)
-	got, err := io.ReadAll(r)
+	got, err := io.ReadAll(reader)
 	require.NoError(t, err)
-	assert.True(t, bytes.Equal(long[:len(long)-3], got))
-	require.NoError(t, r.Close())
-	_, _, err = d.Open(half.ID())
+	assert.True(t, bytes.Equal(content[:len(content)-3], got))
+	require.NoError(t, reader.Close())
+	_, _, err = storage.Open(unfinished.ID())
 	assert.ErrorIs(t, err, errSnapshotNotFound)
-	n := 0
-	view, err := d.store.Snapshot()
+	remainingChunks := 0
+	view, err := storage.store.Snapshot()
 	require.NoError(t, err)
 	for k := range 10 {
-		if _, err := view.Get(chunkKey(half.ID(), uint64(k)), 0); err == nil {
-			n++
+		if _, err := view.Get(chunkKey(unfinished.ID(), uint64(k)), 0); err == nil {
+			remainingChunks++
 		}
 	}
 	view.Close()
-	assert.Zero(t, n, "chunks of a snapshot that was never finished")
-	require.NoError(t, d.Close())
+	assert.Zero(t, remainingChunks, "chunks of a snapshot that was never finished")
+	require.NoError(t, storage.Close())
 }
 
 func TestLegacyFolder(t *testing.T) {
@@ -99,12 +99,12 @@
 }
 
 func FuzzEntry(f *testing.F) {
-	f.Add(encodeEntry(entry(1, 2, "data")))
+	f.Add(encodeEntry(newCommandEntry(1, 2, "data")))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		var l, again raft.Log
-		if decodeEntry(b, &l) == nil {
-			require.NoError(t, decodeEntry(encodeEntry(&l), &again))
-			require.Equal(t, l, again)
+		var decoded, decodedAgain raft.Log
+		if decodeEntry(b, &decoded) == nil {
+			require.NoError(t, decodeEntry(encodeEntry(&decoded), &decodedAgain))
+			require.Equal(t, decoded, decodedAgain)
 		}
 	})
 }
--- a/internal/cluster/singleton/backup_file_test.go
+++ b/internal/cluster/singleton/backup_file_test.go
@@ -10,9 +10,9 @@
 // ever; and against the removal of files with other names.
 func TestPartialBackups(t *testing.T) {
 	const (
-		kept    = "oxbowbridge-1700000000000-1.backup"
-		partial = "oxbowbridge-1700000000123-42.backup.partial-123"
+		complete = "oxbowbridge-1700000000000-1.backup"
+		partial  = "oxbowbridge-1700000000123-42.backup.partial-123"
 	)
-	names := []string{kept, partial, "other.partial-1", "oxbowbridge-1.backup.partial-1", partial + ".copy"}
-	assert.Equal(t, []string{partial}, expiredBackups(names, 1))
+	names := []string{complete, partial, "other.partial-1", "oxbowbridge-1.backup.partial-1", partial + ".copy"}
+	assert.Equal(t, []string{partial}, filesToRemove(names, 1))
 }
--- a/internal/cluster/singleton/backup_task.go
+++ b/internal/cluster/singleton/backup_task.go
@@ -22,8 +22,8 @@
 )
 
 const (
-	// KeyLastBackup is the key of the last scheduled backup, a LastBackup.
-	KeyLastBackup = kv.StatePrefix + "fleet.backup"
+	// LastBackupKey is the key of the last scheduled backup, a LastBackup.
+	LastBackupKey = kv.StatePrefix + "fleet.backup"
 
 	// maxScheduleWait bounds the wait between two reads of KeyLastBackup.
 	maxScheduleWait = time.Second
@@ -44,7 +44,7 @@
 	client   *storeclient.Client
 	dir      string
 	interval time.Duration
-	keep     int // files that stay
+	maxFiles int // files that stay
 	log      *zap.Logger
 }
 
@@ -58,25 +58,25 @@
 		client:   storeclient.New([]string{s.AdminAddress()}),
 		dir:      cfg.Dir,
 		interval: interval,
-		keep:     cfg.Retention(),
+		maxFiles: cfg.Retention(),
 		log:      log,
 	}
 	run := func(ctx context.Context, l *leaseclient.Lease) error { return schedule.run(ctx, l.FencingToken()) }
-	return leaseclient.Task{Name: LeaseBackup, TTL: leaseTTL, Run: run}, nil
+	return leaseclient.Task{Name: BackupLease, TTL: taskLeaseTTL, Run: run}, nil
 }
 
 func (b *backupSchedule) run(ctx context.Context, fence lease.FencingToken) error {
 	for {
-		due, err := b.untilNextBackup(ctx)
+		delay, err := b.readTimeToNextBackup(ctx)
 		if err != nil {
 			return fmt.Errorf("scheduled backup: %w", err)
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(min(due, maxScheduleWait)):
+		case <-time.After(min(delay, maxScheduleWait)):
 		}
-		if due > 0 {
+		if delay > 0 {
 			continue
 		}
 		if err := b.writeBackup(ctx, fence); err != nil {
@@ -86,29 +86,29 @@
 	}
 }
 
-// untilNextBackup is how long until the next backup; 0 is now. The read is linearizable: the previous
+// readTimeToNextBackup is how long until the next backup; 0 is now. The read is linearizable: the previous
 // lease holder may have recorded a backup just before this one was granted the lease.
-func (b *backupSchedule) untilNextBackup(ctx context.Context) (time.Duration, error) {
+func (b *backupSchedule) readTimeToNextBackup(ctx context.Context) (time.Duration, error) {
 	if _, err := b.store.WaitFresh(ctx, store.Freshness{}); err != nil {
 		return 0, err
 	}
 	var last LastBackup
-	if e, ok := b.store.Entry(KeyLastBackup); ok {
+	if e, ok := b.store.Entry(LastBackupKey); ok {
 		json.Unmarshal(e.Value, &last) // a record that can't be read counts as none
 	}
 	if last.TimeMS == 0 {
 		return 0, nil
 	}
-	return untilNextBackup(time.UnixMilli(last.TimeMS), time.Now(), b.interval), nil
+	return timeToNextBackup(time.UnixMilli(last.TimeMS), time.Now(), b.interval), nil
 }
 
 // takeBackup writes a backup, records it in the store under the lease, and only then removes expired ones.
 func (b *backupSchedule) writeBackup(ctx context.Context, fence lease.FencingToken) error {
-	header, text, err := b.client.Backup(ctx)
+	header, data, err := b.client.Backup(ctx)
 	if err != nil {
 		return err
 	}
-	path, err := b.writeFile(header, text)
+	path, err := b.writeFile(header, data)
 	if err != nil {
 		return err
 	}
@@ -120,12 +120,12 @@
 }
 
 // writeFile writes a backup, and checks that it can be read again.
-func (b *backupSchedule) writeFile(header backup.Header, text []byte) (path string, err error) {
+func (b *backupSchedule) writeFile(header backup.Header, data []byte) (path string, err error) {
 	if err := os.MkdirAll(b.dir, 0o700); err != nil {
 		return "", err
 	}
-	path = filepath.Join(b.dir, fileName(time.UnixMilli(header.TimeMS), header.Revision))
-	if err := atomicfile.WriteNew(path, text); err != nil {
+	path = filepath.Join(b.dir, backupFileName(time.UnixMilli(header.TimeMS), header.Revision))
+	if err := atomicfile.WriteNew(path, data); err != nil {
 		return "", err
 	}
 	onDisk, err := os.ReadFile(path)
@@ -153,7 +153,7 @@
 	}
 	_, err = b.store.ExecuteAnywhere(ctx, kv.Request{
 		Fences: []lease.FencingToken{fence},
-		Then:   []kv.Op{kv.Put(KeyLastBackup, text)},
+		Then:   []kv.Op{kv.Put(LastBackupKey, text)},
 	})
 	if err != nil {
 		return errors.Join(err, os.Remove(path))
@@ -162,15 +162,15 @@
 }
 
 func (b *backupSchedule) removeExpired() error {
-	list, err := os.ReadDir(b.dir)
+	files, err := os.ReadDir(b.dir)
 	if err != nil {
 		return err
 	}
 	var names []string
-	for _, file := range list {
+	for _, file := range files {
 		names = append(names, file.Name())
 	}
-	for _, name := range expiredBackups(names, b.keep) {
+	for _, name := range filesToRemove(names, b.maxFiles) {
 		err = errors.Join(err, os.Remove(filepath.Join(b.dir, name)))
 	}
 	return err
--- a/internal/cluster/singleton/sessions.go
+++ b/internal/cluster/singleton/sessions.go
@@ -11,13 +11,13 @@
 	"oxbowbridge/internal/cluster/store"
 )
 
-// sessionExpiryInterval is how often the log's time is moved on while sessions are open.
-const sessionExpiryInterval = 30 * time.Second
+// idleSessionCheckInterval is how often the log's time is moved on while sessions are open.
+const idleSessionCheckInterval = 30 * time.Second
 
 func sessionTask(s *store.Store) leaseclient.Task {
 	return leaseclient.Task{
-		Name: LeaseSessions,
-		TTL:  leaseTTL,
+		Name: SessionExpiryLease,
+		TTL:  taskLeaseTTL,
 		Run: func(ctx context.Context, l *leaseclient.Lease) error {
 			return expireSessions(ctx, s, l.FencingToken())
 		},
@@ -27,7 +27,7 @@
 // expireSessions commits empty requests, whose time moves the log's time on while there is no other write. Idle
 // sessions end by it.
 func expireSessions(ctx context.Context, s *store.Store, fence lease.FencingToken) error {
-	ticker := time.NewTicker(sessionExpiryInterval)
+	ticker := time.NewTicker(idleSessionCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/internal/cluster/singleton/tasks.go
+++ b/internal/cluster/singleton/tasks.go
@@ -21,9 +21,9 @@
 
 // Names of the leases. That of the maintenance controller is controller.ControllerLease.
 const (
-	LeaseMirror   = "fleet/mirror"
-	LeaseBackup   = "fleet/backup"
-	LeaseSessions = "fleet/sessions"
+	MirrorLease        = "fleet/mirror"
+	BackupLease        = "fleet/backup"
+	SessionExpiryLease = "fleet/sessions"
 )
 
 const (
@@ -31,8 +31,8 @@
 	// goes to another node leaseTTL later.
 	CloseTimeout = 300 * time.Millisecond
 
-	// leaseTTL is after which silence of a node another one takes its tasks over.
-	leaseTTL = 5 * time.Second
+	// taskLeaseTTL is after which silence of a node another one takes its tasks over.
+	taskLeaseTTL = 5 * time.Second
 )
 
 // Tasks are those of one node.
@@ -44,24 +44,24 @@
 
 // Start has a node compete for the tasks that it is set up for, until Close.
 func Start(s *store.Store, maintenance *controller.Controller, cfg store.Config, log *zap.Logger) (*Tasks, error) {
-	list := []leaseclient.Task{
+	tasks := []leaseclient.Task{
 		sessionTask(s),
 		maintenanceTask(maintenance),
 	}
 	if s.HasSQLMirror() {
-		list = append(list, mirrorTask(s))
+		tasks = append(tasks, mirrorTask(s))
 	}
 	if cfg.Backup.Dir != "" {
 		task, err := backupTask(s, cfg.Backup, log)
 		if err != nil {
 			return nil, err
 		}
-		list = append(list, task)
+		tasks = append(tasks, task)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	holder := s.Name() + ":" + leaseclient.NewHolderName()
 	t := &Tasks{cancel: cancel, leases: leaseclient.New([]string{s.AdminAddress()}, holder)}
-	for _, task := range list {
+	for _, task := range tasks {
 		t.running.Go(func() { t.leases.RunTask(ctx, task, log) })
 	}
 	return t, nil
@@ -85,7 +85,7 @@
 func maintenanceTask(maintenance *controller.Controller) leaseclient.Task {
 	return leaseclient.Task{
 		Name: controller.ControllerLease,
-		TTL:  leaseTTL,
+		TTL:  taskLeaseTTL,
 		Run: func(ctx context.Context, l *leaseclient.Lease) error {
 			return maintenance.Run(ctx, l.FencingToken())
 		},
@@ -94,8 +94,8 @@
 
 func mirrorTask(s *store.Store) leaseclient.Task {
 	return leaseclient.Task{
-		Name: LeaseMirror,
-		TTL:  leaseTTL,
+		Name: MirrorLease,
+		TTL:  taskLeaseTTL,
 		Run: func(ctx context.Context, l *leaseclient.Lease) error {
 			return s.RunMirror(ctx, l.FencingToken())
 		},
--- a/internal/cluster/storeapi/golden_test.go
+++ b/internal/cluster/storeapi/golden_test.go
@@ -33,8 +33,8 @@
 	fmt.Fprintln(&lines, HeaderCluster, HeaderSession, HeaderRequestNumber, HeaderLease, HeaderRevision, HeaderLastEventID)
 	fmt.Fprintln(&lines, WatchProgressInterval, MaxEventBytes, RestoreTimeout, CommitTimeout, MaxLeaseWait, MaxRenewals)
 	for _, text := range []string{"a/b/7", "/7", "a", "a/0", "a/x"} {
-		held, err := ParseFencingToken(text)
-		fmt.Fprintln(&lines, held.Name, held.Token, err)
+		fence, err := ParseFencingToken(text)
+		fmt.Fprintln(&lines, fence.Name, fence.Token, err)
 	}
 	for _, text := range []string{FormatETag(7), `7`, `"0"`, `"x"`, `W/"7"`} {
 		revision, err := ParseETag(text)
--- a/internal/cluster/storeapi/lease.go
+++ b/internal/cluster/storeapi/lease.go
@@ -49,12 +49,12 @@
 func ParseFencingToken(text string) (lease.FencingToken, error) {
 	var fence lease.FencingToken
 	var err error
-	slash := strings.LastIndex(text, "/")
-	if slash > 0 {
-		fence.Name = text[:slash]
-		fence.Token, err = strconv.ParseUint(text[slash+1:], 10, 64)
+	separator := strings.LastIndex(text, "/")
+	if separator > 0 {
+		fence.Name = text[:separator]
+		fence.Token, err = strconv.ParseUint(text[separator+1:], 10, 64)
 	}
-	if slash <= 0 || err != nil || fence.Token == 0 {
+	if separator <= 0 || err != nil || fence.Token == 0 {
 		return fence, fmt.Errorf("%w: %s: %.150q is not NAME/TOKEN", kv.ErrInvalidRequest, HeaderLease, text)
 	}
 	return fence, nil
--- a/internal/cluster/storeclient/backup.go
+++ b/internal/cluster/storeclient/backup.go
@@ -12,7 +12,7 @@
 
 // Backup takes a backup, and returns its header and its bytes if it is complete.
 func (c *Client) Backup(ctx context.Context) (backup.Header, []byte, error) {
-	res, err := c.do(ctx, http.MethodGet, "/backup", nil)
+	res, err := c.sendWithRetry(ctx, http.MethodGet, "/backup", nil)
 	if err != nil {
 		return backup.Header{}, nil, err
 	}
--- a/internal/cluster/storeclient/client.go
+++ b/internal/cluster/storeclient/client.go
@@ -28,8 +28,8 @@
 	Retry   RetryPolicy
 	Session uint64 // opened by the first write; 0 before
 
-	requestNumber uint64 // of the last write in the session
-	cluster       *pinnedCluster
+	lastRequestNumber uint64 // of the last write in the session
+	cluster           *pinnedCluster
 }
 
 // New returns a client for the nodes with the given admin addresses.
@@ -49,9 +49,9 @@
 }
 
 func (c *Client) withAttemptTimeout(timeout time.Duration) *Client {
-	slow := *c
-	slow.HTTP = &http.Client{Transport: c.HTTP.Transport, Timeout: timeout}
-	return &slow
+	clone := *c
+	clone.HTTP = &http.Client{Transport: c.HTTP.Transport, Timeout: timeout}
+	return &clone
 }
 
 // RetryPolicy bounds the attempts after the first one, and the pause before each.
@@ -140,4 +140,4 @@
 	return single.call(ctx, method, path, body, out)
 }
 
-func undecodable(err error) error { return fmt.Errorf("answer can't be read: %w", err) }
+func decodeError(err error) error { return fmt.Errorf("answer can't be read: %w", err) }
--- a/internal/cluster/storeclient/events_test.go
+++ b/internal/cluster/storeclient/events_test.go
@@ -15,27 +15,27 @@
 func FuzzReadEvents(f *testing.F) {
 	f.Add("id: 7\nevent: change\ndata: {}\n\n", 3)
 	f.Add(":\n\nevent: compacted\ndata: a\ndata: b\n\nid", 1)
-	f.Fuzz(func(t *testing.T, in string, cut int) {
-		read := func(r io.Reader) (out []event) {
-			err := readEvents(r, func(e event) error { out = append(out, e); return nil })
+	f.Fuzz(func(t *testing.T, input string, splitAt int) {
+		readAll := func(r io.Reader) (events []event) {
+			err := readEvents(r, func(e event) error { events = append(events, e); return nil })
 			require.Error(t, err)
-			return out
+			return events
 		}
-		cut = min(max(cut, 0), len(in))
-		require.Equal(t, read(strings.NewReader(in)), read(io.MultiReader(strings.NewReader(in[:cut]), strings.NewReader(in[cut:]))))
+		splitAt = min(max(splitAt, 0), len(input))
+		require.Equal(t, readAll(strings.NewReader(input)), readAll(io.MultiReader(strings.NewReader(input[:splitAt]), strings.NewReader(input[splitAt:]))))
 	})
 }
 
 // TestEventTooLong: an event without end is given up, not kept.
 func TestEventTooLong(t *testing.T) {
 	line := "data: " + strings.Repeat("x", 1<<20) + "\n"
-	sent := 0
+	bytesSent := 0
 	err := readEvents(readerFunc(func(b []byte) (int, error) {
-		sent += len(line)
+		bytesSent += len(line)
 		return copy(b, line[:min(len(b), len(line))]), nil
 	}), func(event) error { return errors.New("no event ends") })
 	require.Error(t, err)
-	require.Less(t, sent, 1<<33, fmt.Sprint(err))
+	require.Less(t, bytesSent, 1<<33, fmt.Sprint(err))
 }
 
 type readerFunc func([]byte) (int, error)
--- a/internal/cluster/storeclient/kv.go
+++ b/internal/cluster/storeclient/kv.go
@@ -15,7 +15,7 @@
 // Get reads a key and its revision. query is "", or that of a weaker read: "?local=1" or
 // "?stale=DURATION".
 func (c *Client) Get(ctx context.Context, key, query string) (value json.RawMessage, revision uint64, err error) {
-	res, err := c.do(ctx, http.MethodGet, "/store/"+key+query, nil)
+	res, err := c.sendWithRetry(ctx, http.MethodGet, "/store/"+key+query, nil)
 	switch {
 	case err != nil:
 		return nil, 0, err
@@ -31,7 +31,7 @@
 // List reads all keys, and the store's revision at that time: a Watch from the next revision on
 // misses nothing. It is 0 from a node that does not send storeapi.HeaderRevision.
 func (c *Client) List(ctx context.Context, query string) (values map[string]json.RawMessage, revision uint64, err error) {
-	res, err := c.do(ctx, http.MethodGet, "/store"+query, nil)
+	res, err := c.sendWithRetry(ctx, http.MethodGet, "/store"+query, nil)
 	switch {
 	case err != nil:
 		return nil, 0, err
@@ -39,7 +39,7 @@
 		return nil, 0, res.statusError()
 	}
 	if err := json.Unmarshal(res.body, &values); err != nil {
-		return nil, 0, undecodable(err)
+		return nil, 0, decodeError(err)
 	}
 	revision, _ = strconv.ParseUint(res.header.Get(storeapi.HeaderRevision), 10, 64)
 	return values, revision, nil
@@ -50,9 +50,9 @@
 	if err := c.openSession(ctx); err != nil {
 		return kv.Response{}, err
 	}
-	c.requestNumber++
+	c.lastRequestNumber++
 	request.Session = c.Session
-	request.RequestNumber = c.requestNumber
+	request.RequestNumber = c.lastRequestNumber
 	var response kv.Response
 	err := c.callJSON(ctx, http.MethodPost, "/txn", request, &response)
 	return response, err
@@ -89,8 +89,8 @@
 	}
 	response, err := c.Txn(ctx, request)
 	if err == nil && !response.Succeeded {
-		present := strconv.FormatUint(response.Results[0].Revision, 10)
-		err = &storeapi.StatusError{StatusCode: http.StatusPreconditionFailed, Text: "the key has revision " + present}
+		currentRevision := strconv.FormatUint(response.Results[0].Revision, 10)
+		err = &storeapi.StatusError{StatusCode: http.StatusPreconditionFailed, Text: "the key has revision " + currentRevision}
 	}
 	return response, err
 }
--- a/internal/cluster/storeclient/lease.go
+++ b/internal/cluster/storeclient/lease.go
@@ -22,8 +22,8 @@
 	if err != nil {
 		return status, err
 	}
-	waiting := c.withAttemptTimeout(c.HTTP.Timeout + time.Duration(request.WaitMS)*time.Millisecond)
-	res, err := waiting.do(ctx, http.MethodPost, leasePath(name), body)
+	waitingClient := c.withAttemptTimeout(c.HTTP.Timeout + time.Duration(request.WaitMS)*time.Millisecond)
+	res, err := waitingClient.sendWithRetry(ctx, http.MethodPost, leasePath(name), body)
 	if err != nil {
 		return status, err
 	}
@@ -31,7 +31,7 @@
 		return status, res.statusError()
 	}
 	if err := json.Unmarshal(res.body, &status); err != nil {
-		return status, undecodable(err)
+		return status, decodeError(err)
 	}
 	if res.statusCode == http.StatusConflict {
 		return status, fmt.Errorf("%w by %s", lease.ErrHeld, status.Holder)
--- a/internal/cluster/storeclient/transport.go
+++ b/internal/cluster/storeclient/transport.go
@@ -14,8 +14,8 @@
 	"oxbowbridge/internal/cluster/storeapi"
 )
 
-// maxAnswerBytes is above the largest answer, a backup.
-const maxAnswerBytes = backup.MaxBytes + 1<<20
+// maxResponseBytes is above the largest answer, a backup.
+const maxResponseBytes = backup.MaxBytes + 1<<20
 
 // response is an answer that has been read.
 type response struct {
@@ -27,9 +27,9 @@
 // statusError returns the answer as an error.
 func (r *response) statusError() error { return storeapi.NewStatusError(r.statusCode, r.body) }
 
-// do sends a request to one node after the other until one gives a final answer, that is any but
+// sendWithRetry sends a request to one node after the other until one gives a final answer, that is any but
 // 503. The request must be safe to repeat: a read, or a write in a session.
-func (c *Client) do(ctx context.Context, method, path string, body []byte) (*response, error) {
+func (c *Client) sendWithRetry(ctx context.Context, method, path string, body []byte) (*response, error) {
 	if len(c.Nodes) == 0 {
 		return nil, errNoNode
 	}
@@ -46,7 +46,7 @@
 		if err != nil {
 			return nil, err
 		}
-		res, err := c.send(req)
+		res, err := c.sendOnce(req)
 		if err == nil {
 			return res, nil
 		}
@@ -55,8 +55,8 @@
 	return nil, fmt.Errorf("no node answered in %d attempts: %w", c.Retry.MaxRetries+1, lastErr)
 }
 
-// send sends a request once. An answer of 503 is an error.
-func (c *Client) send(req *http.Request) (*response, error) {
+// sendOnce sends a request once. An answer of 503 is an error.
+func (c *Client) sendOnce(req *http.Request) (*response, error) {
 	c.cluster.setHeader(req)
 	res, err := c.HTTP.Do(req)
 	if err != nil {
@@ -64,21 +64,21 @@
 	}
 	defer res.Body.Close()
 	c.cluster.pin(res.Header.Get(storeapi.HeaderCluster))
-	body, err := io.ReadAll(io.LimitReader(res.Body, maxAnswerBytes))
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxResponseBytes))
 	if err != nil {
 		return nil, err
 	}
-	answer := &response{statusCode: res.StatusCode, header: res.Header, body: body}
+	result := &response{statusCode: res.StatusCode, header: res.Header, body: body}
 	if res.StatusCode == http.StatusServiceUnavailable {
-		return nil, answer.statusError()
+		return nil, result.statusError()
 	}
-	return answer, nil
+	return result, nil
 }
 
 // call sends a request like do, and decodes the answer into out, unless that is nil. An answer that
 // is no success is a *storeapi.StatusError.
 func (c *Client) call(ctx context.Context, method, path string, body []byte, out any) error {
-	res, err := c.do(ctx, method, path, body)
+	res, err := c.sendWithRetry(ctx, method, path, body)
 	if err != nil {
 		return err
 	}
@@ -89,7 +89,7 @@
 		return nil
 	}
 	if err := json.Unmarshal(res.body, out); err != nil {
-		return undecodable(err)
+		return decodeError(err)
 	}
 	return nil
 }
--- a/internal/cluster/storeclient/watch.go
+++ b/internal/cluster/storeclient/watch.go
@@ -19,8 +19,8 @@
 // watchTimeout is how long a watch waits for the next byte before it goes to another node.
 const watchTimeout = 3 * storeapi.WatchProgressInterval
 
-// maxErrorBytes is what is read of an answer that is no stream.
-const maxErrorBytes = 1 << 10
+// maxErrorBodyBytes is what is read of an answer that is no stream.
+const maxErrorBodyBytes = 1 << 10
 
 // Watch calls handle for each revision that changes keys with a prefix, in order and once, from a
 // position on (0 is now). If a node is lost it continues at another one. It ends with ctx, with an
@@ -30,10 +30,10 @@
 	if len(c.Nodes) == 0 {
 		return errNoNode
 	}
-	w := &watcher{client: c, prefix: prefix, next: from, handle: handle}
-	failed := 0
-	for index := rand.IntN(len(c.Nodes)); ; index++ {
-		received, err := w.follow(ctx, c.Nodes[index%len(c.Nodes)])
+	w := &watcher{client: c, prefix: prefix, nextRevision: from, handle: handle}
+	failures := 0
+	for nodeIndex := rand.IntN(len(c.Nodes)); ; nodeIndex++ {
+		received, err := w.watchNode(ctx, c.Nodes[nodeIndex%len(c.Nodes)])
 		var final *finalError
 		switch {
 		case errors.As(err, &final):
@@ -41,13 +41,13 @@
 		case ctx.Err() != nil:
 			return ctx.Err()
 		case received:
-			failed = 0
+			failures = 0
 		}
-		failed++
-		if failed > c.Retry.MaxRetries {
-			return fmt.Errorf("no node to watch in %d attempts: %w", failed, err)
+		failures++
+		if failures > c.Retry.MaxRetries {
+			return fmt.Errorf("no node to watch in %d attempts: %w", failures, err)
 		}
-		if err := c.Retry.wait(ctx, failed); err != nil {
+		if err := c.Retry.wait(ctx, failures); err != nil {
 			return err
 		}
 	}
@@ -58,43 +58,43 @@
 
 // watcher is a watch and its position.
 type watcher struct {
-	client *Client
-	prefix string
-	next   uint64 // the revision to continue from
-	handle func(watch.Revision) error
+	client       *Client
+	prefix       string
+	nextRevision uint64 // the revision to continue from
+	handle       func(watch.Revision) error
 }
 
-// follow watches at one node, and reports whether any event was received.
-func (w *watcher) follow(ctx context.Context, node string) (received bool, err error) {
+// watchNode watches at one node, and reports whether any event was received.
+func (w *watcher) watchNode(ctx context.Context, node string) (received bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	timeout := time.AfterFunc(watchTimeout, cancel)
 	defer timeout.Stop()
-	req, err := w.request(ctx, node)
+	req, err := w.newRequest(ctx, node)
 	if err != nil {
 		return false, &finalError{err}
 	}
-	stream := &http.Client{Transport: w.client.HTTP.Transport} // without a timeout for the whole answer
-	res, err := stream.Do(req)
+	streamClient := &http.Client{Transport: w.client.HTTP.Transport} // without a timeout for the whole answer
+	res, err := streamClient.Do(req)
 	if err != nil {
 		return false, err
 	}
 	defer res.Body.Close()
 	if res.StatusCode != http.StatusOK {
-		body, _ := io.ReadAll(io.LimitReader(res.Body, maxErrorBytes))
+		body, _ := io.ReadAll(io.LimitReader(res.Body, maxErrorBodyBytes))
 		return false, watchError(res.StatusCode, body)
 	}
 	err = readEvents(&timeoutReader{res.Body, timeout}, func(e event) error {
 		received = true
-		return w.accept(e)
+		return w.handleEvent(e)
 	})
 	return received, err
 }
 
-func (w *watcher) request(ctx context.Context, node string) (*http.Request, error) {
+func (w *watcher) newRequest(ctx context.Context, node string) (*http.Request, error) {
 	query := url.Values{"prefix": {w.prefix}}
-	if w.next > 0 {
-		query.Set("from", strconv.FormatUint(w.next, 10))
+	if w.nextRevision > 0 {
+		query.Set("from", strconv.FormatUint(w.nextRevision, 10))
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+node+"/watch?"+query.Encode(), nil)
 	if err != nil {
@@ -104,8 +104,8 @@
 	return req, nil
 }
 
-// accept handles one event and moves the position on.
-func (w *watcher) accept(e event) error {
+// handleEvent handles one event and moves the position on.
+func (w *watcher) handleEvent(e event) error {
 	if e.eventType == storeapi.EventCompacted {
 		return watchError(http.StatusGone, e.data)
 	}
@@ -113,7 +113,7 @@
 	if err != nil {
 		return fmt.Errorf("event %q: id %q is no revision", e.eventType, e.id)
 	}
-	if e.eventType == storeapi.EventChange && id >= w.next {
+	if e.eventType == storeapi.EventChange && id >= w.nextRevision {
 		var revision watch.Revision
 		if err := json.Unmarshal(e.data, &revision); err != nil || revision.Number != id {
 			return fmt.Errorf("event %d can't be read: %w", id, err)
@@ -122,7 +122,7 @@
 			return &finalError{err}
 		}
 	}
-	w.next = max(w.next, id+1)
+	w.nextRevision = max(w.nextRevision, id+1)
 	return nil
 }
 
--- a/internal/cluster/watch/history.go
+++ b/internal/cluster/watch/history.go
@@ -32,25 +32,25 @@
 
 // History is the latest revisions, in order. It is not safe for concurrent use.
 type History struct {
-	limits    Limits
-	revisions []Revision // by growing number; those without changes are left out
-	bytes     int
-	compacted uint64 // revisions up to this one may be missing
-	latest    uint64 // the number of the last revision that was added
+	limits           Limits
+	revisions        []Revision // by growing number; those without changes are left out
+	bytes            int
+	compactedThrough uint64 // revisions up to this one may be missing
+	latestNumber     uint64 // the number of the last revision that was added
 }
 
 // NewHistory returns a history that starts after a revision.
 func NewHistory(limits Limits, after uint64) *History {
-	return &History{limits: limits, compacted: after, latest: after}
+	return &History{limits: limits, compactedThrough: after, latestNumber: after}
 }
 
 // Add appends the next revision, which may have changed nothing. Numbers may have gaps. A number
 // that is not above the last one is ignored: a node reads log entries again that its state has.
 func (h *History) Add(number uint64, changes []Change) {
-	if number <= h.latest {
+	if number <= h.latestNumber {
 		return
 	}
-	h.latest = number
+	h.latestNumber = number
 	if len(changes) == 0 {
 		return
 	}
@@ -64,7 +64,7 @@
 func (h *History) dropOldest() {
 	dropped := 0
 	for len(h.revisions)-dropped > h.limits.MaxRevisions || h.bytes > h.limits.MaxBytes {
-		h.compacted = h.revisions[dropped].Number
+		h.compactedThrough = h.revisions[dropped].Number
 		h.bytes -= h.revisions[dropped].size()
 		h.revisions[dropped] = Revision{} // releases the values
 		dropped++
@@ -79,19 +79,19 @@
 // keys, and the position to continue from. No revision and the same position mean that nothing
 // has come yet. A position beyond the last revision is valid. The error is a *CompactedError.
 func (h *History) Since(from uint64, prefix string, p Page) (revisions []Revision, next uint64, err error) {
-	if from <= h.compacted {
-		return nil, from, &CompactedError{OldestRevision: h.compacted + 1}
+	if from <= h.compactedThrough {
+		return nil, from, &CompactedError{OldestRevision: h.compactedThrough + 1}
 	}
 	first := sort.Search(len(h.revisions), func(i int) bool { return h.revisions[i].Number >= from })
-	next = max(from, h.latest+1)
-	bytes := 0
+	next = max(from, h.latestNumber+1)
+	pageBytes := 0
 	for i, r := range h.revisions[first:] {
-		if i >= p.MaxRevisions || bytes >= p.MaxBytes {
+		if i >= p.MaxRevisions || pageBytes >= p.MaxBytes {
 			return revisions, r.Number, nil
 		}
 		if filtered := r.filter(prefix); len(filtered.Changes) > 0 {
 			revisions = append(revisions, filtered)
-			bytes += filtered.size()
+			pageBytes += filtered.size()
 		}
 	}
 	return revisions, next, nil
--- a/internal/cluster/watch/history_test.go
+++ b/internal/cluster/watch/history_test.go
@@ -29,54 +29,54 @@
 		limits := Limits{MaxRevisions: rapid.IntRange(1, 20).Draw(t, "revisions"), MaxBytes: rapid.IntRange(200, 2000).Draw(t, "bytes")}
 		page := Page{MaxRevisions: rapid.IntRange(1, 5).Draw(t, "page"), MaxBytes: rapid.IntRange(1, 500).Draw(t, "page bytes")}
 		prefix := rapid.SampledFrom([]string{"", "a/", "b/"}).Draw(t, "prefix")
-		h, all := NewHistory(limits, 0), []Revision{}
-		next, reset := uint64(1), uint64(0)
+		h, allRevisions := NewHistory(limits, 0), []Revision{}
+		next, resetNumber := uint64(1), uint64(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 9).Draw(t, "step") {
 			case 0:
-				reset = h.latest + uint64(rapid.IntRange(0, 3).Draw(t, "ahead"))
-				h.Reset(reset)
+				resetNumber = h.latestNumber + uint64(rapid.IntRange(0, 3).Draw(t, "ahead"))
+				h.Reset(resetNumber)
 			case 1, 2: // the follower takes a page
-				got, to, err := h.Since(next, prefix, page)
-				var gone *CompactedError
+				got, gotNext, err := h.Since(next, prefix, page)
+				var compactedErr *CompactedError
 				if err != nil {
-					require.ErrorAs(t, err, &gone)
-					require.Greater(t, gone.OldestRevision, next, "only what is gone is said to be")
-					next = gone.OldestRevision
+					require.ErrorAs(t, err, &compactedErr)
+					require.Greater(t, compactedErr.OldestRevision, next, "only what is gone is said to be")
+					next = compactedErr.OldestRevision
 					continue
 				}
-				require.GreaterOrEqual(t, next, reset, "not across a reset")
+				require.GreaterOrEqual(t, next, resetNumber, "not across a reset")
 				var want []Revision
-				for _, r := range all {
-					if part := r.filter(prefix); r.Number >= next && r.Number < to && len(part.Changes) > 0 {
-						want = append(want, part)
+				for _, r := range allRevisions {
+					if filtered := r.filter(prefix); r.Number >= next && r.Number < gotNext && len(filtered.Changes) > 0 {
+						want = append(want, filtered)
 					}
 				}
 				require.Equal(t, want, got)
-				require.GreaterOrEqual(t, to, next)
-				require.LessOrEqual(t, to, max(next, h.latest+1))
-				next = to
+				require.GreaterOrEqual(t, gotNext, next)
+				require.LessOrEqual(t, gotNext, max(next, h.latestNumber+1))
+				next = gotNext
 			default:
-				r := Revision{Number: h.latest + uint64(rapid.IntRange(1, 3).Draw(t, "gap"))}
+				r := Revision{Number: h.latestNumber + uint64(rapid.IntRange(1, 3).Draw(t, "gap"))}
 				for i := range rapid.IntRange(0, 3).Draw(t, "changes") {
 					key := rapid.SampledFrom([]string{"a/", "b/"}).Draw(t, "of") + fmt.Sprint(i)
 					r.Changes = append(r.Changes, Change{Key: key, Value: json.RawMessage(strings.Repeat("7", i+1))})
 				}
 				h.Add(r.Number, r.Changes)
 				h.Add(r.Number, r.Changes) // read again
-				all = append(all, r)
+				allRevisions = append(allRevisions, r)
 			}
 			require.LessOrEqual(t, len(h.revisions), limits.MaxRevisions)
 			require.LessOrEqual(t, h.bytes, limits.MaxBytes)
 		}
-		for i := 0; next <= h.latest; i++ { // the rest, in so many pages at most
-			_, to, err := h.Since(next, prefix, page)
+		for i := 0; next <= h.latestNumber; i++ { // the rest, in so many pages at most
+			_, following, err := h.Since(next, prefix, page)
 			if err != nil {
 				break
 			}
-			require.Greater(t, to, next, "a follower that is behind gets on")
+			require.Greater(t, following, next, "a follower that is behind gets on")
 			require.Less(t, i, 200)
-			next = to
+			next = following
 		}
 	})
 }
