--- a/internal/transport/frontend/evict.go
+++ b/internal/transport/frontend/evict.go
@@ -7,29 +7,29 @@
 	"oxbowbridge/internal/proxy/exchange"
 )
 
-// minFirstRequestTime is how long a new connection has for its first request before it may be
-// evicted: the request may have been sent with the connection.
-const minFirstRequestTime = exchange.CloseRaceWindow
+// firstRequestGracePeriod is how long a new connection is protected from eviction (except in groups 3
+// and 4 of evictOne), since its first request may already be on its way.
+const firstRequestGracePeriod = exchange.CloseRaceWindow
 
-// evictOne closes a connection to make room for a new one, and reports whether it found one. The
-// order of candidates, within each group the one inactive for longest first:
+// evictOne closes a connection to make room for a new one, and reports whether it could evict one. It
+// tries connections in the order of these groups, and within a group the longest inactive first:
 //
-//  1. no complete request yet, made at least minFirstRequestTime ago, and no part of one;
+//  1. no complete request and no part of one, and opened at least firstRequestGracePeriod ago;
 //  2. idle after at least one complete request;
-//  3. no complete request yet and made just now, no part of one;
-//  4. part of its first request.
+//  3. no complete request and no part of one, and opened more recently;
+//  4. part of the first request received.
 //
-// A connection with open requests, or with bytes that are not parsed yet, is never evicted: a
-// complete request may be among them, and its caller could not know that nothing ran. Rejecting
-// the new connection is safer then. The lock of the Server is held.
+// A connection with open requests or unparsed bytes is never evicted. A complete request may be among
+// the bytes, and the caller could not know that it did not run, so rejecting the new connection is
+// safer. The lock of the Server must be held.
 //
-// evictAny is the whole rule; the two candidates that are tried before it are those that it would
-// try first, found without sorting.
+// evictAny implements the complete order. evictOne first tries the longest inactive connections of
+// groups 1 and 2, which it finds without sorting.
 func (s *Server) evictOne() bool {
 	now := time.Now()
-	fresh, used := s.longestInactive()
+	unused, used := s.longestInactive()
 	switch {
-	case fresh != nil && hadFirstRequestTime(fresh, now) && s.evictIdle(fresh, now):
+	case unused != nil && firstRequestGraceOver(unused, now) && s.evictIdle(unused, now):
 		return true
 	case used != nil && s.evictIdle(used, now):
 		return true
@@ -37,82 +37,82 @@
 	return s.evictAny(now)
 }
 
-// longestInactive returns, of the connections without a complete request and of the others, the
-// one that has been inactive for longest, nil if there is none. It is the quick way for the many
-// new connections of a busy frontend.
-func (s *Server) longestInactive() (fresh, used *Conn) {
-	var freshSince, usedSince time.Time
+// longestInactive returns the longest inactive connection of those without a complete request (unused)
+// and of those with one (used), nil if there is none. It does not sort, which keeps accepting fast on a
+// busy frontend with many new connections.
+func (s *Server) longestInactive() (unused, used *Conn) {
+	var unusedSince, usedSince time.Time
 	for c := range s.conns {
-		since, isFresh := c.activity()
+		since, isUnused := c.activity()
 		switch {
-		case isFresh && (fresh == nil || since.Before(freshSince)):
-			fresh, freshSince = c, since
-		case !isFresh && (used == nil || since.Before(usedSince)):
+		case isUnused && (unused == nil || since.Before(unusedSince)):
+			unused, unusedSince = c, since
+		case !isUnused && (used == nil || since.Before(usedSince)):
 			used, usedSince = c, since
 		}
 	}
-	return fresh, used
+	return unused, used
 }
 
-// evictAny looks at all connections, where those inactive for longest can't be evicted.
+// evictAny tries all connections in the order that evictOne documents. It is called if the longest
+// inactive ones can't be evicted.
 func (s *Server) evictAny(now time.Time) bool {
-	fresh, used := s.byInactivity()
-	firstTooNew := slices.IndexFunc(fresh, func(c *Conn) bool { return !hadFirstRequestTime(c, now) })
+	unused, used := s.byInactivity()
+	firstTooNew := slices.IndexFunc(unused, func(c *Conn) bool { return !firstRequestGraceOver(c, now) })
 	if firstTooNew < 0 {
-		firstTooNew = len(fresh)
+		firstTooNew = len(unused)
 	}
-	for _, c := range slices.Concat(fresh[:firstTooNew], used, fresh[firstTooNew:]) {
+	for _, c := range slices.Concat(unused[:firstTooNew], used, unused[firstTooNew:]) {
 		if s.evictIdle(c, now) {
 			return true
 		}
 	}
-	for _, c := range fresh {
+	for _, c := range unused {
 		if !c.HasUnread() {
 			c.Drain()
-			s.forget(c)
+			s.untrack(c)
 			return true
 		}
 	}
 	return false
 }
 
-// byInactivity lists the connections without a complete request, and the others, those that
-// have been inactive for longest first.
-func (s *Server) byInactivity() (fresh, used []*Conn) {
+// byInactivity returns the connections without a complete request (unused) and those with one (used),
+// each sorted with the longest inactive first.
+func (s *Server) byInactivity() (unused, used []*Conn) {
 	lastActive := make(map[*Conn]time.Time, len(s.conns))
 	for c := range s.conns {
-		at, isFresh := c.activity()
-		lastActive[c] = at
-		if isFresh {
-			fresh = append(fresh, c)
+		activeAt, isUnused := c.activity()
+		lastActive[c] = activeAt
+		if isUnused {
+			unused = append(unused, c)
 		} else {
 			used = append(used, c)
 		}
 	}
 	longestFirst := func(a, b *Conn) int { return lastActive[a].Compare(lastActive[b]) }
-	slices.SortFunc(fresh, longestFirst)
+	slices.SortFunc(unused, longestFirst)
 	slices.SortFunc(used, longestFirst)
-	return fresh, used
+	return unused, used
 }
 
-// evictIdle closes a connection if it is idle, and reports whether it was.
+// evictIdle closes a connection if it is idle, and reports whether it did.
 func (s *Server) evictIdle(c *Conn, now time.Time) bool {
 	if !c.CloseIfIdle(now, 0) {
 		return false
 	}
-	s.forget(c)
+	s.untrack(c)
 	return true
 }
 
-// activity returns when the connection was last active, and whether it has had no complete
-// request yet.
-func (c *Conn) activity() (lastActive time.Time, fresh bool) {
+// activity returns when the connection was last active, and whether it has received no complete request.
+func (c *Conn) activity() (lastActive time.Time, unused bool) {
 	c.Lock()
 	defer c.Unlock()
-	return c.lastActive, !c.completeRequest
+	return c.lastActive, !c.receivedRequest
 }
 
-func hadFirstRequestTime(c *Conn, now time.Time) bool {
+func firstRequestGraceOver(c *Conn, now time.Time) bool {
 	lastActive, _ := c.activity()
-	return now.Sub(lastActive) >= minFirstRequestTime
+	return now.Sub(lastActive) >= firstRequestGracePeriod
 }
--- a/internal/transport/registry/reporter.go
+++ b/internal/transport/registry/reporter.go
@@ -1,6 +1,6 @@
-// Package registry reports this service to the registry that lists it for its balancers. It
-// belongs to the dispatcher's goroutine; sockets are opened on goroutines of their own (see
-// package session).
+// Package registry reports the availability of this service to the service registry, which lists it for
+// its balancers. A Reporter is used on the dispatcher's goroutine only. Each socket is opened on its own
+// goroutine (see package session).
 package registry
 
 import (
@@ -13,12 +13,13 @@
 	"oxbowbridge/internal/transport/session"
 )
 
-// reportInterval is the time between reports. An entry lapses 3 s after its last one, which is 10
-// reports: with a quarter of them lost on the way, all 10 are lost once in a million times.
+// reportInterval is the time between reports. The registry removes an entry 3 s after its last report,
+// which is 10 reports. If a quarter of the datagrams are lost, all 10 are lost with a probability of
+// about one in a million.
 const reportInterval = 300 * time.Millisecond
 
-// state is how far the registration is. It goes one way: reporting by Register, deregistered by
-// Deregister.
+// state is the state of the registration. Register changes it to reporting, and Deregister changes it to
+// deregistered, which is final.
 type state uint8
 
 const (
@@ -27,35 +28,36 @@
 	deregistered
 )
 
-// String returns the name of s.
+// String returns the state's name.
 func (s state) String() string {
 	return [...]string{"unregistered", "reporting", "deregistered"}[s]
 }
 
-// Reporter sends the reports, each a datagram that gets no answer.
+// Reporter sends the reports. Each is a datagram without a response.
 type Reporter struct {
 	session.Config
-	addr         string // "" without a registry
-	name         string // of this service
+	addr         string // empty if there is no registry
+	name         string // name of this service
 	state        state
-	availability availability // in the next report
-	socket       *socket      // nil if the next report is to open one
+	availability availability // sent in the next report
+	socket       *socket      // nil if the next report has to open one
 	timer        *timerqueue.Timer
 	unreachable  bool // the latest report could not be sent
 }
 
-// socket is a socket to one address. A Reporter whose address changes leaves it, also while it
-// is being opened.
+// socket is a datagram socket to one address. The Reporter drops the socket when its address changes,
+// even while the socket is being opened.
 type socket struct {
-	conn *eventloop.DatagramConn // nil until it is open
+	conn *eventloop.DatagramConn // nil until the socket is open
 }
 
-// New returns a Reporter that reports nothing yet, and nothing ever without an address.
+// New returns a Reporter that sends no reports before Register. Without an address it never sends any.
 func New(addr, name string, deps session.Config) *Reporter {
 	return &Reporter{Config: deps, addr: addr, name: name, availability: available}
 }
 
-// Register reports this service from now on, as available until SetAvailable says otherwise.
+// Register starts the periodic reports. The service is reported as available unless SetAvailable has
+// changed that.
 func (r *Reporter) Register() {
 	if r.state == deregistered {
 		return
@@ -73,14 +75,14 @@
 	switch {
 	case r.addr == "":
 	case r.socket == nil:
-		r.open()
+		r.openSocket()
 	default:
-		r.send(r.availability)
+		r.sendReport(r.availability)
 	}
 }
 
-// open opens a socket and sends a report once it is open.
-func (r *Reporter) open() {
+// openSocket opens a socket and sends a report once the socket is open.
+func (r *Reporter) openSocket() {
 	s := &socket{}
 	r.socket = s
 	r.DialDatagram(r.addr, func(conn *eventloop.DatagramConn, err error) {
@@ -88,18 +90,18 @@
 		switch {
 		case err != nil && current:
 			r.socket = nil
-			r.noteUnreachable(err)
+			r.handleSendFailure(err)
 		case err != nil:
 		case !current:
 			conn.Close()
 		default:
 			s.conn = conn
-			r.send(r.availability)
+			r.sendReport(r.availability)
 		}
 	})
 }
 
-// SetAddress reports to another address from now on.
+// SetAddress sends the following reports to another address.
 func (r *Reporter) SetAddress(addr string) {
 	if addr == r.addr {
 		return
@@ -116,47 +118,48 @@
 	}
 }
 
-// SetAvailable reports from now on that this service is available, or that it is listed and
-// takes no work. Reports get lost: each that follows says the same.
-func (r *Reporter) SetAvailable(ok bool) {
+// SetAvailable changes whether this service is reported as available or as accepting no requests. The
+// periodic reports repeat the value, since a datagram may be lost.
+func (r *Reporter) SetAvailable(isAvailable bool) {
 	if r.state == deregistered {
 		return
 	}
 	before := r.availability
 	r.availability = available
-	if !ok {
+	if !isAvailable {
 		r.availability = unavailable
 	}
 	if r.state == reporting && r.availability != before {
-		r.send(r.availability)
+		r.sendReport(r.availability)
 	}
 }
 
-// Deregister reports this service as unavailable, and nothing after that: its entry lapses. Where a
-// socket is being opened, that report is its first.
+// Deregister reports this service as unavailable and stops the reports, so that the registry removes the
+// entry. If a socket is still being opened, that report is sent once it is open.
 func (r *Reporter) Deregister() {
 	r.state = deregistered
 	r.availability = unavailable
 	r.Timers.Cancel(r.timer)
-	r.send(r.availability)
+	r.sendReport(r.availability)
 }
 
-// send sends a report, if the socket is open.
-func (r *Reporter) send(a availability) {
+// sendReport sends a report if the socket is open.
+func (r *Reporter) sendReport(availability availability) {
 	if r.socket == nil || r.socket.conn == nil {
 		return
 	}
-	if err := r.socket.conn.Send(report(r.name, a)); err != nil {
-		r.noteUnreachable(err)
+	if err := r.socket.conn.Send(encodeReport(r.name, availability)); err != nil {
+		r.handleSendFailure(err)
 	} else {
 		r.unreachable = false
 	}
 }
 
-// noteUnreachable logs once that reports can't be sent. The next one is sent all the same.
-func (r *Reporter) noteUnreachable(err error) {
+// handleSendFailure logs that a report can't be sent, once until a report succeeds. The next report is
+// still sent.
+func (r *Reporter) handleSendFailure(err error) {
 	if !r.unreachable {
-		r.Log.Warn("registry not reached", zap.Error(err))
+		r.Log.Warn("registry unreachable", zap.Error(err))
 	}
 	r.unreachable = true
 }
