--- a/cmd/oxbowbridge/store.go
+++ b/cmd/oxbowbridge/store.go
@@ -84,7 +84,7 @@
 
 // problem returns all that is wrong with a node.
 func (n nodeStatus) problem() string {
-	problem := n.Error + n.WaitingFor + n.SQLError
+	problem := n.Error + n.WaitingReason + n.SQLError
 	if n.ForeignPeers != "" {
 		problem = strings.TrimSpace(problem + " of another cluster: " + n.ForeignPeers)
 	}
--- a/cmd/oxbowbridge/store_members.go
+++ b/cmd/oxbowbridge/store_members.go
@@ -25,7 +25,7 @@
 	}
 	rows := [][]any{{"NAME", "ID", "ZONE", "ROLE", "BEHIND", "STATE", "ADMIN", "NEXT", "WHY"}}
 	for _, m := range members.Members {
-		rows = append(rows, []any{m.Name, m.ID, m.Zone, m.Role, m.EntriesBehind, m.State, m.AdminAddress, m.NextStep, m.Reason})
+		rows = append(rows, []any{m.Name, m.ID, m.Zone, m.Role, m.EntriesBehind, m.State, m.AdminAddress, m.NextStep, m.NextStepReason})
 	}
 	for _, name := range members.Removed {
 		rows = append(rows, []any{name, "", "", "", "", "removed", "", "", "'store add " + name + "' lets it in again"})
--- a/internal/cluster/backup/backup.go
+++ b/internal/cluster/backup/backup.go
@@ -28,14 +28,14 @@
 
 // Header is the first line.
 type Header struct {
-	Format   string `json:"format"`
-	Cluster  string `json:"cluster"`         // id of the cluster that it was taken from
-	Revision uint64 `json:"revision"`        // of the store that it shows
-	TimeMS   int64  `json:"time_ms"`         // when it was taken, Unix milliseconds
-	Keys     int    `json:"keys"`            // number of entries
-	Bytes    int    `json:"bytes"`           // of the entries
-	Token    uint64 `json:"token,omitempty"` // the highest fencing token that was given
-	SHA256   string `json:"sha256"`          // of the header with this field empty, and the entries
+	Format          string `json:"format"`
+	Cluster         string `json:"cluster"`         // id of the cluster that it was taken from
+	Revision        uint64 `json:"revision"`        // of the store that it shows
+	TimeMS          int64  `json:"time_ms"`         // when it was taken, Unix milliseconds
+	Keys            int    `json:"keys"`            // number of entries
+	Bytes           int    `json:"bytes"`           // of the entries
+	MaxFencingToken uint64 `json:"token,omitempty"` // the highest fencing token that was given
+	SHA256          string `json:"sha256"`          // of the header with this field empty, and the entries
 }
 
 // Entry is one key. Entries are sorted by key.
--- a/internal/cluster/backup/golden_test.go
+++ b/internal/cluster/backup/golden_test.go
@@ -22,7 +22,7 @@
 func TestGoldenFile(t *testing.T) {
 	entries := []Entry{{"a", 3, json.RawMessage(`{"x":[1,2]}`)}, {"b/ü\n", 9, json.RawMessage(`"<&>"`)}}
 	var written bytes.Buffer
-	header, err := Write(&written, Header{Cluster: "c1", Revision: 9, TimeMS: 17, Token: 5}, entries)
+	header, err := Write(&written, Header{Cluster: "c1", Revision: 9, TimeMS: 17, MaxFencingToken: 5}, entries)
 	require.NoError(t, err)
 	golden.Text(t, "testdata/small.backup", written.String())
 	stored, err := os.ReadFile("testdata/small.backup")
--- a/internal/cluster/kv/checksum.go
+++ b/internal/cluster/kv/checksum.go
@@ -31,7 +31,7 @@
 	outcome := make([]byte, 0, outcomeCapacityBytes)
 	outcome = binary.BigEndian.AppendUint64(outcome, index)
 	outcome = binary.BigEndian.AppendUint64(outcome, s.Leases.LastToken)
-	outcome = binary.BigEndian.AppendUint64(outcome, uint64(s.TimeMS))
+	outcome = binary.BigEndian.AppendUint64(outcome, uint64(s.LogTimeMS))
 	outcome = binary.BigEndian.AppendUint64(outcome, uint64(len(s.Entries)))
 	outcome = binary.BigEndian.AppendUint64(outcome, uint64(len(s.Leases.Leases)))
 	outcome = append(outcome, boolByte(response.Succeeded), boolByte(err != nil))
@@ -68,7 +68,7 @@
 // index.
 func (c ChecksumHistory) RecordBefore(index uint64, s *State) ChecksumHistory {
 	pointIndex := (index - 1) / checksumInterval * checksumInterval
-	if pointIndex == 0 || pointIndex < s.Applied || len(c) > 0 && c[len(c)-1].Index >= pointIndex {
+	if pointIndex == 0 || pointIndex < s.AppliedIndex || len(c) > 0 && c[len(c)-1].Index >= pointIndex {
 		return c // the state is beyond it, or it is recorded
 	}
 	c = append(c, ChecksumPoint{pointIndex, s.Checksum.StartIndex, s.Checksum.Sum})
--- a/internal/cluster/kv/golden_test.go
+++ b/internal/cluster/kv/golden_test.go
@@ -33,7 +33,7 @@
 // TestGoldenKeys: names and limits that other nodes, backups and the log rely on.
 func TestGoldenKeys(t *testing.T) {
 	golden.Text(t, "testdata/keys.golden", fmt.Sprintln(
-		ReservedPrefix, ClusterKey, RestoreKey, PreviousClustersKey, RemovedPrefix, PreferredVoterPrefix, LeasesEnabledKey, StatePrefix,
+		ReservedPrefix, ClusterIDKey, RestoreMarkerKey, PreviousClustersKey, RemovedMemberPrefix, PreferredVoterPrefix, LeasesEnabledKey, ServiceStatePrefix,
 		MaxKeyBytes, MaxValueBytes, MaxKeys, MaxOps, MaxSessions, MaxCachedResponses, MaxCachedResponseBytes, SessionTimeoutMS, maxClockAdvanceMS, checksumInterval, maxChecksumPoints, checksumResetInterval))
 }
 
@@ -45,8 +45,8 @@
 	}
 	s := New()
 	for _, r := range []Request{
-		{Session: 1}, {Then: []Op{{Kind: "put"}}}, {Then: []Op{{Kind: "swap", Key: "a"}}}, {Then: []Op{{Kind: "get", Key: "a", Value: []byte("1")}}},
-		{Then: []Op{{Kind: "put", Key: "a", Value: []byte("null")}}}, {Session: 9, RequestNumber: 1}, {Fences: []lease.FencingToken{{Name: "job", Token: 3}}},
+		{SessionID: 1}, {Then: []Op{{Kind: "put"}}}, {Then: []Op{{Kind: "swap", Key: "a"}}}, {Then: []Op{{Kind: "get", Key: "a", Value: []byte("1")}}},
+		{Then: []Op{{Kind: "put", Key: "a", Value: []byte("null")}}}, {SessionID: 9, RequestNumber: 1}, {Fences: []lease.FencingToken{{Name: "job", Token: 3}}},
 	} {
 		_, _, err := s.Apply(1, &r)
 		fmt.Fprintln(&lines, err)
--- a/internal/cluster/kv/kv_test.go
+++ b/internal/cluster/kv/kv_test.go
@@ -25,7 +25,7 @@
 func putOp(key, value string) Op { return Op{Kind: "put", Key: key, Value: json.RawMessage(value)} }
 
 func mustApply(t require.TestingT, s *State, r Request) Response {
-	response, _, err := s.Apply(s.Applied+1, &r)
+	response, _, err := s.Apply(s.AppliedIndex+1, &r)
 	require.NoError(t, err)
 	return response
 }
@@ -42,11 +42,11 @@
 	response = mustApply(t, s, Request{If: []Compare{{"a", 1}}, Then: []Op{putOp("a", "4")}})
 	assert.False(t, response.Succeeded)
 	for _, r := range []Request{{Then: []Op{putOp("", "1")}}, {Then: []Op{putOp("a", "{")}}, {Then: []Op{putOp("a", "null")}}, {Then: []Op{{Kind: "swap", Key: "a"}}},
-		{Session: 1}, {If: []Compare{{}}}} {
+		{SessionID: 1}, {If: []Compare{{}}}} {
 		before := s.Clone()
 		_, _, err := s.Apply(9, &r)
 		assert.ErrorIs(t, err, ErrInvalidRequest)
-		before.Applied = 9
+		before.AppliedIndex = 9
 		assert.Equal(t, before, s, "a request that is turned down changes nothing")
 	}
 	assert.ErrorIs(t, (&Request{Then: make([]Op, MaxOps+1)}).ValidateSize(), ErrInvalidRequest)
@@ -65,13 +65,13 @@
 func TestSessions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := New()
-		id := mustApply(t, s, Request{OpenSession: true}).Session
+		id := mustApply(t, s, Request{OpenSession: true}).SessionID
 		firstResponses, applied := map[uint64]Response{}, uint64(0)
 		for range 60 {
 			number := rapid.Uint64Range(1, 30).Draw(t, "number")
-			r := Request{Session: id, RequestNumber: number, Then: []Op{putOp("k", fmt.Sprint(number))}}
+			r := Request{SessionID: id, RequestNumber: number, Then: []Op{putOp("k", fmt.Sprint(number))}}
 			entryBefore := s.Entries["k"]
-			response, changed, err := s.Apply(s.Applied+1, &r)
+			response, changed, err := s.Apply(s.AppliedIndex+1, &r)
 			if firstResponse, repeated := firstResponses[number]; repeated {
 				require.Empty(t, changed, "twice")
 				require.Equal(t, entryBefore, s.Entries["k"])
@@ -105,16 +105,16 @@
 
 func TestSessionsEndByLogTime(t *testing.T) {
 	s := New()
-	id := mustApply(t, s, Request{OpenSession: true, TimeMS: 1000}).Session
-	request := Request{Session: id, RequestNumber: 1, Then: []Op{putOp("k", "1")}, TimeMS: 1000 + SessionTimeoutMS}
-	for s.TimeMS < 1000+SessionTimeoutMS { // each request moves it on by so much at most
+	id := mustApply(t, s, Request{OpenSession: true, TimeMS: 1000}).SessionID
+	request := Request{SessionID: id, RequestNumber: 1, Then: []Op{putOp("k", "1")}, TimeMS: 1000 + SessionTimeoutMS}
+	for s.LogTimeMS < 1000+SessionTimeoutMS { // each request moves it on by so much at most
 		mustApply(t, s, Request{Then: []Op{putOp("x", "1")}, TimeMS: 1000 + SessionTimeoutMS})
 	}
 	mustApply(t, s, request)
 	mustApply(t, s, Request{Then: []Op{putOp("x", "1")}, TimeMS: 5}) // another leader's clock is behind
-	assert.EqualValues(t, 1000+SessionTimeoutMS, s.TimeMS)
+	assert.EqualValues(t, 1000+SessionTimeoutMS, s.LogTimeMS)
 	mustApply(t, s, Request{Then: []Op{putOp("x", "2")}, TimeMS: 1 << 50}) // or far ahead
-	assert.EqualValues(t, 1000+SessionTimeoutMS+maxClockAdvanceMS, s.TimeMS)
+	assert.EqualValues(t, 1000+SessionTimeoutMS+maxClockAdvanceMS, s.LogTimeMS)
 	for range SessionTimeoutMS / maxClockAdvanceMS {
 		mustApply(t, s, Request{Then: []Op{putOp("x", "2")}, TimeMS: 1 << 50})
 	}
@@ -124,7 +124,7 @@
 	for range MaxSessions {
 		mustApply(t, s, Request{OpenSession: true})
 	}
-	_, _, err = s.Apply(s.Applied+1, &Request{OpenSession: true})
+	_, _, err = s.Apply(s.AppliedIndex+1, &Request{OpenSession: true})
 	assert.ErrorIs(t, err, ErrFull)
 }
 
@@ -140,7 +140,7 @@
 	assert.ErrorIs(t, response.LeaseResults[1].Err(), lease.ErrHeld)
 	response, _, err = s.Apply(2, &Request{TimeMS: 1, OpenSession: true})
 	require.NoError(t, err)
-	request := Request{TimeMS: 1, Session: response.Session, RequestNumber: 1, Fences: []lease.FencingToken{fence}, Then: []Op{{Kind: "put", Key: "k", Value: []byte("1")}}}
+	request := Request{TimeMS: 1, SessionID: response.SessionID, RequestNumber: 1, Fences: []lease.FencingToken{fence}, Then: []Op{{Kind: "put", Key: "k", Value: []byte("1")}}}
 	_, changed, err := s.Apply(3, &request)
 	require.NoError(t, err)
 	assert.Equal(t, []string{"k"}, changed)
--- a/internal/cluster/kv/request.go
+++ b/internal/cluster/kv/request.go
@@ -55,7 +55,7 @@
 	LeaseOps      []lease.Op           `json:"leases,omitempty"`  // each succeeds or fails on its own
 	TokenFloor    uint64               `json:"floor,omitempty"`   // fencing tokens given from now on are higher
 	Fences        []lease.FencingToken `json:"fence,omitempty"`   // all must be held, or the result is ErrFenced
-	Session       uint64               `json:"session,omitempty"` // 0 is none
+	SessionID     uint64               `json:"session,omitempty"` // 0 is none
 	RequestNumber uint64               `json:"number,omitempty"`  // in the session, from 1; larger for each new request
 	If            []Compare            `json:"if,omitempty"`      // if all hold, Then is carried out, otherwise Else
 	Then          []Op                 `json:"then"`
@@ -73,7 +73,7 @@
 
 // Validate checks what no state would accept. Its error wraps ErrInvalidRequest.
 func (r *Request) Validate() error {
-	if r.Session != 0 && r.RequestNumber == 0 {
+	if r.SessionID != 0 && r.RequestNumber == 0 {
 		return fmt.Errorf("%w: a session's requests are numbered from 1", ErrInvalidRequest)
 	}
 	for _, c := range r.If {
@@ -122,7 +122,7 @@
 type Response struct {
 	Succeeded     bool           `json:"held"`              // all compares held (nothing to do with leases), and Then was carried out
 	Revision      uint64         `json:"revision"`          // the log entry's index
-	Session       uint64         `json:"session,omitempty"` // that was opened
+	SessionID     uint64         `json:"session,omitempty"` // that was opened
 	Results       []Result       `json:"results,omitempty"` // one for each operation
 	LeaseResults  []lease.Result `json:"leases,omitempty"`  // one for each operation on a lease
 	GrantedLeases []string       `json:"given,omitempty"`   // leases that were granted to a waiter
--- a/internal/cluster/kv/session.go
+++ b/internal/cluster/kv/session.go
@@ -43,22 +43,22 @@
 	if len(s.Sessions) >= MaxSessions {
 		return Response{}, fmt.Errorf("%w: %d sessions are open", ErrFull, len(s.Sessions))
 	}
-	s.Sessions[index] = &session{LastSeenMS: s.TimeMS}
-	return Response{Succeeded: true, Revision: index, Session: index}, nil
+	s.Sessions[index] = &session{LastSeenMS: s.LogTimeMS}
+	return Response{Succeeded: true, Revision: index, SessionID: index}, nil
 }
 
 // endIdleSessions ends the sessions that have been idle for longer than SessionTimeoutMS.
 func (s *State) endIdleSessions() {
-	maps.DeleteFunc(s.Sessions, func(_ uint64, x *session) bool { return s.TimeMS-x.LastSeenMS > SessionTimeoutMS })
+	maps.DeleteFunc(s.Sessions, func(_ uint64, x *session) bool { return s.LogTimeMS-x.LastSeenMS > SessionTimeoutMS })
 }
 
 // applyInSession carries out a request of a session, unless that was done before.
 func (s *State) applyInSession(index uint64, r *Request) (Response, []string, error) {
-	x := s.Sessions[r.Session]
+	x := s.Sessions[r.SessionID]
 	if x == nil {
-		return Response{}, nil, fmt.Errorf("%w: %d", ErrSessionNotFound, r.Session)
+		return Response{}, nil, fmt.Errorf("%w: %d", ErrSessionNotFound, r.SessionID)
 	}
-	x.LastSeenMS = s.TimeMS
+	x.LastSeenMS = s.LogTimeMS
 	for _, cached := range x.Cached {
 		if cached.RequestNumber == r.RequestNumber {
 			return cached.Response, nil, nil
--- a/internal/cluster/kv/state.go
+++ b/internal/cluster/kv/state.go
@@ -31,12 +31,12 @@
 // State is the replicated state. A snapshot holds its exported fields. It is not safe for
 // concurrent use.
 type State struct {
-	Applied  uint64              `json:"applied"` // log index of the last entry
-	TimeMS   int64               `json:"time_ms"` // the log's time, Unix milliseconds; never goes back
-	Entries  map[string]Entry    `json:"entries"`
-	Sessions map[uint64]*session `json:"sessions"`
-	Leases   *lease.State        `json:"leases"`
-	Checksum Checksum            `json:"sum"`
+	AppliedIndex uint64              `json:"applied"` // log index of the last entry
+	LogTimeMS    int64               `json:"time_ms"` // the log's time, Unix milliseconds; never goes back
+	Entries      map[string]Entry    `json:"entries"`
+	Sessions     map[uint64]*session `json:"sessions"`
+	Leases       *lease.State        `json:"leases"`
+	Checksum     Checksum            `json:"sum"`
 
 	valueBytes int // or bytesUnknown
 }
@@ -56,13 +56,13 @@
 // Clone returns a copy that shares only the values, which nothing changes.
 func (s *State) Clone() *State {
 	c := &State{
-		Applied:    s.Applied,
-		TimeMS:     s.TimeMS,
-		Entries:    maps.Clone(s.Entries),
-		Sessions:   map[uint64]*session{},
-		Leases:     s.Leases.Clone(),
-		Checksum:   s.Checksum,
-		valueBytes: valueBytesUnknown,
+		AppliedIndex: s.AppliedIndex,
+		LogTimeMS:    s.LogTimeMS,
+		Entries:      maps.Clone(s.Entries),
+		Sessions:     map[uint64]*session{},
+		Leases:       s.Leases.Clone(),
+		Checksum:     s.Checksum,
+		valueBytes:   valueBytesUnknown,
 	}
 	for id, x := range s.Sessions {
 		c.Sessions[id] = x.clone()
@@ -94,7 +94,7 @@
 // but the index is recorded. It returns the keys that it changed, sorted.
 func (s *State) ApplyEntry(index uint64, data []byte, r *Request, decodeErr error) (response Response, changed []string, err error) {
 	if decodeErr != nil {
-		s.Applied = index
+		s.AppliedIndex = index
 		err = decodeErr
 	} else {
 		response, changed, err = s.Apply(index, r)
@@ -106,7 +106,7 @@
 // Apply carries out one request under its index in the log, which becomes the revision of the
 // keys that it writes. It returns those keys, sorted.
 func (s *State) Apply(index uint64, r *Request) (response Response, changed []string, err error) {
-	s.Applied = index
+	s.AppliedIndex = index
 	s.advanceLogTime(r.TimeMS)
 	if err := r.Validate(); err != nil {
 		return Response{}, nil, err
@@ -121,7 +121,7 @@
 	switch {
 	case len(r.LeaseOps) > 0:
 		return s.applyLeaseOps(index, r.LeaseOps), nil, nil
-	case r.Session != 0:
+	case r.SessionID != 0:
 		return s.applyInSession(index, r)
 	}
 	return s.applyTxn(index, r)
@@ -130,13 +130,13 @@
 // advanceLogTime moves the log's time on, never back and by at most maxClockAdvanceMS, and ends the
 // sessions that have been idle for too long by it.
 func (s *State) advanceLogTime(timeMS int64) {
-	if s.TimeMS != 0 {
-		timeMS = min(timeMS, s.TimeMS+maxClockAdvanceMS)
+	if s.LogTimeMS != 0 {
+		timeMS = min(timeMS, s.LogTimeMS+maxClockAdvanceMS)
 	}
-	if timeMS <= s.TimeMS {
+	if timeMS <= s.LogTimeMS {
 		return
 	}
-	s.TimeMS = timeMS
+	s.LogTimeMS = timeMS
 	s.endIdleSessions()
 }
 
@@ -155,8 +155,8 @@
 // isBlockedByRestore reports whether a request writes users' keys while a backup is being
 // restored, without being part of the restore: the restore's own requests compare its marker.
 func (s *State) isBlockedByRestore(r *Request) bool {
-	marker := s.Revision(RestoreKey)
-	if marker == 0 || slices.Contains(r.If, Compare{RestoreKey, marker}) {
+	marker := s.Revision(RestoreMarkerKey)
+	if marker == 0 || slices.Contains(r.If, Compare{RestoreMarkerKey, marker}) {
 		return false
 	}
 	return slices.ContainsFunc(slices.Concat(r.Then, r.Else), func(op Op) bool {
--- a/internal/cluster/kv/txn.go
+++ b/internal/cluster/kv/txn.go
@@ -23,7 +23,7 @@
 	for _, op := range ops {
 		response.Results = append(response.Results, t.apply(op))
 	}
-	if err := t.checkLimits(r.Session != 0); err != nil {
+	if err := t.checkLimits(r.SessionID != 0); err != nil {
 		return Response{}, nil, err
 	}
 	return response, t.commit(), nil
--- a/internal/cluster/leaseclient/manager.go
+++ b/internal/cluster/leaseclient/manager.go
@@ -41,7 +41,7 @@
 		leaseAdded: make(chan struct{}, 1),
 		leases:     map[string]*Lease{},
 	}
-	m.client.Retry.MaxRetries = 0 // the manager itself retries, at another node
+	m.client.RetryPolicy.MaxRetries = 0 // the manager itself retries, at another node
 	m.ctx, m.stop = context.WithCancel(context.Background())
 	m.renewalLoopDone.Go(m.renewalLoop)
 	return m
--- a/internal/cluster/leaseclient/retry.go
+++ b/internal/cluster/leaseclient/retry.go
@@ -31,5 +31,5 @@
 		maxBackoffSteps = 4
 		jitter          = 0.5
 	)
-	return m.client.Retry.Backoff(min(failed, maxBackoffSteps), jitter)
+	return m.client.RetryPolicy.Backoff(min(failed, maxBackoffSteps), jitter)
 }
--- a/internal/cluster/raftstorage/fail_stop.go
+++ b/internal/cluster/raftstorage/fail_stop.go
@@ -20,8 +20,8 @@
 	onFailure  func(error)
 }
 
-// FailStop has onFailed called once, on the first failure.
-func (s *Storage) FailStop(onFailure func(error)) *FailStopStorage {
+// WithFailStop has onFailed called once, on the first failure.
+func (s *Storage) WithFailStop(onFailure func(error)) *FailStopStorage {
 	return &FailStopStorage{Storage: s, onFailure: onFailure}
 }
 
--- a/internal/cluster/raftstorage/fail_stop_test.go
+++ b/internal/cluster/raftstorage/fail_stop_test.go
@@ -16,7 +16,7 @@
 	storage, _, err := OpenFS(fs)
 	require.NoError(t, err)
 	reports := 0
-	failStop := storage.FailStop(func(error) { reports++ })
+	failStop := storage.WithFailStop(func(error) { reports++ })
 	require.NoError(t, failStop.SetUint64([]byte("CurrentTerm"), 1))
 	require.NoError(t, failStop.StoreLog(newCommandEntry(1, 1, "a")))
 	require.ErrorIs(t, failStop.GetLog(2, &raft.Log{}), raft.ErrLogNotFound)
--- a/internal/cluster/singleton/backup_task.go
+++ b/internal/cluster/singleton/backup_task.go
@@ -23,7 +23,7 @@
 
 const (
 	// LastBackupKey is the key of the last scheduled backup, a LastBackup.
-	LastBackupKey = kv.StatePrefix + "fleet.backup"
+	LastBackupKey = kv.ServiceStatePrefix + "fleet.backup"
 
 	// maxScheduleWait bounds the wait between two reads of KeyLastBackup.
 	maxScheduleWait = time.Second
--- a/internal/cluster/store/backup_restore.go
+++ b/internal/cluster/store/backup_restore.go
@@ -94,14 +94,14 @@
 	if err != nil {
 		return err
 	}
-	r.batch = append(r.batch, kv.Delete(kv.RestoreKey), kv.Put(restoredKey, text))
+	r.batch = append(r.batch, kv.Delete(kv.RestoreMarkerKey), kv.Put(restoredKey, text))
 	return r.flush(ctx)
 }
 
 func (r *restoreRun) flush(ctx context.Context) error {
 	response, err := r.store.Execute(kv.Request{
-		TokenFloor: tokenFloor(r.header.Token),
-		If:         []kv.Compare{{Key: kv.RestoreKey, Revision: r.marker}},
+		TokenFloor: tokenFloor(r.header.MaxFencingToken),
+		If:         []kv.Compare{{Key: kv.RestoreMarkerKey, Revision: r.marker}},
 		Then:       r.batch,
 	})
 	if err == nil && !response.Succeeded {
@@ -118,11 +118,11 @@
 		return err
 	}
 	entries, _ := s.state.entries()
-	marker, ok := entries[kv.RestoreKey]
+	marker, ok := entries[kv.RestoreMarkerKey]
 	if !ok {
 		return fmt.Errorf("%w: no backup is being put back", kv.ErrInvalidRequest)
 	}
-	batch := kv.Request{If: []kv.Compare{{Key: kv.RestoreKey, Revision: marker.ModRevision}}}
+	batch := kv.Request{If: []kv.Compare{{Key: kv.RestoreMarkerKey, Revision: marker.ModRevision}}}
 	for key := range entries {
 		// Under the first version of the marker it was not known yet whether the store is empty.
 		if marker.Version > 1 && kv.IsUserKey(key) {
@@ -135,7 +135,7 @@
 			batch.Then = nil
 		}
 	}
-	batch.Then = append(batch.Then, kv.Delete(kv.RestoreKey))
+	batch.Then = append(batch.Then, kv.Delete(kv.RestoreMarkerKey))
 	_, err := s.Execute(batch)
 	return err
 }
@@ -155,7 +155,7 @@
 		return 0, err
 	}
 	entries, _ := s.state.entries()
-	marker, ok := entries[kv.RestoreKey]
+	marker, ok := entries[kv.RestoreMarkerKey]
 	if !ok || !bytes.Equal(marker.Value, value) {
 		return 0, fmt.Errorf("%w: another backup is being put back", ErrNotEmpty)
 	}
@@ -163,12 +163,12 @@
 		return marker.ModRevision, nil
 	}
 	if used := countUserKeys(entries); used > 0 {
-		_, err = s.Execute(kv.Request{Then: []kv.Op{kv.Delete(kv.RestoreKey)}})
+		_, err = s.Execute(kv.Request{Then: []kv.Op{kv.Delete(kv.RestoreMarkerKey)}})
 		return 0, errors.Join(fmt.Errorf("%w: it has %d keys", ErrNotEmpty, used), err)
 	}
 	response, err := s.Execute(kv.Request{
-		If:   []kv.Compare{{Key: kv.RestoreKey, Revision: marker.ModRevision}},
-		Then: []kv.Op{kv.Put(kv.RestoreKey, value)},
+		If:   []kv.Compare{{Key: kv.RestoreMarkerKey, Revision: marker.ModRevision}},
+		Then: []kv.Op{kv.Put(kv.RestoreMarkerKey, value)},
 	})
 	if err == nil && !response.Succeeded {
 		err = errRestoreSuperseded
@@ -183,8 +183,8 @@
 // written before it is known.
 func (s *Store) putMarker(ctx context.Context, value json.RawMessage) error {
 	_, err := s.Execute(kv.Request{
-		If:   []kv.Compare{{Key: kv.RestoreKey}},
-		Then: []kv.Op{kv.Put(kv.RestoreKey, value)},
+		If:   []kv.Compare{{Key: kv.RestoreMarkerKey}},
+		Then: []kv.Op{kv.Put(kv.RestoreMarkerKey, value)},
 	})
 	if err != nil {
 		return err
--- a/internal/cluster/store/cluster_id.go
+++ b/internal/cluster/store/cluster_id.go
@@ -86,7 +86,7 @@
 }
 
 func (s *Store) learnClusterID(ctx context.Context, inc *incarnation) error {
-	e, ok := s.state.get(kv.ClusterKey)
+	e, ok := s.state.get(kv.ClusterIDKey)
 	if !ok {
 		if !inc.isLeader() {
 			return nil
@@ -97,7 +97,7 @@
 	if err != nil {
 		return err
 	}
-	if err := inc.storage.PutLocal(kv.ClusterKey, []byte(id)); err != nil {
+	if err := inc.storage.PutLocal(kv.ClusterIDKey, []byte(id)); err != nil {
 		return fmt.Errorf("keep cluster id: %w", err)
 	}
 	s.clusterID.set(id)
@@ -117,8 +117,8 @@
 	}
 	_, err = s.Execute(kv.Request{
 		TokenFloor: tokenFloor(0),
-		If:         []kv.Compare{{Key: kv.ClusterKey}},
-		Then:       []kv.Op{kv.Put(kv.ClusterKey, id)},
+		If:         []kv.Compare{{Key: kv.ClusterIDKey}},
+		Then:       []kv.Op{kv.Put(kv.ClusterIDKey, id)},
 	})
 	return err
 }
@@ -126,14 +126,14 @@
 // parseClusterID reads the key that names the cluster.
 func parseClusterID(e kv.Entry) (id string, err error) {
 	if err := json.Unmarshal(e.Value, &id); err != nil || id == "" {
-		return "", fmt.Errorf("%s: %s is no id", kv.ClusterKey, e.Value)
+		return "", fmt.Errorf("%s: %s is no id", kv.ClusterIDKey, e.Value)
 	}
 	return id, nil
 }
 
 // readClusterID is the ID that was saved beside the log, "" if there is none.
 func readClusterID(storage *raftstorage.Storage) (string, error) {
-	id, err := storage.GetLocal(kv.ClusterKey)
+	id, err := storage.GetLocal(kv.ClusterIDKey)
 	if err != nil {
 		return "", fmt.Errorf("cluster id: %w", err)
 	}
@@ -147,7 +147,7 @@
 	if err := replayLog(storage, state); err != nil {
 		return "", fmt.Errorf("cluster id: %w", err)
 	}
-	e, ok := state.get(kv.ClusterKey)
+	e, ok := state.get(kv.ClusterIDKey)
 	if !ok {
 		return "", nil
 	}
--- a/internal/cluster/store/golden_test.go
+++ b/internal/cluster/store/golden_test.go
@@ -40,7 +40,7 @@
 	r, err = decodeLogEntry([]byte(`{"time_ms":5,"floor":6,"fence":[{"name":"l","token":7}],"session":8,"number":9,` +
 		`"if":[{"key":"k","revision":10}],"then":[{"do":"put","key":"k","value":1}],"else":[{"do":"get","key":"k"}]}`))
 	require.NoError(t, err)
-	assert.Equal(t, &kv.Request{TimeMS: 5, TokenFloor: 6, Fences: []lease.FencingToken{{Name: "l", Token: 7}}, Session: 8, RequestNumber: 9,
+	assert.Equal(t, &kv.Request{TimeMS: 5, TokenFloor: 6, Fences: []lease.FencingToken{{Name: "l", Token: 7}}, SessionID: 8, RequestNumber: 9,
 		If: []kv.Compare{{Key: "k", Revision: 10}}, Then: []kv.Op{{Kind: "put", Key: "k", Value: json.RawMessage("1")}},
 		Else: []kv.Op{{Kind: "get", Key: "k"}}}, r)
 }
--- a/internal/cluster/store/leader_view.go
+++ b/internal/cluster/store/leader_view.go
@@ -126,7 +126,7 @@
 	if server.Suffrage == raft.Voter {
 		m.Role = membership.Voter
 	}
-	_, m.Leaving = s.state.get(kv.RemovedPrefix + p.Name)
+	_, m.Leaving = s.state.get(kv.RemovedMemberPrefix + p.Name)
 	_, m.VotePreferred = s.state.get(kv.PreferredVoterPrefix + p.Name)
 	if p.Name == s.self.Name { // no node polls itself: this is its disk, or one that it had before
 		m.Up = id == inc.memberID
--- a/internal/cluster/store/lease_service.go
+++ b/internal/cluster/store/lease_service.go
@@ -129,7 +129,7 @@
 			return err
 		}
 	}
-	if _, ok := s.state.get(kv.ClusterKey); !ok {
+	if _, ok := s.state.get(kv.ClusterIDKey); !ok {
 		return nil // the entry that sets the ID also raises the first fencing token
 	}
 	if _, ok := s.state.get(kv.LeasesEnabledKey); !ok {
--- a/internal/cluster/store/log_clock_test.go
+++ b/internal/cluster/store/log_clock_test.go
@@ -23,8 +23,8 @@
 }
 
 func (l *stampedLog) commit(r kv.Request) (kv.Response, error) {
-	r.TimeMS = l.clock.stamp(l.state.TimeMS, l.now)
-	response, _, err := l.state.Apply(l.state.Applied+1, &r)
+	r.TimeMS = l.clock.stamp(l.state.LogTimeMS, l.now)
+	response, _, err := l.state.Apply(l.state.AppliedIndex+1, &r)
 	return response, err
 }
 
@@ -32,7 +32,7 @@
 	l.t.Helper()
 	response, err := l.commit(kv.Request{OpenSession: true})
 	require.NoError(l.t, err)
-	return response.Session
+	return response.SessionID
 }
 
 // commitOthers commits requests of other clients, each after a pause.
@@ -46,7 +46,7 @@
 }
 
 func (l *stampedLog) use(session, number uint64) error {
-	_, err := l.commit(kv.Request{Session: session, RequestNumber: number, Then: []kv.Op{kv.Put("k", []byte("1"))}})
+	_, err := l.commit(kv.Request{SessionID: session, RequestNumber: number, Then: []kv.Op{kv.Put("k", []byte("1"))}})
 	return err
 }
 
--- a/internal/cluster/store/majority_loss.go
+++ b/internal/cluster/store/majority_loss.go
@@ -45,7 +45,7 @@
 	if err := node.rewrite(self, report); err != nil {
 		return report, fmt.Errorf("recover: %w", err)
 	}
-	if err := node.storage.PutLocal(kv.ClusterKey, []byte(report.NewCluster)); err != nil {
+	if err := node.storage.PutLocal(kv.ClusterIDKey, []byte(report.NewCluster)); err != nil {
 		return report, fmt.Errorf("keep cluster id: %w", err)
 	}
 	return report, nil
@@ -80,12 +80,12 @@
 		json.Unmarshal(e.Value, &previous) // this package wrote it
 	}
 	previous = append(previous, r.previousCluster)
-	for key, value := range map[string]any{kv.ClusterKey: r.clusterID, kv.PreviousClustersKey: previous} {
+	for key, value := range map[string]any{kv.ClusterIDKey: r.clusterID, kv.PreviousClustersKey: previous} {
 		text, err := json.Marshal(value)
 		if err != nil {
 			return nil, err
 		}
-		data.Entries[key] = kv.Entry{Value: text, ModRevision: data.Applied, CreateRevision: data.Applied, Version: 1}
+		data.Entries[key] = kv.Entry{Value: text, ModRevision: data.AppliedIndex, CreateRevision: data.AppliedIndex, Version: 1}
 	}
 	return &snapshot{data}, nil
 }
--- a/internal/cluster/store/members.go
+++ b/internal/cluster/store/members.go
@@ -94,7 +94,7 @@
 func (s *Store) removedNames() (names []string) {
 	all, _ := s.state.entries()
 	for key := range all {
-		if name, ok := strings.CutPrefix(key, kv.RemovedPrefix); ok {
+		if name, ok := strings.CutPrefix(key, kv.RemovedMemberPrefix); ok {
 			names = append(names, name)
 		}
 	}
@@ -116,7 +116,7 @@
 	}
 	observed := s.observeMembers(inc)
 	step := s.cfg.policy().NextStep(observed.view)
-	out = storeapi.Members{Leader: s.self.Name, ConfigIndex: observed.conf.Index, WantedVoters: s.cfg.policy().TargetVoters, Removed: s.removedNames()}
+	out = storeapi.Members{Leader: s.self.Name, ConfigIndex: observed.conf.Index, TargetVoters: s.cfg.policy().TargetVoters, Removed: s.removedNames()}
 	for _, m := range observed.view.Members {
 		server, _ := findServer(observed.conf, m.ID)
 		out.Members = append(out.Members, memberRow(m, step, server, inc.memberID))
@@ -137,7 +137,7 @@
 	}
 	if step.ID == m.ID {
 		row.NextStep = step.Kind.String()
-		row.Reason = step.Reason
+		row.NextStepReason = step.Reason
 	}
 	return row
 }
@@ -161,7 +161,7 @@
 	case hasName(voters, name) && len(voters) == 1:
 		return fmt.Errorf("%w: %s is the only voter", ErrMemberRejected, name)
 	}
-	return s.recordIntent(kv.RemovedPrefix+name, kv.PreferredVoterPrefix+name)
+	return s.recordIntent(kv.RemovedMemberPrefix+name, kv.PreferredVoterPrefix+name)
 }
 
 // AllowRejoin lets a node that was removed join again. It adds no member: the node itself has to
@@ -170,7 +170,7 @@
 	if !namePattern.MatchString(name) {
 		return fmt.Errorf("%w: name: %q", kv.ErrInvalidRequest, name)
 	}
-	return s.recordIntent("", kv.RemovedPrefix+name)
+	return s.recordIntent("", kv.RemovedMemberPrefix+name)
 }
 
 // PreferAsVoter records that a node is to get a vote before those that no operator prefers.
--- a/internal/cluster/store/peers.go
+++ b/internal/cluster/store/peers.go
@@ -59,7 +59,7 @@
 
 func newPeers(ctx context.Context, s *Store) *peers {
 	client := storeclient.New(nil)
-	client.HTTP = &http.Client{Timeout: pollTimeout}
+	client.HTTPClient = &http.Client{Timeout: pollTimeout}
 	return &peers{
 		store:    s,
 		client:   client,
--- a/internal/cluster/store/raft.go
+++ b/internal/cluster/store/raft.go
@@ -73,7 +73,7 @@
 
 // startRaft makes the cluster if that is the verdict, and begins to replay the log.
 func (s *Store) startRaft(inc *incarnation, conf *raft.Config, verdict diskidentity.Verdict) error {
-	storage := inc.storage.FailStop(inc.reportFailure)
+	storage := inc.storage.WithFailStop(inc.reportFailure)
 	if verdict == diskidentity.VerdictBootstrap {
 		if err := s.bootstrap(inc, conf, storage); err != nil {
 			return fmt.Errorf("make the cluster: %w", err)
--- a/internal/cluster/store/read.go
+++ b/internal/cluster/store/read.go
@@ -30,7 +30,7 @@
 
 // RevisionsSince reads the history of keys with a prefix from a revision on. next is the revision
 // to go on from; more is closed once there is one.
-func (s *Store) RevisionsSince(from uint64, prefix string, page watch.Page) (list []watch.Revision, next uint64, more <-chan struct{}, err error) {
+func (s *Store) RevisionsSince(from uint64, prefix string, page watch.PageLimits) (list []watch.Revision, next uint64, more <-chan struct{}, err error) {
 	return s.state.revisionsSince(from, prefix, page)
 }
 
--- a/internal/cluster/store/replicated_state.go
+++ b/internal/cluster/store/replicated_state.go
@@ -67,7 +67,7 @@
 func (s *replicatedState) progress() (applied uint64, advanced <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.data.Applied, s.advanced
+	return s.data.AppliedIndex, s.advanced
 }
 
 // signalAdvanced is called with the lock held.
@@ -119,11 +119,11 @@
 	defer s.mu.Unlock()
 	entries = maps.Clone(s.data.Entries)
 	maps.DeleteFunc(entries, func(_ string, e kv.Entry) bool { return e.Deleted })
-	return entries, s.data.Applied
+	return entries, s.data.AppliedIndex
 }
 
 // revisionsSince reads the history. Its error is a watch.CompactedError.
-func (s *replicatedState) revisionsSince(from uint64, prefix string, page watch.Page) (list []watch.Revision, next uint64, more <-chan struct{}, err error) {
+func (s *replicatedState) revisionsSince(from uint64, prefix string, page watch.PageLimits) (list []watch.Revision, next uint64, more <-chan struct{}, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	list, next, err = s.history.Since(from, prefix, page)
@@ -134,7 +134,7 @@
 func (s *replicatedState) timeMS() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.data.TimeMS
+	return s.data.LogTimeMS
 }
 
 // sessions is how many are open.
--- a/internal/cluster/store/restore_history_test.go
+++ b/internal/cluster/store/restore_history_test.go
@@ -24,11 +24,11 @@
 	to.Apply(&raft.Log{Index: 1, Data: []byte(`[{"key":"k","value":1}]`)})
 	require.NoError(t, to.Restore(io.NopCloser(bytes.NewReader(text))))
 	var gone *watch.CompactedError
-	_, _, _, err = to.revisionsSince(2, "", watch.Page{MaxRevisions: 512, MaxBytes: 64 << 10})
+	_, _, _, err = to.revisionsSince(2, "", watch.PageLimits{MaxRevisions: 512, MaxBytes: 64 << 10})
 	require.ErrorAs(t, err, &gone)
 	require.EqualValues(t, 6, gone.OldestRevision)
 	to.Apply(&raft.Log{Index: 6, Data: []byte(`[{"key":"k","value":2}]`)})
-	list, next, _, err := to.revisionsSince(6, "", watch.Page{MaxRevisions: 512, MaxBytes: 64 << 10})
+	list, next, _, err := to.revisionsSince(6, "", watch.PageLimits{MaxRevisions: 512, MaxBytes: 64 << 10})
 	require.NoError(t, err)
 	require.Len(t, list, 1)
 	require.EqualValues(t, 7, next)
--- a/internal/cluster/store/snapshot.go
+++ b/internal/cluster/store/snapshot.go
@@ -57,7 +57,7 @@
 	defer s.mu.Unlock()
 	s.data = restored
 	s.checksums = nil
-	s.history.Reset(restored.Applied)
+	s.history.Reset(restored.AppliedIndex)
 	for key, e := range restored.Entries {
 		out.changes = append(out.changes, watch.Change{Key: key, Value: e.Value, Deleted: e.Deleted})
 	}
@@ -84,7 +84,7 @@
 		state.Leases = lease.NewState(0)
 	}
 	if form.Sum == nil { // of a version that had no checksums
-		state.Checksum = kv.Checksum{StartIndex: state.Applied}
+		state.Checksum = kv.Checksum{StartIndex: state.AppliedIndex}
 	}
 	return state, nil
 }
@@ -94,7 +94,7 @@
 		return err
 	}
 	for _, e := range state.Entries {
-		state.Applied = max(state.Applied, e.ModRevision)
+		state.AppliedIndex = max(state.AppliedIndex, e.ModRevision)
 	}
 	return nil
 }
--- a/internal/cluster/store/status.go
+++ b/internal/cluster/store/status.go
@@ -14,13 +14,13 @@
 	switch state := nodeStateOf(inc != nil, inc != nil && inc.isMember()); state {
 	case nodeWaiting:
 		st.State = state.String()
-		st.WaitingFor = s.WaitReason()
+		st.WaitingReason = s.WaitReason()
 		if f := s.disk.Load(); f != nil {
 			st.LastIndex = f.local.Watermark.LastIndex
 		}
 	case nodeJoining:
 		st.State = state.String()
-		st.WaitingFor = inc.joinWaitReason()
+		st.WaitingReason = inc.joinWaitReason()
 	case nodeServing:
 		st.State = inc.raft.State().String()
 	}
--- a/internal/cluster/storeadmin/backup.go
+++ b/internal/cluster/storeadmin/backup.go
@@ -27,10 +27,10 @@
 	}
 	entries, revision := s.store.Entries()
 	header := backup.Header{
-		Cluster:  cluster,
-		Revision: revision,
-		TimeMS:   time.Now().UnixMilli(),
-		Token:    s.store.LastToken(),
+		Cluster:         cluster,
+		Revision:        revision,
+		TimeMS:          time.Now().UnixMilli(),
+		MaxFencingToken: s.store.LastToken(),
 	}
 	var text bytes.Buffer
 	if _, err := backup.Write(&text, header, backupEntries(entries)); err != nil {
--- a/internal/cluster/storeadmin/conditions.go
+++ b/internal/cluster/storeadmin/conditions.go
@@ -23,7 +23,7 @@
 	if request.If, err = parseCompares(r); err != nil {
 		return request, err
 	}
-	if request.Session, err = parseNumber(r, storeapi.HeaderSession); err != nil {
+	if request.SessionID, err = parseNumber(r, storeapi.HeaderSession); err != nil {
 		return request, err
 	}
 	if request.RequestNumber, err = parseNumber(r, storeapi.HeaderRequestNumber); err != nil {
--- a/internal/cluster/storeadmin/read.go
+++ b/internal/cluster/storeadmin/read.go
@@ -60,7 +60,7 @@
 			values[key] = e.Value
 		}
 	}
-	w.Header().Set(storeapi.HeaderRevision, strconv.FormatUint(revision, 10))
+	w.Header().Set(storeapi.HeaderStoreRevision, strconv.FormatUint(revision, 10))
 	storeapi.WriteJSON(w, values)
 	return nil
 }
@@ -92,7 +92,7 @@
 	if err != nil {
 		return unavailable(err)
 	}
-	if _, restoring := s.store.Entry(kv.RestoreKey); restoring && !freshness.Local {
+	if _, restoring := s.store.Entry(kv.RestoreMarkerKey); restoring && !freshness.Local {
 		return unavailable(kv.ErrRestoring)
 	}
 	if freshness.MaxStaleness > 0 {
--- a/internal/cluster/storeadmin/watch.go
+++ b/internal/cluster/storeadmin/watch.go
@@ -14,7 +14,7 @@
 )
 
 // watchPage bounds what one watcher takes at a time, and so the memory that it holds.
-var watchPage = watch.Page{MaxRevisions: 512, MaxBytes: 64 << 10}
+var watchPage = watch.PageLimits{MaxRevisions: 512, MaxBytes: 64 << 10}
 
 // watch serves GET /watch?prefix=P&from=REVISION, or with Last-Event-ID: a stream of the changes to
 // keys with a prefix as server-sent events, from a revision on or else from now. Each event is one
--- a/internal/cluster/storeadmin/write.go
+++ b/internal/cluster/storeadmin/write.go
@@ -59,7 +59,7 @@
 		op = kv.Delete(r.PathValue("key"))
 	}
 	request.Then = []kv.Op{op}
-	if done, err := s.forwardWrite(w, r, value, request.Session); done || err != nil {
+	if done, err := s.forwardWrite(w, r, value, request.SessionID); done || err != nil {
 		return err
 	}
 	response, err := s.store.Execute(request)
@@ -102,7 +102,7 @@
 	if err := checkMayWrite(request); err != nil {
 		return err
 	}
-	if done, err := s.forwardWrite(w, r, body, request.Session); done || err != nil {
+	if done, err := s.forwardWrite(w, r, body, request.SessionID); done || err != nil {
 		return err
 	}
 	return s.execute(w, request)
--- a/internal/cluster/storeapi/golden_test.go
+++ b/internal/cluster/storeapi/golden_test.go
@@ -30,7 +30,7 @@
 // TestGoldenNames: header fields, limits, and the texts of fences, tags and errors.
 func TestGoldenNames(t *testing.T) {
 	var lines strings.Builder
-	fmt.Fprintln(&lines, HeaderCluster, HeaderSession, HeaderRequestNumber, HeaderLease, HeaderRevision, HeaderLastEventID)
+	fmt.Fprintln(&lines, HeaderCluster, HeaderSession, HeaderRequestNumber, HeaderLease, HeaderStoreRevision, HeaderLastEventID)
 	fmt.Fprintln(&lines, WatchProgressInterval, MaxEventBytes, RestoreTimeout, CommitTimeout, MaxLeaseWait, MaxRenewals)
 	for _, text := range []string{"a/b/7", "/7", "a", "a/0", "a/x"} {
 		fence, err := ParseFencingToken(text)
--- a/internal/cluster/storeapi/limits.go
+++ b/internal/cluster/storeapi/limits.go
@@ -12,7 +12,7 @@
 	HeaderSession       = "Session"        // of a write
 	HeaderRequestNumber = "Request-Number" // of a write in its session
 	HeaderLease         = "Lease"          // NAME/TOKEN: the write is done only while that lease is held under that token
-	HeaderRevision      = "Store-Revision" // the revision of the store that an answer shows
+	HeaderStoreRevision = "Store-Revision" // the revision of the store that an answer shows
 	HeaderLastEventID   = "Last-Event-ID"  // the revision after which a watch continues
 )
 
--- a/internal/cluster/storeapi/node.go
+++ b/internal/cluster/storeapi/node.go
@@ -18,7 +18,7 @@
 	Cluster       string `json:"cluster,omitempty"` // id of the cluster, once it is known
 	ForeignPeers  string `json:"foreign,omitempty"` // peers that belong to another cluster
 	ID            string `json:"id,omitempty"`      // the node's name and its disk's identity
-	WaitingFor    string `json:"waits,omitempty"`   // why the node does not take part yet; "" once it does
+	WaitingReason string `json:"waits,omitempty"`   // why the node does not take part yet; "" once it does
 }
 
 // PeerStatus is the answer to GET /self: a node as another node sees it, with what it has observed of
@@ -45,22 +45,22 @@
 
 // Member is one member of the answer to GET /members.
 type Member struct {
-	Name          string `json:"name"`
-	ID            string `json:"id"` // name and disk identity
-	Zone          string `json:"zone,omitempty"`
-	Role          string `json:"role"`   // voter or learner
-	EntriesBehind uint64 `json:"behind"` // entries of the leader's log that its own log lacks
-	State         string `json:"state"`  // leader, up, leaving, lost, or for how long it has been down
-	AdminAddress  string `json:"admin"`
-	NextStep      string `json:"next,omitempty"` // the change of membership to come
-	Reason        string `json:"why,omitempty"`  // of the next step
+	Name           string `json:"name"`
+	ID             string `json:"id"` // name and disk identity
+	Zone           string `json:"zone,omitempty"`
+	Role           string `json:"role"`   // voter or learner
+	EntriesBehind  uint64 `json:"behind"` // entries of the leader's log that its own log lacks
+	State          string `json:"state"`  // leader, up, leaving, lost, or for how long it has been down
+	AdminAddress   string `json:"admin"`
+	NextStep       string `json:"next,omitempty"` // the change of membership to come
+	NextStepReason string `json:"why,omitempty"`  // of the next step
 }
 
 // Members is the leader's answer to GET /members.
 type Members struct {
 	Leader       string   `json:"leader"`
 	ConfigIndex  uint64   `json:"index"` // log index of the membership configuration
-	WantedVoters int      `json:"voters_wanted"`
+	TargetVoters int      `json:"voters_wanted"`
 	Members      []Member `json:"members"`
 	Removed      []string `json:"removed,omitempty"` // names that may not join
 }
--- a/internal/cluster/storeclient/client.go
+++ b/internal/cluster/storeclient/client.go
@@ -23,10 +23,10 @@
 // a session, so that a write that is sent again takes effect once. A client is not safe for
 // concurrent writes.
 type Client struct {
-	Nodes   []string     // admin addresses, at least one
-	HTTP    *http.Client // its timeout is that of one attempt
-	Retry   RetryPolicy
-	Session uint64 // opened by the first write; 0 before
+	Nodes       []string     // admin addresses, at least one
+	HTTPClient  *http.Client // its timeout is that of one attempt
+	RetryPolicy RetryPolicy
+	SessionID   uint64 // opened by the first write; 0 before
 
 	lastRequestNumber uint64 // of the last write in the session
 	cluster           *pinnedCluster
@@ -35,10 +35,10 @@
 // New returns a client for the nodes with the given admin addresses.
 func New(nodes []string) *Client {
 	return &Client{
-		Nodes:   nodes,
-		HTTP:    &http.Client{Timeout: 2 * storeapi.CommitTimeout},
-		Retry:   defaultRetryPolicy(),
-		cluster: &pinnedCluster{},
+		Nodes:       nodes,
+		HTTPClient:  &http.Client{Timeout: 2 * storeapi.CommitTimeout},
+		RetryPolicy: defaultRetryPolicy(),
+		cluster:     &pinnedCluster{},
 	}
 }
 
@@ -50,7 +50,7 @@
 
 func (c *Client) withAttemptTimeout(timeout time.Duration) *Client {
 	clone := *c
-	clone.HTTP = &http.Client{Transport: c.HTTP.Transport, Timeout: timeout}
+	clone.HTTPClient = &http.Client{Transport: c.HTTPClient.Transport, Timeout: timeout}
 	return &clone
 }
 
@@ -136,7 +136,7 @@
 // CallNode sends a request to one node, once, and decodes its answer into out, which may be nil.
 // The node's cluster is not pinned.
 func (c *Client) CallNode(ctx context.Context, node, method, path string, body []byte, out any) error {
-	single := &Client{Nodes: []string{node}, HTTP: c.HTTP, cluster: &pinnedCluster{id: c.cluster.get()}}
+	single := &Client{Nodes: []string{node}, HTTPClient: c.HTTPClient, cluster: &pinnedCluster{id: c.cluster.get()}}
 	return single.call(ctx, method, path, body, out)
 }
 
--- a/internal/cluster/storeclient/kv.go
+++ b/internal/cluster/storeclient/kv.go
@@ -41,7 +41,7 @@
 	if err := json.Unmarshal(res.body, &values); err != nil {
 		return nil, 0, decodeError(err)
 	}
-	revision, _ = strconv.ParseUint(res.header.Get(storeapi.HeaderRevision), 10, 64)
+	revision, _ = strconv.ParseUint(res.header.Get(storeapi.HeaderStoreRevision), 10, 64)
 	return values, revision, nil
 }
 
@@ -51,7 +51,7 @@
 		return kv.Response{}, err
 	}
 	c.lastRequestNumber++
-	request.Session = c.Session
+	request.SessionID = c.SessionID
 	request.RequestNumber = c.lastRequestNumber
 	var response kv.Response
 	err := c.callJSON(ctx, http.MethodPost, "/txn", request, &response)
@@ -61,14 +61,14 @@
 // openSession opens the client's session, unless it has one. One that was opened twice, as an
 // answer was lost, ends by itself.
 func (c *Client) openSession(ctx context.Context) error {
-	if c.Session != 0 {
+	if c.SessionID != 0 {
 		return nil
 	}
 	var opened kv.Response
 	if err := c.call(ctx, http.MethodPost, "/session", nil, &opened); err != nil {
 		return fmt.Errorf("open session: %w", err)
 	}
-	c.Session = opened.Session
+	c.SessionID = opened.SessionID
 	return nil
 }
 
--- a/internal/cluster/storeclient/lease.go
+++ b/internal/cluster/storeclient/lease.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		return status, err
 	}
-	waitingClient := c.withAttemptTimeout(c.HTTP.Timeout + time.Duration(request.WaitMS)*time.Millisecond)
+	waitingClient := c.withAttemptTimeout(c.HTTPClient.Timeout + time.Duration(request.WaitMS)*time.Millisecond)
 	res, err := waitingClient.sendWithRetry(ctx, http.MethodPost, leasePath(name), body)
 	if err != nil {
 		return status, err
--- a/internal/cluster/storeclient/transport.go
+++ b/internal/cluster/storeclient/transport.go
@@ -35,9 +35,9 @@
 	}
 	var lastErr error
 	first := rand.IntN(len(c.Nodes))
-	for attempt := range c.Retry.MaxRetries + 1 {
+	for attempt := range c.RetryPolicy.MaxRetries + 1 {
 		if attempt > 0 {
-			if err := c.Retry.wait(ctx, attempt); err != nil {
+			if err := c.RetryPolicy.wait(ctx, attempt); err != nil {
 				return nil, errors.Join(err, lastErr)
 			}
 		}
@@ -52,13 +52,13 @@
 		}
 		lastErr = err
 	}
-	return nil, fmt.Errorf("no node answered in %d attempts: %w", c.Retry.MaxRetries+1, lastErr)
+	return nil, fmt.Errorf("no node answered in %d attempts: %w", c.RetryPolicy.MaxRetries+1, lastErr)
 }
 
 // sendOnce sends a request once. An answer of 503 is an error.
 func (c *Client) sendOnce(req *http.Request) (*response, error) {
 	c.cluster.setHeader(req)
-	res, err := c.HTTP.Do(req)
+	res, err := c.HTTPClient.Do(req)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/cluster/storeclient/watch.go
+++ b/internal/cluster/storeclient/watch.go
@@ -44,10 +44,10 @@
 			failures = 0
 		}
 		failures++
-		if failures > c.Retry.MaxRetries {
+		if failures > c.RetryPolicy.MaxRetries {
 			return fmt.Errorf("no node to watch in %d attempts: %w", failures, err)
 		}
-		if err := c.Retry.wait(ctx, failures); err != nil {
+		if err := c.RetryPolicy.wait(ctx, failures); err != nil {
 			return err
 		}
 	}
@@ -74,7 +74,7 @@
 	if err != nil {
 		return false, &finalError{err}
 	}
-	streamClient := &http.Client{Transport: w.client.HTTP.Transport} // without a timeout for the whole answer
+	streamClient := &http.Client{Transport: w.client.HTTPClient.Transport} // without a timeout for the whole answer
 	res, err := streamClient.Do(req)
 	if err != nil {
 		return false, err
--- a/internal/cluster/watch/history.go
+++ b/internal/cluster/watch/history.go
@@ -14,8 +14,8 @@
 	MaxBytes     int
 }
 
-// Page bounds one call of Since.
-type Page struct {
+// PageLimits bounds one call of Since.
+type PageLimits struct {
 	MaxRevisions int // examined
 	MaxBytes     int // returned; a single revision may exceed it
 }
@@ -78,7 +78,7 @@
 // Since returns the revisions from a position on that change keys with a prefix, reduced to those
 // keys, and the position to continue from. No revision and the same position mean that nothing
 // has come yet. A position beyond the last revision is valid. The error is a *CompactedError.
-func (h *History) Since(from uint64, prefix string, p Page) (revisions []Revision, next uint64, err error) {
+func (h *History) Since(from uint64, prefix string, p PageLimits) (revisions []Revision, next uint64, err error) {
 	if from <= h.compactedThrough {
 		return nil, from, &CompactedError{OldestRevision: h.compactedThrough + 1}
 	}
--- a/internal/cluster/watch/history_test.go
+++ b/internal/cluster/watch/history_test.go
@@ -27,7 +27,7 @@
 func TestSinceAgainstWholeHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{MaxRevisions: rapid.IntRange(1, 20).Draw(t, "revisions"), MaxBytes: rapid.IntRange(200, 2000).Draw(t, "bytes")}
-		page := Page{MaxRevisions: rapid.IntRange(1, 5).Draw(t, "page"), MaxBytes: rapid.IntRange(1, 500).Draw(t, "page bytes")}
+		page := PageLimits{MaxRevisions: rapid.IntRange(1, 5).Draw(t, "page"), MaxBytes: rapid.IntRange(1, 500).Draw(t, "page bytes")}
 		prefix := rapid.SampledFrom([]string{"", "a/", "b/"}).Draw(t, "prefix")
 		h, allRevisions := NewHistory(limits, 0), []Revision{}
 		next, resetNumber := uint64(1), uint64(0)
--- a/internal/maintenance/controller/controller.go
+++ b/internal/maintenance/controller/controller.go
@@ -31,9 +31,9 @@
 const (
 	BudgetKey       = "config/work" // the disruption budget, set by operators
 	reservedPrefix  = kv.ReservedPrefix + "work/"
-	orderPrefix     = reservedPrefix + "job/"  // and a machine's name
-	pauseKey        = reservedPrefix + "pause" // a maintenance.Pause
-	heartbeatPrefix = kv.StatePrefix + "work/" // and a machine's name: its last heartbeat
+	orderPrefix     = reservedPrefix + "job/"         // and a machine's name
+	pauseKey        = reservedPrefix + "pause"        // a maintenance.Pause
+	heartbeatPrefix = kv.ServiceStatePrefix + "work/" // and a machine's name: its last heartbeat
 )
 
 var (
--- a/tests/disk_play_report_test.go
+++ b/tests/disk_play_report_test.go
@@ -48,7 +48,7 @@
 		present = append(present, status.ID)
 	}
 	for _, status := range statuses {
-		for _, id := range memberIDPattern.FindAllString(status.WaitingFor, -1) {
+		for _, id := range memberIDPattern.FindAllString(status.WaitingReason, -1) {
 			if !slices.Contains(present, id) {
 				p.t.Logf("seed %d of %d nodes: %s waits for ever: no node has the disk %s", p.seed, len(statuses), status.ID, id)
 			}
--- a/tests/disk_waits_test.go
+++ b/tests/disk_waits_test.go
@@ -173,7 +173,7 @@
 	var status storeapi.Status
 	require.True(t, c.GetJSON(2, "/status", &status))
 	assert.NotZero(t, status.LastIndex, "how far the log of a waiting node is")
-	assert.Contains(t, status.WaitingFor, "as its node has "+c.id(1))
+	assert.Contains(t, status.WaitingReason, "as its node has "+c.id(1))
 	c.Start(0)
 	c.requireRecovery(t)
 }
--- a/tests/versions_test.go
+++ b/tests/versions_test.go
@@ -241,7 +241,7 @@
 	for _, build := range []string{program, m.previous} {
 		statuses := m.statuses(build)
 		for node, s := range statuses {
-			assert.Equal(t, []string{m.Peers[node].Name, "", ""}, []string{s.Node, s.Away, s.WaitingFor})
+			assert.Equal(t, []string{m.Peers[node].Name, "", ""}, []string{s.Node, s.Away, s.WaitingReason})
 			assert.Equal(t, s.Node == s.Leader, s.State == "Leader", s.State)
 			assert.NotZero(t, s.AppliedIndex)
 			assert.NotZero(t, s.LastIndex)
@@ -252,7 +252,7 @@
 		var members storeapi.Members
 		require.NoError(t, json.Unmarshal([]byte(m.command(build, "store", "members", "--json")), &members))
 		assert.Contains(t, []string{m.Peers[0].Name, m.Peers[1].Name, m.Peers[2].Name}, members.Leader)
-		assert.Equal(t, 3, members.WantedVoters)
+		assert.Equal(t, 3, members.TargetVoters)
 		assert.NotZero(t, members.ConfigIndex)
 		var ids, want []string
 		for node, member := range members.Members {
