--- a/internal/cluster/kv/checksum.go
+++ b/internal/cluster/kv/checksum.go
@@ -7,23 +7,24 @@
 
 const (
 	checksumInterval      = 16   // log entries between two points of a ChecksumHistory
-	maxChecksumPoints     = 64   // points that a ChecksumHistory keeps
-	checksumResetInterval = 4096 // log entries after which the running checksum starts anew
-	outcomeCapacityBytes  = 64   // enough for the outcome of an entry, as it is encoded for the checksum
+	maxChecksumPoints     = 64   // max. points in a ChecksumHistory
+	checksumResetInterval = 4096 // log entries after which the running checksum is reset
+	outcomeCapacityBytes  = 64   // initial buffer capacity for the encoded outcome of a log entry
 )
 
 var checksumTable = crc64.MakeTable(crc64.ECMA)
 
-// Checksum is a running CRC-64 over the log entries and their outcomes. Replicas that
-// applied the same entries with the same outcomes have the same checksum. It starts anew every checksumPeriod entries, so that
-// states that started at different entries, as from a snapshot of a version without checksums,
-// can be compared again.
+// Checksum is a running CRC-64 over the log entries and their outcomes. Replicas that applied the
+// same entries with the same outcomes have the same checksum. The checksum is reset every
+// checksumResetInterval entries. Without a reset, two replicas that started their checksums at
+// different entries, as after restoring a snapshot from a version without checksums, could never be
+// compared again.
 type Checksum struct {
-	StartIndex uint64 `json:"from"` // log index after which it started
+	StartIndex uint64 `json:"from"` // log index after which the checksum was started or reset
 	Sum        uint64 `json:"sum"`
 }
 
-// extendChecksum adds a log entry, as it was read, and its outcome.
+// extendChecksum adds the encoded bytes of a log entry, and the outcome of applying it.
 func (s *State) extendChecksum(index uint64, data []byte, response *Response, err error) {
 	if index/checksumResetInterval > s.Checksum.StartIndex/checksumResetInterval {
 		s.Checksum = Checksum{StartIndex: index / checksumResetInterval * checksumResetInterval}
@@ -60,24 +61,25 @@
 	Sum        uint64 `json:"sum"`
 }
 
-// ChecksumHistory is the last points of a node, at most maxChecksumPoints, the newest last. Nodes
-// exchange them to notice a state that differs from the others.
+// ChecksumHistory is the latest checksum points of a node, at most maxChecksumPoints, in ascending
+// order of the index. Nodes exchange their histories to detect a replica whose state has diverged.
 type ChecksumHistory []ChecksumPoint
 
-// RecordBefore adds a point if one is due, of a state that is about to apply the log entry at an
-// index.
+// RecordBefore must be called before s applies the log entry at index. It adds a point at the last
+// multiple of checksumInterval before index, unless that point is already recorded or s has applied
+// later entries.
 func (c ChecksumHistory) RecordBefore(index uint64, s *State) ChecksumHistory {
 	pointIndex := (index - 1) / checksumInterval * checksumInterval
 	if pointIndex == 0 || pointIndex < s.AppliedIndex || len(c) > 0 && c[len(c)-1].Index >= pointIndex {
-		return c // the state is beyond it, or it is recorded
+		return c
 	}
 	c = append(c, ChecksumPoint{pointIndex, s.Checksum.StartIndex, s.Checksum.Sum})
 	return c[max(0, len(c)-maxChecksumPoints):]
 }
 
-// Diverged compares a node's points with those of the other voters. It reports whether a majority
-// of all voters agrees on another checksum, and at which log index. Only the newest index on which
-// a majority is known to agree counts.
+// Diverged compares a node's points with those of the other voters. It looks for the newest log index
+// at which a majority of all voters has the same checksum, and reports that index and whether the
+// majority's checksum differs from the node's own.
 func (c ChecksumHistory) Diverged(others []ChecksumHistory, voters int) (index uint64, diverged bool) {
 	for i := len(c) - 1; i >= 0; i-- {
 		local := c[i]
@@ -93,7 +95,8 @@
 	return 0, false
 }
 
-// countChecksumVotes counts the other nodes' checksums at a point that can be compared with a local one.
+// countChecksumVotes returns, for each checksum at the index and start index of the local point, how
+// many other nodes reported it.
 func countChecksumVotes(others []ChecksumHistory, local ChecksumPoint) map[uint64]int {
 	votes := map[uint64]int{}
 	for _, history := range others {
--- a/internal/cluster/kv/checksum_test.go
+++ b/internal/cluster/kv/checksum_test.go
@@ -12,9 +12,9 @@
 	"oxbowbridge/internal/cluster/lease"
 )
 
-// TestChecksumsShowDivergence: nodes that carry out the same log have the same checksums, also from a snapshot
-// on, of whichever version; one that has carried out something else once has others, for as
-// long as a checksum runs.
+// TestChecksumsShowDivergence checks that nodes that apply the same log have the same checksums, also
+// after restoring a snapshot, and that a node that applied one entry with another outcome has
+// different checksums from then on until the checksum is reset.
 func TestChecksumsShowDivergence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type entry struct {
@@ -23,7 +23,7 @@
 			r     Request
 		}
 		var entries []entry
-		for i := uint64(1); len(entries) < 120; i += rapid.Uint64Range(1, 3).Draw(t, "step") { // some indexes are no commands
+		for i := uint64(1); len(entries) < 120; i += rapid.Uint64Range(1, 3).Draw(t, "step") { // gaps: other entry types
 			r := Request{TimeMS: int64(i), LeaseOps: []lease.Op{{Kind: lease.OpAcquire, Name: fmt.Sprint("n", i%5), Holder: fmt.Sprint("h", i), TTLMS: 1000}}}
 			if rapid.Bool().Draw(t, "key") {
 				r = Request{TimeMS: int64(i), Then: []Op{{Kind: "put", Key: fmt.Sprint("k", i%7), Value: json.RawMessage(`1`)}}}
@@ -33,13 +33,13 @@
 			entries = append(entries, entry{i, data, r})
 		}
 		snapshotPosition := rapid.IntRange(1, len(entries)-1).Draw(t, "snapshot")
-		divergentPosition := rapid.IntRange(0, len(entries)-1).Draw(t, "odd")
+		divergentPosition := rapid.IntRange(0, len(entries)-1).Draw(t, "divergent")
 		applyEntries := func(s *State, from int, divergent int) (*State, ChecksumHistory) {
 			var history ChecksumHistory
 			for i, e := range entries[from:] {
 				var applyErr error
 				if from+i == divergent {
-					applyErr = errors.New("carried out as something else")
+					applyErr = errors.New("applied with another outcome")
 				}
 				history = history.RecordBefore(e.index, s)
 				s.ApplyEntry(e.index, e.data, &e.r, applyErr)
@@ -58,7 +58,7 @@
 		_, restoredHistory := applyEntries(restored, snapshotPosition, -1)
 		_, divergentHistory := applyEntries(New(), 0, divergentPosition)
 		_, diverged := restoredHistory.Diverged([]ChecksumHistory{reference, reference}, 3)
-		require.False(t, diverged, "a snapshot changes nothing")
+		require.False(t, diverged, "a node that restored a snapshot must not be reported as diverged")
 		for _, point := range restoredHistory {
 			require.Contains(t, reference, point)
 		}
@@ -69,14 +69,14 @@
 			require.Equal(t, lastIndex, index)
 		}
 		_, diverged = reference.Diverged([]ChecksumHistory{divergentHistory, reference}, 3)
-		require.False(t, diverged, "most agree with it")
+		require.False(t, diverged, "a majority of the voters has the same checksum")
 		_, diverged = divergentHistory.Diverged([]ChecksumHistory{reference, reference}, 5)
-		require.False(t, diverged, "two of five are not most")
+		require.False(t, diverged, "two of five voters are not a majority")
 	})
 }
 
-// TestChecksumStartsAnew: states whose checksums began at different indexes are not compared until
-// both begin at the same one.
+// TestChecksumStartsAnew checks that states whose checksums started at different indexes are not
+// compared until both checksums have been reset at the same index.
 func TestChecksumStartsAnew(t *testing.T) {
 	applyRange := func(s *State, from, to uint64) (history ChecksumHistory) {
 		for i := from; i <= to; i++ {
--- a/internal/cluster/kv/doc.go
+++ b/internal/cluster/kv/doc.go
@@ -1,10 +1,14 @@
-// Package kv is the replicated state of the store: keys with revisions, transactions, leases,
-// and client sessions that have a repeated write take effect once. It does no I/O and reads no
-// clock: the same log entries in the same order give the same state on every node.
+// Package kv implements the replicated state machine of the store: keys with revisions,
+// transactions, leases, and client sessions, which make a retried write take effect only once. The
+// package does no I/O and reads no clock: the same log entries in the same order produce the same
+// state on every node.
 //
-// The revision of a key is the index of the log entry that wrote it. Time is the log's own: the
-// leader stamps each request, and State advances by at most a minute per request and never back, so
-// that all nodes end idle sessions at the same entry. That limit holds for one request only: a leader
-// whose stamps are far ahead ends all idle sessions within some ten. So it goes on from the log's time
-// by the time that passes while it leads (the store's logClock), and not by its wall clock.
+// The revision of a key is the index of the log entry that wrote it.
+//
+// Sessions expire by log time, so that all nodes expire them at the same log entry. The leader puts a
+// timestamp on each request. State advances its log time to that timestamp, by at most one minute per
+// request and never backwards. The limit alone does not protect sessions from a leader whose clock is
+// far ahead: about ten of its requests would expire all idle sessions. The leader therefore derives
+// its timestamps from the log time plus the time that has passed since its election (logClock of
+// package store), and not from its wall clock.
 package kv
--- a/internal/cluster/kv/golden_test.go
+++ b/internal/cluster/kv/golden_test.go
@@ -13,7 +13,7 @@
 	"oxbowbridge/internal/testrig/golden"
 )
 
-// TestGoldenTypes: log entries, snapshots and answers keep their JSON.
+// TestGoldenTypes checks that the JSON encoding of log entries, snapshots and responses is unchanged.
 func TestGoldenTypes(t *testing.T) {
 	golden.JSON(t, "testdata/types.golden",
 		golden.Sample{Name: "entry", Value: &Entry{}},
@@ -30,14 +30,15 @@
 	)
 }
 
-// TestGoldenKeys: names and limits that other nodes, backups and the log rely on.
+// TestGoldenKeys checks that the reserved keys and the limits are unchanged. Other nodes, backups and
+// existing logs depend on them.
 func TestGoldenKeys(t *testing.T) {
 	golden.Text(t, "testdata/keys.golden", fmt.Sprintln(
 		ReservedPrefix, ClusterIDKey, RestoreMarkerKey, PreviousClustersKey, RemovedMemberPrefix, PreferredVoterPrefix, LeasesEnabledKey, ServiceStatePrefix,
 		MaxKeyBytes, MaxValueBytes, MaxKeys, MaxOps, MaxSessions, MaxCachedResponses, MaxCachedResponseBytes, SessionTimeoutMS, maxClockAdvanceMS, checksumInterval, maxChecksumPoints, checksumResetInterval))
 }
 
-// TestGoldenErrors: texts of errors, which answers over HTTP contain.
+// TestGoldenErrors checks that the error texts are unchanged. HTTP responses contain them.
 func TestGoldenErrors(t *testing.T) {
 	var lines strings.Builder
 	for _, err := range []error{ErrFull, ErrSessionNotFound, ErrStaleRequest, ErrFenced, ErrRestoring, ErrInvalidRequest} {
@@ -55,8 +56,8 @@
 	golden.Text(t, "testdata/errors.golden", lines.String())
 }
 
-// TestGoldenLog: a log as nodes have written it gives the same answers, changed keys,
-// running checksum and snapshot.
+// TestGoldenLog checks that applying a log of an earlier version still produces the same responses,
+// changed keys, running checksums and snapshot.
 func TestGoldenLog(t *testing.T) {
 	var lines strings.Builder
 	s := New()
--- a/internal/cluster/kv/kv_test.go
+++ b/internal/cluster/kv/kv_test.go
@@ -15,7 +15,7 @@
 	"oxbowbridge/internal/testrig/rapidseed"
 )
 
-// TestMain has rapid try the same requests each time, unless a seed is given.
+// TestMain fixes the seed of rapid, so that each run generates the same requests unless a seed is given.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	rapidseed.Fix()
@@ -47,7 +47,7 @@
 		_, _, err := s.Apply(9, &r)
 		assert.ErrorIs(t, err, ErrInvalidRequest)
 		before.AppliedIndex = 9
-		assert.Equal(t, before, s, "a request that is turned down changes nothing")
+		assert.Equal(t, before, s, "an invalid request must only advance the applied index")
 	}
 	assert.ErrorIs(t, (&Request{Then: make([]Op, MaxOps+1)}).ValidateSize(), ErrInvalidRequest)
 	full := New()
@@ -60,8 +60,8 @@
 	assert.Equal(t, "1", string(full.Entries["0"].Value))
 }
 
-// TestSessions: whatever is repeated, late or in another order, takes effect once and
-// gets its first answer, or none at all.
+// TestSessions checks that a request of a session takes effect at most once, however often and in
+// whatever order it is retried, and that a retry gets the first response or ErrStaleRequest.
 func TestSessions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := New()
@@ -73,7 +73,7 @@
 			entryBefore := s.Entries["k"]
 			response, changed, err := s.Apply(s.AppliedIndex+1, &r)
 			if firstResponse, repeated := firstResponses[number]; repeated {
-				require.Empty(t, changed, "twice")
+				require.Empty(t, changed, "the request was applied twice")
 				require.Equal(t, entryBefore, s.Entries["k"])
 				if err == nil {
 					require.Equal(t, firstResponse, response)
@@ -94,7 +94,7 @@
 	})
 }
 
-// restoreFromSnapshot is the state after a snapshot.
+// restoreFromSnapshot encodes a state as a snapshot and returns the decoded state.
 func restoreFromSnapshot(t require.TestingT, s *State) *State {
 	snapshot, err := json.Marshal(s)
 	require.NoError(t, err)
@@ -107,19 +107,19 @@
 	s := New()
 	id := mustApply(t, s, Request{OpenSession: true, TimeMS: 1000}).SessionID
 	request := Request{SessionID: id, RequestNumber: 1, Then: []Op{putOp("k", "1")}, TimeMS: 1000 + SessionTimeoutMS}
-	for s.LogTimeMS < 1000+SessionTimeoutMS { // each request moves it on by so much at most
+	for s.LogTimeMS < 1000+SessionTimeoutMS { // each request advances the log time by at most maxClockAdvanceMS
 		mustApply(t, s, Request{Then: []Op{putOp("x", "1")}, TimeMS: 1000 + SessionTimeoutMS})
 	}
 	mustApply(t, s, request)
-	mustApply(t, s, Request{Then: []Op{putOp("x", "1")}, TimeMS: 5}) // another leader's clock is behind
+	mustApply(t, s, Request{Then: []Op{putOp("x", "1")}, TimeMS: 5}) // a leader whose clock is behind
 	assert.EqualValues(t, 1000+SessionTimeoutMS, s.LogTimeMS)
-	mustApply(t, s, Request{Then: []Op{putOp("x", "2")}, TimeMS: 1 << 50}) // or far ahead
+	mustApply(t, s, Request{Then: []Op{putOp("x", "2")}, TimeMS: 1 << 50}) // a leader whose clock is far ahead
 	assert.EqualValues(t, 1000+SessionTimeoutMS+maxClockAdvanceMS, s.LogTimeMS)
 	for range SessionTimeoutMS / maxClockAdvanceMS {
 		mustApply(t, s, Request{Then: []Op{putOp("x", "2")}, TimeMS: 1 << 50})
 	}
 	_, _, err := s.Apply(99, &request)
-	assert.ErrorIs(t, err, ErrSessionNotFound, "it must not run again")
+	assert.ErrorIs(t, err, ErrSessionNotFound, "a request of an expired session must not be applied again")
 	assert.EqualValues(t, 1, s.Entries["k"].Version)
 	for range MaxSessions {
 		mustApply(t, s, Request{OpenSession: true})
@@ -128,8 +128,9 @@
 	assert.ErrorIs(t, err, ErrFull)
 }
 
-// TestFenced: what rests on a lease is done only while it is held under that token; a
-// repeat of what was done is answered as it was; an entry without operations ends idle sessions.
+// TestFenced checks that a request with a fencing token is applied only while the lease is held under
+// that token; that a retry of an applied request gets its first response even after the lease was
+// released; and that requests without operations expire idle sessions.
 func TestFenced(t *testing.T) {
 	s := New()
 	response, _, err := s.Apply(1, &Request{TokenFloor: 100, LeaseOps: []lease.Op{{Kind: lease.OpAcquire, Name: "job", Holder: "h", TTLMS: 5000},
--- a/internal/cluster/kv/request.go
+++ b/internal/cluster/kv/request.go
@@ -41,29 +41,31 @@
 // Get returns an operation that reads a key.
 func Get(key string) Op { return Op{Kind: OpGet, Key: key} }
 
-// Compare holds if the key has the revision. The revision of a key that does not exist is 0.
+// Compare is the condition that a key has a revision. The revision of a key that does not exist is 0.
 type Compare struct {
 	Key      string `json:"key"`
 	Revision uint64 `json:"revision"`
 }
 
-// Request is one entry of the log. All of it takes effect, or nothing. It is one of: a new
-// session (OpenSession), operations on leases (LeaseOps), or a transaction (the rest).
+// Request is the content of one log entry. It opens a session (OpenSession), operates on leases
+// (LeaseOps), or is a transaction (the other fields). A transaction is applied completely or not at
+// all; each lease operation succeeds or fails on its own.
 type Request struct {
-	TimeMS        int64                `json:"time_ms"`           // the leader's stamp, Unix milliseconds
-	OpenSession   bool                 `json:"open,omitempty"`    // nothing but TimeMS is read then
-	LeaseOps      []lease.Op           `json:"leases,omitempty"`  // each succeeds or fails on its own
-	TokenFloor    uint64               `json:"floor,omitempty"`   // fencing tokens given from now on are higher
-	Fences        []lease.FencingToken `json:"fence,omitempty"`   // all must be held, or the result is ErrFenced
-	SessionID     uint64               `json:"session,omitempty"` // 0 is none
-	RequestNumber uint64               `json:"number,omitempty"`  // in the session, from 1; larger for each new request
-	If            []Compare            `json:"if,omitempty"`      // if all hold, Then is carried out, otherwise Else
+	TimeMS        int64                `json:"time_ms"`           // timestamp that the leader set, Unix milliseconds
+	OpenSession   bool                 `json:"open,omitempty"`    // if true, all other fields but TimeMS are ignored
+	LeaseOps      []lease.Op           `json:"leases,omitempty"`  // applied independently of each other
+	TokenFloor    uint64               `json:"floor,omitempty"`   // later fencing tokens are higher; 0: no floor
+	Fences        []lease.FencingToken `json:"fence,omitempty"`   // leases that must be held, else ErrFenced
+	SessionID     uint64               `json:"session,omitempty"` // session of the request; 0 if it has none
+	RequestNumber uint64               `json:"number,omitempty"`  // from 1, ascending in the session
+	If            []Compare            `json:"if,omitempty"`      // if all hold, Then is applied, otherwise Else
 	Then          []Op                 `json:"then"`
 	Else          []Op                 `json:"else,omitempty"`
 }
 
-// ValidateSize checks the number of operations of a request before it enters the log. Apply does not
-// check it: entries of earlier versions may have more. Its error wraps ErrInvalidRequest.
+// ValidateSize checks the number of operations of a request. It must be called before the request is
+// appended to the log: Apply does not check the number, because log entries of earlier versions may
+// have more operations. The error wraps ErrInvalidRequest.
 func (r *Request) ValidateSize() error {
 	if len(r.LeaseOps) > lease.MaxOpsPerEntry || len(r.Fences) > MaxOps || len(r.If) > MaxOps || len(r.Then) > MaxOps || len(r.Else) > MaxOps {
 		return fmt.Errorf("%w: more than %d compares or operations", ErrInvalidRequest, MaxOps)
@@ -71,7 +73,8 @@
 	return nil
 }
 
-// Validate checks what no state would accept. Its error wraps ErrInvalidRequest.
+// Validate checks the parts of a request that do not depend on the state. The error wraps
+// ErrInvalidRequest.
 func (r *Request) Validate() error {
 	if r.SessionID != 0 && r.RequestNumber == 0 {
 		return fmt.Errorf("%w: a session's requests are numbered from 1", ErrInvalidRequest)
@@ -111,7 +114,7 @@
 	return nil
 }
 
-// Result is the outcome of an operation of a transaction: the key after it.
+// Result is the outcome of one operation of a transaction: the key as the operation left it.
 type Result struct {
 	Key      string          `json:"key"`
 	Revision uint64          `json:"revision"`        // 0 if the key does not exist
@@ -120,10 +123,10 @@
 
 // Response is the outcome of a request.
 type Response struct {
-	Succeeded     bool           `json:"held"`              // all compares held (nothing to do with leases), and Then was carried out
-	Revision      uint64         `json:"revision"`          // the log entry's index
-	SessionID     uint64         `json:"session,omitempty"` // that was opened
-	Results       []Result       `json:"results,omitempty"` // one for each operation
-	LeaseResults  []lease.Result `json:"leases,omitempty"`  // one for each operation on a lease
-	GrantedLeases []string       `json:"given,omitempty"`   // leases that were granted to a waiter
+	Succeeded     bool           `json:"held"`              // all conditions of If held and Then was applied
+	Revision      uint64         `json:"revision"`          // index of the request's log entry
+	SessionID     uint64         `json:"session,omitempty"` // the new session, if the request opened one
+	Results       []Result       `json:"results,omitempty"` // one for each operation of Then or Else
+	LeaseResults  []lease.Result `json:"leases,omitempty"`  // one for each operation of LeaseOps
+	GrantedLeases []string       `json:"given,omitempty"`   // names of leases that were granted to a waiter
 }
--- a/internal/cluster/kv/session.go
+++ b/internal/cluster/kv/session.go
@@ -8,17 +8,17 @@
 
 // Limits of a session.
 const (
-	MaxCachedResponses     = 16             // responses that are cached for one session
-	MaxCachedResponseBytes = 64 << 10       // of values that one cached response may contain
-	SessionTimeoutMS       = 10 * 60 * 1000 // milliseconds of log time after which an idle session ends
+	MaxCachedResponses     = 16             // max. responses that are cached for one session
+	MaxCachedResponseBytes = 64 << 10       // max. bytes of values in one cached response
+	SessionTimeoutMS       = 10 * 60 * 1000 // log time in milliseconds after which an idle session expires
 )
 
-// session is one client's. Its request numbers grow; a request that is repeated gets the cached
-// response of the first time.
+// session is the session of one client. Each new request has a higher number than the previous one. A
+// retried request gets the cached response of its first attempt.
 type session struct {
-	LastSeenMS  int64            `json:"seen_ms"` // log time of its last request, Unix milliseconds
-	LastRequest uint64           `json:"last"`    // the highest request number that was carried out
-	Cached      []cachedResponse `json:"kept"`    // at most SessionWindow, the newest last
+	LastSeenMS  int64            `json:"seen_ms"` // log time of the last request, Unix milliseconds
+	LastRequest uint64           `json:"last"`    // the highest request number that was applied
+	Cached      []cachedResponse `json:"kept"`    // at most MaxCachedResponses, in the order of the requests
 }
 
 type cachedResponse struct {
@@ -30,7 +30,8 @@
 	return &session{LastSeenMS: x.LastSeenMS, LastRequest: x.LastRequest, Cached: slices.Clone(x.Cached)}
 }
 
-// cacheResponse caches the response to a new request.
+// cacheResponse records the response to a new request, and drops the oldest cached responses beyond
+// MaxCachedResponses.
 func (x *session) cacheResponse(number uint64, response Response) {
 	x.LastRequest = number
 	x.Cached = append(x.Cached, cachedResponse{number, response})
@@ -38,7 +39,7 @@
 	x.Cached = slices.Delete(x.Cached, 0, excess)
 }
 
-// openSession opens a session whose id is the log entry's index.
+// openSession opens a session. Its id is the index of the log entry.
 func (s *State) openSession(index uint64) (Response, error) {
 	if len(s.Sessions) >= MaxSessions {
 		return Response{}, fmt.Errorf("%w: %d sessions are open", ErrFull, len(s.Sessions))
@@ -47,12 +48,13 @@
 	return Response{Succeeded: true, Revision: index, SessionID: index}, nil
 }
 
-// endIdleSessions ends the sessions that have been idle for longer than SessionTimeoutMS.
-func (s *State) endIdleSessions() {
+// expireIdleSessions removes the sessions that have been idle for longer than SessionTimeoutMS.
+func (s *State) expireIdleSessions() {
 	maps.DeleteFunc(s.Sessions, func(_ uint64, x *session) bool { return s.LogTimeMS-x.LastSeenMS > SessionTimeoutMS })
 }
 
-// applyInSession carries out a request of a session, unless that was done before.
+// applyInSession applies a request of a session, unless it was applied before: then it returns the
+// cached response, or ErrStaleRequest.
 func (s *State) applyInSession(index uint64, r *Request) (Response, []string, error) {
 	x := s.Sessions[r.SessionID]
 	if x == nil {
--- a/internal/cluster/kv/state.go
+++ b/internal/cluster/kv/state.go
@@ -11,34 +11,35 @@
 
 // Limits of the state.
 const (
-	MaxKeys     = 1000 // with those that were deleted
+	MaxKeys     = 1000 // includes deleted keys
 	MaxSessions = 1000
 )
 
-// maxClockAdvanceMS is by how many milliseconds one request may advance the log's time: a leader
-// whose clock is far ahead must not end all sessions at once.
+// maxClockAdvanceMS limits by how many milliseconds one request may advance the log time, so that one
+// request of a leader whose clock is far ahead does not expire all sessions.
 const maxClockAdvanceMS = 60 * 1000
 
-// Entry is a key. A deleted key stays, so that the store of record learns of it.
+// Entry is the state of one key. The entry of a deleted key is kept, so that the deletion also reaches
+// the SQL mirror.
 type Entry struct {
-	Value          json.RawMessage `json:"value,omitempty"`   // left out if nil: null would be decoded as a value
-	ModRevision    uint64          `json:"index"`             // of the last put or delete
-	CreateRevision uint64          `json:"created,omitempty"` // of the first put since it did not exist
+	Value          json.RawMessage `json:"value,omitempty"`   // omitted if nil, because null would be decoded as a value
+	ModRevision    uint64          `json:"index"`             // revision of the last put or delete
+	CreateRevision uint64          `json:"created,omitempty"` // revision of the put that created the key
 	Version        uint64          `json:"version,omitempty"` // number of puts since CreateRevision
 	Deleted        bool            `json:"gone"`
 }
 
-// State is the replicated state. A snapshot holds its exported fields. It is not safe for
-// concurrent use.
+// State is the replicated state. Snapshots contain its exported fields. It is not safe for concurrent
+// use.
 type State struct {
-	AppliedIndex uint64              `json:"applied"` // log index of the last entry
-	LogTimeMS    int64               `json:"time_ms"` // the log's time, Unix milliseconds; never goes back
+	AppliedIndex uint64              `json:"applied"` // index of the last applied log entry
+	LogTimeMS    int64               `json:"time_ms"` // log time, Unix milliseconds; never decreases
 	Entries      map[string]Entry    `json:"entries"`
 	Sessions     map[uint64]*session `json:"sessions"`
 	Leases       *lease.State        `json:"leases"`
 	Checksum     Checksum            `json:"sum"`
 
-	valueBytes int // or bytesUnknown
+	valueBytes int // size of all values, or valueBytesUnknown
 }
 
 const valueBytesUnknown = -1
@@ -53,7 +54,7 @@
 	}
 }
 
-// Clone returns a copy that shares only the values, which nothing changes.
+// Clone returns a copy. It shares only the bytes of the values, which are never modified.
 func (s *State) Clone() *State {
 	c := &State{
 		AppliedIndex: s.AppliedIndex,
@@ -81,7 +82,7 @@
 	return s.valueBytes
 }
 
-// Revision of a key; 0 if it does not exist.
+// Revision returns the revision of a key, or 0 if the key does not exist.
 func (s *State) Revision(key string) uint64 {
 	if e, ok := s.Entries[key]; ok && !e.Deleted {
 		return e.ModRevision
@@ -89,9 +90,9 @@
 	return 0
 }
 
-// ApplyEntry applies the log entry at an index, whose bytes are data, and extends the running
-// checksum. r is the request that data decodes to; if it does not, decodeErr says so and nothing
-// but the index is recorded. It returns the keys that it changed, sorted.
+// ApplyEntry applies the log entry at an index and extends the running checksum. data is the encoded
+// entry and r the decoded request. If decoding failed, decodeErr is its error, and only the index and
+// the checksum advance. ApplyEntry returns the changed keys, sorted.
 func (s *State) ApplyEntry(index uint64, data []byte, r *Request, decodeErr error) (response Response, changed []string, err error) {
 	if decodeErr != nil {
 		s.AppliedIndex = index
@@ -103,8 +104,8 @@
 	return response, changed, err
 }
 
-// Apply carries out one request under its index in the log, which becomes the revision of the
-// keys that it writes. It returns those keys, sorted.
+// Apply applies the request of the log entry at an index. The index becomes the revision of the keys
+// that the request writes. Apply returns the changed keys, sorted.
 func (s *State) Apply(index uint64, r *Request) (response Response, changed []string, err error) {
 	s.AppliedIndex = index
 	s.advanceLogTime(r.TimeMS)
@@ -127,8 +128,8 @@
 	return s.applyTxn(index, r)
 }
 
-// advanceLogTime moves the log's time on, never back and by at most maxClockAdvanceMS, and ends the
-// sessions that have been idle for too long by it.
+// advanceLogTime advances the log time to a request's timestamp, by at most maxClockAdvanceMS and never
+// backwards, and then expires idle sessions.
 func (s *State) advanceLogTime(timeMS int64) {
 	if s.LogTimeMS != 0 {
 		timeMS = min(timeMS, s.LogTimeMS+maxClockAdvanceMS)
@@ -137,7 +138,7 @@
 		return
 	}
 	s.LogTimeMS = timeMS
-	s.endIdleSessions()
+	s.expireIdleSessions()
 }
 
 func (s *State) applyLeaseOps(index uint64, ops []lease.Op) Response {
@@ -152,8 +153,9 @@
 	return response
 }
 
-// isBlockedByRestore reports whether a request writes users' keys while a backup is being
-// restored, without being part of the restore: the restore's own requests compare its marker.
+// isBlockedByRestore reports whether a request writes user keys while a backup is being restored,
+// without being part of the restore. Requests that are part of it compare RestoreMarkerKey with its
+// revision.
 func (s *State) isBlockedByRestore(r *Request) bool {
 	marker := s.Revision(RestoreMarkerKey)
 	if marker == 0 || slices.Contains(r.If, Compare{RestoreMarkerKey, marker}) {
@@ -164,7 +166,7 @@
 	})
 }
 
-// checkFences makes sure that all leases that a request depends on are held.
+// checkFences returns ErrFenced unless each of the leases is held under its token.
 func (s *State) checkFences(fences []lease.FencingToken) error {
 	for _, f := range fences {
 		if !s.Leases.IsHeld(f.Name, f.Token) {
--- a/internal/cluster/kv/txn.go
+++ b/internal/cluster/kv/txn.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// applyTxn carries out a transaction. All changes are worked out beside the state first, so that
-// nothing is done if a limit is exceeded.
+// applyTxn applies a transaction. It collects all changes before it commits them, so that the state is
+// unchanged if a limit is exceeded.
 func (s *State) applyTxn(index uint64, r *Request) (Response, []string, error) {
 	if s.isBlockedByRestore(r) {
 		return Response{}, nil, ErrRestoring
@@ -42,9 +42,9 @@
 type txn struct {
 	state     *State
 	revision  uint64
-	pending   map[string]Entry // by key
-	newKeys   int              // keys that the state does not have, not even as deleted
-	readBytes int              // of values that were read
+	pending   map[string]Entry // uncommitted changes by key
+	newKeys   int              // keys that the state has no entry for, not even a deleted one
+	readBytes int              // size of the values that the operations read
 }
 
 func (t *txn) apply(op Op) Result {
@@ -70,7 +70,7 @@
 	return Result{Key: op.Key}
 }
 
-// lookup returns a key as the transaction has left it so far.
+// lookup returns the entry of a key, including the changes of earlier operations of the transaction.
 func (t *txn) lookup(key string) (entry Entry, known bool) {
 	if entry, known = t.pending[key]; known {
 		return entry, true
@@ -86,8 +86,8 @@
 	return Entry{Value: op.Value, ModRevision: t.revision, CreateRevision: t.revision, Version: 1}
 }
 
-// checkLimits makes sure that the state has capacity for the new keys, and that the response can
-// be cached if it is part of a session.
+// checkLimits checks that the state has capacity for the new keys and, if the request is part of a
+// session, that the response is small enough to be cached.
 func (t *txn) checkLimits(inSession bool) error {
 	if len(t.state.Entries)+t.newKeys > MaxKeys {
 		return fmt.Errorf("%w: %d keys", ErrFull, len(t.state.Entries))
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// commit puts the pending changes into the state, and returns the changed keys, sorted.
+// commit applies the pending changes to the state, and returns the changed keys, sorted.
 func (t *txn) commit() (changed []string) {
 	s := t.state
 	for key, entry := range t.pending {
