--- a/internal/cluster/kv/doc.go
+++ b/internal/cluster/kv/doc.go
@@ -7,8 +7,8 @@
 //
 // Sessions expire by log time, so that all nodes expire them at the same log entry. The leader puts a
 // timestamp on each request. State advances its log time to that timestamp, by at most one minute per
-// request and never backwards. The limit alone does not protect sessions from a leader whose clock is
-// far ahead: about ten of its requests would expire all idle sessions. The leader therefore derives
-// its timestamps from the log time plus the time that has passed since its election (logClock of
-// package store), and not from its wall clock.
+// request and never backwards. This limit alone does not protect sessions from a leader whose clock is
+// far ahead: about ten of its requests would expire all idle sessions. The leader therefore does not
+// use its wall clock. It derives each timestamp from the log time plus the time that has passed while
+// it is the leader (the log clock of package store).
 package kv
--- a/internal/cluster/raftstorage/configuration.go
+++ b/internal/cluster/raftstorage/configuration.go
@@ -7,34 +7,35 @@
 	"github.com/hashicorp/raft"
 )
 
-// Configuration is a configuration of the cluster, and the index of its log entry: 0 if there is none.
+// Configuration is a Raft membership configuration and the index of its log entry, or 0 if no
+// configuration is stored.
 type Configuration struct {
 	raft.Configuration
 	Index uint64
 }
 
-// configurationCache is the last configuration in the log, or in the snapshot below it, once it was
-// looked up.
+// configurationCache caches the result of Storage.Configuration.
 type configurationCache struct {
 	mu            sync.Mutex
 	known         bool
 	configuration Configuration
 }
 
-// invalidate has the configuration looked up again.
+// invalidate discards the cached configuration, so that the next call of Storage.Configuration reads it
+// from disk.
 func (c *configurationCache) invalidate() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.known = false
 }
 
-// set is called with the lock held.
+// set caches a configuration. The caller must hold c.mu.
 func (c *configurationCache) set(conf Configuration) {
 	c.known = true
 	c.configuration = conf
 }
 
-// setFromEntries takes over a configuration among appended entries.
+// setFromEntries caches the last configuration among newly appended log entries, if there is one.
 func (c *configurationCache) setFromEntries(entries []*raft.Log) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -45,8 +46,8 @@
 	}
 }
 
-// Configuration is the last one in the log or, below it, in the newest snapshot. It may not be
-// committed yet.
+// Configuration returns the last configuration in the log or, if the log has none, the configuration of
+// the newest snapshot. The configuration may not be committed yet.
 func (s *Storage) Configuration() (Configuration, error) {
 	s.configCache.mu.Lock()
 	defer s.configCache.mu.Unlock()
@@ -73,7 +74,7 @@
 	for i := last; i >= first && i > conf.Index; i-- {
 		var entry raft.Log
 		switch err := s.GetLog(i, &entry); {
-		case errors.Is(err, raft.ErrLogNotFound): // cut off meanwhile
+		case errors.Is(err, raft.ErrLogNotFound): // deleted by a concurrent call of DeleteRange
 		case err != nil:
 			return conf, err
 		case entry.Type == raft.LogConfiguration:
--- a/internal/cluster/raftstorage/fail_stop_test.go
+++ b/internal/cluster/raftstorage/fail_stop_test.go
@@ -9,8 +9,9 @@
 	"oxbowbridge/internal/storage/durable/faultfs"
 )
 
-// TestFailStop: where Raft would end the process, as it can't keep a term, the goroutine
-// ends, and the node is told once; an append that fails comes back as an error.
+// TestFailStop checks that a failed write of the term, for which Raft would exit the process, exits only
+// the calling goroutine; that a failed append returns an error; and that only the first failure is
+// reported.
 func TestFailStop(t *testing.T) {
 	fs := &faultfs.FS{}
 	storage, _, err := OpenFS(fs)
--- a/internal/cluster/raftstorage/golden_test.go
+++ b/internal/cluster/raftstorage/golden_test.go
@@ -15,7 +15,8 @@
 	"oxbowbridge/internal/storage/durable/faultfs"
 )
 
-// TestGoldenKeys: every key of a folder that a released version wrote, with its bytes.
+// TestGoldenKeys checks that all kinds of stored keys and values have the same bytes as in released
+// versions.
 func TestGoldenKeys(t *testing.T) {
 	storage, _, err := OpenFS(&faultfs.FS{})
 	require.NoError(t, err)
--- a/internal/cluster/raftstorage/local.go
+++ b/internal/cluster/raftstorage/local.go
@@ -8,10 +8,10 @@
 
 func localKey(key string) []byte { return []byte(prefixLocal + key) }
 
-// PutLocal writes and syncs a value of the node, which is not Raft's.
+// PutLocal writes and syncs a local value of the node, separate from Raft's stable values.
 func (s *Storage) PutLocal(key string, value []byte) error { return s.store.Put(localKey(key), value) }
 
-// PutLocalUnsynced writes a value of the node that need not survive a loss of power.
+// PutLocalUnsynced writes a local value of the node without a sync. A power failure may lose the value.
 func (s *Storage) PutLocalUnsynced(key string, value []byte) error {
 	var b durable.Batch
 	b.Put(localKey(key), value, 0)
@@ -19,7 +19,7 @@
 	return err
 }
 
-// GetLocal reads a value of the node; nil if it was never written.
+// GetLocal reads a local value of the node. It returns nil if the value was never written.
 func (s *Storage) GetLocal(key string) ([]byte, error) {
 	v, err := s.store.Get(localKey(key), 0)
 	if errors.Is(err, durable.ErrNotFound) {
--- a/internal/cluster/raftstorage/log.go
+++ b/internal/cluster/raftstorage/log.go
@@ -10,22 +10,23 @@
 	"oxbowbridge/internal/storage/durable/stream"
 )
 
-// IsMonotonic has Raft leave no gap in the log.
+// IsMonotonic implements raft.MonotonicLogStore: the log must not have gaps, so after installing a
+// snapshot Raft deletes all log entries.
 func (s *Storage) IsMonotonic() bool { return true }
 
-// FirstIndex is 0 if there is no entry.
+// FirstIndex returns the index of the first log entry, or 0 if the log is empty.
 func (s *Storage) FirstIndex() (uint64, error) {
 	first, _ := s.log.Bounds()
 	return first, nil
 }
 
-// LastIndex is 0 if there is no entry.
+// LastIndex returns the index of the last log entry, or 0 if the log is empty.
 func (s *Storage) LastIndex() (uint64, error) {
 	_, last := s.log.Bounds()
 	return last, nil
 }
 
-// GetLog reads one entry. Its error is raft.ErrLogNotFound if there is none.
+// GetLog reads one log entry. It returns raft.ErrLogNotFound if the entry does not exist.
 func (s *Storage) GetLog(index uint64, to *raft.Log) error {
 	b, err := s.log.Get(index)
 	if errors.Is(err, stream.ErrEntryNotFound) {
@@ -41,10 +42,11 @@
 	return nil
 }
 
-// StoreLog appends one entry, synced.
+// StoreLog appends and syncs one log entry.
 func (s *Storage) StoreLog(entry *raft.Log) error { return s.StoreLogs([]*raft.Log{entry}) }
 
-// StoreLogs appends entries, synced. After a crash only the first ones may be there.
+// StoreLogs appends and syncs log entries. After a crash during the call, the log may contain only the
+// first of them.
 func (s *Storage) StoreLogs(entries []*raft.Log) error {
 	for len(entries) > 0 {
 		encoded, err := encodeBatch(entries)
@@ -60,7 +62,7 @@
 	return nil
 }
 
-// encodeBatch encodes the first entries, up to appendBatchBytes and at least one.
+// encodeBatch encodes entries from the first one on, until their size reaches appendBatchBytes.
 func encodeBatch(entries []*raft.Log) (encoded [][]byte, err error) {
 	size := 0
 	for i, entry := range entries {
@@ -77,8 +79,8 @@
 	return encoded, nil
 }
 
-// DeleteRange cuts the entries from one index to another, both included, off at the front or at the
-// back.
+// DeleteRange deletes the log entries in a range of indexes, both ends included. The range must include
+// the first or the last entry of the log.
 func (s *Storage) DeleteRange(from, to uint64) error {
 	first, last := s.log.Bounds()
 	defer s.configCache.invalidate()
@@ -90,5 +92,5 @@
 	case to >= last:
 		return s.log.TruncateBack(from, durable.Synced)
 	}
-	return fmt.Errorf("entries %d to %d lie inside of %d to %d", from, to, first, last)
+	return fmt.Errorf("delete log entries %d to %d: the range must include the first (%d) or the last (%d) log entry", from, to, first, last)
 }
--- a/internal/cluster/raftstorage/log_entry.go
+++ b/internal/cluster/raftstorage/log_entry.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// entryFormatVersion is the first byte of an encoded entry.
+	// entryFormatVersion is the first byte of an encoded log entry.
 	entryFormatVersion = 1
-	// entryHeaderBytes is enough for what goes before the extensions.
+	// entryHeaderBytes is the buffer capacity for all fields before the extensions.
 	entryHeaderBytes = 32
 )
 
-var errMalformedEntry = errors.New("can't be read")
+var errMalformedEntry = errors.New("malformed encoding")
 
-// encodeEntry is a byte for the form, a byte for the type, the term, the time in Unix nanoseconds (0
-// is none) and the length of the extensions as varints, the extensions, and the data. The index is
-// in the key.
+// encodeEntry encodes a log entry: one byte for the format version, one byte for the type, then as
+// varints the term, the append time in Unix nanoseconds (0 if there is none) and the length of the
+// extensions, then the extensions and the data. The index is not encoded, as it is part of the key.
 func encodeEntry(l *raft.Log) []byte {
 	b := make([]byte, 0, entryHeaderBytes+len(l.Extensions)+len(l.Data))
 	b = append(b, entryFormatVersion, byte(l.Type))
@@ -34,7 +34,8 @@
 	return append(b, l.Data...)
 }
 
-// decodeEntry reads what encodeEntry wrote. to is changed only without an error; it shares b.
+// decodeEntry decodes the result of encodeEntry into to, which then shares memory with b. On an error,
+// to is unchanged.
 func decodeEntry(b []byte, to *raft.Log) error {
 	if len(b) < 2 || b[0] != entryFormatVersion {
 		return errMalformedEntry
--- a/internal/cluster/raftstorage/snapshot.go
+++ b/internal/cluster/raftstorage/snapshot.go
@@ -16,27 +16,27 @@
 )
 
 const (
-	// snapshotChunkBytes is the size of a snapshot's chunks, but for the last one.
+	// snapshotChunkBytes is the size of each chunk of a snapshot except the last one.
 	snapshotChunkBytes = 256 << 10
-	// retainedSnapshots is how many stay.
+	// retainedSnapshots is the number of snapshots that are kept.
 	retainedSnapshots = 2
 )
 
-var errSnapshotNotFound = errors.New("no such snapshot")
+var errSnapshotNotFound = errors.New("snapshot not found")
 
-// snapshotStore are those of one node. A snapshot is a number of chunks, and exists once its meta key
-// does.
+// snapshotStore contains the snapshots of one node. A snapshot consists of chunks and a meta key, and
+// exists only once its meta key is written.
 type snapshotStore struct {
 	store        *durable.Store
 	mu           sync.Mutex
-	createdCount uint64 // in this process; part of the IDs
+	createdCount uint64 // snapshots that this process has created; part of their IDs
 }
 
-// Create begins a snapshot.
+// Create returns a sink that writes a new snapshot.
 func (s *Storage) Create(version raft.SnapshotVersion, index, term uint64, conf raft.Configuration, confIndex uint64,
 	_ raft.Transport) (raft.SnapshotSink, error) {
 	if version != raft.SnapshotVersionMax {
-		return nil, fmt.Errorf("snapshots of version %d are not written", version)
+		return nil, fmt.Errorf("unsupported snapshot version %d", version)
 	}
 	meta := raft.SnapshotMeta{
 		Version:            version,
@@ -49,7 +49,7 @@
 	return &snapshotSink{snapshots: &s.snapshots, onClosed: s.configCache.invalidate, meta: meta}, nil
 }
 
-// newID is an ID that sorts by term and index.
+// newID returns a new snapshot ID. IDs sort by term and index.
 func (s *snapshotStore) newID(index, term uint64) string {
 	seq, _ := s.store.Seq()
 	s.mu.Lock()
@@ -58,16 +58,16 @@
 	return fmt.Sprintf("%020d-%020d-%d-%d", term, index, seq, s.createdCount)
 }
 
-// List is the snapshots, the newest first.
+// List returns the metadata of all snapshots, the newest first.
 func (s *Storage) List() ([]*raft.SnapshotMeta, error) { return s.snapshots.list() }
 
-// Open reads a snapshot.
+// Open returns the metadata of a snapshot and a reader of its content.
 func (s *Storage) Open(id string) (*raft.SnapshotMeta, io.ReadCloser, error) {
 	meta, err := s.snapshots.readMeta(id)
 	if err != nil {
 		return nil, nil, fmt.Errorf("snapshot %s: %w", id, err)
 	}
-	view, err := s.store.Snapshot() // it stays readable while newer snapshots replace this one
+	view, err := s.store.Snapshot() // keeps the chunks readable even if newer snapshots replace this one
 	if err != nil {
 		return nil, nil, err
 	}
@@ -111,7 +111,7 @@
 	return metas, errors.Join(err, malformed)
 }
 
-// removeUnfinished removes the chunks of snapshots without a meta key.
+// removeUnfinished deletes the chunks of snapshots that have no meta key.
 func (s *snapshotStore) removeUnfinished() error {
 	metas, err := s.list()
 	if err != nil {
@@ -131,7 +131,7 @@
 	return err
 }
 
-// snapshotIDsWithChunks are the IDs of all snapshots that have a chunk.
+// snapshotIDsWithChunks returns the IDs of all snapshots that have chunks, with or without a meta key.
 func (s *snapshotStore) snapshotIDsWithChunks() (ids []string, err error) {
 	view, err := s.store.Snapshot()
 	if err != nil {
@@ -153,7 +153,8 @@
 	b.DeleteRange([]byte(prefix), prefixEnd(prefix))
 }
 
-// prefixEnd is the first key behind those of a prefix, which must not end with 0xff.
+// prefixEnd returns the first key after all keys with the given prefix. The prefix must not end with
+// 0xff.
 func prefixEnd(prefix string) []byte {
 	end := []byte(prefix)
 	end[len(end)-1]++
--- a/internal/cluster/raftstorage/snapshot_reader.go
+++ b/internal/cluster/raftstorage/snapshot_reader.go
@@ -7,13 +7,14 @@
 	"oxbowbridge/internal/storage/durable"
 )
 
-// snapshotReader reads a snapshot, chunk by chunk. It is an error if one is missing or too long.
+// snapshotReader reads the content of a snapshot, chunk by chunk. A chunk that is missing, empty or too
+// long is an error.
 type snapshotReader struct {
 	view        *durable.Snapshot
 	id          string
 	nextChunk   uint64
-	unreadBytes int64  // beyond buffer
-	buffer      []byte // the rest of the last chunk
+	unreadBytes int64  // size of the chunks that have not been read
+	buffer      []byte // unread rest of the last chunk
 }
 
 func (r *snapshotReader) Read(p []byte) (int, error) {
@@ -36,7 +37,7 @@
 		return fmt.Errorf("snapshot %s, chunk %d: %w", r.id, r.nextChunk, err)
 	}
 	if len(chunk) == 0 || int64(len(chunk)) > r.unreadBytes {
-		return fmt.Errorf("snapshot %s, chunk %d: %d bytes, %d are left", r.id, r.nextChunk, len(chunk), r.unreadBytes)
+		return fmt.Errorf("snapshot %s, chunk %d: found %d bytes, want 1 to %d", r.id, r.nextChunk, len(chunk), r.unreadBytes)
 	}
 	r.nextChunk++
 	r.unreadBytes -= int64(len(chunk))
@@ -44,7 +45,7 @@
 	return nil
 }
 
-// Close lets go of the view.
+// Close releases the snapshot of the durable store.
 func (r *snapshotReader) Close() error {
 	r.view.Close()
 	return nil
--- a/internal/cluster/raftstorage/snapshot_sink.go
+++ b/internal/cluster/raftstorage/snapshot_sink.go
@@ -8,17 +8,17 @@
 	"oxbowbridge/internal/storage/durable"
 )
 
-// snapshotSink writes a snapshot, chunk by chunk.
+// snapshotSink writes the content of a snapshot, chunk by chunk.
 type snapshotSink struct {
 	snapshots     *snapshotStore
 	meta          raft.SnapshotMeta
-	buffer        []byte // not written yet
-	chunksWritten uint64 // written
-	finished      bool   // closed or cancelled
+	buffer        []byte // bytes that are not written yet
+	chunksWritten uint64
+	finished      bool // closed or cancelled
 	onClosed      func()
 }
 
-// ID is the snapshot's ID.
+// ID returns the ID of the snapshot.
 func (w *snapshotSink) ID() string { return w.meta.ID }
 
 func (w *snapshotSink) Write(p []byte) (int, error) {
@@ -32,7 +32,7 @@
 	return len(p), nil
 }
 
-// writeChunk writes a chunk of n bytes.
+// writeChunk writes the first n buffered bytes as the next chunk.
 func (w *snapshotSink) writeChunk(n int) error {
 	var b durable.Batch
 	b.Put(chunkKey(w.meta.ID, w.chunksWritten), w.buffer[:n], 0)
@@ -44,7 +44,8 @@
 	return nil
 }
 
-// Close makes the snapshot exist, and removes the older ones beyond retainedSnapshots.
+// Close writes the meta key, by which the snapshot comes into existence, and deletes the oldest
+// snapshots beyond retainedSnapshots.
 func (w *snapshotSink) Close() error {
 	if w.finished {
 		return nil
@@ -71,12 +72,12 @@
 		b.Delete(metaKey(older.ID))
 		deleteChunks(&b, older.ID)
 	}
-	_, err = w.snapshots.store.Apply(&b, durable.Synced) // the buffered chunks are synced with it
+	_, err = w.snapshots.store.Apply(&b, durable.Synced) // also syncs the chunks, which were written unsynced
 	w.onClosed()
 	return err
 }
 
-// Cancel removes what was written. After Close it does nothing.
+// Cancel deletes the written chunks. After Close it does nothing.
 func (w *snapshotSink) Cancel() error {
 	if w.finished {
 		return nil
--- a/internal/cluster/raftstorage/stable.go
+++ b/internal/cluster/raftstorage/stable.go
@@ -8,18 +8,18 @@
 	"oxbowbridge/internal/storage/durable"
 )
 
-// uint64Bytes is the length of a stored number.
+// uint64Bytes is the encoded size of a number.
 const uint64Bytes = 8
 
-// errKeyNotFound has the text by which Raft recognizes it.
+// errKeyNotFound has the text "not found" because Raft recognizes a missing key by this text.
 var errKeyNotFound = errors.New("not found")
 
 func stableKey(key []byte) []byte { return append([]byte(prefixStable), key...) }
 
-// Set writes a stable key, synced.
+// Set writes and syncs a stable value.
 func (s *Storage) Set(key, value []byte) error { return s.store.Put(stableKey(key), value) }
 
-// Get reads a stable key.
+// Get reads a stable value.
 func (s *Storage) Get(key []byte) ([]byte, error) {
 	v, err := s.store.Get(stableKey(key), 0)
 	if errors.Is(err, durable.ErrNotFound) {
@@ -28,12 +28,12 @@
 	return v, err
 }
 
-// SetUint64 writes a number under a stable key, synced.
+// SetUint64 writes and syncs a number as a stable value.
 func (s *Storage) SetUint64(key []byte, n uint64) error {
 	return s.Set(key, binary.BigEndian.AppendUint64(nil, n))
 }
 
-// GetUint64 reads a number; 0 if it was never set.
+// GetUint64 reads a number that SetUint64 wrote. It returns 0 if the key was never written.
 func (s *Storage) GetUint64(key []byte) (uint64, error) {
 	v, err := s.Get(key)
 	if errors.Is(err, errKeyNotFound) {
--- a/internal/cluster/raftstorage/storage.go
+++ b/internal/cluster/raftstorage/storage.go
@@ -11,32 +11,34 @@
 	"oxbowbridge/internal/storage/durable/vfs"
 )
 
-// The prefixes of keys in the durable store.
+// Prefixes of keys in the durable store.
 const (
-	prefixLog           = "l/" // log entries: the index, of 8 bytes
-	prefixStable        = "c/" // Raft's stable values, such as its current term and its vote: Raft's key
-	prefixLocal         = "k/" // values that the node keeps beside the log (PutLocal): the node's key
-	prefixSnapshotMeta  = "m/" // descriptions of snapshots: the snapshot's ID
-	prefixSnapshotChunk = "s/" // contents of snapshots: the ID, "/" and the chunk's number, of 8 bytes
+	prefixLog           = "l/" // log entries; followed by the index, 8 bytes
+	prefixStable        = "c/" // Raft's stable values, such as the current term and the vote; followed by Raft's key
+	prefixLocal         = "k/" // local values of the node (PutLocal); followed by the node's key
+	prefixSnapshotMeta  = "m/" // metadata of snapshots; followed by the snapshot ID
+	prefixSnapshotChunk = "s/" // chunks of snapshots; followed by the snapshot ID, "/" and the chunk number, 8 bytes
 )
 
 const (
-	// maxEntryBytes bounds one log entry, and one chunk of a snapshot. Entries of today stay far below
-	// it; logs of earlier versions may have an entry with all keys of a store.
+	// maxEntryBytes is the maximum size of a log entry or of a chunk of a snapshot. Current versions
+	// write much smaller entries, but logs of earlier versions may contain an entry with all keys of
+	// a store.
 	maxEntryBytes = 80 << 20
-	// appendBatchBytes is after which size of encoded entries a batch is appended.
+	// appendBatchBytes is the size of encoded log entries at which a batch is appended.
 	appendBatchBytes = 4 << 20
-	// batchOverheadBytes is for what a batch holds beside its entries.
+	// batchOverheadBytes is the capacity of a batch for other data than its log entries.
 	batchOverheadBytes = 1 << 20
-	// legacyFile is the log of a version that used bbolt.
+	// legacyFile is the log file of earlier versions, which used bbolt.
 	legacyFile = "log.db"
 )
 
-// ErrLegacyFormat means that the folder was written by a version that kept its log with bbolt.
-var ErrLegacyFormat = errors.New("folder holds a log of the old kind (" + legacyFile +
-	"): move the folder away with this node stopped, and the node gets everything from the others")
+// ErrLegacyFormat means that the folder was written by an earlier version, which stored its log with
+// bbolt.
+var ErrLegacyFormat = errors.New("folder contains a log in the legacy bbolt format (" + legacyFile +
+	"): stop this node and move the folder away; the node then fetches all data from the other nodes")
 
-// Storage is a node's folder.
+// Storage is the storage of one node in a folder.
 type Storage struct {
 	store       *durable.Store
 	log         *stream.Stream
@@ -44,8 +46,9 @@
 	configCache configurationCache
 }
 
-// Open opens a node's folder, or makes it. A folder that misses what was acknowledged is not opened
-// (durable.ErrDamaged): a node that forgot its vote or its log must not go on as if it had not.
+// Open opens the folder of a node, and creates it if it does not exist. If acknowledged data is missing,
+// Open fails with durable.ErrDamaged, because a node that has lost its vote or log entries must not
+// continue as the same Raft member.
 func Open(dir string) (*Storage, *durable.Report, error) {
 	if _, err := os.Stat(filepath.Join(dir, legacyFile)); err == nil {
 		return nil, nil, fmt.Errorf("%s: %w", dir, ErrLegacyFormat)
@@ -57,7 +60,7 @@
 	return OpenFS(fs)
 }
 
-// OpenFS is Open on any folder.
+// OpenFS is like Open, for any implementation of a folder. It does not check for ErrLegacyFormat.
 func OpenFS(fs vfs.FS) (*Storage, *durable.Report, error) {
 	store, report, err := durable.Open(fs, durable.Options{
 		MaxValueBytes: maxEntryBytes,
@@ -77,8 +80,8 @@
 	return s, report, nil
 }
 
-// Close syncs, and releases the folder.
+// Close syncs all data and closes the folder.
 func (s *Storage) Close() error { return s.store.Close() }
 
-// ReadOnlyReason is why nothing can be written any more, or nil.
+// ReadOnlyReason returns the error that made the storage read-only, or nil if it is writable.
 func (s *Storage) ReadOnlyReason() error { return s.store.ReadOnlyError() }
--- a/internal/cluster/raftstorage/storage_test.go
+++ b/internal/cluster/raftstorage/storage_test.go
@@ -21,8 +21,8 @@
 	return &raft.Log{Index: index, Term: term, Type: raft.LogCommand, Data: []byte(data), Extensions: []byte{1, 2}, AppendedAt: time.Unix(5, 7)}
 }
 
-// TestAfterCrash: what Raft was told is on disk is there after a crash that keeps
-// nothing else, and a snapshot that was not finished leaves nothing.
+// TestAfterCrash checks that all writes that were acknowledged as synced are present after a crash that
+// may lose all other writes, and that no chunks of an unfinished snapshot remain.
 func TestAfterCrash(t *testing.T) {
 	fs := &faultfs.FS{}
 	storage, _, err := OpenFS(fs)
@@ -46,7 +46,7 @@
 			require.NoError(t, err)
 		}
 		require.NoError(t, sink.Close())
-		require.NoError(t, sink.Cancel(), "after Close it does nothing")
+		require.NoError(t, sink.Cancel(), "Cancel after Close must do nothing")
 	}
 	unfinished, err := storage.Create(raft.SnapshotVersionMax, 4, 1, conf, 1, nil)
 	require.NoError(t, err)
@@ -87,7 +87,7 @@
 		}
 	}
 	view.Close()
-	assert.Zero(t, remainingChunks, "chunks of a snapshot that was never finished")
+	assert.Zero(t, remainingChunks, "chunks of the unfinished snapshot must be deleted")
 	require.NoError(t, storage.Close())
 }
 
--- a/internal/cluster/raftstorage/watermark.go
+++ b/internal/cluster/raftstorage/watermark.go
@@ -9,17 +9,18 @@
 	"oxbowbridge/internal/cluster/diskidentity"
 )
 
-// currentTermKey is Raft's stable key for the current term.
+// currentTermKey is the stable key under which Raft stores its current term.
 const currentTermKey = "CurrentTerm"
 
-// lastEntryReadAttempts is how often the last entry is read: it may be cut off after its index was
-// looked up.
+// lastEntryReadAttempts is how many times reading the last log entry is attempted. Raft may delete the
+// entry between the lookup of its index and the read.
 const lastEntryReadAttempts = 3
 
-// Watermark is how far the disk has come, without the number of its starts.
+// Watermark returns the watermark of the disk: the current term, and the term and index of the last log
+// entry or, if the log is empty, of the newest snapshot. The number of starts is not set.
 func (s *Storage) Watermark() (watermark diskidentity.Watermark, err error) {
 	if watermark.Term, err = s.GetUint64([]byte(currentTermKey)); err != nil {
-		return watermark, fmt.Errorf("term: %w", err)
+		return watermark, fmt.Errorf("read current term: %w", err)
 	}
 	found, err := s.readLastEntry(&watermark)
 	if err != nil || found {
@@ -33,7 +34,8 @@
 	return watermark, err
 }
 
-// readLastEntry sets the log's part of a watermark, if the log has an entry.
+// readLastEntry sets the term and index of the last log entry in watermark. It returns false if the log
+// is empty.
 func (s *Storage) readLastEntry(watermark *diskidentity.Watermark) (found bool, err error) {
 	for range lastEntryReadAttempts {
 		_, last := s.log.Bounds()
--- a/internal/cluster/watch/golden_test.go
+++ b/internal/cluster/watch/golden_test.go
@@ -8,7 +8,7 @@
 	"oxbowbridge/internal/testrig/golden"
 )
 
-// TestGoldenTypes: watch events keep their JSON.
+// TestGoldenTypes checks that the JSON encoding of watch events is unchanged.
 func TestGoldenTypes(t *testing.T) {
 	golden.JSON(t, "testdata/types.golden",
 		golden.Sample{Name: "change", Value: &Change{}},
--- a/internal/cluster/watch/history.go
+++ b/internal/cluster/watch/history.go
@@ -1,6 +1,7 @@
-// Package watch keeps the latest revisions of the replicated state for watchers. A watcher has a
-// position and no queue: what it does not fetch costs nothing, and a position that the history
-// has dropped is answered with a CompactedError. The package does no I/O and reads no clock.
+// Package watch keeps the latest revisions of the replicated state for watchers. A watcher is only a
+// position in this history and has no queue of its own, so a slow watcher uses no extra memory. A
+// watcher whose position has been dropped from the history gets a CompactedError. The package does no
+// I/O and reads no clock.
 package watch
 
 import (
@@ -8,44 +9,44 @@
 	"sort"
 )
 
-// Limits of a history. The oldest revisions beyond them are dropped.
+// Limits bound the size of a history. The oldest revisions that exceed a limit are dropped.
 type Limits struct {
 	MaxRevisions int
 	MaxBytes     int
 }
 
-// PageLimits bounds one call of Since.
+// PageLimits bound one call of History.Since.
 type PageLimits struct {
-	MaxRevisions int // examined
-	MaxBytes     int // returned; a single revision may exceed it
+	MaxRevisions int // max. number of revisions to examine
+	MaxBytes     int // max. size of the returned revisions; a single revision may exceed it
 }
 
-// CompactedError means that the history does not have the revision at a position any more. The
-// watcher has to list the keys again and watch from there.
+// CompactedError means that the revision at a position has been dropped from the history. The watcher
+// must list the keys again and continue from the revision of that list.
 type CompactedError struct {
-	OldestRevision uint64 // the lowest position that can still be watched from
+	OldestRevision uint64 // the lowest position from which a watch can start
 }
 
 func (e *CompactedError) Error() string {
 	return fmt.Sprintf("compacted: the oldest revision kept is %d", e.OldestRevision)
 }
 
-// History is the latest revisions, in order. It is not safe for concurrent use.
+// History contains the latest revisions in ascending order. It is not safe for concurrent use.
 type History struct {
 	limits           Limits
-	revisions        []Revision // by growing number; those without changes are left out
+	revisions        []Revision // in ascending order, without empty revisions
 	bytes            int
-	compactedThrough uint64 // revisions up to this one may be missing
-	latestNumber     uint64 // the number of the last revision that was added
+	compactedThrough uint64 // revisions up to this number may have been dropped
+	latestNumber     uint64 // number of the last added revision
 }
 
-// NewHistory returns a history that starts after a revision.
+// NewHistory returns an empty history that starts after the given revision.
 func NewHistory(limits Limits, after uint64) *History {
 	return &History{limits: limits, compactedThrough: after, latestNumber: after}
 }
 
-// Add appends the next revision, which may have changed nothing. Numbers may have gaps. A number
-// that is not above the last one is ignored: a node reads log entries again that its state has.
+// Add appends a revision, which may have no changes. Numbers may have gaps. Add ignores a number that
+// is not above the last one, because a node can read log entries again that its state already includes.
 func (h *History) Add(number uint64, changes []Change) {
 	if number <= h.latestNumber {
 		return
@@ -60,24 +61,26 @@
 	h.dropOldest()
 }
 
-// dropOldest brings the history back within its limits.
+// dropOldest drops the oldest revisions until the history is within its limits.
 func (h *History) dropOldest() {
 	dropped := 0
 	for len(h.revisions)-dropped > h.limits.MaxRevisions || h.bytes > h.limits.MaxBytes {
 		h.compactedThrough = h.revisions[dropped].Number
 		h.bytes -= h.revisions[dropped].size()
-		h.revisions[dropped] = Revision{} // releases the values
+		h.revisions[dropped] = Revision{} // lets the garbage collector free the values
 		dropped++
 	}
 	h.revisions = h.revisions[dropped:]
 }
 
-// Reset starts anew after a revision, when the state was replaced as a whole.
+// Reset drops all revisions and restarts the history after the given revision. It is called when a
+// snapshot has replaced the state.
 func (h *History) Reset(after uint64) { *h = *NewHistory(h.limits, after) }
 
-// Since returns the revisions from a position on that change keys with a prefix, reduced to those
-// keys, and the position to continue from. No revision and the same position mean that nothing
-// has come yet. A position beyond the last revision is valid. The error is a *CompactedError.
+// Since returns the revisions at or after a position that change keys with the given prefix, with only
+// the changes of those keys, and the position of the next page. If it returns no revisions and the
+// same position, there are no new revisions yet. A position beyond the last revision is valid. The
+// error is a *CompactedError.
 func (h *History) Since(from uint64, prefix string, p PageLimits) (revisions []Revision, next uint64, err error) {
 	if from <= h.compactedThrough {
 		return nil, from, &CompactedError{OldestRevision: h.compactedThrough + 1}
--- a/internal/cluster/watch/history_test.go
+++ b/internal/cluster/watch/history_test.go
@@ -14,16 +14,17 @@
 	"oxbowbridge/internal/testrig/rapidseed"
 )
 
-// TestMain has rapid try the same histories each time, unless a seed is given.
+// TestMain fixes the seed of rapid, so that each run generates the same histories unless a seed is given.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	rapidseed.Fix()
 	os.Exit(m.Run())
 }
 
-// TestSinceAgainstWholeHistory: whatever is added, dropped and reset, a follower that goes page by
-// page gets each revision under its prefix that all of history has, once and in order,
-// or is told that its position is gone; and the history stays within its limits.
+// TestSinceAgainstWholeHistory compares a History with an unbounded list of revisions while revisions
+// are added and dropped and the history is reset. A watcher that reads page by page must get each
+// revision under its prefix once and in order, or a CompactedError, and the history must stay within
+// its limits.
 func TestSinceAgainstWholeHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{MaxRevisions: rapid.IntRange(1, 20).Draw(t, "revisions"), MaxBytes: rapid.IntRange(200, 2000).Draw(t, "bytes")}
@@ -36,16 +37,16 @@
 			case 0:
 				resetNumber = h.latestNumber + uint64(rapid.IntRange(0, 3).Draw(t, "ahead"))
 				h.Reset(resetNumber)
-			case 1, 2: // the follower takes a page
+			case 1, 2: // the watcher reads one page
 				got, gotNext, err := h.Since(next, prefix, page)
 				var compactedErr *CompactedError
 				if err != nil {
 					require.ErrorAs(t, err, &compactedErr)
-					require.Greater(t, compactedErr.OldestRevision, next, "only what is gone is said to be")
+					require.Greater(t, compactedErr.OldestRevision, next, "a CompactedError must only be returned for a dropped position")
 					next = compactedErr.OldestRevision
 					continue
 				}
-				require.GreaterOrEqual(t, next, resetNumber, "not across a reset")
+				require.GreaterOrEqual(t, next, resetNumber, "a page must not span a reset")
 				var want []Revision
 				for _, r := range allRevisions {
 					if filtered := r.filter(prefix); r.Number >= next && r.Number < gotNext && len(filtered.Changes) > 0 {
@@ -63,25 +64,26 @@
 					r.Changes = append(r.Changes, Change{Key: key, Value: json.RawMessage(strings.Repeat("7", i+1))})
 				}
 				h.Add(r.Number, r.Changes)
-				h.Add(r.Number, r.Changes) // read again
+				h.Add(r.Number, r.Changes) // a revision that was already added is ignored
 				allRevisions = append(allRevisions, r)
 			}
 			require.LessOrEqual(t, len(h.revisions), limits.MaxRevisions)
 			require.LessOrEqual(t, h.bytes, limits.MaxBytes)
 		}
-		for i := 0; next <= h.latestNumber; i++ { // the rest, in so many pages at most
+		for i := 0; next <= h.latestNumber; i++ { // reads the remaining pages
 			_, following, err := h.Since(next, prefix, page)
 			if err != nil {
 				break
 			}
-			require.Greater(t, following, next, "a follower that is behind gets on")
+			require.Greater(t, following, next, "each page must advance a watcher that is behind")
 			require.Less(t, i, 200)
 			next = following
 		}
 	})
 }
 
-// TestDroppedRevisionsAreReleased: what was dropped is not held by the history's memory.
+// TestDroppedRevisionsAreReleased checks that the backing array of the history does not keep the
+// changes of dropped revisions in memory.
 func TestDroppedRevisionsAreReleased(t *testing.T) {
 	h := NewHistory(Limits{MaxRevisions: 2, MaxBytes: 1 << 20}, 0)
 	for n := range uint64(100) {
--- a/internal/cluster/watch/revision.go
+++ b/internal/cluster/watch/revision.go
@@ -5,23 +5,23 @@
 	"strings"
 )
 
-// Change is one key of a revision.
+// Change is the new value, or the deletion, of one key in a revision.
 type Change struct {
 	Key     string          `json:"key"`
-	Value   json.RawMessage `json:"value,omitempty"` // none if it was deleted
+	Value   json.RawMessage `json:"value,omitempty"` // nil if the key was deleted
 	Deleted bool            `json:"gone,omitempty"`
 }
 
-// Revision is what one log entry changed, all at once.
+// Revision contains all changes of one log entry, which take effect atomically.
 type Revision struct {
-	Number  uint64   `json:"revision"` // the log entry's index
+	Number  uint64   `json:"revision"` // index of the log entry
 	Changes []Change `json:"changes"`  // sorted by key
 }
 
-// changeOverheadBytes is the memory that a change takes beside its key and value.
+// changeOverheadBytes is the approximate memory of a change without its key and value.
 const changeOverheadBytes = 64
 
-// size returns the memory of a revision in bytes.
+// size returns the approximate memory use of a revision in bytes.
 func (r Revision) size() int {
 	bytes := 0
 	for _, c := range r.Changes {
@@ -30,7 +30,7 @@
 	return bytes
 }
 
-// filter returns the part of a revision whose keys have a prefix.
+// filter returns the revision with only the changes of keys with the given prefix.
 func (r Revision) filter(prefix string) Revision {
 	if prefix == "" {
 		return r
