--- a/internal/cluster/storeapi/doc.go
+++ b/internal/cluster/storeapi/doc.go
@@ -1,3 +1,3 @@
-// Package storeapi is the HTTP API of a store node's admin port: the header fields, bodies and
-// limits that its server (storeadmin), its client (storeclient) and the nodes themselves share.
+// Package storeapi defines the HTTP API of a store node's admin port: the header fields, bodies and
+// limits that the server (package storeadmin), the client (package storeclient) and the nodes use.
 package storeapi
--- a/internal/cluster/storeapi/golden_test.go
+++ b/internal/cluster/storeapi/golden_test.go
@@ -9,7 +9,7 @@
 	"oxbowbridge/internal/testrig/golden"
 )
 
-// TestGoldenTypes: bodies of requests and answers keep their JSON.
+// TestGoldenTypes checks that the JSON encoding of request and response bodies is unchanged.
 func TestGoldenTypes(t *testing.T) {
 	golden.JSON(t, "testdata/types.golden",
 		golden.Sample{Name: "status", Value: &Status{}},
@@ -27,7 +27,8 @@
 	)
 }
 
-// TestGoldenNames: header fields, limits, and the texts of fences, tags and errors.
+// TestGoldenNames checks that header names, limits, the formats of fencing tokens and entity tags, and
+// error texts are unchanged.
 func TestGoldenNames(t *testing.T) {
 	var lines strings.Builder
 	fmt.Fprintln(&lines, HeaderCluster, HeaderSession, HeaderRequestNumber, HeaderLease, HeaderStoreRevision, HeaderLastEventID)
--- a/internal/cluster/storeapi/lease.go
+++ b/internal/cluster/storeapi/lease.go
@@ -9,43 +9,44 @@
 	"oxbowbridge/internal/cluster/lease"
 )
 
-// LeaseStatus is one lease of the answer to GET /lease, and the answer to POST /lease/NAME.
+// LeaseStatus describes one lease in the response to GET /lease. It is also the body of the response to
+// GET and POST /lease/NAME.
 type LeaseStatus struct {
 	Name        string         `json:"name"`
 	Holder      string         `json:"holder"`
 	Token       uint64         `json:"token"`
 	TTLMS       int64          `json:"ttl_ms"`
-	RemainingMS int64          `json:"left_ms,omitempty"` // without a keep-alive, as the leader counts
+	RemainingMS int64          `json:"left_ms,omitempty"` // time to expiry, measured by the leader
 	Revoked     bool           `json:"revoked,omitempty"`
-	Waiters     []lease.Waiter `json:"waiters,omitempty"` // the next holder first
+	Waiters     []lease.Waiter `json:"waiters,omitempty"` // in the order in which they get the lease
 }
 
-// Status returns the lease's state.
+// Status returns the state of the lease.
 func (l LeaseStatus) Status() lease.Status {
 	return lease.Lease{Token: l.Token, Revoked: l.Revoked}.Status()
 }
 
 // AcquireRequest is the body of POST /lease/NAME.
 type AcquireRequest struct {
-	Holder   string `json:"holder"`  // no other process goes by this name
+	Holder   string `json:"holder"`  // must be unique to the process
 	TTLMS    int64  `json:"ttl_ms"`  // lease.MinTTLMS to lease.MaxTTLMS
-	WaitMS   int64  `json:"wait_ms"` // 0 to MaxLeaseWait
+	WaitMS   int64  `json:"wait_ms"` // how long to wait for the lease, 0 to MaxLeaseWait
 	Priority int    `json:"priority"`
 }
 
-// RenewRequest is the body of PUT /lease, with Leases, and of PUT /lease/NAME, with Token.
+// RenewRequest is the body of PUT /lease, which sets only Leases, and of PUT /lease/NAME, which sets
+// only Token.
 type RenewRequest struct {
 	Token  uint64               `json:"token,omitempty"`
 	Leases []lease.FencingToken `json:"leases,omitempty"`
 }
 
-// RenewResponse is the answer to PUT /lease.
+// RenewResponse is the body of the response to PUT /lease.
 type RenewResponse struct {
-	Lost []string `json:"gone"` // names of leases that the caller does not hold any more
+	Lost []string `json:"gone"` // names of leases that are no longer held under the tokens of the request
 }
 
-// ParseFencingToken parses NAME/TOKEN, the value of HeaderLease. Its error wraps
-// kv.ErrInvalidRequest.
+// ParseFencingToken parses the value of HeaderLease, NAME/TOKEN. The error wraps kv.ErrInvalidRequest.
 func ParseFencingToken(text string) (lease.FencingToken, error) {
 	var fence lease.FencingToken
 	var err error
--- a/internal/cluster/storeapi/node.go
+++ b/internal/cluster/storeapi/node.go
@@ -5,67 +5,67 @@
 	"oxbowbridge/internal/cluster/kv"
 )
 
-// Status is the answer to GET /status: a node as operators see it.
+// Status is the response to GET /status: the state of a node, for operators.
 type Status struct {
 	Node          string `json:"node"`
-	State         string `json:"state"`           // Waiting, Joining, or while it is a member Raft's state: Leader, Follower or Candidate
-	Leader        string `json:"leader"`          // name of the leader; "" if none is known
-	AppliedIndex  uint64 `json:"applied"`         // log index that the node's state includes
-	LastIndex     uint64 `json:"last"`            // of the node's log
-	MirroredIndex uint64 `json:"mirrored"`        // log index up to which the SQL mirror is complete
-	SQLError      string `json:"error,omitempty"` // why the SQL mirror is behind
+	State         string `json:"state"`           // Waiting, Joining, or a member's Raft state: Leader, Follower, Candidate
+	Leader        string `json:"leader"`          // name of the leader, "" if unknown
+	AppliedIndex  uint64 `json:"applied"`         // index of the last log entry that the node has applied
+	LastIndex     uint64 `json:"last"`            // index of the last entry in the node's log
+	MirroredIndex uint64 `json:"mirrored"`        // log index up to which the SQL mirror is up to date
+	SQLError      string `json:"error,omitempty"` // last error of the SQL mirror, the reason why it is behind
 	Watchers      int    `json:"watchers"`
-	Cluster       string `json:"cluster,omitempty"` // id of the cluster, once it is known
+	Cluster       string `json:"cluster,omitempty"` // id of the cluster, "" until it is known
 	ForeignPeers  string `json:"foreign,omitempty"` // peers that belong to another cluster
-	ID            string `json:"id,omitempty"`      // the node's name and its disk's identity
-	WaitingReason string `json:"waits,omitempty"`   // why the node does not take part yet; "" once it does
+	ID            string `json:"id,omitempty"`      // node name and disk identity
+	WaitingReason string `json:"waits,omitempty"`   // why the node does not participate yet, "" once it does
 }
 
-// PeerStatus is the answer to GET /self: a node as another node sees it, with what it has observed of
-// the other one's disk.
+// PeerStatus is the response to GET /self, by which a node reports its state to another node. It
+// includes what the node has observed of the disk of the requesting node.
 type PeerStatus struct {
 	diskidentity.Attestation
-	State          string                 `json:"state"` // serving (also while it joins) or waiting
+	State          string                 `json:"state"` // "serving", also while the node joins, or "waiting"
 	Watermark      diskidentity.Watermark `json:"mark"`
 	AppliedIndex   uint64                 `json:"applied"`
 	RaftAddress    string                 `json:"raft"`
 	AdminAddress   string                 `json:"admin"`
 	Zone           string                 `json:"zone,omitempty"`
 	SupportsLeases bool                   `json:"leases,omitempty"`
-	// Checksums of the node's state, by which nodes notice one that differs.
+	// Checksums are checksums of the node's replicated state, to detect replicas that have diverged.
 	Checksums kv.ChecksumHistory `json:"checks,omitempty"`
-	// Addresses of the members, for a node that does not know all of them.
+	// Addresses are the addresses of the members, for nodes that do not know all members.
 	Addresses map[string]string `json:"addresses,omitempty"`
 }
 
-// ReadIndexResponse is a leader's answer to GET /index.
+// ReadIndexResponse is the leader's response to GET /index.
 type ReadIndexResponse struct {
 	Index uint64 `json:"index"` // committed log index
 }
 
-// Member is one member of the answer to GET /members.
+// Member describes one member in the response to GET /members.
 type Member struct {
 	Name           string `json:"name"`
-	ID             string `json:"id"` // name and disk identity
+	ID             string `json:"id"` // node name and disk identity
 	Zone           string `json:"zone,omitempty"`
 	Role           string `json:"role"`   // voter or learner
-	EntriesBehind  uint64 `json:"behind"` // entries of the leader's log that its own log lacks
-	State          string `json:"state"`  // leader, up, leaving, lost, or for how long it has been down
+	EntriesBehind  uint64 `json:"behind"` // log entries that the member is behind the leader
+	State          string `json:"state"`  // leader, up, leaving, lost, or how long the member has been down
 	AdminAddress   string `json:"admin"`
-	NextStep       string `json:"next,omitempty"` // the change of membership to come
-	NextStepReason string `json:"why,omitempty"`  // of the next step
+	NextStep       string `json:"next,omitempty"` // the next membership change of this member
+	NextStepReason string `json:"why,omitempty"`  // reason of NextStep
 }
 
-// Members is the leader's answer to GET /members.
+// Members is the leader's response to GET /members.
 type Members struct {
 	Leader       string   `json:"leader"`
-	ConfigIndex  uint64   `json:"index"` // log index of the membership configuration
+	ConfigIndex  uint64   `json:"index"` // log index of the Raft membership configuration
 	TargetVoters int      `json:"voters_wanted"`
 	Members      []Member `json:"members"`
-	Removed      []string `json:"removed,omitempty"` // names that may not join
+	Removed      []string `json:"removed,omitempty"` // names of nodes that were removed and must not join
 }
 
-// JoinRequest is the body of POST /members: a node asks to become a learner.
+// JoinRequest is the body of POST /members, by which a node requests to join as a learner.
 type JoinRequest struct {
 	ID           string `json:"id"`
 	RaftAddress  string `json:"raft"`
--- a/internal/cluster/storeapi/store.go
+++ b/internal/cluster/storeapi/store.go
@@ -11,50 +11,50 @@
 	"oxbowbridge/internal/cluster/kv"
 )
 
-// RestoreResponse is the answer to POST /restore.
+// RestoreResponse is the response to POST /restore.
 type RestoreResponse struct {
 	SourceCluster string `json:"from"` // id of the cluster that the backup was taken from
 	Cluster       string `json:"cluster"`
 	Keys          int    `json:"keys"`
-	SHA256        string `json:"sha256"` // of the backup
+	SHA256        string `json:"sha256"` // checksum of the backup
 }
 
-// EventType is the type of a server-sent event of GET /watch.
+// EventType is the type of a server-sent event in the stream of GET /watch.
 type EventType string
 
-// Types of events of a watch.
+// Event types of a watch stream.
 const (
-	EventChange    EventType = "change"    // a watch.Revision; the event's id is its number
-	EventProgress  EventType = "progress"  // the revision up to which nothing more is to come
-	EventCompacted EventType = "compacted" // a CompactedResponse, after which the stream ends
+	EventChange    EventType = "change"    // data: a watch.Revision; id: its number
+	EventProgress  EventType = "progress"  // id: the revision up to which all changes have been sent
+	EventCompacted EventType = "compacted" // data: a CompactedResponse; last event of the stream
 )
 
 // CompactedCode is the error code of a CompactedResponse.
 const CompactedCode = "compacted"
 
-// CompactedResponse is the answer to GET /watch from a revision that is not available any more.
+// CompactedResponse is the response to GET /watch if the requested revision is no longer available.
 type CompactedResponse struct {
-	Error          string `json:"error"` // CompactedCode
+	Error          string `json:"error"` // always CompactedCode
 	OldestRevision uint64 `json:"oldest"`
 }
 
-// StatusError is an answer that is not a success.
+// StatusError is an HTTP response with an error status.
 type StatusError struct {
 	StatusCode int
-	Text       string // the answer's body
+	Text       string // response body
 }
 
 func (e *StatusError) Error() string { return fmt.Sprintf("%s (%d)", e.Text, e.StatusCode) }
 
-// NewStatusError returns a *StatusError of an answer's status code and body.
+// NewStatusError returns a *StatusError for the status code and body of a response.
 func NewStatusError(code int, body []byte) error {
 	return &StatusError{code, string(bytes.TrimSpace(body))}
 }
 
-// FormatETag returns a revision as an entity tag.
+// FormatETag formats a revision as an entity tag.
 func FormatETag(revision uint64) string { return strconv.Quote(strconv.FormatUint(revision, 10)) }
 
-// ParseETag returns the revision of an entity tag. Its error wraps kv.ErrInvalidRequest.
+// ParseETag parses an entity tag that FormatETag returned. The error wraps kv.ErrInvalidRequest.
 func ParseETag(text string) (uint64, error) {
 	inner, opened := strings.CutPrefix(text, `"`)
 	inner, closed := strings.CutSuffix(inner, `"`)
@@ -65,7 +65,7 @@
 	return revision, nil
 }
 
-// WriteJSON answers with a value as JSON.
+// WriteJSON writes a value as the JSON body of a response.
 func WriteJSON(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	json.NewEncoder(w).Encode(value)
--- a/internal/cluster/storeclient/backup.go
+++ b/internal/cluster/storeclient/backup.go
@@ -10,7 +10,8 @@
 	"oxbowbridge/internal/cluster/storeapi"
 )
 
-// Backup takes a backup, and returns its header and its bytes if it is complete.
+// Backup takes a backup of the store and returns its header and its bytes. It fails if the backup is
+// incomplete or damaged.
 func (c *Client) Backup(ctx context.Context) (backup.Header, []byte, error) {
 	res, err := c.sendWithRetry(ctx, http.MethodGet, "/backup", nil)
 	if err != nil {
@@ -23,7 +24,7 @@
 	return header, res.body, err
 }
 
-// Restore restores a backup, unless it is damaged. It may be repeated until it succeeds.
+// Restore checks a backup and restores the store from it. A failed restore can be retried.
 func (c *Client) Restore(ctx context.Context, r io.Reader) (restored storeapi.RestoreResponse, err error) {
 	text, err := io.ReadAll(r)
 	if err != nil {
--- a/internal/cluster/storeclient/client.go
+++ b/internal/cluster/storeclient/client.go
@@ -1,4 +1,5 @@
-// Package storeclient is a client for the admin ports of the replicated store's nodes.
+// Package storeclient implements a client for the HTTP API on the admin ports of the replicated store's
+// nodes.
 package storeclient
 
 import (
@@ -17,18 +18,18 @@
 // ErrKeyNotFound means that a key does not exist.
 var ErrKeyNotFound = errors.New("no such key")
 
-var errNoNode = errors.New("no node is known")
+var errNoNode = errors.New("no node address is configured")
 
-// Client sends requests to the nodes of a store, one after the other until one answers. Its writes are part of
-// a session, so that a write that is sent again takes effect once. A client is not safe for
-// concurrent writes.
+// Client sends requests to the nodes of a store. It tries one node after the other until one gives a
+// final response. Its writes are part of a session, so that a retried write takes effect only once. A
+// Client is not safe for concurrent writes.
 type Client struct {
 	Nodes       []string     // admin addresses, at least one
-	HTTPClient  *http.Client // its timeout is that of one attempt
+	HTTPClient  *http.Client // its timeout applies to each attempt
 	RetryPolicy RetryPolicy
-	SessionID   uint64 // opened by the first write; 0 before
+	SessionID   uint64 // session that the first write opens; 0 before that
 
-	lastRequestNumber uint64 // of the last write in the session
+	lastRequestNumber uint64 // number of the last write in the session
 	cluster           *pinnedCluster
 }
 
@@ -42,8 +43,8 @@
 	}
 }
 
-// WithCommitTimeout returns the client with a timeout of one attempt that outlasts the leader's wait
-// for a majority (storeapi.CommitTimeout).
+// WithCommitTimeout returns a copy of the client whose timeout for one attempt is a second longer than
+// the time for which a leader waits for a majority (storeapi.CommitTimeout).
 func (c *Client) WithCommitTimeout() *Client {
 	return c.withAttemptTimeout(storeapi.CommitTimeout + time.Second)
 }
@@ -54,20 +55,20 @@
 	return &clone
 }
 
-// RetryPolicy bounds the attempts after the first one, and the pause before each.
+// RetryPolicy sets the number of retries and the backoff before each.
 type RetryPolicy struct {
-	MaxRetries int           // after the first attempt
-	MinBackoff time.Duration // before the first retry; doubles with each
+	MaxRetries int           // attempts after the first one
+	MinBackoff time.Duration // before the first retry; doubles with each retry
 	MaxBackoff time.Duration
 }
 
-// defaultRetryPolicy outlasts the loss of a leader.
+// defaultRetryPolicy retries for long enough to get over the election of a new leader.
 func defaultRetryPolicy() RetryPolicy {
 	return RetryPolicy{MaxRetries: 12, MinBackoff: 50 * time.Millisecond, MaxBackoff: time.Second}
 }
 
-// Backoff returns the pause before a retry, counted from 1. It doubles from MinBackoff to MaxBackoff;
-// jitter, from 0 to 1, takes it between half of that and all of it.
+// Backoff returns the pause before a retry; the first retry has the number 1. The pause doubles from
+// MinBackoff to MaxBackoff. jitter, from 0 to 1, scales it between half and all of that.
 func (p RetryPolicy) Backoff(retry int, jitter float64) time.Duration {
 	pause := p.MinBackoff
 	for range retry - 1 {
@@ -79,7 +80,8 @@
 	return pause/2 + time.Duration(jitter*float64(pause/2))
 }
 
-// wait pauses before a retry, with random jitter. Its error is that of the context.
+// wait waits for the backoff of a retry, with random jitter. It returns the error of ctx if ctx ends
+// first.
 func (p RetryPolicy) wait(ctx context.Context, retry int) error {
 	select {
 	case <-ctx.Done():
@@ -89,8 +91,8 @@
 	}
 }
 
-// pinnedCluster is the cluster that answered first: nodes of another one refuse later requests.
-// Copies of a client share it.
+// pinnedCluster is the id of the cluster that responded first. Later requests contain this id, so that
+// nodes of other clusters reject them. Copies of a client share one pinnedCluster.
 type pinnedCluster struct {
 	mu sync.Mutex
 	id string
@@ -108,36 +110,37 @@
 	p.id = cmp.Or(p.id, id)
 }
 
-// setHeader has a node of another cluster refuse a request.
+// setHeader adds the pinned cluster id, if there is one, to a request, so that nodes of other clusters
+// reject it.
 func (p *pinnedCluster) setHeader(req *http.Request) {
 	if id := p.get(); id != "" {
 		req.Header.Set(storeapi.HeaderCluster, id)
 	}
 }
 
-// Status requests the status of one node, once.
+// Status requests the status of one node, without retries.
 func (c *Client) Status(ctx context.Context, node string) (status storeapi.Status, err error) {
 	err = c.CallNode(ctx, node, http.MethodGet, "/status", nil, &status)
 	return status, err
 }
 
-// Members requests the members, as the leader sees them.
+// Members requests the list of members from the leader.
 func (c *Client) Members(ctx context.Context) (members storeapi.Members, err error) {
 	err = c.call(ctx, http.MethodGet, "/members", nil, &members)
 	return members, err
 }
 
-// ChangeMember removes a member (http.MethodDelete), lets a removed one join again (MethodPut), or
-// makes it a preferred voter (MethodPost). All may be repeated.
+// ChangeMember removes a member (http.MethodDelete), allows a removed node to join again
+// (http.MethodPut), or makes a member a preferred voter (http.MethodPost). All three are idempotent.
 func (c *Client) ChangeMember(ctx context.Context, method, name string) error {
 	return c.call(ctx, method, "/members/"+name, nil, nil)
 }
 
-// CallNode sends a request to one node, once, and decodes its answer into out, which may be nil.
-// The node's cluster is not pinned.
+// CallNode sends a request to one node, without retries, and decodes the response into out, which may be
+// nil. It does not pin the cluster of the node.
 func (c *Client) CallNode(ctx context.Context, node, method, path string, body []byte, out any) error {
 	single := &Client{Nodes: []string{node}, HTTPClient: c.HTTPClient, cluster: &pinnedCluster{id: c.cluster.get()}}
 	return single.call(ctx, method, path, body, out)
 }
 
-func decodeError(err error) error { return fmt.Errorf("answer can't be read: %w", err) }
+func decodeError(err error) error { return fmt.Errorf("decode response: %w", err) }
--- a/internal/cluster/storeclient/events.go
+++ b/internal/cluster/storeclient/events.go
@@ -16,8 +16,8 @@
 	data      []byte
 }
 
-// readEvents reads server-sent events until handle fails or the stream ends, which is
-// io.ErrUnexpectedEOF: a watch has no end of its own.
+// readEvents reads server-sent events and passes them to handle, until handle or the stream fails. It
+// returns io.ErrUnexpectedEOF when the stream ends, because servers do not end a watch stream normally.
 func readEvents(r io.Reader, handle func(event) error) error {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(nil, storeapi.MaxEventBytes)
@@ -43,7 +43,7 @@
 	return io.ErrUnexpectedEOF
 }
 
-// addLine adds one line, FIELD: VALUE. Unknown fields are ignored.
+// addLine adds one line of the form "FIELD: VALUE" to the event. Unknown fields are ignored.
 func (e *event) addLine(line []byte) error {
 	field, value, _ := bytes.Cut(line, []byte(":"))
 	value = bytes.TrimPrefix(value, []byte(" "))
@@ -54,7 +54,7 @@
 		e.eventType = storeapi.EventType(value)
 	case "data":
 		if len(e.data)+len(value) > storeapi.MaxEventBytes {
-			return fmt.Errorf("event of more than %d bytes", storeapi.MaxEventBytes)
+			return fmt.Errorf("event exceeds %d bytes", storeapi.MaxEventBytes)
 		}
 		if e.data != nil {
 			e.data = append(e.data, '\n')
--- a/internal/cluster/storeclient/events_test.go
+++ b/internal/cluster/storeclient/events_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// FuzzReadEvents: whatever a stream holds, reading it ends without a panic, in whatever
-// pieces it comes.
+// FuzzReadEvents checks that readEvents does not panic on any input, and that the events do not depend
+// on how the input is split into reads.
 func FuzzReadEvents(f *testing.F) {
 	f.Add("id: 7\nevent: change\ndata: {}\n\n", 3)
 	f.Add(":\n\nevent: compacted\ndata: a\ndata: b\n\nid", 1)
@@ -26,14 +26,14 @@
 	})
 }
 
-// TestEventTooLong: an event without end is given up, not kept.
+// TestEventTooLong checks that an endless event fails with an error and does not use unbounded memory.
 func TestEventTooLong(t *testing.T) {
 	line := "data: " + strings.Repeat("x", 1<<20) + "\n"
 	bytesSent := 0
 	err := readEvents(readerFunc(func(b []byte) (int, error) {
 		bytesSent += len(line)
 		return copy(b, line[:min(len(b), len(line))]), nil
-	}), func(event) error { return errors.New("no event ends") })
+	}), func(event) error { return errors.New("unexpected event") })
 	require.Error(t, err)
 	require.Less(t, bytesSent, 1<<33, fmt.Sprint(err))
 }
--- a/internal/cluster/storeclient/golden_test.go
+++ b/internal/cluster/storeclient/golden_test.go
@@ -20,8 +20,8 @@
 	"oxbowbridge/internal/testrig/golden"
 )
 
-// TestGoldenRequests: the bytes of each request that a client sends, to a node that is of
-// cluster c1 and answers in order.
+// TestGoldenRequests checks that the client's requests and its handling of the responses are unchanged.
+// The test server belongs to cluster c1 and returns the queued responses in order.
 func TestGoldenRequests(t *testing.T) {
 	var lines strings.Builder
 	newResponse := func(code int, body string) *http.Response {
--- a/internal/cluster/storeclient/kv.go
+++ b/internal/cluster/storeclient/kv.go
@@ -12,8 +12,8 @@
 	"oxbowbridge/internal/cluster/storeapi"
 )
 
-// Get reads a key and its revision. query is "", or that of a weaker read: "?local=1" or
-// "?stale=DURATION".
+// Get reads the value and the revision of a key. query is "" for a linearizable read, or "?local=1" or
+// "?stale=DURATION" for a read with weaker consistency.
 func (c *Client) Get(ctx context.Context, key, query string) (value json.RawMessage, revision uint64, err error) {
 	res, err := c.sendWithRetry(ctx, http.MethodGet, "/store/"+key+query, nil)
 	switch {
@@ -28,8 +28,8 @@
 	return bytes.TrimSpace(res.body), revision, err
 }
 
-// List reads all keys, and the store's revision at that time: a Watch from the next revision on
-// misses nothing. It is 0 from a node that does not send storeapi.HeaderRevision.
+// List reads all keys and the revision of the store that they reflect. A Watch from the next revision
+// on misses no change. The revision is 0 if the node does not send storeapi.HeaderStoreRevision.
 func (c *Client) List(ctx context.Context, query string) (values map[string]json.RawMessage, revision uint64, err error) {
 	res, err := c.sendWithRetry(ctx, http.MethodGet, "/store"+query, nil)
 	switch {
@@ -45,7 +45,7 @@
 	return values, revision, nil
 }
 
-// Txn carries out a transaction once, however often it must be sent.
+// Txn executes a transaction. It takes effect only once, even if the request is retried.
 func (c *Client) Txn(ctx context.Context, request kv.Request) (kv.Response, error) {
 	if err := c.openSession(ctx); err != nil {
 		return kv.Response{}, err
@@ -58,8 +58,8 @@
 	return response, err
 }
 
-// openSession opens the client's session, unless it has one. One that was opened twice, as an
-// answer was lost, ends by itself.
+// openSession opens the client's session, unless it is already open. If the response is lost, a retry
+// opens another session, and the first one expires on the nodes.
 func (c *Client) openSession(ctx context.Context) error {
 	if c.SessionID != 0 {
 		return nil
@@ -72,12 +72,12 @@
 	return nil
 }
 
-// Put writes a key; unless ifRevision is nil, only if the key has that revision.
+// Put writes a key. If ifRevision is not nil, it does so only if the key has that revision.
 func (c *Client) Put(ctx context.Context, key string, value json.RawMessage, ifRevision *uint64) (kv.Response, error) {
 	return c.write(ctx, kv.Put(key, value), ifRevision)
 }
 
-// Delete deletes a key, on the same condition as Put.
+// Delete deletes a key. If ifRevision is not nil, it does so only if the key has that revision.
 func (c *Client) Delete(ctx context.Context, key string, ifRevision *uint64) (kv.Response, error) {
 	return c.write(ctx, kv.Delete(key), ifRevision)
 }
--- a/internal/cluster/storeclient/lease.go
+++ b/internal/cluster/storeclient/lease.go
@@ -15,8 +15,8 @@
 
 func leasePath(name string) string { return "/lease/" + (&url.URL{Path: name}).EscapedPath() }
 
-// AcquireLease requests a lease. If another holder has it, the error is lease.ErrHeld and the
-// status says who.
+// AcquireLease requests a lease. If another process holds it, the error wraps lease.ErrHeld, and the
+// status contains the holder.
 func (c *Client) AcquireLease(ctx context.Context, name string, request storeapi.AcquireRequest) (status storeapi.LeaseStatus, err error) {
 	body, err := json.Marshal(request)
 	if err != nil {
@@ -39,16 +39,17 @@
 	return status, nil
 }
 
-// RenewLeases keeps leases alive, at most storeapi.MaxRenewals. It returns the names of those that
-// are not held under their tokens any more.
+// RenewLeases renews up to storeapi.MaxRenewals leases. It returns the names of the leases that are no
+// longer held under their tokens.
 func (c *Client) RenewLeases(ctx context.Context, tokens []lease.FencingToken) (lost []string, err error) {
 	var response storeapi.RenewResponse
 	err = c.callJSON(ctx, http.MethodPut, "/lease", storeapi.RenewRequest{Leases: tokens}, &response)
 	return response.Lost, err
 }
 
-// ReleaseLease gives a lease back; if to is not empty, to that waiter. A lease that is not held
-// under the token any more is answered with 410.
+// ReleaseLease releases a lease. If to is not empty, the lease is handed over to the waiter of that
+// name. If the lease is no longer held under the token, the error is a *storeapi.StatusError with
+// status code 410.
 func (c *Client) ReleaseLease(ctx context.Context, name string, token uint64, to string) error {
 	query := url.Values{"token": {strconv.FormatUint(token, 10)}}
 	if to != "" {
@@ -57,7 +58,7 @@
 	return c.endLease(ctx, name, query)
 }
 
-// RevokeLease ends a lease when its TTL is over, whatever its holder does.
+// RevokeLease revokes a lease: it ends when its TTL expires, even if its holder tries to renew it.
 func (c *Client) RevokeLease(ctx context.Context, name string) error {
 	return c.endLease(ctx, name, url.Values{"revoke": {"1"}})
 }
@@ -72,7 +73,8 @@
 	return leases, err
 }
 
-// GetLease returns one lease. One that is free is answered with 404.
+// GetLease returns the status of one lease. If the lease is not held, the error is a
+// *storeapi.StatusError with status code 404.
 func (c *Client) GetLease(ctx context.Context, name string) (status storeapi.LeaseStatus, err error) {
 	err = c.call(ctx, http.MethodGet, leasePath(name), nil, &status)
 	return status, err
--- a/internal/cluster/storeclient/transport.go
+++ b/internal/cluster/storeclient/transport.go
@@ -14,21 +14,22 @@
 	"oxbowbridge/internal/cluster/storeapi"
 )
 
-// maxResponseBytes is above the largest answer, a backup.
+// maxResponseBytes bounds the body of a response. The largest one is a backup.
 const maxResponseBytes = backup.MaxBytes + 1<<20
 
-// response is an answer that has been read.
+// response is a response whose body has been read completely.
 type response struct {
 	statusCode int
 	header     http.Header
 	body       []byte
 }
 
-// statusError returns the answer as an error.
+// statusError returns the response as a *storeapi.StatusError.
 func (r *response) statusError() error { return storeapi.NewStatusError(r.statusCode, r.body) }
 
-// sendWithRetry sends a request to one node after the other until one gives a final answer, that is any but
-// 503. The request must be safe to repeat: a read, or a write in a session.
+// sendWithRetry sends a request to one node after the other, starting at a random node, until a node
+// responds with a status other than 503 or the retries are used up. The request must be idempotent: a
+// read, or a write in a session.
 func (c *Client) sendWithRetry(ctx context.Context, method, path string, body []byte) (*response, error) {
 	if len(c.Nodes) == 0 {
 		return nil, errNoNode
@@ -55,7 +56,7 @@
 	return nil, fmt.Errorf("no node answered in %d attempts: %w", c.RetryPolicy.MaxRetries+1, lastErr)
 }
 
-// sendOnce sends a request once. An answer of 503 is an error.
+// sendOnce sends a request once. A response with status 503 is returned as an error.
 func (c *Client) sendOnce(req *http.Request) (*response, error) {
 	c.cluster.setHeader(req)
 	res, err := c.HTTPClient.Do(req)
@@ -75,8 +76,8 @@
 	return result, nil
 }
 
-// call sends a request like do, and decodes the answer into out, unless that is nil. An answer that
-// is no success is a *storeapi.StatusError.
+// call sends a request with sendWithRetry and decodes the response into out, unless out is nil. For a
+// status of 300 or above it returns a *storeapi.StatusError.
 func (c *Client) call(ctx context.Context, method, path string, body []byte, out any) error {
 	res, err := c.sendWithRetry(ctx, method, path, body)
 	if err != nil {
@@ -94,7 +95,7 @@
 	return nil
 }
 
-// callJSON sends a request like call, with in as its JSON body.
+// callJSON is like call, with in encoded as JSON in the request body.
 func (c *Client) callJSON(ctx context.Context, method, path string, in, out any) error {
 	body, err := json.Marshal(in)
 	if err != nil {
--- a/internal/cluster/storeclient/watch.go
+++ b/internal/cluster/storeclient/watch.go
@@ -16,16 +16,17 @@
 	"oxbowbridge/internal/cluster/watch"
 )
 
-// watchTimeout is how long a watch waits for the next byte before it goes to another node.
+// watchTimeout is how long a watch waits for data before it switches to another node.
 const watchTimeout = 3 * storeapi.WatchProgressInterval
 
-// maxErrorBodyBytes is what is read of an answer that is no stream.
+// maxErrorBodyBytes is how much is read of the body of an error response.
 const maxErrorBodyBytes = 1 << 10
 
-// Watch calls handle for each revision that changes keys with a prefix, in order and once, from a
-// position on (0 is now). If a node is lost it continues at another one. It ends with ctx, with an
-// error of handle, with a *watch.CompactedError, with an answer that a retry does not change, or
-// after Retry.MaxRetries failed attempts in a row.
+// Watch calls handle once for each revision that changes keys with a prefix, in order. It starts at the
+// revision from, or if from is 0 at the current revision. If the connection to a node fails, Watch
+// continues at another node. It returns when ctx ends; with the error of handle; with a
+// *watch.CompactedError; on an error response other than 503; or when more than RetryPolicy.MaxRetries
+// attempts in a row have failed.
 func (c *Client) Watch(ctx context.Context, prefix string, from uint64, handle func(watch.Revision) error) error {
 	if len(c.Nodes) == 0 {
 		return errNoNode
@@ -45,7 +46,7 @@
 		}
 		failures++
 		if failures > c.RetryPolicy.MaxRetries {
-			return fmt.Errorf("no node to watch in %d attempts: %w", failures, err)
+			return fmt.Errorf("watch failed %d times in a row: %w", failures, err)
 		}
 		if err := c.RetryPolicy.wait(ctx, failures); err != nil {
 			return err
@@ -53,10 +54,11 @@
 	}
 }
 
-// finalError ends a watch; after any other error it continues at another node.
+// finalError wraps an error that ends a watch. After any other error the watch continues at another
+// node.
 type finalError struct{ error }
 
-// watcher is a watch and its position.
+// watcher is the state of one call of Watch.
 type watcher struct {
 	client       *Client
 	prefix       string
@@ -64,7 +66,7 @@
 	handle       func(watch.Revision) error
 }
 
-// watchNode watches at one node, and reports whether any event was received.
+// watchNode watches at one node until the stream fails, and reports whether it received an event.
 func (w *watcher) watchNode(ctx context.Context, node string) (received bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -74,7 +76,7 @@
 	if err != nil {
 		return false, &finalError{err}
 	}
-	streamClient := &http.Client{Transport: w.client.HTTPClient.Transport} // without a timeout for the whole answer
+	streamClient := &http.Client{Transport: w.client.HTTPClient.Transport} // no timeout, as the response has no end
 	res, err := streamClient.Do(req)
 	if err != nil {
 		return false, err
@@ -104,19 +106,19 @@
 	return req, nil
 }
 
-// handleEvent handles one event and moves the position on.
+// handleEvent handles one event and advances the position of the watch.
 func (w *watcher) handleEvent(e event) error {
 	if e.eventType == storeapi.EventCompacted {
 		return watchError(http.StatusGone, e.data)
 	}
 	id, err := strconv.ParseUint(e.id, 10, 63)
 	if err != nil {
-		return fmt.Errorf("event %q: id %q is no revision", e.eventType, e.id)
+		return fmt.Errorf("event %q: invalid id %q, want a revision", e.eventType, e.id)
 	}
 	if e.eventType == storeapi.EventChange && id >= w.nextRevision {
 		var revision watch.Revision
 		if err := json.Unmarshal(e.data, &revision); err != nil || revision.Number != id {
-			return fmt.Errorf("event %d can't be read: %w", id, err)
+			return fmt.Errorf("decode event with id %d: %w", id, err)
 		}
 		if err := w.handle(revision); err != nil {
 			return &finalError{err}
@@ -126,7 +128,7 @@
 	return nil
 }
 
-// watchError returns the error of an answer that is no stream. Only 503 is worth another attempt.
+// watchError converts an error response to an error. All errors but that of status 503 are final.
 func watchError(statusCode int, body []byte) error {
 	var compacted storeapi.CompactedResponse
 	switch {
@@ -138,7 +140,7 @@
 	return &finalError{storeapi.NewStatusError(statusCode, body)}
 }
 
-// timeoutReader starts a timer anew whenever something is read.
+// timeoutReader resets a timer whenever it reads data.
 type timeoutReader struct {
 	io.Reader
 	timeout *time.Timer
