--- a/internal/cluster/backup/backup.go
+++ b/internal/cluster/backup/backup.go
@@ -1,6 +1,6 @@
-// Package backup is the file format of a backup of the replicated store: a header, which is one
-// line of JSON with a checksum, and one line of JSON for each key. A file that is truncated, or
-// changed in any byte, is recognized.
+// Package backup reads and writes backup files of the replicated store. A file consists of a header,
+// which is one line of JSON with a checksum, and one line of JSON per key. Read detects truncated and
+// modified files.
 package backup
 
 import (
@@ -12,43 +12,43 @@
 	"oxbowbridge/internal/cluster/kv"
 )
 
-// MaxBytes is the size of the largest backup without its header: kv.MaxKeys entries, each with the
-// largest value and a key of which every byte is escaped.
+// MaxBytes is the maximum size of a backup without its header: kv.MaxKeys entries, each with a value of
+// maximum size and a key of maximum size in which every byte is escaped.
 const MaxBytes = kv.MaxKeys * (kv.MaxValueBytes + maxEscapedBytesPerByte*kv.MaxKeyBytes + maxEntryOverheadBytes)
 
 const (
 	formatName             = "oxbowbridge-backup-1"
 	maxHeaderBytes         = 1 << 10
-	maxEscapedBytesPerByte = 6  // of one byte of a key in JSON
-	maxEntryOverheadBytes  = 64 // of the line of one entry
+	maxEscapedBytesPerByte = 6  // encoded size of one byte of a key, as \u00XX
+	maxEntryOverheadBytes  = 64 // of one line, without key and value
 )
 
-// ErrCorrupt means that a file is no backup, or not as it was written.
+// ErrCorrupt means that a file is not a backup, or was truncated or modified.
 var ErrCorrupt = errors.New("backup is damaged")
 
-// Header is the first line.
+// Header is the first line of a backup file.
 type Header struct {
 	Format          string `json:"format"`
-	Cluster         string `json:"cluster"`         // id of the cluster that it was taken from
-	Revision        uint64 `json:"revision"`        // of the store that it shows
-	TimeMS          int64  `json:"time_ms"`         // when it was taken, Unix milliseconds
+	Cluster         string `json:"cluster"`         // id of the cluster that the backup was taken from
+	Revision        uint64 `json:"revision"`        // revision of the store in the backup
+	TimeMS          int64  `json:"time_ms"`         // time of the backup, Unix milliseconds
 	Keys            int    `json:"keys"`            // number of entries
-	Bytes           int    `json:"bytes"`           // of the entries
-	MaxFencingToken uint64 `json:"token,omitempty"` // the highest fencing token that was given
-	SHA256          string `json:"sha256"`          // of the header with this field empty, and the entries
+	Bytes           int    `json:"bytes"`           // size of all entry lines
+	MaxFencingToken uint64 `json:"token,omitempty"` // the highest fencing token that was granted
+	SHA256          string `json:"sha256"`          // checksum of the header with this field empty and of the entry lines
 }
 
-// Entry is one key. Entries are sorted by key.
+// Entry is one key of a backup. Entries are sorted by key.
 type Entry struct {
 	Key      string          `json:"key"`
 	Revision uint64          `json:"revision"` // in the cluster that the backup was taken from
 	Value    json.RawMessage `json:"value"`
 }
 
-// checksum returns the value of SHA256 for a header and the lines of its entries.
+// checksum returns the value of SHA256 for a header and its encoded entries.
 func (h Header) checksum(entries []byte) string {
 	h.SHA256 = ""
-	line, _ := json.Marshal(h) // texts and numbers can be encoded
+	line, _ := json.Marshal(h) // cannot fail: all fields are strings and numbers
 	sum := sha256.New()
 	sum.Write(line)
 	sum.Write(entries)
--- a/internal/cluster/backup/backup_test.go
+++ b/internal/cluster/backup/backup_test.go
@@ -16,8 +16,8 @@
 	return buf.Bytes(), header, entries
 }
 
-// TestDamageOfAnyByteIsDetected: a backup is read as it was written; cut off at any byte, or with any
-// bit of any byte changed, it is refused.
+// TestDamageOfAnyByteIsDetected checks that a backup can be read back unchanged, and that Read returns
+// ErrCorrupt if the file is truncated at any byte or any one bit is flipped.
 func TestDamageOfAnyByteIsDetected(t *testing.T) {
 	text, header, entries := newSampleBackup(t)
 	readHeader, readEntries, err := Read(bytes.NewReader(text))
@@ -38,8 +38,8 @@
 	require.ErrorIs(t, err, ErrCorrupt)
 }
 
-// FuzzRead: whatever comes, reading it does not panic, and what is taken can be
-// written again as it was.
+// FuzzRead checks that Read does not panic on any input, and that a backup that Read accepts can be
+// written again with the same number of keys.
 func FuzzRead(f *testing.F) {
 	text, _, _ := newSampleBackup(f)
 	f.Add(text)
--- a/internal/cluster/backup/golden_test.go
+++ b/internal/cluster/backup/golden_test.go
@@ -18,7 +18,8 @@
 	)
 }
 
-// TestGoldenFile: a backup file is read whole, and written again byte for byte.
+// TestGoldenFile checks that a stored backup file is read completely, and that writing it again produces
+// the same bytes.
 func TestGoldenFile(t *testing.T) {
 	entries := []Entry{{"a", 3, json.RawMessage(`{"x":[1,2]}`)}, {"b/ü\n", 9, json.RawMessage(`"<&>"`)}}
 	var written bytes.Buffer
--- a/internal/cluster/backup/read.go
+++ b/internal/cluster/backup/read.go
@@ -9,7 +9,7 @@
 	"oxbowbridge/internal/cluster/kv"
 )
 
-// Read reads a backup, all of it or nothing. Its error wraps ErrCorrupt, or the error of r.
+// Read reads and verifies a complete backup. The error wraps ErrCorrupt or the error of r.
 func Read(r io.Reader) (Header, []Entry, error) {
 	data, err := io.ReadAll(io.LimitReader(r, maxHeaderBytes+MaxBytes+1))
 	if err != nil {
@@ -38,8 +38,8 @@
 
 func errNoHeader() error { return fmt.Errorf("%w: no line of %s at its start", ErrCorrupt, formatName) }
 
-// decodeHeader decodes the first line. JSON has many forms of one value; only the one that Write
-// writes is accepted, so that any changed byte is recognized.
+// decodeHeader decodes the first line. The same value can be encoded as JSON in several ways. Only the
+// encoding that Write produces is accepted, so that a change of any byte is detected.
 func decodeHeader(line []byte) (Header, error) {
 	var header Header
 	if len(line) > maxHeaderBytes || json.Unmarshal(line, &header) != nil || header.Format != formatName {
--- a/internal/cluster/backup/write.go
+++ b/internal/cluster/backup/write.go
@@ -7,8 +7,8 @@
 	"io"
 )
 
-// Write writes a backup. It fills in the header's fields that describe the entries, and returns
-// the header that it has written.
+// Write writes a backup. It sets Format and the header fields that describe the entries, and returns the
+// header that it wrote.
 func Write(w io.Writer, header Header, entries []Entry) (Header, error) {
 	entryLines, err := encodeEntries(entries)
 	if err != nil {
--- a/internal/cluster/singleton/backup_file.go
+++ b/internal/cluster/singleton/backup_file.go
@@ -11,8 +11,8 @@
 	"oxbowbridge/internal/storage/atomicfile"
 )
 
-// timeToNextBackup is how long until the next backup; 0 is now. A last backup that lies in the future was dated
-// by a clock that is ahead, and counts as taken now.
+// timeToNextBackup returns the time until the next backup is due, or 0 if it is due now. If the last
+// backup is in the future, its timestamp comes from a clock that is ahead. It then counts as taken now.
 func timeToNextBackup(last, now time.Time, interval time.Duration) time.Duration {
 	if last.IsZero() {
 		return 0
@@ -21,21 +21,23 @@
 	return max(0, interval-age)
 }
 
-// backupNamePattern matches the names of scheduled backups: Unix milliseconds and revision.
+// backupNamePattern matches the file names of scheduled backups, which contain the Unix time in
+// milliseconds and the revision.
 var backupNamePattern = regexp.MustCompile(`^oxbowbridge-([0-9]{13,16})-([0-9]+)\.backup$`)
 
-// partialNamePattern matches what a process that died while it wrote a scheduled backup left behind.
+// partialNamePattern matches the names of temporary files of scheduled backups. They remain if a process
+// crashes while it writes a backup.
 var partialNamePattern = regexp.MustCompile(`^oxbowbridge-[0-9]{13,16}-[0-9]+\.backup` +
 	regexp.QuoteMeta(atomicfile.TemporaryInfix) + `[0-9]+$`)
 
-// backupFileName is a backup's name. Names of later backups sort later.
+// backupFileName returns the file name of a scheduled backup. Later backups have names that sort later.
 func backupFileName(at time.Time, revision uint64) string {
 	return fmt.Sprintf("oxbowbridge-%013d-%d.backup", at.UnixMilli(), revision)
 }
 
-// filesToRemove are the files to be removed so that the newest ones are kept, and partial ones: no backup is
-// being written, unless by a node that has lost the lease and has to discard it. Files with other names are never
-// among them.
+// filesToRemove returns the backups to delete so that the maxFiles newest ones remain, and all temporary
+// files. Deleting temporary files is safe, because no other backup is being written, except by a node
+// that has lost the lease and must discard its backup. Files with other names are never returned.
 func filesToRemove(names []string, maxFiles int) (remove []string) {
 	timesMS := map[string]int64{}
 	var backups []string
@@ -44,7 +46,7 @@
 			remove = append(remove, name)
 		}
 		if match := backupNamePattern.FindStringSubmatch(name); match != nil {
-			timesMS[name], _ = strconv.ParseInt(match[1], 10, 64) // 16 digits at most
+			timesMS[name], _ = strconv.ParseInt(match[1], 10, 64) // cannot fail: at most 16 digits
 			backups = append(backups, name)
 		}
 	}
--- a/internal/cluster/singleton/backup_file_test.go
+++ b/internal/cluster/singleton/backup_file_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestPartialBackups: guards against a partial file of a process that died that takes the place of a backup, or stays for
-// ever; and against the removal of files with other names.
+// TestPartialBackups checks that a temporary file left by a crashed process is deleted and does not count
+// as one of the backups to keep, and that files with other names are not deleted.
 func TestPartialBackups(t *testing.T) {
 	const (
 		complete = "oxbowbridge-1700000000000-1.backup"
--- a/internal/cluster/singleton/backup_task.go
+++ b/internal/cluster/singleton/backup_task.go
@@ -22,29 +22,29 @@
 )
 
 const (
-	// LastBackupKey is the key of the last scheduled backup, a LastBackup.
+	// LastBackupKey is the key under which the last scheduled backup is recorded as a LastBackup.
 	LastBackupKey = kv.ServiceStatePrefix + "fleet.backup"
 
-	// maxScheduleWait bounds the wait between two reads of KeyLastBackup.
+	// maxScheduleWait bounds the wait between two reads of LastBackupKey.
 	maxScheduleWait = time.Second
 )
 
-// LastBackup is the record of the last scheduled backup under KeyLastBackup.
+// LastBackup is the record of the last scheduled backup, stored under LastBackupKey.
 type LastBackup struct {
-	TimeMS   int64  `json:"time_ms"` // Unix milliseconds, by the clock of the node that wrote it
+	TimeMS   int64  `json:"time_ms"` // time of the backup, Unix milliseconds, from the clock of Node
 	Node     string `json:"node"`
-	File     string `json:"file"` // path on that node
+	File     string `json:"file"` // path of the backup file on Node
 	Revision uint64 `json:"revision"`
 	SHA256   string `json:"sha256"`
 }
 
-// backupSchedule takes one backup in each interval.
+// backupSchedule takes one backup per interval.
 type backupSchedule struct {
 	store    *store.Store
 	client   *storeclient.Client
 	dir      string
 	interval time.Duration
-	maxFiles int // files that stay
+	maxFiles int // backups to keep
 	log      *zap.Logger
 }
 
@@ -86,15 +86,16 @@
 	}
 }
 
-// readTimeToNextBackup is how long until the next backup; 0 is now. The read is linearizable: the previous
-// lease holder may have recorded a backup just before this one was granted the lease.
+// readTimeToNextBackup returns the time until the next backup is due, or 0 if it is due now. It reads
+// LastBackupKey linearizably, because the previous lease holder may have recorded a backup just before
+// this node was granted the lease.
 func (b *backupSchedule) readTimeToNextBackup(ctx context.Context) (time.Duration, error) {
 	if _, err := b.store.WaitFresh(ctx, store.Freshness{}); err != nil {
 		return 0, err
 	}
 	var last LastBackup
 	if e, ok := b.store.Entry(LastBackupKey); ok {
-		json.Unmarshal(e.Value, &last) // a record that can't be read counts as none
+		json.Unmarshal(e.Value, &last) // a malformed record counts as missing
 	}
 	if last.TimeMS == 0 {
 		return 0, nil
@@ -102,7 +103,8 @@
 	return timeToNextBackup(time.UnixMilli(last.TimeMS), time.Now(), b.interval), nil
 }
 
-// takeBackup writes a backup, records it in the store under the lease, and only then removes expired ones.
+// writeBackup writes a backup file, records it in the store, fenced by the lease, and only then deletes
+// expired files.
 func (b *backupSchedule) writeBackup(ctx context.Context, fence lease.FencingToken) error {
 	header, data, err := b.client.Backup(ctx)
 	if err != nil {
@@ -115,11 +117,11 @@
 	if err := b.putLastBackup(ctx, fence, header, path); err != nil {
 		return err
 	}
-	b.log.Info("scheduled backup", zap.String("file", path), zap.Uint64("revision", header.Revision), zap.Int("keys", header.Keys))
+	b.log.Info("scheduled backup written", zap.String("file", path), zap.Uint64("revision", header.Revision), zap.Int("keys", header.Keys))
 	return b.removeExpired()
 }
 
-// writeFile writes a backup, and checks that it can be read again.
+// writeFile writes a backup to a new file, and verifies the file by reading it.
 func (b *backupSchedule) writeFile(header backup.Header, data []byte) (path string, err error) {
 	if err := os.MkdirAll(b.dir, 0o700); err != nil {
 		return "", err
@@ -133,13 +135,13 @@
 		_, _, err = backup.Read(bytes.NewReader(onDisk))
 	}
 	if err != nil {
-		return "", errors.Join(fmt.Errorf("what was written is not what can be read: %w", err), os.Remove(path))
+		return "", errors.Join(fmt.Errorf("verify written backup: %w", err), os.Remove(path))
 	}
 	return path, nil
 }
 
-// putLastBackup records the backup under the lease. If that fails, another node may hold the lease, and
-// the file is removed.
+// putLastBackup records the backup in the store, fenced by the lease. If that fails, another node may
+// hold the lease, so the file is deleted.
 func (b *backupSchedule) putLastBackup(ctx context.Context, fence lease.FencingToken, header backup.Header, path string) error {
 	text, err := json.Marshal(LastBackup{
 		TimeMS:   header.TimeMS,
--- a/internal/cluster/singleton/golden_test.go
+++ b/internal/cluster/singleton/golden_test.go
@@ -9,7 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestGolden: the note of a scheduled backup, its file's name, and the names of the leases.
+// TestGolden checks that the record of a scheduled backup, its file name and the names of the leases are
+// unchanged.
 func TestGolden(t *testing.T) {
 	last := LastBackup{TimeMS: 1, Node: "n1", File: "/b/f", Revision: 2, SHA256: "ab"}
 	const text = `{"time_ms":1,"node":"n1","file":"/b/f","revision":2,"sha256":"ab"}`
--- a/internal/cluster/singleton/sessions.go
+++ b/internal/cluster/singleton/sessions.go
@@ -11,7 +11,7 @@
 	"oxbowbridge/internal/cluster/store"
 )
 
-// idleSessionCheckInterval is how often the log's time is moved on while sessions are open.
+// idleSessionCheckInterval is how often expireSessions advances the log time while sessions are open.
 const idleSessionCheckInterval = 30 * time.Second
 
 func sessionTask(s *store.Store) leaseclient.Task {
@@ -24,8 +24,8 @@
 	}
 }
 
-// expireSessions commits empty requests, whose time moves the log's time on while there is no other write. Idle
-// sessions end by it.
+// expireSessions periodically commits an empty request. Its timestamp advances the log time even without
+// other writes, so that idle sessions expire.
 func expireSessions(ctx context.Context, s *store.Store, fence lease.FencingToken) error {
 	ticker := time.NewTicker(idleSessionCheckInterval)
 	defer ticker.Stop()
@@ -39,7 +39,7 @@
 			continue
 		}
 		if _, err := s.ExecuteAnywhere(ctx, kv.Request{Fences: []lease.FencingToken{fence}}); err != nil {
-			return fmt.Errorf("end sessions: %w", err)
+			return fmt.Errorf("expire idle sessions: %w", err)
 		}
 	}
 }
--- a/internal/cluster/singleton/tasks.go
+++ b/internal/cluster/singleton/tasks.go
@@ -1,10 +1,10 @@
-// Package singleton runs the tasks that one node of the store does for the whole cluster: it writes
-// the SQL mirror, takes scheduled backups, decides on orders of maintenance, and ends idle sessions.
-// For each task a lease settles which node does it; whatever the task writes is fenced by the lease's
-// token.
+// Package singleton runs the tasks that must run on only one node of the store at a time: writing the
+// SQL mirror, taking scheduled backups, controlling maintenance orders, and expiring idle sessions.
+// For each task there is a lease, and the node that holds the lease runs the task. All writes of the
+// task to the store are fenced by the lease's token.
 //
-// Each task has one goroutine, which waits for its lease, and runs the task while it has it. A task
-// that returns an error gives its lease up, so that another node may do better.
+// Each task has one goroutine, which waits for its lease and runs the task while it holds the lease. If
+// a task returns an error, the lease is released, so that another node can run the task.
 package singleton
 
 import (
@@ -19,7 +19,7 @@
 	"oxbowbridge/internal/maintenance/controller"
 )
 
-// Names of the leases. That of the maintenance controller is controller.ControllerLease.
+// Names of the leases. The lease of the maintenance controller is controller.ControllerLease.
 const (
 	MirrorLease        = "fleet/mirror"
 	BackupLease        = "fleet/backup"
@@ -27,22 +27,23 @@
 )
 
 const (
-	// CloseTimeout is how long Close takes at most. It is short: a lease that is not released by then
-	// goes to another node leaseTTL later.
+	// CloseTimeout bounds the duration of Close. It can be short, because a lease that is not released by
+	// then expires after taskLeaseTTL and another node gets it.
 	CloseTimeout = 300 * time.Millisecond
 
-	// taskLeaseTTL is after which silence of a node another one takes its tasks over.
+	// taskLeaseTTL is the time after which another node takes over the tasks of a node that no longer
+	// renews its leases.
 	taskLeaseTTL = 5 * time.Second
 )
 
-// Tasks are those of one node.
+// Tasks are the singleton tasks for which one node competes.
 type Tasks struct {
 	cancel  context.CancelFunc
 	running sync.WaitGroup
 	leases  *leaseclient.Manager
 }
 
-// Start has a node compete for the tasks that it is set up for, until Close.
+// Start starts competing for the leases of all tasks for which the node is configured, until Close.
 func Start(s *store.Store, maintenance *controller.Controller, cfg store.Config, log *zap.Logger) (*Tasks, error) {
 	tasks := []leaseclient.Task{
 		sessionTask(s),
@@ -67,7 +68,7 @@
 	return t, nil
 }
 
-// Close ends all tasks, and releases their leases to other nodes.
+// Close stops all tasks and releases their leases. It returns after at most CloseTimeout.
 func (t *Tasks) Close() {
 	closed := make(chan struct{})
 	go func() {
