--- a/internal/cluster/raftstorage/log_entry.go
+++ b/internal/cluster/raftstorage/log_entry.go
@@ -15,7 +15,7 @@
 	entryHeaderBytes = 32
 )
 
-var errMalformedEntry = errors.New("malformed encoding")
+var errMalformedEntry = errors.New("can't be read")
 
 // encodeEntry encodes a log entry: one byte for the format version, one byte for the type, then as
 // varints the term, the append time in Unix nanoseconds (0 if there is none) and the length of the
--- a/internal/cluster/raftstorage/watermark.go
+++ b/internal/cluster/raftstorage/watermark.go
@@ -20,7 +20,7 @@
 // entry or, if the log is empty, of the newest snapshot. The number of starts is not set.
 func (s *Storage) Watermark() (watermark diskidentity.Watermark, err error) {
 	if watermark.Term, err = s.GetUint64([]byte(currentTermKey)); err != nil {
-		return watermark, fmt.Errorf("read current term: %w", err)
+		return watermark, fmt.Errorf("term: %w", err)
 	}
 	found, err := s.readLastEntry(&watermark)
 	if err != nil || found {
