--- a/internal/cluster/kv/kv_test.go
+++ b/internal/cluster/kv/kv_test.go
@@ -43,21 +43,21 @@
 	assert.False(t, response.Succeeded)
 	for _, r := range []Request{{Then: []Op{putOp("", "1")}}, {Then: []Op{putOp("a", "{")}}, {Then: []Op{putOp("a", "null")}}, {Then: []Op{{Kind: "swap", Key: "a"}}},
 		{SessionID: 1}, {If: []Compare{{}}}} {
-		before := s.Clone()
+		stateBefore := s.Clone()
 		_, _, err := s.Apply(9, &r)
 		assert.ErrorIs(t, err, ErrInvalidRequest)
-		before.AppliedIndex = 9
-		assert.Equal(t, before, s, "an invalid request must only advance the applied index")
+		stateBefore.AppliedIndex = 9
+		assert.Equal(t, stateBefore, s, "an invalid request must only advance the applied index")
 	}
 	assert.ErrorIs(t, (&Request{Then: make([]Op, MaxOps+1)}).ValidateSize(), ErrInvalidRequest)
-	full := New()
+	fullState := New()
 	for i := range MaxKeys {
-		mustApply(t, full, Request{Then: []Op{putOp(fmt.Sprint(i), "1")}})
+		mustApply(t, fullState, Request{Then: []Op{putOp(fmt.Sprint(i), "1")}})
 	}
-	_, changed, err := full.Apply(5000, &Request{Then: []Op{putOp("0", "2"), putOp("more", "1")}})
+	_, changed, err := fullState.Apply(5000, &Request{Then: []Op{putOp("0", "2"), putOp("more", "1")}})
 	assert.ErrorIs(t, err, ErrFull)
 	assert.Empty(t, changed)
-	assert.Equal(t, "1", string(full.Entries["0"].Value))
+	assert.Equal(t, "1", string(fullState.Entries["0"].Value))
 }
 
 // TestSessions checks that a request of a session takes effect at most once, however often and in
--- a/internal/cluster/kv/session.go
+++ b/internal/cluster/kv/session.go
@@ -26,17 +26,17 @@
 	Response      Response `json:"answer"`
 }
 
-func (x *session) clone() *session {
-	return &session{LastSeenMS: x.LastSeenMS, LastRequest: x.LastRequest, Cached: slices.Clone(x.Cached)}
+func (sess *session) clone() *session {
+	return &session{LastSeenMS: sess.LastSeenMS, LastRequest: sess.LastRequest, Cached: slices.Clone(sess.Cached)}
 }
 
 // cacheResponse records the response to a new request, and drops the oldest cached responses beyond
 // MaxCachedResponses.
-func (x *session) cacheResponse(number uint64, response Response) {
-	x.LastRequest = number
-	x.Cached = append(x.Cached, cachedResponse{number, response})
-	excess := max(0, len(x.Cached)-MaxCachedResponses)
-	x.Cached = slices.Delete(x.Cached, 0, excess)
+func (sess *session) cacheResponse(number uint64, response Response) {
+	sess.LastRequest = number
+	sess.Cached = append(sess.Cached, cachedResponse{number, response})
+	excess := max(0, len(sess.Cached)-MaxCachedResponses)
+	sess.Cached = slices.Delete(sess.Cached, 0, excess)
 }
 
 // openSession opens a session. Its id is the index of the log entry.
@@ -50,29 +50,29 @@
 
 // expireIdleSessions removes the sessions that have been idle for longer than SessionTimeoutMS.
 func (s *State) expireIdleSessions() {
-	maps.DeleteFunc(s.Sessions, func(_ uint64, x *session) bool { return s.LogTimeMS-x.LastSeenMS > SessionTimeoutMS })
+	maps.DeleteFunc(s.Sessions, func(_ uint64, sess *session) bool { return s.LogTimeMS-sess.LastSeenMS > SessionTimeoutMS })
 }
 
 // applyInSession applies a request of a session, unless it was applied before: then it returns the
 // cached response, or ErrStaleRequest.
 func (s *State) applyInSession(index uint64, r *Request) (Response, []string, error) {
-	x := s.Sessions[r.SessionID]
-	if x == nil {
+	sess := s.Sessions[r.SessionID]
+	if sess == nil {
 		return Response{}, nil, fmt.Errorf("%w: %d", ErrSessionNotFound, r.SessionID)
 	}
-	x.LastSeenMS = s.LogTimeMS
-	for _, cached := range x.Cached {
+	sess.LastSeenMS = s.LogTimeMS
+	for _, cached := range sess.Cached {
 		if cached.RequestNumber == r.RequestNumber {
 			return cached.Response, nil, nil
 		}
 	}
-	if r.RequestNumber <= x.LastRequest {
-		return Response{}, nil, fmt.Errorf("%w: %d, the last is %d", ErrStaleRequest, r.RequestNumber, x.LastRequest)
+	if r.RequestNumber <= sess.LastRequest {
+		return Response{}, nil, fmt.Errorf("%w: %d, the last is %d", ErrStaleRequest, r.RequestNumber, sess.LastRequest)
 	}
 	response, changed, err := s.applyTxn(index, r)
 	if err != nil {
 		return response, changed, err
 	}
-	x.cacheResponse(r.RequestNumber, response)
+	sess.cacheResponse(r.RequestNumber, response)
 	return response, changed, nil
 }
--- a/internal/cluster/kv/state.go
+++ b/internal/cluster/kv/state.go
@@ -56,7 +56,7 @@
 
 // Clone returns a copy. It shares only the bytes of the values, which are never modified.
 func (s *State) Clone() *State {
-	c := &State{
+	clone := &State{
 		AppliedIndex: s.AppliedIndex,
 		LogTimeMS:    s.LogTimeMS,
 		Entries:      maps.Clone(s.Entries),
@@ -65,10 +65,10 @@
 		Checksum:     s.Checksum,
 		valueBytes:   valueBytesUnknown,
 	}
-	for id, x := range s.Sessions {
-		c.Sessions[id] = x.clone()
+	for id, sess := range s.Sessions {
+		clone.Sessions[id] = sess.clone()
 	}
-	return c
+	return clone
 }
 
 // ValueBytes returns the size of all values in bytes.
@@ -157,8 +157,8 @@
 // without being part of the restore. Requests that are part of it compare RestoreMarkerKey with its
 // revision.
 func (s *State) isBlockedByRestore(r *Request) bool {
-	marker := s.Revision(RestoreMarkerKey)
-	if marker == 0 || slices.Contains(r.If, Compare{RestoreMarkerKey, marker}) {
+	markerRevision := s.Revision(RestoreMarkerKey)
+	if markerRevision == 0 || slices.Contains(r.If, Compare{RestoreMarkerKey, markerRevision}) {
 		return false
 	}
 	return slices.ContainsFunc(slices.Concat(r.Then, r.Else), func(op Op) bool {
--- a/internal/cluster/kv/txn.go
+++ b/internal/cluster/kv/txn.go
@@ -79,9 +79,9 @@
 	return entry, known
 }
 
-func (t *txn) put(op Op, old Entry, exists bool) Entry {
+func (t *txn) put(op Op, previous Entry, exists bool) Entry {
 	if exists {
-		return Entry{Value: op.Value, ModRevision: t.revision, CreateRevision: old.CreateRevision, Version: old.Version + 1}
+		return Entry{Value: op.Value, ModRevision: t.revision, CreateRevision: previous.CreateRevision, Version: previous.Version + 1}
 	}
 	return Entry{Value: op.Value, ModRevision: t.revision, CreateRevision: t.revision, Version: 1}
 }
--- a/internal/cluster/raftstorage/configuration.go
+++ b/internal/cluster/raftstorage/configuration.go
@@ -17,7 +17,7 @@
 // configurationCache caches the result of Storage.Configuration.
 type configurationCache struct {
 	mu            sync.Mutex
-	known         bool
+	valid         bool
 	configuration Configuration
 }
 
@@ -26,12 +26,12 @@
 func (c *configurationCache) invalidate() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.known = false
+	c.valid = false
 }
 
 // set caches a configuration. The caller must hold c.mu.
 func (c *configurationCache) set(conf Configuration) {
-	c.known = true
+	c.valid = true
 	c.configuration = conf
 }
 
@@ -51,7 +51,7 @@
 func (s *Storage) Configuration() (Configuration, error) {
 	s.configCache.mu.Lock()
 	defer s.configCache.mu.Unlock()
-	if s.configCache.known {
+	if s.configCache.valid {
 		return s.configCache.configuration, nil
 	}
 	conf, err := s.findConfiguration()
--- a/internal/cluster/raftstorage/fail_stop_test.go
+++ b/internal/cluster/raftstorage/fail_stop_test.go
@@ -16,12 +16,12 @@
 	fs := &faultfs.FS{}
 	storage, _, err := OpenFS(fs)
 	require.NoError(t, err)
-	reports := 0
-	failStop := storage.WithFailStop(func(error) { reports++ })
+	reportCount := 0
+	failStop := storage.WithFailStop(func(error) { reportCount++ })
 	require.NoError(t, failStop.SetUint64([]byte("CurrentTerm"), 1))
 	require.NoError(t, failStop.StoreLog(newCommandEntry(1, 1, "a")))
 	require.ErrorIs(t, failStop.GetLog(2, &raft.Log{}), raft.ErrLogNotFound)
-	require.Zero(t, reports)
+	require.Zero(t, reportCount)
 	fs.FaultAt = func(int, string, string) faultfs.Fault { return faultfs.IOError }
 	require.Error(t, failStop.StoreLog(newCommandEntry(2, 1, "b")))
 	returned, exited := false, make(chan struct{})
@@ -32,7 +32,7 @@
 	}()
 	<-exited
 	require.False(t, returned)
-	require.Equal(t, 1, reports)
+	require.Equal(t, 1, reportCount)
 	require.Error(t, storage.ReadOnlyReason())
 	watermark, err := storage.Watermark()
 	require.NoError(t, err)
--- a/internal/cluster/raftstorage/snapshot.go
+++ b/internal/cluster/raftstorage/snapshot.go
@@ -75,7 +75,7 @@
 }
 
 func (s *snapshotStore) readMeta(id string) (*raft.SnapshotMeta, error) {
-	text, err := s.store.Get(metaKey(id), 0)
+	encoded, err := s.store.Get(metaKey(id), 0)
 	if errors.Is(err, durable.ErrNotFound) {
 		return nil, errSnapshotNotFound
 	}
@@ -83,7 +83,7 @@
 		return nil, err
 	}
 	meta := &raft.SnapshotMeta{}
-	return meta, json.Unmarshal(text, meta)
+	return meta, json.Unmarshal(encoded, meta)
 }
 
 func (s *snapshotStore) list() ([]*raft.SnapshotMeta, error) {
@@ -96,9 +96,9 @@
 	var malformed error
 	err = view.Scan([]byte(prefixSnapshotMeta), prefixEnd(prefixSnapshotMeta), 0, func(i durable.Item) bool {
 		meta := &raft.SnapshotMeta{}
-		text, err := i.Value()
+		encoded, err := i.Value()
 		if err == nil {
-			err = json.Unmarshal(text, meta)
+			err = json.Unmarshal(encoded, meta)
 		}
 		if err != nil {
 			malformed = fmt.Errorf("snapshot %s: %w", i.Key, err)
--- a/internal/cluster/raftstorage/snapshot_sink.go
+++ b/internal/cluster/raftstorage/snapshot_sink.go
@@ -56,7 +56,7 @@
 			return err
 		}
 	}
-	text, err := json.Marshal(w.meta)
+	encodedMeta, err := json.Marshal(w.meta)
 	if err != nil {
 		return err
 	}
@@ -67,7 +67,7 @@
 		return err
 	}
 	var b durable.Batch
-	b.Put(metaKey(w.meta.ID), text, 0)
+	b.Put(metaKey(w.meta.ID), encodedMeta, 0)
 	for _, older := range metas[min(len(metas), retainedSnapshots-1):] {
 		b.Delete(metaKey(older.ID))
 		deleteChunks(&b, older.ID)
--- a/internal/cluster/singleton/backup_task.go
+++ b/internal/cluster/singleton/backup_task.go
@@ -143,7 +143,7 @@
 // putLastBackup records the backup in the store, fenced by the lease. If that fails, another node may
 // hold the lease, so the file is deleted.
 func (b *backupSchedule) putLastBackup(ctx context.Context, fence lease.FencingToken, header backup.Header, path string) error {
-	text, err := json.Marshal(LastBackup{
+	encoded, err := json.Marshal(LastBackup{
 		TimeMS:   header.TimeMS,
 		Node:     b.store.Name(),
 		File:     path,
@@ -155,7 +155,7 @@
 	}
 	_, err = b.store.ExecuteAnywhere(ctx, kv.Request{
 		Fences: []lease.FencingToken{fence},
-		Then:   []kv.Op{kv.Put(LastBackupKey, text)},
+		Then:   []kv.Op{kv.Put(LastBackupKey, encoded)},
 	})
 	if err != nil {
 		return errors.Join(err, os.Remove(path))
--- a/internal/cluster/storeapi/store.go
+++ b/internal/cluster/storeapi/store.go
@@ -56,10 +56,10 @@
 
 // ParseETag parses an entity tag that FormatETag returned. The error wraps kv.ErrInvalidRequest.
 func ParseETag(text string) (uint64, error) {
-	inner, opened := strings.CutPrefix(text, `"`)
-	inner, closed := strings.CutSuffix(inner, `"`)
-	revision, err := strconv.ParseUint(inner, 10, 64)
-	if !opened || !closed || err != nil || revision == 0 {
+	digits, hasOpeningQuote := strings.CutPrefix(text, `"`)
+	digits, hasClosingQuote := strings.CutSuffix(digits, `"`)
+	revision, err := strconv.ParseUint(digits, 10, 64)
+	if !hasOpeningQuote || !hasClosingQuote || err != nil || revision == 0 {
 		return 0, fmt.Errorf("%w: %q is no tag of a revision", kv.ErrInvalidRequest, text)
 	}
 	return revision, nil
--- a/internal/cluster/storeclient/backup.go
+++ b/internal/cluster/storeclient/backup.go
@@ -26,14 +26,14 @@
 
 // Restore checks a backup and restores the store from it. A failed restore can be retried.
 func (c *Client) Restore(ctx context.Context, r io.Reader) (restored storeapi.RestoreResponse, err error) {
-	text, err := io.ReadAll(r)
+	data, err := io.ReadAll(r)
 	if err != nil {
 		return restored, err
 	}
-	if _, _, err := backup.Read(bytes.NewReader(text)); err != nil {
+	if _, _, err := backup.Read(bytes.NewReader(data)); err != nil {
 		return restored, err
 	}
-	err = c.withAttemptTimeout(storeapi.RestoreTimeout).call(ctx, http.MethodPost, "/restore", text, &restored)
+	err = c.withAttemptTimeout(storeapi.RestoreTimeout).call(ctx, http.MethodPost, "/restore", data, &restored)
 	return restored, err
 }
 
--- a/internal/cluster/storeclient/client.go
+++ b/internal/cluster/storeclient/client.go
@@ -139,8 +139,8 @@
 // CallNode sends a request to one node, without retries, and decodes the response into out, which may be
 // nil. It does not pin the cluster of the node.
 func (c *Client) CallNode(ctx context.Context, node, method, path string, body []byte, out any) error {
-	single := &Client{Nodes: []string{node}, HTTPClient: c.HTTPClient, cluster: &pinnedCluster{id: c.cluster.get()}}
-	return single.call(ctx, method, path, body, out)
+	nodeClient := &Client{Nodes: []string{node}, HTTPClient: c.HTTPClient, cluster: &pinnedCluster{id: c.cluster.get()}}
+	return nodeClient.call(ctx, method, path, body, out)
 }
 
 func decodeError(err error) error { return fmt.Errorf("decode response: %w", err) }
--- a/internal/cluster/watch/history.go
+++ b/internal/cluster/watch/history.go
@@ -35,7 +35,7 @@
 type History struct {
 	limits           Limits
 	revisions        []Revision // in ascending order, without empty revisions
-	bytes            int
+	sizeBytes        int
 	compactedThrough uint64 // revisions up to this number may have been dropped
 	latestNumber     uint64 // number of the last added revision
 }
@@ -57,16 +57,16 @@
 	}
 	r := Revision{number, changes}
 	h.revisions = append(h.revisions, r)
-	h.bytes += r.size()
+	h.sizeBytes += r.size()
 	h.dropOldest()
 }
 
 // dropOldest drops the oldest revisions until the history is within its limits.
 func (h *History) dropOldest() {
 	dropped := 0
-	for len(h.revisions)-dropped > h.limits.MaxRevisions || h.bytes > h.limits.MaxBytes {
+	for len(h.revisions)-dropped > h.limits.MaxRevisions || h.sizeBytes > h.limits.MaxBytes {
 		h.compactedThrough = h.revisions[dropped].Number
-		h.bytes -= h.revisions[dropped].size()
+		h.sizeBytes -= h.revisions[dropped].size()
 		h.revisions[dropped] = Revision{} // lets the garbage collector free the values
 		dropped++
 	}
--- a/internal/cluster/watch/history_test.go
+++ b/internal/cluster/watch/history_test.go
@@ -28,35 +28,35 @@
 func TestSinceAgainstWholeHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{MaxRevisions: rapid.IntRange(1, 20).Draw(t, "revisions"), MaxBytes: rapid.IntRange(200, 2000).Draw(t, "bytes")}
-		page := PageLimits{MaxRevisions: rapid.IntRange(1, 5).Draw(t, "page"), MaxBytes: rapid.IntRange(1, 500).Draw(t, "page bytes")}
+		pageLimits := PageLimits{MaxRevisions: rapid.IntRange(1, 5).Draw(t, "page"), MaxBytes: rapid.IntRange(1, 500).Draw(t, "page bytes")}
 		prefix := rapid.SampledFrom([]string{"", "a/", "b/"}).Draw(t, "prefix")
 		h, allRevisions := NewHistory(limits, 0), []Revision{}
-		next, resetNumber := uint64(1), uint64(0)
+		position, resetNumber := uint64(1), uint64(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 9).Draw(t, "step") {
 			case 0:
 				resetNumber = h.latestNumber + uint64(rapid.IntRange(0, 3).Draw(t, "ahead"))
 				h.Reset(resetNumber)
 			case 1, 2: // the watcher reads one page
-				got, gotNext, err := h.Since(next, prefix, page)
+				got, gotNext, err := h.Since(position, prefix, pageLimits)
 				var compactedErr *CompactedError
 				if err != nil {
 					require.ErrorAs(t, err, &compactedErr)
-					require.Greater(t, compactedErr.OldestRevision, next, "a CompactedError must only be returned for a dropped position")
-					next = compactedErr.OldestRevision
+					require.Greater(t, compactedErr.OldestRevision, position, "a CompactedError must only be returned for a dropped position")
+					position = compactedErr.OldestRevision
 					continue
 				}
-				require.GreaterOrEqual(t, next, resetNumber, "a page must not span a reset")
+				require.GreaterOrEqual(t, position, resetNumber, "a page must not span a reset")
 				var want []Revision
 				for _, r := range allRevisions {
-					if filtered := r.filter(prefix); r.Number >= next && r.Number < gotNext && len(filtered.Changes) > 0 {
+					if filtered := r.filter(prefix); r.Number >= position && r.Number < gotNext && len(filtered.Changes) > 0 {
 						want = append(want, filtered)
 					}
 				}
 				require.Equal(t, want, got)
-				require.GreaterOrEqual(t, gotNext, next)
-				require.LessOrEqual(t, gotNext, max(next, h.latestNumber+1))
-				next = gotNext
+				require.GreaterOrEqual(t, gotNext, position)
+				require.LessOrEqual(t, gotNext, max(position, h.latestNumber+1))
+				position = gotNext
 			default:
 				r := Revision{Number: h.latestNumber + uint64(rapid.IntRange(1, 3).Draw(t, "gap"))}
 				for i := range rapid.IntRange(0, 3).Draw(t, "changes") {
@@ -68,16 +68,16 @@
 				allRevisions = append(allRevisions, r)
 			}
 			require.LessOrEqual(t, len(h.revisions), limits.MaxRevisions)
-			require.LessOrEqual(t, h.bytes, limits.MaxBytes)
+			require.LessOrEqual(t, h.sizeBytes, limits.MaxBytes)
 		}
-		for i := 0; next <= h.latestNumber; i++ { // reads the remaining pages
-			_, following, err := h.Since(next, prefix, page)
+		for i := 0; position <= h.latestNumber; i++ { // reads the remaining pages
+			_, gotNext, err := h.Since(position, prefix, pageLimits)
 			if err != nil {
 				break
 			}
-			require.Greater(t, following, next, "each page must advance a watcher that is behind")
+			require.Greater(t, gotNext, position, "each page must advance a watcher that is behind")
 			require.Less(t, i, 200)
-			next = following
+			position = gotNext
 		}
 	})
 }
