--- a/internal/cluster/store/read_index.go
+++ b/internal/cluster/store/read_index.go
@@ -12,24 +12,25 @@
 	"oxbowbridge/internal/cluster/storeapi"
 )
 
-// readIndexResult is an answer: at the time at, the cluster had committed no entry above index.
+// readIndexResult is a read index. At the time at, when the index was requested, the cluster had committed
+// no entry above it.
 type readIndexResult struct {
 	index uint64
 	at    time.Time
 }
 
 // readIndexBatcher requests the leader's read index (section 6.4 of the Raft dissertation) for many
-// callers at once. Callers that come while a round runs share the next one: only a round that began
-// after a call is valid for it.
+// callers at once. Callers that arrive during a round share the next one, because a read index is valid
+// only for calls made before its request.
 type readIndexBatcher struct {
 	readIndex func(context.Context) (index uint64, err error)
 
 	mu      sync.Mutex
 	running bool
-	next    *readIndexRound // the round that has not begun, nil if no caller waits for one
+	next    *readIndexRound // the round that has not started; nil if no caller waits for one
 }
 
-// readIndexRound is one request for the read index, for all callers that wait for it.
+// readIndexRound is one request for the read index, shared by all callers that wait for it.
 type readIndexRound struct {
 	done   chan struct{} // closed once result and err are set
 	result readIndexResult
@@ -38,7 +39,7 @@
 
 // await returns a read index that was requested after the call.
 func (p *readIndexBatcher) await(ctx context.Context) (readIndexResult, error) {
-	r := p.join()
+	r := p.joinNextRound()
 	select {
 	case <-r.done:
 		return r.result, r.err
@@ -47,8 +48,8 @@
 	}
 }
 
-// join is the round that begins next.
-func (p *readIndexBatcher) join() *readIndexRound {
+// joinNextRound returns the round that starts next.
+func (p *readIndexBatcher) joinNextRound() *readIndexRound {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.next == nil {
@@ -61,10 +62,10 @@
 	return p.next
 }
 
-// run carries out rounds until no caller waits for one.
+// run executes rounds until no caller waits for one.
 func (p *readIndexBatcher) run() {
 	for {
-		r := p.begin()
+		r := p.startNextRound()
 		if r == nil {
 			return
 		}
@@ -76,8 +77,9 @@
 	}
 }
 
-// begin returns the next round, which no caller joins any more; nil if there is none.
-func (p *readIndexBatcher) begin() *readIndexRound {
+// startNextRound returns the next round and closes it to further callers. It returns nil if no caller
+// waits.
+func (p *readIndexBatcher) startNextRound() *readIndexRound {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	r := p.next
@@ -88,25 +90,26 @@
 	return r
 }
 
-// committedIndex is the read index of the leader, this node or another one.
-func (s *Store) committedIndex(ctx context.Context) (uint64, error) {
+// clusterReadIndex returns the leader's read index, whether this or another node is the leader.
+func (s *Store) clusterReadIndex(ctx context.Context) (uint64, error) {
 	if s.IsLeader() {
 		return s.ReadIndex(ctx)
 	}
 	leader, err := s.remoteLeader()
 	if err != nil {
-		if _, stopped := s.running(); stopped != nil {
-			return 0, stopped
+		if _, notServingErr := s.running(); notServingErr != nil {
+			return 0, notServingErr
 		}
 		return 0, err
 	}
-	var answer storeapi.ReadIndexResponse
-	err = s.peers.client.WithCommitTimeout().CallNode(ctx, leader.Admin, http.MethodGet, "/index", nil, &answer)
-	return answer.Index, err
+	var response storeapi.ReadIndexResponse
+	err = s.peers.client.WithCommitTimeout().CallNode(ctx, leader.Admin, http.MethodGet, "/index", nil, &response)
+	return response.Index, err
 }
 
-// ReadIndex is the index of the last entry that was committed when this was called. It returns once a
-// majority of the voters has followed this leader since then, and ErrNoLeader on any other node.
+// ReadIndex returns the index of the last entry that was committed at the time of the call. It returns
+// once a majority of the voters has acknowledged this node as leader since then, and ErrNoLeader on any
+// other node.
 func (s *Store) ReadIndex(ctx context.Context) (uint64, error) {
 	inc, err := s.running()
 	if err != nil {
@@ -121,18 +124,18 @@
 	}
 	index := inc.raft.CommitIndex()
 	readAt := time.Now()
-	// VerifyLeader sends a heartbeat to all voters at once. Its own result may rest on answers to
-	// earlier ones, so that awaitMajority checks them again.
+	// VerifyLeader sends a heartbeat to all voters immediately. Its own result may rely on responses to
+	// earlier heartbeats, so that awaitMajority checks the responses again.
 	if err := awaitFuture(ctx, inc.raft.VerifyLeader()); err != nil {
 		return 0, err
 	}
 	conf := inc.configuration()
 	err = inc.transport.awaitMajority(ctx, quorumRequest{
-		leader:   raft.ServerID(inc.memberID),
-		conf:     conf.Configuration,
-		term:     term,
-		after:    readAt,
-		isLeader: inc.isLeader,
+		leader:    raft.ServerID(inc.memberID),
+		conf:      conf.Configuration,
+		term:      term,
+		sentSince: readAt,
+		isLeader:  inc.isLeader,
 	})
 	if err != nil {
 		return 0, fmt.Errorf("most voters' answers: %w", err)
@@ -143,8 +146,8 @@
 	return index, nil
 }
 
-// awaitBarrier commits an entry in a new leader's term: until then it does not know how far its
-// predecessors had committed.
+// awaitBarrier commits an entry in the term of a new leader. Before that, the leader does not know which
+// entries its predecessors have committed.
 func (inc *incarnation) awaitBarrier(ctx context.Context, term uint64) error {
 	if inc.barrierTerm.Load() == term {
 		return nil
