--- a/internal/cluster/kv/request.go
+++ b/internal/cluster/kv/request.go
@@ -12,13 +12,13 @@
 const (
 	MaxKeyBytes   = 200
 	MaxValueBytes = 64 << 10
-	MaxOps        = 128 // in each of Fences, If, Then and Else
+	MaxOps        = 128 // max. elements in each of Fences, If, Then and Else
 )
 
-// OpKind is what an operation does.
+// OpKind is the kind of an operation.
 type OpKind string
 
-// Kinds of operations.
+// Kinds of operations in a transaction.
 const (
 	OpPut    OpKind = "put"
 	OpDelete OpKind = "delete"
@@ -29,7 +29,7 @@
 type Op struct {
 	Kind  OpKind          `json:"do"`
 	Key   string          `json:"key"`
-	Value json.RawMessage `json:"value,omitempty"` // of OpPut
+	Value json.RawMessage `json:"value,omitempty"` // new value, only for OpPut
 }
 
 // Put returns an operation that writes a key.
@@ -118,7 +118,7 @@
 type Result struct {
 	Key      string          `json:"key"`
 	Revision uint64          `json:"revision"`        // 0 if the key does not exist
-	Value    json.RawMessage `json:"value,omitempty"` // of OpGet
+	Value    json.RawMessage `json:"value,omitempty"` // value that was read, only for OpGet
 }
 
 // Response is the outcome of a request.
--- a/internal/cluster/raftstorage/log.go
+++ b/internal/cluster/raftstorage/log.go
@@ -92,5 +92,5 @@
 	case to >= last:
 		return s.log.TruncateBack(from, durable.Synced)
 	}
-	return fmt.Errorf("entries %d to %d lie inside of %d to %d", from, to, first, last)
+	return fmt.Errorf("delete log entries %d to %d: the range must include the first (%d) or the last (%d) log entry", from, to, first, last)
 }
--- a/internal/cluster/raftstorage/log_entry.go
+++ b/internal/cluster/raftstorage/log_entry.go
@@ -11,11 +11,11 @@
 const (
 	// entryFormatVersion is the first byte of an encoded log entry.
 	entryFormatVersion = 1
-	// entryHeaderBytes is the buffer capacity for all fields before the extensions.
+	// entryHeaderBytes is the buffer capacity reserved for all fields before the extensions.
 	entryHeaderBytes = 32
 )
 
-var errMalformedEntry = errors.New("can't be read")
+var errMalformedEntry = errors.New("malformed encoding")
 
 // encodeEntry encodes a log entry: one byte for the format version, one byte for the type, then as
 // varints the term, the append time in Unix nanoseconds (0 if there is none) and the length of the
--- a/internal/cluster/raftstorage/snapshot.go
+++ b/internal/cluster/raftstorage/snapshot.go
@@ -22,7 +22,7 @@
 	retainedSnapshots = 2
 )
 
-var errSnapshotNotFound = errors.New("no such snapshot")
+var errSnapshotNotFound = errors.New("snapshot not found")
 
 // snapshotStore contains the snapshots of one node. A snapshot consists of chunks and a meta key, and
 // exists only once its meta key is written.
@@ -36,7 +36,7 @@
 func (s *Storage) Create(version raft.SnapshotVersion, index, term uint64, conf raft.Configuration, confIndex uint64,
 	_ raft.Transport) (raft.SnapshotSink, error) {
 	if version != raft.SnapshotVersionMax {
-		return nil, fmt.Errorf("snapshots of version %d are not written", version)
+		return nil, fmt.Errorf("unsupported snapshot version %d", version)
 	}
 	meta := raft.SnapshotMeta{
 		Version:            version,
--- a/internal/cluster/raftstorage/snapshot_reader.go
+++ b/internal/cluster/raftstorage/snapshot_reader.go
@@ -37,7 +37,7 @@
 		return fmt.Errorf("snapshot %s, chunk %d: %w", r.id, r.nextChunk, err)
 	}
 	if len(chunk) == 0 || int64(len(chunk)) > r.unreadBytes {
-		return fmt.Errorf("snapshot %s, chunk %d: %d bytes, %d are left", r.id, r.nextChunk, len(chunk), r.unreadBytes)
+		return fmt.Errorf("snapshot %s, chunk %d: found %d bytes, want 1 to %d", r.id, r.nextChunk, len(chunk), r.unreadBytes)
 	}
 	r.nextChunk++
 	r.unreadBytes -= int64(len(chunk))
--- a/internal/cluster/raftstorage/watermark.go
+++ b/internal/cluster/raftstorage/watermark.go
@@ -20,7 +20,7 @@
 // entry or, if the log is empty, of the newest snapshot. The number of starts is not set.
 func (s *Storage) Watermark() (watermark diskidentity.Watermark, err error) {
 	if watermark.Term, err = s.GetUint64([]byte(currentTermKey)); err != nil {
-		return watermark, fmt.Errorf("term: %w", err)
+		return watermark, fmt.Errorf("read current term: %w", err)
 	}
 	found, err := s.readLastEntry(&watermark)
 	if err != nil || found {
@@ -34,8 +34,8 @@
 	return watermark, err
 }
 
-// readLastEntry sets the term and index of the last log entry in watermark. It returns false if the log
-// is empty.
+// readLastEntry sets LastTerm and LastIndex of watermark to the term and index of the last log entry. It
+// returns false if it found no entry.
 func (s *Storage) readLastEntry(watermark *diskidentity.Watermark) (found bool, err error) {
 	for range lastEntryReadAttempts {
 		_, last := s.log.Bounds()
--- a/internal/cluster/singleton/tasks.go
+++ b/internal/cluster/singleton/tasks.go
@@ -1,7 +1,7 @@
 // Package singleton runs the tasks that must run on only one node of the store at a time: writing the
 // SQL mirror, taking scheduled backups, controlling maintenance orders, and expiring idle sessions.
 // For each task there is a lease, and the node that holds the lease runs the task. All writes of the
-// task to the store are fenced by the lease's token.
+// task are fenced by the lease's token.
 //
 // Each task has one goroutine, which waits for its lease and runs the task while it holds the lease. If
 // a task returns an error, the lease is released, so that another node can run the task.
--- a/internal/cluster/watch/revision.go
+++ b/internal/cluster/watch/revision.go
@@ -18,7 +18,7 @@
 	Changes []Change `json:"changes"`  // sorted by key
 }
 
-// changeOverheadBytes is the approximate memory of a change without its key and value.
+// changeOverheadBytes is the approximate memory use of a change without its key and value.
 const changeOverheadBytes = 64
 
 // size returns the approximate memory use of a revision in bytes.
