--- a/internal/cluster/raftstorage/snapshot.go
+++ b/internal/cluster/raftstorage/snapshot.go
@@ -16,27 +16,27 @@
 )
 
 const (
-	// snapshotChunkBytes is the size of a snapshot's chunks, but for the last one.
+	// snapshotChunkBytes is the size of each chunk of a snapshot except the last one.
 	snapshotChunkBytes = 256 << 10
-	// retainedSnapshots is how many stay.
+	// retainedSnapshots is the number of snapshots that are kept.
 	retainedSnapshots = 2
 )
 
-var errSnapshotNotFound = errors.New("no such snapshot")
+var errSnapshotNotFound = errors.New("snapshot not found")
 
-// snapshots are those of one node. A snapshot is a number of chunks, and exists once its meta key
-// does.
-type snapshots struct {
-	store   *durable.Store
-	mu      sync.Mutex
-	created uint64 // in this process; part of the IDs
+// snapshotStore contains the snapshots of one node. A snapshot consists of chunks and a meta key, and
+// exists only once its meta key is written.
+type snapshotStore struct {
+	store        *durable.Store
+	mu           sync.Mutex
+	createdCount uint64 // snapshots that this process has created; part of their IDs
 }
 
-// Create begins a snapshot.
+// Create returns a sink that writes a new snapshot.
 func (s *Storage) Create(version raft.SnapshotVersion, index, term uint64, conf raft.Configuration, confIndex uint64,
 	_ raft.Transport) (raft.SnapshotSink, error) {
 	if version != raft.SnapshotVersionMax {
-		return nil, fmt.Errorf("snapshots of version %d are not written", version)
+		return nil, fmt.Errorf("unsupported snapshot version %d", version)
 	}
 	meta := raft.SnapshotMeta{
 		Version:            version,
@@ -46,36 +46,36 @@
 		Configuration:      conf,
 		ConfigurationIndex: confIndex,
 	}
-	return &snapshotSink{snapshots: &s.snapshots, onClosed: s.conf.forget, meta: meta}, nil
+	return &snapshotSink{snapshots: &s.snapshots, onClosed: s.configCache.invalidate, meta: meta}, nil
 }
 
-// newID is an ID that sorts by term and index.
-func (s *snapshots) newID(index, term uint64) string {
+// newID returns a new snapshot ID. IDs sort by term and index.
+func (s *snapshotStore) newID(index, term uint64) string {
 	seq, _ := s.store.Seq()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.created++
-	return fmt.Sprintf("%020d-%020d-%d-%d", term, index, seq, s.created)
+	s.createdCount++
+	return fmt.Sprintf("%020d-%020d-%d-%d", term, index, seq, s.createdCount)
 }
 
-// List is the snapshots, the newest first.
+// List returns the metadata of all snapshots, the newest first.
 func (s *Storage) List() ([]*raft.SnapshotMeta, error) { return s.snapshots.list() }
 
-// Open reads a snapshot.
+// Open returns the metadata of a snapshot and a reader of its content.
 func (s *Storage) Open(id string) (*raft.SnapshotMeta, io.ReadCloser, error) {
 	meta, err := s.snapshots.readMeta(id)
 	if err != nil {
 		return nil, nil, fmt.Errorf("snapshot %s: %w", id, err)
 	}
-	view, err := s.store.Snapshot() // it stays readable while newer snapshots replace this one
+	view, err := s.store.Snapshot() // keeps the chunks readable even if newer snapshots replace this one
 	if err != nil {
 		return nil, nil, err
 	}
 	return meta, &snapshotReader{view: view, id: id, unreadBytes: meta.Size}, nil
 }
 
-func (s *snapshots) readMeta(id string) (*raft.SnapshotMeta, error) {
-	text, err := s.store.Get(metaKey(id), 0)
+func (s *snapshotStore) readMeta(id string) (*raft.SnapshotMeta, error) {
+	encoded, err := s.store.Get(metaKey(id), 0)
 	if errors.Is(err, durable.ErrNotFound) {
 		return nil, errSnapshotNotFound
 	}
@@ -83,10 +83,10 @@
 		return nil, err
 	}
 	meta := &raft.SnapshotMeta{}
-	return meta, json.Unmarshal(text, meta)
+	return meta, json.Unmarshal(encoded, meta)
 }
 
-func (s *snapshots) list() ([]*raft.SnapshotMeta, error) {
+func (s *snapshotStore) list() ([]*raft.SnapshotMeta, error) {
 	view, err := s.store.Snapshot()
 	if err != nil {
 		return nil, err
@@ -94,11 +94,11 @@
 	defer view.Close()
 	var metas []*raft.SnapshotMeta
 	var malformed error
-	err = view.Scan([]byte(prefixMeta), prefixEnd(prefixMeta), 0, func(i durable.Item) bool {
+	err = view.Scan([]byte(prefixSnapshotMeta), prefixEnd(prefixSnapshotMeta), 0, func(i durable.Item) bool {
 		meta := &raft.SnapshotMeta{}
-		text, err := i.Value()
+		encoded, err := i.Value()
 		if err == nil {
-			err = json.Unmarshal(text, meta)
+			err = json.Unmarshal(encoded, meta)
 		}
 		if err != nil {
 			malformed = fmt.Errorf("snapshot %s: %w", i.Key, err)
@@ -111,13 +111,13 @@
 	return metas, errors.Join(err, malformed)
 }
 
-// removeUnfinished removes the chunks of snapshots without a meta key.
-func (s *snapshots) removeUnfinished() error {
+// removeUnfinished deletes the chunks of snapshots that have no meta key.
+func (s *snapshotStore) removeUnfinished() error {
 	metas, err := s.list()
 	if err != nil {
 		return err
 	}
-	ids, err := s.idsOfChunks()
+	ids, err := s.snapshotIDsWithChunks()
 	for _, id := range ids {
 		if slices.ContainsFunc(metas, func(m *raft.SnapshotMeta) bool { return m.ID == id }) {
 			continue
@@ -131,15 +131,15 @@
 	return err
 }
 
-// idsOfChunks are the IDs of all snapshots that have a chunk.
-func (s *snapshots) idsOfChunks() (ids []string, err error) {
+// snapshotIDsWithChunks returns the IDs of all snapshots that have chunks, with or without a meta key.
+func (s *snapshotStore) snapshotIDsWithChunks() (ids []string, err error) {
 	view, err := s.store.Snapshot()
 	if err != nil {
 		return nil, err
 	}
 	defer view.Close()
-	err = view.Scan([]byte(prefixSnapshot), prefixEnd(prefixSnapshot), 0, func(i durable.Item) bool {
-		id, _, _ := strings.Cut(strings.TrimPrefix(i.Key, prefixSnapshot), "/")
+	err = view.Scan([]byte(prefixSnapshotChunk), prefixEnd(prefixSnapshotChunk), 0, func(i durable.Item) bool {
+		id, _, _ := strings.Cut(strings.TrimPrefix(i.Key, prefixSnapshotChunk), "/")
 		if !slices.Contains(ids, id) {
 			ids = append(ids, id)
 		}
@@ -153,16 +153,17 @@
 	b.DeleteRange([]byte(prefix), prefixEnd(prefix))
 }
 
-// prefixEnd is the first key behind those of a prefix, which must not end with 0xff.
+// prefixEnd returns the first key after all keys with the given prefix. The prefix must not end with
+// 0xff.
 func prefixEnd(prefix string) []byte {
 	end := []byte(prefix)
 	end[len(end)-1]++
 	return end
 }
 
-func metaKey(id string) []byte { return []byte(prefixMeta + id) }
+func metaKey(id string) []byte { return []byte(prefixSnapshotMeta + id) }
 
-func chunkPrefix(id string) string { return prefixSnapshot + id + "/" }
+func chunkPrefix(id string) string { return prefixSnapshotChunk + id + "/" }
 
 func chunkKey(id string, n uint64) []byte {
 	return binary.BigEndian.AppendUint64([]byte(chunkPrefix(id)), n)
--- a/internal/cluster/store/read.go
+++ b/internal/cluster/store/read.go
@@ -32,7 +32,7 @@
 
 // RevisionsSince returns the revisions of keys with a prefix, starting at from. next is the revision at
 // which to continue; more is closed once that revision exists.
-func (s *Store) RevisionsSince(from uint64, prefix string, page watch.Page) (list []watch.Revision, next uint64, more <-chan struct{}, err error) {
+func (s *Store) RevisionsSince(from uint64, prefix string, page watch.PageLimits) (list []watch.Revision, next uint64, more <-chan struct{}, err error) {
 	return s.state.revisionsSince(from, prefix, page)
 }
 
