--- a/internal/transport/eventloop/close.go
+++ b/internal/transport/eventloop/close.go
@@ -5,68 +5,69 @@
 	"time"
 )
 
-// CloseGracefully sends all that was written and then a FIN. What the peer still sends is dropped.
-// The descriptor is closed once the peer has ended its side too, or a bound of the lingering close
-// is reached. It may be called at any time, and more than once.
+// CloseGracefully sends all written bytes and then a FIN. Input that arrives afterwards is dropped.
+// The descriptor is closed once the peer has closed its side too, or when a limit of the lingering
+// close is exceeded. CloseGracefully may be called at any time and more than once.
 func (c *Conn) CloseGracefully() {
 	c.mu.Lock()
 	first := c.state == connOpen
 	c.state = c.state.next(closeRequested)
 	c.mu.Unlock()
 	if first {
-		c.loop.linger(c)
+		c.loop.addLingering(c)
 		c.sendFIN()
 	}
 }
 
-// CloseIfQuiet does what CloseGracefully does, unless bytes have arrived that are not handled
-// completely, or some are pending, and reports whether the connection is closing. It waits for no
-// lock between the check and the FIN: a process that has used up its CPU quota could pause there
-// for longer than a request may take to cross the close.
+// CloseIfQuiet closes the connection like CloseGracefully, but only if all received bytes have been
+// handled completely and no written bytes are pending. It reports whether the connection is closing or
+// closed. It acquires no lock between the check and the FIN: a process that has used up its CPU quota
+// could be paused there for longer than exchange.CloseRaceWindow.
 func (c *Conn) CloseIfQuiet() bool {
-	result := c.closeIfQuiet()
-	if result == closeBegun {
-		c.loop.linger(c)
+	result := c.closeIfNoPendingData()
+	if result == closeStarted {
+		c.loop.addLingering(c)
 	}
-	return result != notQuiet
+	return result != dataPending
 }
 
-// closeResult is what an attempt to close a connection has found.
+// closeResult is the result of an attempt to close a connection that has no pending data.
 type closeResult uint8
 
 const (
-	notQuiet       closeResult = iota // the connection goes on
-	alreadyClosing                    // or its descriptor is closed
-	closeBegun                        // by this attempt
+	dataPending    closeResult = iota // input is unhandled or output is pending; the connection stays open
+	alreadyClosing                    // an earlier close was requested, or the descriptor is closed
+	closeStarted                      // this attempt closed the connection
 )
 
-// closeIfQuiet checks and sends the FIN. It takes the locks in the order that Conn names.
-func (c *Conn) closeIfQuiet() closeResult {
-	c.nb.Lock() // the loop reads nothing meanwhile
-	defer c.nb.Unlock()
+// closeIfNoPendingData checks for pending data and sends the FIN. It acquires the locks in the order that
+// Conn documents.
+func (c *Conn) closeIfNoPendingData() closeResult {
+	c.nbConn.Lock() // prevents the loop from reading
+	defer c.nbConn.Unlock()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.state != connOpen {
 		return alreadyClosing
 	}
-	if closed, _ := c.nb.IsClosed(); !closed {
-		if !c.registered || c.pendingBytes > 0 || c.beingRead() || c.socketHasUnread() {
-			return notQuiet
+	if closed, _ := c.nbConn.IsClosed(); !closed {
+		if !c.registered || c.pendingBytes > 0 || c.isBeingRead() || c.socketHasInput() {
+			return dataPending
 		}
-		syscall.Shutdown(c.nb.Hash(), syscall.SHUT_WR)
+		syscall.Shutdown(c.nbConn.Hash(), syscall.SHUT_WR)
 	}
 	c.state = c.state.next(closeRequested).next(flushed)
-	return closeBegun
+	return closeStarted
 }
 
-// sendFIN ends this side of the connection, once all that was written before the close was
-// requested has been sent.
+// sendFIN shuts down the write side of the connection if a close was requested and all bytes that were
+// written before the request have been sent.
 func (c *Conn) sendFIN() {
 	c.mu.Lock()
 	due := c.registered && c.state == connFlushing && c.pendingBytes <= 0
 	if due {
 		c.state = c.state.next(flushed)
-		c.abortAt = time.Now().Add(maxLinger)
+		c.lingerDeadline = time.Now().Add(maxLinger)
 	}
 	c.mu.Unlock()
 	if due {
@@ -74,20 +75,20 @@
 	}
 }
 
-// shutdown ends the given directions. The lock of nbio is held meanwhile, so that the descriptor
-// is not closed, and another connection's by then.
+// shutdown shuts down the given directions of the socket. It holds nbio's lock so that the descriptor
+// cannot be closed and reused by another connection in the meantime.
 func (c *Conn) shutdown(how int) {
-	c.nb.Lock()
-	defer c.nb.Unlock()
-	if closed, _ := c.nb.IsClosed(); !closed {
-		syscall.Shutdown(c.nb.Hash(), how)
+	c.nbConn.Lock()
+	defer c.nbConn.Unlock()
+	if closed, _ := c.nbConn.IsClosed(); !closed {
+		syscall.Shutdown(c.nbConn.Hash(), how)
 	}
 }
 
-// Abort ends both directions at once and drops pending bytes; the loop closes the descriptor by
-// the event that this causes. Before the loop has the connection it is only marked, and
-// Loop.register does the rest: nbio would register a descriptor that is closed already, and by
-// then perhaps another connection's.
+// Abort shuts down both directions at once and drops pending bytes. The shutdown raises an event on which
+// the loop closes the descriptor. A connection that is not registered yet is only marked as aborted, and
+// Loop.register shuts it down: if Abort closed the descriptor, nbio would register a closed descriptor, or
+// one that another connection reuses.
 func (c *Conn) Abort() {
 	c.mu.Lock()
 	first := !c.aborted()
@@ -97,7 +98,7 @@
 	registered := c.registered
 	c.mu.Unlock()
 	if first {
-		c.loop.noteAborted(c)
+		c.loop.addAborted(c)
 	}
 	if registered {
 		c.shutdown(syscall.SHUT_RDWR)
--- a/internal/transport/eventloop/close_test.go
+++ b/internal/transport/eventloop/close_test.go
@@ -12,9 +12,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestAbortBeforeRegistered: a connection that is aborted before the loop has it is closed
-// once the loop does. nbio must not register the number of a closed descriptor, which may
-// be another connection's by then.
+// TestAbortBeforeRegistered checks that a connection that is aborted before it is registered keeps its
+// descriptor open until the registration, and is closed after it. nbio must not register the number of a
+// closed descriptor, which another connection may reuse.
 func TestAbortBeforeRegistered(t *testing.T) {
 	loop, err := New(4)
 	require.NoError(t, err)
@@ -23,67 +23,67 @@
 	descriptor := make(chan int, 1)
 	ln, err := loop.Listen("127.0.0.1:0", func(c *Conn) Handler {
 		c.Abort()
-		_, err := unix.FcntlInt(uintptr(c.nb.Hash()), unix.F_GETFD, 0)
+		_, err := unix.FcntlInt(uintptr(c.nbConn.Hash()), unix.F_GETFD, 0)
 		if err != nil {
 			descriptor <- -1
 		} else {
-			descriptor <- c.nb.Hash()
+			descriptor <- c.nbConn.Hash()
 		}
-		return &peer{closed: closed}
+		return &blockingHandler{closed: closed}
 	}, func(err error) { t.Error(err) })
 	require.NoError(t, err)
 	defer ln.Close()
 	c, err := net.Dial("tcp", ln.Addr().String())
 	require.NoError(t, err)
 	defer c.Close()
-	require.Positive(t, <-descriptor, "closed before nbio knew the connection")
+	require.Positive(t, <-descriptor, "the descriptor was closed before the registration")
 	<-closed
 	require.NoError(t, c.SetReadDeadline(time.Now().Add(20*time.Second)))
 	_, err = c.Read(make([]byte, 1))
 	require.Equal(t, io.EOF, err)
 }
 
-// TestGracefulCloseOverUnreadBytes: a connection is closed while bytes that nobody has read wait on it.
-// All that was written arrives, no reset takes it along, and nothing that came is handled.
+// TestGracefulCloseOverUnreadBytes closes a connection whose socket holds unread input. The peer must
+// receive all written bytes and no reset, and the Handler must not receive the input.
 func TestGracefulCloseOverUnreadBytes(t *testing.T) {
-	loop, connect := pair(t, 4)
+	loop, connect := newTestLoop(t, 4)
 	p, c := connect()
 	_, err := c.Write([]byte("first"))
 	require.NoError(t, err)
-	require.Equal(t, "first", <-p.data)
-	_, err = c.Write([]byte("in the moment of the end")) // the loop stands in Data: not read
+	require.Equal(t, "first", <-p.received)
+	_, err = c.Write([]byte("unread at the close")) // stays unread, since the loop is blocked in OnData
 	require.NoError(t, err)
-	answer := strings.Repeat("x", 700<<10) // more than the system takes at once
-	p.conn.Write([]byte(answer))
+	response := strings.Repeat("x", 700<<10) // more than the socket accepts at once
+	p.conn.Write([]byte(response))
 	p.conn.CloseGracefully()
-	p.conn.Write([]byte("after the end"))
-	close(p.goOn)
+	p.conn.Write([]byte("written after the close"))
+	close(p.resume)
 	got, err := io.ReadAll(c)
-	require.NoError(t, err, "reset")
-	require.Equal(t, len(answer), len(got))
-	_, err = c.Write([]byte("and after it"))
+	require.NoError(t, err, "the connection was reset")
+	require.Equal(t, len(response), len(got))
+	_, err = c.Write([]byte("sent after the FIN"))
 	require.NoError(t, err)
-	require.Equal(t, 1, loop.ReapLingering(time.Now()), "still there for its peer")
+	require.Equal(t, 1, loop.ReapLingering(time.Now()), "the connection must linger until its peer closes")
 	require.NoError(t, c.CloseWrite())
-	require.NoError(t, drop(<-p.closed))
-	require.Empty(t, p.data, "nothing is handled after the end")
+	require.NoError(t, ignoreEOF(<-p.closed))
+	require.Empty(t, p.received, "input was handled after the close")
 	_, err = c.Read(make([]byte, 1))
-	require.Equal(t, io.EOF, err, "no reset in the end either")
+	require.Equal(t, io.EOF, err, "the connection must not be reset after the peer's FIN")
 	require.Zero(t, loop.ReapLingering(time.Now()))
 }
 
-// drop is an error that is not the peer's end.
-func drop(err error) error {
+// ignoreEOF returns nil for io.EOF, and any other error unchanged.
+func ignoreEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return nil
 	}
 	return err
 }
 
-// closeWithinMinLinger closes connections in so short a time that none of them has lingered for
-// minLinger when Reap counts them. A round that a busy machine makes longer has to keep the upper
-// bound alone, and is followed by another.
-func closeWithinMinLinger(t *testing.T, loop *Loop, connect func() (*peer, *net.TCPConn), count int) (peers []*peer, lingering int) {
+// closeWithinMinLinger opens and closes connections and returns the number that ReapLingering reports before
+// minLinger has passed since the first close. A round that takes longer on a busy machine is only checked
+// against the upper limit, and is repeated.
+func closeWithinMinLinger(t *testing.T, loop *Loop, connect func() (*blockingHandler, *net.TCPConn), count int) (peers []*blockingHandler, lingering int) {
 	t.Helper()
 	const rounds = 20
 	for range rounds {
@@ -100,22 +100,22 @@
 		if time.Since(start) < minLinger {
 			return peers, lingering
 		}
-		require.LessOrEqual(t, lingering, lingerOvercommit*2)
+		require.LessOrEqual(t, lingering, lingerOvercommitFactor*2)
 		require.Zero(t, loop.ReapLingering(time.Now().Add(maxLinger)))
 	}
 	require.Fail(t, "the machine is too busy to close connections within minLinger")
 	return nil, 0
 }
 
-// TestLingeringIsBounded: peers that never end their side, or send without end, cost no more
-// than the bounds on time, bytes and connections say.
+// TestLingeringIsBounded checks the limits on time, dropped bytes and number of lingering connections for
+// peers that never close their side or that send without end.
 func TestLingeringIsBounded(t *testing.T) {
-	loop, connect := pair(t, 2)
+	loop, connect := newTestLoop(t, 2)
 	p, _ := connect()
 	p.conn.CloseGracefully()
-	p.conn.CloseGracefully() // once is enough
+	p.conn.CloseGracefully() // has no effect
 	require.Equal(t, 1, loop.ReapLingering(time.Now()))
-	require.Zero(t, loop.ReapLingering(time.Now().Add(maxLinger)), "its time is over")
+	require.Zero(t, loop.ReapLingering(time.Now().Add(maxLinger)), "the linger deadline has passed")
 	<-p.closed
 
 	p, c := connect()
@@ -128,15 +128,15 @@
 		}
 	}()
 	<-p.closed
-	require.Empty(t, p.data)
+	require.Empty(t, p.received)
 
-	_, lingering := closeWithinMinLinger(t, loop, connect, lingerOvercommit*2+1)
-	require.Equal(t, lingerOvercommit*2, lingering)
+	_, lingering := closeWithinMinLinger(t, loop, connect, lingerOvercommitFactor*2+1)
+	require.Equal(t, lingerOvercommitFactor*2, lingering)
 	require.Zero(t, loop.ReapLingering(time.Now().Add(maxLinger)))
 
 	peers, lingering := closeWithinMinLinger(t, loop, connect, 3)
-	require.Equal(t, 3, lingering, "what crosses an end has its time, whatever the bound")
-	require.Eventually(t, func() bool { // the bound counts for those that have had it
+	require.Equal(t, 3, lingering, "connections over maxLingering must linger for minLinger")
+	require.Eventually(t, func() bool { // maxLingering applies to connections older than minLinger
 		p, c := connect()
 		p.conn.CloseGracefully()
 		c.Close()
@@ -144,50 +144,50 @@
 	}, 10*time.Second, time.Millisecond)
 }
 
-// TestGracefulCloseWaitsForSlowReader: what was written leaves whole, however long a peer that goes
-// on reading takes over it; one that stands still has the time that all have.
+// TestGracefulCloseWaitsForSlowReader checks that a graceful close sends all written bytes to a peer that
+// reads slowly, however long that takes, and that a peer that stops reading is aborted after maxLinger.
 func TestGracefulCloseWaitsForSlowReader(t *testing.T) {
-	const whole = 900 << 10
-	loop, connect := pair(t, 4)
-	owes := func() (*peer, *net.TCPConn) {
+	const totalBytes = 900 << 10
+	loop, connect := newTestLoop(t, 4)
+	connectWithPendingOutput := func() (*blockingHandler, *net.TCPConn) {
 		p, c := connect()
 		require.NoError(t, c.SetReadBuffer(32<<10))
-		require.NoError(t, p.conn.nb.SetWriteBuffer(32<<10))
-		p.conn.Write(make([]byte, whole))
+		require.NoError(t, p.conn.nbConn.SetWriteBuffer(32<<10))
+		p.conn.Write(make([]byte, totalBytes))
 		require.Positive(t, p.conn.PendingBytes())
 		p.conn.CloseGracefully()
 		return p, c
 	}
-	p, c := owes()
-	began := time.Now()
-	for read := 0; read < whole/2; {
-		waits := p.conn.PendingBytes()
-		for p.conn.PendingBytes() == waits {
+	p, c := connectWithPendingOutput()
+	now := time.Now()
+	for read := 0; read < totalBytes/2; {
+		pendingBefore := p.conn.PendingBytes()
+		for p.conn.PendingBytes() == pendingBefore {
 			n, err := c.Read(make([]byte, 32<<10))
 			require.NoError(t, err)
 			read += n
 		}
-		began = began.Add(maxLinger * 9 / 10)
-		require.Equal(t, 1, loop.ReapLingering(began), "after %d bytes", read)
+		now = now.Add(maxLinger * 9 / 10)
+		require.Equal(t, 1, loop.ReapLingering(now), "after %d bytes", read)
 	}
 	_, err := io.Copy(io.Discard, c)
 	require.NoError(t, err)
 	require.NoError(t, c.CloseWrite())
-	require.NoError(t, drop(<-p.closed))
+	require.NoError(t, ignoreEOF(<-p.closed))
 
-	p, _ = owes()
-	at := time.Now()
-	require.Eventually(t, func() bool { // once the system's buffers are full
-		at = at.Add(maxLinger)
-		return loop.ReapLingering(at) == 0
-	}, 10*time.Second, time.Millisecond, "its time is over")
+	p, _ = connectWithPendingOutput()
+	reapTime := time.Now()
+	require.Eventually(t, func() bool { // the deadline is extended until the socket buffers are full
+		reapTime = reapTime.Add(maxLinger)
+		return loop.ReapLingering(reapTime) == 0
+	}, 10*time.Second, time.Millisecond, "a connection whose peer does not read must be aborted")
 	<-p.closed
 }
 
-// TestCloseAfterDescriptorClosed: a connection that is closed or aborted once its descriptor is
-// closed does not count as lingering or aborted: it would for ever.
+// TestCloseAfterDescriptorClosed closes and aborts connections whose descriptor is already closed. They must
+// not be added to the lists of lingering or aborted connections, where they would stay forever.
 func TestCloseAfterDescriptorClosed(t *testing.T) {
-	loop, connect := pair(t, 2)
+	loop, connect := newTestLoop(t, 2)
 	for range 5 {
 		p, c := connect()
 		require.NoError(t, c.Close())
--- a/internal/transport/eventloop/conn.go
+++ b/internal/transport/eventloop/conn.go
@@ -10,49 +10,50 @@
 )
 
 const (
-	maxQueuedBytes  = 1 << 20 // queued bytes of one connection, beyond which it is aborted
-	maxDroppedBytes = 1 << 20 // input dropped after a close, beyond which the connection is aborted
+	maxQueuedBytes  = 1 << 20 // a connection with more queued output is aborted
+	maxDroppedBytes = 1 << 20 // a connection that receives more input after the close was requested is aborted
 )
 
 // Handler receives the events of one connection. Its methods are called on the loop's goroutine
 // and must not block.
 type Handler interface {
-	// OnData is called with received bytes, which are valid during the call.
+	// OnData is called with received bytes. They are valid only during the call.
 	OnData(b []byte)
-	// OnClose is called when the connection is closed. Calls after it must have no effect.
+	// OnClose is called when the descriptor is closed. Later calls of any method must have no effect.
 	OnClose(err error)
 }
 
 // Conn is a connection of the loop. It is safe for concurrent use.
 //
-// Its descriptor is closed by the loop's goroutine, while that handles the connection's own
-// event. A descriptor that another goroutine closed could be a new connection's before the
-// loop comes to an event that it has fetched already, and the new one would be closed by it.
-// Other goroutines shut the connection down instead: the loop sees that as an event of the
-// connection, and closes it.
+// Only the loop's goroutine closes the descriptor, while it handles an event of that connection. If
+// another goroutine closed the descriptor, a new connection could reuse it before the loop handles an
+// event that it has already fetched for the old connection, and the loop would close the new connection.
+// Other goroutines shut down the socket instead, which raises an event on which the loop closes the
+// descriptor.
 type Conn struct {
 	loop    *Loop
-	nb      *nbio.Conn
+	nbConn  *nbio.Conn
 	handler Handler
 
-	writing sync.Mutex // orders writers; taken before nbio's lock, and that before mu
-
-	mu               sync.Mutex // the innermost lock: taken after nbio's and after the loop's
-	state            connState
-	registered       bool      // the loop has the connection
-	abortedAt        time.Time // of the first Abort, else zero
-	pendingBytes     int       // that wait to be sent
-	droppedBytes     int       // that were received after the close was requested
-	abortAt          time.Time // when a connection that was closed is aborted, whatever its peer does
-	lastReapBytes    int       // that waited to be sent at the latest ReapLingering since the close was requested
-	closeRequestedAt time.Time // when the close was requested
+	writeMu sync.Mutex // serializes writers; acquired before nbio's lock, which is acquired before mu
+
+	mu                     sync.Mutex // the innermost lock: acquired after nbio's and after the loop's
+	state                  connState
+	registered             bool      // the connection was added to the loop
+	abortedAt              time.Time // time of the first Abort, or zero
+	pendingBytes           int       // written bytes that have not been sent
+	droppedBytes           int       // bytes received after the close was requested
+	lingerDeadline         time.Time // time at which a closing connection is aborted
+	pendingBytesAtLastReap int       // pendingBytes at the latest ReapLingering, or when the close was requested
+	closeRequestedAt       time.Time
 }
 
-// Write sends b, or queues it without blocking. A connection that can't take it is aborted.
+// Write sends b, or queues it, without blocking. If sending fails or the queue would exceed
+// maxQueuedBytes, it aborts the connection.
 func (c *Conn) Write(b []byte) {
-	c.writing.Lock()
-	defer c.writing.Unlock()
-	queued, ok := c.addPending(len(b))
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
+	queued, ok := c.addPendingBytes(len(b))
 	if !ok {
 		return
 	}
@@ -62,7 +63,7 @@
 	}
 	if queued == 0 {
 		sent, ok := c.send(b)
-		c.bytesSent(sent)
+		c.markSent(sent)
 		if !ok {
 			c.Abort()
 			return
@@ -70,13 +71,13 @@
 		b = b[sent:]
 	}
 	if len(b) > 0 {
-		c.nb.Write(b) // queues it: the socket has no room just now
+		c.nbConn.Write(b) // queues b, since the socket's send buffer is full
 	}
 }
 
-// addPending counts bytes that are to be sent, and returns how many waited before them. It
-// reports false if nothing is written any more.
-func (c *Conn) addPending(n int) (queued int, ok bool) {
+// addPendingBytes adds n to the pending bytes and returns how many were pending before. It reports false
+// if the connection is closing and accepts no writes.
+func (c *Conn) addPendingBytes(n int) (queued int, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closing() {
@@ -87,16 +88,16 @@
 	return queued, true
 }
 
-// send writes what the socket takes at once. It reports false if the connection is lost:
-// nbio's own write would close the descriptor in this goroutine.
+// send writes as many bytes as the socket accepts without blocking. It reports false if the connection
+// has failed. It does not use nbio's write, which would close the descriptor on this goroutine.
 func (c *Conn) send(b []byte) (sent int, ok bool) {
-	c.nb.Lock()
-	defer c.nb.Unlock()
-	if closed, _ := c.nb.IsClosed(); closed {
+	c.nbConn.Lock()
+	defer c.nbConn.Unlock()
+	if closed, _ := c.nbConn.IsClosed(); closed {
 		return 0, false
 	}
 	for {
-		n, err := syscall.Write(c.nb.Hash(), b)
+		n, err := syscall.Write(c.nbConn.Hash(), b)
 		switch err {
 		case nil:
 			return n, true
@@ -109,9 +110,9 @@
 	}
 }
 
-// bytesSent counts bytes as sent. The lock of nbio may be held, so that a FIN that is due
-// leaves on a goroutine of its own.
-func (c *Conn) bytesSent(n int) {
+// markSent subtracts n sent bytes from the pending ones. The caller may hold nbio's lock, so a FIN that
+// is due is sent on a separate goroutine.
+func (c *Conn) markSent(n int) {
 	c.mu.Lock()
 	c.pendingBytes -= n
 	finDue := c.state == connFlushing && c.pendingBytes <= 0
@@ -121,54 +122,54 @@
 	}
 }
 
-// PendingBytes is the number of bytes that wait to be sent.
+// PendingBytes returns the number of written bytes that have not been sent.
 func (c *Conn) PendingBytes() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.pendingBytes
 }
 
-// HasUnread reports whether bytes have arrived that the Handler has not handled completely:
-// where the loop lags, a connection on which nothing was read is not always idle.
+// HasUnread reports whether bytes have arrived that the Handler has not handled completely. When the loop
+// lags behind, a connection from which nothing was read may have input in the socket and is not idle.
 func (c *Conn) HasUnread() bool {
-	// The socket first: the loop marks a connection as being read before it empties the socket.
-	c.nb.Lock()
-	closed, _ := c.nb.IsClosed()
-	unread := !closed && c.socketHasUnread()
-	c.nb.Unlock()
-	return unread || c.beingRead()
+	// Checks the socket first, since the loop marks a connection as being read before it drains the socket.
+	c.nbConn.Lock()
+	closed, _ := c.nbConn.IsClosed()
+	unread := !closed && c.socketHasInput()
+	c.nbConn.Unlock()
+	return unread || c.isBeingRead()
 }
 
-// socketHasUnread reports whether bytes wait in the socket. The lock of nbio is held, and the
-// connection is not closed.
-func (c *Conn) socketHasUnread() bool {
-	n, err := unix.IoctlGetInt(c.nb.Hash(), unix.SIOCINQ)
+// socketHasInput reports whether the socket's receive buffer holds bytes. The caller must hold nbio's
+// lock, and the descriptor must be open.
+func (c *Conn) socketHasInput() bool {
+	n, err := unix.IoctlGetInt(c.nbConn.Hash(), unix.SIOCINQ)
 	return err == nil && n > 0
 }
 
-// beingRead reports whether the loop is reading the connection, or its Handler is handling what
-// was read.
-func (c *Conn) beingRead() bool { return c.loop.reading.Load() == c.nb }
+// isBeingRead reports whether the loop is reading the connection or its Handler is handling received bytes.
+func (c *Conn) isBeingRead() bool { return c.loop.readingConn.Load() == c.nbConn }
 
-// receive hands bytes to the Handler, unless the connection is being closed.
+// receive passes bytes to the Handler, or drops them if the connection is closing.
 func (c *Conn) receive(b []byte) {
 	c.mu.Lock()
 	closing := c.closing()
 	if closing {
 		c.droppedBytes += len(b)
 	}
-	flood := c.droppedBytes > maxDroppedBytes
+	overLimit := c.droppedBytes > maxDroppedBytes
 	c.mu.Unlock()
 	switch {
-	case flood:
+	case overLimit:
 		c.Abort()
 	case !closing:
 		c.handler.OnData(b)
 	}
 }
 
-// closing reports whether nothing is written or handled any more. The lock is held.
+// closing reports whether the connection neither accepts writes nor passes input to the Handler. The
+// caller must hold mu.
 func (c *Conn) closing() bool { return c.state != connOpen || c.aborted() }
 
-// aborted reports whether Abort was called. The lock is held.
+// aborted reports whether Abort was called. The caller must hold mu.
 func (c *Conn) aborted() bool { return !c.abortedAt.IsZero() }
--- a/internal/transport/eventloop/datagram.go
+++ b/internal/transport/eventloop/datagram.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// DatagramConn sends datagrams to one address and reads none. The event loop has no part in it:
-// nbio asks a UDP socket for its own address, and panics where the system does not tell it. It
-// belongs to one goroutine.
+// DatagramConn sends datagrams to one address and reads none. It is not registered with the event loop:
+// nbio requests the local address of a UDP socket and panics if the system does not return one. It must be
+// used by one goroutine only.
 type DatagramConn struct {
 	conn net.Conn
 	raw  syscall.RawConn
 }
 
-// DialDatagram opens a socket on a goroutine of its own and reports to done there.
+// DialDatagram opens a socket on a new goroutine and calls done there with the result.
 func DialDatagram(addr string, timeout time.Duration, done func(*DatagramConn, error)) {
 	go func() {
 		conn, err := net.DialTimeout("udp", addr, timeout)
@@ -31,18 +31,18 @@
 func newDatagramConn(conn net.Conn) (*DatagramConn, error) {
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
-		return nil, errors.New("socket without a descriptor")
+		return nil, errors.New("UDP socket gives no access to its descriptor")
 	}
 	raw, err := sc.SyscallConn()
 	if err != nil {
-		return nil, fmt.Errorf("descriptor of a socket: %w", err)
+		return nil, fmt.Errorf("access descriptor of UDP socket: %w", err)
 	}
 	return &DatagramConn{conn: conn, raw: raw}, nil
 }
 
-// Send sends b, or drops it rather than wait for room in the socket. Where the system reports
-// now that nobody received an earlier datagram, b is sent all the same and the error says so. The
-// socket can be used after any error.
+// Send sends b without blocking, and drops it if the socket's send buffer is full. If the system reports
+// ECONNREFUSED for an earlier datagram, Send still sends b and returns that error. The socket remains
+// usable after any error.
 func (d *DatagramConn) Send(b []byte) error {
 	var sendErr error
 	err := d.raw.Write(func(fd uintptr) bool {
--- a/internal/transport/eventloop/doc.go
+++ b/internal/transport/eventloop/doc.go
@@ -1,18 +1,18 @@
-// Package eventloop runs all TCP connections of the service on one event loop (nbio), with one
-// Handler for each connection and a close that loses nothing that was written.
+// Package eventloop runs all TCP connections of the service on one event loop (nbio). Each connection has
+// a Handler. A graceful close sends all written bytes before it closes the connection.
 //
 // # Goroutines
 //
-// One goroutine, the loop's, reads all sockets, calls the Handlers, sends queued bytes when a
-// socket has room again, and closes descriptors. Any goroutine may write, mostly the
-// dispatcher's with answers: Conn.Write sends what the socket takes at once, in the caller's
-// goroutine, and queues the rest for the loop. Each listener accepts on a goroutine of its own,
-// and each dial has one until it is done.
+// The loop's goroutine reads all sockets, calls the Handlers, sends queued bytes when a socket becomes
+// writable, and closes descriptors. Any goroutine may write; most writes are responses from the
+// dispatcher's goroutine. Conn.Write sends as many bytes as the socket accepts at once, on the calling
+// goroutine, and queues the rest for the loop. Each listener accepts on its own goroutine, and each dial
+// runs on its own goroutine.
 //
 // # Closing
 //
-// Conn.CloseGracefully sends what was written, ends this side (FIN), and then drops what the
-// peer still sends until the peer ends its side too: a close over unread bytes would reset the
-// connection under what was written (lingering close, see linger.go for its bounds).
+// Conn.CloseGracefully performs a lingering close: it sends all written bytes and a FIN, and then drops
+// input until the peer closes its side too. Closing the descriptor with unread input would reset the
+// connection, and the peer could lose bytes that were written before. See linger.go for the limits.
 // Conn.Abort closes both directions at once. See state.go for the states.
 package eventloop
--- a/internal/transport/eventloop/linger.go
+++ b/internal/transport/eventloop/linger.go
@@ -5,28 +5,30 @@
 	"time"
 )
 
-// The bounds of the lingering close.
+// The limits of the lingering close.
 const (
-	// maxLinger is how long a peer has to end its side, after the FIN or, while queued bytes are
-	// being sent, after the latest progress in reading them.
+	// maxLinger is the time that a peer has to close its side. It is measured from the FIN or, while
+	// queued bytes are being sent, from the latest progress of the peer in reading them.
 	maxLinger = time.Second
-	// minLinger is for how long no bound on their number aborts a connection. It is twice
-	// exchange.CloseRaceWindow, the time for which a request may cross the close.
+	// minLinger is the time for which a lingering connection is not aborted when there are more than
+	// maxLingering of them. It is twice exchange.CloseRaceWindow, the longest time for which a request
+	// may cross the close on the wire.
 	minLinger = 100 * time.Millisecond
-	// lingerOvercommit times the wanted number of lingering connections are never exceeded, even
-	// within minLinger: the descriptors reserved for sessions must stay free.
-	lingerOvercommit = 2
+	// lingerOvercommitFactor limits the number of lingering connections to this multiple of maxLingering,
+	// even within minLinger, so that the descriptors reserved for sessions stay free.
+	lingerOvercommitFactor = 2
 )
 
-// linger notes a connection that is being closed. Beyond the wanted number the oldest are
-// aborted, as each holds a descriptor; those that were closed within minLinger only beyond
-// lingerOvercommit times that number.
-func (l *Loop) linger(c *Conn) {
+// addLingering adds a connection whose close was requested to the lingering ones. If there are more than
+// maxLingering, it aborts the oldest, since each uses a descriptor. Connections whose close was requested
+// less than minLinger ago are aborted only if there are more than lingerOvercommitFactor times
+// maxLingering.
+func (l *Loop) addLingering(c *Conn) {
 	now := time.Now()
 	c.mu.Lock()
 	c.closeRequestedAt = now
-	c.abortAt = now.Add(maxLinger)
-	c.lastReapBytes = c.pendingBytes
+	c.lingerDeadline = now.Add(maxLinger)
+	c.pendingBytesAtLastReap = c.pendingBytes
 	c.mu.Unlock()
 	l.mu.Lock()
 	if !c.isClosed() {
@@ -37,13 +39,13 @@
 	abortAll(evicted)
 }
 
-// evictLingering takes those that are too many from the list, the oldest first. The lock is
-// held.
+// evictLingering removes the excess connections from the list of lingering ones, the oldest first, and
+// returns them. The caller must hold l.mu.
 func (l *Loop) evictLingering(now time.Time) []*Conn {
 	n := 0
 	for remaining := len(l.lingering); remaining > l.maxLingering; remaining-- {
 		recent := now.Sub(l.lingering[n].closeRequestedAt) < minLinger
-		if recent && remaining <= lingerOvercommit*l.maxLingering {
+		if recent && remaining <= lingerOvercommitFactor*l.maxLingering {
 			break
 		}
 		n++
@@ -53,9 +55,9 @@
 	return evicted
 }
 
-// ReapLingering aborts lingering connections whose peers have had their time, and returns how many still
-// linger. It also closes aborted connections that the loop's events have not closed in
-// maxLinger.
+// ReapLingering aborts lingering connections whose deadline has passed and returns how many remain. It
+// also closes connections that were aborted at least maxLinger ago and that no event of the loop has
+// closed.
 func (l *Loop) ReapLingering(now time.Time) (lingering int) {
 	var expired []*Conn
 	l.mu.Lock()
@@ -71,25 +73,25 @@
 	l.mu.Unlock()
 	abortAll(expired)
 	for _, c := range stuck {
-		c.nb.Close()
+		c.nbConn.Close()
 	}
 	return lingering
 }
 
-// lingerExpired reports whether the peer has had its time. A peer that has read some of what
-// was written since the ReapLingering before has time anew.
+// lingerExpired reports whether the linger deadline has passed. It extends the deadline if the peer has
+// read bytes since the previous ReapLingering.
 func (c *Conn) lingerExpired(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.pendingBytes < c.lastReapBytes {
-		c.abortAt = now.Add(maxLinger)
+	if c.pendingBytes < c.pendingBytesAtLastReap {
+		c.lingerDeadline = now.Add(maxLinger)
 	}
-	c.lastReapBytes = c.pendingBytes
-	return !now.Before(c.abortAt)
+	c.pendingBytesAtLastReap = c.pendingBytes
+	return !now.Before(c.lingerDeadline)
 }
 
-// stuckAborted returns the connections that were aborted long ago and that no event has closed.
-// The lock is held.
+// stuckAborted returns the connections that were aborted at least maxLinger ago and that no event has
+// closed. The caller must hold l.mu.
 func (l *Loop) stuckAborted(now time.Time) (stuck []*Conn) {
 	for _, c := range l.aborted {
 		c.mu.Lock()
@@ -101,8 +103,8 @@
 	return stuck
 }
 
-// noteAborted notes a connection that the loop is to close, unless it has.
-func (l *Loop) noteAborted(c *Conn) {
+// addAborted records a connection that the loop must still close. It ignores one that is already closed.
+func (l *Loop) addAborted(c *Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !c.isClosed() {
@@ -110,8 +112,8 @@
 	}
 }
 
-// forget drops a connection whose descriptor is closed.
-func (l *Loop) forget(c *Conn) {
+// removeClosed marks a connection as closed and removes it from the lists of lingering and aborted ones.
+func (l *Loop) removeClosed(c *Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c.mu.Lock()
@@ -122,7 +124,7 @@
 	l.aborted = slices.DeleteFunc(l.aborted, same)
 }
 
-// isClosed reports whether the descriptor is closed. It changes under the loop's lock alone.
+// isClosed reports whether the descriptor is closed. The result changes only while Loop.mu is held.
 func (c *Conn) isClosed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/transport/eventloop/listener.go
+++ b/internal/transport/eventloop/listener.go
@@ -13,18 +13,19 @@
 )
 
 const (
-	// handshakeTime is how long a handshake that has begun may take to complete once a listener
-	// refuses new ones: as long as a request may take to cross a close (exchange.CloseRaceWindow).
-	handshakeTime = 50 * time.Millisecond
-	// noInterface is an interface index that no interface has: the system counts them up from 1.
-	noInterface = math.MaxInt32
-	// maxAcceptRounds is how often a closing listener looks whether more connections have come
-	// while it accepted what it had: where nobody floods it, its queue is empty after one or two.
+	// handshakeGracePeriod is the time that TCP handshakes in progress have to complete after a closing
+	// listener has refused new connections. It equals exchange.CloseRaceWindow, the longest time for which
+	// a request may cross a close on the wire.
+	handshakeGracePeriod = 50 * time.Millisecond
+	// nonexistentInterface is an index that no network interface has: the system assigns indexes from 1 up.
+	nonexistentInterface = math.MaxInt32
+	// maxAcceptRounds limits how often a closing listener checks its queue for connections that arrived
+	// while it accepted earlier ones. Without a flood of connections the queue is empty after one or two.
 	maxAcceptRounds = 16
-	// unknownQueueLength is how many connections a closing listener tries to accept where the
-	// system does not tell how many wait.
-	unknownQueueLength = 128
-	// acceptRetryDelay is the pause after a failed accept, mostly for want of descriptors.
+	// defaultQueueLength is how many connections a closing listener tries to accept if the system does
+	// not report the length of the queue.
+	defaultQueueLength = 128
+	// acceptRetryDelay is the delay after a failed accept. The usual cause is a lack of descriptors.
 	acceptRetryDelay = 20 * time.Millisecond
 )
 
@@ -32,12 +33,12 @@
 type Listener struct {
 	net.Listener
 	accept          func(net.Conn)
-	done            chan struct{} // closed once nothing is accepted any more
-	awaitHandshakes func()        // returns when those that have begun have had their time; nil: Close does not refuse new ones
+	acceptLoopDone  chan struct{} // closed once the accept loop has returned
+	awaitHandshakes func()        // waits for handshakes in progress; if nil, Close does not refuse new connections first
 }
 
-// Listen accepts connections on the address until the listener is closed. Connections that can't
-// be accepted are reported to failed.
+// Listen accepts connections on the address until the listener is closed. It calls failed with the error
+// of each connection that cannot be accepted.
 func (l *Loop) Listen(addr string, newHandler func(*Conn) Handler, failed func(error)) (*Listener, error) {
 	raw, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -48,9 +49,9 @@
 			failed(err)
 		}
 	}
-	listener := &Listener{Listener: raw, accept: accept, done: make(chan struct{}), awaitHandshakes: func() { time.Sleep(handshakeTime) }}
+	listener := &Listener{Listener: raw, accept: accept, acceptLoopDone: make(chan struct{}), awaitHandshakes: func() { time.Sleep(handshakeGracePeriod) }}
 	go func() {
-		defer close(listener.done)
+		defer close(listener.acceptLoopDone)
 		for {
 			l.throttleAccepts()
 			conn, err := raw.Accept()
@@ -69,41 +70,42 @@
 }
 
 const (
-	// maxThrottle is the longest pause of one accept.
+	// maxThrottle is the longest delay of one accept.
 	maxThrottle = 100 * time.Millisecond
-	// throttleInterval is the time between two looks at the backlog meanwhile.
-	throttleInterval = time.Millisecond
+	// throttlePollInterval is the interval at which a delayed accept polls the backlog.
+	throttlePollInterval = time.Millisecond
 )
 
-// throttleAccepts waits, for maxThrottle at most, while more aborted connections hold
-// a descriptor than may linger, so that callers that connect without end get no further ahead of
-// the loop than that.
+// throttleAccepts waits, for at most maxThrottle, while more than maxLingering aborted connections still
+// have an open descriptor. This limits how far callers that connect continuously can get ahead of the loop.
 func (l *Loop) throttleAccepts() {
-	for range maxThrottle / throttleInterval {
+	for range maxThrottle / throttlePollInterval {
 		l.mu.Lock()
 		backlog := len(l.aborted)
 		l.mu.Unlock()
 		if backlog <= l.maxLingering {
 			return
 		}
-		time.Sleep(throttleInterval)
+		time.Sleep(throttlePollInterval)
 	}
 }
 
-// Close refuses new connections, accepts those whose handshakes have begun, and closes the listener:
-// a connection that is queued, or half way through its handshake, when the descriptor is closed is
-// reset, with the request on it. Where the system can't refuse, which the error says, more may come
-// until the descriptor is closed. Close returns however fast callers go on connecting.
+// Close refuses new connections, accepts those whose handshake is in progress, and closes the listener.
+// When the descriptor is closed, the system resets queued connections and those in the middle of their
+// handshake, and loses requests sent on them. If the system cannot refuse new connections, Close returns
+// that error, and more connections may arrive until the descriptor is closed. Close returns even if
+// callers continue to connect at a high rate.
 func (l *Listener) Close() error {
-	queueErr := l.acceptLast()
-	// The descriptor stays open until the accept under way has returned, which may be late.
+	queueErr := l.acceptRemaining()
+	// The descriptor stays open until the accept in progress has returned, which may take a while.
 	closeErr := l.Listener.Close()
-	<-l.done // what was accepted meanwhile is handed over too
+	<-l.acceptLoopDone // connections accepted in the meantime are registered too
 	return errors.Join(queueErr, closeErr)
 }
 
-// acceptLast has no more connections come, where awaitHandshakes is set, and accepts those that have.
-func (l *Listener) acceptLast() error {
+// acceptRemaining accepts the queued connections. If awaitHandshakes is set, it first refuses new
+// connections and waits for handshakes in progress.
+func (l *Listener) acceptRemaining() error {
 	tcp, ok := l.Listener.(*net.TCPListener)
 	if !ok {
 		return nil
@@ -114,7 +116,7 @@
 	}
 	var refuseErr error
 	if l.awaitHandshakes != nil {
-		if refuseErr = refuseNew(raw); refuseErr == nil {
+		if refuseErr = refuseNewConnections(raw); refuseErr == nil {
 			l.awaitHandshakes()
 		}
 	}
@@ -122,14 +124,15 @@
 	return errors.Join(refuseErr, controlErr)
 }
 
-// refuseNew has the system refuse new connections to a listener: bound to an interface that does not
-// exist, it matches no connection request. One that is being handled just then may be dropped, and is
-// refused when the caller repeats it, after a second. Handshakes that have begun go on with the
-// binding that they began with. Older kernels may want CAP_NET_RAW for it, or not know it.
-func refuseNew(listener syscall.RawConn) error {
+// refuseNewConnections makes the system refuse new connections to a listener, by binding it to a nonexistent
+// interface, so that it matches no connection request. A request that the kernel handles at that moment may
+// be dropped; it is refused when the caller retransmits it after a second. Handshakes in progress continue
+// with the binding with which they started. Older kernels may require CAP_NET_RAW for this option or not
+// support it.
+func refuseNewConnections(listener syscall.RawConn) error {
 	var bindErr error
 	controlErr := listener.Control(func(fd uintptr) {
-		bindErr = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_BINDTOIFINDEX, noInterface)
+		bindErr = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_BINDTOIFINDEX, nonexistentInterface)
 	})
 	if err := errors.Join(controlErr, bindErr); err != nil {
 		return fmt.Errorf("refuse new connections: %w", err)
@@ -137,27 +140,27 @@
 	return nil
 }
 
-// acceptQueued accepts what waits in a listener's queue, and what comes meanwhile, as far as
-// callers give the queue a chance to empty.
+// acceptQueued accepts the connections in a listener's queue, and those that arrive in the meantime, in at
+// most maxAcceptRounds rounds.
 func acceptQueued(listener int, accept func(net.Conn)) {
 	for range maxAcceptRounds {
 		n := queueLength(listener)
-		if n == 0 || !acceptSome(listener, n, accept) {
+		if n == 0 || !acceptUpTo(listener, n, accept) {
 			return
 		}
 	}
 }
 
-// acceptSome accepts at most n connections, and reports whether there may be more.
-func acceptSome(listener, n int, accept func(net.Conn)) bool {
+// acceptUpTo accepts at most n connections and reports whether the queue may hold more.
+func acceptUpTo(listener, n int, accept func(net.Conn)) bool {
 	for range n {
 		fd, _, err := syscall.Accept4(listener, syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
 		switch err {
 		case nil:
-			if c, err := connOfDescriptor(fd); err == nil {
+			if c, err := connFromDescriptor(fd); err == nil {
 				accept(c)
 			}
-		case syscall.EINTR, syscall.ECONNABORTED: // says nothing of those behind it
+		case syscall.EINTR, syscall.ECONNABORTED: // the queue may still hold other connections
 		default:
 			return false // the queue is empty, or descriptors have run out
 		}
@@ -165,18 +168,18 @@
 	return true
 }
 
-// queueLength is how many connections wait in a listener's queue: for a socket that listens the
-// kernel reports them as unacknowledged (tcp_info in tcp(7)).
+// queueLength returns the number of connections in a listener's queue. For a listening socket the kernel
+// reports this number in tcpi_unacked (see tcp_info in tcp(7)).
 func queueLength(listener int) int {
 	info, err := unix.GetsockoptTCPInfo(listener, unix.IPPROTO_TCP, unix.TCP_INFO)
 	if err != nil {
-		return unknownQueueLength
+		return defaultQueueLength
 	}
 	return int(info.Unacked)
 }
 
-// connOfDescriptor makes a net.Conn of a descriptor, which it takes over.
-func connOfDescriptor(fd int) (net.Conn, error) {
+// connFromDescriptor returns a net.Conn for a descriptor and takes ownership of the descriptor.
+func connFromDescriptor(fd int) (net.Conn, error) {
 	f := os.NewFile(uintptr(fd), "accepted")
 	defer f.Close()
 	return net.FileConn(f)
--- a/internal/transport/eventloop/listener_reset_test.go
+++ b/internal/transport/eventloop/listener_reset_test.go
@@ -13,34 +13,34 @@
 	"golang.org/x/sys/unix"
 )
 
-// echo is a Handler that sends back what it gets.
-type echo struct{ conn *Conn }
+// echoHandler is a Handler that sends received bytes back.
+type echoHandler struct{ conn *Conn }
 
-func (e *echo) OnData(b []byte) { e.conn.Write(b) }
+func (e *echoHandler) OnData(b []byte) { e.conn.Write(b) }
 
-func (e *echo) OnClose(error) {}
+func (e *echoHandler) OnClose(error) {}
 
-// listenEcho starts a loop whose listener's connections send back what they get.
+// listenEcho starts a loop and returns a listener whose connections echo their input.
 func listenEcho(t *testing.T) *Listener {
 	loop, err := New(64)
 	require.NoError(t, err)
 	t.Cleanup(loop.Stop)
-	ln, err := loop.Listen("127.0.0.1:0", func(c *Conn) Handler { return &echo{c} }, func(err error) { t.Error(err) })
+	ln, err := loop.Listen("127.0.0.1:0", func(c *Conn) Handler { return &echoHandler{c} }, func(err error) { t.Error(err) })
 	require.NoError(t, err)
 	return ln
 }
 
-// control calls use with the listener's descriptor, which stays open until use returns.
-func control(t *testing.T, ln *Listener, use func(fd int)) {
+// withDescriptor calls use with the listener's descriptor, which stays open until use returns.
+func withDescriptor(t *testing.T, ln *Listener, use func(fd int)) {
 	raw, err := ln.Listener.(*net.TCPListener).SyscallConn()
 	require.NoError(t, err)
 	require.NoError(t, raw.Control(func(fd uintptr) { use(int(fd)) }))
 }
 
-// isRefused reports whether a dial met no listener.
+// isRefused reports whether the connection was refused.
 func isRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// roundTrip sends a byte and waits for it to come back.
+// roundTrip sends a byte and waits for its echo.
 func roundTrip(c net.Conn) error {
 	if err := c.SetDeadline(time.Now().Add(20 * time.Second)); err != nil {
 		return err
@@ -52,22 +52,23 @@
 	return err
 }
 
-// TestListenerCloseWhileDescriptorIsHeld: the accept that Close interrupts holds the descriptor until its
-// goroutine runs, so that the system goes on listening. A connection made meanwhile must not be reset.
+// TestListenerCloseWhileDescriptorIsHeld checks a close whose interrupted accept keeps the descriptor in use
+// until its goroutine runs, so that the system continues to listen. A connection that is opened in that time
+// must not be reset.
 func TestListenerCloseWhileDescriptorIsHeld(t *testing.T) {
 	ln := listenEcho(t)
-	held, release, released := make(chan struct{}), make(chan struct{}), make(chan struct{})
+	descriptorInUse, release, released := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(released)
-		control(t, ln, func(int) { // as an accept that is late to end
-			close(held)
+		withDescriptor(t, ln, func(int) { // simulates an accept that returns late
+			close(descriptorInUse)
 			<-release
 		})
 	}()
-	<-held
+	<-descriptorInUse
 	closed := make(chan error, 1)
 	go func() { closed <- ln.Close() }()
-	<-ln.done // the queue was accepted, and nothing is accepted any more
+	<-ln.acceptLoopDone // Close has accepted the queue, and the accept loop has returned
 	c, err := net.Dial("tcp", ln.Addr().String())
 	close(release)
 	<-released
@@ -76,40 +77,41 @@
 		defer c.Close()
 		err = roundTrip(c)
 	}
-	require.Condition(t, func() bool { return isRefused(err) || errors.Is(err, io.EOF) }, "neither refused nor ended in order: %v", err)
+	require.Condition(t, func() bool { return isRefused(err) || errors.Is(err, io.EOF) }, "neither refused nor closed gracefully: %v", err)
 }
 
-// deferAccept has the system leave the handshakes of a listener open until data comes.
+// deferAccept makes the system complete a listener's handshakes only when data arrives.
 func deferAccept(t *testing.T, ln *Listener) {
-	control(t, ln, func(fd int) {
+	withDescriptor(t, ln, func(fd int) {
 		const deferSeconds = 20
 		require.NoError(t, unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_DEFER_ACCEPT, deferSeconds))
 	})
 }
 
-// TestListenerCloseDuringHandshake: a caller counts itself as connected while the last segment of its
-// handshake is on the way. A listener that closes just then must refuse others, and not reset it.
+// TestListenerCloseDuringHandshake closes a listener while the last segment of a caller's handshake is on the
+// way, so that the caller already regards itself as connected. The close must not reset that connection, and
+// must refuse new ones.
 func TestListenerCloseDuringHandshake(t *testing.T) {
 	ln := listenEcho(t)
 	deferAccept(t, ln)
 	c, err := net.Dial("tcp", ln.Addr().String())
 	require.NoError(t, err)
 	defer c.Close()
-	var served, later error
+	var roundTripErr, lateDialErr error
 	ln.awaitHandshakes = func() {
-		_, later = net.Dial("tcp", ln.Addr().String())
-		served = roundTrip(c)
+		_, lateDialErr = net.Dial("tcp", ln.Addr().String())
+		roundTripErr = roundTrip(c)
 	}
 	require.NoError(t, ln.Close())
-	require.True(t, isRefused(later), "not refused: %v", later)
-	require.NoError(t, served)
+	require.True(t, isRefused(lateDialErr), "not refused: %v", lateDialErr)
+	require.NoError(t, roundTripErr)
 }
 
-// TestListenerCloseAcceptsCompletedHandshake: a handshake that completes while the listener waits for it is accepted
-// at the close where the accept loop does not come to it.
+// TestListenerCloseAcceptsCompletedHandshake checks that Close accepts a connection whose handshake completes
+// while it waits, if the accept loop does not accept the connection.
 func TestListenerCloseAcceptsCompletedHandshake(t *testing.T) {
-	var taken []net.Conn
-	ln := listenWithoutAccept(t, func(c net.Conn) { taken = append(taken, c) })
+	var accepted []net.Conn
+	ln := listenWithoutAccept(t, func(c net.Conn) { accepted = append(accepted, c) })
 	deferAccept(t, ln)
 	c, err := net.Dial("tcp", ln.Addr().String())
 	require.NoError(t, err)
@@ -118,20 +120,20 @@
 	ln.awaitHandshakes = func() { _, writeErr = c.Write([]byte("x")) }
 	require.NoError(t, ln.Close())
 	require.NoError(t, writeErr)
-	require.Len(t, taken, 1)
-	taken[0].Close()
+	require.Len(t, accepted, 1)
+	accepted[0].Close()
 }
 
-// TestListenerCloseGivesHandshakesTime: a listener that closes waits for handshakes that have begun.
+// TestListenerCloseGivesHandshakesTime checks that Close waits for handshakes in progress.
 func TestListenerCloseGivesHandshakesTime(t *testing.T) {
 	ln := listenEcho(t)
 	start := time.Now()
 	require.NoError(t, ln.Close())
-	require.GreaterOrEqual(t, time.Since(start), handshakeTime)
+	require.GreaterOrEqual(t, time.Since(start), handshakeGracePeriod)
 }
 
-// TestListenerCloseUnderConnects: callers that connect without a pause, each time a listener closes. A connection
-// that was made is served, one that comes later is refused, and Close returns all the same.
+// TestListenerCloseUnderConnects closes listeners while callers connect continuously. Each connection must be
+// either served or refused, and Close must return.
 func TestListenerCloseUnderConnects(t *testing.T) {
 	const (
 		listeners          = 30
@@ -156,7 +158,7 @@
 				}
 			})
 		}
-		time.Sleep(2 * time.Millisecond) // some have connected
+		time.Sleep(2 * time.Millisecond) // lets some callers connect
 		require.NoError(t, ln.Close())
 		callers.Wait()
 	}
--- a/internal/transport/eventloop/listener_test.go
+++ b/internal/transport/eventloop/listener_test.go
@@ -9,27 +9,28 @@
 	"github.com/stretchr/testify/require"
 )
 
-// listenWithoutAccept returns a listener whose connections wait in the system's queue until it closes.
+// listenWithoutAccept returns a listener without an accept loop. Its connections stay in the system's queue
+// until Close passes them to accept.
 func listenWithoutAccept(t *testing.T, accept func(net.Conn)) *Listener {
 	raw, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	done := make(chan struct{})
-	close(done)
-	return &Listener{Listener: raw, done: done, accept: accept}
+	acceptLoopDone := make(chan struct{})
+	close(acceptLoopDone)
+	return &Listener{Listener: raw, acceptLoopDone: acceptLoopDone, accept: accept}
 }
 
-// connectTo connects to a listener, until the end of the test.
-func connectTo(t *testing.T, ln *Listener) {
+// connectUntilCleanup connects to a listener and closes the connection at the end of the test.
+func connectUntilCleanup(t *testing.T, ln *Listener) {
 	c, err := net.Dial("tcp", ln.Addr().String())
 	require.NoError(t, err)
 	t.Cleanup(func() { c.Close() })
 }
 
-// TestListenerCloseAcceptsQueue: connections that the system accepted before the listener closes
-// are accepted, not reset.
+// TestListenerCloseAcceptsQueue checks that Close accepts the connections in the system's queue instead of
+// resetting them.
 func TestListenerCloseAcceptsQueue(t *testing.T) {
-	var taken []net.Conn
-	ln := listenWithoutAccept(t, func(c net.Conn) { taken = append(taken, c) })
+	var accepted []net.Conn
+	ln := listenWithoutAccept(t, func(c net.Conn) { accepted = append(accepted, c) })
 	for range 3 {
 		c, err := net.Dial("tcp", ln.Addr().String())
 		require.NoError(t, err)
@@ -38,8 +39,8 @@
 		require.NoError(t, err)
 	}
 	require.NoError(t, ln.Close())
-	require.Len(t, taken, 3)
-	for _, c := range taken {
+	require.Len(t, accepted, 3)
+	for _, c := range accepted {
 		b := make([]byte, 1)
 		_, err := c.Read(b)
 		require.NoError(t, err)
@@ -48,93 +49,93 @@
 	}
 }
 
-// TestListenerCloseAcceptsQueueOnceRefusing: what is queued when a listener has refused new connections is
-// accepted, not reset, also where the accept loop pauses meanwhile and leaves it to Close.
+// TestListenerCloseAcceptsQueueOnceRefusing checks that connections that are queued when the listener refuses
+// new ones are accepted and not reset, even if the accept loop is paused and does not accept them.
 func TestListenerCloseAcceptsQueueOnceRefusing(t *testing.T) {
-	var taken []net.Conn
-	ln := listenWithoutAccept(t, func(c net.Conn) { taken = append(taken, c) })
+	var accepted []net.Conn
+	ln := listenWithoutAccept(t, func(c net.Conn) { accepted = append(accepted, c) })
 	ln.awaitHandshakes = func() {}
 	const queued = 3
 	for range queued {
-		connectTo(t, ln)
+		connectUntilCleanup(t, ln)
 	}
 	require.NoError(t, ln.Close())
-	for _, c := range taken {
+	for _, c := range accepted {
 		c.Close()
 	}
-	require.Len(t, taken, queued)
+	require.Len(t, accepted, queued)
 }
 
-// TestListenerCloseUnderFlood: a queue that never empties, since each accepted connection brings
-// the next one, does not keep the listener from closing.
+// TestListenerCloseUnderFlood checks that Close returns even if the queue never becomes empty, because each
+// accepted connection is followed by a new one.
 func TestListenerCloseUnderFlood(t *testing.T) {
-	const waiting = 3
-	taken := 0
+	const queued = 3
+	accepted := 0
 	var ln *Listener
 	ln = listenWithoutAccept(t, func(c net.Conn) {
 		c.Close()
-		if taken++; taken < 100*waiting { // without end, but for the test's own
-			connectTo(t, ln)
+		if accepted++; accepted < 100*queued { // ends the flood if Close has no limit
+			connectUntilCleanup(t, ln)
 		}
 	})
-	for range waiting {
-		connectTo(t, ln)
+	for range queued {
+		connectUntilCleanup(t, ln)
 	}
 	require.NoError(t, ln.Close())
-	require.Equal(t, maxAcceptRounds*waiting, taken, "what comes while it takes is taken too, so many times")
+	require.Equal(t, maxAcceptRounds*queued, accepted, "Close must accept new arrivals in each of maxAcceptRounds rounds")
 }
 
-// TestListenerCloseAcceptsWhatComesMeanwhile: a connection that comes while the closing listener
-// accepts those before it is accepted, not reset.
+// TestListenerCloseAcceptsWhatComesMeanwhile checks that a connection that arrives while Close accepts earlier
+// ones is accepted and not reset.
 func TestListenerCloseAcceptsWhatComesMeanwhile(t *testing.T) {
 	const late = 5
-	taken := 0
+	accepted := 0
 	var ln *Listener
 	ln = listenWithoutAccept(t, func(c net.Conn) {
 		c.Close()
-		if taken++; taken <= late {
-			connectTo(t, ln)
+		if accepted++; accepted <= late {
+			connectUntilCleanup(t, ln)
 		}
 	})
-	connectTo(t, ln)
+	connectUntilCleanup(t, ln)
 	require.NoError(t, ln.Close())
-	require.Equal(t, 1+late, taken)
+	require.Equal(t, 1+late, accepted)
 }
 
-// TestListenerCloseWaitsForAccepted: a connection that was accepted while the listener
-// closes is handed over before Close returns, and counts as open from then on.
+// TestListenerCloseWaitsForAccepted checks that a connection that is accepted while the listener closes is
+// registered before Close returns.
 func TestListenerCloseWaitsForAccepted(t *testing.T) {
 	loop, err := New(4)
 	require.NoError(t, err)
 	defer loop.Stop()
-	taking, goOn := make(chan struct{}), make(chan struct{})
-	handed := make(chan struct{}, 1)
-	var later atomic.Bool
+	accepting, resume := make(chan struct{}), make(chan struct{})
+	registered := make(chan struct{}, 1)
+	var notFirst atomic.Bool
 	ln, err := loop.Listen("127.0.0.1:0", func(*Conn) Handler {
-		if !later.Swap(true) {
-			close(taking)
-			<-goOn
-			handed <- struct{}{}
+		if !notFirst.Swap(true) {
+			close(accepting)
+			<-resume
+			registered <- struct{}{}
 		}
-		return &peer{}
+		return &blockingHandler{}
 	}, func(err error) { t.Error(err) })
 	require.NoError(t, err)
 	c, err := net.Dial("tcp", ln.Addr().String())
 	require.NoError(t, err)
 	defer c.Close()
-	<-taking
+	<-accepting
 	closed := make(chan bool, 1)
 	go func() {
 		ln.Close()
-		closed <- len(handed) == 1
+		closed <- len(registered) == 1
 	}()
-	require.Eventually(t, func() bool { // the listener is closed, the connection still on its way
+	require.Eventually(t, func() bool { // the listener is closed, but the connection is not registered yet
 		c, err := net.Dial("tcp", ln.Addr().String())
 		if err == nil {
 			c.Close()
 		}
 		return err != nil
 	}, 10*time.Second, time.Millisecond)
-	close(goOn)
+	close(resume)
 	require.True(t, <-closed)
 }
--- a/internal/transport/eventloop/loop.go
+++ b/internal/transport/eventloop/loop.go
@@ -14,27 +14,27 @@
 
 const (
 	readBufferBytes = 16 << 10
-	// maxReadsPerEvent is how many buffers are read of one connection in a row: enough for the
-	// longest message, so that it is read completely where the peer closes behind it.
+	// maxReadsPerEvent is how many buffers are read from one connection in a row. It is enough for the
+	// longest message, so that a message is read completely even if the peer closes right after it.
 	maxReadsPerEvent = 5
 )
 
 // Loop is the event loop.
 type Loop struct {
 	engine       *nbio.Engine
-	maxLingering int        // wanted number of lingering connections
-	registering  sync.Mutex // while nbio takes a connection over it has two descriptors: one at a time
+	maxLingering int        // target for the number of lingering connections
+	registerMu   sync.Mutex // one conversion at a time: nbio duplicates the descriptor during it
 
-	mu        sync.Mutex // also orders the making of a Conn before its first use
-	lingering []*Conn    // that are being closed, the oldest first
-	aborted   []*Conn    // that are not closed yet
+	mu        sync.Mutex // also makes sure that a Conn is initialized before its first use
+	lingering []*Conn    // closing connections, the oldest first
+	aborted   []*Conn    // aborted connections whose descriptor is not closed yet
 
-	reading    atomic.Pointer[nbio.Conn] // the connection that the loop reads, or whose bytes are being handled
-	readBuffer []byte                    // of the loop's goroutine
+	readingConn atomic.Pointer[nbio.Conn] // the connection that the loop reads, or whose input is being handled
+	readBuffer  []byte                    // used only by the loop's goroutine
 }
 
-// New starts a loop in which at most maxLingering connections wait for their peers' end of a
-// close, twice as many for a moment (see linger.go).
+// New starts a loop in which at most maxLingering connections, or twice as many for a short time, wait for
+// their peers to close (see linger.go).
 func New(maxLingering int) (*Loop, error) {
 	logging.SetLevel(logging.LevelNone)
 	l := &Loop{maxLingering: maxLingering, readBuffer: make([]byte, readBufferBytes)}
@@ -47,10 +47,10 @@
 	})
 	l.engine.OnOpen(func(*nbio.Conn) {})
 	l.engine.OnReadBufferAlloc(func(nb *nbio.Conn) *[]byte {
-		l.reading.Store(nb)
+		l.readingConn.Store(nb)
 		return &l.readBuffer
 	})
-	l.engine.OnReadBufferFree(func(*nbio.Conn, *[]byte) { l.reading.Store(nil) })
+	l.engine.OnReadBufferFree(func(*nbio.Conn, *[]byte) { l.readingConn.Store(nil) })
 	l.engine.OnData(func(nb *nbio.Conn, b []byte) {
 		if c, ok := l.conn(nb); ok {
 			c.receive(b)
@@ -58,12 +58,12 @@
 	})
 	l.engine.OnWrittenSize(func(nb *nbio.Conn, _ []byte, n int) {
 		if c, ok := l.conn(nb); ok {
-			c.bytesSent(n)
+			c.markSent(n)
 		}
 	})
 	l.engine.OnClose(func(nb *nbio.Conn, err error) {
 		if c, ok := l.conn(nb); ok {
-			l.forget(c)
+			l.removeClosed(c)
 			c.handler.OnClose(err)
 		}
 	})
@@ -73,7 +73,7 @@
 	return l, nil
 }
 
-// conn returns the Conn of a connection of nbio.
+// conn returns the Conn that belongs to an nbio connection.
 func (l *Loop) conn(nb *nbio.Conn) (*Conn, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -81,43 +81,43 @@
 	return c, ok
 }
 
-// register gives a connection to the loop, with the Handler that newHandler makes for it. The
-// Conn becomes nbio's session before AddConn, since the loop's events find it by that from then
-// on. The Handler may close or abort the connection before the loop has it: then nothing can be
-// sent yet, and the shutdown or the FIN is made up for at the end.
+// register adds a connection to the loop, with the Handler that newHandler creates for it. It stores the
+// Conn as the session of the nbio connection before AddConn, since events of the loop look the Conn up there
+// from then on. The Handler may close or abort the connection before it is added. Nothing can be sent at
+// that time, so register performs the shutdown or sends the FIN at the end.
 func (l *Loop) register(raw net.Conn, newHandler func(*Conn) Handler) (*Conn, error) {
-	l.registering.Lock()
-	nb, err := nbio.NBConn(raw)
-	l.registering.Unlock()
+	l.registerMu.Lock()
+	nbConn, err := nbio.NBConn(raw)
+	l.registerMu.Unlock()
 	if err != nil {
 		raw.Close()
-		return nil, fmt.Errorf("hand over connection: %w", err)
+		return nil, fmt.Errorf("convert connection for the event loop: %w", err)
 	}
-	if err := nb.SetNoDelay(true); err != nil { // an answer must not wait for the next one
-		nb.Close()
-		return nil, fmt.Errorf("TCP_NODELAY: %w", err)
+	if err := nbConn.SetNoDelay(true); err != nil { // sends a response at once, without waiting for the next one
+		nbConn.Close()
+		return nil, fmt.Errorf("set TCP_NODELAY: %w", err)
 	}
-	c := &Conn{loop: l, nb: nb}
+	c := &Conn{loop: l, nbConn: nbConn}
 	c.handler = newHandler(c)
 	l.mu.Lock()
-	nb.SetSession(c)
+	nbConn.SetSession(c)
 	l.mu.Unlock()
-	if _, err := l.engine.AddConn(nb); err != nil {
-		l.forget(c)
-		return nil, fmt.Errorf("add connection: %w", err)
+	if _, err := l.engine.AddConn(nbConn); err != nil {
+		l.removeClosed(c)
+		return nil, fmt.Errorf("add connection to the event loop: %w", err)
 	}
 	c.mu.Lock()
 	c.registered = true
 	aborted := c.aborted()
 	c.mu.Unlock()
-	if aborted { // by its handler, before the loop had it
+	if aborted { // by the Handler, before the connection was registered
 		c.shutdown(syscall.SHUT_RDWR)
 	}
-	c.sendFIN() // its handler may have closed it
+	c.sendFIN() // the Handler may have requested a close
 	return c, nil
 }
 
-// Dial connects on a goroutine of its own and reports to done there.
+// Dial connects on a new goroutine and calls done there with the result.
 func (l *Loop) Dial(addr string, timeout time.Duration, newHandler func(*Conn) Handler, done func(*Conn, error)) {
 	go func() {
 		raw, err := net.DialTimeout("tcp", addr, timeout)
@@ -129,13 +129,14 @@
 	}()
 }
 
-// Stop closes all connections. nbio misses a stop that comes before its goroutine runs, and
-// waits for ever: a connection that was served shows that the goroutine runs.
+// Stop closes all connections and stops the loop. If nbio is stopped before its goroutine runs, it misses
+// the stop and blocks forever. Stop therefore first serves one connection, which proves that the goroutine
+// runs.
 func (l *Loop) Stop() {
-	served := make(signalHandler, 1)
+	served := make(closeSignalHandler, 1)
 	listener, err := l.Listen("127.0.0.1:0", func(*Conn) Handler { return served }, served.OnClose)
 	if err == nil {
-		listener.awaitHandshakes = nil // nobody else connects
+		listener.awaitHandshakes = nil // no other client connects
 		if c, err := net.Dial("tcp", listener.Addr().String()); err == nil {
 			c.Close()
 			<-served
@@ -145,14 +146,13 @@
 	l.engine.Stop()
 }
 
-// signalHandler is a Handler that signals the close of its connection.
-type signalHandler chan struct{}
+// closeSignalHandler is a Handler that signals the close of its connection.
+type closeSignalHandler chan struct{}
 
-// OnData does nothing.
-func (h signalHandler) OnData([]byte) {}
+func (h closeSignalHandler) OnData([]byte) {}
 
-// OnClose signals the first close.
-func (h signalHandler) OnClose(error) {
+// OnClose sends a signal unless one is already pending.
+func (h closeSignalHandler) OnClose(error) {
 	select {
 	case h <- struct{}{}:
 	default:
--- a/internal/transport/eventloop/state.go
+++ b/internal/transport/eventloop/state.go
@@ -1,32 +1,32 @@
 package eventloop
 
-// connState is the state of a connection on this side. An abort is no state of its own: it may
-// happen in any state, and the loop's next event of the connection leads to connClosed.
+// connState is the local state of a connection. An abort has no state of its own: it is possible in any
+// state, and the next event of the connection leads to connClosed.
 type connState uint8
 
 const (
-	connOpen       connState = iota // bytes are written, and read for the Handler
-	connFlushing                    // a close was requested: queued bytes are sent, input is dropped
-	connHalfClosed                  // FIN was sent; input is dropped
+	connOpen       connState = iota // writes are accepted and input is passed to the Handler
+	connFlushing                    // a close was requested; queued bytes are sent and input is dropped
+	connHalfClosed                  // the FIN was sent; input is dropped
 	connClosed                      // the descriptor is closed
 )
 
-// String returns the name of s.
+// String returns the name of the state.
 func (s connState) String() string {
 	return [...]string{"open", "flushing", "half-closed", "closed"}[s]
 }
 
-// connEvent is what changes the state of a connection.
+// connEvent is an event that changes the state of a connection.
 type connEvent uint8
 
 const (
-	closeRequested   connEvent = iota // by CloseGracefully or CloseIfQuiet
+	closeRequested   connEvent = iota // CloseGracefully or CloseIfQuiet was called
 	flushed                           // all queued bytes were sent
-	descriptorClosed                  // by the loop
+	descriptorClosed                  // the loop closed the descriptor
 )
 
-// next returns the state after an event. It holds all transitions; an event that is none in a
-// state leaves it as it is.
+// next returns the state after an event. It defines all transitions. An event without a transition from
+// s leaves the state unchanged.
 func (s connState) next(event connEvent) connState {
 	switch {
 	case event == descriptorClosed:
--- a/internal/transport/eventloop/state_test.go
+++ b/internal/transport/eventloop/state_test.go
@@ -6,10 +6,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestTransitions goes through all pairs of a state and an event.
+// TestTransitions checks the next state for every pair of a state and an event.
 func TestTransitions(t *testing.T) {
 	states := []connState{connOpen, connFlushing, connHalfClosed, connClosed}
-	want := map[connEvent][]connState{ // after the event, in the order of states
+	want := map[connEvent][]connState{ // the states after the event, in the order of states
 		closeRequested:   {connFlushing, connFlushing, connHalfClosed, connClosed},
 		flushed:          {connOpen, connHalfClosed, connHalfClosed, connClosed},
 		descriptorClosed: {connClosed, connClosed, connClosed, connClosed},
