--- a/internal/transport/ajp/doc.go
+++ b/internal/transport/ajp/doc.go
@@ -1,7 +1,6 @@
-// Package ajp speaks AJP13, in both directions: a frontend for web servers that call the
-// service, and a pool of upstream servers that run its requests.
+// Package ajp implements both sides of AJP13: a frontend for web servers that call the service, and a pool
+// of connections to upstream servers that run its requests.
 //
-// See package frontend for what all frontends share and for their goroutines. The pool belongs
-// to the dispatcher's goroutine, but for the parsing of what upstreams send, which runs on the
-// event loop's.
+// See package frontend for the code that all frontends share and for their goroutines. The pool is used
+// only by the dispatcher's goroutine. Packets from upstreams are parsed on the event loop's goroutine.
 package ajp
--- a/internal/transport/ajp/golden_test.go
+++ b/internal/transport/ajp/golden_test.go
@@ -18,14 +18,14 @@
 	"oxbowbridge/internal/transport/session"
 )
 
-// What all responses begin and end with.
+// Bytes at the start and the end of all responses.
 const (
-	contentType = "\x00\x0cContent-Type\x00\x00\x18application/octet-stream\x00"
-	endReuse    = "AB\x00\x02\x05\x01"
-	endClose    = "AB\x00\x02\x05\x00"
+	contentTypeHeader = "\x00\x0cContent-Type\x00\x00\x18application/octet-stream\x00"
+	endResponseReuse  = "AB\x00\x02\x05\x01"
+	endResponseClose  = "AB\x00\x02\x05\x00"
 )
 
-// TestGoldenAnswers: the bytes of an answer of each result, and of health checks.
+// TestGoldenAnswers compares the bytes of the response for each kind of result, and of health checks.
 func TestGoldenAnswers(t *testing.T) {
 	loop, err := eventloop.New(4)
 	require.NoError(t, err)
@@ -41,46 +41,46 @@
 		peer, err := net.Dial("tcp", ln.Addr().String())
 		require.NoError(t, err)
 		t.Cleanup(func() { peer.Close() })
-		request := forwardPacket(path, secret, headers("trace-id", "0123456789abcdef", "content-length", "2",
+		request := encodeForwardRequest(path, secret, newHeaders("trace-id", "0123456789abcdef", "content-length", "2",
 			"reserve-kb", "1", "accepted-at-ms", strconv.FormatInt(time.Now().UnixMilli(), 10)))
-		_, err = peer.Write(append(request, requestChunkPacket([]byte("ok"))...))
+		_, err = peer.Write(append(request, encodeRequestBodyChunk([]byte("ok"))...))
 		require.NoError(t, err)
 		return peer
 	}
-	answered := func(a exchange.Response) net.Conn {
+	respondWith := func(response exchange.Response) net.Conn {
 		peer := send("/call/nom-submit", "s3")
 		var events []exchange.Event
 		require.Eventually(t, func() bool { events = append(events, x.Dequeue(nil)...); return len(events) > 0 }, 10*time.Second, time.Millisecond)
-		events[0].(*exchange.Request).Responder.Respond(a)
+		events[0].(*exchange.Request).Responder.Respond(response)
 		x.ReleaseRequest()
 		return peer
 	}
 
-	served := exchange.Response{Kind: exchange.Succeeded, Body: []byte("abc")}
-	golden.ReadBytes(t, answered(served), "AB\x00\x49\x04\x00\xc8\x00\x02OK\x00\x00\x02"+contentType+
-		"\x00\x0eContent-Length\x00\x00\x013\x00"+"AB\x00\x07\x03\x00\x03abc\x00"+endReuse, "served")
-	golden.ReadBytes(t, answered(exchange.Response{Kind: exchange.Failed}), "AB\x00\x47\x04\x01\xf4\x00\x00\x00\x00\x02"+contentType+
-		"\x00\x0eContent-Length\x00\x00\x010\x00"+endReuse, "failed")
-	golden.ReadBytes(t, answered(exchange.Response{Kind: exchange.Rejected}), "AB\x00\x47\x04\x01\xf7\x00\x00\x00\x00\x02"+contentType+
-		"\x00\x0eContent-Length\x00\x00\x010\x00"+endReuse, "refused")
-	golden.ReadBytes(t, answered(exchange.Response{Kind: exchange.Rejected, RetryAfter: 1500*time.Millisecond + 1}),
-		"AB\x00\x5c\x04\x01\xf7\x00\x00\x00\x00\x03"+contentType+"\x00\x0eContent-Length\x00\x00\x010\x00"+
-			"\x00\x0bHold-Off-Ms\x00\x00\x041501\x00"+endReuse, "refused with a time")
-	golden.ReadBytes(t, answered(exchange.Response{Kind: exchange.Rejected, RetryAfter: time.Second, NoRetryElsewhere: true}),
-		"AB\x00\x72\x04\x01\xf7\x00\x00\x00\x00\x04"+contentType+"\x00\x0eContent-Length\x00\x00\x010\x00"+
-			"\x00\x0bHold-Off-Ms\x00\x00\x041000\x00"+"\x00\x0fNo-Other-Server\x00\x00\x011\x00"+endReuse, "refused for all servers")
-	golden.ReadBytes(t, send("/call/unknown", "s3"), "AB\x00\x47\x04\x01\x90\x00\x00\x00\x00\x02"+contentType+
-		"\x00\x0eContent-Length\x00\x00\x010\x00"+endReuse, "no such class")
-	golden.ReadBytes(t, send("/call/nom-submit", "s4"), "AB\x00\x47\x04\x01\x93\x00\x00\x00\x00\x02"+contentType+
-		"\x00\x0eContent-Length\x00\x00\x010\x00"+endClose, "wrong secret")
-	golden.ReadBytes(t, send("/ping", "s3"), "AB\x00\x47\x04\x01\xf7\x00\x00\x00\x00\x02"+contentType+
-		"\x00\x0eContent-Length\x00\x00\x010\x00"+endReuse, "a bad health check")
+	succeeded := exchange.Response{Kind: exchange.Succeeded, Body: []byte("abc")}
+	golden.ReadBytes(t, respondWith(succeeded), "AB\x00\x49\x04\x00\xc8\x00\x02OK\x00\x00\x02"+contentTypeHeader+
+		"\x00\x0eContent-Length\x00\x00\x013\x00"+"AB\x00\x07\x03\x00\x03abc\x00"+endResponseReuse, "served")
+	golden.ReadBytes(t, respondWith(exchange.Response{Kind: exchange.Failed}), "AB\x00\x47\x04\x01\xf4\x00\x00\x00\x00\x02"+contentTypeHeader+
+		"\x00\x0eContent-Length\x00\x00\x010\x00"+endResponseReuse, "failed")
+	golden.ReadBytes(t, respondWith(exchange.Response{Kind: exchange.Rejected}), "AB\x00\x47\x04\x01\xf7\x00\x00\x00\x00\x02"+contentTypeHeader+
+		"\x00\x0eContent-Length\x00\x00\x010\x00"+endResponseReuse, "rejected")
+	golden.ReadBytes(t, respondWith(exchange.Response{Kind: exchange.Rejected, RetryAfter: 1500*time.Millisecond + 1}),
+		"AB\x00\x5c\x04\x01\xf7\x00\x00\x00\x00\x03"+contentTypeHeader+"\x00\x0eContent-Length\x00\x00\x010\x00"+
+			"\x00\x0bHold-Off-Ms\x00\x00\x041501\x00"+endResponseReuse, "rejected with a retry time")
+	golden.ReadBytes(t, respondWith(exchange.Response{Kind: exchange.Rejected, RetryAfter: time.Second, NoRetryElsewhere: true}),
+		"AB\x00\x72\x04\x01\xf7\x00\x00\x00\x00\x04"+contentTypeHeader+"\x00\x0eContent-Length\x00\x00\x010\x00"+
+			"\x00\x0bHold-Off-Ms\x00\x00\x041000\x00"+"\x00\x0fNo-Other-Server\x00\x00\x011\x00"+endResponseReuse, "rejected without retry at another server")
+	golden.ReadBytes(t, send("/call/unknown", "s3"), "AB\x00\x47\x04\x01\x90\x00\x00\x00\x00\x02"+contentTypeHeader+
+		"\x00\x0eContent-Length\x00\x00\x010\x00"+endResponseReuse, "unknown class")
+	golden.ReadBytes(t, send("/call/nom-submit", "s4"), "AB\x00\x47\x04\x01\x93\x00\x00\x00\x00\x02"+contentTypeHeader+
+		"\x00\x0eContent-Length\x00\x00\x010\x00"+endResponseClose, "wrong secret")
+	golden.ReadBytes(t, send("/ping", "s3"), "AB\x00\x47\x04\x01\xf7\x00\x00\x00\x00\x02"+contentTypeHeader+
+		"\x00\x0eContent-Length\x00\x00\x010\x00"+endResponseReuse, "failed health check")
 	x.SetHealthy(true)
-	golden.ReadBytes(t, send("/ping", "s3"), "AB\x00\x49\x04\x00\xc8\x00\x02OK\x00\x00\x02"+contentType+
-		"\x00\x0eContent-Length\x00\x00\x010\x00"+endReuse, "a good health check")
+	golden.ReadBytes(t, send("/ping", "s3"), "AB\x00\x49\x04\x00\xc8\x00\x02OK\x00\x00\x02"+contentTypeHeader+
+		"\x00\x0eContent-Length\x00\x00\x010\x00"+endResponseReuse, "successful health check")
 	x.SetAdvertisedValue(0.25)
-	golden.ReadBytes(t, answered(served), "AB\x00\x5b\x04\x00\xc8\x00\x02OK\x00\x00\x03"+contentType+
-		"\x00\x0eContent-Length\x00\x00\x013\x00"+"\x00\x08Feedback\x00\x00\x040.25\x00"+"AB\x00\x07\x03\x00\x03abc\x00"+endReuse, "a published value")
+	golden.ReadBytes(t, respondWith(succeeded), "AB\x00\x5b\x04\x00\xc8\x00\x02OK\x00\x00\x03"+contentTypeHeader+
+		"\x00\x0eContent-Length\x00\x00\x013\x00"+"\x00\x08Feedback\x00\x00\x040.25\x00"+"AB\x00\x07\x03\x00\x03abc\x00"+endResponseReuse, "advertised value")
 
 	peer, err := net.Dial("tcp", ln.Addr().String())
 	require.NoError(t, err)
@@ -91,11 +91,12 @@
 	for range 10 {
 		x.Submit(&exchange.Request{})
 	}
-	golden.ReadBytes(t, send("/call/nom-submit", "s3"), "AB\x00\x59\x04\x01\xf7\x00\x00\x00\x00\x03"+contentType+
-		"\x00\x0eContent-Length\x00\x00\x010\x00"+"\x00\x08Feedback\x00\x00\x040.25\x00"+endReuse, "more requests than the process holds")
+	golden.ReadBytes(t, send("/call/nom-submit", "s3"), "AB\x00\x59\x04\x01\xf7\x00\x00\x00\x00\x03"+contentTypeHeader+
+		"\x00\x0eContent-Length\x00\x00\x010\x00"+"\x00\x08Feedback\x00\x00\x040.25\x00"+endResponseReuse, "too many requests in the process")
 }
 
-// TestGoldenUpstream: the bytes that an upstream gets for a run, and the outcome of its answer.
+// TestGoldenUpstream compares the bytes that an upstream receives for a run, and checks the outcome of its
+// response.
 func TestGoldenUpstream(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -103,22 +104,22 @@
 	loop, err := eventloop.New(4)
 	require.NoError(t, err)
 	defer loop.Stop()
-	x, began := exchange.New(10), time.Now()
-	u := NewUpstreamPool([]string{ln.Addr().String()}, "s3", []string{"core_use", "on_cores", "links"}, slowstart.Config{Cores: 4}, 1,
-		session.Config{Exchange: x, Loop: loop, Timers: &timerqueue.Queue{}, Now: func() time.Duration { return time.Since(began) }, Log: zap.NewNop()})
+	x, start := exchange.New(10), time.Now()
+	pool := NewUpstreamPool([]string{ln.Addr().String()}, "s3", []string{"core_use", "on_cores", "links"}, slowstart.Config{Cores: 4}, 1,
+		session.Config{Exchange: x, Loop: loop, Timers: &timerqueue.Queue{}, Now: func() time.Duration { return time.Since(start) }, Log: zap.NewNop()})
 	var events []exchange.Event
-	turn := func() {
+	handleEvents := func() {
 		for _, e := range x.Dequeue(nil) {
-			if step, ok := e.(exchange.Callback); ok {
-				step()
+			if callback, ok := e.(exchange.Callback); ok {
+				callback()
 			} else {
 				events = append(events, e)
 			}
 		}
 	}
-	u.Run(exchange.Job{TraceID: "0123456789abcdef", Class: "nom-submit", Body: []byte("ok")})
-	u.RequestGauges()
-	turn()
+	pool.Run(exchange.Job{TraceID: "0123456789abcdef", Class: "nom-submit", Body: []byte("ok")})
+	pool.RequestGauges()
+	handleEvents()
 	require.Equal(t, []exchange.Event{exchange.Gauges{0.25, 1, -1}}, events)
 	accepted := make(chan net.Conn, 1)
 	go func() {
@@ -129,7 +130,7 @@
 	}()
 	var peer net.Conn
 	require.Eventually(t, func() bool {
-		turn()
+		handleEvents()
 		select {
 		case peer = <-accepted:
 			return true
@@ -138,18 +139,18 @@
 		}
 	}, 10*time.Second, time.Millisecond)
 	defer peer.Close()
-	run := u.runs["0123456789abcdef"]
-	require.Eventually(t, func() bool { turn(); return run.sends == 1 }, 10*time.Second, time.Millisecond)
+	run := pool.runs["0123456789abcdef"]
+	require.Eventually(t, func() bool { handleEvents(); return run.sendCount == 1 }, 10*time.Second, time.Millisecond)
 	golden.ReadBytes(t, peer, "\x12\x34\x00\x83\x02\x04\x00\x08HTTP/1.1\x00\x00\x10/call/nom-submit\x00\x00\x09127.0.0.1\x00"+
 		"\x00\x09localhost\x00\x00\x09localhost\x00\x00\x50\x00\x00\x02"+
 		"\x00\x08trace-id\x00\x00\x100123456789abcdef\x00\x00\x0econtent-length\x00\x00\x012\x00\x0c\x00\x02s3\x00\xff"+
-		"\x12\x34\x00\x04\x00\x02ok", "a run")
+		"\x12\x34\x00\x04\x00\x02ok", "request of a run")
 	_, err = peer.Write([]byte("AB\x00\x0a\x04\x00\xc8\x00\x02OK\x00\x00\x00" + "AB\x00\x07\x03\x00\x03abc\x00" + "AB\x00\x02\x05\x01"))
 	require.NoError(t, err)
-	require.Eventually(t, func() bool { turn(); return len(events) == 2 }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { handleEvents(); return len(events) == 2 }, 10*time.Second, time.Millisecond)
 	outcome := events[1].(exchange.Outcome)
 	outcome.Duration = 0
 	require.Equal(t, exchange.Outcome{TraceID: "0123456789abcdef", Stage: exchange.RunEnded, Result: exchange.ResultOK, Body: []byte("abc")}, outcome)
-	u.Run(exchange.Job{TraceID: "0123456789abcde0", Class: "nom-submit"})
-	golden.ReadBytes(t, peer, "\x12\x34\x00\x01\x0a", "CPING before a connection is used again")
+	pool.Run(exchange.Job{TraceID: "0123456789abcde0", Class: "nom-submit"})
+	golden.ReadBytes(t, peer, "\x12\x34\x00\x01\x0a", "CPING before a connection is reused")
 }
--- a/internal/transport/ajp/message.go
+++ b/internal/transport/ajp/message.go
@@ -8,7 +8,7 @@
 	"oxbowbridge/internal/transport/frontend"
 )
 
-// forwardRequest is what matters here of a FORWARD_REQUEST message.
+// forwardRequest holds the fields of a FORWARD_REQUEST message that the service uses.
 type forwardRequest struct {
 	method  string
 	path    string
@@ -16,33 +16,33 @@
 	secret  string
 }
 
-// readForwardRequest reads a FORWARD_REQUEST behind its code.
-func readForwardRequest(content []byte) (forwardRequest, error) {
+// parseForwardRequest parses a FORWARD_REQUEST message. The content starts after the message code.
+func parseForwardRequest(content []byte) (forwardRequest, error) {
 	r := reader{rest: content}
-	var f forwardRequest
+	var fwd forwardRequest
 	method := r.uint8()
 	if int(method) > 0 && int(method) < len(methodNames) {
-		f.method = methodNames[method]
+		fwd.method = methodNames[method]
 	}
 	r.string() // protocol
-	f.path = r.string()
+	fwd.path = r.string()
 	r.string() // remote address
 	r.string() // remote host
 	r.string() // server name
 	r.uint16() // server port
-	r.uint8()  // whether it came by TLS
-	f.headers = r.headers()
-	if err := r.attributes(&f); err != nil {
-		return f, err
+	r.uint8()  // whether the client uses TLS
+	fwd.headers = r.headers()
+	if err := r.attributes(&fwd); err != nil {
+		return fwd, err
 	}
-	if f.method == "" && method != methodInAttribute {
-		return f, fmt.Errorf("method code %d", method)
+	if fwd.method == "" && method != methodInAttribute {
+		return fwd, fmt.Errorf("unknown method code %d", method)
 	}
-	return f, nil
+	return fwd, nil
 }
 
-// attributes takes the attributes that end a FORWARD_REQUEST.
-func (r *reader) attributes(f *forwardRequest) error {
+// attributes reads the attributes at the end of a FORWARD_REQUEST.
+func (r *reader) attributes(fwd *forwardRequest) error {
 	for r.err == nil {
 		switch code := r.uint8(); {
 		case r.err != nil:
@@ -54,20 +54,20 @@
 		case code == attributeKeySize:
 			r.uint16()
 		case code == attributeSecret:
-			f.secret = r.string()
+			fwd.secret = r.string()
 		case code == attributeMethod:
-			f.method = r.string()
-		case code >= firstTextAttribute && code <= lastTextAttribute:
+			fwd.method = r.string()
+		case code >= firstStringAttribute && code <= lastStringAttribute:
 			r.string()
 		default:
-			r.err = fmt.Errorf("attribute code %#02x", code)
+			r.err = fmt.Errorf("unknown attribute code %#02x", code)
 		}
 	}
 	return r.err
 }
 
-// forwardPacket returns the FORWARD_REQUEST packet of a POST, as a web server would send it.
-func forwardPacket(path, secret string, headers []frontend.Header) []byte {
+// encodeForwardRequest returns the FORWARD_REQUEST packet of a POST request, in the form that web servers send.
+func encodeForwardRequest(path, secret string, headers []frontend.Header) []byte {
 	const (
 		serverPort = 80
 		withoutTLS = 0
@@ -84,42 +84,43 @@
 	if secret != "" {
 		b = appendString(append(b, attributeSecret), secret)
 	}
-	return packet(magicToServer, append(b, attributesEnd))
+	return encodePacket(magicToServer, append(b, attributesEnd))
 }
 
-// requestChunkPacket returns the packet of a piece of a request's body; an empty one ends it.
-func requestChunkPacket(piece []byte) []byte {
-	if len(piece) == 0 {
-		return packet(magicToServer, nil)
+// encodeRequestBodyChunk returns the packet for a chunk of a request's body. An empty chunk ends the body.
+func encodeRequestBodyChunk(chunk []byte) []byte {
+	if len(chunk) == 0 {
+		return encodePacket(magicToServer, nil)
 	}
-	content := binary.BigEndian.AppendUint16(nil, uint16(len(piece)))
-	return packet(magicToServer, append(content, piece...))
+	content := binary.BigEndian.AppendUint16(nil, uint16(len(chunk)))
+	return encodePacket(magicToServer, append(content, chunk...))
 }
 
-// getBodyChunkPacket returns the packet that asks a web server for the next piece of a body.
-func getBodyChunkPacket() []byte {
-	return packet(magicToWebServer, binary.BigEndian.AppendUint16([]byte{codeGetBodyChunk}, maxChunkBytes))
+// encodeGetBodyChunk returns the packet that requests the next chunk of a body from a web server.
+func encodeGetBodyChunk() []byte {
+	return encodePacket(magicToWebServer, binary.BigEndian.AppendUint16([]byte{codeGetBodyChunk}, maxChunkBytes))
 }
 
-// responsePackets returns the packets of a complete response. With reuse the connection goes on.
-func responsePackets(status int, headers []frontend.Header, body []byte, reuse bool) []byte {
+// encodeResponse returns the packets of a complete response. With reuse, the web server may send another
+// request on the connection.
+func encodeResponse(status int, headers []frontend.Header, body []byte, reuse bool) []byte {
 	reason := ""
 	if status == http.StatusOK {
 		reason = "OK"
 	}
 	content := binary.BigEndian.AppendUint16([]byte{codeSendHeaders}, uint16(status))
 	content = appendString(content, reason)
-	packets := packet(magicToWebServer, appendHeaders(content, headers))
+	packets := encodePacket(magicToWebServer, appendHeaders(content, headers))
 	for len(body) > 0 {
 		n := min(len(body), maxResponseChunkBytes)
 		content = binary.BigEndian.AppendUint16([]byte{codeSendBodyChunk}, uint16(n))
 		content = append(content, body[:n]...)
-		packets = append(packets, packet(magicToWebServer, append(content, 0))...)
+		packets = append(packets, encodePacket(magicToWebServer, append(content, 0))...)
 		body = body[n:]
 	}
 	end := []byte{codeEndResponse, 0}
 	if reuse {
 		end[1] = 1
 	}
-	return append(packets, packet(magicToWebServer, end)...)
+	return append(packets, encodePacket(magicToWebServer, end)...)
 }
--- a/internal/transport/ajp/open_request.go
+++ b/internal/transport/ajp/open_request.go
@@ -9,82 +9,82 @@
 	"oxbowbridge/internal/transport/frontend"
 )
 
-// unknownLength is the remaining length of a body that is sent with a transfer encoding.
+// unknownLength is the value of remainingBytes for a body that is sent with a transfer encoding.
 const unknownLength = -1
 
-// afterReply says whether a connection goes on after a response.
-type afterReply bool
+// afterResponse states whether a connection stays open or is closed after a response.
+type afterResponse bool
 
 const (
-	keepOpen   afterReply = true
-	closeAfter afterReply = false
+	keepOpen   afterResponse = true
+	closeAfter afterResponse = false
 )
 
-// openRequest is one request.
+// openRequest is a request that has no response yet.
 type openRequest struct {
 	frontend.OpenRequest
 	conn           *conn
 	raw            frontend.RawRequest
 	body           []byte
-	remainingBytes int  // of the body, or unknownLength
-	complete       bool // all of it has arrived
+	remainingBytes int  // bytes of the body that have not arrived, or unknownLength
+	complete       bool // the request has arrived completely
 }
 
-// complete handles a request that has arrived to its end: it answers health checks and faulty
-// requests, and hands others over.
-func (c *conn) complete(open *openRequest) error {
+// completeRequest handles a request that has arrived completely. It responds to health checks and invalid
+// requests, and submits all others to the dispatcher.
+func (c *conn) completeRequest(openReq *openRequest) error {
 	c.Lock()
-	if open.Settled() { // discarded just now: nobody would get its answer
+	if openReq.Settled() { // already discarded: its response could not be sent
 		c.Unlock()
 		return nil
 	}
-	open.complete = true
+	openReq.complete = true
 	c.RequestArrived()
 	c.Unlock()
-	if open.raw.IsHealthCheck() {
-		c.reply(open, frontend.HealthResponse(c.frontend.Exchange.Healthy()), keepOpen)
+	if openReq.raw.IsHealthCheck() {
+		c.sendResponse(openReq, frontend.HealthResponse(c.frontend.Exchange.Healthy()), keepOpen)
 		return nil
 	}
-	req, err := open.raw.Decode(c.frontend.Classes, time.Now())
+	req, err := openReq.raw.Decode(c.frontend.Classes, time.Now())
 	if err != nil {
 		c.LogFailedRequest(http.StatusBadRequest, err)
-		c.reply(open, frontend.HTTPResponse{Status: http.StatusBadRequest}, keepOpen)
+		c.sendResponse(openReq, frontend.HTTPResponse{Status: http.StatusBadRequest}, keepOpen)
 		return c.CountInvalidRequest()
 	}
-	req.Body = open.body
-	req.Responder = open
-	c.submit(open, req)
+	req.Body = openReq.body
+	req.Responder = openReq
+	c.submitOrReject(openReq, req)
 	return nil
 }
 
-// submit hands a request over, or rejects it if the process holds too many.
-func (c *conn) submit(open *openRequest, req *exchange.Request) {
-	if !c.Submit(&open.OpenRequest, req) {
-		c.reply(open, frontend.HTTPResponse{Status: http.StatusServiceUnavailable}, keepOpen)
+// submitOrReject submits a request to the dispatcher, or rejects it if the process has too many requests.
+func (c *conn) submitOrReject(openReq *openRequest, req *exchange.Request) {
+	if !c.Submit(&openReq.OpenRequest, req) {
+		c.sendResponse(openReq, frontend.HTTPResponse{Status: http.StatusServiceUnavailable}, keepOpen)
 	}
 }
 
-// fail answers a request whose body is not read: it may still be on its way, so that the
-// connection can't go on.
-func (c *conn) fail(open *openRequest, status int, err error) {
+// failRequest responds to a request before its body is read, and closes the connection, since the rest of
+// the body may still arrive on it.
+func (c *conn) failRequest(openReq *openRequest, status int, err error) {
 	c.LogFailedRequest(status, err)
-	c.reply(open, frontend.HTTPResponse{Status: status}, closeAfter)
+	c.sendResponse(openReq, frontend.HTTPResponse{Status: status}, closeAfter)
 }
 
-// Respond writes the answer to the request. It is called on the dispatcher's goroutine.
-func (open *openRequest) Respond(answer exchange.Response) {
-	open.conn.reply(open, frontend.NewHTTPResponse(answer), keepOpen)
-	open.conn.CountResponse(answer)
+// Respond writes the response to the request. It is called on the dispatcher's goroutine.
+func (openReq *openRequest) Respond(response exchange.Response) {
+	openReq.conn.sendResponse(openReq, frontend.NewHTTPResponse(response), keepOpen)
+	openReq.conn.CountResponse(response)
 }
 
-// reply writes a response, once.
-func (c *conn) reply(open *openRequest, r frontend.HTTPResponse, after afterReply) {
+// sendResponse writes the response to a request. A second call for the same request has no effect.
+func (c *conn) sendResponse(openReq *openRequest, r frontend.HTTPResponse, after afterResponse) {
 	headers := []frontend.Header{
-		{Name: headerContentType, Value: contentTypeBytes},
+		{Name: headerContentType, Value: contentTypeOctetStream},
 		{Name: headerContentLength, Value: strconv.Itoa(len(r.Body))},
 	}
 	headers = append(headers, frontend.CommonHeaders(c.frontend.Exchange)...)
 	headers = append(headers, r.Headers...)
-	packets := responsePackets(r.Status, headers, r.Body, after == keepOpen)
-	c.WriteResponse(&open.OpenRequest, packets, after == keepOpen, func() { c.open = nil })
+	packets := encodeResponse(r.Status, headers, r.Body, after == keepOpen)
+	c.WriteResponse(&openReq.OpenRequest, packets, after == keepOpen, func() { c.openReq = nil })
 }
--- a/internal/transport/ajp/out_of_turn_test.go
+++ b/internal/transport/ajp/out_of_turn_test.go
@@ -19,38 +19,38 @@
 	"oxbowbridge/internal/transport/session"
 )
 
-const outOfTurnPause = 300 * time.Microsecond // for bytes on their way
+const deliveryDelay = 300 * time.Microsecond // time for sent bytes to arrive
 
-// saidOutOfTurn are messages of an upstream, valid and not.
-var saidOutOfTurn = []string{
+// upstreamMessages are valid and invalid messages that a test upstream sends.
+var upstreamMessages = []string{
 	"AB\x00\x01\x09", "AB\x00\x0a\x04\x00\xc8\x00\x02OK\x00\x00\x00", "AB\x00\x07\x03\x00\x03abc\x00", "AB\x00\x02\x05\x01",
 	"AB\x00\x02\x05\x00", "AB\x00\x01\x05", "AB\x00\x03\x06\x00\x64", "AB\x00\x01\x06", "AB\x00\x00", "AB\x00\x01\x63",
 	"AB\x00\x03\x03\xff\xff", "AB\x00\x02\x04\x01", "\x12\x34\x00\x01\x0a", "AB\xff\xff", "AB\x00", "\r\n\r\n",
 	"AB\x00\x0a\x04\x01\xf7\x00\x02NO\x00\x00\x00",
 }
 
-// clockSteps are times that pass at once.
+// clockSteps are the durations by which a step advances the clock.
 var clockSteps = []time.Duration{5 * time.Millisecond, 25 * time.Millisecond, probeInterval, pongTimeout, maxIdleTime}
 
-// outOfTurn is a pool whose dispatcher is the test, and two upstreams that the test speaks for.
-type outOfTurn struct {
-	t        *testing.T
-	pool     *UpstreamPool
-	exchange *exchange.Exchange
-	now      time.Duration
-	addrs    []string      // of the two, and one that refuses connections
-	accepted chan net.Conn // not yet in conns
-	conns    []net.Conn
-	ordered  int
-	ends     map[string]int // of each run
-	results  map[string]exchange.Result
+// upstreamFixture holds a pool and two upstreams. The test acts as the dispatcher and as the upstreams.
+type upstreamFixture struct {
+	t             *testing.T
+	pool          *UpstreamPool
+	exchange      *exchange.Exchange
+	now           time.Duration
+	addrs         []string      // addresses of the two upstreams, and one that refuses connections
+	accepted      chan net.Conn // accepted connections that are not in conns yet
+	conns         []net.Conn
+	runCount      int                        // runs started so far
+	outcomeCounts map[string]int             // number of outcomes by trace id
+	results       map[string]exchange.Result // latest result by trace id
 }
 
-func newOutOfTurn(t *testing.T) *outOfTurn {
+func newUpstreamFixture(t *testing.T) *upstreamFixture {
 	loop, err := eventloop.New(16)
 	require.NoError(t, err)
 	t.Cleanup(loop.Stop)
-	f := &outOfTurn{t: t, exchange: exchange.New(100), accepted: make(chan net.Conn, 1000), ends: map[string]int{}, results: map[string]exchange.Result{}}
+	f := &upstreamFixture{t: t, exchange: exchange.New(100), accepted: make(chan net.Conn, 1000), outcomeCounts: map[string]int{}, results: map[string]exchange.Result{}}
 	for range 3 {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
@@ -78,15 +78,15 @@
 	}
 }
 
-func (f *outOfTurn) closeConns() {
-	f.takeAccepted()
+func (f *upstreamFixture) closeConns() {
+	f.collectAccepted()
 	for _, c := range f.conns {
 		c.Close()
 	}
 	f.conns = nil
 }
 
-func (f *outOfTurn) takeAccepted() {
+func (f *upstreamFixture) collectAccepted() {
 	for {
 		select {
 		case c := <-f.accepted:
@@ -97,26 +97,26 @@
 	}
 }
 
-// Turn has what was posted handled, and checks what holds after each turn.
-func (f *outOfTurn) Turn() {
-	time.Sleep(outOfTurnPause)
-	f.takeAccepted()
+// Turn runs due timers and posted callbacks, records outcomes, and checks the invariants.
+func (f *upstreamFixture) Turn() {
+	time.Sleep(deliveryDelay)
+	f.collectAccepted()
 	f.pool.Timers.RunDue(f.now)
 	for _, e := range f.exchange.Dequeue(nil) {
 		switch e := e.(type) {
 		case exchange.Callback:
 			e()
 		case exchange.Outcome:
-			f.ends[e.TraceID]++
+			f.outcomeCounts[e.TraceID]++
 			f.results[e.TraceID] = e.Result
-			require.Equal(f.t, 1, f.ends[e.TraceID], "ends of %s", e.TraceID)
+			require.Equal(f.t, 1, f.outcomeCounts[e.TraceID], "outcomes of run %s", e.TraceID)
 		}
 	}
-	f.check()
+	f.checkInvariants()
 }
 
-// await has turns go on, a millisecond each, until a condition holds.
-func (f *outOfTurn) await(description string, holds func() bool) {
+// advanceUntil advances the clock by a millisecond at a time and processes events, until the condition holds.
+func (f *upstreamFixture) advanceUntil(description string, holds func() bool) {
 	f.t.Helper()
 	require.Eventually(f.t, func() bool {
 		f.now += time.Millisecond
@@ -125,29 +125,29 @@
 	}, 10*time.Second, time.Millisecond, description)
 }
 
-func (f *outOfTurn) check() {
+func (f *upstreamFixture) checkInvariants() {
 	for _, c := range f.pool.idle {
 		require.Equal(f.t, upstreamIdle, c.state)
 		require.Nil(f.t, c.run)
-		require.True(f.t, f.pool.listed(c.addr), "a connection to a server that is not listed is kept for runs")
+		require.True(f.t, f.pool.isListed(c.addr), "the idle list holds a connection to a server that is not listed")
 	}
 	for _, r := range f.pool.runs {
-		require.True(f.t, r.sends <= 1 || r.Idempotent && r.sends <= maxSends, "run sent %d times", r.sends)
+		require.True(f.t, r.sendCount <= 1 || r.Idempotent && r.sendCount <= maxSendsPerRun, "run sent %d times", r.sendCount)
 	}
 	for _, s := range f.pool.servers {
-		require.GreaterOrEqual(f.t, s.runs, 0)
-		require.GreaterOrEqual(f.t, s.conns, 0)
+		require.GreaterOrEqual(f.t, s.runCount, 0)
+		require.GreaterOrEqual(f.t, s.connCount, 0)
 	}
 }
 
-// Step does one of the things that a dispatcher or an upstream does.
-func (f *outOfTurn) Step(what, which byte) {
-	n := int(which)
-	trace := fmt.Sprintf("%016x", 1+n%(1+f.ordered))
-	switch what % 12 {
+// Step executes one action of a dispatcher or an upstream, which action and value select.
+func (f *upstreamFixture) Step(action, value byte) {
+	n := int(value)
+	trace := fmt.Sprintf("%016x", 1+n%(1+f.runCount))
+	switch action % 12 {
 	case 0, 1:
-		f.ordered++
-		f.pool.Run(exchange.Job{TraceID: fmt.Sprintf("%016x", f.ordered), Class: "c", Body: []byte("ok"), Idempotent: n%2 == 0})
+		f.runCount++
+		f.pool.Run(exchange.Job{TraceID: fmt.Sprintf("%016x", f.runCount), Class: "c", Body: []byte("ok"), Idempotent: n%2 == 0})
 	case 2:
 		f.pool.Stop(trace, n%2 == 0)
 	case 3:
@@ -164,42 +164,43 @@
 		}
 	default:
 		if len(f.conns) > 0 {
-			io.WriteString(f.conns[n%len(f.conns)], saidOutOfTurn[n/4%len(saidOutOfTurn)])
+			io.WriteString(f.conns[n%len(f.conns)], upstreamMessages[n/4%len(upstreamMessages)])
 		}
 	}
 }
 
-// FuzzUpstreamOutOfTurn: upstreams that say anything at any moment, close, refuse and are taken off
-// the list, have each run end once, none that may run once sent twice, no connection kept to a
-// server that is not listed, and a later run at a good server succeed.
+// FuzzUpstreamOutOfTurn checks the pool with upstreams that send unexpected messages, close or refuse
+// connections, and are removed from the list. Each run must end exactly once, a run that is not idempotent must
+// be sent at most once, no idle connection may remain to a server that is not listed, and a later run at a
+// correct server must succeed.
 func FuzzUpstreamOutOfTurn(f *testing.F) {
-	outofturn.Fuzz(f, func(t *testing.T) outofturn.Play { return newOutOfTurn(t) })
+	outofturn.Fuzz(f, func(t *testing.T) outofturn.Play { return newUpstreamFixture(t) })
 }
 
-// EndWell stops all runs, and has one at a good server.
-func (f *outOfTurn) EndWell() {
+// EndWell stops all runs and checks that a run at a correct server succeeds.
+func (f *upstreamFixture) EndWell() {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(f.t, err)
 	defer ln.Close()
-	go acceptAll(ln, func(c net.Conn) { go serveWell(c) })
+	go acceptAll(ln, func(c net.Conn) { go serveUpstream(c) })
 	f.pool.SetAddresses([]string{ln.Addr().String()}, "s3")
-	for n := range f.ordered {
+	for n := range f.runCount {
 		f.pool.Stop(fmt.Sprintf("%016x", n+1), false)
 	}
 	f.Turn()
-	require.Len(f.t, f.ends, f.ordered, "runs that ended")
+	require.Len(f.t, f.outcomeCounts, f.runCount, "number of ended runs")
 	const last = "ffffffffffffffff"
 	f.pool.Run(exchange.Job{TraceID: last, Class: "c", Body: []byte("ok")})
-	f.await("the end of the last run", func() bool { return f.ends[last] > 0 })
+	f.advanceUntil("the last run has ended", func() bool { return f.outcomeCounts[last] > 0 })
 	require.Equal(f.t, exchange.ResultOK, f.results[last])
 	f.Turn()
 	for addr, s := range f.pool.servers {
-		require.Zero(f.t, s.runs, addr)
+		require.Zero(f.t, s.runCount, addr)
 	}
 }
 
-// serveWell answers checks and requests as an upstream does.
-func serveWell(c net.Conn) {
+// serveUpstream answers health checks and requests as a correct upstream does.
+func serveUpstream(c net.Conn) {
 	defer c.Close()
 	header := make([]byte, 4)
 	for {
@@ -213,7 +214,7 @@
 		switch {
 		case content[0] == codeCPing:
 			io.WriteString(c, "AB\x00\x01\x09")
-		case content[0] != codeForwardRequest: // a body
+		case content[0] != codeForwardRequest: // a body chunk
 			io.WriteString(c, "AB\x00\x0a\x04\x00\xc8\x00\x02OK\x00\x00\x00"+"AB\x00\x02\x05\x01")
 		}
 	}
--- a/internal/transport/ajp/upstream_conn.go
+++ b/internal/transport/ajp/upstream_conn.go
@@ -23,11 +23,11 @@
 )
 
 var (
-	errUpstreamLost = errors.New("upstream lost")
-	errResultSize   = fmt.Errorf("result of more than %d bytes", maxResultBytes)
+	errConnectionLost = errors.New("connection to upstream lost")
+	errResultTooLarge = fmt.Errorf("result exceeds the limit of %d bytes", maxResultBytes)
 )
 
-// upstreamConn is a connection to an upstream. It belongs to the dispatcher's goroutine, but for
+// upstreamConn is a connection to an upstream. All fields belong to the dispatcher's goroutine, except those of
 // the parser.
 type upstreamConn struct {
 	pool   *UpstreamPool
@@ -35,102 +35,104 @@
 	server *upstreamServer
 	socket *eventloop.Conn // nil while dialing
 	state  upstreamState
-	run    *upstreamRun // nil while it has none
-	served bool         // it has answered a check, or a run was sent on it
+	run    *upstreamRun // nil if no run is assigned
+	used   bool         // the upstream has answered a health check, or a request was sent
 	timer  *timerqueue.Timer
 
-	unsentBody []byte // of the request
-	status     int    // of the response
-	result     []byte
+	unsentBody []byte // rest of the request's body that was not sent yet
+	status     int    // HTTP status of the response
+	result     []byte // body of the response
 
-	parser    parser // of the event loop's goroutine
-	malformed bool   // the input was at fault, on the event loop's goroutine
+	parser         parser // used only by the event loop's goroutine
+	inputMalformed bool   // the parser has failed; used only by the event loop's goroutine
 }
 
-// attach has the connection carry a run.
-func (c *upstreamConn) attach(r *upstreamRun) {
+// attachRun assigns a run to the connection.
+func (c *upstreamConn) attachRun(r *upstreamRun) {
 	c.run = r
 	r.conn = c
-	c.server.runs++
+	c.server.runCount++
 }
 
-// detach ends that, and returns the run, nil if there was none.
-func (c *upstreamConn) detach() *upstreamRun {
+// detachRun removes the assigned run from the connection and returns it, or nil if there is none.
+func (c *upstreamConn) detachRun() *upstreamRun {
 	r := c.run
 	if r != nil {
 		c.run = nil
 		r.conn = nil
-		c.server.runs--
+		c.server.runCount--
 	}
 	return r
 }
 
-// opened is called once the dial has succeeded or failed.
-func (c *upstreamConn) opened(socket *eventloop.Conn, err error) {
+// handleDialResult is called when the dial has succeeded or failed.
+func (c *upstreamConn) handleDialResult(socket *eventloop.Conn, err error) {
 	c.socket = socket
-	c.pool.noteDial(c.server, err)
-	closed := c.state == upstreamClosed // its run was stopped meanwhile
+	c.pool.recordDialResult(c.server, err)
+	closed := c.state == upstreamClosed // the run was stopped while the dial was in progress
 	switch {
 	case err != nil && closed:
 	case err != nil:
 		c.pool.Log.Warn("upstream not reached", zap.String("address", c.addr), zap.Error(err))
-		c.lost(err)
+		c.closeConn(err)
 	case closed:
 		socket.Abort()
-	case c.run != nil && c.server.runs > c.pool.quota(c.server):
-		c.returnRun()
+	case c.run != nil && c.server.runCount > c.pool.quota(c.server):
+		c.reassignRun()
 	case c.run != nil:
-		c.send()
+		c.sendRequest()
 	default:
-		c.check()
+		c.startHealthCheck()
 	}
 }
 
-// returnRun has a run that was not sent placed anew, and keeps the connection: the server has
-// started while the connection was being opened, and may not have as many runs yet.
-func (c *upstreamConn) returnRun() {
-	r := c.detach()
-	c.check()
-	c.pool.place(r)
+// reassignRun places the run, which was not sent yet, again and keeps the connection. It is called when the
+// server started while the connection was being opened and its slow start does not allow as many runs.
+func (c *upstreamConn) reassignRun() {
+	r := c.detachRun()
+	c.startHealthCheck()
+	c.pool.placeRun(r)
 }
 
-// check makes sure that the upstream is there before anything is sent.
-func (c *upstreamConn) check() {
+// startHealthCheck sends CPING to check that the upstream responds. It closes the connection if no CPONG
+// arrives within pongTimeout.
+func (c *upstreamConn) startHealthCheck() {
 	c.pool.Timers.Cancel(c.timer)
-	c.state = c.state.next(upstreamPinged)
-	c.socket.Write(packet(magicToServer, []byte{codeCPing}))
-	c.timer = c.pool.Timers.Schedule(c.pool.Now()+pongTimeout, func() { c.lost(errUpstreamLost) })
+	c.state = c.state.next(upstreamPingSent)
+	c.socket.Write(encodePacket(magicToServer, []byte{codeCPing}))
+	c.timer = c.pool.Timers.Schedule(c.pool.Now()+pongTimeout, func() { c.closeConn(errConnectionLost) })
 }
 
-// pong goes on after a check.
-func (c *upstreamConn) pong() {
+// handleCPong handles the answer to a health check. It sends the assigned run, if any, or makes the connection
+// idle.
+func (c *upstreamConn) handleCPong() {
 	c.pool.Timers.Cancel(c.timer)
-	c.served = true
+	c.used = true
 	c.pool.reportReady()
 	switch {
 	case c.run != nil:
-		c.send()
-	case c.pool.listed(c.addr):
-		c.release()
-	default: // taken off the list since the check began
-		c.lost(nil)
+		c.sendRequest()
+	case c.pool.isListed(c.addr):
+		c.makeIdle()
+	default: // removed from the list while the check was in progress
+		c.closeConn(nil)
 	}
 }
 
-// send sends the request of the run.
-func (c *upstreamConn) send() {
+// sendRequest sends the request of the assigned run.
+func (c *upstreamConn) sendRequest() {
 	r := c.run
-	c.state = c.state.next(upstreamSent)
-	c.served = true
+	c.state = c.state.next(upstreamRequestSent)
+	c.used = true
 	c.unsentBody = r.Body
-	r.sends++
-	c.socket.Write(forwardPacket(frontend.CallPathPrefix+r.Class, c.pool.secret, requestHeaders(r.Job)))
+	r.sendCount++
+	c.socket.Write(encodeForwardRequest(frontend.CallPathPrefix+r.Class, c.pool.secret, requestHeaders(r.Job)))
 	if len(r.Body) > 0 {
-		c.sendChunk(maxChunkBytes)
+		c.sendBodyChunk(maxChunkBytes)
 	}
 }
 
-// requestHeaders are the headers of a run's request.
+// requestHeaders returns the headers of a run's request.
 func requestHeaders(a exchange.Job) []frontend.Header {
 	return []frontend.Header{
 		{Name: upstreamHeaderTraceID, Value: a.TraceID},
@@ -138,23 +140,23 @@
 	}
 }
 
-// sendChunk sends the next piece of the body, an empty one at its end.
-func (c *upstreamConn) sendChunk(maxBytes int) {
+// sendBodyChunk sends the next chunk of the body, or an empty chunk if the whole body was sent.
+func (c *upstreamConn) sendBodyChunk(maxBytes int) {
 	n := min(len(c.unsentBody), maxBytes, maxChunkBytes)
-	c.socket.Write(requestChunkPacket(c.unsentBody[:n]))
+	c.socket.Write(encodeRequestBodyChunk(c.unsentBody[:n]))
 	c.unsentBody = c.unsentBody[n:]
 }
 
-// release keeps the connection for the next run.
-func (c *upstreamConn) release() {
-	c.state = c.state.next(upstreamReleased)
+// makeIdle makes the connection available for the next run. It is closed if unused for maxIdleTime.
+func (c *upstreamConn) makeIdle() {
+	c.state = c.state.next(upstreamFreed)
 	c.pool.idle = append(c.pool.idle, c)
-	c.timer = c.pool.Timers.Schedule(c.pool.Now()+maxIdleTime, func() { c.lost(nil) })
+	c.timer = c.pool.Timers.Schedule(c.pool.Now()+maxIdleTime, func() { c.closeConn(nil) })
 }
 
-// finished ends the run whose response has come to its end.
-func (c *upstreamConn) finished(reuse bool) {
-	r := c.detach()
+// completeRun finishes the run after its complete response has arrived.
+func (c *upstreamConn) completeRun(reuse bool) {
+	r := c.detachRun()
 	status := c.status
 	body := c.result
 	c.unsentBody = nil
@@ -165,92 +167,91 @@
 		result = exchange.ResultError
 		c.pool.Log.Warn("upstream failed a run", zap.String("trace_id", r.TraceID), zap.Int("status", status))
 	}
-	c.pool.finish(r, result, body)
-	if reuse && c.pool.listed(c.addr) {
-		c.release()
+	c.pool.finishRun(r, result, body)
+	if reuse && c.pool.isListed(c.addr) {
+		c.makeIdle()
 	} else {
-		c.lost(nil)
+		c.closeConn(nil)
 	}
 }
 
-// lost closes the connection. Its run is placed once more where mayRetry allows that, and has
-// failed otherwise.
-func (c *upstreamConn) lost(err error) {
+// closeConn closes the connection. It places the assigned run again if canRetry allows that. Otherwise the run
+// fails.
+func (c *upstreamConn) closeConn(err error) {
 	if c.state == upstreamClosed {
 		return
 	}
-	before := c.state
-	c.state = c.state.next(upstreamLost)
+	stateBefore := c.state
+	c.state = c.state.next(upstreamConnLost)
 	p := c.pool
 	p.Timers.Cancel(c.timer)
 	p.idle = slices.DeleteFunc(p.idle, func(idle *upstreamConn) bool { return idle == c })
 	if c.socket != nil {
 		c.socket.Abort()
 	}
-	c.server.conns--
+	c.server.connCount--
 	if err != nil {
-		c.probeAfterLoss()
+		c.reconnectAfterLoss()
 	}
-	r := c.detach()
+	r := c.detachRun()
 	if r == nil {
 		return
 	}
-	if before == upstreamDialing {
+	if stateBefore == upstreamDialing {
 		r.failedDials++
 	}
-	if p.mayRetry(r, before == upstreamBusy) {
-		p.place(r)
+	if p.canRetry(r, stateBefore == upstreamBusy) {
+		p.placeRun(r)
 		return
 	}
 	p.Log.Warn("run failed", zap.String("trace_id", r.TraceID), zap.Error(err))
-	p.finish(r, exchange.ResultError, nil)
+	p.finishRun(r, exchange.ResultError, nil)
 }
 
-// probeAfterLoss connects anew to a server of which the last connection was lost: it may have
-// ended, and a refusal is how its next start is noticed.
-func (c *upstreamConn) probeAfterLoss() {
-	if c.served && c.server.conns == 0 && !c.server.refusing && c.pool.listed(c.addr) {
+// reconnectAfterLoss dials a server again after its last connection was lost. If the server has stopped, the dial
+// is refused; the pool then probes the server and detects its next start.
+func (c *upstreamConn) reconnectAfterLoss() {
+	if c.used && c.server.connCount == 0 && !c.server.refusesConnections && c.pool.isListed(c.addr) {
 		c.pool.connect(c.addr, nil)
 	}
 }
 
-// mayRetry reports whether a run whose connection was lost may be placed once more. One that was
-// not sent may be while there are addresses to try; one that was sent may have run, and is sent
-// again only if it is idempotent.
-func (p *UpstreamPool) mayRetry(r *upstreamRun, sent bool) bool {
+// canRetry reports whether a run whose connection was lost may be placed again. A run that was not sent may be
+// retried until more dials have failed than there are addresses. A run that was sent may have been executed, and
+// is sent again only if it is idempotent.
+func (p *UpstreamPool) canRetry(r *upstreamRun, sent bool) bool {
 	if sent {
-		return r.Idempotent && r.sends < maxSends
+		return r.Idempotent && r.sendCount < maxSendsPerRun
 	}
 	return r.failedDials <= len(p.addrs)
 }
 
-// OnData parses received bytes, on the event loop's goroutine, and has each packet handled on
-// the dispatcher's.
+// OnData parses received bytes on the event loop's goroutine. Each packet is handled on the dispatcher's.
 func (c *upstreamConn) OnData(received []byte) {
-	if c.malformed {
+	if c.inputMalformed {
 		return
 	}
 	err := c.parser.feed(received, func(content []byte) error {
 		content = bytes.Clone(content)
-		c.pool.Exchange.Post(exchange.Callback(func() { c.receive(content) }))
+		c.pool.Exchange.Post(exchange.Callback(func() { c.receivePacket(content) }))
 		return nil
 	})
 	if err != nil {
-		c.malformed = true
+		c.inputMalformed = true
 		c.OnClose(err)
 	}
 }
 
-// OnClose reports the loss of the connection to the dispatcher.
+// OnClose posts the loss of the connection to the dispatcher's goroutine.
 func (c *upstreamConn) OnClose(err error) {
-	c.pool.Exchange.Post(exchange.Callback(func() { c.lost(errors.Join(errUpstreamLost, err)) }))
+	c.pool.Exchange.Post(exchange.Callback(func() { c.closeConn(errors.Join(errConnectionLost, err)) }))
 }
 
-// receive handles the content of a packet.
-func (c *upstreamConn) receive(content []byte) {
+// receivePacket handles the content of a packet, and closes the connection if the packet is invalid.
+func (c *upstreamConn) receivePacket(content []byte) {
 	if err := c.handlePacket(content); err != nil && c.state != upstreamClosed {
-		c.pool.Log.Warn("malformed AJP of an upstream", zap.Error(err))
-		c.lost(err)
+		c.pool.Log.Warn("invalid AJP packet from upstream", zap.Error(err))
+		c.closeConn(err)
 	}
 }
 
@@ -259,28 +260,28 @@
 		return nil
 	}
 	if len(content) == 0 {
-		return errShort
+		return errTruncated
 	}
 	r := reader{rest: content[1:]}
 	switch code := content[0]; {
 	case code == codeCPong && c.state == upstreamChecking:
-		c.pong()
+		c.handleCPong()
 	case c.state != upstreamBusy:
-		return fmt.Errorf("unexpected packet of code %d", code)
+		return fmt.Errorf("unexpected packet with code %d", code)
 	case code == codeSendHeaders:
 		c.status = int(r.uint16())
 	case code == codeSendBodyChunk:
 		c.result = append(c.result, r.bytes(int(r.uint16()))...)
 		if len(c.result) > maxResultBytes {
-			return errResultSize
+			return errResultTooLarge
 		}
 	case code == codeGetBodyChunk:
-		c.sendChunk(int(r.uint16()))
+		c.sendBodyChunk(int(r.uint16()))
 	case code == codeEndResponse:
 		reuse := r.uint8() == 1 && r.err == nil
-		c.finished(reuse)
+		c.completeRun(reuse)
 	default:
-		return fmt.Errorf("unexpected packet of code %d", code)
+		return fmt.Errorf("unexpected packet with code %d", code)
 	}
 	return r.err
 }
--- a/internal/transport/ajp/upstream_placement.go
+++ b/internal/transport/ajp/upstream_placement.go
@@ -6,42 +6,43 @@
 	"oxbowbridge/internal/transport/eventloop"
 )
 
-// place gives a run a connection: an idle one, the latest used first, or a new one. It queues
-// the run if no server has a slot for it. A server that refuses connections is tried last: its
-// refusal ends a run that finds no other.
-func (p *UpstreamPool) place(r *upstreamRun) {
+// placeRun assigns a run to a connection: the most recently used idle one if possible, otherwise a new one. It
+// queues the run if no server has a free slot. A server that refuses connections is used only if no other
+// server has a slot; if it refuses again, the run may fail (see canRetry).
+func (p *UpstreamPool) placeRun(r *upstreamRun) {
 	if p.placeOnIdle(r) || p.placeOnReachable(r) || p.placeOnRefusing(r) {
 		return
 	}
 	p.queue = append(p.queue, r)
-	p.scheduleQueue()
+	p.schedulePlacement()
 }
 
-// placeOnIdle gives a run an idle connection, which is checked first: it may have been closed
-// meanwhile.
+// placeOnIdle assigns a run to an idle connection. It first starts a health check, since the upstream may have
+// closed the connection.
 func (p *UpstreamPool) placeOnIdle(r *upstreamRun) bool {
 	for i, c := range slices.Backward(p.idle) {
 		if p.hasSlot(c.server) {
 			p.idle = slices.Delete(p.idle, i, i+1)
-			c.attach(r)
-			c.check()
+			c.attachRun(r)
+			c.startHealthCheck()
 			return true
 		}
 	}
 	return false
 }
 
-// placeOnReachable gives a run a new connection to a server that did not refuse the latest one.
+// placeOnReachable assigns a run to a new connection to a server that did not refuse the latest dial.
 func (p *UpstreamPool) placeOnReachable(r *upstreamRun) bool { return p.placeOnNew(r, false) }
 
-// placeOnRefusing gives a run a new connection to a server that refused the latest one.
+// placeOnRefusing assigns a run to a new connection to a server that refused the latest dial.
 func (p *UpstreamPool) placeOnRefusing(r *upstreamRun) bool { return p.placeOnNew(r, true) }
 
-// placeOnNew connects to the next server that has a slot, of those that refuse or the others.
+// placeOnNew assigns a run to a new connection to the next server that has a slot and whose
+// refusesConnections equals refusing.
 func (p *UpstreamPool) placeOnNew(r *upstreamRun, refusing bool) bool {
 	for range p.addrs {
-		s := p.server(p.takeAddress())
-		if s.refusing == refusing && p.hasSlot(s) {
+		s := p.server(p.takeNextAddress())
+		if s.refusesConnections == refusing && p.hasSlot(s) {
 			p.connect(s.addr, r)
 			return true
 		}
@@ -49,35 +50,35 @@
 	return false
 }
 
-// scheduleQueue places the queued runs after a while.
-func (p *UpstreamPool) scheduleQueue() {
-	if p.queueTimer {
+// schedulePlacement sets a timer that places the queued runs after placementRetryDelay.
+func (p *UpstreamPool) schedulePlacement() {
+	if p.placementScheduled {
 		return
 	}
-	p.queueTimer = true
-	p.Timers.Schedule(p.Now()+placementRetry, func() {
-		p.queueTimer = false
+	p.placementScheduled = true
+	p.Timers.Schedule(p.Now()+placementRetryDelay, func() {
+		p.placementScheduled = false
 		queue := p.queue
 		p.queue = nil
 		for _, r := range queue {
-			p.place(r)
+			p.placeRun(r)
 		}
 	})
 }
 
-// takeAddress returns the listed address whose turn it is.
-func (p *UpstreamPool) takeAddress() string {
-	addr := p.addrs[p.nextAddress%len(p.addrs)]
-	p.nextAddress++
+// takeNextAddress returns the next listed address in round-robin order.
+func (p *UpstreamPool) takeNextAddress() string {
+	addr := p.addrs[p.nextAddrIndex%len(p.addrs)]
+	p.nextAddrIndex++
 	return addr
 }
 
-// connect makes a connection for a run, or without one to see whether the server is there.
+// connect dials a server for a run. If r is nil, the connection only checks that the server is available.
 func (p *UpstreamPool) connect(addr string, r *upstreamRun) {
 	c := &upstreamConn{pool: p, addr: addr, server: p.server(addr), parser: parser{magic: magicToWebServer}}
-	c.server.conns++
+	c.server.connCount++
 	if r != nil {
-		c.attach(r)
+		c.attachRun(r)
 	}
-	p.Dial(addr, c, func(socket *eventloop.Conn, err error) { c.opened(socket, err) })
+	p.Dial(addr, c, func(socket *eventloop.Conn, err error) { c.handleDialResult(socket, err) })
 }
--- a/internal/transport/ajp/upstream_pool.go
+++ b/internal/transport/ajp/upstream_pool.go
@@ -11,42 +11,42 @@
 )
 
 const (
-	maxIdleTime    = 10 * time.Second       // for which an unused connection is kept
-	probeInterval  = 500 * time.Millisecond // between attempts to reach a server that refuses connections
-	placementRetry = 20 * time.Millisecond  // after which queued runs look for a slot again
-	maxSends       = 2                      // of an idempotent run
+	maxIdleTime         = 10 * time.Second       // an unused connection is closed after this time
+	probeInterval       = 500 * time.Millisecond // interval between dials to a server that refuses connections
+	placementRetryDelay = 20 * time.Millisecond  // delay before the pool tries again to place queued runs
+	maxSendsPerRun      = 2                      // limit on sending the request of an idempotent run
 )
 
-// UpstreamPool is the exchange.Runner that has AJP servers do the work, one run at a time on a
-// connection. It belongs to the dispatcher's goroutine.
+// UpstreamPool is an exchange.Runner that executes runs on AJP servers, one run at a time per connection. It
+// must be used only by the dispatcher's goroutine.
 type UpstreamPool struct {
 	session.Config
-	addrs      []string // of the servers that are listed
+	addrs      []string // addresses of the listed servers
 	secret     string
 	gaugeNames []string // in the order in which gauges are reported
 	slowStart  slowstart.Config
-	seed       uint64 // of the slow starts; differs between processes
-
-	servers     map[string]*upstreamServer // by address
-	nextAddress int                        // in addrs: the one whose turn it is
-	idle        []*upstreamConn            // the latest used last
-	runs        map[string]*upstreamRun    // by trace id
-	queue       []*upstreamRun             // for a slot at a server that is warming up, oldest first
-	queueTimer  bool                       // the queue is about to be looked at
-	ready       bool                       // an upstream has answered
+	seed       uint64 // random seed of the slow starts; differs between processes
+
+	servers            map[string]*upstreamServer // by address
+	nextAddrIndex      int                        // counts the addresses taken; modulo len(addrs) it is the next index
+	idle               []*upstreamConn            // the most recently used is last
+	runs               map[string]*upstreamRun    // by trace id
+	queue              []*upstreamRun             // runs that wait for a slot at a server in slow start, oldest first
+	placementScheduled bool                       // a timer is set that places the queued runs
+	ready              bool                       // an upstream has answered
 }
 
-// upstreamRun is a run that has not ended.
+// upstreamRun is a run that has not finished.
 type upstreamRun struct {
 	exchange.Job
-	began       time.Duration
-	sends       int // of its request: it may have run as often
-	failedDials int // for it
+	startedAt   time.Duration
+	sendCount   int // how often its request was sent; it may have been executed as often
+	failedDials int // failed dials of connections to which the run was assigned
 	conn        *upstreamConn
 }
 
-// NewUpstreamPool returns a pool without connections. The configuration of the slow start holds
-// for each of the servers; the seed differs between processes.
+// NewUpstreamPool returns a pool without connections. The slow start configuration applies to each server.
+// The seed must differ between processes.
 func NewUpstreamPool(addrs []string, secret string, gaugeNames []string, slowStart slowstart.Config, seed uint64, deps session.Config) *UpstreamPool {
 	return &UpstreamPool{
 		Config:     deps,
@@ -60,7 +60,8 @@
 	}
 }
 
-// Open looks for upstreams until one answers; then the service is ready.
+// Open connects to the upstreams, and repeats this every probeInterval until one of them answers a health
+// check. The service is ready from then on.
 func (p *UpstreamPool) Open() {
 	if p.ready {
 		return
@@ -69,17 +70,17 @@
 	p.Timers.Schedule(p.Now()+probeInterval, p.Open)
 }
 
-// connectReachable connects to servers, but for those that are probed as they refuse: one that
-// does not run yet must be known, so that its start is noticed.
+// connectReachable connects to the servers that are not known to refuse connections. It does so even without
+// a run to place: only after a refused dial does the pool probe a server and detect its start.
 func (p *UpstreamPool) connectReachable(addrs []string) {
 	for _, addr := range addrs {
-		if !p.server(addr).refusing {
+		if !p.server(addr).refusesConnections {
 			p.connect(addr, nil)
 		}
 	}
 }
 
-// reportReady tells the dispatcher, once, that an upstream has answered.
+// reportReady notifies the dispatcher, once, that an upstream has answered.
 func (p *UpstreamPool) reportReady() {
 	if p.ready {
 		return
@@ -89,69 +90,69 @@
 	p.Exchange.Post(exchange.RunnerReady{})
 }
 
-// SetAddresses has new runs go to other addresses. Runs that were sent stay where they are. A
-// server that was not listed before counts as one that has just started.
+// SetAddresses replaces the server addresses and the secret for new runs. Runs that were already sent are not
+// moved. A server that was not listed before is treated as just started.
 func (p *UpstreamPool) SetAddresses(addrs []string, secret string) {
 	var added []string
 	for _, addr := range addrs {
-		if !p.listed(addr) {
+		if !p.isListed(addr) {
 			added = append(added, addr)
-			p.beginSlowStart(p.server(addr))
+			p.startSlowStart(p.server(addr))
 		}
 	}
 	p.addrs = addrs
 	p.secret = secret
 	p.connectReachable(added)
-	maps.DeleteFunc(p.servers, func(addr string, _ *upstreamServer) bool { return !p.listed(addr) })
+	maps.DeleteFunc(p.servers, func(addr string, _ *upstreamServer) bool { return !p.isListed(addr) })
 	for _, c := range slices.Clone(p.idle) {
-		if !p.listed(c.addr) {
-			c.lost(nil)
+		if !p.isListed(c.addr) {
+			c.closeConn(nil)
 		}
 	}
 }
 
-func (p *UpstreamPool) listed(addr string) bool { return slices.Contains(p.addrs, addr) }
+func (p *UpstreamPool) isListed(addr string) bool { return slices.Contains(p.addrs, addr) }
 
-// Run has a run done.
+// Run starts the run of a job.
 func (p *UpstreamPool) Run(a exchange.Job) {
-	r := &upstreamRun{Job: a, began: p.Now()}
+	r := &upstreamRun{Job: a, startedAt: p.Now()}
 	p.runs[a.TraceID] = r
-	p.place(r)
+	p.placeRun(r)
 }
 
-// Stop ends a run by closing its connection.
+// Stop ends a run. It closes the connection on which the run was sent.
 func (p *UpstreamPool) Stop(traceID string, _ bool) {
 	r := p.runs[traceID]
 	if r == nil {
 		return
 	}
 	if c := r.conn; c != nil {
-		c.detach()
-		c.lost(nil)
+		c.detachRun()
+		c.closeConn(nil)
 	} else {
 		p.queue = slices.DeleteFunc(p.queue, func(queued *upstreamRun) bool { return queued == r })
 	}
-	p.finish(r, exchange.ResultStopped, nil)
+	p.finishRun(r, exchange.ResultStopped, nil)
 }
 
-// Resume does nothing: a run that was stopped is not paused but over, and the dispatcher preempts
-// none (dispatch.Config.RunnerCannotPause).
+// Resume does nothing. Stop ends a run and cannot pause it, so the dispatcher preempts no runs
+// (dispatch.Config.RunnerCannotPause).
 func (p *UpstreamPool) Resume(string) {}
 
-// Discard does nothing, for the same reason.
+// Discard does nothing, since there are no paused runs.
 func (p *UpstreamPool) Discard(string) {}
 
-// DeliverReply does nothing: an upstream makes its calls itself.
+// DeliverReply does nothing, since an upstream calls the records service itself.
 func (p *UpstreamPool) DeliverReply(string, []byte) {}
 
-// The gauges that are known without the upstream, by their names in the settings.
+// Names, in the settings, of the gauges that the pool computes without a report from the upstream.
 const (
-	gaugeCoreUse = "core_use" // busy fraction of the cores
-	gaugeOnCores = "on_cores" // runs
-	unknownGauge = -1
+	gaugeCoreUse = "core_use" // busy fraction of the cores, from 0 to 1
+	gaugeOnCores = "on_cores" // number of runs
+	unknownGauge = -1         // value of all other gauges
 )
 
-// RequestGauges reports the gauges that are known without the upstream, as if each run used a core.
+// RequestGauges posts the gauges to the dispatcher. It computes the known gauges as if each run used one core.
 func (p *UpstreamPool) RequestGauges() {
 	busy := float64(len(p.runs))
 	var gauges exchange.Gauges
@@ -168,8 +169,8 @@
 	p.Exchange.Post(gauges)
 }
 
-// finish forgets a run and reports how it ended.
-func (p *UpstreamPool) finish(r *upstreamRun, result exchange.Result, body []byte) {
+// finishRun removes a run and reports its outcome to the dispatcher.
+func (p *UpstreamPool) finishRun(r *upstreamRun, result exchange.Result, body []byte) {
 	delete(p.runs, r.TraceID)
-	p.Exchange.Post(exchange.Outcome{TraceID: r.TraceID, Stage: exchange.RunEnded, Result: result, Duration: p.Now() - r.began, Body: body})
+	p.Exchange.Post(exchange.Outcome{TraceID: r.TraceID, Stage: exchange.RunEnded, Result: result, Duration: p.Now() - r.startedAt, Body: body})
 }
--- a/internal/transport/ajp/upstream_server.go
+++ b/internal/transport/ajp/upstream_server.go
@@ -10,13 +10,13 @@
 	"oxbowbridge/internal/proxy/slowstart"
 )
 
-// upstreamServer is what is known of the server at one address.
+// upstreamServer is the pool's state for the server at one address.
 type upstreamServer struct {
-	addr      string
-	conns     int                  // open or being opened
-	runs      int                  // on them
-	refusing  bool                 // it refused the latest connection
-	slowStart *slowstart.SlowStart // of its latest start; nil before the first that was noticed
+	addr               string
+	connCount          int                  // connections that are open or being opened
+	runCount           int                  // runs assigned to these connections
+	refusesConnections bool                 // the latest dial was refused
+	slowStart          *slowstart.SlowStart // slow start of the latest detected server start, or nil
 }
 
 func (p *UpstreamPool) server(addr string) *upstreamServer {
@@ -28,13 +28,13 @@
 	return s
 }
 
-// beginSlowStart notes that a server has just started, as far as this process can know.
-func (p *UpstreamPool) beginSlowStart(s *upstreamServer) {
+// startSlowStart starts the slow start of a server that appears to have just started.
+func (p *UpstreamPool) startSlowStart(s *upstreamServer) {
 	s.slowStart = slowstart.New(p.slowStart, p.seed, p.Now())
 	p.Log.Info("upstream in slow start", zap.String("address", s.addr))
 }
 
-// quota is how many runs of this process a server may have now.
+// quota returns the number of runs that a server may have from this process now.
 func (p *UpstreamPool) quota(s *upstreamServer) int {
 	if s.slowStart == nil {
 		return math.MaxInt
@@ -42,25 +42,26 @@
 	return s.slowStart.Quota(p.Now())
 }
 
-// hasSlot reports whether a server may get one more run of this process.
-func (p *UpstreamPool) hasSlot(s *upstreamServer) bool { return s.runs < p.quota(s) }
+// hasSlot reports whether a server may get another run from this process.
+func (p *UpstreamPool) hasSlot(s *upstreamServer) bool { return s.runCount < p.quota(s) }
 
-// noteDial notes whether a server accepted a connection. One that refused and accepts again has
-// just started.
-func (p *UpstreamPool) noteDial(s *upstreamServer, err error) {
+// recordDialResult records whether a server accepted or refused a connection. A server that accepts after it
+// refused has just started.
+func (p *UpstreamPool) recordDialResult(s *upstreamServer, err error) {
 	switch {
-	case err == nil && s.refusing:
-		s.refusing = false
-		p.beginSlowStart(s)
-	case errors.Is(err, syscall.ECONNREFUSED) && !s.refusing:
-		s.refusing = true
+	case err == nil && s.refusesConnections:
+		s.refusesConnections = false
+		p.startSlowStart(s)
+	case errors.Is(err, syscall.ECONNREFUSED) && !s.refusesConnections:
+		s.refusesConnections = true
 		p.scheduleProbe(s)
 	}
 }
 
-// probe connects to a server that refuses, until it accepts or is not listed any more.
-func (p *UpstreamPool) probe(s *upstreamServer) {
-	if !s.refusing || !p.listed(s.addr) {
+// probeServer dials a server that refuses connections, and schedules the next probe. Probing ends when the
+// server accepts or is no longer listed.
+func (p *UpstreamPool) probeServer(s *upstreamServer) {
+	if !s.refusesConnections || !p.isListed(s.addr) {
 		return
 	}
 	p.connect(s.addr, nil)
@@ -68,5 +69,5 @@
 }
 
 func (p *UpstreamPool) scheduleProbe(s *upstreamServer) {
-	p.Timers.Schedule(p.Now()+probeInterval, func() { p.probe(s) })
+	p.Timers.Schedule(p.Now()+probeInterval, func() { p.probeServer(s) })
 }
--- a/internal/transport/ajp/upstream_slow_start_test.go
+++ b/internal/transport/ajp/upstream_slow_start_test.go
@@ -15,11 +15,11 @@
 	"oxbowbridge/internal/proxy/slowstart"
 )
 
-// coldServers are two processes' servers that are cold for 5 s.
-var coldServers = slowstart.Config{Cores: 2, MaxRunsPerCore: 8, MinSpeed: 0.2, Duration: 5 * time.Second, AveragingWindow: time.Second, Processes: 2}
+// slowStartConfig describes servers that two processes share, with a slow start of 5 s.
+var slowStartConfig = slowstart.Config{Cores: 2, MaxRunsPerCore: 8, MinSpeed: 0.2, Duration: 5 * time.Second, AveragingWindow: time.Second, Processes: 2}
 
-// restartable is a good upstream that can end and start again at its address.
-type restartable struct {
+// restartableUpstream is a correct upstream that can stop and start again at the same address.
+type restartableUpstream struct {
 	t    *testing.T
 	addr string
 
@@ -28,120 +28,119 @@
 	conns []net.Conn
 }
 
-// newRestartable returns an upstream that does not run yet.
-func newRestartable(t *testing.T) *restartable {
+// newRestartableUpstream returns an upstream that is not started yet.
+func newRestartableUpstream(t *testing.T) *restartableUpstream {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	addr := ln.Addr().String()
 	require.NoError(t, ln.Close())
-	return &restartable{t: t, addr: addr}
+	return &restartableUpstream{t: t, addr: addr}
 }
 
-func (u *restartable) start() {
-	ln, err := net.Listen("tcp", u.addr)
-	require.NoError(u.t, err)
-	u.mu.Lock()
-	u.ln = ln
-	u.mu.Unlock()
-	u.t.Cleanup(func() { ln.Close() })
+func (upstream *restartableUpstream) start() {
+	ln, err := net.Listen("tcp", upstream.addr)
+	require.NoError(upstream.t, err)
+	upstream.mu.Lock()
+	upstream.ln = ln
+	upstream.mu.Unlock()
+	upstream.t.Cleanup(func() { ln.Close() })
 	go acceptAll(ln, func(c net.Conn) {
-		u.mu.Lock()
-		defer u.mu.Unlock()
-		u.conns = append(u.conns, c)
-		go serveWell(c)
+		upstream.mu.Lock()
+		defer upstream.mu.Unlock()
+		upstream.conns = append(upstream.conns, c)
+		go serveUpstream(c)
 	})
 }
 
-// end closes its address and all its connections.
-func (u *restartable) end() {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	u.ln.Close()
-	for _, c := range u.conns {
+// stop closes the listener and all accepted connections.
+func (upstream *restartableUpstream) stop() {
+	upstream.mu.Lock()
+	defer upstream.mu.Unlock()
+	upstream.ln.Close()
+	for _, c := range upstream.conns {
 		c.Close()
 	}
 }
 
-// newColdPool is a pool whose upstreams are cold when they start.
-func newColdPool(t *testing.T, addrs ...string) *outOfTurn {
-	f := newOutOfTurn(t)
+// newSlowStartFixture returns a fixture whose pool uses the given addresses and slowStartConfig.
+func newSlowStartFixture(t *testing.T, addrs ...string) *upstreamFixture {
+	f := newUpstreamFixture(t)
 	f.pool.addrs = addrs
-	f.pool.slowStart = coldServers
+	f.pool.slowStart = slowStartConfig
 	return f
 }
 
-// requireSlowStartAfter lets time pass, starts a server and requires that it then gets no
-// more than a cold one may.
-func (f *outOfTurn) requireSlowStartAfter(pause time.Duration, u *restartable) {
+// requireSlowStartAfter waits until the server refuses a connection, advances the clock by pause, starts the
+// server, and checks that it is in slow start and its quota is limited.
+func (f *upstreamFixture) requireSlowStartAfter(pause time.Duration, upstream *restartableUpstream) {
 	f.t.Helper()
-	f.await("a refusal", func() bool { return f.pool.server(u.addr).refusing })
+	f.advanceUntil("the server has refused a connection", func() bool { return f.pool.server(upstream.addr).refusesConnections })
 	f.now += pause
-	u.start()
-	f.await("the start", func() bool { return !f.pool.server(u.addr).refusing })
-	require.NotNil(f.t, f.pool.server(u.addr).slowStart)
-	require.LessOrEqual(f.t, f.pool.quota(f.pool.server(u.addr)), coldServers.Cores*int(coldServers.MaxRunsPerCore))
+	upstream.start()
+	f.advanceUntil("the server has accepted a connection", func() bool { return !f.pool.server(upstream.addr).refusesConnections })
+	require.NotNil(f.t, f.pool.server(upstream.addr).slowStart)
+	require.LessOrEqual(f.t, f.pool.quota(f.pool.server(upstream.addr)), slowStartConfig.Cores*int(slowStartConfig.MaxRunsPerCore))
 }
 
-// TestStartDuringDials: a server starts while connections to it are being opened for several
-// runs. Those beyond the quota of its slow start were sent to it all the same; they wait, and
-// none is lost.
+// TestStartDuringDials starts a server while connections to it are being opened for several runs. The runs over
+// the quota of its slow start must wait and must all succeed. They used to be sent to it at once.
 func TestStartDuringDials(t *testing.T) {
 	const runs = 20
-	u := newRestartable(t)
-	u.start()
-	f := newColdPool(t, u.addr)
-	server := f.pool.server(u.addr)
-	f.pool.noteDial(server, syscall.ECONNREFUSED)
+	upstream := newRestartableUpstream(t)
+	upstream.start()
+	f := newSlowStartFixture(t, upstream.addr)
+	server := f.pool.server(upstream.addr)
+	f.pool.recordDialResult(server, syscall.ECONNREFUSED)
 	for n := range runs {
 		f.pool.Run(exchange.Job{TraceID: fmt.Sprintf("%016x", n+1), Class: "c", Body: []byte("ok")})
 	}
 	require.Len(t, f.pool.runs, runs)
-	sentAtOnce := 0
-	f.await("the ends of all runs", func() bool {
+	maxSent := 0
+	f.advanceUntil("all runs have ended", func() bool {
 		sent := 0
 		for _, r := range f.pool.runs {
-			sent += r.sends
+			sent += r.sendCount
 		}
-		sentAtOnce = max(sentAtOnce, sent)
-		return len(f.ends) == runs
+		maxSent = max(maxSent, sent)
+		return len(f.outcomeCounts) == runs
 	})
 	require.NotNil(t, server.slowStart)
-	require.Less(t, f.pool.quota(server), math.MaxInt, "all within the slow start")
-	quota := int(coldServers.MaxRuns(f.now)/float64(coldServers.Processes)) + 1
-	require.LessOrEqual(t, sentAtOnce, quota)
+	require.Less(t, f.pool.quota(server), math.MaxInt, "all runs must end within the slow start")
+	quota := int(slowStartConfig.MaxRuns(f.now)/float64(slowStartConfig.Processes)) + 1
+	require.LessOrEqual(t, maxSent, quota)
 	for trace, result := range f.results {
 		require.Equal(t, exchange.ResultOK, result, trace)
 	}
 }
 
-// TestRestartOfUnusedServer: a server that no run was sent to ends and starts again. Its end
-// was not noticed, and it got as many runs as a warm one.
+// TestRestartOfUnusedServer checks that the pool detects the restart of a server to which no run was sent.
+// Without the detection the server would get as many runs as one that is warmed up.
 func TestRestartOfUnusedServer(t *testing.T) {
-	u := newRestartable(t)
-	u.start()
-	f := newColdPool(t, u.addr)
+	upstream := newRestartableUpstream(t)
+	upstream.start()
+	f := newSlowStartFixture(t, upstream.addr)
 	f.pool.Open()
-	f.await("an unused connection", func() bool { return len(f.pool.idle) == 1 })
-	u.end()
-	f.requireSlowStartAfter(0, u)
+	f.advanceUntil("the pool has an idle connection", func() bool { return len(f.pool.idle) == 1 })
+	upstream.stop()
+	f.requireSlowStartAfter(0, upstream)
 }
 
-// TestListedBeforeStart: a server is listed long before it starts, and nothing is sent to it
-// meanwhile. It counted as warm when it started.
+// TestListedBeforeStart checks that a server gets a slow start if it was listed long before it started and
+// nothing was sent to it in between. It used to be treated as already warmed up.
 func TestListedBeforeStart(t *testing.T) {
-	running, late := newRestartable(t), newRestartable(t)
+	running, late := newRestartableUpstream(t), newRestartableUpstream(t)
 	running.start()
-	t.Run("from the beginning", func(t *testing.T) {
-		f := newColdPool(t, running.addr, late.addr)
+	t.Run("listed initially", func(t *testing.T) {
+		f := newSlowStartFixture(t, running.addr, late.addr)
 		f.pool.Open()
-		f.requireSlowStartAfter(2*coldServers.Duration, late)
-		late.end()
+		f.requireSlowStartAfter(2*slowStartConfig.Duration, late)
+		late.stop()
 	})
-	t.Run("later", func(t *testing.T) {
-		f := newColdPool(t, running.addr)
+	t.Run("listed later", func(t *testing.T) {
+		f := newSlowStartFixture(t, running.addr)
 		f.pool.Open()
-		f.await("an answer", func() bool { return f.pool.ready })
+		f.advanceUntil("an upstream has answered", func() bool { return f.pool.ready })
 		f.pool.SetAddresses([]string{running.addr, late.addr}, "s3")
-		f.requireSlowStartAfter(2*coldServers.Duration, late)
+		f.requireSlowStartAfter(2*slowStartConfig.Duration, late)
 	})
 }
--- a/internal/transport/ajp/upstream_state.go
+++ b/internal/transport/ajp/upstream_state.go
@@ -1,42 +1,42 @@
 package ajp
 
-// upstreamState is what a connection to an upstream is doing.
+// upstreamState is the state of a connection to an upstream.
 type upstreamState uint8
 
 const (
-	upstreamDialing  upstreamState = iota // not open yet; nothing was sent
-	upstreamChecking                      // CPING was sent, CPONG is awaited; its run was not sent
-	upstreamBusy                          // its run was sent, and may run
-	upstreamIdle                          // kept for the next run
+	upstreamDialing  upstreamState = iota // the connection is not open yet
+	upstreamChecking                      // CPING was sent and CPONG has not arrived; no request was sent
+	upstreamBusy                          // the request of a run was sent
+	upstreamIdle                          // available for the next run
 	upstreamClosed
 )
 
-// String returns the name of s.
+// String returns the name of the state.
 func (s upstreamState) String() string {
 	return [...]string{"dialing", "checking", "busy", "idle", "closed"}[s]
 }
 
-// upstreamEvent is what happens to a connection to an upstream.
+// upstreamEvent is an event that changes the state of a connection to an upstream.
 type upstreamEvent uint8
 
 const (
-	upstreamPinged   upstreamEvent = iota // CPING is sent
-	upstreamSent                          // a run is sent
-	upstreamReleased                      // CPONG has come and there is no run, or a run has ended
-	upstreamLost
+	upstreamPingSent    upstreamEvent = iota // CPING was sent
+	upstreamRequestSent                      // the request of a run was sent
+	upstreamFreed                            // CPONG arrived without an assigned run, or a run has ended
+	upstreamConnLost
 )
 
-// next returns the state after an event. It holds all transitions; an event that is none in a
-// state leaves it as it is.
+// next returns the state after an event. It defines all transitions. An event without a transition from
+// s leaves the state unchanged.
 func (s upstreamState) next(event upstreamEvent) upstreamState {
 	switch {
-	case event == upstreamLost:
+	case event == upstreamConnLost:
 		return upstreamClosed
-	case event == upstreamPinged && (s == upstreamDialing || s == upstreamIdle):
+	case event == upstreamPingSent && (s == upstreamDialing || s == upstreamIdle):
 		return upstreamChecking
-	case event == upstreamSent && (s == upstreamDialing || s == upstreamChecking):
+	case event == upstreamRequestSent && (s == upstreamDialing || s == upstreamChecking):
 		return upstreamBusy
-	case event == upstreamReleased && (s == upstreamChecking || s == upstreamBusy):
+	case event == upstreamFreed && (s == upstreamChecking || s == upstreamBusy):
 		return upstreamIdle
 	}
 	return s
--- a/internal/transport/ajp/upstream_state_test.go
+++ b/internal/transport/ajp/upstream_state_test.go
@@ -6,14 +6,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestUpstreamTransitions goes through all pairs of a state and an event.
+// TestUpstreamTransitions checks the next state for every pair of a state and an event.
 func TestUpstreamTransitions(t *testing.T) {
 	states := []upstreamState{upstreamDialing, upstreamChecking, upstreamBusy, upstreamIdle, upstreamClosed}
-	want := map[upstreamEvent][]upstreamState{ // after the event, in the order of states
-		upstreamPinged:   {upstreamChecking, upstreamChecking, upstreamBusy, upstreamChecking, upstreamClosed},
-		upstreamSent:     {upstreamBusy, upstreamBusy, upstreamBusy, upstreamIdle, upstreamClosed},
-		upstreamReleased: {upstreamDialing, upstreamIdle, upstreamIdle, upstreamIdle, upstreamClosed},
-		upstreamLost:     {upstreamClosed, upstreamClosed, upstreamClosed, upstreamClosed, upstreamClosed},
+	want := map[upstreamEvent][]upstreamState{ // the states after the event, in the order of states
+		upstreamPingSent:    {upstreamChecking, upstreamChecking, upstreamBusy, upstreamChecking, upstreamClosed},
+		upstreamRequestSent: {upstreamBusy, upstreamBusy, upstreamBusy, upstreamIdle, upstreamClosed},
+		upstreamFreed:       {upstreamDialing, upstreamIdle, upstreamIdle, upstreamIdle, upstreamClosed},
+		upstreamConnLost:    {upstreamClosed, upstreamClosed, upstreamClosed, upstreamClosed, upstreamClosed},
 	}
 	for event, after := range want {
 		for i, s := range states {
--- a/internal/transport/ajp/values.go
+++ b/internal/transport/ajp/values.go
@@ -9,20 +9,20 @@
 )
 
 const (
-	nullStringLength = 0xFFFF // stands for a string that is absent
-	maxHeaders       = 100    // of one message
+	nullStringLength = 0xFFFF // the length that encodes an absent string
+	maxHeaders       = 100    // per message
 )
 
-// reader takes the values of a packet one after the other; the first error sticks.
+// reader decodes the values of a packet one after another. After the first error it returns only zero values.
 type reader struct {
 	rest []byte
 	err  error
 }
 
-// bytes takes n bytes. After an error it returns zeros, enough for any number.
+// bytes reads n bytes. After an error it returns zero bytes, enough to decode an 8-bit or 16-bit number.
 func (r *reader) bytes(n int) []byte {
 	if r.err != nil || n > len(r.rest) {
-		r.err = errShort
+		r.err = errTruncated
 		return make([]byte, min(n, 2))
 	}
 	v := r.rest[:n]
@@ -34,10 +34,10 @@
 
 func (r *reader) uint16() uint16 { return binary.BigEndian.Uint16(r.bytes(2)) }
 
-func (r *reader) string() string { return r.stringOf(r.uint16()) }
+func (r *reader) string() string { return r.stringOfLength(r.uint16()) }
 
-// stringOf takes a string whose length has been taken.
-func (r *reader) stringOf(length uint16) string {
+// stringOfLength reads a string whose length has already been read.
+func (r *reader) stringOfLength(length uint16) string {
 	if length == nullStringLength || r.err != nil {
 		return ""
 	}
@@ -46,18 +46,18 @@
 	return s
 }
 
-// headers takes the headers of a request, by their names in lower case. A header that stands
-// twice has both values, joined as HTTP joins them, and so no single valid one.
+// headers reads the headers of a request, by name in lower case. The values of a repeated header are joined
+// with a comma, as in HTTP, so that no single valid value remains.
 func (r *reader) headers() map[string]string {
 	n := int(r.uint16())
 	if n > maxHeaders {
-		r.err = fmt.Errorf("%d headers, %d at most", n, maxHeaders)
+		r.err = fmt.Errorf("%d headers exceed the limit of %d", n, maxHeaders)
 	}
 	headers := map[string]string{}
 	for ; n > 0 && r.err == nil; n-- {
 		name := r.headerName()
 		value := r.string()
-		if earlier, twice := headers[name]; twice {
+		if earlier, duplicate := headers[name]; duplicate {
 			value = earlier + ", " + value
 		}
 		headers[name] = value
@@ -65,15 +65,15 @@
 	return headers
 }
 
-// headerName takes the name of a header, coded or in full.
+// headerName reads the name of a header, which is either a number or a string.
 func (r *reader) headerName() string {
 	code := r.uint16()
 	if code&0xFF00 != codedHeaderFlag {
-		return strings.ToLower(r.stringOf(code))
+		return strings.ToLower(r.stringOfLength(code))
 	}
 	i := int(code & 0xFF)
 	if i <= 0 || i >= len(codedHeaders) {
-		r.err = fmt.Errorf("header code %#04x", code)
+		r.err = fmt.Errorf("unknown header code %#04x", code)
 		return ""
 	}
 	return codedHeaders[i]
