--- a/internal/cluster/store/majority_loss_report.go
+++ b/internal/cluster/store/majority_loss_report.go
@@ -13,9 +13,9 @@
 	"oxbowbridge/internal/cluster/raftstorage"
 )
 
-var errNothingToRecover = errors.New("the folder holds nothing that could be recovered")
+var errNothingToRecover = errors.New("the folder has no log entries to recover")
 
-// RecoveryReport is what a stopped node's folder holds of a cluster.
+// RecoveryReport describes what a stopped node's storage folder holds of a cluster.
 type RecoveryReport struct {
 	Node      string                 `json:"node"`
 	ID        string                 `json:"id"`
@@ -24,22 +24,22 @@
 	Keys      int                    `json:"keys"`
 	Members   []string               `json:"members"`
 	Voters    []string               `json:"voters"`
-	// LastObserved is how far this node has observed the other members' disks.
+	// LastObserved is the last watermark that this node has observed of each other member's disk.
 	LastObserved map[string]diskidentity.Watermark `json:"seen"`
-	// Missing is, in words, what others had that this node lacks, as far as it knows.
+	// Missing describes the entries that other members had and this node lacks, as far as it knows.
 	Missing []string `json:"missing,omitempty"`
-	// NewCluster is the ID that Recover gave.
+	// NewCluster is the ID that Recover assigned to the new cluster.
 	NewCluster string `json:"new_cluster,omitempty"`
 }
 
-// stoppedNode is the open folder of a node that does not run.
+// stoppedNode is the open storage folder of a stopped node.
 type stoppedNode struct {
 	storage *raftstorage.Storage
 	report  RecoveryReport
 }
 
-// openStopped opens and reads a folder. It counts as a start of the disk.
-func openStopped(cfg Config) (*stoppedNode, error) {
+// openStoppedNode opens and reads a storage folder. This increments the disk's start count.
+func openStoppedNode(cfg Config) (*stoppedNode, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
 	}
@@ -47,7 +47,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("dir: %w", err)
 	}
-	report, err := readReport(cfg, storage)
+	report, err := readRecoveryReport(cfg, storage)
 	if err != nil {
 		storage.Close()
 		return nil, err
@@ -55,7 +55,7 @@
 	return &stoppedNode{storage: storage, report: report}, nil
 }
 
-func readReport(cfg Config, storage *raftstorage.Storage) (report RecoveryReport, err error) {
+func readRecoveryReport(cfg Config, storage *raftstorage.Storage) (report RecoveryReport, err error) {
 	self, _ := cfg.self()
 	s := &Store{cfg: cfg, self: self, log: zap.NewNop()}
 	cluster, err := readClusterID(storage)
@@ -63,11 +63,11 @@
 		return report, err
 	}
 	s.clusterID.set(cluster)
-	f, err := s.readDiskState(storage)
+	disk, err := s.readDiskState(storage)
 	if err != nil {
 		return report, err
 	}
-	if f.local.Empty {
+	if disk.local.Empty {
 		return report, errNothingToRecover
 	}
 	observed, err := readWatermarks(storage)
@@ -81,37 +81,37 @@
 	entries, _ := state.entries()
 	report = RecoveryReport{
 		Node:         self.Name,
-		ID:           f.local.ID,
-		Cluster:      cmp.Or(cluster, f.local.LoggedCluster),
-		Watermark:    f.local.Watermark,
+		ID:           disk.local.ID,
+		Cluster:      cmp.Or(cluster, disk.local.LoggedCluster),
+		Watermark:    disk.local.Watermark,
 		Keys:         len(entries),
-		Members:      f.local.Members,
-		Voters:       f.local.Voters,
+		Members:      disk.local.Members,
+		Voters:       disk.local.Voters,
 		LastObserved: map[string]diskidentity.Watermark{},
 	}
-	report.compare(observed)
+	report.compareWatermarks(observed)
 	return report, nil
 }
 
-// compare notes how far the other members were, and what they had besides.
-func (r *RecoveryReport) compare(observed watermarks) {
+// compareWatermarks fills in LastObserved, and Missing for members whose log was ahead of this node's.
+func (r *RecoveryReport) compareWatermarks(observed watermarks) {
 	local := r.Watermark
-	for id, mark := range observed {
+	for id, watermark := range observed {
 		if !slices.Contains(r.Members, id) {
 			continue
 		}
-		r.LastObserved[id] = mark
-		if mark.CompareLog(local) > 0 {
+		r.LastObserved[id] = watermark
+		if watermark.CompareLog(local) > 0 {
 			r.Missing = append(r.Missing, fmt.Sprintf("%s had entries up to %d of term %d, this node up to %d of term %d",
-				id, mark.LastIndex, mark.LastTerm, local.LastIndex, local.LastTerm))
+				id, watermark.LastIndex, watermark.LastTerm, local.LastIndex, local.LastTerm))
 		}
 	}
 	slices.Sort(r.Missing)
 }
 
-// replayLog applies the newest snapshot and the log above it.
+// replayLog applies the newest snapshot and the log entries after it.
 func replayLog(storage *raftstorage.Storage, state *replicatedState) error {
-	first, err := restoreNewest(storage, state)
+	first, err := restoreNewestSnapshot(storage, state)
 	if err != nil {
 		return err
 	}
@@ -131,9 +131,9 @@
 	return nil
 }
 
-// restoreNewest restores the newest snapshot, if there is one. It returns the index of the first
-// entry above it.
-func restoreNewest(storage *raftstorage.Storage, state *replicatedState) (first uint64, err error) {
+// restoreNewestSnapshot restores the newest snapshot, if any. It returns the index of the first log entry
+// after the snapshot.
+func restoreNewestSnapshot(storage *raftstorage.Storage, state *replicatedState) (first uint64, err error) {
 	metas, err := storage.List()
 	if err != nil {
 		return 0, err
--- a/internal/cluster/store/peers.go
+++ b/internal/cluster/store/peers.go
@@ -16,51 +16,51 @@
 )
 
 const (
-	// pollInterval is between two polls of a peer, and between two checks of supervise and
+	// pollInterval is the time between two polls of a peer, and between two checks of supervise and
 	// manageMembers.
 	pollInterval = 200 * time.Millisecond
 	pollTimeout  = 500 * time.Millisecond
-	// reportLifetime is the age of its last report at which a node counts as down: three polls that
-	// run into pollTimeout, or seven that fail at once.
+	// reportLifetime is the age of its last report at which a node counts as down. It covers three polls that
+	// run into pollTimeout, or seven that fail immediately.
 	reportLifetime = 1500 * time.Millisecond
-	// maxPollTargets is above maxMembers, as nodes that were replaced or removed stay polled.
+	// maxPollTargets is higher than maxMembers, as replaced and removed nodes are still polled.
 	maxPollTargets = 2 * maxMembers
 )
 
-// peers polls the other nodes for what they are. The leader decides on members by the reports;
-// every node records how far it has observed the others' disks; and a node that starts learns
-// whether its disk is behind.
-type peers struct {
+// peerPoller polls the other nodes for their reports. The leader bases membership changes on the reports,
+// every node records the watermarks of the other nodes' disks, and a starting node learns whether its disk
+// is outdated.
+type peerPoller struct {
 	store   *Store
 	client  *storeclient.Client
 	ctx     context.Context
 	pollers sync.WaitGroup
 
 	mu       sync.Mutex
-	targets  map[string]Peer // by name; each has a goroutine
+	targets  map[string]Peer // by node name; each has a polling goroutine
 	reports  map[string]peerReport
 	observed watermarks
-	unsaved  bool          // observed has changed since it was saved
-	changed  chan struct{} // closed at the next report
+	unsaved  bool          // observed has changed since it was last saved
+	changed  chan struct{} // closed when the next poll result is recorded
 }
 
-// peerReport is the last that a peer reported.
+// peerReport is a peer's last report.
 type peerReport struct {
 	storeapi.PeerStatus
-	receivedAt time.Time // zero if there was none
-	legacy     bool      // of an earlier version, which reports less
-	err        error     // of the last poll that failed
+	receivedAt time.Time // zero if there is no report
+	legacy     bool      // the node runs an earlier version, which reports less
+	err        error     // error of the last failed poll
 }
 
-// recent reports whether the peer counts as up.
+// recent reports whether the report is recent enough for the peer to count as up.
 func (r peerReport) recent() bool {
 	return !r.receivedAt.IsZero() && time.Since(r.receivedAt) < reportLifetime
 }
 
-func newPeers(ctx context.Context, s *Store) *peers {
+func newPeerPoller(ctx context.Context, s *Store) *peerPoller {
 	client := storeclient.New(nil)
 	client.HTTP = &http.Client{Timeout: pollTimeout}
-	return &peers{
+	return &peerPoller{
 		store:    s,
 		client:   client,
 		ctx:      ctx,
@@ -71,20 +71,21 @@
 	}
 }
 
-// follow polls the nodes of the configuration file and those of the list from now on.
-func (p *peers) follow(list []Peer) {
+// addTargets starts polling the nodes of the configuration file and those in list.
+func (p *peerPoller) addTargets(list []Peer) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, peer := range p.store.cfg.Peers {
-		p.followOne(peer)
+		p.addTarget(peer)
 	}
 	for _, peer := range list {
-		p.followOne(peer)
+		p.addTarget(peer)
 	}
 }
 
-// followOne is called with the lock held. An address in the configuration file takes precedence.
-func (p *peers) followOne(peer Peer) {
+// addTarget starts polling a node. An address in the configuration file takes precedence. The caller holds
+// the lock.
+func (p *peerPoller) addTarget(peer Peer) {
 	if peer.Name == p.store.self.Name {
 		return
 	}
@@ -101,29 +102,29 @@
 	p.targets[peer.Name] = peer
 	if !known {
 		p.pollers.Add(1)
-		go p.poll(peer.Name)
+		go p.pollLoop(peer.Name)
 	}
 }
 
-// adminAddress is where a node is polled.
-func (p *peers) adminAddress(name string) (string, bool) {
+// adminAddress returns the address at which a node is polled.
+func (p *peerPoller) adminAddress(name string) (string, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	peer, ok := p.targets[name]
 	return peer.Admin, ok
 }
 
-// poll asks one node for its report until the Store is closed.
-func (p *peers) poll(name string) {
+// pollLoop requests a node's report at each pollInterval until the Store is closed.
+func (p *peerPoller) pollLoop(name string) {
 	defer p.pollers.Done()
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
 		addr, _ := p.adminAddress(name)
-		asker := p.store.memberID()
-		report := p.fetch(addr, asker)
-		p.record(name, asker, report)
-		p.follow(peersOf(report.status.Addresses))
+		requesterID := p.store.memberID()
+		report := p.fetch(addr, requesterID)
+		p.recordReport(name, requesterID, report)
+		p.addTargets(decodePeers(report.status.Addresses))
 		select {
 		case <-p.ctx.Done():
 			return
@@ -132,7 +133,7 @@
 	}
 }
 
-func peersOf(addresses map[string]string) (list []Peer) {
+func decodePeers(addresses map[string]string) (list []Peer) {
 	for id, addr := range addresses {
 		list = append(list, decodePeer(raft.ServerID(id), raft.ServerAddress(addr)))
 	}
@@ -142,37 +143,38 @@
 // fetchedReport is the result of one poll.
 type fetchedReport struct {
 	status storeapi.PeerStatus
-	legacy bool // of an earlier version, which reports less
+	legacy bool // the node runs an earlier version, which reports less
 	err    error
 }
 
-// fetch asks a node for its report. A node of an earlier version only has a status.
-func (p *peers) fetch(addr, asker string) (report fetchedReport) {
+// fetch requests a node's report. A node of an earlier version has only GET /status.
+func (p *peerPoller) fetch(addr, requesterID string) (report fetchedReport) {
 	ctx, cancel := context.WithTimeout(p.ctx, pollTimeout)
 	defer cancel()
-	report.err = p.client.CallNode(ctx, addr, http.MethodGet, "/self?from="+url.QueryEscape(asker), nil, &report.status)
-	var status *storeapi.StatusError
-	if !errors.As(report.err, &status) || status.StatusCode != http.StatusNotFound {
+	report.err = p.client.CallNode(ctx, addr, http.MethodGet, "/self?from="+url.QueryEscape(requesterID), nil, &report.status)
+	var statusErr *storeapi.StatusError
+	if !errors.As(report.err, &statusErr) || statusErr.StatusCode != http.StatusNotFound {
 		return report
 	}
 	report.legacy = true
-	var st storeapi.Status
-	if report.err = p.client.CallNode(ctx, addr, http.MethodGet, "/status", nil, &st); report.err != nil {
+	var nodeStatus storeapi.Status
+	if report.err = p.client.CallNode(ctx, addr, http.MethodGet, "/status", nil, &nodeStatus); report.err != nil {
 		return report
 	}
-	report.status.ID = st.Node
-	report.status.Cluster = st.Cluster
+	report.status.ID = nodeStatus.Node
+	report.status.Cluster = nodeStatus.Cluster
 	report.status.State = peerServing
-	report.status.Watermark.LastIndex = st.LastIndex
-	report.status.AppliedIndex = st.AppliedIndex
+	report.status.Watermark.LastIndex = nodeStatus.LastIndex
+	report.status.AppliedIndex = nodeStatus.AppliedIndex
 	return report
 }
 
-// record stores a report. One that was requested under another member ID of this node is dropped.
-func (p *peers) record(name, asker string, fetched fetchedReport) {
+// recordReport stores a report. A report that was requested under another member ID of this node is
+// discarded.
+func (p *peerPoller) recordReport(name, requesterID string, fetched fetchedReport) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if asker != p.store.memberID() {
+	if requesterID != p.store.memberID() {
 		return
 	}
 	defer p.signalChanged()
@@ -182,19 +184,19 @@
 		p.reports[name] = report
 		return
 	}
-	p.observe(name, fetched.status)
+	p.recordObservation(name, fetched.status)
 	p.reports[name] = peerReport{PeerStatus: fetched.status, receivedAt: time.Now(), legacy: fetched.legacy}
 }
 
-// observe notes how far a peer's disk is, or that it belongs to another cluster. It is called with
-// the lock held.
-func (p *peers) observe(name string, report storeapi.PeerStatus) {
+// recordObservation records the watermark of a peer's disk, or that the peer belongs to another cluster.
+// The caller holds the lock.
+func (p *peerPoller) recordObservation(name string, report storeapi.PeerStatus) {
 	local := p.store.clusterID.get()
 	if local != "" && report.Cluster != "" && local != report.Cluster {
-		p.store.clusterID.addForeign(name, report.Cluster, p.store.log)
+		p.store.clusterID.addForeignPeer(name, report.Cluster, p.store.log)
 		return
 	}
-	p.store.clusterID.removeForeign(name)
+	p.store.clusterID.removeForeignPeer(name)
 	if diskidentity.MemberDisk(report.ID) == "" {
 		return
 	}
@@ -203,8 +205,8 @@
 	}
 }
 
-// signalChanged is called with the lock held.
-func (p *peers) signalChanged() {
+// signalChanged wakes those that wait for the next poll result. The caller holds the lock.
+func (p *peerPoller) signalChanged() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
