--- a/internal/testrig/outofturn/outofturn.go
+++ b/internal/testrig/protocolfuzz/protocolfuzz.go
@@ -1,6 +1,6 @@
-// Package outofturn has peers of a session say and do things at moments when nobody expects
+// Package protocolfuzz has peers of a session say and do things at moments when nobody expects
 // them. The same seed gives the same things in the same order.
-package outofturn
+package protocolfuzz
 
 import (
 	"io"
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Seeds is how many seeds a test plays.
-const Seeds = 40
+// SeedCount is how many seeds a test plays.
+const SeedCount = 40
 
 const (
 	steps    = 60
@@ -25,28 +25,28 @@
 	maxPause      = 500 * time.Microsecond
 )
 
-// Play is a session whose dispatcher and peers are the test.
-type Play interface {
+// Scenario is a session whose dispatcher and peers are the test.
+type Scenario interface {
 	// Step does one of the things that the dispatcher or a peer does. The two bytes choose it.
 	Step(what, which byte)
-	// Turn has what came of a step handled, and checks what holds after each turn.
-	Turn()
-	// EndWell has the peers behave, and checks that the session does its work.
-	EndWell()
+	// ProcessEvents has what came of a step handled, and checks what holds after each turn.
+	ProcessEvents()
+	// VerifyRecovery has the peers behave, and checks that the session does its work.
+	VerifyRecovery()
 }
 
 // Fuzz plays scripts of steps, each of them on a new Play.
-func Fuzz(f *testing.F, start func(*testing.T) Play) {
-	for seed := range uint64(Seeds) {
+func Fuzz(f *testing.F, start func(*testing.T) Scenario) {
+	for seed := range uint64(SeedCount) {
 		f.Add(script(seed))
 	}
 	f.Fuzz(func(t *testing.T, script []byte) {
 		play := start(t)
 		for i := 0; i+1 < min(len(script), 2*maxSteps); i += 2 {
 			play.Step(script[i], script[i+1])
-			play.Turn()
+			play.ProcessEvents()
 		}
-		play.EndWell()
+		play.VerifyRecovery()
 	})
 }
 
@@ -60,9 +60,9 @@
 	return script
 }
 
-// Chatter accepts a number of connections, one after another, and says some messages on each
+// SendRandomMessages accepts a number of connections, one after another, and says some messages on each
 // before it closes it.
-func Chatter(listener net.Listener, seed uint64, connections int, message func(*rand.Rand) string) {
+func SendRandomMessages(listener net.Listener, seed uint64, connections int, message func(*rand.Rand) string) {
 	rng := rand.New(rand.NewPCG(seed, chatterStream))
 	for range connections {
 		conn, err := listener.Accept()
--- a/internal/transport/ajp/out_of_turn_test.go
+++ b/internal/transport/ajp/unexpected_messages_test.go
@@ -14,7 +14,7 @@
 	"oxbowbridge/internal/proxy/exchange"
 	"oxbowbridge/internal/proxy/slowstart"
 	"oxbowbridge/internal/proxy/timerqueue"
-	"oxbowbridge/internal/testrig/outofturn"
+	"oxbowbridge/internal/testrig/protocolfuzz"
 	"oxbowbridge/internal/transport/eventloop"
 	"oxbowbridge/internal/transport/session"
 )
@@ -97,8 +97,8 @@
 	}
 }
 
-// Turn runs due timers and posted callbacks, records outcomes, and checks the invariants.
-func (f *upstreamFixture) Turn() {
+// ProcessEvents runs due timers and posted callbacks, records outcomes, and checks the invariants.
+func (f *upstreamFixture) ProcessEvents() {
 	time.Sleep(deliveryDelay)
 	f.collectAccepted()
 	f.pool.Timers.RunDue(f.now)
@@ -120,7 +120,7 @@
 	f.t.Helper()
 	require.Eventually(f.t, func() bool {
 		f.now += time.Millisecond
-		f.Turn()
+		f.ProcessEvents()
 		return holds()
 	}, 10*time.Second, time.Millisecond, description)
 }
@@ -169,16 +169,16 @@
 	}
 }
 
-// FuzzUpstreamOutOfTurn checks the pool with upstreams that send unexpected messages, close or refuse
+// FuzzUpstreamUnexpectedMessages checks the pool with upstreams that send unexpected messages, close or refuse
 // connections, and are removed from the list. Each run must end exactly once, a run that is not idempotent must
 // be sent at most once, no idle connection may remain to a server that is not listed, and a later run at a
 // correct server must succeed.
-func FuzzUpstreamOutOfTurn(f *testing.F) {
-	outofturn.Fuzz(f, func(t *testing.T) outofturn.Play { return newUpstreamFixture(t) })
+func FuzzUpstreamUnexpectedMessages(f *testing.F) {
+	protocolfuzz.Fuzz(f, func(t *testing.T) protocolfuzz.Scenario { return newUpstreamFixture(t) })
 }
 
-// EndWell stops all runs and checks that a run at a correct server succeeds.
-func (f *upstreamFixture) EndWell() {
+// VerifyRecovery stops all runs and checks that a run at a correct server succeeds.
+func (f *upstreamFixture) VerifyRecovery() {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(f.t, err)
 	defer ln.Close()
@@ -187,13 +187,13 @@
 	for n := range f.runCount {
 		f.pool.Stop(fmt.Sprintf("%016x", n+1), false)
 	}
-	f.Turn()
+	f.ProcessEvents()
 	require.Len(f.t, f.outcomeCounts, f.runCount, "number of ended runs")
 	const last = "ffffffffffffffff"
 	f.pool.Run(exchange.Job{TraceID: last, Class: "c", Body: []byte("ok")})
 	f.advanceUntil("the last run has ended", func() bool { return f.outcomeCounts[last] > 0 })
 	require.Equal(f.t, exchange.ResultOK, f.results[last])
-	f.Turn()
+	f.ProcessEvents()
 	for addr, s := range f.pool.servers {
 		require.Zero(f.t, s.runCount, addr)
 	}
--- a/internal/transport/engine/out_of_turn_test.go
+++ b/internal/transport/engine/out_of_turn_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 
 	"oxbowbridge/internal/proxy/exchange"
-	"oxbowbridge/internal/testrig/outofturn"
+	"oxbowbridge/internal/testrig/protocolfuzz"
 )
 
 const (
@@ -34,7 +34,7 @@
 // process. The messages are sent before ATTACH, after the end of a run and in fragments, with closed
 // connections in between. Afterwards the next connection to a correct engine works.
 func TestEngineOutOfTurn(t *testing.T) {
-	for seed := range uint64(outofturn.Seeds) {
+	for seed := range uint64(protocolfuzz.SeedCount) {
 		runUnexpectedMessages(t, seed, seed%2 == 0)
 	}
 }
@@ -45,7 +45,7 @@
 	engineDone := make(chan struct{})
 	go func() {
 		defer close(engineDone)
-		outofturn.Chatter(f.listener, seed, invalidConnections, randomMessage)
+		protocolfuzz.SendRandomMessages(f.listener, seed, invalidConnections, randomMessage)
 	}()
 	f.session.Open()
 	submitted := 0
--- a/internal/transport/eventloop/close.go
+++ b/internal/transport/eventloop/close.go
@@ -19,11 +19,11 @@
 	}
 }
 
-// CloseIfQuiet closes the connection like CloseGracefully, but only if all received bytes have been
+// CloseIfNoPendingData closes the connection like CloseGracefully, but only if all received bytes have been
 // handled completely and no written bytes are pending. It reports whether the connection is closing or
 // closed. It acquires no lock between the check and the FIN: a process that has used up its CPU quota
 // could be paused there for longer than exchange.CloseRaceWindow.
-func (c *Conn) CloseIfQuiet() bool {
+func (c *Conn) CloseIfNoPendingData() bool {
 	result := c.closeIfNoPendingData()
 	if result == closeStarted {
 		c.loop.addLingering(c)
--- a/internal/transport/eventloop/conn.go
+++ b/internal/transport/eventloop/conn.go
@@ -129,9 +129,9 @@
 	return c.pendingBytes
 }
 
-// HasUnread reports whether bytes have arrived that the Handler has not handled completely. When the loop
+// HasUnhandledInput reports whether bytes have arrived that the Handler has not handled completely. When the loop
 // lags behind, a connection from which nothing was read may have input in the socket and is not idle.
-func (c *Conn) HasUnread() bool {
+func (c *Conn) HasUnhandledInput() bool {
 	// Checks the socket first, since the loop marks a connection as being read before it drains the socket.
 	c.nbConn.Lock()
 	closed, _ := c.nbConn.IsClosed()
--- a/internal/transport/eventloop/state.go
+++ b/internal/transport/eventloop/state.go
@@ -20,7 +20,7 @@
 type connEvent uint8
 
 const (
-	closeRequested   connEvent = iota // CloseGracefully or CloseIfQuiet was called
+	closeRequested   connEvent = iota // CloseGracefully or CloseIfNoPendingData was called
 	flushed                           // all queued bytes were sent
 	descriptorClosed                  // the loop closed the descriptor
 )
--- a/internal/transport/fastcgi/conn_test.go
+++ b/internal/transport/fastcgi/conn_test.go
@@ -100,14 +100,14 @@
 	require.NoError(t, err)
 	g := <-made
 	<-g.begun
-	require.True(t, g.HasUnread())
+	require.True(t, g.HasUnhandledInput())
 	require.True(t, g.HasPartialMessage())
 	require.False(t, g.CloseIfIdle(time.Now().Add(time.Hour), 0))
 	close(g.open)
 	var got []exchange.Event
 	require.Eventually(t, func() bool { got = append(got, f.Exchange.Dequeue(nil)...); return len(got) > 0 }, 10*time.Second, time.Millisecond)
 	require.IsType(t, &exchange.Request{}, got[0])
-	require.Eventually(t, func() bool { return !g.HasUnread() }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return !g.HasUnhandledInput() }, 10*time.Second, time.Millisecond)
 }
 
 // testFront is a frontend whose connections the test controls.
--- a/internal/transport/frontend/conn.go
+++ b/internal/transport/frontend/conn.go
@@ -141,7 +141,7 @@
 func (c *Conn) HasPartialMessage() bool {
 	c.Lock()
 	defer c.Unlock()
-	return c.hasPartialMessage() || c.HasUnread()
+	return c.hasPartialMessage() || c.HasUnhandledInput()
 }
 
 // hasPartialMessage reports whether part of a message or of a request was parsed. The lock must be
--- a/internal/transport/frontend/doc.go
+++ b/internal/transport/frontend/doc.go
@@ -7,14 +7,14 @@
 // The table shows what each way does to received bytes that are not parsed, to open requests, and to
 // responses that are not sent. "Stays open" means that the connection is not closed in that case.
 //
-//	                     unparsed bytes      open requests         unsent bytes
-//	Conn.CloseIfIdle     stays open          stays open            stays open
-//	Conn.Drain           start no request    answered; incomplete  sent
-//	                                         ones are discarded
-//	closeOnceAnswered    start no request    completed, answered   sent
-//	CloseGracefully (1)  dropped             not answered          sent
-//	CloseIfQuiet (1)     stays open          not checked           stays open
-//	Abort (1)            dropped             reported as aborted   dropped
+//	                          unparsed bytes      open requests         unsent bytes
+//	Conn.CloseIfIdle          stays open          stays open            stays open
+//	Conn.Drain                start no request    answered; incomplete  sent
+//	                                              ones are discarded
+//	closeOnceAnswered         start no request    completed, answered   sent
+//	CloseGracefully (1)       dropped             not answered          sent
+//	CloseIfNoPendingData (1)  stays open          not checked           stays open
+//	Abort (1)                 dropped             reported as aborted   dropped
 //
 // (1) Method of eventloop.Conn, which does not know about requests. Server.CloseIdle calls CloseIfIdle
 // for each connection, and Server.DrainConnections calls Drain.
--- a/internal/transport/frontend/evict.go
+++ b/internal/transport/frontend/evict.go
@@ -68,7 +68,7 @@
 		}
 	}
 	for _, c := range unused {
-		if !c.HasUnread() {
+		if !c.HasUnhandledInput() {
 			c.Drain()
 			s.untrack(c)
 			return true
--- a/internal/transport/frontend/reap.go
+++ b/internal/transport/frontend/reap.go
@@ -65,7 +65,7 @@
 	if c.rejectsRequests {
 		return c.finishDrain()
 	}
-	if c.hasPartialMessage() || c.openRequests > 0 || now.Sub(c.lastActive) < idle || !c.CloseIfQuiet() {
+	if c.hasPartialMessage() || c.openRequests > 0 || now.Sub(c.lastActive) < idle || !c.CloseIfNoPendingData() {
 		return false
 	}
 	c.rejectsRequests = true
@@ -95,7 +95,7 @@
 		case stalled:
 			if c.CloseIfIdle(now, 0) {
 				closed++
-			} else if !c.HasUnread() {
+			} else if !c.HasUnhandledInput() {
 				closed++
 				c.Drain()
 			}
--- a/internal/transport/records/out_of_turn_test.go
+++ b/internal/transport/records/out_of_turn_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 
 	"oxbowbridge/internal/proxy/exchange"
-	"oxbowbridge/internal/testrig/outofturn"
+	"oxbowbridge/internal/testrig/protocolfuzz"
 )
 
 const callCount = 8
@@ -26,13 +26,13 @@
 // with the right trace ids before a call, does not crash the process. Each call ends at most once, and a
 // later call to a correct service succeeds.
 func TestRecordsOutOfTurn(t *testing.T) {
-	for seed := range uint64(outofturn.Seeds) {
+	for seed := range uint64(protocolfuzz.SeedCount) {
 		r := newClientFixture(t, 4)
 		goodAddr := r.client.addr
 		badListener, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		t.Cleanup(func() { badListener.Close() })
-		go outofturn.Chatter(badListener, seed, math.MaxInt, randomMessage)
+		go protocolfuzz.SendRandomMessages(badListener, seed, math.MaxInt, randomMessage)
 		r.client.SetAddress(badListener.Addr().String())
 		for n := range callCount {
 			r.client.Call(exchange.Job{TraceID: testTraceID(n), Timeout: 300 * time.Millisecond, Idempotent: n%2 == 0, Body: []byte("x")})
--- a/internal/transport/registry/out_of_turn_test.go
+++ b/internal/transport/registry/out_of_turn_test.go
@@ -10,7 +10,7 @@
 
 	"oxbowbridge/internal/proxy/exchange"
 	"oxbowbridge/internal/proxy/timerqueue"
-	"oxbowbridge/internal/testrig/outofturn"
+	"oxbowbridge/internal/testrig/protocolfuzz"
 	"oxbowbridge/internal/transport/session"
 )
 
@@ -33,7 +33,7 @@
 	deregistered bool
 }
 
-func newReporterFixture(t *testing.T) outofturn.Play {
+func newReporterFixture(t *testing.T) protocolfuzz.Scenario {
 	f := &reporterFixture{t: t, exchange: exchange.New(100), available: true}
 	for range registryCount {
 		socket, err := net.ListenPacket("udp", "127.0.0.1:0")
@@ -73,8 +73,8 @@
 	}, 10*time.Second, time.Millisecond)
 }
 
-// Turn runs due timers and the posted callbacks.
-func (f *reporterFixture) Turn() {
+// ProcessEvents runs due timers and the posted callbacks.
+func (f *reporterFixture) ProcessEvents() {
 	time.Sleep(socketOpenDelay)
 	f.reporter.Timers.RunDue(f.now)
 	for _, e := range f.exchange.Dequeue(nil) {
@@ -137,17 +137,17 @@
 // another address, or has sent unexpected datagrams. A restarted registry receives the availability that
 // the dispatcher set last, and only "closed" after Deregister.
 func FuzzRegistryOutOfTurn(f *testing.F) {
-	outofturn.Fuzz(f, newReporterFixture)
+	protocolfuzz.Fuzz(f, newReporterFixture)
 }
 
-// EndWell restarts all registries and checks the reports of one more interval.
-func (f *reporterFixture) EndWell() {
+// VerifyRecovery restarts all registries and checks the reports of one more interval.
+func (f *reporterFixture) VerifyRecovery() {
 	for i := range f.registries {
 		f.restartRegistry(i)
 	}
 	f.reporter.SetAddress(f.addrs[0])
 	f.reporter.SetAddress(f.addrs[1])
-	f.Turn()
+	f.ProcessEvents()
 	f.readReports(0)
 	f.readReports(1)
 	if !f.deregistered {
@@ -156,7 +156,7 @@
 	var reports []string
 	reportReceived := func() bool {
 		f.now += reportInterval
-		f.Turn()
+		f.ProcessEvents()
 		reports = append(reports, f.readReports(1)...)
 		return len(reports) > 0
 	}
