--- a/internal/transport/ajp/unexpected_messages_test.go
+++ b/internal/transport/ajp/unexpected_messages_test.go
@@ -143,13 +143,13 @@
 // Step executes one action of a dispatcher or an upstream, which action and value select.
 func (f *upstreamFixture) Step(action, value byte) {
 	n := int(value)
-	trace := fmt.Sprintf("%016x", 1+n%(1+f.runCount))
+	traceID := fmt.Sprintf("%016x", 1+n%(1+f.runCount))
 	switch action % 12 {
 	case 0, 1:
 		f.runCount++
 		f.pool.Run(exchange.Job{TraceID: fmt.Sprintf("%016x", f.runCount), Class: "c", Body: []byte("ok"), Idempotent: n%2 == 0})
 	case 2:
-		f.pool.Stop(trace, n%2 == 0)
+		f.pool.Stop(traceID, n%2 == 0)
 	case 3:
 		f.pool.SetAddresses([][]string{f.addrs[:1], f.addrs[1:2], f.addrs[:2], f.addrs}[n%4], "s3")
 	case 4:
--- a/internal/transport/ajp/upstream_conn.go
+++ b/internal/transport/ajp/upstream_conn.go
@@ -28,7 +28,7 @@
 )
 
 // upstreamConn is a connection to an upstream. All fields belong to the dispatcher's goroutine, except those of
-// the parser.
+// the parser, which belong to the event loop's goroutine.
 type upstreamConn struct {
 	pool   *UpstreamPool
 	addr   string
@@ -133,10 +133,10 @@
 }
 
 // requestHeaders returns the headers of a run's request.
-func requestHeaders(a exchange.Job) []frontend.Header {
+func requestHeaders(job exchange.Job) []frontend.Header {
 	return []frontend.Header{
-		{Name: upstreamHeaderTraceID, Value: a.TraceID},
-		{Name: upstreamHeaderContentLength, Value: strconv.Itoa(len(a.Body))},
+		{Name: upstreamHeaderTraceID, Value: job.TraceID},
+		{Name: upstreamHeaderContentLength, Value: strconv.Itoa(len(job.Body))},
 	}
 }
 
--- a/internal/transport/ajp/upstream_pool.go
+++ b/internal/transport/ajp/upstream_pool.go
@@ -14,7 +14,7 @@
 	maxIdleTime         = 10 * time.Second       // an unused connection is closed after this time
 	probeInterval       = 500 * time.Millisecond // interval between dials to a server that refuses connections
 	placementRetryDelay = 20 * time.Millisecond  // delay before the pool tries again to place queued runs
-	maxSendsPerRun      = 2                      // limit on sending the request of an idempotent run
+	maxSendsPerRun      = 2                      // how often the request of an idempotent run may be sent
 )
 
 // UpstreamPool is an exchange.Runner that executes runs on AJP servers, one run at a time per connection. It
@@ -114,13 +114,13 @@
 func (p *UpstreamPool) isListed(addr string) bool { return slices.Contains(p.addrs, addr) }
 
 // Run starts the run of a job.
-func (p *UpstreamPool) Run(a exchange.Job) {
-	r := &upstreamRun{Job: a, startedAt: p.Now()}
-	p.runs[a.TraceID] = r
+func (p *UpstreamPool) Run(job exchange.Job) {
+	r := &upstreamRun{Job: job, startedAt: p.Now()}
+	p.runs[job.TraceID] = r
 	p.placeRun(r)
 }
 
-// Stop ends a run. It closes the connection on which the run was sent.
+// Stop ends a run. It closes the connection to which the run is assigned, or removes the run from the queue.
 func (p *UpstreamPool) Stop(traceID string, _ bool) {
 	r := p.runs[traceID]
 	if r == nil {
--- a/internal/transport/ajp/upstream_slow_start_test.go
+++ b/internal/transport/ajp/upstream_slow_start_test.go
@@ -83,7 +83,7 @@
 }
 
 // TestStartDuringDials starts a server while connections to it are being opened for several runs. The runs over
-// the quota of its slow start must wait and must all succeed. They used to be sent to it at once.
+// the quota of its slow start must wait instead of being sent at once, and all runs must succeed.
 func TestStartDuringDials(t *testing.T) {
 	const runs = 20
 	upstream := newRestartableUpstream(t)
@@ -108,8 +108,8 @@
 	require.Less(t, f.pool.quota(server), math.MaxInt, "all runs must end within the slow start")
 	quota := int(slowStartConfig.MaxRuns(f.now)/float64(slowStartConfig.Processes)) + 1
 	require.LessOrEqual(t, maxSent, quota)
-	for trace, result := range f.results {
-		require.Equal(t, exchange.ResultOK, result, trace)
+	for traceID, result := range f.results {
+		require.Equal(t, exchange.ResultOK, result, traceID)
 	}
 }
 
@@ -126,7 +126,7 @@
 }
 
 // TestListedBeforeStart checks that a server gets a slow start if it was listed long before it started and
-// nothing was sent to it in between. It used to be treated as already warmed up.
+// nothing was sent to it in between. Without the slow start it would get as many runs as a warmed-up server.
 func TestListedBeforeStart(t *testing.T) {
 	running, late := newRestartableUpstream(t), newRestartableUpstream(t)
 	running.start()
--- a/internal/transport/eventloop/close_test.go
+++ b/internal/transport/eventloop/close_test.go
@@ -83,22 +83,22 @@
 // closeWithinMinLinger opens and closes connections and returns the number that ReapLingering reports before
 // minLinger has passed since the first close. A round that takes longer on a busy machine is only checked
 // against the upper limit, and is repeated.
-func closeWithinMinLinger(t *testing.T, loop *Loop, connect func() (*blockingHandler, *net.TCPConn), count int) (peers []*blockingHandler, lingering int) {
+func closeWithinMinLinger(t *testing.T, loop *Loop, connect func() (*blockingHandler, *net.TCPConn), count int) (handlers []*blockingHandler, lingering int) {
 	t.Helper()
 	const rounds = 20
 	for range rounds {
-		peers = nil
+		handlers = nil
 		for range count {
 			p, _ := connect()
-			peers = append(peers, p)
+			handlers = append(handlers, p)
 		}
 		start := time.Now()
-		for _, p := range peers {
+		for _, p := range handlers {
 			p.conn.CloseGracefully()
 		}
 		lingering = loop.ReapLingering(time.Now())
 		if time.Since(start) < minLinger {
-			return peers, lingering
+			return handlers, lingering
 		}
 		require.LessOrEqual(t, lingering, lingerOvercommitFactor*2)
 		require.Zero(t, loop.ReapLingering(time.Now().Add(maxLinger)))
@@ -134,13 +134,13 @@
 	require.Equal(t, lingerOvercommitFactor*2, lingering)
 	require.Zero(t, loop.ReapLingering(time.Now().Add(maxLinger)))
 
-	peers, lingering := closeWithinMinLinger(t, loop, connect, 3)
+	handlers, lingering := closeWithinMinLinger(t, loop, connect, 3)
 	require.Equal(t, 3, lingering, "connections over maxLingering must linger for minLinger")
 	require.Eventually(t, func() bool { // maxLingering applies to connections older than minLinger
 		p, c := connect()
 		p.conn.CloseGracefully()
 		c.Close()
-		return len(peers[0].closed) == 1
+		return len(handlers[0].closed) == 1
 	}, 10*time.Second, time.Millisecond)
 }
 
--- a/internal/transport/eventloop/conn_test.go
+++ b/internal/transport/eventloop/conn_test.go
@@ -66,9 +66,9 @@
 func TestNoDelay(t *testing.T) {
 	_, connect := newTestLoop(t, 2)
 	p, _ := connect()
-	on, err := syscall.GetsockoptInt(p.conn.nbConn.Hash(), syscall.IPPROTO_TCP, syscall.TCP_NODELAY)
+	noDelay, err := syscall.GetsockoptInt(p.conn.nbConn.Hash(), syscall.IPPROTO_TCP, syscall.TCP_NODELAY)
 	require.NoError(t, err)
-	require.NotZero(t, on)
+	require.NotZero(t, noDelay)
 }
 
 // TestDescriptorsAreClosedByTheLoop aborts one connection and makes a write fail on another while the loop
--- a/internal/transport/eventloop/loop.go
+++ b/internal/transport/eventloop/loop.go
@@ -68,7 +68,7 @@
 		}
 	})
 	if err := l.engine.Start(); err != nil {
-		return nil, fmt.Errorf("event loop: %w", err)
+		return nil, fmt.Errorf("start event loop: %w", err)
 	}
 	return l, nil
 }
--- a/internal/transport/fastcgi/conn.go
+++ b/internal/transport/fastcgi/conn.go
@@ -120,8 +120,8 @@
 	return nil
 }
 
-// handleBeginRequest handles BEGIN_REQUEST. The argument earlier is the known request with the same id, or nil.
-func (c *conn) handleBeginRequest(r record, earlier *openRequest) error {
+// handleBeginRequest handles BEGIN_REQUEST. The argument existing is the known request with the same id, or nil.
+func (c *conn) handleBeginRequest(r record, existing *openRequest) error {
 	if len(r.content) != beginRequestBytes {
 		return fmt.Errorf("BEGIN_REQUEST record has %d bytes, want %d", len(r.content), beginRequestBytes)
 	}
@@ -132,7 +132,7 @@
 		c.Unlock()
 		return nil
 	}
-	if earlier != nil && !earlier.Settled() {
+	if existing != nil && !existing.Settled() {
 		c.Unlock()
 		return fmt.Errorf("BEGIN_REQUEST for request id %d, which is still in use", r.id)
 	}
--- a/internal/transport/fastcgi/conn_test.go
+++ b/internal/transport/fastcgi/conn_test.go
@@ -41,10 +41,10 @@
 	ln, err := f.loop.Listen("127.0.0.1:0", func(*eventloop.Conn) eventloop.Handler { return b }, func(err error) { t.Error(err) })
 	require.NoError(t, err)
 	defer ln.Close()
-	stuck, err := net.Dial("tcp", ln.Addr().String())
+	blockedPeer, err := net.Dial("tcp", ln.Addr().String())
 	require.NoError(t, err)
-	defer stuck.Close()
-	_, err = stuck.Write([]byte("x"))
+	defer blockedPeer.Close()
+	_, err = blockedPeer.Write([]byte("x"))
 	require.NoError(t, err)
 	<-b.started
 	unblock := sync.OnceFunc(func() { close(b.unblock) })
--- a/internal/transport/fastcgi/golden_test.go
+++ b/internal/transport/fastcgi/golden_test.go
@@ -89,7 +89,7 @@
 	require.NoError(t, c.handleRecord(record{typeAbortRequest, 1, nil}))
 	golden.ReadBytes(t, peer, "\x01\x03\x00\x01\x00\x08\x00\x00"+"\x00\x00\x00\x00\x00\x00\x00\x00", "aborted")
 
-	for range 10 { // as many as the exchange holds
+	for range 10 { // fills the exchange to its capacity
 		require.True(t, f.Exchange.Submit(&exchange.Request{}))
 	}
 	for _, r := range completeRequestRecords() {
--- a/internal/transport/fastcgi/params.go
+++ b/internal/transport/fastcgi/params.go
@@ -15,7 +15,7 @@
 	paramHeaderPrefix  = "HTTP_"
 )
 
-// managementValues are the answers to GET_VALUES.
+// managementValues are the variables that GET_VALUES can request.
 var managementValues = map[string]string{
 	"FCGI_MAX_CONNS":  "512",
 	"FCGI_MAX_REQS":   "16384",
