--- a/internal/maintenance/budget.go
+++ b/internal/maintenance/budget.go
@@ -5,28 +5,29 @@
 	"fmt"
 )
 
-// ErrInvalidBudget means that a field of a disruption budget is out of its range.
+// ErrInvalidBudget means that a field of a disruption budget is out of range.
 var ErrInvalidBudget = errors.New("bad limits")
 
-// DisruptionBudget limits how many machines are out at a time, and for how long each phase may
-// last. Operators set it. Capacities are in cores of speed 1; fractions of them are from 0 to 1.
+// DisruptionBudget limits how many machines may be out of service for maintenance at a time, and how
+// long each phase of an order may last. Operators set it. A machine's capacity is its number of cores
+// times their relative speed.
 type DisruptionBudget struct {
-	MaxOut                  int     `json:"most"`        // machines out at a time; default 1
-	MaxOutPerZone           int     `json:"most_zone"`   // machines of one zone out at a time; default 1
-	MaxCapacityFraction     float64 `json:"share"`       // of the whole capacity out at a time, above 0 to 1; default 0.2
-	MaxZoneCapacityFraction float64 `json:"share_zone"`  // of a zone's capacity, above 0 to 1; default 0.5
-	SpareCapacityFraction   float64 `json:"spare"`       // of the capacity that stays, not in use, 0 to below 1; default 0.2
+	MaxOut                  int     `json:"most"`        // machines out of service at a time; default 1
+	MaxOutPerZone           int     `json:"most_zone"`   // machines of one zone out of service at a time; default 1
+	MaxCapacityFraction     float64 `json:"share"`       // fraction of all capacity out at a time, in (0, 1]; default 0.2
+	MaxZoneCapacityFraction float64 `json:"share_zone"`  // fraction of a zone's capacity out, in (0, 1]; default 0.5
+	SpareCapacityFraction   float64 `json:"spare"`       // unused fraction of the capacity in service, in [0, 1); default 0.2
 	MaxUtilizationAgeMS     int64   `json:"gauge_ms"`    // a utilization that is older counts as 1; default 10 s
-	ConfirmTimeoutMS        int64   `json:"confirm_ms"`  // for a machine to confirm a grant; default 15 s
-	OverrunAllowanceMS      int64   `json:"over_ms"`     // for which a machine may be late to be out or back; default 60 s
-	WarmUpTimeoutMS         int64   `json:"warm_ms"`     // for a machine that is back to be in service; default 120 s
-	AbandonAfterMS          int64   `json:"give_up_ms"`  // after which a failed machine does not count as out; 0, the default, is never
-	MaxFailures             int     `json:"failures"`    // failures at which maintenance pauses; default 2
-	SpareVoters             int     `json:"voter_spare"` // voters of the store that stay beyond a quorum; default 1
-	OvertakingPeriodMS      int64   `json:"patience_ms"` // for which the head of the queue may be overtaken; default 600 s
+	ConfirmTimeoutMS        int64   `json:"confirm_ms"`  // time for a machine to confirm a grant; default 15 s
+	OverrunAllowanceMS      int64   `json:"over_ms"`     // how late a machine may finish draining, or return; default 60 s
+	WarmUpTimeoutMS         int64   `json:"warm_ms"`     // time for a returned machine to be in service; default 120 s
+	AbandonAfterMS          int64   `json:"give_up_ms"`  // time until a failed machine stops counting as out; 0 (default) is never
+	MaxFailures             int     `json:"failures"`    // unacknowledged failures at which maintenance pauses; default 2
+	SpareVoters             int     `json:"voter_spare"` // store voters that stay in service beyond a quorum; default 1
+	OvertakingPeriodMS      int64   `json:"patience_ms"` // how long orders may overtake the queue's head; default 600 s
 }
 
-// DefaultDisruptionBudget returns the budget in force until operators set another one.
+// DefaultDisruptionBudget returns the budget that applies until operators set another one.
 func DefaultDisruptionBudget() DisruptionBudget {
 	return DisruptionBudget{
 		MaxOut:                  1,
@@ -44,7 +45,7 @@
 	}
 }
 
-// Validate names a field that is out of its range. Its error wraps ErrInvalidBudget.
+// Validate returns an error that names the first field out of range. The error wraps ErrInvalidBudget.
 func (b DisruptionBudget) Validate() error {
 	timeouts := min(b.MaxUtilizationAgeMS, b.ConfirmTimeoutMS, b.OverrunAllowanceMS, b.WarmUpTimeoutMS, b.OvertakingPeriodMS)
 	for _, check := range []struct {
--- a/internal/maintenance/decide.go
+++ b/internal/maintenance/decide.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Observation is all that a decision depends on.
+// Observation is the complete input of a decision.
 type Observation struct {
 	NowMS    int64 // Unix time
 	Machines []Machine
@@ -15,44 +15,44 @@
 	Pause    Pause
 }
 
-// machinesByName indexes the machines.
-func (v Observation) machinesByName() map[string]Machine {
-	machines := make(map[string]Machine, len(v.Machines))
-	for _, m := range v.Machines {
+// machinesByName returns the machines, indexed by name.
+func (obs Observation) machinesByName() map[string]Machine {
+	machines := make(map[string]Machine, len(obs.Machines))
+	for _, m := range obs.Machines {
 		machines[m.Name] = m
 	}
 	return machines
 }
 
-// Transition moves an order into another phase.
+// Transition moves a machine's order into another phase.
 type Transition struct {
-	Machine string // the machine
+	Machine string
 	To      Phase
 	Reason  string
 }
 
-// Decision is what is to be done now.
+// Decision is the set of changes to make now, and the reasons why other orders wait.
 type Decision struct {
 	Transitions []Transition
-	PauseReason string            // if not empty, maintenance is to pause
-	WaitReasons map[string]string // why each order that waits does, by machine
-	HeadOfQueue string            // the first machine that waits
+	PauseReason string            // if not empty, maintenance must pause
+	WaitReasons map[string]string // why each waiting order is not granted, by machine
+	HeadOfQueue string            // machine of the first order in the queue that is not granted
 }
 
-// Decide says what is to be done now: transitions that are due, then grants in the order of the
-// queue as long as the budget allows.
-func Decide(v Observation) Decision {
+// Decide returns the changes to make now: the transitions that are due, then grants in queue order as
+// long as the budget allows.
+func Decide(obs Observation) Decision {
 	d := Decision{WaitReasons: map[string]string{}}
-	orders := slices.Clone(v.Orders)
-	machines := v.machinesByName()
-	d.addTimedTransitions(v, orders, machines)
-	if !v.Pause.Paused {
-		d.PauseReason = tooManyFailures(v, orders)
+	orders := slices.Clone(obs.Orders)
+	machines := obs.machinesByName()
+	d.addTimedTransitions(obs, orders, machines)
+	if !obs.Pause.Paused {
+		d.PauseReason = tooManyFailures(obs, orders)
 	}
-	blocked := blockedByPause(v.Pause, d.PauseReason)
-	usage := newBudgetUsage(v, orders, machines)
+	blockedReason := blockedByPause(obs.Pause, d.PauseReason)
+	usage := newBudgetUsage(obs, orders, machines)
 	for i, o := range Queue(orders) {
-		reason := blocked
+		reason := blockedReason
 		if reason == "" {
 			reason = usage.waitReason(o)
 		}
@@ -65,44 +65,45 @@
 		if d.HeadOfQueue == "" {
 			d.HeadOfQueue = o.Machine
 		}
-		overtaken := i == 0 && usage.isInService(o.Machine) && v.NowMS-o.RequestedMS > v.Budget.OvertakingPeriodMS
-		if blocked == "" && overtaken {
-			blocked = o.Machine + " has waited for long and goes first"
+		overtakenTooLong := i == 0 && usage.isInService(o.Machine) && obs.NowMS-o.RequestedMS > obs.Budget.OvertakingPeriodMS
+		if blockedReason == "" && overtakenTooLong {
+			blockedReason = o.Machine + " has waited for long and goes first"
 		}
 	}
 	return d
 }
 
-// addTimedTransitions adds the transitions that are due, and applies them to orders.
-func (d *Decision) addTimedTransitions(v Observation, orders []Order, machines map[string]Machine) {
+// addTimedTransitions adds the transitions that are due to the decision, and applies them to orders.
+func (d *Decision) addTimedTransitions(obs Observation, orders []Order, machines map[string]Machine) {
 	for i, o := range orders {
-		to, reason := timedTransition(o, machines[o.Machine], v)
+		to, reason := timedTransition(o, machines[o.Machine], obs)
 		if to == "" {
 			continue
 		}
 		d.Transitions = append(d.Transitions, Transition{o.Machine, to, reason})
 		orders[i].Phase = to
-		orders[i].PhaseSinceMS = v.NowMS
+		orders[i].PhaseSinceMS = obs.NowMS
 	}
 }
 
-// tooManyFailures says why maintenance is to pause, or "": MaxFailures failures that no operator has
-// acknowledged.
-func tooManyFailures(v Observation, orders []Order) string {
+// tooManyFailures returns why maintenance must pause: at least MaxFailures machines failed that no
+// operator has acknowledged. It returns "" if there are fewer.
+func tooManyFailures(obs Observation, orders []Order) string {
 	failures := 0
 	for _, o := range orders {
 		failed := o.Phase == PhaseFailed || o.Phase == PhaseAbandoned
-		if failed && !slices.Contains(v.Pause.AcknowledgedFailures, o.Machine) {
+		if failed && !slices.Contains(obs.Pause.AcknowledgedFailures, o.Machine) {
 			failures++
 		}
 	}
-	if failures < v.Budget.MaxFailures {
+	if failures < obs.Budget.MaxFailures {
 		return ""
 	}
 	return fmt.Sprintf("%d machines failed to return", failures)
 }
 
-// blockedByPause says why no order is granted, or "": maintenance is paused, or is to pause now.
+// blockedByPause returns why no order can be granted: maintenance is paused, or must pause now. It
+// returns "" if neither holds.
 func blockedByPause(pause Pause, pauseNow string) string {
 	switch {
 	case pause.Paused:
@@ -113,7 +114,7 @@
 	return ""
 }
 
-// Queue returns the orders that wait for a grant, the next one first: by priority, then in the order of
+// Queue returns the orders that wait for a grant, sorted by descending priority, then by time of
 // arrival.
 func Queue(orders []Order) (queue []Order) {
 	for _, o := range orders {
--- a/internal/maintenance/golden_test.go
+++ b/internal/maintenance/golden_test.go
@@ -11,7 +11,7 @@
 	"oxbowbridge/internal/testrig/golden"
 )
 
-// TestGoldenTypes: stored orders, heartbeats, limits, answers and printed plans keep their JSON.
+// TestGoldenTypes checks the JSON of stored orders, heartbeats and budgets, of responses and of printed plans.
 func TestGoldenTypes(t *testing.T) {
 	golden.JSON(t, "testdata/types.golden",
 		golden.Sample{Name: "job", Value: &Order{}},
@@ -27,100 +27,100 @@
 	)
 }
 
-// TestGoldenNames: phases, states, default limits and error texts.
+// TestGoldenNames checks the strings of phases and machine states, the default budget and the error texts.
 func TestGoldenNames(t *testing.T) {
 	var lines strings.Builder
 	fmt.Fprintln(&lines, PhaseRequested, PhaseGranted, PhaseDraining, PhaseOut, PhaseReturned, PhaseCompleted, PhaseFailed, PhaseAbandoned, PhaseExpired, MachineInService, MachineWarmingUp, MachineUnreachable)
-	limits, err := json.Marshal(DefaultDisruptionBudget())
+	defaults, err := json.Marshal(DefaultDisruptionBudget())
 	require.NoError(t, err)
-	fmt.Fprintln(&lines, string(limits))
+	fmt.Fprintln(&lines, string(defaults))
 	valid := Order{Machine: "m1", DurationMS: 1000}
 	for _, change := range []func(*Order){
-		func(*Order) {}, func(j *Order) { j.Machine = "/" }, func(j *Order) { j.DurationMS = 1 }, func(j *Order) { j.Reason = strings.Repeat("x", 201) }, func(j *Order) { j.LatestStartMS = -1 },
+		func(*Order) {}, func(order *Order) { order.Machine = "/" }, func(order *Order) { order.DurationMS = 1 }, func(order *Order) { order.Reason = strings.Repeat("x", 201) }, func(order *Order) { order.LatestStartMS = -1 },
 	} {
-		j := valid
-		change(&j)
-		fmt.Fprintln(&lines, j.Validate())
+		order := valid
+		change(&order)
+		fmt.Fprintln(&lines, order.Validate())
 	}
 	for _, change := range []func(*DisruptionBudget){
-		func(*DisruptionBudget) {}, func(l *DisruptionBudget) { l.MaxOut = 0 }, func(l *DisruptionBudget) { l.MaxOutPerZone = 0 }, func(l *DisruptionBudget) { l.MaxCapacityFraction = 0 }, func(l *DisruptionBudget) { l.MaxZoneCapacityFraction = 2 },
-		func(l *DisruptionBudget) { l.SpareCapacityFraction = 1 }, func(l *DisruptionBudget) { l.MaxFailures = 0 }, func(l *DisruptionBudget) { l.WarmUpTimeoutMS = 0 }, func(l *DisruptionBudget) { l.AbandonAfterMS = -1 }, func(l *DisruptionBudget) { l.SpareVoters = -1 },
+		func(*DisruptionBudget) {}, func(budget *DisruptionBudget) { budget.MaxOut = 0 }, func(budget *DisruptionBudget) { budget.MaxOutPerZone = 0 }, func(budget *DisruptionBudget) { budget.MaxCapacityFraction = 0 }, func(budget *DisruptionBudget) { budget.MaxZoneCapacityFraction = 2 },
+		func(budget *DisruptionBudget) { budget.SpareCapacityFraction = 1 }, func(budget *DisruptionBudget) { budget.MaxFailures = 0 }, func(budget *DisruptionBudget) { budget.WarmUpTimeoutMS = 0 }, func(budget *DisruptionBudget) { budget.AbandonAfterMS = -1 }, func(budget *DisruptionBudget) { budget.SpareVoters = -1 },
 	} {
-		l := DefaultDisruptionBudget()
-		change(&l)
-		fmt.Fprintln(&lines, l.Validate())
+		budget := DefaultDisruptionBudget()
+		change(&budget)
+		fmt.Fprintln(&lines, budget.Validate())
 	}
 	golden.Text(t, "testdata/names.golden", lines.String())
 }
 
-// TestGoldenDecisions: what a fleet is told, in all its reasons, word for word: GET /work
-// and "work list" show it.
+// TestGoldenDecisions checks the transitions and the exact text of each wait reason, which GET /work and "work list"
+// show.
 func TestGoldenDecisions(t *testing.T) {
 	var lines strings.Builder
-	for _, change := range []func(v *Observation){
+	for _, change := range []func(obs *Observation){
 		func(*Observation) {},
-		func(v *Observation) { v.Budget.MaxOut = 1; v.Orders[1].Phase = PhaseOut },
-		func(v *Observation) { v.Budget.MaxOutPerZone = 1; v.Orders[2].Phase = PhaseFailed },
-		func(v *Observation) { v.Budget.MaxCapacityFraction = 0.09; v.Orders[1].Phase = PhaseDraining },
-		func(v *Observation) {
-			v.Budget.MaxZoneCapacityFraction = 0.2
-			v.Orders[2].Phase, v.Machines[3].State = PhaseReturned, MachineWarmingUp
+		func(obs *Observation) { obs.Budget.MaxOut = 1; obs.Orders[1].Phase = PhaseOut },
+		func(obs *Observation) { obs.Budget.MaxOutPerZone = 1; obs.Orders[2].Phase = PhaseFailed },
+		func(obs *Observation) { obs.Budget.MaxCapacityFraction = 0.09; obs.Orders[1].Phase = PhaseDraining },
+		func(obs *Observation) {
+			obs.Budget.MaxZoneCapacityFraction = 0.2
+			obs.Orders[2].Phase, obs.Machines[3].State = PhaseReturned, MachineWarmingUp
 		},
-		func(v *Observation) { v.Budget.SpareCapacityFraction = 0.9 },
-		func(v *Observation) { v.Budget.SpareVoters = 1; v.Machines[1].State = MachineUnreachable },
-		func(v *Observation) {
-			v.Machines[0].ReplicaGroups, v.Machines[1].ReplicaGroups, v.Orders[1].Phase = []string{"r7"}, []string{"r7"}, PhaseOut
+		func(obs *Observation) { obs.Budget.SpareCapacityFraction = 0.9 },
+		func(obs *Observation) { obs.Budget.SpareVoters = 1; obs.Machines[1].State = MachineUnreachable },
+		func(obs *Observation) {
+			obs.Machines[0].ReplicaGroups, obs.Machines[1].ReplicaGroups, obs.Orders[1].Phase = []string{"r7"}, []string{"r7"}, PhaseOut
 		},
-		func(v *Observation) { v.Machines[0].State = MachineWarmingUp },
-		func(v *Observation) { v.Machines = v.Machines[1:] },
-		func(v *Observation) { v.Pause = Pause{Paused: true, Reason: "by us"} },
-		func(v *Observation) { v.Orders[1].Phase, v.Orders[2].Phase = PhaseFailed, PhaseAbandoned },
-		func(v *Observation) {
-			v.NowMS, v.Machines[3].ReplicaGroups, v.Machines[1].ReplicaGroups = 1_000_000, []string{"r"}, []string{"r"}
-			v.Orders[1].Phase = PhaseOut
+		func(obs *Observation) { obs.Machines[0].State = MachineWarmingUp },
+		func(obs *Observation) { obs.Machines = obs.Machines[1:] },
+		func(obs *Observation) { obs.Pause = Pause{Paused: true, Reason: "by us"} },
+		func(obs *Observation) { obs.Orders[1].Phase, obs.Orders[2].Phase = PhaseFailed, PhaseAbandoned },
+		func(obs *Observation) {
+			obs.NowMS, obs.Machines[3].ReplicaGroups, obs.Machines[1].ReplicaGroups = 1_000_000, []string{"r"}, []string{"r"}
+			obs.Orders[1].Phase = PhaseOut
 		},
-		func(v *Observation) {
-			v.NowMS = 1_000_000
-			v.Orders[0].LatestStartMS, v.Orders[1].Phase, v.Orders[2].Phase = 1, PhaseGranted, PhaseDraining
-			v.Orders = append(v.Orders, newOrders("m4", "m5", "m6", "m7")...)
-			v.Orders[3].Phase, v.Orders[4].Phase, v.Orders[5].Phase, v.Orders[6].Phase = PhaseOut, PhaseReturned, PhaseReturned, PhaseFailed
-			v.Orders[6].PhaseReason, v.Machines[5].State = "disk", MachineWarmingUp
-			v.Budget.AbandonAfterMS = 5000
+		func(obs *Observation) {
+			obs.NowMS = 1_000_000
+			obs.Orders[0].LatestStartMS, obs.Orders[1].Phase, obs.Orders[2].Phase = 1, PhaseGranted, PhaseDraining
+			obs.Orders = append(obs.Orders, newOrders("m4", "m5", "m6", "m7")...)
+			obs.Orders[3].Phase, obs.Orders[4].Phase, obs.Orders[5].Phase, obs.Orders[6].Phase = PhaseOut, PhaseReturned, PhaseReturned, PhaseFailed
+			obs.Orders[6].PhaseReason, obs.Machines[5].State = "disk", MachineWarmingUp
+			obs.Budget.AbandonAfterMS = 5000
 		},
 	} {
-		v := Observation{Machines: newMachines(12), Orders: newOrders("m0", "m1", "m3"), Budget: DefaultDisruptionBudget()}
-		v.Budget.MaxOut, v.Budget.MaxOutPerZone, v.Budget.MaxCapacityFraction, v.Budget.MaxZoneCapacityFraction, v.Budget.SpareVoters = 3, 3, 1, 1, 0
-		v.Orders[0].Priority = 1
-		change(&v)
-		d := Decide(v)
-		fmt.Fprintf(&lines, "steps %v, first %q, pause %q, waits %v\n", d.Transitions, d.HeadOfQueue, d.PauseReason, d.WaitReasons)
+		obs := Observation{Machines: newMachines(12), Orders: newOrders("m0", "m1", "m3"), Budget: DefaultDisruptionBudget()}
+		obs.Budget.MaxOut, obs.Budget.MaxOutPerZone, obs.Budget.MaxCapacityFraction, obs.Budget.MaxZoneCapacityFraction, obs.Budget.SpareVoters = 3, 3, 1, 1, 0
+		obs.Orders[0].Priority = 1
+		change(&obs)
+		decision := Decide(obs)
+		fmt.Fprintf(&lines, "steps %v, first %q, pause %q, waits %v\n", decision.Transitions, decision.HeadOfQueue, decision.PauseReason, decision.WaitReasons)
 	}
 	golden.Text(t, "testdata/decisions.golden", lines.String())
 }
 
-// TestGoldenPlans: plans of a few and of many machines, by seed.
+// TestGoldenPlans checks the plans of a few and of many machines for a fixed seed.
 func TestGoldenPlans(t *testing.T) {
 	var lines strings.Builder
 	for _, n := range []int{0, 5, 8, 30} {
-		v := Observation{Machines: newMachines(n)}
-		for i, m := range v.Machines {
-			j := newOrders(m.Name)[0]
-			j.DurationMS, j.Priority, j.PhaseSinceMS = int64(10_000+7919*(i%5)), i%2, 1000
+		obs := Observation{Machines: newMachines(n)}
+		for i, m := range obs.Machines {
+			order := newOrders(m.Name)[0]
+			order.DurationMS, order.Priority, order.PhaseSinceMS = int64(10_000+7919*(i%5)), i%2, 1000
 			if i == 1 {
-				j.Phase = PhaseOut
+				order.Phase = PhaseOut
 			}
-			v.Orders = append(v.Orders, j)
+			obs.Orders = append(obs.Orders, order)
 		}
-		s := Status{Machines: v.Machines, Budget: DefaultDisruptionBudget()}
-		s.Budget.MaxOut, s.Budget.MaxOutPerZone, s.Budget.MaxCapacityFraction = 3, 2, 0.3
-		for _, j := range v.Orders {
-			s.Orders = append(s.Orders, OrderStatus{Order: j})
+		status := Status{Machines: obs.Machines, Budget: DefaultDisruptionBudget()}
+		status.Budget.MaxOut, status.Budget.MaxOutPerZone, status.Budget.MaxCapacityFraction = 3, 2, 0.3
+		for _, order := range obs.Orders {
+			status.Orders = append(status.Orders, OrderStatus{Order: order})
 		}
-		q := PlanInputFrom(s, 5000)
-		q.Seed, q.MaxSchedules = 7, 50
-		q.Windows = []StartWindow{{From: 0, To: 60e9}, {From: 100e9, To: 9000e9}}
-		p, err := ComputePlan(q)
-		text, marshalErr := json.Marshal(p)
+		input := PlanInputFrom(status, 5000)
+		input.Seed, input.MaxSchedules = 7, 50
+		input.Windows = []StartWindow{{From: 0, To: 60e9}, {From: 100e9, To: 9000e9}}
+		plan, err := ComputePlan(input)
+		text, marshalErr := json.Marshal(plan)
 		require.NoError(t, marshalErr)
 		fmt.Fprintln(&lines, string(text), err)
 	}
--- a/internal/maintenance/machine.go
+++ b/internal/maintenance/machine.go
@@ -2,50 +2,50 @@
 
 import "fmt"
 
-// MachineState is the state of a machine.
+// MachineState says whether a machine serves requests.
 type MachineState string
 
-// States of a machine, as they are stored.
+// States of a machine. The strings are stored and sent.
 const (
 	MachineInService   MachineState = "in"
 	MachineWarmingUp   MachineState = "cold"
 	MachineUnreachable MachineState = "away"
 )
 
-// String returns the state as it is stored.
+// String returns the stored form of the state.
 func (s MachineState) String() string { return string(s) }
 
-// Machine is what is known of a machine.
+// Machine describes a machine and its last reported state.
 type Machine struct {
 	Name             string       `json:"name"`
-	Zone             string       `json:"zone"` // what fails together with it
+	Zone             string       `json:"zone"` // failure domain
 	Cores            float64      `json:"cores"`
-	Speed            float64      `json:"speed"` // of a core, relative to others
+	Speed            float64      `json:"speed"` // relative speed of a core
 	State            MachineState `json:"state"`
-	Utilization      float64      `json:"busy"`             // fraction of its capacity in use, 0 to 1
-	UtilizationAgeMS int64        `json:"age_ms"`           // of Utilization; negative if that is not known
-	IsVoter          bool         `json:"voter"`            // a node of the store that votes runs on it; in a heartbeat, as far as the machine knows
-	ReplicaGroups    []string     `json:"copies,omitempty"` // groups of which it holds a replica
+	Utilization      float64      `json:"busy"`             // fraction of its capacity in use, from 0 to 1
+	UtilizationAgeMS int64        `json:"age_ms"`           // age of Utilization; negative if unknown
+	IsVoter          bool         `json:"voter"`            // it runs a voting node of the store, as far as is known
+	ReplicaGroups    []string     `json:"copies,omitempty"` // replica groups of which it holds a copy
 }
 
-// Capacity returns the machine's capacity in cores of speed 1.
+// Capacity returns the machine's capacity: its cores times their relative speed.
 func (m Machine) Capacity() float64 { return m.Cores * m.Speed }
 
-// Heartbeat is what a machine reports of itself at an interval.
+// Heartbeat is a machine's periodic report about itself.
 type Heartbeat struct {
 	Machine
 	IntervalMS int64  `json:"every_ms"`
-	Sequence   uint64 `json:"number"`          // different in each heartbeat
-	GrantToken uint64 `json:"grant,omitempty"` // of the order that the machine has returned from
+	Sequence   uint64 `json:"number"`          // differs in each heartbeat of the machine
+	GrantToken uint64 `json:"grant,omitempty"` // grant token of the order that the machine has returned from
 }
 
-// Limits of a heartbeat's interval in milliseconds.
+// Limits of the heartbeat interval, in milliseconds.
 const (
 	MinHeartbeatIntervalMS = 50
 	MaxHeartbeatIntervalMS = 600_000
 )
 
-// Validate checks a heartbeat. Its error wraps ErrInvalidOrder.
+// Validate checks the name, the interval and the capacity of a heartbeat. Its error wraps ErrInvalidOrder.
 func (h Heartbeat) Validate() error {
 	if err := ValidateMachineName(h.Name); err != nil {
 		return err
--- a/internal/maintenance/machines_out.go
+++ b/internal/maintenance/machines_out.go
@@ -7,22 +7,22 @@
 	"strings"
 )
 
-// maxNamedMachines is how many machines that are out a reason names.
+// maxNamedMachines is the maximum number of machines that a wait reason names.
 const maxNamedMachines = 5
 
-// machineOut is a machine that is out, as a reason names it.
+// machineOut is a machine out of service, as a wait reason names it.
 type machineOut struct {
 	name  string
-	phase Phase        // of its order; "" if it is out without one
-	state MachineState // if it is out without an order
+	phase Phase        // phase of its order; "" if it is out without an order
+	state MachineState // shown if it is out without an order
 }
 
 func (m machineOut) String() string {
 	return fmt.Sprintf("%s (%s)", m.name, cmp.Or(m.phase.String(), m.state.String()))
 }
 
-// machinesOut counts machines that are out, and holds those that a reason names: first those without an order,
-// which no list of orders shows, then by name.
+// machinesOut counts machines out of service, and keeps the few that a wait reason names. Machines without an
+// order come first, because no list of orders shows them. The rest are sorted by name.
 type machinesOut struct {
 	count int
 	named []machineOut // at most maxNamedMachines, sorted
@@ -40,7 +40,7 @@
 	return cmp.Or(cmp.Compare(withOrder(a), withOrder(b)), cmp.Compare(a.name, b.name))
 }
 
-// String returns ": " and the machines, or "" without any, to follow a reason.
+// String returns ": " and the named machines, to be appended to a wait reason, or "" if no machine is out.
 func (l *machinesOut) String() string {
 	if l.count == 0 {
 		return ""
--- a/internal/maintenance/order_duration_test.go
+++ b/internal/maintenance/order_duration_test.go
@@ -10,54 +10,54 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestOrderDurations: how long an order of 300 machines of different lengths takes as it is
-// carried out, beside its plan, what no plan can be shorter than, one at a time, and fixed
-// batches of the same limit. All in virtual time, of one seed.
+// TestOrderDurations measures in virtual time, for one seed, how long the maintenance of 300 machines with different
+// durations takes. It logs the simulated time, the plan and its lower bound, the time of fixed batches of MaxOut
+// machines, and that of one machine at a time. The plan and the simulation must be shorter than the batches.
 func TestOrderDurations(t *testing.T) {
-	s := newSimulation(t, 1, 300)
-	s.faultsUntil = 0
-	l := simulationBudget(300)
-	q := PlanInput{Budget: l, ZoneCapacity: map[string]float64{}, Seed: 1, MaxSchedules: 3}
-	var one, batches, longest time.Duration
-	for i, m := range s.machines {
-		q.TotalCapacity += m.Capacity()
-		q.ZoneCapacity[m.Zone] += m.Capacity()
-		s.orders[m.Name].DurationMS = 60_000 + s.rng.Int64N(540_000)
-		length := time.Duration(s.orders[m.Name].DurationMS) * time.Millisecond
-		q.Tasks = append(q.Tasks, PlanTask{Machine: m.Name, Zone: m.Zone, Capacity: m.Capacity(), Duration: length})
-		one += length
-		if longest = max(longest, length); (i+1)%l.MaxOut == 0 {
-			batches, longest = batches+longest, 0
+	sim := newSimulation(t, 1, 300)
+	sim.faultsUntilMS = 0
+	budget := simulationBudget(300)
+	input := PlanInput{Budget: budget, ZoneCapacity: map[string]float64{}, Seed: 1, MaxSchedules: 3}
+	var sequential, batched, longestInBatch time.Duration
+	for i, m := range sim.machines {
+		input.TotalCapacity += m.Capacity()
+		input.ZoneCapacity[m.Zone] += m.Capacity()
+		sim.orders[m.Name].DurationMS = 60_000 + sim.rng.Int64N(540_000)
+		duration := time.Duration(sim.orders[m.Name].DurationMS) * time.Millisecond
+		input.Tasks = append(input.Tasks, PlanTask{Machine: m.Name, Zone: m.Zone, Capacity: m.Capacity(), Duration: duration})
+		sequential += duration
+		if longestInBatch = max(longestInBatch, duration); (i+1)%budget.MaxOut == 0 {
+			batched, longestInBatch = batched+longestInBatch, 0
 		}
 	}
-	p, err := ComputePlan(q)
+	plan, err := ComputePlan(input)
 	require.NoError(t, err)
-	require.True(t, s.finish(l))
-	took := time.Duration(s.now) * time.Millisecond
-	t.Logf("| as carried out (half to all of the asked time each) | %v |", took)
-	t.Logf("| plan (all of the asked time each) | %v |", p.Duration.Round(time.Second))
-	t.Logf("| bound | %v |", p.LowerBound.Round(time.Second))
-	t.Logf("| batches of %d | %v |", l.MaxOut, batches.Round(time.Second))
-	t.Logf("| one at a time | %v |", one.Round(time.Second))
-	assert.Less(t, p.Duration, batches)
-	assert.Less(t, took, batches)
+	require.True(t, sim.finish(budget))
+	simulated := time.Duration(sim.nowMS) * time.Millisecond
+	t.Logf("| simulated (each machine takes half to all of its order's duration) | %v |", simulated)
+	t.Logf("| plan (each machine takes its order's whole duration) | %v |", plan.Duration.Round(time.Second))
+	t.Logf("| lower bound | %v |", plan.LowerBound.Round(time.Second))
+	t.Logf("| batches of %d | %v |", budget.MaxOut, batched.Round(time.Second))
+	t.Logf("| one at a time | %v |", sequential.Round(time.Second))
+	assert.Less(t, plan.Duration, batched)
+	assert.Less(t, simulated, batched)
 }
 
-// BenchmarkDecide is one decision on machines of which a third is asked for, and what it
-// has to read.
+// BenchmarkDecide measures one decision for machines of which a third have an order, and reports the encoded size of
+// its input.
 func BenchmarkDecide(b *testing.B) {
 	for _, n := range []int{300, 3000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			v := Observation{Machines: newMachines(n), Budget: simulationBudget(n), NowMS: 1}
-			for i, m := range v.Machines {
+			obs := Observation{Machines: newMachines(n), Budget: simulationBudget(n), NowMS: 1}
+			for i, m := range obs.Machines {
 				if i%3 == 0 {
-					v.Orders = append(v.Orders, Order{Machine: m.Name, Reason: "kernel", DurationMS: 60_000, Phase: PhaseRequested, Ticket: uint64(i), RequestedMS: 1_800_000_000_000})
+					obs.Orders = append(obs.Orders, Order{Machine: m.Name, Reason: "kernel", DurationMS: 60_000, Phase: PhaseRequested, Ticket: uint64(i), RequestedMS: 1_800_000_000_000})
 				}
 			}
-			text, err := json.Marshal(v)
+			text, err := json.Marshal(obs)
 			require.NoError(b, err)
 			for b.Loop() {
-				Decide(v)
+				Decide(obs)
 			}
 			b.ReportMetric(float64(len(text)), "bytes-read")
 		})
--- a/internal/maintenance/phase.go
+++ b/internal/maintenance/phase.go
@@ -5,52 +5,50 @@
 	"slices"
 )
 
-// Phase is how far an order has come.
-//
-// These are all transitions. By the controller (see timedTransition and Decide):
+// Phase is the progress of an order. The controller makes these transitions (see timedTransition and Decide):
 //
 //	requested -> granted     the budget allows it
 //	requested -> expired     LatestStartMS has passed
 //	granted   -> requested   not confirmed within ConfirmTimeoutMS
 //	draining  -> failed      not out within OverrunAllowanceMS
-//	out       -> failed      not back within the order's duration and OverrunAllowanceMS
+//	out       -> failed      not back within the order's duration plus OverrunAllowanceMS
 //	returned  -> completed   the machine is in service
 //	returned  -> failed      not in service within WarmUpTimeoutMS
-//	failed    -> abandoned   after AbandonAfterMS, if that is set
+//	failed    -> abandoned   AbandonAfterMS has passed, if it is set
 //
-// By a report of the machine, or of an operator for it (see Order.ApplyReport):
+// A report from the machine, or from an operator on its behalf, makes these (see Order.ApplyReport):
 //
-//	granted                     -> draining   under the lease of the machine
+//	granted                     -> draining   under the machine's lease
 //	draining                    -> out
 //	draining, out, failed       -> returned
 //	draining, out, returned     -> failed
 //
-// By an operator's cancellation (see Order.Cancel):
+// An operator's cancellation makes these (see Order.Cancel):
 //
 //	requested, granted -> deleted
 //	failed             -> abandoned
 type Phase string
 
-// Phases, as they are stored.
+// Phases of an order. The strings are stored and sent.
 const (
 	PhaseRequested Phase = "asked"
-	PhaseGranted   Phase = "granted"  // the machine may leave, and has not confirmed yet
-	PhaseDraining  Phase = "draining" // the machine has confirmed, and accepts nothing new
-	PhaseOut       Phase = "out"
-	PhaseReturned  Phase = "back"     // the machine runs again, and is warming up
-	PhaseCompleted Phase = "warm"     // an end
-	PhaseFailed    Phase = "failed"   // late, dead, or its maintenance failed; it counts as out
-	PhaseAbandoned Phase = "given-up" // failed, and does not count as out any more; an end
-	PhaseExpired   Phase = "too-late" // not granted before LatestStartMS; an end
+	PhaseGranted   Phase = "granted"  // the machine may leave, but has not confirmed yet
+	PhaseDraining  Phase = "draining" // the machine has confirmed, and accepts no new requests
+	PhaseOut       Phase = "out"      // the machine is out of service
+	PhaseReturned  Phase = "back"     // the service on the machine has started again, and is warming up
+	PhaseCompleted Phase = "warm"     // the machine is in service again; final
+	PhaseFailed    Phase = "failed"   // the machine is late, or its maintenance failed; it counts as out
+	PhaseAbandoned Phase = "given-up" // failed, and no longer counts as out; final
+	PhaseExpired   Phase = "too-late" // not granted before LatestStartMS; final
 )
 
-// ErrWrongPhase means that an order's phase does not allow a report, a cancellation or a new order.
+// ErrWrongPhase means that an order's current phase does not allow a report, a cancellation or a new order.
 var ErrWrongPhase = errors.New("the machine's work is further on")
 
-// String returns the phase as it is stored.
+// String returns the stored form of the phase.
 func (p Phase) String() string { return string(p) }
 
-// Open reports whether there is anything left to be done.
+// Open reports whether the phase is not final.
 func (p Phase) Open() bool {
 	return p != PhaseCompleted && p != PhaseAbandoned && p != PhaseExpired
 }
@@ -64,30 +62,30 @@
 	return false
 }
 
-// reportablePhases holds, for each phase that may be reported, the phases from which.
-var reportablePhases = map[Phase][]Phase{
+// reportAllowedIn lists, for each phase that may be reported, the current phases in which the report is accepted.
+var reportAllowedIn = map[Phase][]Phase{
 	PhaseDraining: {PhaseGranted},
 	PhaseOut:      {PhaseDraining},
 	PhaseReturned: {PhaseDraining, PhaseOut, PhaseFailed},
 	PhaseFailed:   {PhaseDraining, PhaseOut, PhaseReturned},
 }
 
-// PhaseReport is what a machine, or an operator for it, reports of its order.
+// PhaseReport reports the new phase of a machine's order. The machine sends it, or an operator on its behalf.
 type PhaseReport struct {
 	Phase      Phase  `json:"state"`
-	GrantToken uint64 `json:"grant,omitempty"` // token of the machine's lease under which it left
+	GrantToken uint64 `json:"grant,omitempty"` // fencing token of the machine lease under which it left
 	Reason     string `json:"why,omitempty"`
 }
 
-// ApplyReport returns the order after a report. A report that is repeated, as its answer was lost,
-// changes nothing; without a token, as from an operator, the phase alone tells. The error is
-// ErrWrongPhase.
+// ApplyReport returns the order after a report. A report that is retried because its response was lost
+// changes nothing. A report without a token, such as an operator's, counts as a retry if its phase is the
+// current one. The error is ErrWrongPhase.
 func (o Order) ApplyReport(report PhaseReport) (next Order, changed bool, err error) {
 	sameGrant := report.GrantToken == o.GrantToken
 	if o.Phase == report.Phase && (report.GrantToken == 0 || sameGrant) {
 		return o, false, nil
 	}
-	allowed := slices.Contains(reportablePhases[report.Phase], o.Phase)
+	allowed := slices.Contains(reportAllowedIn[report.Phase], o.Phase)
 	switch report.Phase {
 	case PhaseDraining:
 		allowed = allowed && report.GrantToken != 0
@@ -106,7 +104,7 @@
 	return next, true, nil
 }
 
-// Cancel returns the order after a cancellation; nil if it is to be deleted. The error is ErrWrongPhase.
+// Cancel returns the order after a cancellation, or nil if the order must be deleted. The error is ErrWrongPhase.
 func (o Order) Cancel() (*Order, error) {
 	switch o.Phase {
 	case PhaseFailed:
@@ -118,13 +116,13 @@
 	return nil, ErrWrongPhase
 }
 
-// timedTransition returns the phase into which an order moves because of the time that it has spent in
-// its phase, or because of its machine's state; "" if it stays.
-func timedTransition(o Order, machine Machine, v Observation) (to Phase, reason string) {
-	budget := v.Budget
-	inPhaseMS := v.NowMS - o.PhaseSinceMS
+// timedTransition returns the phase into which an order moves because of the time spent in its current
+// phase, or because of its machine's state. It returns "" if the phase does not change.
+func timedTransition(o Order, machine Machine, obs Observation) (to Phase, reason string) {
+	budget := obs.Budget
+	inPhaseMS := obs.NowMS - o.PhaseSinceMS
 	switch {
-	case o.Phase == PhaseRequested && o.LatestStartMS > 0 && v.NowMS > o.LatestStartMS:
+	case o.Phase == PhaseRequested && o.LatestStartMS > 0 && obs.NowMS > o.LatestStartMS:
 		return PhaseExpired, "its latest time is over"
 	case o.Phase == PhaseGranted && inPhaseMS > budget.ConfirmTimeoutMS:
 		return PhaseRequested, "not confirmed in time"
--- a/internal/maintenance/plan.go
+++ b/internal/maintenance/plan.go
@@ -9,65 +9,68 @@
 	"time"
 )
 
-// maxPlanMachines is the largest plan.
+// maxPlanMachines is the maximum number of machines in a plan.
 const maxPlanMachines = 5000
 
-// ErrNoPlan means that a machine fits at no time within the budget.
-var ErrNoPlan = errors.New("no plan")
+// ErrNoPlan means that there are too many machines, or that a machine fits at no time within the budget and
+// the start windows.
+var ErrNoPlan = errors.New("can't plan maintenance")
 
 // PlanTask is the maintenance of one machine in a plan.
 type PlanTask struct {
-	Machine       string        `json:"Node"` // the machine
+	Machine       string        `json:"Node"`
 	Zone          string        `json:"Zone"`
-	Capacity      float64       `json:"Capacity"` // cores of speed 1
+	Capacity      float64       `json:"Capacity"` // cores times their relative speed
 	Duration      time.Duration `json:"Length"`
-	Priority      int           `json:"Priority"` // higher goes first
+	Priority      int           `json:"Priority"` // a task of higher priority is scheduled first
 	ReplicaGroups []string      `json:"Copies"`
-	AlreadyOut    bool          `json:"Fixed"`
-	Remaining     time.Duration `json:"Left"` // of one that is out already
+	AlreadyOut    bool          `json:"Fixed"` // the machine is out when the plan starts
+	Remaining     time.Duration `json:"Left"`  // time that a machine which is already out stays out
 }
 
-// StartWindow is a time in which machines may be taken out. Times are since the plan's start.
+// StartWindow is a period in which machines may be taken out. Its times are relative to the plan's start.
 type StartWindow struct {
 	From time.Duration
 	To   time.Duration // exclusive
 }
 
-// PlanInput is what a plan is made for.
+// PlanInput is the complete input of a plan.
 type PlanInput struct {
 	Tasks         []PlanTask
 	Budget        DisruptionBudget
-	TotalCapacity float64            // of all machines, in cores of speed 1
-	ZoneCapacity  map[string]float64 // of each zone
-	Voters        map[string]bool    // all machines with a node of the store that votes
-	Windows       []StartWindow      // none is any time
-	Seed          uint64             // of the search
-	MaxSchedules  int                // that the search tries; 0 is as many as take a second or two
+	TotalCapacity float64            // of all machines, in cores times relative speed
+	ZoneCapacity  map[string]float64 // of all machines of a zone, by zone
+	Voters        map[string]bool    // all machines that run a voting node of the store
+	Windows       []StartWindow      // if empty, machines may be taken out at any time
+	Seed          uint64             // of the search's random numbers
+	MaxSchedules  int                // maximum number that the search tries; 0 means as many as take one to two seconds
 }
 
-// ScheduledTask is a task with its time, since the plan's start.
+// ScheduledTask is a task with its start and end, relative to the plan's start.
 type ScheduledTask struct {
 	PlanTask
 	Start time.Duration `json:"From"`
 	End   time.Duration `json:"To"`
 }
 
-// Plan is a schedule of tasks.
+// Plan is a schedule of tasks, with figures about the search that found it.
 type Plan struct {
-	Schedule       []ScheduledTask `json:"Placed"` // by start
+	Schedule       []ScheduledTask `json:"Placed"` // sorted by start
 	Duration       time.Duration   `json:"Length"`
 	LowerBound     time.Duration   `json:"Bound"` // no plan within the budget is shorter
 	SchedulesTried int             `json:"Tried"`
-	Exhaustive     bool            `json:"Exact"` // all orders of tasks were tried
+	Exhaustive     bool            `json:"Exact"` // all sequences of tasks were tried
 }
 
-// ComputePlan makes a schedule by list scheduling: it gives each task of a list the first time at
-// which it fits within the budget's places, zones, capacity shares, voters and replica groups. It knows
-// nothing of spare capacity, which depends on the load to come, and of machines that are not in service, so
-// Decide may let a machine wait for longer. Where no voter may go at all (VoterShortage), it has them go one
-// at a time. The list with the longest tasks first is improved by a local search or, for a few
-// tasks, by trying all lists (branch and bound). Tasks that are out already stay where they are; a
-// task of a higher priority is before others in any list.
+// ComputePlan computes a schedule by list scheduling: it gives each task of a list the earliest start at
+// which it fits within the budget's limits on machines, zones, capacity fractions, voters and replica groups.
+// It ignores spare capacity, which depends on future load, and machines that are out of service without an
+// order, so Decide may grant an order later than planned. If no voter may be taken out at all (see
+// VoterShortage), it schedules the voters one at a time.
+//
+// The initial list has the longest tasks first. A local search improves it; for at most maxExhaustiveTasks
+// tasks, all lists are tried instead (branch and bound). Tasks whose machines are already out keep their
+// times. In each list, tasks of higher priority precede the others.
 func ComputePlan(in PlanInput) (Plan, error) {
 	if len(in.Tasks) > maxPlanMachines {
 		return Plan{}, fmt.Errorf("%w: more than %d machines", ErrNoPlan, maxPlanMachines)
@@ -83,7 +86,7 @@
 	slices.SortStableFunc(free, func(a, b PlanTask) int {
 		return cmp.Or(cmp.Compare(b.Priority, a.Priority), cmp.Compare(b.Duration, a.Duration), cmp.Compare(a.Machine, b.Machine))
 	})
-	best, err := in.place(fixed, free, math.MaxInt64)
+	best, err := in.buildSchedule(fixed, free, math.MaxInt64)
 	if err != nil {
 		return best, err
 	}
@@ -98,8 +101,8 @@
 	return best, nil
 }
 
-// PlanInputFrom returns the input for a plan of all orders at a time (Unix milliseconds): machines that
-// are out stay out for what remains of their duration, and those that wait follow.
+// PlanInputFrom returns the input for a plan that starts at nowMS (Unix milliseconds). Machines that are out
+// stay out for the rest of their order's duration; orders that wait are to be scheduled.
 func PlanInputFrom(status Status, nowMS int64) PlanInput {
 	in := PlanInput{Budget: status.Budget, ZoneCapacity: map[string]float64{}, Voters: map[string]bool{}}
 	machines := map[string]Machine{}
--- a/internal/maintenance/plan_place.go
+++ b/internal/maintenance/plan_place.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// place gives each task of a list the first time at which it fits beside those before it. It stops
-// early once the plan is not below a duration.
-func (in PlanInput) place(fixed, list []PlanTask, below time.Duration) (p Plan, err error) {
+// buildSchedule gives each task of a list the earliest start at which it fits together with the tasks before
+// it in the list. It returns an incomplete plan as soon as the plan's duration reaches maxDuration.
+func (in PlanInput) buildSchedule(fixed, list []PlanTask, maxDuration time.Duration) (p Plan, err error) {
 	for _, t := range fixed {
 		p.Schedule = append(p.Schedule, ScheduledTask{PlanTask: t, End: t.Remaining})
 		p.Duration = max(p.Duration, t.Remaining)
 	}
 	for _, t := range list {
-		start, ok := in.firstStart(p.Schedule, t)
+		start, ok := in.earliestStart(p.Schedule, t)
 		if !ok {
-			return p, fmt.Errorf("%w: %s fits at no time within the limits", ErrNoPlan, t.Machine)
+			return p, fmt.Errorf("%w: machine %s fits at no time within the budget and the start windows", ErrNoPlan, t.Machine)
 		}
 		end := start + t.Duration
 		p.Schedule = append(p.Schedule, ScheduledTask{PlanTask: t, Start: start, End: end})
 		p.Duration = max(p.Duration, end)
-		if p.Duration >= below {
+		if p.Duration >= maxDuration {
 			return p, nil
 		}
 	}
@@ -32,9 +32,9 @@
 	return p, nil
 }
 
-// firstStart returns the first time at which a task fits. Only the plan's start, the end of another task
-// and the start of a window can be that.
-func (in PlanInput) firstStart(schedule []ScheduledTask, t PlanTask) (time.Duration, bool) {
+// earliestStart returns the earliest time at which a task fits. Only the plan's start, the end of another task
+// and the start of a window are candidates: at no other time does a machine return or a window open.
+func (in PlanInput) earliestStart(schedule []ScheduledTask, t PlanTask) (time.Duration, bool) {
 	candidates := []time.Duration{0}
 	for _, other := range schedule {
 		candidates = append(candidates, other.End)
@@ -55,8 +55,8 @@
 	return len(in.Windows) == 0 || slices.ContainsFunc(in.Windows, func(w StartWindow) bool { return w.From <= start && start < w.To })
 }
 
-// fits reports whether a task fits at a time. It checks the budget when the task starts, and each time
-// that another one starts meanwhile.
+// fits reports whether a task that starts at start fits within the budget. It checks the budget at that start,
+// and at the start of each other task while this one is out.
 func (in PlanInput) fits(schedule []ScheduledTask, t PlanTask, start time.Duration) bool {
 	if !in.fitsAt(schedule, t, start) {
 		return false
@@ -70,7 +70,7 @@
 	return true
 }
 
-// fitsAt checks the budget at one moment at which a task is out. A single machine may go whatever
+// fitsAt reports whether the budget allows a task to be out at one moment. A single machine may be out whatever
 // its fraction of the capacity is.
 func (in PlanInput) fitsAt(schedule []ScheduledTask, t PlanTask, moment time.Duration) bool {
 	out, zoneOut, votersOut := 1, 1, 1
@@ -106,27 +106,28 @@
 	return true
 }
 
-// maxVotersOut returns how many voters a plan has out at a time: what the budget allows, and at least one.
+// maxVotersOut returns how many voters a plan may have out at a time: as many as the budget allows, but at least one.
 func (in PlanInput) maxVotersOut() int {
-	return max(len(in.Voters)-votersKept(len(in.Voters), in.Budget.SpareVoters), 1)
+	return max(len(in.Voters)-requiredVoters(len(in.Voters), in.Budget.SpareVoters), 1)
 }
 
-// VoterShortage says why no voter of the plan may go as things are, or "": the plan is then that of an operator who
-// adds voters, or lowers SpareVoters, for the time of the work.
+// VoterShortage returns why the budget allows no voter to be taken out, or "" if it does or if no voter waits. With
+// a shortage, the plan holds only if an operator adds voters, or lowers SpareVoters, during the maintenance.
 func (in PlanInput) VoterShortage() string {
 	voterWaits := slices.ContainsFunc(in.Tasks, func(t PlanTask) bool { return in.Voters[t.Machine] && !t.AlreadyOut })
 	if !voterWaits {
 		return ""
 	}
-	return voterShortageOf(len(in.Voters), len(in.Voters)-1, in.Budget.SpareVoters)
+	return voterShortageReason(len(in.Voters), len(in.Voters)-1, in.Budget.SpareVoters)
 }
 
 func sharesReplicas(a, b PlanTask) bool {
 	return slices.ContainsFunc(a.ReplicaGroups, func(group string) bool { return slices.Contains(b.ReplicaGroups, group) })
 }
 
-// lowerBound returns a duration that no plan can be below: the longest task, the sum of all tasks by the
-// places that there are, whole and in each zone, and by the capacity that may be out.
+// lowerBound returns a lower bound of the duration of any plan: the maximum of the longest task, the total time of
+// all tasks divided by MaxOut, that of each zone divided by MaxOutPerZone, and the total of time and capacity divided
+// by the capacity that may be out.
 func (in PlanInput) lowerBound(fixed, free []PlanTask) time.Duration {
 	var bound time.Duration
 	var total, coreTime float64
--- a/internal/maintenance/plan_search.go
+++ b/internal/maintenance/plan_search.go
@@ -7,28 +7,28 @@
 )
 
 const (
-	maxExhaustiveTasks = 8 // up to which all lists are tried
+	maxExhaustiveTasks = 8 // maximum number of tasks for which all lists are tried
 	minSearchSchedules = 20
 	maxSearchSchedules = 2000
-	searchWork         = 2_000_000 // schedules tried, times the square of the number of tasks
-	searchStream       = 17        // second seed of the search's random numbers
+	searchBudget       = 2_000_000 // schedules tried by a local search, times the square of the number of tasks
+	searchSecondSeed   = 17        // of the random number generator, besides PlanInput.Seed
 )
 
-// searchExhaustively tries all lists that start with the tasks of prefix, and gives up those that
-// are no better than the best plan.
+// searchExhaustively tries all lists that start with the tasks of prefix. It prunes prefixes whose schedule is
+// already as long as the best plan.
 func (in PlanInput) searchExhaustively(fixed, prefix, rest []PlanTask, best *Plan) {
 	if best.Duration <= best.LowerBound {
 		return
 	}
 	if len(rest) == 0 {
 		best.SchedulesTried++
-		if p, err := in.place(fixed, prefix, best.Duration); err == nil && p.Duration < best.Duration {
+		if p, err := in.buildSchedule(fixed, prefix, best.Duration); err == nil && p.Duration < best.Duration {
 			best.replace(p)
 		}
 		return
 	}
 	if len(prefix) > 0 {
-		if p, err := in.place(fixed, prefix, best.Duration); err != nil || p.Duration >= best.Duration {
+		if p, err := in.buildSchedule(fixed, prefix, best.Duration); err != nil || p.Duration >= best.Duration {
 			return
 		}
 	}
@@ -41,17 +41,17 @@
 	}
 }
 
-// replace takes over the schedule of a shorter plan.
+// replace replaces the schedule by that of a shorter plan, and keeps the figures about the search.
 func (p *Plan) replace(shorter Plan) {
 	shorter.LowerBound = p.LowerBound
 	shorter.SchedulesTried = p.SchedulesTried
 	*p = shorter
 }
 
-// searchLocally changes a list by one task at a time, and keeps each change that makes the plan no
-// longer.
+// searchLocally is a local search: it swaps or moves tasks of a list, and keeps each change that does not make the
+// plan longer.
 func (in PlanInput) searchLocally(fixed, list []PlanTask, best *Plan) {
-	rng := rand.New(rand.NewPCG(in.Seed, searchStream))
+	rng := rand.New(rand.NewPCG(in.Seed, searchSecondSeed))
 	current := slices.Clone(list)
 	duration := best.Duration
 	for range in.searchSchedules(len(list)) {
@@ -63,7 +63,7 @@
 			continue
 		}
 		best.SchedulesTried++
-		p, err := in.place(fixed, next, duration+1)
+		p, err := in.buildSchedule(fixed, next, duration+1)
 		if err != nil || p.Duration > duration {
 			continue
 		}
@@ -75,14 +75,14 @@
 	}
 }
 
-// searchSchedules returns how many schedules a local search tries.
+// searchSchedules returns how many schedules a local search tries for a number of tasks.
 func (in PlanInput) searchSchedules(tasks int) int {
-	affordable := searchWork / (tasks * tasks)
+	affordable := searchBudget / (tasks * tasks)
 	return cmp.Or(in.MaxSchedules, min(max(affordable, minSearchSchedules), maxSearchSchedules))
 }
 
-// neighbor returns a list with two tasks swapped, or one moved; nil if the drawn change is none, or
-// breaks the order of priorities.
+// neighbor returns a list with two tasks swapped or one task moved, chosen at random. It returns nil if the
+// choice changes nothing or breaks the order of priorities.
 func neighbor(rng *rand.Rand, list []PlanTask) []PlanTask {
 	from := rng.IntN(len(list))
 	to := rng.IntN(len(list))
--- a/internal/maintenance/usage.go
+++ b/internal/maintenance/usage.go
@@ -2,41 +2,41 @@
 
 import "fmt"
 
-// budgetUsage is how much of a disruption budget is in use, as sums: a question costs the same with
-// any number of machines. Capacities are in cores of speed 1.
+// budgetUsage is the part of a disruption budget that is in use. It keeps sums, so the check of one order takes
+// the same time for any number of machines. Capacities are in cores times their relative speed.
 type budgetUsage struct {
 	budget    DisruptionBudget
 	machines  map[string]Machine
-	isOut     map[string]bool  // by order, or because the machine is not in service
-	abandoned map[string]bool  // they use no place, but their capacity is missing
-	phases    map[string]Phase // of the orders by which machines are out
+	isOut     map[string]bool  // the machine is out by its order, or not in service
+	abandoned map[string]bool  // these machines use no slot, but their capacity is missing
+	phases    map[string]Phase // phases of the orders by which machines are out
 
 	totalCapacity float64
 	zoneCapacity  map[string]float64
 	voters        int
 
-	placesUsed     machinesOut // machines that count against MaxOut
-	zonePlacesUsed map[string]*machinesOut
-	out            machinesOut // all machines that are out
-	capacityOut    float64
-	zoneOut        map[string]float64
-	capacityIn     float64
-	capacityInUse  float64 // of capacityIn
-	votersIn       int
-	replicaOut     map[string]string // a machine that is out, by replica group
+	slotsUsed         machinesOut // machines that count towards MaxOut
+	zoneSlotsUsed     map[string]*machinesOut
+	out               machinesOut // all machines that are out, including abandoned ones
+	capacityOut       float64
+	zoneCapacityOut   map[string]float64
+	capacityInService float64
+	capacityInUse     float64 // part of capacityInService that is in use
+	votersInService   int
+	outByReplicaGroup map[string]string // a machine that is out and holds a copy, by replica group
 }
 
-func newBudgetUsage(v Observation, orders []Order, machines map[string]Machine) *budgetUsage {
+func newBudgetUsage(obs Observation, orders []Order, machines map[string]Machine) *budgetUsage {
 	u := &budgetUsage{
-		budget:         v.Budget,
-		machines:       machines,
-		isOut:          map[string]bool{},
-		abandoned:      map[string]bool{},
-		zoneCapacity:   map[string]float64{},
-		phases:         map[string]Phase{},
-		zonePlacesUsed: map[string]*machinesOut{},
-		zoneOut:        map[string]float64{},
-		replicaOut:     map[string]string{},
+		budget:            obs.Budget,
+		machines:          machines,
+		isOut:             map[string]bool{},
+		abandoned:         map[string]bool{},
+		zoneCapacity:      map[string]float64{},
+		phases:            map[string]Phase{},
+		zoneSlotsUsed:     map[string]*machinesOut{},
+		zoneCapacityOut:   map[string]float64{},
+		outByReplicaGroup: map[string]string{},
 	}
 	for _, o := range orders {
 		u.abandoned[o.Machine] = o.Phase == PhaseAbandoned
@@ -49,12 +49,12 @@
 	}
 	for _, m := range machines {
 		if m.State != MachineInService {
-			u.takeOut(m.Name)
+			u.markOut(m.Name)
 		}
 	}
 	for _, o := range orders {
 		if o.Phase.countsAsOut() {
-			u.takeOut(o.Machine)
+			u.markOut(o.Machine)
 		}
 	}
 	return u
@@ -63,15 +63,15 @@
 func (u *budgetUsage) addMachine(m Machine) {
 	u.totalCapacity += m.Capacity()
 	u.zoneCapacity[m.Zone] += m.Capacity()
-	u.capacityIn += m.Capacity()
+	u.capacityInService += m.Capacity()
 	u.capacityInUse += m.Capacity() * u.utilization(m)
 	if m.IsVoter {
 		u.voters++
-		u.votersIn++
+		u.votersInService++
 	}
 }
 
-// utilization returns the fraction of a machine's capacity in use. One that is not known, or too old, counts as 1.
+// utilization returns the fraction of a machine's capacity in use. An unknown or outdated value counts as 1.
 func (u *budgetUsage) utilization(m Machine) float64 {
 	if m.UtilizationAgeMS < 0 || m.UtilizationAgeMS > u.budget.MaxUtilizationAgeMS {
 		return 1
@@ -79,50 +79,50 @@
 	return min(max(m.Utilization, 0), 1)
 }
 
-// takeOut counts a machine as out.
-func (u *budgetUsage) takeOut(name string) {
+// markOut counts a machine as out.
+func (u *budgetUsage) markOut(name string) {
 	if u.isOut[name] {
 		return
 	}
 	u.isOut[name] = true
 	m, known := u.machines[name]
-	shown := machineOut{name: name, phase: u.phases[name], state: m.State}
-	u.out.add(shown)
+	entry := machineOut{name: name, phase: u.phases[name], state: m.State}
+	u.out.add(entry)
 	if !u.abandoned[name] {
-		u.placesUsed.add(shown)
+		u.slotsUsed.add(entry)
 		if known {
-			u.zonePlaces(m.Zone).add(shown)
+			u.zoneSlots(m.Zone).add(entry)
 		}
 	}
 	if !known {
-		return // nothing but its place is known
+		return // without a heartbeat, its zone and capacity are unknown
 	}
 	u.capacityOut += m.Capacity()
-	u.zoneOut[m.Zone] += m.Capacity()
-	u.capacityIn -= m.Capacity()
+	u.zoneCapacityOut[m.Zone] += m.Capacity()
+	u.capacityInService -= m.Capacity()
 	u.capacityInUse -= m.Capacity() * u.utilization(m)
 	if m.IsVoter {
-		u.votersIn--
+		u.votersInService--
 	}
 	for _, group := range m.ReplicaGroups {
-		u.replicaOut[group] = name
+		u.outByReplicaGroup[group] = name
 	}
 }
 
-// grant counts a machine as out by its order.
+// grant counts a machine as out because its order is granted.
 func (u *budgetUsage) grant(name string) {
 	u.phases[name] = PhaseGranted
-	u.takeOut(name)
+	u.markOut(name)
 }
 
-// zonePlaces returns the machines that count against MaxOutPerZone in a zone.
-func (u *budgetUsage) zonePlaces(zone string) *machinesOut {
-	places, ok := u.zonePlacesUsed[zone]
+// zoneSlots returns the machines of a zone that count towards MaxOutPerZone.
+func (u *budgetUsage) zoneSlots(zone string) *machinesOut {
+	slots, ok := u.zoneSlotsUsed[zone]
 	if !ok {
-		places = &machinesOut{}
-		u.zonePlacesUsed[zone] = places
+		slots = &machinesOut{}
+		u.zoneSlotsUsed[zone] = slots
 	}
-	return places
+	return slots
 }
 
 func (u *budgetUsage) isInService(name string) bool {
@@ -130,7 +130,7 @@
 	return known && !u.isOut[name]
 }
 
-// waitReason says why an order can't be granted now, or "".
+// waitReason returns why an order can't be granted now, or "" if it can.
 func (u *budgetUsage) waitReason(o Order) string {
 	m, known := u.machines[o.Machine]
 	switch {
@@ -140,11 +140,11 @@
 		return "it is " + m.State.String() + " already"
 	}
 	for _, group := range m.ReplicaGroups {
-		if other, out := u.replicaOut[group]; out {
+		if other, out := u.outByReplicaGroup[group]; out {
 			return fmt.Sprintf("%s, which is out, holds copies of the same things (%s)", other, group)
 		}
 	}
-	if reason := u.placeShortage(m); reason != "" {
+	if reason := u.slotShortage(m); reason != "" {
 		return reason
 	}
 	if reason := u.capacityShortage(m); reason != "" {
@@ -153,32 +153,32 @@
 	return u.voterShortage(m)
 }
 
-// placeShortage checks the number of machines that are out.
-func (u *budgetUsage) placeShortage(m Machine) string {
+// slotShortage returns why the number of machines that are out does not allow another one, or "".
+func (u *budgetUsage) slotShortage(m Machine) string {
 	b := u.budget
-	inZone := u.zonePlaces(m.Zone)
+	inZone := u.zoneSlots(m.Zone)
 	switch {
-	case u.placesUsed.count >= b.MaxOut:
-		return fmt.Sprintf("%d are out, at most %d%s", u.placesUsed.count, b.MaxOut, &u.placesUsed)
+	case u.slotsUsed.count >= b.MaxOut:
+		return fmt.Sprintf("%d are out, at most %d%s", u.slotsUsed.count, b.MaxOut, &u.slotsUsed)
 	case inZone.count >= b.MaxOutPerZone:
 		return fmt.Sprintf("%d are out in zone %q, at most %d%s", inZone.count, m.Zone, b.MaxOutPerZone, inZone)
 	}
 	return ""
 }
 
-// capacityShortage checks the capacity that would be out, and what would stay. A single machine may
-// go whatever its fraction is, or a small fleet would never be maintained, but not the last capacity in
-// service.
+// capacityShortage returns why the capacity that would be out, or left in service, does not allow the machine to be
+// taken out, or "". A single machine may be out whatever its fraction of the capacity is, since a small fleet could
+// not be maintained otherwise. The last capacity in service is never taken out.
 func (u *budgetUsage) capacityShortage(m Machine) string {
 	b := u.budget
 	out := u.capacityOut + m.Capacity()
-	zoneOut := u.zoneOut[m.Zone] + m.Capacity()
-	in := u.capacityIn - m.Capacity()
-	inZone := u.zonePlaces(m.Zone)
+	zoneOut := u.zoneCapacityOut[m.Zone] + m.Capacity()
+	in := u.capacityInService - m.Capacity()
+	inZone := u.zoneSlots(m.Zone)
 	switch {
 	case in <= 0:
 		return fmt.Sprintf("none of %.1f cores would stay in service%s", u.totalCapacity, &u.out)
-	case out > b.MaxCapacityFraction*u.totalCapacity && u.placesUsed.count > 0:
+	case out > b.MaxCapacityFraction*u.totalCapacity && u.slotsUsed.count > 0:
 		return fmt.Sprintf("%.1f of %.1f cores would be out, at most %.0f%%%s", out, u.totalCapacity, 100*b.MaxCapacityFraction, &u.out)
 	case zoneOut > b.MaxZoneCapacityFraction*u.zoneCapacity[m.Zone] && inZone.count > 0:
 		return fmt.Sprintf("%.1f of %.1f cores of zone %q would be out, at most %.0f%%%s",
@@ -189,22 +189,23 @@
 	return ""
 }
 
-// voterShortage checks the store's voters that would stay. Each machine with a node that votes counts as one.
+// voterShortage returns why too few voters of the store would stay in service, or "". Each machine with a voting
+// node counts as one voter.
 func (u *budgetUsage) voterShortage(m Machine) string {
 	if !m.IsVoter {
 		return ""
 	}
-	return voterShortageOf(u.voters, u.votersIn-1, u.budget.SpareVoters)
+	return voterShortageReason(u.voters, u.votersInService-1, u.budget.SpareVoters)
 }
 
-// voterShortageOf says that too few of a store's voters would stay, or "".
-func voterShortageOf(voters, stay, spare int) string {
-	want := votersKept(voters, spare)
-	if stay >= want {
+// voterShortageReason returns a reason if fewer voters than required would stay in service, or "".
+func voterShortageReason(voters, staying, spare int) string {
+	want := requiredVoters(voters, spare)
+	if staying >= want {
 		return ""
 	}
-	return fmt.Sprintf("%d of the store's %d voters would stay, want %d", stay, voters, want)
+	return fmt.Sprintf("%d of the store's %d voters would stay, want %d", staying, voters, want)
 }
 
-// votersKept returns how many of a store's voters stay: a quorum, and some that are spare.
-func votersKept(voters, spare int) int { return voters/2 + 1 + spare }
+// requiredVoters returns how many of a store's voters must stay in service: a quorum plus the spare ones.
+func requiredVoters(voters, spare int) int { return voters/2 + 1 + spare }
