--- a/internal/maintenance/agent/agent.go
+++ b/internal/maintenance/agent/agent.go
@@ -1,7 +1,7 @@
-// Package agent is one machine's part in maintenance. It sends heartbeats; when the machine's order
-// is granted, it takes the machine's lease, confirms under its token and has the service drain;
-// then it reports that the machine is out, runs the maintenance command and, in the process that
-// starts afterwards, reports that the machine has returned.
+// Package agent takes one machine through its maintenance. It sends heartbeats. When the machine's
+// order is granted, it acquires the machine's lease, confirms the grant under the lease's fencing token
+// and starts a graceful shutdown of the service. Then it reports that the machine is out and runs the
+// maintenance command. The process that starts afterwards reports that the machine has returned.
 package agent
 
 import (
@@ -20,45 +20,45 @@
 
 const (
 	machineLeaseTTL     = 10 * time.Second
-	reportTimeout       = 10 * time.Second // for one report, with its retries
-	releaseTimeout      = time.Second      // to give the machine's lease back; if it fails, the lease expires after machineLeaseTTL
-	minHeartbeatTimeout = 2 * time.Second  // for one heartbeat; the interval if that is longer
-	unknownUtilization  = 1                // what is not known counts as in use
+	reportTimeout       = 10 * time.Second // for one report, including retries
+	releaseTimeout      = time.Second      // for the release of the machine's lease, which otherwise expires
+	minHeartbeatTimeout = 2 * time.Second  // for one heartbeat; the heartbeat interval applies if it is longer
+	unknownUtilization  = 1                // an unknown capacity counts as in use
 )
 
-// Service is what the agent needs of the service that it is part of.
+// Service is the service on the machine, as far as the agent needs it.
 type Service interface {
-	// Load returns how busy the service is now.
+	// Load returns the current load of the service.
 	Load() Load
 	// StartDrain starts a graceful shutdown of the service, as on SIGTERM.
 	StartDrain()
 }
 
-// Load is how busy a service is.
+// Load is the load and the state of a service.
 type Load struct {
-	Utilization float64 // fraction of the service's cores in use, 0 to 1
-	Known       bool    // Utilization was measured
+	Utilization float64 // fraction of the service's cores in use, from 0 to 1
+	Known       bool    // Utilization has been measured
 	Warm        bool    // the service has warmed up
-	Learner     bool    // the service's node of the store is a member that does not vote
+	Learner     bool    // the service's node of the store is a learner
 }
 
-// Agent is one machine's.
+// Agent is the maintenance agent of one machine.
 type Agent struct {
 	cfg     Config
-	machine maintenance.Machine // what does not change
+	machine maintenance.Machine // the fixed fields
 	service Service
 	client  *storeclient.Client
 	leases  *leaseclient.Manager
 	log     *zap.Logger
 
-	lease         *leaseclient.Lease // of the machine, once it has confirmed that it leaves
+	lease         *leaseclient.Lease // the machine's lease; nil until the machine has confirmed a grant
 	returnedGrant uint64             // token of the grant that the machine has returned from
-	sequence      uint64             // of the last heartbeat
-	unreachable   bool               // the store, at the last heartbeat
+	sequence      uint64             // sequence number of the last heartbeat
+	unreachable   bool               // the last heartbeat did not reach the store
 }
 
-// New returns the agent of a machine with a name and a number of cores. localNode is the admin address of
-// the service's own node of the store; "" if it has none. Close ends the agent.
+// New returns the agent of a machine. localNode is the admin address of the service's own node of the store,
+// or "" if it has none. Close ends the agent.
 func New(cfg Config, name string, cores float64, localNode string, service Service, log *zap.Logger) *Agent {
 	nodes := cfg.Nodes
 	if len(nodes) == 0 {
@@ -78,15 +78,15 @@
 		client:   storeclient.New(nodes),
 		leases:   leaseclient.New(nodes, leaseclient.NewHolderName()),
 		log:      log,
-		sequence: uint64(time.Now().UnixNano()), // differs from that of an earlier process
+		sequence: uint64(time.Now().UnixNano()), // differs from the sequence numbers of an earlier process
 	}
 }
 
-// Close ends the agent and releases its lease.
+// Close releases the machine's lease, if the agent holds it, and stops its renewal.
 func (a *Agent) Close() { a.leases.Close() }
 
-// Run sends heartbeats until ctx ends or the machine leaves. It returns true if the machine has
-// confirmed a grant, and the service was told to drain.
+// Run sends heartbeats until ctx ends or the machine confirms a grant. It returns true if a grant was
+// confirmed; the service's graceful shutdown has then started.
 func (a *Agent) Run(ctx context.Context) (leaving bool) {
 	tick := time.NewTicker(a.cfg.heartbeatInterval())
 	defer tick.Stop()
@@ -94,7 +94,7 @@
 		order, err := a.sendHeartbeat(ctx)
 		a.logReachability(ctx, err)
 		if err == nil && order != nil {
-			if err := a.follow(ctx, order); err != nil && ctx.Err() == nil {
+			if err := a.advance(ctx, order); err != nil && ctx.Err() == nil {
 				a.log.Warn("maintenance step failed", zap.Stringer("phase", order.Phase), zap.Error(err))
 			}
 			if a.lease != nil {
@@ -122,7 +122,7 @@
 	}
 }
 
-// sendHeartbeat reports what the machine is, and returns its order; nil if there is none.
+// sendHeartbeat reports the machine's state and load. It returns the machine's order, or nil if there is none.
 func (a *Agent) sendHeartbeat(ctx context.Context) (*maintenance.Order, error) {
 	load := a.service.Load()
 	if !load.Known {
@@ -146,40 +146,40 @@
 	return a.client.SendHeartbeat(ctx, heartbeat)
 }
 
-// follow does the machine's next step of its order.
-func (a *Agent) follow(ctx context.Context, order *maintenance.Order) error {
+// advance takes the machine's next step for its order.
+func (a *Agent) advance(ctx context.Context, order *maintenance.Order) error {
 	switch order.Phase {
 	case maintenance.PhaseGranted:
 		return a.confirm(ctx)
 	case maintenance.PhaseDraining, maintenance.PhaseOut, maintenance.PhaseFailed:
-		// The process that confirmed this order has ended, so this start is the machine's return.
+		// The process that confirmed this order has exited, so the start of this one is the machine's return.
 		report := maintenance.PhaseReport{Phase: maintenance.PhaseReturned, GrantToken: order.GrantToken}
 		if err := a.client.ReportPhase(ctx, a.machine.Name, report); err != nil {
 			return err
 		}
-		a.log.Info("machine returned", zap.Uint64("grant", order.GrantToken))
+		a.log.Info("machine returned from maintenance", zap.Uint64("grant", order.GrantToken))
 		a.returnedGrant = order.GrantToken
-	case maintenance.PhaseReturned: // also after a report whose answer was lost
+	case maintenance.PhaseReturned: // also after a report whose response was lost
 		a.returnedGrant = order.GrantToken
 	}
 	return nil
 }
 
-// confirm acquires the machine's lease, and reports under its token that the machine drains. That is
-// refused if the grant was taken back meanwhile.
+// confirm acquires the machine's lease, and reports under its fencing token that the machine is draining. The
+// report is rejected if the grant has been revoked.
 func (a *Agent) confirm(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	lease, err := a.leases.Acquire(ctx, leaseclient.AcquireOptions{Name: controller.MachineLeasePrefix + a.machine.Name, TTL: machineLeaseTTL})
 	if err != nil {
-		return fmt.Errorf("lease of this machine: %w", err)
+		return fmt.Errorf("acquire lease of this machine: %w", err)
 	}
 	report := maintenance.PhaseReport{Phase: maintenance.PhaseDraining, GrantToken: lease.Token}
 	if err := a.client.ReportPhase(ctx, a.machine.Name, report); err != nil {
-		// The report may have been received all the same; the machine then reports its return.
+		// The report may have been applied anyway. In that case the machine reports its return at the next heartbeat.
 		return errors.Join(err, a.release(lease))
 	}
-	a.log.Info("machine leaves", zap.Uint64("grant", lease.Token))
+	a.log.Info("machine starts draining for maintenance", zap.Uint64("grant", lease.Token))
 	a.lease = lease
 	return nil
 }
--- a/internal/maintenance/agent/agent_test.go
+++ b/internal/maintenance/agent/agent_test.go
@@ -12,14 +12,15 @@
 	"oxbowbridge/internal/maintenance"
 )
 
-// fixedService is a service whose load does not change.
+// fixedService is a service with a fixed load that ignores StartDrain.
 type fixedService struct{ load Load }
 
 func (s fixedService) Load() Load { return s.load }
 
 func (s fixedService) StartDrain() {}
 
-// TestHeartbeatOfLearner: a learner that says that it votes is counted among the voters that stay.
+// TestHeartbeatOfLearner guards against a learner that reports itself as a voter: it would count towards the voters
+// that stay in service.
 func TestHeartbeatOfLearner(t *testing.T) {
 	for _, learner := range []bool{false, true} {
 		var heartbeat maintenance.Heartbeat
--- a/internal/maintenance/agent/command.go
+++ b/internal/maintenance/agent/command.go
@@ -14,27 +14,27 @@
 	"oxbowbridge/internal/maintenance"
 )
 
-// Environment variables of the maintenance command.
+// Environment variables that are set for the maintenance command.
 const (
-	envGrant   = "OXBOWBRIDGE_WORK_GRANT" // token of the grant
+	envGrant   = "OXBOWBRIDGE_WORK_GRANT" // fencing token of the machine's lease
 	envMachine = "OXBOWBRIDGE_WORK_NODE"  // the machine's name
 )
 
 const (
-	commandKillDelay  = time.Second // for the command's output to be closed once it has been killed
-	maxOutputInReason = 200         // bytes of a failed command's output
+	commandKillDelay  = time.Second // maximum wait for the output of a killed command to be closed
+	maxOutputInReason = 200         // bytes of a failed command's output that are reported
 )
 
-// PerformMaintenance reports that the machine is out, once the service has drained, and runs the
-// command if there is one. It reports whether the service is to start again.
+// PerformMaintenance reports that the machine is out and runs the maintenance command, if there is one. It is
+// called once the service has drained. It returns whether the service must start again.
 func (a *Agent) PerformMaintenance() (restart bool, err error) {
 	grant := a.lease.Token
 	if err := a.report(maintenance.PhaseReport{Phase: maintenance.PhaseOut, GrantToken: grant}); err != nil {
 		// The order stays in draining until the machine returns.
-		a.log.Error("machine out, report failed", zap.Uint64("grant", grant), zap.Error(err))
+		a.log.Error("report that the machine is out failed", zap.Uint64("grant", grant), zap.Error(err))
 	}
-	a.release(a.lease) // if this fails, it expires
-	a.log.Info("machine out", zap.Uint64("grant", grant))
+	a.release(a.lease) // if this fails, the lease expires
+	a.log.Info("machine out of service for maintenance", zap.Uint64("grant", grant))
 	if len(a.cfg.Command) == 0 {
 		return false, nil
 	}
@@ -52,16 +52,16 @@
 	return a.client.ReportPhase(ctx, a.machine.Name, report)
 }
 
-// runCommand runs the maintenance command. Its error contains the end of the command's output.
+// runCommand runs the maintenance command. Its error includes the end of the command's output.
 func (a *Agent) runCommand(grant uint64) error {
 	timeout := a.cfg.commandTimeout()
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	program := a.cfg.Command[0]
-	command := exec.CommandContext(ctx, program, a.cfg.Command[1:]...)
-	command.WaitDelay = commandKillDelay
-	command.Env = append(os.Environ(), fmt.Sprintf("%s=%d", envGrant, grant), envMachine+"="+a.machine.Name)
-	output, err := command.CombinedOutput()
+	cmd := exec.CommandContext(ctx, program, a.cfg.Command[1:]...)
+	cmd.WaitDelay = commandKillDelay
+	cmd.Env = append(os.Environ(), fmt.Sprintf("%s=%d", envGrant, grant), envMachine+"="+a.machine.Name)
+	output, err := cmd.CombinedOutput()
 	if ctx.Err() != nil {
 		err = fmt.Errorf("not done in %v", timeout)
 	}
--- a/internal/maintenance/agent/config.go
+++ b/internal/maintenance/agent/config.go
@@ -8,14 +8,14 @@
 	"oxbowbridge/internal/maintenance"
 )
 
-// Config is the section "work" of the configuration file.
+// Config is the section "work" of the configuration file: the settings of the maintenance agent.
 type Config struct {
-	Nodes               []string `json:"nodes"`      // admin addresses of the store; default is this service's own node
-	Zone                string   `json:"zone"`       // what fails together with the machine
-	Speed               float64  `json:"speed"`      // of a core, relative to others; default 1
-	HeartbeatIntervalMS int64    `json:"every_ms"`   // 50 to 600000; default 2000
-	Command             []string `json:"command"`    // run while the machine is out; it returns when this has ended
-	CommandTimeoutMS    int64    `json:"command_ms"` // for the command; default 10 minutes
+	Nodes               []string `json:"nodes"`      // admin addresses of the store; default is the own node
+	Zone                string   `json:"zone"`       // failure domain of the machine
+	Speed               float64  `json:"speed"`      // relative speed of a core; default 1
+	HeartbeatIntervalMS int64    `json:"every_ms"`   // from 50 to 600000; default 2000
+	Command             []string `json:"command"`    // runs while the machine is out, which returns when it exits
+	CommandTimeoutMS    int64    `json:"command_ms"` // timeout of the command; default 10 minutes
 }
 
 const (
@@ -24,7 +24,7 @@
 	defaultSpeed             = 1
 )
 
-// Validate names the field that is not valid.
+// Validate returns an error that names the first field that is not valid.
 func (c *Config) Validate() error {
 	interval := c.HeartbeatIntervalMS
 	switch {
--- a/internal/maintenance/agent/golden_test.go
+++ b/internal/maintenance/agent/golden_test.go
@@ -8,7 +8,7 @@
 	"oxbowbridge/internal/testrig/golden"
 )
 
-// TestGoldenConfig: the configuration file's section and its errors.
+// TestGoldenConfig checks the JSON of the configuration section and the error texts.
 func TestGoldenConfig(t *testing.T) {
 	golden.JSON(t, "testdata/types.golden", golden.Sample{Name: "config", Value: &Config{}})
 	var lines strings.Builder
--- a/internal/maintenance/chart/chart.go
+++ b/internal/maintenance/chart/chart.go
@@ -1,5 +1,5 @@
-// Package chart draws a maintenance plan: which machine is out when, by zone, and the capacity that
-// stays meanwhile.
+// Package chart draws a maintenance plan: the time that each machine is out, grouped by zone, and the
+// capacity that stays in service.
 package chart
 
 import (
@@ -19,18 +19,18 @@
 // Sizes of the chart.
 const (
 	width        = 26 * vg.Centimeter
-	rowHeight    = 0.45 * vg.Centimeter // of one machine
+	rowHeight    = 0.45 * vg.Centimeter // height of the row of one machine
 	minHeight    = 8 * vg.Centimeter
-	spareRows    = 6   // for the title, the axis and the legend
-	legendRows   = 2   // above the machines
-	barThickness = 0.8 // of a row
+	extraRows    = 6   // rows for the title, the axis and the legend
+	legendRows   = 2   // rows above the machines, for the legend
+	barThickness = 0.8 // fraction of a row's height
 )
 
-// Draw writes a chart of a plan to a file, as SVG or PNG by its extension. totalCapacity is that of
-// all machines, in cores.
+// Draw writes a chart of a plan to a file. The file's extension selects the format, such as .svg or .png.
+// totalCapacity is the capacity of all machines, in cores.
 func Draw(path string, plan maintenance.Plan, totalCapacity float64) error {
 	c := plot.New()
-	c.Title.Text = fmt.Sprintf("Machines out for work: %v in all", plan.Duration)
+	c.Title.Text = fmt.Sprintf("Machines out for maintenance: %v in total", plan.Duration)
 	c.X.Label.Text = "minutes from now"
 	c.Y.Label.Text = "machine, by zone"
 	schedule := sortByZone(plan.Schedule)
@@ -43,7 +43,7 @@
 	c.Legend.Top = true
 	c.NominalY(machineNames(schedule)...)
 	c.Y.Max = float64(len(schedule)) + legendRows
-	height := max(minHeight, rowHeight*vg.Length(len(schedule)+spareRows))
+	height := max(minHeight, rowHeight*vg.Length(len(schedule)+extraRows))
 	if err := c.Save(width, height, path); err != nil {
 		return fmt.Errorf("write chart: %w", err)
 	}
@@ -65,7 +65,7 @@
 	return names
 }
 
-// addBars adds a bar for each machine, in its zone's color.
+// addBars adds a bar for each machine, in the color of its zone.
 func addBars(c *plot.Plot, schedule []maintenance.ScheduledTask) error {
 	var zones []string
 	for _, t := range schedule {
@@ -73,7 +73,7 @@
 			zones = append(zones, t.Zone)
 		}
 	}
-	const minColors = 2 // of a palette
+	const minColors = 2 // minimum size of a palette
 	colors := moreland.SmoothBlueRed().Palette(max(len(zones), minColors)).Colors()
 	for row, t := range schedule {
 		bar, err := newBar(row, t)
@@ -95,7 +95,7 @@
 	return plotter.NewPolygon(plotter.XYs{{X: left, Y: bottom}, {X: right, Y: bottom}, {X: right, Y: top}, {X: left, Y: top}})
 }
 
-// addCapacity adds the line of the capacity that stays.
+// addCapacity adds a line that shows the capacity in service.
 func addCapacity(c *plot.Plot, plan maintenance.Plan, totalCapacity float64) error {
 	const lineWidthPoints = 1.5
 	height := float64(max(len(plan.Schedule), 1))
@@ -106,18 +106,18 @@
 	line.Color = color.Black
 	line.Width = vg.Points(lineWidthPoints)
 	c.Add(line)
-	c.Legend.Add(fmt.Sprintf("cores left, of %.0f (full height)", totalCapacity), line)
+	c.Legend.Add(fmt.Sprintf("cores in service, of %.0f (full height)", totalCapacity), line)
 	return nil
 }
 
-// capacityChange is by how much the capacity changes at a time.
+// capacityChange is a change of the capacity in service at a point in time.
 type capacityChange struct {
 	minute float64
-	cores  float64
+	cores  float64 // negative if capacity goes out of service
 }
 
-// capacitySteps returns the capacity that stays over time, as steps, scaled so that totalCapacity is
-// height.
+// capacitySteps returns the capacity in service over time as a step function. It is scaled so that
+// totalCapacity corresponds to height.
 func capacitySteps(plan maintenance.Plan, totalCapacity, height float64) (line plotter.XYs) {
 	changes := []capacityChange{{}}
 	for _, t := range plan.Schedule {
--- a/internal/maintenance/controller/golden_test.go
+++ b/internal/maintenance/controller/golden_test.go
@@ -11,18 +11,18 @@
 	"oxbowbridge/internal/testrig/golden"
 )
 
-// TestGoldenStored: the keys and values under which orders, pauses and heartbeats are
-// stored, the leases' names, and texts of errors.
+// TestGoldenStored checks the keys and the encoded values of stored orders, pauses and heartbeats, the lease names, the
+// error texts, and which reserved keys may be written under the controller's lease.
 func TestGoldenStored(t *testing.T) {
 	var lines strings.Builder
 	fmt.Fprintln(&lines, ControllerLease, MachineLeasePrefix, BudgetKey, orderPrefix, pauseKey, heartbeatPrefix)
-	var j maintenance.Order
-	var b maintenance.Heartbeat
-	var p maintenance.Pause
-	golden.Fill(&j)
-	golden.Fill(&b)
-	golden.Fill(&p)
-	for _, op := range []kv.Op{putOrder(j), putJSON(heartbeatPrefix+b.Name, b), putJSON(pauseKey, p)} {
+	var order maintenance.Order
+	var heartbeat maintenance.Heartbeat
+	var pause maintenance.Pause
+	golden.Fill(&order)
+	golden.Fill(&heartbeat)
+	golden.Fill(&pause)
+	for _, op := range []kv.Op{putOrder(order), putJSON(heartbeatPrefix+heartbeat.Name, heartbeat), putJSON(pauseKey, pause)} {
 		fmt.Fprintln(&lines, op.Kind, op.Key, string(op.Value))
 	}
 	for _, err := range []error{maintenance.ErrWrongPhase, ErrOrderNotFound, ErrConflict} {
@@ -31,7 +31,7 @@
 	for _, phase := range []maintenance.Phase{maintenance.PhaseDraining, maintenance.PhaseOut, maintenance.PhaseReturned} {
 		fmt.Fprintln(&lines, fencesFor("m1", maintenance.PhaseReport{Phase: phase, GrantToken: 7}))
 	}
-	fence := []lease.FencingToken{{Name: "work/order", Token: 7}}
-	fmt.Fprintln(&lines, MayWrite(fence, "_cluster/work/job/m1"), MayWrite(fence, "_cluster/id"), MayWrite(nil, "_cluster/work/job/m1"))
+	fences := []lease.FencingToken{{Name: "work/order", Token: 7}}
+	fmt.Fprintln(&lines, MayWrite(fences, "_cluster/work/job/m1"), MayWrite(fences, "_cluster/id"), MayWrite(nil, "_cluster/work/job/m1"))
 	golden.Text(t, "testdata/stored.golden", lines.String())
 }
--- a/internal/maintenance/controller/heartbeats.go
+++ b/internal/maintenance/controller/heartbeats.go
@@ -14,20 +14,20 @@
 
 const (
 	heartbeatPollInterval = 200 * time.Millisecond
-	maxHeartbeatStaleness = time.Second // of the store's state in which heartbeats are observed
-	maxMissedHeartbeats   = 5           // after which a machine is unreachable
-	unknownAgeMS          = -1
+	maxHeartbeatStaleness = time.Second // maximum age of the store state in which heartbeats are observed
+	maxMissedHeartbeats   = 5           // heartbeat intervals without a heartbeat after which a machine is unreachable
+	unknownAgeMS          = -1          // see maintenance.Machine.UtilizationAgeMS
 )
 
-// observedHeartbeat is when this node noticed a machine's last heartbeat, by its own monotonic
-// clock: for the age of a heartbeat, clocks of two machines are never compared.
+// observedHeartbeat is the time at which this node first saw a machine's last heartbeat, on its own monotonic
+// clock. The age of a heartbeat is never computed from the clocks of two machines.
 type observedHeartbeat struct {
 	sequence   uint64
 	observedAt time.Time
-	count      int // of heartbeats observed; the first one may be old
+	count      int // number of heartbeats observed; the first one may be old
 }
 
-// RecordHeartbeat stores a machine's heartbeat, and returns its order; nil if there is none.
+// RecordHeartbeat stores a machine's heartbeat. It returns the machine's order, or nil if there is none.
 func (c *Controller) RecordHeartbeat(_ context.Context, heartbeat maintenance.Heartbeat) (*maintenance.Order, error) {
 	if err := heartbeat.Validate(); err != nil {
 		return nil, err
@@ -44,8 +44,8 @@
 	return order, json.Unmarshal(e.Value, order)
 }
 
-// observe notes heartbeats and changes of orders as they come, while this node's state is fresh: those in a log
-// that it is catching up with were written long ago.
+// observe polls for new heartbeats and changed orders until ctx ends. It skips polls while this node's state is stale,
+// since a node that replays the log sees heartbeats that were written long ago.
 func (c *Controller) observe(ctx context.Context) {
 	tick := time.NewTicker(heartbeatPollInterval)
 	defer tick.Stop()
@@ -56,17 +56,17 @@
 		case <-tick.C:
 		}
 		if len(c.heartbeats()) == 0 && !c.hasOrders() {
-			continue // without machines, the other nodes are not asked for anything
+			continue // nothing to observe; don't ask other nodes for a fresh state
 		}
 		if _, err := c.store.WaitFresh(ctx, store.Freshness{MaxStaleness: maxHeartbeatStaleness}); err == nil {
-			c.observeAll(c.heartbeats())
+			c.observeHeartbeats(c.heartbeats())
 			c.observeOrders()
 		}
 	}
 }
 
-// heartbeats returns the machines' last heartbeats in this node's state. One that can't be decoded is
-// ignored.
+// heartbeats returns the last heartbeat of each machine in this node's state. It skips those that can't be
+// decoded.
 func (c *Controller) heartbeats() (list []maintenance.Heartbeat) {
 	entries, _ := c.store.Entries()
 	for key, e := range entries {
@@ -78,17 +78,17 @@
 	return list
 }
 
-// machines returns the machines of heartbeats, with what this node knows of their age, sorted by name.
+// machines returns the machines that sent the heartbeats, with ages on this node's clock, sorted by name.
 func (c *Controller) machines(heartbeats []maintenance.Heartbeat, orders []maintenance.Order) (list []maintenance.Machine) {
-	observed, now := c.observeAll(heartbeats)
+	observed, now := c.observeHeartbeats(heartbeats)
 	voters := c.store.Voters()
 	for i, h := range heartbeats {
 		m := observedMachine(h, observed[i], now)
 		if m.State == maintenance.MachineInService && !hasReturned(h, orders) {
 			m.State = maintenance.MachineWarmingUp
 		}
-		// The store's configuration knows better than a last heartbeat, which may be old or from a version that says
-		// the same of a learner. A machine whose node has another name is taken at its word.
+		// The store's membership takes precedence over the heartbeat, which may be old, or from a version that reports
+		// a learner as a voter. For a machine whose node has another name, the heartbeat is the only source.
 		if votes, isMember := voters[m.Name]; isMember {
 			m.IsVoter = votes
 		}
@@ -98,9 +98,9 @@
 	return list
 }
 
-// observeAll notes those heartbeats that are new, at the present time, which it returns, and returns the
-// observation of each.
-func (c *Controller) observeAll(heartbeats []maintenance.Heartbeat) (observed []observedHeartbeat, now time.Time) {
+// observeHeartbeats records the heartbeats that are new as observed now. It returns the observation of each
+// heartbeat, and the current time.
+func (c *Controller) observeHeartbeats(heartbeats []maintenance.Heartbeat) (observed []observedHeartbeat, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now = time.Now()
@@ -110,7 +110,7 @@
 	return observed, now
 }
 
-// observeHeartbeat notes a heartbeat, if it is new. The lock is held.
+// observeHeartbeat records a heartbeat if it is new, and returns its observation. c.mu must be held.
 func (c *Controller) observeHeartbeat(h maintenance.Heartbeat, now time.Time) observedHeartbeat {
 	last, known := c.observed[h.Name]
 	if !known || last.sequence != h.Sequence {
@@ -120,9 +120,8 @@
 	return last
 }
 
-// observedMachine returns a heartbeat's machine as this node observes it: with the age of the
-// heartbeat and the state that follows from it. A machine is unreachable if its heartbeats are
-// missing, or if only one was observed, which may be old.
+// observedMachine returns the machine of a heartbeat, with the age of the heartbeat on this node's clock. The machine
+// is unreachable if its last heartbeat is too old, or if only one was observed, since that one may be old.
 func observedMachine(h maintenance.Heartbeat, observed observedHeartbeat, now time.Time) maintenance.Machine {
 	m := h.Machine
 	age := now.Sub(observed.observedAt)
@@ -138,8 +137,8 @@
 	return m
 }
 
-// hasReturned returns false if a machine's order says that it has returned, but the heartbeat was sent
-// before that: it names no grant, or an earlier one.
+// hasReturned returns false if a machine's order is in phase returned, but the heartbeat was sent before the
+// return: it has no grant token, or an earlier one.
 func hasReturned(h maintenance.Heartbeat, orders []maintenance.Order) bool {
 	i := slices.IndexFunc(orders, func(o maintenance.Order) bool { return o.Machine == h.Name })
 	return i < 0 || orders[i].Phase != maintenance.PhaseReturned || h.GrantToken == orders[i].GrantToken
--- a/internal/maintenance/controller/order_ages.go
+++ b/internal/maintenance/controller/order_ages.go
@@ -7,52 +7,53 @@
 	"oxbowbridge/internal/maintenance"
 )
 
-// observedOrder is when this node noticed an order, and its last change, by its own monotonic clock: as for
-// heartbeats, clocks of two machines are never compared.
+// observedOrder holds the times at which this node first saw an order and its last change, on its own monotonic clock.
+// As with heartbeats, the clocks of two machines are never compared.
 type observedOrder struct {
-	ticket      uint64 // of the order: another one is a new order
-	revision    uint64 // of its last change
+	ticket      uint64 // ticket of the order; another ticket means a new order
+	revision    uint64 // store revision of the last change
 	requestedAt time.Time
 	phaseAt     time.Time
 }
 
-// inLocalTime notes those orders that are new or have changed, at the present time, and returns all orders with the
-// times of this node. What is stored keeps the times of the nodes that wrote it. On a node that has started since,
-// the times begin anew: a timeout is then longer, never shorter.
-func (c *Controller) inLocalTime(s snapshot, now time.Time) []maintenance.Order {
+// ordersInLocalTime records orders that are new or have changed as observed now. It returns all orders with the times
+// at which this node observed them; the stored orders keep the times of the nodes that wrote them. On a node that was
+// started later, the times start over, so a timeout can become longer but never shorter.
+func (c *Controller) ordersInLocalTime(s snapshot, now time.Time) []maintenance.Order {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	orders := slices.Clone(s.observation.Orders)
 	observed := make(map[string]observedOrder, len(orders))
 	for i, o := range orders {
-		seen := c.observeOrder(o, s.orderRevisions[o.Machine], now)
-		observed[o.Machine] = seen
-		orders[i].PhaseSinceMS = s.observation.NowMS - now.Sub(seen.phaseAt).Milliseconds()
-		orders[i].RequestedMS = s.observation.NowMS - now.Sub(seen.requestedAt).Milliseconds()
+		observation := c.observeOrder(o, s.orderRevisions[o.Machine], now)
+		observed[o.Machine] = observation
+		orders[i].PhaseSinceMS = s.observation.NowMS - now.Sub(observation.phaseAt).Milliseconds()
+		orders[i].RequestedMS = s.observation.NowMS - now.Sub(observation.requestedAt).Milliseconds()
 	}
 	c.observedOrders = observed
 	return orders
 }
 
-// observeOrder returns the observation of an order. One that was read before its last change was noticed changes
-// nothing. The lock is held.
+// observeOrder returns the observation of an order. If the order was read before its last observed change, it returns
+// the existing observation. c.mu must be held.
 func (c *Controller) observeOrder(o maintenance.Order, revision uint64, now time.Time) observedOrder {
-	seen, known := c.observedOrders[o.Machine]
-	if known && revision <= seen.revision {
-		return seen
+	previous, known := c.observedOrders[o.Machine]
+	if known && revision <= previous.revision {
+		return previous
 	}
 	next := observedOrder{ticket: o.Ticket, revision: revision, requestedAt: now, phaseAt: now}
-	if known && seen.ticket == o.Ticket {
-		next.requestedAt = seen.requestedAt
+	if known && previous.ticket == o.Ticket {
+		next.requestedAt = previous.requestedAt
 	}
 	return next
 }
 
-// observeOrders notes changes of the orders. It stops at one that can't be decoded, which the next decision logs.
+// observeOrders records changes of the orders. It records nothing if an order can't be decoded; the next decision
+// fails with that error and logs it.
 func (c *Controller) observeOrders() {
 	entries, _ := c.store.Entries()
 	var s snapshot
 	if err := s.readOrders(entries); err == nil {
-		c.inLocalTime(s, time.Now())
+		c.ordersInLocalTime(s, time.Now())
 	}
 }
--- a/internal/maintenance/controller/order_ages_test.go
+++ b/internal/maintenance/controller/order_ages_test.go
@@ -11,8 +11,9 @@
 	"oxbowbridge/internal/testrig"
 )
 
-// TestTimeoutsUseOneClock: a node whose clock is hours off from that of the one before would fail each machine that is
-// out, or never take a grant back.
+// TestTimeoutsUseOneClock guards against timeouts that compare the clocks of two nodes. A new leader whose clock is
+// hours ahead of the previous one's would fail each machine that is out; with a clock that is hours behind, it would
+// never revoke a grant.
 func TestTimeoutsUseOneClock(t *testing.T) {
 	c, _ := newTestController(t)
 	fence := acquireControllerLease(t, c)
@@ -28,7 +29,7 @@
 	require.NoError(t, err)
 	require.NoError(t, c.decideOnce(t.Context(), fence))
 	require.Equal(t, maintenance.PhaseOut, phaseOf(t, c, "m1"))
-	testrig.Await(t, "the grant to be taken back", func() bool {
+	testrig.Await(t, "the grant to be revoked", func() bool {
 		require.NoError(t, c.decideOnce(t.Context(), fence))
 		return phaseOf(t, c, "m2") == maintenance.PhaseRequested
 	})
@@ -42,8 +43,8 @@
 	return order.Phase
 }
 
-// TestObservedOrderAges: an age that began anew with each look would let nothing end, and one that went on over a change
-// of phase would end the next phase at once.
+// TestObservedOrderAges guards against wrong ages of orders. An age that restarts with each poll would prevent all
+// timeouts; an age that is kept over a change of phase would end the next phase at once.
 func TestObservedOrderAges(t *testing.T) {
 	c := &Controller{observedOrders: map[string]observedOrder{}}
 	start := time.Now()
@@ -51,17 +52,17 @@
 		order := maintenance.Order{Machine: "m1", Ticket: ticket, PhaseSinceMS: 5, RequestedMS: 4}
 		s := snapshot{orderRevisions: map[string]uint64{"m1": revision}}
 		s.observation = maintenance.Observation{NowMS: 1_000_000, Orders: []maintenance.Order{order}}
-		local := c.inLocalTime(s, start.Add(after))
-		require.Equal(t, order, s.observation.Orders[0], "what is stored stays")
+		local := c.ordersInLocalTime(s, start.Add(after))
+		require.Equal(t, order, s.observation.Orders[0], "the stored order is not modified")
 		return local[0]
 	}
 	require.Equal(t, int64(1_000_000), observe(0, 7, 3).PhaseSinceMS)
 	require.Equal(t, int64(999_000), observe(time.Second, 7, 3).PhaseSinceMS)
 	next := observe(2*time.Second, 8, 3)
-	require.Equal(t, int64(1_000_000), next.PhaseSinceMS, "another phase")
-	require.Equal(t, int64(998_000), next.RequestedMS, "the same order")
-	require.Equal(t, int64(999_000), observe(3*time.Second, 7, 3).PhaseSinceMS, "a look at an older state")
-	require.Equal(t, int64(1_000_000), observe(4*time.Second, 9, 9).RequestedMS, "another order")
-	c.inLocalTime(snapshot{}, start)
-	require.Empty(t, c.observedOrders, "what is gone is forgotten")
+	require.Equal(t, int64(1_000_000), next.PhaseSinceMS, "the phase has changed")
+	require.Equal(t, int64(998_000), next.RequestedMS, "the order is not a new one")
+	require.Equal(t, int64(999_000), observe(3*time.Second, 7, 3).PhaseSinceMS, "a read of an older state")
+	require.Equal(t, int64(1_000_000), observe(4*time.Second, 9, 9).RequestedMS, "a new order")
+	c.ordersInLocalTime(snapshot{}, start)
+	require.Empty(t, c.observedOrders, "observations of deleted orders are removed")
 }
--- a/internal/maintenance/controller/orders.go
+++ b/internal/maintenance/controller/orders.go
@@ -12,7 +12,7 @@
 	"oxbowbridge/internal/maintenance"
 )
 
-// Submit requests maintenance of a machine that has no open order. Errors wrap
+// Submit stores a new order for a machine that has no open order. Errors wrap
 // maintenance.ErrInvalidOrder, maintenance.ErrWrongPhase or ErrConflict.
 func (c *Controller) Submit(ctx context.Context, order maintenance.Order) (maintenance.Order, error) {
 	order.Phase = maintenance.PhaseRequested
@@ -23,18 +23,18 @@
 	}
 	err := c.changeOrder(ctx, order.Machine, func(old *maintenance.Order) (orderChange, error) {
 		if old != nil && old.Phase.Open() {
-			return orderChange{}, wrongPhase(old)
+			return orderChange{}, wrongPhaseError(old)
 		}
 		order.RequestedMS = time.Now().UnixMilli()
 		order.PhaseSinceMS = order.RequestedMS
 		order.Ticket = c.store.AppliedRevision()
-		return orderChange{to: &order}, nil
+		return orderChange{next: &order}, nil
 	})
 	return order, err
 }
 
-// Cancel withdraws an order, unless its machine has confirmed that it leaves. A failed order is
-// abandoned. Errors wrap ErrOrderNotFound, maintenance.ErrWrongPhase or ErrConflict.
+// Cancel deletes an order whose machine has not confirmed a grant, and abandons a failed order. Errors wrap
+// ErrOrderNotFound, maintenance.ErrWrongPhase or ErrConflict.
 func (c *Controller) Cancel(ctx context.Context, machine string) error {
 	return c.changeOrder(ctx, machine, func(old *maintenance.Order) (orderChange, error) {
 		if old == nil || !old.Phase.Open() {
@@ -42,13 +42,13 @@
 		}
 		next, err := old.Cancel()
 		if err != nil {
-			return orderChange{}, wrongPhase(old)
+			return orderChange{}, wrongPhaseError(old)
 		}
-		return orderChange{to: next}, nil
+		return orderChange{next: next}, nil
 	})
 }
 
-// Report applies a report of a machine's phase. One that a machine drains depends on the machine's
+// Report applies a report of a machine's phase. A report of draining requires the fencing token of the machine's
 // lease. Errors wrap ErrOrderNotFound, maintenance.ErrWrongPhase, kv.ErrFenced or ErrConflict.
 func (c *Controller) Report(ctx context.Context, machine string, report maintenance.PhaseReport) error {
 	apply := func(old *maintenance.Order) (orderChange, error) {
@@ -57,18 +57,19 @@
 		}
 		next, changed, err := old.ApplyReport(report)
 		if err != nil {
-			return orderChange{}, wrongPhase(old)
+			return orderChange{}, wrongPhaseError(old)
 		}
-		return orderChange{to: &next, none: !changed}, nil
+		return orderChange{next: &next, unchanged: !changed}, nil
 	}
 	return c.changeOrder(ctx, machine, apply, fencesFor(machine, report)...)
 }
 
-func wrongPhase(o *maintenance.Order) error {
+// wrongPhaseError returns ErrWrongPhase with the order's current phase.
+func wrongPhaseError(o *maintenance.Order) error {
 	return fmt.Errorf("%w: %s", maintenance.ErrWrongPhase, o.Phase)
 }
 
-// fencesFor returns the leases that a report depends on.
+// fencesFor returns the fencing tokens that a report must hold.
 func fencesFor(machine string, report maintenance.PhaseReport) []lease.FencingToken {
 	if report.Phase != maintenance.PhaseDraining {
 		return nil
@@ -76,14 +77,14 @@
 	return []lease.FencingToken{{Name: MachineLeasePrefix + machine, Token: report.GrantToken}}
 }
 
-// orderChange is what becomes of an order.
+// orderChange is a change of an order.
 type orderChange struct {
-	to   *maintenance.Order // nil deletes it
-	none bool               // it stays as it is
+	next      *maintenance.Order // new value; nil deletes the order
+	unchanged bool               // the order stays as it is; next is ignored
 }
 
-// changeOrder changes a machine's order; old is nil if there is none. The error is ErrConflict if it
-// was changed meanwhile.
+// changeOrder applies change to a machine's order; old is nil if there is none. The error is ErrConflict if
+// the order was changed concurrently.
 func (c *Controller) changeOrder(
 	ctx context.Context,
 	machine string,
@@ -98,8 +99,8 @@
 	if err != nil {
 		return err
 	}
-	next, err := change(old)
-	if err != nil || next.none {
+	result, err := change(old)
+	if err != nil || result.unchanged {
 		return err
 	}
 	request := kv.Request{
@@ -107,16 +108,16 @@
 		If:     []kv.Compare{{Key: key, Revision: revision}},
 		Then:   []kv.Op{kv.Delete(key)},
 	}
-	if next.to != nil {
-		if old == nil || next.to.Phase != old.Phase {
-			next.to.PhaseSinceMS = time.Now().UnixMilli()
+	if result.next != nil {
+		if old == nil || result.next.Phase != old.Phase {
+			result.next.PhaseSinceMS = time.Now().UnixMilli()
 		}
-		request.Then = []kv.Op{putOrder(*next.to)}
+		request.Then = []kv.Op{putOrder(*result.next)}
 	}
-	return c.executeUnchanged(request)
+	return c.executeIfUnchanged(request)
 }
 
-// readOrder reads an order and its revision; nil and 0 if there is none.
+// readOrder reads an order and its revision. It returns nil and 0 if there is no order.
 func (c *Controller) readOrder(key string) (*maintenance.Order, uint64, error) {
 	e, ok := c.store.Entry(key)
 	if !ok {
@@ -129,8 +130,8 @@
 	return order, e.ModRevision, nil
 }
 
-// executeUnchanged carries out a request whose comparisons must hold.
-func (c *Controller) executeUnchanged(request kv.Request) error {
+// executeIfUnchanged executes a request. The error is ErrConflict if one of its comparisons fails.
+func (c *Controller) executeIfUnchanged(request kv.Request) error {
 	response, err := c.store.Execute(request)
 	if err == nil && !response.Succeeded {
 		return ErrConflict
--- a/internal/maintenance/controller/run.go
+++ b/internal/maintenance/controller/run.go
@@ -17,13 +17,13 @@
 const (
 	decisionInterval = 200 * time.Millisecond
 	decisionTimeout  = 3 * time.Second
-	// maxTransitions is how many transitions one request to the store carries out.
-	maxTransitions = kv.MaxOps / 2
-	maxSummarized  = 5 // transitions that a line of the log names, of a decision that was not carried out
+	// maxTransitions is the maximum number of transitions in one request to the store.
+	maxTransitions           = kv.MaxOps / 2
+	maxSummarizedTransitions = 5 // transitions named in the log or in an error when a decision was not written
 )
 
-// Run decides under ControllerLease until ctx, which ends with the lease, ends. A write that finds the lease
-// lost ends it at once, on any node, with kv.ErrFenced.
+// Run makes and writes decisions under ControllerLease until ctx ends, which must end with the lease. It returns
+// kv.ErrFenced as soon as a write finds that the lease is lost, also if this node is a follower.
 func (c *Controller) Run(ctx context.Context, fence lease.FencingToken) error {
 	tick := time.NewTicker(decisionInterval)
 	defer tick.Stop()
@@ -33,7 +33,7 @@
 				return err
 			}
 			c.log.Warn("maintenance decision failed", zap.Int64("retry_in_ms", decisionInterval.Milliseconds()), zap.Error(err))
-			time.Sleep(decisionInterval) // besides the wait for the next tick
+			time.Sleep(decisionInterval) // in addition to the wait for the next tick
 		}
 		select {
 		case <-ctx.Done():
@@ -43,8 +43,8 @@
 	}
 }
 
-// decideOnce carries out what is to be done now. If anything that was decided on has changed meanwhile,
-// the store changes nothing, and the next tick decides anew.
+// decideOnce makes one decision and writes it. If an order or the pause has changed since it was read, the store
+// writes nothing, and the next tick makes a new decision.
 func (c *Controller) decideOnce(ctx context.Context, fence lease.FencingToken) error {
 	if !c.hasOrders() {
 		return nil
@@ -60,28 +60,28 @@
 		return nil
 	}
 	decision.Transitions = decision.Transitions[:min(len(decision.Transitions), maxTransitions)]
-	return c.carryOut(ctx, decision, s, fence)
+	return c.writeDecision(ctx, decision, s, fence)
 }
 
-// carryOut writes a decision, and logs it once it is in the store. After any error but kv.ErrFenced it may be
-// there all the same; the error then says what was decided.
-func (c *Controller) carryOut(ctx context.Context, decision maintenance.Decision, s snapshot, fence lease.FencingToken) error {
-	response, err := c.store.ExecuteAnywhere(ctx, requestFor(decision, s, fence))
+// writeDecision writes a decision to the store, and logs it once it is written. After an error other than kv.ErrFenced,
+// the decision may have been written, so the error names its changes.
+func (c *Controller) writeDecision(ctx context.Context, decision maintenance.Decision, s snapshot, fence lease.FencingToken) error {
+	response, err := c.store.ExecuteAnywhere(ctx, decisionRequest(decision, s, fence))
 	if err != nil {
 		return fmt.Errorf("%s: %w", summary(decision), err)
 	}
 	if !response.Succeeded {
-		c.log.Info("maintenance decision refused, something it rests on has changed", zap.String("decision", summary(decision)))
+		c.log.Info("maintenance decision rejected, an order or the pause has changed", zap.String("decision", summary(decision)))
 		return nil
 	}
 	c.logDecision(decision)
 	return nil
 }
 
-// summary names what a decision changes, in short.
+// summary returns a short list of a decision's changes.
 func summary(decision maintenance.Decision) string {
 	var changes []string
-	for _, t := range decision.Transitions[:min(len(decision.Transitions), maxSummarized)] {
+	for _, t := range decision.Transitions[:min(len(decision.Transitions), maxSummarizedTransitions)] {
 		changes = append(changes, fmt.Sprintf("%s to %s", t.Machine, t.To))
 	}
 	if more := len(decision.Transitions) - len(changes); more > 0 {
@@ -93,9 +93,9 @@
 	return strings.Join(changes, ", ")
 }
 
-// requestFor returns a decision as a request, which is carried out only if the lease is held and nothing
-// that was decided on has changed.
-func requestFor(decision maintenance.Decision, s snapshot, fence lease.FencingToken) kv.Request {
+// decisionRequest returns the store request that writes a decision. It takes effect only if the lease is still held
+// and if neither the pause nor any order that the decision changes has changed since the snapshot.
+func decisionRequest(decision maintenance.Decision, s snapshot, fence lease.FencingToken) kv.Request {
 	request := kv.Request{
 		Fences: []lease.FencingToken{fence},
 		If:     []kv.Compare{{Key: pauseKey, Revision: s.pauseRevision}},
@@ -119,7 +119,7 @@
 	return request
 }
 
-// logDecision logs a decision that the store has carried out.
+// logDecision logs a decision that has been written to the store.
 func (c *Controller) logDecision(decision maintenance.Decision) {
 	for _, t := range decision.Transitions {
 		c.log.Info("maintenance order changes phase", zap.String("machine", t.Machine), zap.Stringer("phase", t.To), zap.String("reason", t.Reason))
@@ -129,7 +129,7 @@
 	}
 }
 
-// hasOrders reports whether there is any order in this node's state, which may be behind.
+// hasOrders reports whether there is any order in this node's state, which may be stale.
 func (c *Controller) hasOrders() bool {
 	entries, _ := c.store.Entries()
 	for key := range entries {
--- a/internal/maintenance/controller/snapshot.go
+++ b/internal/maintenance/controller/snapshot.go
@@ -13,15 +13,15 @@
 	"oxbowbridge/internal/maintenance"
 )
 
-// snapshot is all that the store has of maintenance, with the revisions of what a decision changes.
+// snapshot is the maintenance state in the store, with the revisions of the keys that a decision changes.
 type snapshot struct {
 	observation    maintenance.Observation
-	orderRevisions map[string]uint64   // by machine
-	pauseRevision  uint64              // 0 if maintenance was never paused
-	localOrders    []maintenance.Order // the observation's orders, with times by this node's clock
+	orderRevisions map[string]uint64   // store revisions of the orders, by machine
+	pauseRevision  uint64              // store revision of the pause; 0 if maintenance was never paused
+	localOrders    []maintenance.Order // the observation's orders, with times on this node's clock
 }
 
-// readSnapshot reads the present state.
+// readSnapshot waits until this node's state is fresh and reads it.
 func (c *Controller) readSnapshot(ctx context.Context) (s snapshot, err error) {
 	if _, err := c.store.WaitFresh(ctx, store.Freshness{}); err != nil {
 		return s, err
@@ -36,13 +36,13 @@
 	if err := s.readOrders(entries); err != nil {
 		return s, err
 	}
-	s.localOrders = c.inLocalTime(s, now)
+	s.localOrders = c.ordersInLocalTime(s, now)
 	s.observation.Machines = c.machines(c.heartbeats(), s.observation.Orders)
 	return s, nil
 }
 
-// decide returns what is to be done now. Phases time out by this node's clock alone; only the latest start of an
-// order is an absolute time.
+// decide returns the decision for the snapshot. Timeouts of phases depend on this node's clock alone; only the latest
+// start of an order is an absolute time.
 func (s *snapshot) decide() maintenance.Decision {
 	observation := s.observation
 	observation.Orders = s.localOrders
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// readBudget reads the budget that operators have set. One that is not valid pauses maintenance.
+// readBudget reads the budget that operators have set. A budget that is not valid pauses maintenance.
 func (s *snapshot) readBudget(entries map[string]kv.Entry) {
 	e, ok := entries[BudgetKey]
 	if !ok {
@@ -97,7 +97,7 @@
 	return nil
 }
 
-// order returns the order of a machine, which must have one.
+// order returns the order of a machine. The machine must have one.
 func (s *snapshot) order(machine string) maintenance.Order {
 	i := slices.IndexFunc(s.observation.Orders, func(o maintenance.Order) bool { return o.Machine == machine })
 	return s.observation.Orders[i]
--- a/internal/maintenance/controller/status.go
+++ b/internal/maintenance/controller/status.go
@@ -7,7 +7,7 @@
 	"oxbowbridge/internal/maintenance"
 )
 
-// SetPause pauses maintenance, or resumes it. Resuming acknowledges the failures so far.
+// SetPause pauses or resumes maintenance. Resuming acknowledges all current failures.
 func (c *Controller) SetPause(ctx context.Context, paused bool, reason string) error {
 	s, err := c.readSnapshot(ctx)
 	if err != nil {
@@ -19,7 +19,7 @@
 	} else {
 		pause.AcknowledgedFailures = failedMachines(s.observation.Orders)
 	}
-	return c.executeUnchanged(kv.Request{
+	return c.executeIfUnchanged(kv.Request{
 		If:   []kv.Compare{{Key: pauseKey, Revision: s.pauseRevision}},
 		Then: []kv.Op{putJSON(pauseKey, pause)},
 	})
@@ -34,7 +34,7 @@
 	return machines
 }
 
-// Status returns all orders and machines, and why the orders that wait do.
+// Status returns all orders and machines, and why each waiting order is not granted.
 func (c *Controller) Status(ctx context.Context) (status maintenance.Status, err error) {
 	s, err := c.readSnapshot(ctx)
 	if err != nil {
