--- a/cmd/oxbowbridge/work.go
+++ b/cmd/oxbowbridge/work.go
@@ -156,7 +156,7 @@
 			if err := printMaintenance(out, status); err != nil {
 				return err
 			}
-			if !slices.ContainsFunc(status.Orders, func(o maintenance.OrderStatus) bool { return o.Phase.Open() }) {
+			if !slices.ContainsFunc(status.Orders, func(o maintenance.OrderStatus) bool { return o.Phase.IsOpen() }) {
 				return nil
 			}
 		}
--- a/internal/maintenance/budget.go
+++ b/internal/maintenance/budget.go
@@ -19,12 +19,12 @@
 	SpareCapacityFraction   float64 `json:"spare"`       // unused fraction of the capacity in service, in [0, 1); default 0.2
 	MaxUtilizationAgeMS     int64   `json:"gauge_ms"`    // a utilization that is older counts as 1; default 10 s
 	ConfirmTimeoutMS        int64   `json:"confirm_ms"`  // time for a machine to confirm a grant; default 15 s
-	OverrunAllowanceMS      int64   `json:"over_ms"`     // how late a machine may finish draining, or return; default 60 s
+	OverrunGracePeriodMS    int64   `json:"over_ms"`     // how late a machine may finish draining, or return; default 60 s
 	WarmUpTimeoutMS         int64   `json:"warm_ms"`     // time for a returned machine to be in service; default 120 s
 	AbandonAfterMS          int64   `json:"give_up_ms"`  // time until a failed machine stops counting as out; 0 (default) is never
 	MaxFailures             int     `json:"failures"`    // unacknowledged failures at which maintenance pauses; default 2
 	SpareVoters             int     `json:"voter_spare"` // store voters that stay in service beyond a quorum; default 1
-	OvertakingPeriodMS      int64   `json:"patience_ms"` // how long orders may overtake the queue's head; default 600 s
+	MaxOvertakingMS         int64   `json:"patience_ms"` // how long orders may overtake the queue's head; default 600 s
 }
 
 // DefaultDisruptionBudget returns the budget that applies until operators set another one.
@@ -37,17 +37,17 @@
 		SpareCapacityFraction:   0.2,
 		MaxUtilizationAgeMS:     10_000,
 		ConfirmTimeoutMS:        15_000,
-		OverrunAllowanceMS:      60_000,
+		OverrunGracePeriodMS:    60_000,
 		WarmUpTimeoutMS:         120_000,
 		MaxFailures:             2,
 		SpareVoters:             1,
-		OvertakingPeriodMS:      600_000,
+		MaxOvertakingMS:         600_000,
 	}
 }
 
 // Validate returns an error that names the first field out of range. The error wraps ErrInvalidBudget.
 func (b DisruptionBudget) Validate() error {
-	timeouts := min(b.MaxUtilizationAgeMS, b.ConfirmTimeoutMS, b.OverrunAllowanceMS, b.WarmUpTimeoutMS, b.OvertakingPeriodMS)
+	timeouts := min(b.MaxUtilizationAgeMS, b.ConfirmTimeoutMS, b.OverrunGracePeriodMS, b.WarmUpTimeoutMS, b.MaxOvertakingMS)
 	for _, check := range []struct {
 		valid bool
 		text  string
--- a/internal/maintenance/controller/orders.go
+++ b/internal/maintenance/controller/orders.go
@@ -22,7 +22,7 @@
 		return order, err
 	}
 	err := c.changeOrder(ctx, order.Machine, func(old *maintenance.Order) (orderChange, error) {
-		if old != nil && old.Phase.Open() {
+		if old != nil && old.Phase.IsOpen() {
 			return orderChange{}, wrongPhaseError(old)
 		}
 		order.RequestedMS = time.Now().UnixMilli()
@@ -37,7 +37,7 @@
 // ErrOrderNotFound, maintenance.ErrWrongPhase or ErrConflict.
 func (c *Controller) Cancel(ctx context.Context, machine string) error {
 	return c.changeOrder(ctx, machine, func(old *maintenance.Order) (orderChange, error) {
-		if old == nil || !old.Phase.Open() {
+		if old == nil || !old.Phase.IsOpen() {
 			return orderChange{}, ErrOrderNotFound
 		}
 		next, err := old.Cancel()
--- a/internal/maintenance/decide.go
+++ b/internal/maintenance/decide.go
@@ -65,7 +65,7 @@
 		if d.HeadOfQueue == "" {
 			d.HeadOfQueue = o.Machine
 		}
-		overtakenTooLong := i == 0 && usage.isInService(o.Machine) && obs.NowMS-o.RequestedMS > obs.Budget.OvertakingPeriodMS
+		overtakenTooLong := i == 0 && usage.isInService(o.Machine) && obs.NowMS-o.RequestedMS > obs.Budget.MaxOvertakingMS
 		if blockedReason == "" && overtakenTooLong {
 			blockedReason = o.Machine + " has waited for long and goes first"
 		}
--- a/internal/maintenance/decide_test.go
+++ b/internal/maintenance/decide_test.go
@@ -38,7 +38,7 @@
 
 // TestRefusalReasons checks that each limit of the budget by itself prevents a grant, and is named in the reason.
 func TestRefusalReasons(t *testing.T) {
-	unlimited := DisruptionBudget{MaxOut: 100, MaxOutPerZone: 100, MaxCapacityFraction: 1, MaxZoneCapacityFraction: 1, MaxUtilizationAgeMS: 1000, ConfirmTimeoutMS: 1000, OverrunAllowanceMS: 1000, WarmUpTimeoutMS: 1000, MaxFailures: 2, OvertakingPeriodMS: 1000}
+	unlimited := DisruptionBudget{MaxOut: 100, MaxOutPerZone: 100, MaxCapacityFraction: 1, MaxZoneCapacityFraction: 1, MaxUtilizationAgeMS: 1000, ConfirmTimeoutMS: 1000, OverrunGracePeriodMS: 1000, WarmUpTimeoutMS: 1000, MaxFailures: 2, MaxOvertakingMS: 1000}
 	require.NoError(t, unlimited.Validate())
 	for want, change := range map[string]func(obs *Observation){
 		"":                       func(*Observation) {},
@@ -88,7 +88,7 @@
 		state   MachineState
 		afterMS int64
 		to      Phase
-	}{{PhaseGranted, MachineInService, budget.ConfirmTimeoutMS + 1, PhaseRequested}, {PhaseDraining, MachineInService, budget.OverrunAllowanceMS + 1, PhaseFailed}, {PhaseOut, MachineUnreachable, 60_000 + budget.OverrunAllowanceMS + 1, PhaseFailed}, {PhaseOut, MachineUnreachable, 60_000, ""},
+	}{{PhaseGranted, MachineInService, budget.ConfirmTimeoutMS + 1, PhaseRequested}, {PhaseDraining, MachineInService, budget.OverrunGracePeriodMS + 1, PhaseFailed}, {PhaseOut, MachineUnreachable, 60_000 + budget.OverrunGracePeriodMS + 1, PhaseFailed}, {PhaseOut, MachineUnreachable, 60_000, ""},
 		{PhaseReturned, MachineInService, 1, PhaseCompleted}, {PhaseReturned, MachineWarmingUp, budget.WarmUpTimeoutMS, ""}, {PhaseReturned, MachineWarmingUp, budget.WarmUpTimeoutMS + 1, PhaseFailed}, {PhaseFailed, MachineUnreachable, 5001, PhaseAbandoned}, {PhaseFailed, MachineUnreachable, 5000, ""}} {
 		order := newOrders("m0")[0]
 		order.Phase = test.from
@@ -105,7 +105,7 @@
 }
 
 // TestOvertakingPeriod guards against starvation: later orders may overtake one that does not fit into the budget, but
-// not once it has waited for longer than OvertakingPeriodMS.
+// not once it has waited for longer than MaxOvertakingMS.
 func TestOvertakingPeriod(t *testing.T) {
 	obs := Observation{Machines: newMachines(30), Orders: newOrders("m3", "m10", "m11"), Budget: DefaultDisruptionBudget(), NowMS: 1}
 	obs.Budget.MaxOut, obs.Budget.MaxCapacityFraction, obs.Budget.SpareCapacityFraction, obs.Budget.MaxOutPerZone = 3, 1, 0, 3
@@ -114,7 +114,7 @@
 	decision := Decide(obs)
 	assert.Contains(t, decision.WaitReasons["m3"], "copies")
 	assert.Len(t, decision.Transitions, 2, "the other orders overtake it")
-	obs.NowMS = obs.Budget.OvertakingPeriodMS + 2
+	obs.NowMS = obs.Budget.MaxOvertakingMS + 2
 	decision = Decide(obs)
 	assert.Empty(t, decision.Transitions)
 	assert.Contains(t, decision.WaitReasons["m10"], "m3 has waited")
--- a/internal/maintenance/doc.go
+++ b/internal/maintenance/doc.go
@@ -6,7 +6,7 @@
 // draining, out and returned to completed (see Phase for all transitions). The DisruptionBudget, which
 // operators set, limits how many machines and how much capacity may be out of service at a time. Orders
 // wait in a Queue by priority and then by time of arrival. Later orders may overtake one that does not
-// fit into the budget, but for at most DisruptionBudget.OvertakingPeriodMS.
+// fit into the budget, but for at most DisruptionBudget.MaxOvertakingMS.
 //
 // A Plan is a forecast for operators: a schedule of all waiting orders. No decision depends on it.
 //
--- a/internal/maintenance/phase.go
+++ b/internal/maintenance/phase.go
@@ -10,8 +10,8 @@
 //	requested -> granted     the budget allows it
 //	requested -> expired     LatestStartMS has passed
 //	granted   -> requested   not confirmed within ConfirmTimeoutMS
-//	draining  -> failed      not out within OverrunAllowanceMS
-//	out       -> failed      not back within the order's duration plus OverrunAllowanceMS
+//	draining  -> failed      not out within OverrunGracePeriodMS
+//	out       -> failed      not back within the order's duration plus OverrunGracePeriodMS
 //	returned  -> completed   the machine is in service
 //	returned  -> failed      not in service within WarmUpTimeoutMS
 //	failed    -> abandoned   AbandonAfterMS has passed, if it is set
@@ -48,8 +48,8 @@
 // String returns the stored form of the phase.
 func (p Phase) String() string { return string(p) }
 
-// Open reports whether the phase is not final.
-func (p Phase) Open() bool {
+// IsOpen reports whether the phase is not final.
+func (p Phase) IsOpen() bool {
 	return p != PhaseCompleted && p != PhaseAbandoned && p != PhaseExpired
 }
 
@@ -126,9 +126,9 @@
 		return PhaseExpired, "its latest time is over"
 	case o.Phase == PhaseGranted && inPhaseMS > budget.ConfirmTimeoutMS:
 		return PhaseRequested, "not confirmed in time"
-	case o.Phase == PhaseDraining && inPhaseMS > budget.OverrunAllowanceMS:
+	case o.Phase == PhaseDraining && inPhaseMS > budget.OverrunGracePeriodMS:
 		return PhaseFailed, "did not say that it is out"
-	case o.Phase == PhaseOut && inPhaseMS > o.DurationMS+budget.OverrunAllowanceMS:
+	case o.Phase == PhaseOut && inPhaseMS > o.DurationMS+budget.OverrunGracePeriodMS:
 		return PhaseFailed, "did not come back in time"
 	case o.Phase == PhaseReturned && machine.State == MachineInService:
 		return PhaseCompleted, ""
--- a/internal/maintenance/simulation_test.go
+++ b/internal/maintenance/simulation_test.go
@@ -201,7 +201,7 @@
 		s.step(budget)
 		open := 0
 		for _, order := range s.orders {
-			if order.Phase.Open() {
+			if order.Phase.IsOpen() {
 				open++
 			}
 		}
--- a/internal/maintenance/wait_reason_test.go
+++ b/internal/maintenance/wait_reason_test.go
@@ -11,7 +11,7 @@
 // not find a permanently removed machine that has no order and still counts as out.
 func TestWaitReasonNamesMachines(t *testing.T) {
 	unlimited := DisruptionBudget{MaxOut: 100, MaxOutPerZone: 100, MaxCapacityFraction: 1, MaxZoneCapacityFraction: 1, MaxUtilizationAgeMS: 1000,
-		ConfirmTimeoutMS: 1000, OverrunAllowanceMS: 1000, WarmUpTimeoutMS: 1000, MaxFailures: 2, OvertakingPeriodMS: 1000}
+		ConfirmTimeoutMS: 1000, OverrunGracePeriodMS: 1000, WarmUpTimeoutMS: 1000, MaxFailures: 2, MaxOvertakingMS: 1000}
 	for _, test := range []struct {
 		want   string
 		change func(obs *Observation)
--- a/tests/work_test.go
+++ b/tests/work_test.go
@@ -90,7 +90,7 @@
 	l.MaxOut, l.MaxOutPerZone, l.MaxCapacityFraction, l.MaxZoneCapacityFraction, l.SpareCapacityFraction = 2, 1, 0.5, 1, 0
 	change(&l)
 	y.Put(0, "config/work", fmt.Sprintf(`{"most":%d,"most_zone":%d,"share":%g,"share_zone":%g,"spare":%g,"over_ms":%d,"warm_ms":%d,"failures":%d}`,
-		l.MaxOut, l.MaxOutPerZone, l.MaxCapacityFraction, l.MaxZoneCapacityFraction, l.SpareCapacityFraction, l.OverrunAllowanceMS, l.WarmUpTimeoutMS, l.MaxFailures))
+		l.MaxOut, l.MaxOutPerZone, l.MaxCapacityFraction, l.MaxZoneCapacityFraction, l.SpareCapacityFraction, l.OverrunGracePeriodMS, l.WarmUpTimeoutMS, l.MaxFailures))
 }
 
 func (y *yard) states(t *testing.T) map[string]maintenance.Phase {
