--- a/internal/cluster/store/golden_test.go
+++ b/internal/cluster/store/golden_test.go
@@ -19,8 +19,9 @@
 	"oxbowbridge/internal/cluster/storeapi"
 )
 
-// golden checks that a value is written as the text, and that the text is read as the value.
-func golden[T any](t *testing.T, value T, text string) {
+// assertGoldenJSON checks that a value encodes to the given JSON text, and that the text decodes to the
+// value.
+func assertGoldenJSON[T any](t *testing.T, value T, text string) {
 	t.Helper()
 	got, err := json.Marshal(value)
 	require.NoError(t, err)
@@ -30,9 +31,9 @@
 	assert.Equal(t, value, back)
 }
 
-// TestGoldenLogEntries: what the log of a released version holds.
+// TestGoldenLogEntries checks the formats of log entries that released versions have written.
 func TestGoldenLogEntries(t *testing.T) {
-	golden(t, []command{{Key: "a/b", Value: json.RawMessage(`{"n":1}`)}, {Key: "c", Value: json.RawMessage("null")}},
+	assertGoldenJSON(t, []command{{Key: "a/b", Value: json.RawMessage(`{"n":1}`)}, {Key: "c", Value: json.RawMessage("null")}},
 		`[{"key":"a/b","value":{"n":1}},{"key":"c","value":null}]`)
 	r, err := decodeLogEntry([]byte(`[{"key":"a/b","value":{"n":1}},{"key":"c","value":null}]`))
 	require.NoError(t, err)
@@ -50,7 +51,8 @@
 	`"sessions":{"3":{"seen_ms":1000,"last":0,"kept":null}},` +
 	`"leases":{"last":0,"queued":0,"leases":{}},"sum":{"from":0,"sum":8230598266570899889}}` + "\n"
 
-// TestGoldenSnapshot: a snapshot is the state as JSON, with a line feed; it is read as it was.
+// TestGoldenSnapshot checks that a snapshot is the state as one line of JSON, and that a restored state
+// writes an identical snapshot.
 func TestGoldenSnapshot(t *testing.T) {
 	s := newReplicatedState()
 	for i, text := range []string{`[{"key":"a","value":1},{"key":"b","value":2}]`, `[{"key":"b","value":null}]`, `{"time_ms":1000,"open":true,"then":null}`} {
@@ -58,34 +60,34 @@
 	}
 	snap, err := s.Snapshot()
 	require.NoError(t, err)
-	sink := &bufSink{}
+	sink := &memorySink{}
 	require.NoError(t, snap.Persist(sink))
 	text := sink.String()
 	assert.Equal(t, goldenState, text)
 
 	to := newReplicatedState()
 	require.NoError(t, to.Restore(io.NopCloser(strings.NewReader(text))))
-	sink2 := &bufSink{}
+	restoredSink := &memorySink{}
 	snap, err = to.Snapshot()
 	require.NoError(t, err)
-	require.NoError(t, snap.Persist(sink2))
-	assert.Equal(t, text, sink2.String())
+	require.NoError(t, snap.Persist(restoredSink))
+	assert.Equal(t, text, restoredSink.String())
 }
 
-// TestGoldenKept: what a node keeps beside its log.
-func TestGoldenKept(t *testing.T) {
-	assert.Equal(t, []string{"disk", "starts", "joiner", "seen", "apart"}, []string{localDiskID, localStarts, localReplacement, localPeerWatermarks, localDiverged})
-	golden(t, watermarks{"n1@5f": {Starts: 1, Term: 2, LastTerm: 3, LastIndex: 4}},
+// TestGoldenLocalValues checks the names and formats of the values that a node stores beside its log.
+func TestGoldenLocalValues(t *testing.T) {
+	assert.Equal(t, []string{"disk", "starts", "joiner", "seen", "apart"}, []string{diskIDKey, startCountKey, replacementKey, peerWatermarksKey, divergedKey})
+	assertGoldenJSON(t, watermarks{"n1@5f": {Starts: 1, Term: 2, LastTerm: 3, LastIndex: 4}},
 		`{"n1@5f":{"starts":1,"term":2,"last_term":3,"last_index":4}}`)
-	golden(t, GoodVersion{Revision: 7, Value: json.RawMessage(`{"x":1}`)}, `{"revision":7,"value":{"x":1}}`)
-	assert.Equal(t, "_cluster/restored", restoredKey)
-	golden(t, RecoveryReport{Node: "n1", ID: "n1@5f", Cluster: "c", Watermark: diskidentity.Watermark{Starts: 1}, Keys: 2, Members: []string{"n1@5f"}, Voters: []string{"n1@5f"},
+	assertGoldenJSON(t, LastGoodVersion{Revision: 7, Value: json.RawMessage(`{"x":1}`)}, `{"revision":7,"value":{"x":1}}`)
+	assert.Equal(t, "_cluster/restored", restoreResultKey)
+	assertGoldenJSON(t, RecoveryReport{Node: "n1", ID: "n1@5f", Cluster: "c", Watermark: diskidentity.Watermark{Starts: 1}, Keys: 2, Members: []string{"n1@5f"}, Voters: []string{"n1@5f"},
 		LastObserved: map[string]diskidentity.Watermark{"n2@6f": {Term: 1}}, Missing: []string{"m"}, NewCluster: "d"},
 		`{"node":"n1","id":"n1@5f","cluster":"c","mark":{"starts":1,"term":0,"last_term":0,"last_index":0},"keys":2,"members":["n1@5f"],"voters":["n1@5f"],`+
 			`"seen":{"n2@6f":{"starts":0,"term":1,"last_term":0,"last_index":0}},"missing":["m"],"new_cluster":"d"}`)
 }
 
-// TestGoldenAddress: a member's address in the cluster's configuration.
+// TestGoldenAddress checks the format of a member's address in the cluster's configuration.
 func TestGoldenAddress(t *testing.T) {
 	p := Peer{Name: "n1", Raft: "127.0.0.1:1", Admin: "127.0.0.1:2", Zone: "z"}
 	assert.EqualValues(t, "n1@5f|127.0.0.1:1|127.0.0.1:2|z", encodeAddress(p, "n1@5f"))
@@ -93,37 +95,37 @@
 	assert.Equal(t, Peer{Name: "n1", Raft: "127.0.0.1:1"}, decodePeer("n1", "127.0.0.1:1"))
 }
 
-// TestGoldenHandshake: what two nodes say to each other before Raft's own.
+// TestGoldenHandshake checks the handshake of two nodes, which precedes Raft's protocol on a connection.
 func TestGoldenHandshake(t *testing.T) {
-	golden(t, handshakeHeader{From: "n1@5f", To: "n2@6f", Cluster: "c"}, `{"from":"n1@5f","to":"n2@6f","cluster":"c"}`)
-	golden(t, handshakeHeader{From: "n1@5f", To: "n2@6f"}, `{"from":"n1@5f","to":"n2@6f"}`)
+	assertGoldenJSON(t, handshakeHeader{From: "n1@5f", To: "n2@6f", Cluster: "c"}, `{"from":"n1@5f","to":"n2@6f","cluster":"c"}`)
+	assertGoldenJSON(t, handshakeHeader{From: "n1@5f", To: "n2@6f"}, `{"from":"n1@5f","to":"n2@6f"}`)
 	cluster := func() string { return "c" }
-	w, err := listenPeers("127.0.0.1:0", "n2@6f", cluster, func(string) (Peer, bool) { return Peer{}, false })
+	transport, err := listenPeers("127.0.0.1:0", "n2@6f", cluster, func(string) (Peer, bool) { return Peer{}, false })
 	require.NoError(t, err)
-	t.Cleanup(func() { w.Close() })
+	t.Cleanup(func() { transport.Close() })
 	go func() {
 		for {
-			if _, err := w.Accept(); err != nil {
+			if _, err := transport.Accept(); err != nil {
 				return
 			}
 		}
 	}()
-	for _, x := range [][2]string{
+	for _, exchange := range [][2]string{
 		{`oxbowbridge/1 {"from":"n1@5f","to":"n2@6f","cluster":"c"}`, "yes\n"},
 		{`oxbowbridge/1 {"from":"n1@5f","to":"n2@6f"}`, "yes\n"},
 		{`oxbowbridge/1 {"from":"n1@5f","to":"n2@7f"}`, "no: another is meant: this is n2@6f, not n2@7f\n"},
 		{`oxbowbridge/1 {"from":"n1@5f","to":"n2@6f","cluster":"d"}`, "no: another is meant: this is of cluster c, not of d\n"},
 		{`oxbowbridge/2 {}`, "no: greeting can't be read\n"},
 	} {
-		assert.Equal(t, x[1], answerTo(t, w.Addr().String(), x[0]+"\n", len(x[1])), x[0])
+		assert.Equal(t, exchange[1], sendAndReadReply(t, transport.Addr().String(), exchange[0]+"\n", len(exchange[1])), exchange[0])
 	}
-	// And what the one that connects sends.
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	// Checks the handshake line that a connecting node sends.
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	t.Cleanup(func() { ln.Close() })
+	t.Cleanup(func() { listener.Close() })
 	got := make(chan string, 1)
 	go func() {
-		c, err := ln.Accept()
+		c, err := listener.Accept()
 		if err != nil {
 			return
 		}
@@ -133,13 +135,14 @@
 		got <- string(b[:n])
 		c.Write([]byte("yes\n"))
 	}()
-	c, err := w.Dial(raft.ServerAddress("n1@5f|"+ln.Addr().String()+"||"), time.Second)
+	c, err := transport.Dial(raft.ServerAddress("n1@5f|"+listener.Addr().String()+"||"), time.Second)
 	require.NoError(t, err)
 	c.Close()
 	assert.Equal(t, `oxbowbridge/1 {"from":"n2@6f","to":"n1@5f","cluster":"c"}`+"\n", <-got)
 }
 
-func answerTo(t *testing.T, addr, text string, size int) string {
+// sendAndReadReply sends text to an address and returns up to size bytes of the reply.
+func sendAndReadReply(t *testing.T, addr, text string, size int) string {
 	c, err := net.Dial("tcp", addr)
 	require.NoError(t, err)
 	defer c.Close()
@@ -157,30 +160,30 @@
 	return string(b[:n])
 }
 
-// TestGoldenConfig: the store's section of the configuration file.
+// TestGoldenConfig checks the JSON keys of the store's section of the configuration file.
 func TestGoldenConfig(t *testing.T) {
 	peer := Peer{Name: "n1", Raft: "127.0.0.1:1", Admin: "127.0.0.1:2", Zone: "z"}
-	c := Config{Node: "n1", Dir: "/d", Peers: []Peer{peer}, Self: &peer, Voters: 3, ReplaceAfterMS: 4, ForgetAfterMS: 5, Attesters: 6,
-		Backup: BackupConfig{Dir: "/b", Every: "1h", Keep: 7}}
+	c := Config{Node: "n1", Dir: "/d", Peers: []Peer{peer}, Self: &peer, TargetVoters: 3, ReplaceVoterAfterMS: 4, RemoveLearnerAfterMS: 5, RequiredAttesters: 6,
+		Backup: BackupConfig{Dir: "/b", Every: "1h", MaxFiles: 7}}
 	c.SQL.Driver, c.SQL.DSN = "sqlite", "file:x"
 	peerText := `{"name":"n1","raft":"127.0.0.1:1","admin":"127.0.0.1:2","zone":"z"}`
-	golden(t, c, `{"node":"n1","dir":"/d","peers":[`+peerText+`],"self":`+peerText+`,"voters":3,"replace_after_ms":4,"forget_after_ms":5,"vouchers":6,`+
+	assertGoldenJSON(t, c, `{"node":"n1","dir":"/d","peers":[`+peerText+`],"self":`+peerText+`,"voters":3,"replace_after_ms":4,"forget_after_ms":5,"vouchers":6,`+
 		`"sql":{"driver":"sqlite","dsn":"file:x"},"backup":{"dir":"/b","every":"1h","keep":7}}`)
 }
 
-// TestGoldenSelf: what a node tells a peer of itself.
-func TestGoldenSelf(t *testing.T) {
-	golden(t, storeapi.PeerStatus{Attestation: diskidentity.Attestation{ID: "n1@5f", Cluster: "c", PreviousClusters: []string{"b"}, Fresh: true, ConfigIndex: 1, Members: []string{"m"}, Voters: []string{"v"},
+// TestGoldenPeerStatus checks the format of a node's report to its peers and of a join request.
+func TestGoldenPeerStatus(t *testing.T) {
+	assertGoldenJSON(t, storeapi.PeerStatus{Attestation: diskidentity.Attestation{ID: "n1@5f", Cluster: "c", PreviousClusters: []string{"b"}, Fresh: true, ConfigIndex: 1, Members: []string{"m"}, Voters: []string{"v"},
 		LastObserved: &diskidentity.Watermark{Starts: 1, Term: 2, LastTerm: 3, LastIndex: 4}}, State: peerServing, Watermark: diskidentity.Watermark{Starts: 5}, AppliedIndex: 6,
 		RaftAddress: "r", AdminAddress: "a", Zone: "z", SupportsLeases: true, Addresses: map[string]string{"m": "x"}},
 		`{"id":"n1@5f","cluster":"c","was":["b"],"fresh":true,"config":1,"members":["m"],"voters":["v"],`+
 			`"seen":{"starts":1,"term":2,"last_term":3,"last_index":4},"state":"serving","mark":{"starts":5,"term":0,"last_term":0,"last_index":0},"applied":6,`+
 			`"raft":"r","admin":"a","zone":"z","leases":true,"addresses":{"m":"x"}}`)
 	assert.Equal(t, "waiting", peerWaiting)
-	golden(t, storeapi.JoinRequest{ID: "n1@5f", RaftAddress: "r", AdminAddress: "a", Zone: "z", SupportsLeases: true}, `{"id":"n1@5f","raft":"r","admin":"a","zone":"z","leases":true}`)
+	assertGoldenJSON(t, storeapi.JoinRequest{ID: "n1@5f", RaftAddress: "r", AdminAddress: "a", Zone: "z", SupportsLeases: true}, `{"id":"n1@5f","raft":"r","admin":"a","zone":"z","leases":true}`)
 }
 
-// TestGoldenMemberStates: the states of a member, as operators read them.
+// TestGoldenMemberStates checks the member states and the node status that operators see.
 func TestGoldenMemberStates(t *testing.T) {
 	for want, m := range map[string]membership.Member{"lost": {DiskLost: true, Leaving: true}, "leaving": {Leaving: true, ID: "l"}, "leader": {ID: "l", Up: true},
 		"up": {ID: "m", Up: true}, "down 2s": {ID: "m", DownFor: 2400 * time.Millisecond}} {
@@ -188,10 +191,10 @@
 	}
 	s, err := New(Config{Node: "a", Dir: t.TempDir(), Peers: []Peer{{Name: "a", Raft: "127.0.0.1:1", Admin: "127.0.0.1:2"}}}, nil)
 	require.NoError(t, err)
-	golden(t, s.Status(), `{"node":"a","state":"Waiting","leader":"","applied":0,"last":0,"mirrored":0,"watchers":0,"id":"a","waits":"its disk to be opened"}`)
+	assertGoldenJSON(t, s.Status(), `{"node":"a","state":"Waiting","leader":"","applied":0,"last":0,"mirrored":0,"watchers":0,"id":"a","waits":"its disk to be opened"}`)
 }
 
-// TestGoldenMirror: the statements of the SQL mirror.
+// TestGoldenMirror checks the SQL statements and the drivers of the SQL mirror.
 func TestGoldenMirror(t *testing.T) {
 	assert.Equal(t, []string{
 		`CREATE TABLE IF NOT EXISTS oxbowbridge_store (name TEXT PRIMARY KEY, value TEXT, idx BIGINT NOT NULL)`,
@@ -203,5 +206,5 @@
 			`ON CONFLICT (name) DO UPDATE SET token = excluded.token WHERE oxbowbridge_lease.token <= excluded.token`,
 		`UPDATE oxbowbridge_store SET idx = 0`,
 	}, []string{createMirrorTable, upsertRow, selectRows, createFenceTable, advanceFence, resetIndexes})
-	assert.Equal(t, map[string]string{"sqlite": "sqlite", "postgres": "pgx"}, drivers)
+	assert.Equal(t, map[string]string{"sqlite": "sqlite", "postgres": "pgx"}, sqlDrivers)
 }
--- a/internal/cluster/store/handshake.go
+++ b/internal/cluster/store/handshake.go
@@ -11,69 +11,70 @@
 )
 
 const (
-	// handshakePrefix begins the first line of a connection. No message of Raft begins with its
-	// first byte.
+	// handshakePrefix starts the first line of a connection. No Raft message starts with its first byte.
 	handshakePrefix   = "oxbowbridge/1 "
 	handshakeAccepted = "yes\n"
 	handshakeRejected = "no: "
 	maxHandshakeBytes = 1 << 10
 	handshakeTimeout  = time.Second
-	// handshakeBufferBytes is the smallest buffer of bufio; a line is read byte by byte anyway.
+	// handshakeBufferBytes is the minimum buffer size of bufio. A larger buffer would have no effect, as
+	// lines are read byte by byte.
 	handshakeBufferBytes = 16
 )
 
 // handshakeHeader is the first line of a connection between two nodes, after handshakePrefix.
 type handshakeHeader struct {
-	From    string `json:"from"`              // member ID
-	To      string `json:"to"`                // member ID, so that a node of this name with another disk rejects it
-	Cluster string `json:"cluster,omitempty"` // "" if it is not known yet
+	From    string `json:"from"`              // member ID of the connecting node
+	To      string `json:"to"`                // member ID of the expected node; a node of this name with another disk rejects it
+	Cluster string `json:"cluster,omitempty"` // cluster ID; "" while it is not known
 }
 
-// sendHandshake names who connects to whom, and waits until that is accepted.
+// sendHandshake sends the header and waits until the other node accepts it.
 func sendHandshake(conn net.Conn, header handshakeHeader, timeout time.Duration) error {
-	text, err := json.Marshal(header)
+	encoded, err := json.Marshal(header)
 	if err != nil {
 		return err
 	}
 	conn.SetDeadline(time.Now().Add(min(handshakeTimeout, timeout)))
-	if _, err := fmt.Fprintf(conn, "%s%s\n", handshakePrefix, text); err != nil {
+	if _, err := fmt.Fprintf(conn, "%s%s\n", handshakePrefix, encoded); err != nil {
 		return err
 	}
-	answer, err := readLine(conn)
+	reply, err := readLine(conn)
 	if err != nil {
 		return err
 	}
-	if answer != handshakeAccepted {
-		return fmt.Errorf("%s says %s", header.To, strings.TrimSpace(answer))
+	if reply != handshakeAccepted {
+		return fmt.Errorf("%s rejected the connection: %s", header.To, strings.TrimSpace(reply))
 	}
 	return nil
 }
 
-// readHandshake reads a header whose first byte was read already.
+// readHandshake reads a header line whose first byte was already read.
 func readHandshake(conn net.Conn) (header handshakeHeader, err error) {
 	line, err := readLine(conn)
 	if err != nil {
 		return header, fmt.Errorf("%w: %w", errHandshake, err)
 	}
-	text, ok := strings.CutPrefix(line, handshakePrefix[1:])
-	if err := json.Unmarshal([]byte(text), &header); !ok || err != nil {
+	encoded, ok := strings.CutPrefix(line, handshakePrefix[1:])
+	if err := json.Unmarshal([]byte(encoded), &header); !ok || err != nil {
 		return header, errHandshake
 	}
 	return header, nil
 }
 
-// readLine reads no further than the end of the line.
+// readLine reads one line and no byte after it.
 func readLine(conn net.Conn) (string, error) {
 	limited := io.LimitReader(singleByteReader{conn}, maxHandshakeBytes)
 	return bufio.NewReaderSize(limited, handshakeBufferBytes).ReadString('\n')
 }
 
-// singleByteReader keeps a buffered reader from reading ahead.
+// singleByteReader reads one byte at a time, so that a buffered reader does not read past the line.
 type singleByteReader struct{ io.Reader }
 
 func (r singleByteReader) Read(b []byte) (int, error) { return r.Reader.Read(b[:min(1, len(b))]) }
 
-// replayConn gives back a byte that was read to tell a handshake from a message of Raft.
+// replayConn is a connection that first returns the bytes in unread. One byte was read before to
+// distinguish a handshake from a Raft message.
 type replayConn struct {
 	net.Conn
 	unread []byte
--- a/internal/cluster/store/incarnation.go
+++ b/internal/cluster/store/incarnation.go
@@ -11,50 +11,51 @@
 	"oxbowbridge/internal/cluster/raftstorage"
 )
 
-// incarnation is one run of Raft over one storage folder, from the verdict on the disk to its end.
+// incarnation is one run of Raft on one storage folder. It starts after the verdict on whether the disk
+// may vote (diskidentity.Decide).
 type incarnation struct {
-	store       *Store
-	memberID    string
-	storage     *raftstorage.Storage
-	raft        *raft.Raft
-	transport   *ackTransport
-	members     leaderView
-	failure     chan error             // the first reason for which it has to end
-	wasMember   atomic.Bool            // the configuration had this disk once, in this incarnation
-	joinRefusal atomic.Pointer[string] // why the last request to join was not granted
-	barrierTerm atomic.Uint64          // the term in which this node, as leader, has committed an entry
+	store         *Store
+	memberID      string
+	storage       *raftstorage.Storage
+	raft          *raft.Raft
+	transport     *ackTransport
+	members       leaderView
+	failure       chan error             // first failure, which ends the incarnation
+	wasMember     atomic.Bool            // whether a configuration of this incarnation has included this disk
+	joinRejection atomic.Pointer[string] // why the last join request was rejected
+	barrierTerm   atomic.Uint64          // term in which this node, as leader, has committed an entry
 }
 
-// runIncarnation waits until the disk may take part, and runs Raft until the incarnation ends (see the
+// runIncarnation waits for the disk verdict, and then runs Raft until the incarnation ends (see the
 // reasons in errors.go) or the Store is closed. It closes the storage.
 func (s *Store) runIncarnation(storage *raftstorage.Storage) (err error) {
 	defer func() {
-		s.disk.Store(nil)
-		if cerr := storage.Close(); cerr != nil && err == nil && s.ctx.Err() == nil {
-			err = fmt.Errorf("close folder: %w", cerr)
+		s.currentDisk.Store(nil)
+		if closeErr := storage.Close(); closeErr != nil && err == nil && s.ctx.Err() == nil {
+			err = fmt.Errorf("close folder: %w", closeErr)
 		}
 	}()
-	s.showWaitReason(reportsWaitReason)
-	f, err := s.loadDiskState(storage)
+	s.setWaitReasonSilently(reportsWaitReason)
+	disk, err := s.loadDiskState(storage)
 	if err != nil {
 		return err
 	}
-	f, verdict, err := s.awaitVerdict(f)
+	disk, verdict, err := s.awaitVerdict(disk)
 	if err != nil {
 		return err
 	}
-	s.showWaitReason(raftWaitReason)
-	return s.runRaft(f, verdict)
+	s.setWaitReasonSilently(raftWaitReason)
+	return s.runRaft(disk, verdict)
 }
 
-// loadDiskState reads what the disk holds, and has the peers that it knows of polled.
+// loadDiskState reads the disk's state, and starts polling the members in its log.
 func (s *Store) loadDiskState(storage *raftstorage.Storage) (*diskState, error) {
 	id, err := readClusterID(storage)
 	if err != nil {
 		return nil, err
 	}
 	s.clusterID.set(id)
-	f, err := s.readDiskState(storage)
+	disk, err := s.readDiskState(storage)
 	if err != nil {
 		return nil, err
 	}
@@ -63,21 +64,21 @@
 		return nil, err
 	}
 	s.peers.loadWatermarks(observed)
-	s.peers.forgetReports()
-	s.disk.Store(f)
+	s.peers.clearReports()
+	s.currentDisk.Store(disk)
 	conf, err := storage.Configuration()
 	if err != nil {
 		return nil, err
 	}
-	s.followMembers(conf)
-	return f, nil
+	s.pollMembers(conf)
+	return disk, nil
 }
 
 // isLeader reports whether Raft considers this node the leader.
 func (inc *incarnation) isLeader() bool { return inc.raft.State() == raft.Leader }
 
-// configuration is the latest one in the log, with its index, which Raft itself does not tell. It may
-// not be committed yet. Its index is 0 if the disk fails, which ends the
+// configuration returns the latest configuration in the log with its index, which Raft does not expose.
+// The configuration may not be committed yet. The index is 0 if the disk fails, which ends the
 // incarnation.
 func (inc *incarnation) configuration() raftstorage.Configuration {
 	conf, err := inc.storage.Configuration()
@@ -87,22 +88,22 @@
 	return conf
 }
 
-// isMember reports whether the latest configuration has this disk.
+// isMember reports whether the latest configuration includes this disk.
 func (inc *incarnation) isMember() bool {
 	conf := inc.configuration()
 	_, ok := findServer(conf, inc.memberID)
 	return ok
 }
 
-// joinWaitReason is what a node that is no member yet waits for.
+// joinWaitReason returns what a node that is not a member yet waits for.
 func (inc *incarnation) joinWaitReason() string {
-	if refusal := inc.joinRefusal.Load(); refusal != nil {
-		return *refusal
+	if rejection := inc.joinRejection.Load(); rejection != nil {
+		return *rejection
 	}
 	return "to be taken in"
 }
 
-// reportFailure has the incarnation end. Only the first failure counts.
+// reportFailure ends the incarnation. Only the first failure is recorded.
 func (inc *incarnation) reportFailure(err error) {
 	select {
 	case inc.failure <- err:
@@ -110,8 +111,8 @@
 	}
 }
 
-// popFailure removes and returns the failure that was reported, or returns nil.
-func (inc *incarnation) popFailure() error {
+// takeFailure removes and returns the reported failure, or returns nil.
+func (inc *incarnation) takeFailure() error {
 	select {
 	case err := <-inc.failure:
 		return err
@@ -120,8 +121,8 @@
 	}
 }
 
-// hasCommand reports whether the log has a command at an index in a range. Entries that the log no
-// longer has were applied to the state before a snapshot replaced them.
+// hasCommand reports whether the log has a command with an index between from and to, inclusive. Entries
+// that the log no longer has were applied before a snapshot replaced them.
 func (inc *incarnation) hasCommand(from, to uint64) bool {
 	var entry raft.Log
 	for i := to; i >= from; i-- {
@@ -135,7 +136,7 @@
 	return false
 }
 
-// beginsAsMember reports whether a verdict lets the disk vote from the start.
-func beginsAsMember(v diskidentity.Verdict) bool {
+// startsAsMember reports whether a verdict allows the disk to vote from the start.
+func startsAsMember(v diskidentity.Verdict) bool {
 	return v == diskidentity.VerdictResume || v == diskidentity.VerdictBootstrap
 }
--- a/internal/cluster/store/last_good.go
+++ b/internal/cluster/store/last_good.go
@@ -5,39 +5,40 @@
 	"fmt"
 )
 
-// GoodVersion is a version of a key that the service has started with.
-type GoodVersion struct {
+// LastGoodVersion is a version of a key's value that the service has started with.
+type LastGoodVersion struct {
 	Revision uint64          `json:"revision"`
 	Value    json.RawMessage `json:"value"`
 }
 
-// SaveLastGood stores the good version of a key on this node's disk, for a start at which no
-// majority can be reached.
-func (s *Store) SaveLastGood(key string, good GoodVersion) error {
+// SaveLastGood stores the last good version of a key on this node's disk. A node that starts without a
+// majority uses it.
+func (s *Store) SaveLastGood(key string, good LastGoodVersion) error {
 	inc, err := s.running()
 	if err != nil {
 		return err
 	}
-	text, err := json.Marshal(good)
+	encoded, err := json.Marshal(good)
 	if err == nil {
-		err = inc.storage.PutLocal(key, text)
+		err = inc.storage.PutLocal(key, encoded)
 	}
 	if err != nil {
-		return fmt.Errorf("keep %s: %w", key, err)
+		return fmt.Errorf("save last good version of %s: %w", key, err)
 	}
 	return nil
 }
 
-// LastGood is what SaveLastGood was last given. It can be read before Raft runs.
-func (s *Store) LastGood(key string) (good GoodVersion, found bool, err error) {
-	f := s.disk.Load()
-	if f == nil {
+// LastGood returns the version that SaveLastGood stored last. It works before Raft runs, once the storage
+// folder is open.
+func (s *Store) LastGood(key string) (good LastGoodVersion, found bool, err error) {
+	disk := s.currentDisk.Load()
+	if disk == nil {
 		return good, false, nil
 	}
-	text, err := f.storage.GetLocal(key)
-	if err != nil || text == nil {
+	encoded, err := disk.storage.GetLocal(key)
+	if err != nil || encoded == nil {
 		return good, false, err
 	}
-	err = json.Unmarshal(text, &good)
+	err = json.Unmarshal(encoded, &good)
 	return good, err == nil, err
 }
--- a/internal/cluster/store/storage_test.go
+++ b/internal/cluster/store/storage_test.go
@@ -18,42 +18,46 @@
 	"oxbowbridge/internal/storage/durable/vfs"
 )
 
-// maxReplacementSteps bounds the changes to the new folder's files that the tests step through.
+// maxReplacementSteps bounds the file operations on a replacement folder at which the tests inject a
+// fault.
 const maxReplacementSteps = 100
 
-// newDamagedStore is a Store, not started, whose folder was replaced: what it held can't be trusted.
+// newDamagedStore returns a Store that is not started, and whose folder is marked as diverged, so that it
+// must be replaced.
 func newDamagedStore(t *testing.T) *Store {
-	s := newIdleStore(t, filepath.Join(t.TempDir(), "store"))
+	s := newUnstartedStore(t, filepath.Join(t.TempDir(), "store"))
 	storage, err := s.openStorage()
 	require.NoError(t, err)
-	require.NoError(t, storage.PutLocal(localDiverged, []byte("1")))
+	require.NoError(t, storage.PutLocal(divergedKey, []byte("1")))
 	require.NoError(t, storage.Close())
 	return s
 }
 
-// newIdleStore is a Store that is not started.
-func newIdleStore(t *testing.T, dir string) *Store {
+// newUnstartedStore returns a Store that is not started.
+func newUnstartedStore(t *testing.T, dir string) *Store {
 	self := Peer{Name: "a", Raft: "127.0.0.1:1", Admin: "127.0.0.1:2"}
 	s, err := New(Config{Node: "a", Dir: dir, Peers: []Peer{self}}, zap.NewNop())
 	require.NoError(t, err)
 	return s
 }
 
-// isFresh opens the folder of a Store as a new process does, and reports whether the node says that it is new.
-func isFresh(t *testing.T, dir string) bool {
-	s := newIdleStore(t, dir)
+// opensAsFresh opens a Store's folder as a new process would, and reports whether the node treats its disk
+// as new.
+func opensAsFresh(t *testing.T, dir string) bool {
+	s := newUnstartedStore(t, dir)
 	storage, err := s.openStorage()
 	require.NoError(t, err)
-	f, err := s.readDiskState(storage)
+	disk, err := s.readDiskState(storage)
 	require.NoError(t, err)
 	require.NoError(t, storage.Close())
-	require.True(t, f.local.Empty)
-	return f.local.Fresh
+	require.True(t, disk.local.Empty)
+	return disk.local.Fresh
 }
 
-// failReplacement opens the damaged folder as it is, and the one that takes its place with a fault: from the change of
-// this number on, as in a process that died before it. It reports whether the fault came.
-func failReplacement(fault string, step int64, failed *atomic.Bool) folderOpener {
+// faultyReplacementOpener returns an opener that opens the damaged folder normally, and its replacement
+// with a fault. The first step changes to the replacement's files succeed and all later ones fail, as
+// after a crash. failed is set when the fault occurs.
+func faultyReplacementOpener(fault string, step int64, failed *atomic.Bool) folderOpener {
 	opened := 0
 	return func(dir string) (*raftstorage.Storage, *durable.Report, error) {
 		opened++
@@ -64,9 +68,9 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		var changes atomic.Int64
+		var changeCount atomic.Int64
 		return raftstorage.OpenFS(&faultfs.Injector{FS: folder, ActiveFault: func() string {
-			if changes.Add(1) <= step {
+			if changeCount.Add(1) <= step {
 				return ""
 			}
 			failed.Store(true)
@@ -75,8 +79,9 @@
 	}
 }
 
-// TestReplacementIsNeverNew: guards against a node that says that it is new, so that the founders could make another
-// cluster, because making the folder that takes the place of a damaged one failed, or died, at any step.
+// TestReplacementIsNeverNew guards against a node that treats a replacement folder as new, which would
+// allow the initial members to bootstrap a second cluster. The creation of the replacement fails or
+// crashes at each step.
 func TestReplacementIsNeverNew(t *testing.T) {
 	for _, fault := range []string{faultfs.DiskFull, faultfs.FailWrites, faultfs.FailSyncs} {
 		var failed atomic.Bool
@@ -85,66 +90,67 @@
 			require.Less(t, step, int64(maxReplacementSteps))
 			failed.Store(false)
 			s := newDamagedStore(t)
-			s.openFolder = failReplacement(fault, step, &failed)
+			s.openFolder = faultyReplacementOpener(fault, step, &failed)
 			if storage, err := s.openStorage(); err == nil {
-				storage.Close() // it may fail as well
+				storage.Close() // the injected fault may make Close fail as well
 			}
 			assert.DirExists(t, s.cfg.Dir+".refused-1")
-			assert.False(t, isFresh(t, s.cfg.Dir), "%s at step %d", fault, step)
-			assert.False(t, isFresh(t, s.cfg.Dir), "%s at step %d, opened again", fault, step)
+			assert.False(t, opensAsFresh(t, s.cfg.Dir), "%s at step %d", fault, step)
+			assert.False(t, opensAsFresh(t, s.cfg.Dir), "%s at step %d, opened again", fault, step)
 		}
 	}
 }
 
-// TestReplacementDiesBetweenFolders: guards against the same, where the node dies after the folder was moved aside and before
-// another one is made, or right before the move.
-func TestReplacementDiesBetweenFolders(t *testing.T) {
+// TestReplacementCrashBetweenFolders guards against a replacement folder that is treated as new after a
+// crash right before the damaged folder is moved aside, or between that move and the creation of the
+// replacement.
+func TestReplacementCrashBetweenFolders(t *testing.T) {
 	s := newDamagedStore(t)
-	marks := 0
+	loggedLines := 0
 	core, _ := observer.New(zap.ErrorLevel)
-	s.log = zap.New(core, zap.Hooks(func(zapcore.Entry) error { // the line is logged right before the move
+	s.log = zap.New(core, zap.Hooks(func(zapcore.Entry) error { // called by the log message right before the folder is moved
 		assert.DirExists(t, s.cfg.Dir)
-		assert.FileExists(t, s.cfg.Dir+replacementSuffix)
-		marks++
+		assert.FileExists(t, s.cfg.Dir+replacementMarkerSuffix)
+		loggedLines++
 		return nil
 	}))
 	storage, err := s.openStorage()
 	require.NoError(t, err)
 	require.NoError(t, storage.Close())
-	require.Equal(t, 1, marks)
-	assert.NoFileExists(t, s.cfg.Dir+replacementSuffix)
+	require.Equal(t, 1, loggedLines)
+	assert.NoFileExists(t, s.cfg.Dir+replacementMarkerSuffix)
 
 	for _, moved := range []bool{false, true} {
 		s := newDamagedStore(t)
-		require.NoError(t, os.WriteFile(s.cfg.Dir+replacementSuffix, nil, 0o600))
+		require.NoError(t, os.WriteFile(s.cfg.Dir+replacementMarkerSuffix, nil, 0o600))
 		if moved {
 			require.NoError(t, os.Rename(s.cfg.Dir, s.cfg.Dir+".refused-1"))
 		}
-		assert.False(t, isFresh(t, s.cfg.Dir), "moved: %v", moved)
-		assert.False(t, isFresh(t, s.cfg.Dir), "moved: %v, opened again", moved)
+		assert.False(t, opensAsFresh(t, s.cfg.Dir), "moved: %v", moved)
+		assert.False(t, opensAsFresh(t, s.cfg.Dir), "moved: %v, opened again", moved)
 		assert.DirExists(t, s.cfg.Dir+".refused-1")
-		assert.NoFileExists(t, s.cfg.Dir+replacementSuffix)
+		assert.NoFileExists(t, s.cfg.Dir+replacementMarkerSuffix)
 	}
 }
 
-// TestWipedFolderIsNew: guards against a mark that outlives its folder: where an operator removes the one that took the place
-// of another, the next one is new.
+// TestWipedFolderIsNew guards against a marker file that outlives its folder: if an operator deletes a
+// replacement folder, the next folder is new.
 func TestWipedFolderIsNew(t *testing.T) {
 	s := newDamagedStore(t)
-	assert.False(t, isFresh(t, s.cfg.Dir))
+	assert.False(t, opensAsFresh(t, s.cfg.Dir))
 	require.DirExists(t, s.cfg.Dir+".refused-1")
 	require.NoError(t, os.RemoveAll(s.cfg.Dir))
-	assert.True(t, isFresh(t, s.cfg.Dir))
+	assert.True(t, opensAsFresh(t, s.cfg.Dir))
 }
 
-// TestFolderWithSlashIsSetAside: guards against a node that can't set a damaged folder aside where its name in the
-// configuration ends in a slash: the new name lay inside of the folder.
+// TestFolderWithSlashIsSetAside guards against a damaged folder that cannot be moved aside because its
+// configured name ends in a slash, so that the new name would be inside the folder.
 func TestFolderWithSlashIsSetAside(t *testing.T) {
 	damaged := newDamagedStore(t)
-	s := newIdleStore(t, damaged.cfg.Dir+"/")
+	s := newUnstartedStore(t, damaged.cfg.Dir+"/")
 	storage, err := s.openStorage()
 	require.NoError(t, err)
 	require.NoError(t, storage.Close())
 	assert.DirExists(t, damaged.cfg.Dir+".refused-1")
-	assert.NoFileExists(t, damaged.cfg.Dir+replacementSuffix)
+	assert.NoFileExists(t, damaged.cfg.Dir+replacementMarkerSuffix)
 }
--- a/internal/cluster/store/store.go
+++ b/internal/cluster/store/store.go
@@ -15,65 +15,65 @@
 )
 
 const (
-	// CloseTimeout is how long Close takes at most.
+	// CloseTimeout is the maximum duration of Close.
 	CloseTimeout = time.Second
 
-	stepDownTimeout = time.Second // for another node to become leader
-	// reopenRetryInterval is between two attempts to open a storage folder that can't be opened. After
-	// an incarnation that ended, the folder is opened again after the pause of a restartBackoff.
+	stepDownTimeout = time.Second // maximum wait for another node to become leader
+	// reopenRetryInterval is the time between two attempts to open a storage folder that fails to open. After
+	// the end of an incarnation, restartBackoff sets the pause before the folder is reopened.
 	reopenRetryInterval = time.Second
 )
 
-// Store is one node.
+// Store is one node of the replicated store.
 type Store struct {
 	cfg    Config
 	self   Peer
 	log    *zap.Logger
 	state  *replicatedState
 	mirror *sqlMirror // nil without a SQL mirror
-	peers  *peers
+	peers  *peerPoller
 	leases *leaseService
 
-	openFolder folderOpener // of the storage folder
+	openFolder folderOpener // opens the storage folder; tests replace it
 
 	pending   pendingWrites
-	logClock  logClock // of the requests that this node proposes
+	logClock  logClock // time stamps of the requests that this node proposes
 	readIndex *readIndexBatcher
-	clusterID learnedClusterID
+	clusterID clusterIDState
 
-	ctx     context.Context // ends with Close
+	ctx     context.Context // canceled by Close
 	cancel  context.CancelFunc
-	done    chan struct{} // closed once run has ended
+	done    chan struct{} // closed when runIncarnations has returned
 	onClose []func()
 
-	current    atomic.Pointer[incarnation]         // nil while Raft does not run
-	waitReason atomic.Pointer[diskidentity.Reason] // see WaitReason; of use while current is nil
-	disk       atomic.Pointer[diskState]           // what the disk held when this incarnation began
+	current     atomic.Pointer[incarnation]         // nil while Raft does not run
+	waitReason  atomic.Pointer[diskidentity.Reason] // see WaitReason; valid while current is nil
+	currentDisk atomic.Pointer[diskState]           // what the disk held when the current incarnation started
 
-	loggedWaitReason string // the last one, of the time since Raft last ran; of run's goroutine
+	loggedWaitReason string // last reason logged since Raft last ran; only for the goroutine of runIncarnations
 
 	freshMu sync.Mutex
-	freshAt time.Time // at this time the state had all that was committed
+	freshAt time.Time // latest time at which the state included all committed entries
 }
 
-// New makes a node that does nothing until Start. Its error names the field of cfg at fault.
+// New creates a node that does nothing until Start. Its error names the invalid field of cfg.
 func New(cfg Config, log *zap.Logger) (*Store, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
 	}
-	cfg.Dir = filepath.Clean(cfg.Dir) // names beside it are made of it
+	cfg.Dir = filepath.Clean(cfg.Dir) // other names are formed by appending to it
 	s := &Store{cfg: cfg, log: log, openFolder: openFolder, state: newReplicatedState(), done: make(chan struct{})}
 	s.self, _ = cfg.self()
 	s.ctx, s.cancel = context.WithCancel(context.Background())
-	s.readIndex = &readIndexBatcher{readIndex: s.committedIndex}
-	s.peers = newPeers(s.ctx, s)
+	s.readIndex = &readIndexBatcher{readIndex: s.clusterReadIndex}
+	s.peers = newPeerPoller(s.ctx, s)
 	s.leases = newLeaseService(s)
 	s.state.onLeaseGranted = s.leases.wakeWaiter
-	s.showWaitReason(firstWaitReason)
+	s.setWaitReasonSilently(openDiskWaitReason)
 	return s, nil
 }
 
-// Start opens the storage folder, and has the node take part as soon as it may.
+// Start opens the storage folder, and starts the node in the background.
 func (s *Store) Start() error {
 	storage, err := s.openStorage()
 	if err != nil {
@@ -83,33 +83,34 @@
 	if s.cfg.SQL.Driver != "" {
 		s.mirror = &sqlMirror{store: s}
 	}
-	go s.run(storage)
+	go s.runIncarnations(storage)
 	return nil
 }
 
-// AdminAddress is where the node's admin port has to listen.
+// AdminAddress returns the address at which the node's admin API listens.
 func (s *Store) AdminAddress() string { return s.self.Admin }
 
-// Name is this node's name.
+// Name returns this node's name.
 func (s *Store) Name() string { return s.self.Name }
 
-// Log is the node's logger.
+// Log returns the node's logger.
 func (s *Store) Log() *zap.Logger { return s.log }
 
-// OnClose has Close call a function, the one that was added last first.
-func (s *Store) OnClose(do func()) { s.onClose = append(s.onClose, do) }
+// OnClose registers a function that Close calls. The functions are called in reverse order of
+// registration.
+func (s *Store) OnClose(fn func()) { s.onClose = append(s.onClose, fn) }
 
-// run goes from incarnation to incarnation until the Store is closed.
-func (s *Store) run(storage *raftstorage.Storage) {
+// runIncarnations runs one incarnation after another until the Store is closed.
+func (s *Store) runIncarnations(storage *raftstorage.Storage) {
 	defer close(s.done)
 	var backoff restartBackoff
 	for s.ctx.Err() == nil {
-		began := time.Now()
+		startedAt := time.Now()
 		if err := s.runIncarnation(storage); err != nil && s.ctx.Err() == nil {
 			s.log.Error("incarnation ended", zap.Stringer("reason_kind", endReasonOf(err)), zap.Error(err))
-			s.setWaitReason(diskidentity.Reason{Text: err.Error()})
+			s.setAndLogWaitReason(diskidentity.Reason{Text: err.Error()})
 		}
-		s.pause(backoff.next(time.Since(began)))
+		s.pause(backoff.next(time.Since(startedAt)))
 		storage = s.reopenStorage()
 	}
 	if storage != nil {
@@ -124,13 +125,13 @@
 		if err == nil {
 			return storage
 		}
-		s.setWaitReason(diskidentity.Reason{Text: fmt.Sprintf("its disk: %v", err)})
+		s.setAndLogWaitReason(diskidentity.Reason{Text: fmt.Sprintf("its disk: %v", err)})
 		s.pause(reopenRetryInterval)
 	}
 	return nil
 }
 
-// Close stops the node within CloseTimeout. What is committed is on disk.
+// Close stops the node within CloseTimeout. All committed entries are on disk already.
 func (s *Store) Close() {
 	closed := make(chan struct{})
 	go func() {
@@ -145,11 +146,11 @@
 	select {
 	case <-closed:
 	case <-time.After(CloseTimeout):
-		s.log.Warn("store did not stop in time")
+		s.log.Warn("store did not stop within the close timeout")
 	}
 }
 
-// running is the current incarnation, or ErrNotServing.
+// running returns the current incarnation, or ErrNotServing.
 func (s *Store) running() (*incarnation, error) {
 	if inc := s.current.Load(); inc != nil {
 		return inc, nil
@@ -157,10 +158,11 @@
 	return nil, s.notServingError()
 }
 
-// memberID is this node's name and disk; the name alone while the disk is not known.
+// memberID returns the ID formed of this node's name and disk identity, or the name alone while the
+// identity is not known.
 func (s *Store) memberID() string {
-	if f := s.disk.Load(); f != nil {
-		return f.local.ID
+	if disk := s.currentDisk.Load(); disk != nil {
+		return disk.local.ID
 	}
 	return s.self.Name
 }
--- a/internal/cluster/store/wait_reason_test.go
+++ b/internal/cluster/store/wait_reason_test.go
@@ -22,26 +22,26 @@
 
 const startTimeout = 30 * time.Second
 
-// newLoneStore is a Store of one node, not started, on a free port.
-func newLoneStore(t *testing.T, log *zap.Logger) *Store {
+// newSingleNodeStore returns a Store of one node, not started, with a free Raft port.
+func newSingleNodeStore(t *testing.T, log *zap.Logger) *Store {
 	self := Peer{Name: "a", Raft: "127.0.0.1:0", Admin: "127.0.0.1:1"}
 	s, err := New(Config{Node: "a", Dir: filepath.Join(t.TempDir(), "store"), Peers: []Peer{self}}, log)
 	require.NoError(t, err)
 	return s
 }
 
-// awaitRunning waits for an incarnation other than the last one.
-func awaitRunning(t *testing.T, s *Store, last *incarnation) *incarnation {
+// awaitNextIncarnation waits until an incarnation other than last runs Raft, and returns it.
+func awaitNextIncarnation(t *testing.T, s *Store, last *incarnation) *incarnation {
 	var inc *incarnation
 	require.Eventually(t, func() bool { inc = s.current.Load(); return inc != nil && inc != last }, startTimeout, time.Millisecond)
 	return inc
 }
 
-// TestWaitReasonIsCurrent: guards against a status and answers that name what an earlier incarnation ended by, or waited
-// for, while the node reads its disk or starts Raft. Each change to the folder notes the reason of its moment.
+// TestWaitReasonIsCurrent guards against a status that shows the wait reason of an earlier incarnation
+// while the node reads its disk or starts Raft. The test records the wait reason at each file operation.
 func TestWaitReasonIsCurrent(t *testing.T) {
-	const older = "an error of the incarnation before"
-	s := newLoneStore(t, zap.NewNop())
+	const previousReason = "error of an earlier incarnation"
+	s := newSingleNodeStore(t, zap.NewNop())
 	var mu sync.Mutex
 	var reasons []string
 	s.openFolder = func(dir string) (*raftstorage.Storage, *durable.Report, error) {
@@ -56,40 +56,41 @@
 			return ""
 		}})
 	}
-	s.setWaitReason(diskidentity.Reason{Text: older})
+	s.setAndLogWaitReason(diskidentity.Reason{Text: previousReason})
 	require.NoError(t, s.Start())
 	defer s.Close()
-	awaitRunning(t, s, nil)
+	awaitNextIncarnation(t, s, nil)
 	mu.Lock()
 	defer mu.Unlock()
 	reasons = slices.Compact(reasons)
 	require.GreaterOrEqual(t, len(reasons), 3)
-	assert.Equal(t, []string{older, reportsWaitReason, raftWaitReason}, reasons[:3])
+	assert.Equal(t, []string{previousReason, reportsWaitReason, raftWaitReason}, reasons[:3])
 }
 
-// TestSameReasonAgain: guards against a line that is missing because the node waited for the same before it last served.
+// TestSameReasonAgain guards against a missing log message if a node waits for the same reason as before
+// it last ran Raft.
 func TestSameReasonAgain(t *testing.T) {
 	core, logs := observer.New(zap.WarnLevel)
-	s := newLoneStore(t, zap.New(core))
+	s := newSingleNodeStore(t, zap.New(core))
 	require.NoError(t, s.Start())
 	defer s.Close()
 	var inc *incarnation
 	for range 2 {
-		inc = awaitRunning(t, s, inc)
-		inc.reportFailure(errors.New("the same"))
+		inc = awaitNextIncarnation(t, s, inc)
+		inc.reportFailure(errors.New("repeated failure"))
 	}
-	awaitRunning(t, s, inc)
+	awaitNextIncarnation(t, s, inc)
 	assert.Len(t, logs.FilterMessage("store not serving").All(), 2)
 	assert.Empty(t, s.WaitReason())
 }
 
-// TestReasonIsLoggedOnce: guards against a line for each attempt that fails for the same reason.
+// TestReasonIsLoggedOnce guards against a log message for each attempt that fails for the same reason.
 func TestReasonIsLoggedOnce(t *testing.T) {
 	core, logs := observer.New(zap.WarnLevel)
-	s := newLoneStore(t, zap.New(core))
+	s := newSingleNodeStore(t, zap.New(core))
 	for range 3 {
-		s.showWaitReason(reportsWaitReason)
-		s.setWaitReason(diskidentity.Reason{Text: "the same"})
+		s.setWaitReasonSilently(reportsWaitReason)
+		s.setAndLogWaitReason(diskidentity.Reason{Text: "repeated reason"})
 	}
 	assert.Len(t, logs.FilterMessage("store not serving").All(), 1)
 }
--- a/internal/cluster/store/watermarks.go
+++ b/internal/cluster/store/watermarks.go
@@ -13,18 +13,18 @@
 
 const (
 	watermarkSaveInterval = time.Second
-	// maxWatermarks is of how many disks a watermark is remembered. This node does not notice an older
-	// copy of a disk beyond them.
+	// maxWatermarks bounds the disks whose watermarks are recorded. This node does not detect an outdated
+	// copy of any other disk.
 	maxWatermarks = 256
 )
 
-// watermarks is how far this node has observed other disks, by member ID.
+// watermarks are the highest watermarks that this node has observed of other disks, by member ID.
 type watermarks map[string]diskidentity.Watermark
 
-// observe raises a disk's watermark, and reports whether that changed anything.
-func (w watermarks) observe(memberID string, mark diskidentity.Watermark) bool {
+// observe raises a disk's watermark, and reports whether that changed it.
+func (w watermarks) observe(memberID string, watermark diskidentity.Watermark) bool {
 	old, known := w[memberID]
-	raised := old.Max(mark)
+	raised := old.Max(watermark)
 	if raised == old || !known && len(w) >= maxWatermarks {
 		return false
 	}
@@ -32,12 +32,12 @@
 	return true
 }
 
-// readWatermarks reads what saveWatermarks wrote.
+// readWatermarks reads the watermarks that saveWatermarks wrote.
 func readWatermarks(storage *raftstorage.Storage) (watermarks, error) {
 	w := watermarks{}
-	text, err := storage.GetLocal(localPeerWatermarks)
-	if err == nil && text != nil {
-		err = json.Unmarshal(text, &w)
+	encoded, err := storage.GetLocal(peerWatermarksKey)
+	if err == nil && encoded != nil {
+		err = json.Unmarshal(encoded, &w)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("watermarks of peers: %w", err)
@@ -45,43 +45,44 @@
 	return w, nil
 }
 
-// loadWatermarks adds what this node's disk remembers of other disks.
-func (p *peers) loadWatermarks(saved watermarks) {
+// loadWatermarks adds the watermarks that were saved on this node's disk.
+func (p *peerPoller) loadWatermarks(saved watermarks) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for id, mark := range saved {
-		p.observed[id] = p.observed[id].Max(mark)
+	for id, watermark := range saved {
+		p.observed[id] = p.observed[id].Max(watermark)
 	}
 }
 
-// saveWatermarks writes what was observed to this node's disk, if it has changed.
-func (p *peers) saveWatermarks(inc *incarnation) {
-	text := p.popUnsaved()
-	if text == nil {
+// saveWatermarks writes the observed watermarks to this node's disk if they have changed.
+func (p *peerPoller) saveWatermarks(inc *incarnation) {
+	encoded := p.takeUnsaved()
+	if encoded == nil {
 		return
 	}
-	if err := inc.storage.PutLocalUnsynced(localPeerWatermarks, text); err != nil {
+	if err := inc.storage.PutLocalUnsynced(peerWatermarksKey, encoded); err != nil {
 		p.store.log.Warn("peer watermarks not saved", zap.Error(err))
 	}
 }
 
-func (p *peers) popUnsaved() []byte {
+func (p *peerPoller) takeUnsaved() []byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.unsaved {
 		return nil
 	}
 	p.unsaved = false
-	text, _ := json.Marshal(p.observed) // numbers by names: it can't fail
-	return text
+	encoded, _ := json.Marshal(p.observed) // cannot fail: a map of integers by name
+	return encoded
 }
 
-// observedWatermark is how far a disk has been observed; nil if it never was.
-func (p *peers) observedWatermark(memberID string) *diskidentity.Watermark {
+// observedWatermark returns the highest observed watermark of a disk, or nil if the disk was never
+// observed.
+func (p *peerPoller) observedWatermark(memberID string) *diskidentity.Watermark {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if mark, ok := p.observed[memberID]; ok {
-		return &mark
+	if watermark, ok := p.observed[memberID]; ok {
+		return &watermark
 	}
 	return nil
 }
--- a/internal/cluster/storeadmin/backup.go
+++ b/internal/cluster/storeadmin/backup.go
@@ -30,7 +30,7 @@
 		Cluster:  cluster,
 		Revision: revision,
 		TimeMS:   time.Now().UnixMilli(),
-		Token:    s.store.LastToken(),
+		Token:    s.store.LastFencingToken(),
 	}
 	var buffer bytes.Buffer
 	if _, err := backup.Write(&buffer, header, backupEntries(entries)); err != nil {
--- a/internal/maintenance/controller/run.go
+++ b/internal/maintenance/controller/run.go
@@ -66,7 +66,7 @@
 // writeDecision writes a decision to the store, and logs it once it is written. After an error other than kv.ErrFenced,
 // the decision may have been written, so the error names its changes.
 func (c *Controller) writeDecision(ctx context.Context, decision maintenance.Decision, s snapshot, fence lease.FencingToken) error {
-	response, err := c.store.ExecuteAnywhere(ctx, decisionRequest(decision, s, fence))
+	response, err := c.store.ExecuteOrForward(ctx, decisionRequest(decision, s, fence))
 	if err != nil {
 		return fmt.Errorf("%s: %w", summary(decision), err)
 	}
