--- a/internal/cluster/storeadmin/eventstream.go
+++ b/internal/cluster/storeadmin/eventstream.go
@@ -21,14 +21,14 @@
 
 // eventStream is the response to one watcher: a stream of server-sent events.
 type eventStream struct {
-	writer  http.ResponseWriter
-	control *http.ResponseController
-	buffer  bytes.Buffer
-	started bool // the header has been sent
+	writer             http.ResponseWriter
+	responseController *http.ResponseController
+	buffer             bytes.Buffer
+	started            bool // the header has been sent
 }
 
 func newEventStream(w http.ResponseWriter) *eventStream {
-	return &eventStream{writer: w, control: http.NewResponseController(w)}
+	return &eventStream{writer: w, responseController: http.NewResponseController(w)}
 }
 
 // writeEvent adds an event to the buffer. flush sends the buffer.
@@ -76,11 +76,11 @@
 		s.writer.Header().Set("Content-Type", "text/event-stream")
 		s.writer.Header().Set("Cache-Control", "no-store")
 	}
-	s.control.SetWriteDeadline(time.Now().Add(watcherWriteTimeout))
+	s.responseController.SetWriteDeadline(time.Now().Add(watcherWriteTimeout))
 	_, err := s.writer.Write(s.buffer.Bytes())
 	s.buffer.Reset()
 	if s.buffer.Cap() > maxIdleBufferPages*watchPage.MaxBytes {
 		s.buffer = bytes.Buffer{}
 	}
-	return errors.Join(err, s.control.Flush()) == nil
+	return errors.Join(err, s.responseController.Flush()) == nil
 }
--- a/internal/cluster/storeadmin/forward.go
+++ b/internal/cluster/storeadmin/forward.go
@@ -36,7 +36,7 @@
 type forwardOptions struct {
 	idempotent bool          // the request may be sent again when its outcome is unknown
 	timeout    time.Duration // total for all attempts
-	slots      slots         // one is occupied while the request is forwarded
+	slots      slots         // a slot is occupied while the request is forwarded
 }
 
 // forwardIdempotent forwards a request that may be sent more than once to the leader; see forward.
--- a/internal/cluster/storeadmin/watch.go
+++ b/internal/cluster/storeadmin/watch.go
@@ -36,7 +36,7 @@
 		from = s.store.AppliedRevision() + 1
 	}
 	stream := newEventStream(w)
-	stream.control.SetReadDeadline(time.Time{}) // readTimeout would end the stream
+	stream.responseController.SetReadDeadline(time.Time{}) // readTimeout would end the stream
 	s.streamChanges(r.Context(), stream, from, prefix)
 	return nil
 }
@@ -60,7 +60,7 @@
 	announced := from // the position last sent to the watcher
 	stream.writeProgress(from)
 	for {
-		revisions, next, more, err := s.store.RevisionsSince(from, prefix, watchPage)
+		revisions, next, newRevisions, err := s.store.RevisionsSince(from, prefix, watchPage)
 		var compacted *watch.CompactedError
 		if errors.As(err, &compacted) {
 			stream.writeCompacted(compacted.OldestRevision)
@@ -80,7 +80,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-more:
+		case <-newRevisions:
 		case <-progress.C:
 			if from > announced { // the revisions since then changed other keys only
 				announced = from
--- a/internal/maintenance/agent/agent.go
+++ b/internal/maintenance/agent/agent.go
@@ -23,7 +23,7 @@
 	reportTimeout       = 10 * time.Second // for one report, including retries
 	releaseTimeout      = time.Second      // for the release of the machine's lease, which otherwise expires
 	minHeartbeatTimeout = 2 * time.Second  // for one heartbeat; the heartbeat interval applies if it is longer
-	unknownUtilization  = 1                // an unknown capacity counts as in use
+	unknownUtilization  = 1                // an unknown utilization counts as full
 )
 
 // Service is the service on the machine, as far as the agent needs it.
--- a/internal/maintenance/agent/config.go
+++ b/internal/maintenance/agent/config.go
@@ -14,7 +14,7 @@
 	Zone                string   `json:"zone"`       // failure domain of the machine
 	Speed               float64  `json:"speed"`      // relative speed of a core; default 1
 	HeartbeatIntervalMS int64    `json:"every_ms"`   // from 50 to 600000; default 2000
-	Command             []string `json:"command"`    // runs while the machine is out, which returns when it exits
+	Command             []string `json:"command"`    // runs while the machine is out; its exit ends the maintenance
 	CommandTimeoutMS    int64    `json:"command_ms"` // timeout of the command; default 10 minutes
 }
 
--- a/internal/maintenance/budget.go
+++ b/internal/maintenance/budget.go
@@ -16,7 +16,7 @@
 	MaxOutPerZone           int     `json:"most_zone"`   // machines of one zone out of service at a time; default 1
 	MaxCapacityFraction     float64 `json:"share"`       // fraction of all capacity out at a time, in (0, 1]; default 0.2
 	MaxZoneCapacityFraction float64 `json:"share_zone"`  // fraction of a zone's capacity out, in (0, 1]; default 0.5
-	SpareCapacityFraction   float64 `json:"spare"`       // unused fraction of the capacity in service, in [0, 1); default 0.2
+	SpareCapacityFraction   float64 `json:"spare"`       // minimum unused fraction of the capacity in service, in [0, 1); default 0.2
 	MaxUtilizationAgeMS     int64   `json:"gauge_ms"`    // a utilization that is older counts as 1; default 10 s
 	ConfirmTimeoutMS        int64   `json:"confirm_ms"`  // time for a machine to confirm a grant; default 15 s
 	OverrunGracePeriodMS    int64   `json:"over_ms"`     // how late a machine may finish draining, or return; default 60 s
--- a/internal/maintenance/controller/heartbeats.go
+++ b/internal/maintenance/controller/heartbeats.go
@@ -16,7 +16,7 @@
 	heartbeatPollInterval = 200 * time.Millisecond
 	maxHeartbeatStaleness = time.Second // maximum age of the store state in which heartbeats are observed
 	maxMissedHeartbeats   = 5           // heartbeat intervals without a heartbeat after which a machine is unreachable
-	unknownAgeMS          = -1          // see maintenance.Machine.UtilizationAgeMS
+	unknownAgeMS          = -1          // age of a heartbeat whose age is unknown
 )
 
 // observedHeartbeat is the time at which this node first saw a machine's last heartbeat, on its own monotonic
--- a/internal/maintenance/machine.go
+++ b/internal/maintenance/machine.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// MachineState says whether a machine serves requests.
+// MachineState is the state of a machine: in service, warming up or unreachable.
 type MachineState string
 
 // States of a machine. The strings are stored and sent.
--- a/internal/maintenance/order.go
+++ b/internal/maintenance/order.go
@@ -22,7 +22,7 @@
 // Order is a request for maintenance of one machine. Its stored times come from the clocks of the nodes that
 // wrote them, and are for operators to read. Before it calls Decide, the controller replaces PhaseSinceMS and
 // RequestedMS by the times at which the deciding node observed them, on its own clock, so that no timeout
-// compares the clocks of two machines. LatestStartMS is the only time that does.
+// compares the clocks of two machines. Only LatestStartMS is compared with the clock of another machine.
 type Order struct {
 	Machine       string `json:"node"`
 	Reason        string `json:"reason"`
--- a/internal/maintenance/phase.go
+++ b/internal/maintenance/phase.go
@@ -73,7 +73,7 @@
 // PhaseReport reports the new phase of a machine's order. The machine sends it, or an operator on its behalf.
 type PhaseReport struct {
 	Phase      Phase  `json:"state"`
-	GrantToken uint64 `json:"grant,omitempty"` // fencing token of the machine lease under which it left
+	GrantToken uint64 `json:"grant,omitempty"` // fencing token of the machine's lease
 	Reason     string `json:"why,omitempty"`
 }
 
--- a/internal/maintenance/plan.go
+++ b/internal/maintenance/plan.go
@@ -38,12 +38,12 @@
 type PlanInput struct {
 	Tasks         []PlanTask
 	Budget        DisruptionBudget
-	TotalCapacity float64            // of all machines, in cores times relative speed
-	ZoneCapacity  map[string]float64 // of all machines of a zone, by zone
-	Voters        map[string]bool    // all machines that run a voting node of the store
+	TotalCapacity float64            // capacity of all machines
+	ZoneCapacity  map[string]float64 // capacity of each zone, by zone
+	Voters        map[string]bool    // machines that run a voting node of the store
 	Windows       []StartWindow      // if empty, machines may be taken out at any time
-	Seed          uint64             // of the search's random numbers
-	MaxSchedules  int                // maximum number that the search tries; 0 means as many as take one to two seconds
+	Seed          uint64             // seed of the search's random numbers
+	MaxSchedules  int                // maximum number of schedules to try; 0 means as many as take one or two seconds
 }
 
 // ScheduledTask is a task with its start and end, relative to the plan's start.
