--- a/internal/maintenance/usage.go
+++ b/internal/maintenance/usage.go
@@ -173,18 +173,18 @@
 	b := u.budget
 	capacityOut := u.capacityOut + m.Capacity()
 	zoneCapacityOut := u.zoneCapacityOut[m.Zone] + m.Capacity()
-	remaining := u.capacityInService - m.Capacity()
+	staying := u.capacityInService - m.Capacity()
 	inZone := u.zoneSlots(m.Zone)
 	switch {
-	case remaining <= 0:
+	case staying <= 0:
 		return fmt.Sprintf("none of %.1f cores would stay in service%s", u.totalCapacity, &u.out)
 	case capacityOut > b.MaxCapacityFraction*u.totalCapacity && u.slotsUsed.count > 0:
 		return fmt.Sprintf("%.1f of %.1f cores would be out, at most %.0f%%%s", capacityOut, u.totalCapacity, 100*b.MaxCapacityFraction, &u.out)
 	case zoneCapacityOut > b.MaxZoneCapacityFraction*u.zoneCapacity[m.Zone] && inZone.count > 0:
 		return fmt.Sprintf("%.1f of %.1f cores of zone %q would be out, at most %.0f%%%s",
 			zoneCapacityOut, u.zoneCapacity[m.Zone], m.Zone, 100*b.MaxZoneCapacityFraction, inZone)
-	case u.capacityInUse > (1-b.SpareCapacityFraction)*remaining:
-		return fmt.Sprintf("%.1f cores are in use, and %.1f would stay, of which %.0f%% are kept spare", u.capacityInUse, remaining, 100*b.SpareCapacityFraction)
+	case u.capacityInUse > (1-b.SpareCapacityFraction)*staying:
+		return fmt.Sprintf("%.1f cores are in use, and %.1f would stay, of which %.0f%% are kept spare", u.capacityInUse, staying, 100*b.SpareCapacityFraction)
 	}
 	return ""
 }
