--- a/cmd/oxbowbridge/command_stopper.go
+++ b/cmd/oxbowbridge/command_stopper.go
@@ -10,61 +10,61 @@
 	"oxbowbridge/internal/cluster/leaseclient"
 )
 
-// commandStopper stops a command before its lease ends: with SIGTERM --grace before the deadline, and
-// with SIGKILL at the deadline.
+// commandStopper stops a command before its lease expires: it sends SIGTERM when --grace remains before
+// the deadline of the lease, and SIGKILL at the deadline.
 type commandStopper struct {
 	command    *exec.Cmd
-	held       *leaseclient.Lease
+	lease      *leaseclient.Lease
 	guard      *guardProcess
 	grace      time.Duration
-	deadline   time.Time // of the lease, as far as it is known
-	killAt     time.Time // the deadline when the command was told to stop
-	stopReason error     // nil until it was
+	deadline   time.Time // last known deadline of the lease
+	killAt     time.Time // the lease deadline that was known when SIGTERM was sent
+	stopReason error     // nil until SIGTERM is sent
 }
 
-func newCommandStopper(command *exec.Cmd, held *leaseclient.Lease, guard *guardProcess, grace time.Duration) *commandStopper {
-	deadline := held.Deadline()
-	return &commandStopper{command: command, held: held, guard: guard, grace: grace, deadline: deadline, killAt: deadline}
+func newCommandStopper(command *exec.Cmd, lease *leaseclient.Lease, guard *guardProcess, grace time.Duration) *commandStopper {
+	deadline := lease.Deadline()
+	return &commandStopper{command: command, lease: lease, guard: guard, grace: grace, deadline: deadline, killAt: deadline}
 }
 
-// wait waits for the command's end, and stops it when the lease can't be kept. Signals that this
-// process gets are passed on. It returns why the command was stopped, or nil.
+// wait waits until the command exits, and stops it when the lease is lost or close to its deadline. It
+// forwards signals to the command. It returns the reason why the command was stopped, or nil.
 func (s *commandStopper) wait(signals <-chan os.Signal, ttl time.Duration) error {
 	const (
 		checksPerTTL     = 50
 		minCheckInterval = 5 * time.Millisecond
 	)
-	ended := make(chan struct{})
+	exited := make(chan struct{})
 	go func() {
 		s.command.Wait()
-		close(ended)
+		close(exited)
 	}()
 	check := time.NewTicker(max(ttl/checksPerTTL, minCheckInterval))
 	defer check.Stop()
-	lost := s.held.Context().Done()
+	leaseEnded := s.lease.Context().Done()
 	for {
 		select {
-		case <-ended:
+		case <-exited:
 			return s.stopReason
 		case received := <-signals:
 			s.signal(received.(syscall.Signal))
 			continue
-		case <-lost:
-			lost = nil
-			s.stop(context.Cause(s.held.Context())) // the time until the last known deadline is left
+		case <-leaseEnded:
+			leaseEnded = nil
+			s.stop(context.Cause(s.lease.Context())) // SIGKILL follows at the last known deadline
 		case <-check.C:
 		}
-		if lost != nil {
+		if leaseEnded != nil {
 			s.refreshDeadline()
 		}
 		s.enforceDeadline(time.Now())
 	}
 }
 
-// refreshDeadline takes over a deadline that keep-alives have moved, as long as the command was not
-// told to stop.
+// refreshDeadline adopts a deadline that keep-alives have extended. After SIGTERM was sent, the time of
+// SIGKILL no longer changes.
 func (s *commandStopper) refreshDeadline() {
-	if deadline := s.held.Deadline(); deadline.After(s.deadline) {
+	if deadline := s.lease.Deadline(); deadline.After(s.deadline) {
 		s.deadline = deadline
 		s.guard.sendDeadline(deadline)
 	}
@@ -73,24 +73,25 @@
 	}
 }
 
+// enforceDeadline sends SIGTERM or SIGKILL to the command if it is due.
 func (s *commandStopper) enforceDeadline(now time.Time) {
 	if !now.Before(s.deadline.Add(-s.grace)) {
-		s.stop(s.endReason())
+		s.stop(s.leaseEndReason())
 	}
 	if s.stopReason != nil && !now.Before(s.killAt) {
 		s.signal(syscall.SIGKILL)
 	}
 }
 
-// endReason returns why the lease can't be kept: what has ended it, or that no answer came in time.
-func (s *commandStopper) endReason() error {
-	if s.held.Context().Err() != nil {
-		return context.Cause(s.held.Context())
+// leaseEndReason returns the error that ended the lease, or an error that no keep-alive succeeded in time.
+func (s *commandStopper) leaseEndReason() error {
+	if s.lease.Context().Err() != nil {
+		return context.Cause(s.lease.Context())
 	}
-	return s.held.ExpiredError()
+	return s.lease.ExpiredError()
 }
 
-// stop tells the command to stop, once.
+// stop sends SIGTERM to the command and records the reason. Later calls do nothing.
 func (s *commandStopper) stop(reason error) {
 	if s.stopReason == nil {
 		s.stopReason = reason
@@ -98,5 +99,5 @@
 	}
 }
 
-// signal signals the command's process group.
+// signal sends a signal to the command's process group.
 func (s *commandStopper) signal(sig syscall.Signal) { syscall.Kill(-s.command.Process.Pid, sig) }
--- a/cmd/oxbowbridge/config.go
+++ b/cmd/oxbowbridge/config.go
@@ -11,70 +11,70 @@
 	"oxbowbridge/internal/sitesettings"
 )
 
-// The environment variables that the configuration comes from.
+// Environment variables of the configuration.
 const (
-	envConfigPath    = "BALANCER_CONFIG" // the file's path; required
-	envServiceName   = "BALANCER_NAME"   // overrides the file's name
-	envListenAddress = "BALANCER_LISTEN" // overrides the file's listen
+	envConfigPath    = "BALANCER_CONFIG" // path of the configuration file; required
+	envServiceName   = "BALANCER_NAME"   // overrides the field name of the file
+	envListenAddress = "BALANCER_LISTEN" // overrides the field listen of the file
 )
 
 // config is the configuration file, a JSON object. Addresses are HOST:PORT. Fields without
-// a default are required. SIGHUP has the file read again; see changedFields for what is
-// followed without a restart.
+// a default are required. The process reads the file again on SIGHUP; see compareFields for
+// the fields that take effect without a restart.
 type config struct {
-	// Name identifies the service for the balancers, in the log and in the store.
+	// Name identifies the service in the service registry, in the log and in the store.
 	Name string `json:"name"`
-	// ListenAddress takes FastCGI callers. Required without ajp.listen.
+	// ListenAddress is the address on which FastCGI callers connect. Required without
+	// ajp.listen.
 	ListenAddress string `json:"listen"`
-	// EngineAddress is where the engine is. Required without ajp.upstreams, and not
+	// EngineAddress is the address of the engine. Required without ajp.upstreams, and not
 	// allowed with them.
 	EngineAddress string `json:"engine"`
-	// RegistryAddress is where the registry of the balancers takes datagrams. Default: the
-	// service is not listed.
+	// RegistryAddress is the address to which the service sends its registration datagrams.
+	// Default: the service is not registered.
 	RegistryAddress string `json:"lookup"`
-	// RecordsAddress is where the records service takes the calls of runs. Default: calls
-	// fail.
+	// RecordsAddress is the address of the records service, which replies to the calls of
+	// runs. Default: calls fail.
 	RecordsAddress string `json:"records"`
-	// Seed varies the slow start of AJP upstreams between processes: up to 16 hex digits.
-	// Default 0.
+	// Seed randomizes the slow start of AJP upstreams differently in each process: up to 16
+	// hex digits. Default 0.
 	Seed string `json:"seed"`
-	// DrainTimeoutMS is the time from the notice (SIGTERM) until the process is stopped
-	// from outside, in ms: at least 500, with a store at least 2000.
+	// DrainTimeoutMS is the time from SIGTERM until the process manager kills the process, in
+	// ms: at least 500, with a store at least 2000.
 	DrainTimeoutMS int64 `json:"stop_ms"`
-	// Limits are the resources of the process. They are declared, not
-	// measured.
+	// Limits are the resources of the process. They are configured, not measured.
 	Limits struct {
-		// Cores is how many cores the process may use; required with work. Default 0: not
-		// known.
+		// Cores is the number of CPU cores that the process may use; required with work.
+		// Default 0: unknown.
 		Cores float64 `json:"cores"`
-		// MemoryMB is the memory in MiB, at least 32.
+		// MemoryMB is the memory that the process may use, in MiB, at least 32.
 		MemoryMB int64 `json:"memory_mb"`
-		// Sockets is how many file descriptors the process may have, at least 64. A lower
-		// limit of the system goes before it.
+		// Sockets is the maximum number of open file descriptors, at least 64. A lower
+		// limit of the operating system takes precedence.
 		Sockets int `json:"sockets"`
 	} `json:"limits"`
-	// Settings are the service's settings. Those of the store, if there are any, go before
-	// them at the next start.
+	// Settings are the site settings. Settings in the store take precedence at the next
+	// start.
 	Settings sitesettings.Settings `json:"settings"`
-	// AJP sets up callers and upstreams that speak AJP13. Default: none.
+	// AJP configures callers and upstreams that use AJP13. Default: none.
 	AJP *ajpConfig `json:"ajp"`
-	// Store sets up this node of the replicated store. Default: no store.
+	// Store configures this process as a node of the replicated store. Default: no store.
 	Store *store.Config `json:"store"`
-	// Maintenance sets up this node's agent for maintenance. Default: no agent.
+	// Maintenance configures the maintenance agent of this machine. Default: no agent.
 	Maintenance *agent.Config `json:"work"`
 
-	settingsFromStore bool // Settings were replaced by those of the store
+	settingsFromStore bool // Settings were loaded from the store
 }
 
-// ajpConfig sets up callers and upstreams that speak AJP13.
+// ajpConfig configures callers and upstreams that use AJP13.
 type ajpConfig struct {
-	// ListenAddress takes AJP callers. Default: none.
+	// ListenAddress is the address on which AJP callers connect. Default: none.
 	ListenAddress string `json:"listen"`
-	// Secret must come with each request of a caller. Default: none, which is allowed only
-	// if ListenAddress is a loopback address.
+	// Secret must be in each request of a caller. Default: none, which is allowed only if
+	// ListenAddress is a loopback address.
 	Secret string `json:"secret"`
-	// UpstreamAddresses are servers that run the requests in place of an engine. Default:
-	// none.
+	// UpstreamAddresses are the addresses of servers that run the requests in place of an
+	// engine. Default: none.
 	UpstreamAddresses []string `json:"upstreams"`
 	// UpstreamSecret is sent to the upstreams with each request. Default: none.
 	UpstreamSecret string `json:"upstream_secret"`
@@ -82,12 +82,12 @@
 
 var errMissing = errors.New("missing")
 
-// fieldError is an error in one field of the configuration.
+// fieldError returns an error that names a field of the configuration.
 func fieldError(field, format string, args ...any) error {
 	return fmt.Errorf("%s: %w", field, fmt.Errorf(format, args...))
 }
 
-// readConfig reads and validates the file that the environment names.
+// readConfig reads and validates the file that BALANCER_CONFIG names.
 func readConfig(env func(string) string) (*config, error) {
 	path := env(envConfigPath)
 	if path == "" {
@@ -100,7 +100,8 @@
 	return parseConfig(text, env)
 }
 
-// parseConfig parses and validates a file's text, with what the environment overrides.
+// parseConfig parses the text of a configuration file, applies the overrides of the
+// environment, and validates the result.
 func parseConfig(text []byte, env func(string) string) (*config, error) {
 	var c config
 	if err := sitesettings.DecodeJSON(text, &c); err != nil {
@@ -118,7 +119,7 @@
 	return &c, c.validate()
 }
 
-// parsedSeed is the value of Seed.
+// parsedSeed returns the value of Seed.
 func (c *config) parsedSeed() (uint64, error) {
 	if c.Seed == "" {
 		return 0, nil
--- a/cmd/oxbowbridge/config_changes.go
+++ b/cmd/oxbowbridge/config_changes.go
@@ -2,56 +2,57 @@
 
 import "reflect"
 
-// configField is one field in two versions of the configuration.
+// configField holds the old and the new value of a configuration field.
 type configField struct {
-	name     string // in the file
-	old      any
-	new      any
-	followed bool // without a restart
+	name       string // its path in the file
+	old        any
+	new        any
+	reloadable bool // a change takes effect without a restart
 }
 
-// changed reports whether the versions differ.
+// changed reports whether the values differ.
 func (f configField) changed() bool { return !reflect.DeepEqual(f.old, f.new) }
 
-// changedFields names the fields that differ in another version of the configuration: those
-// that are followed without a restart, and those that wait for the next start. Neither is nil.
-func (c *config) changedFields(to *config) (now, atNextStart []string) {
-	now = []string{}
-	atNextStart = []string{}
-	for _, f := range c.comparedWith(to) {
+// changedFields returns the names of the fields that differ in an updated configuration: those
+// that take effect without a restart, and those that take effect at the next start. Neither
+// list is nil.
+func (c *config) changedFields(updated *config) (applied, afterRestart []string) {
+	applied = []string{}
+	afterRestart = []string{}
+	for _, f := range c.compareFields(updated) {
 		if f.name == "settings" && c.settingsFromStore {
-			continue // the file's are not in force
+			continue // the settings of the file are not in effect
 		}
 		switch {
 		case !f.changed():
-		case f.followed:
-			now = append(now, f.name)
+		case f.reloadable:
+			applied = append(applied, f.name)
 		default:
-			atNextStart = append(atNextStart, f.name)
+			afterRestart = append(afterRestart, f.name)
 		}
 	}
-	return now, atNextStart
+	return applied, afterRestart
 }
 
-// comparedWith returns the fields in the order in which the log names them. `seed` is not compared: it is new with
-// each start.
-func (c *config) comparedWith(to *config) []configField {
-	// A change from an engine to upstreams, or back, waits for the next start.
-	sameRunner := (c.EngineAddress == "") == (to.EngineAddress == "")
+// compareFields returns the fields in the order in which the log lists them. It leaves out seed,
+// which may be different at each start.
+func (c *config) compareFields(updated *config) []configField {
+	// A change from an engine to upstreams, or back, takes effect at the next start.
+	sameRunner := (c.EngineAddress == "") == (updated.EngineAddress == "")
 	return []configField{
-		{"engine", c.EngineAddress, to.EngineAddress, sameRunner},
-		{"records", c.RecordsAddress, to.RecordsAddress, true},
-		{"lookup", c.RegistryAddress, to.RegistryAddress, true},
-		{"stop_ms", c.DrainTimeoutMS, to.DrainTimeoutMS, true},
-		{"ajp.upstreams", c.AJP.UpstreamAddresses, to.AJP.UpstreamAddresses, sameRunner},
-		{"ajp.upstream_secret", c.AJP.UpstreamSecret, to.AJP.UpstreamSecret, sameRunner},
-		{"name", c.Name, to.Name, false},
-		{"listen", c.ListenAddress, to.ListenAddress, false},
-		{"limits", c.Limits, to.Limits, false},
-		{"settings", c.Settings, to.Settings, false},
-		{"ajp.listen", c.AJP.ListenAddress, to.AJP.ListenAddress, false},
-		{"ajp.secret", c.AJP.Secret, to.AJP.Secret, false},
-		{"store", c.Store, to.Store, false},
-		{"work", c.Maintenance, to.Maintenance, false},
+		{"engine", c.EngineAddress, updated.EngineAddress, sameRunner},
+		{"records", c.RecordsAddress, updated.RecordsAddress, true},
+		{"lookup", c.RegistryAddress, updated.RegistryAddress, true},
+		{"stop_ms", c.DrainTimeoutMS, updated.DrainTimeoutMS, true},
+		{"ajp.upstreams", c.AJP.UpstreamAddresses, updated.AJP.UpstreamAddresses, sameRunner},
+		{"ajp.upstream_secret", c.AJP.UpstreamSecret, updated.AJP.UpstreamSecret, sameRunner},
+		{"name", c.Name, updated.Name, false},
+		{"listen", c.ListenAddress, updated.ListenAddress, false},
+		{"limits", c.Limits, updated.Limits, false},
+		{"settings", c.Settings, updated.Settings, false},
+		{"ajp.listen", c.AJP.ListenAddress, updated.AJP.ListenAddress, false},
+		{"ajp.secret", c.AJP.Secret, updated.AJP.Secret, false},
+		{"store", c.Store, updated.Store, false},
+		{"work", c.Maintenance, updated.Maintenance, false},
 	}
 }
--- a/cmd/oxbowbridge/config_changes_test.go
+++ b/cmd/oxbowbridge/config_changes_test.go
@@ -8,18 +8,19 @@
 	"oxbowbridge/internal/maintenance/agent"
 )
 
-// TestChangedFields: the log after SIGHUP does not name a field that has changed and waits for the next start.
+// TestChangedFields guards against a log line after SIGHUP that omits a changed field which takes effect only at
+// the next start.
 func TestChangedFields(t *testing.T) {
 	newConfig := func() *config { return &config{AJP: &ajpConfig{}, Maintenance: &agent.Config{CommandTimeoutMS: 20000}} }
 	old := newConfig()
-	now, atNextStart := old.changedFields(newConfig())
-	assert.Empty(t, now)
-	assert.Empty(t, atNextStart)
-	changed := newConfig()
-	changed.Maintenance.CommandTimeoutMS = 30000
-	changed.Seed = "1"
-	changed.DrainTimeoutMS = 3000
-	now, atNextStart = old.changedFields(changed)
-	assert.Equal(t, []string{"stop_ms"}, now)
-	assert.Equal(t, []string{"work"}, atNextStart)
+	applied, afterRestart := old.changedFields(newConfig())
+	assert.Empty(t, applied)
+	assert.Empty(t, afterRestart)
+	updated := newConfig()
+	updated.Maintenance.CommandTimeoutMS = 30000
+	updated.Seed = "1"
+	updated.DrainTimeoutMS = 3000
+	applied, afterRestart = old.changedFields(updated)
+	assert.Equal(t, []string{"stop_ms"}, applied)
+	assert.Equal(t, []string{"work"}, afterRestart)
 }
--- a/cmd/oxbowbridge/config_validate.go
+++ b/cmd/oxbowbridge/config_validate.go
@@ -7,7 +7,7 @@
 	"oxbowbridge/internal/proxy/dispatch"
 )
 
-// The least values of the configuration's limits.
+// Minimum values of numbers in the configuration.
 const (
 	minDrainTimeoutMS          = 500
 	minDrainTimeoutWithStoreMS = 2000
@@ -15,7 +15,7 @@
 	minSockets                 = 64
 )
 
-// validate returns an error that names the first field which is wrong.
+// validate returns an error that names the first invalid field.
 func (c *config) validate() error {
 	if c.Name == "" {
 		return fieldError("name", "%w", errMissing)
@@ -68,20 +68,20 @@
 	return nil
 }
 
-// validateAJPSecret wants a secret for AJP ports that other hosts reach: a stranger there
-// could set any field of a request.
+// validateAJPSecret requires a secret if other hosts can reach the AJP port: without one, any
+// of them could set every field of a request.
 func (c *config) validateAJPSecret() error {
 	if c.AJP.ListenAddress == "" || c.AJP.Secret != "" {
 		return nil
 	}
-	host, _, _ := net.SplitHostPort(c.AJP.ListenAddress) // without a host it listens on all addresses
+	host, _, _ := net.SplitHostPort(c.AJP.ListenAddress) // an empty host means all addresses
 	if ip := net.ParseIP(host); ip == nil || !ip.IsLoopback() {
-		return fieldError("ajp.secret", "needed unless ajp.listen is a loopback address")
+		return fieldError("ajp.secret", "missing, required unless ajp.listen is a loopback address")
 	}
 	return nil
 }
 
-// validateSections has each section checked by the package that uses it.
+// validateSections lets the package that uses a section check it.
 func (c *config) validateSections() error {
 	if _, err := dispatch.ControllerSettings(&c.Settings); err != nil {
 		return fmt.Errorf("settings: %w", err)
@@ -103,11 +103,11 @@
 func (c *config) validateCombinations() error {
 	switch {
 	case c.Maintenance != nil && c.Store == nil && len(c.Maintenance.Nodes) == 0:
-		return fieldError("work.nodes", "%w, as this service has no store", errMissing)
+		return fieldError("work.nodes", "%w, required because this service has no store", errMissing)
 	case c.Maintenance != nil && c.Limits.Cores == 0:
-		return fieldError("limits.cores", "needed with work")
+		return fieldError("limits.cores", "missing, required with work")
 	case c.EngineAddress != "" && len(c.AJP.UpstreamAddresses) > 0:
-		return fieldError("ajp.upstreams", "not together with engine")
+		return fieldError("ajp.upstreams", "not allowed together with engine")
 	}
 	return nil
 }
@@ -115,15 +115,15 @@
 func (c *config) validateLimits() error {
 	switch {
 	case c.Store != nil && c.DrainTimeoutMS < minDrainTimeoutWithStoreMS:
-		return fieldError("stop_ms", "%d is too short, want at least %d with a store", c.DrainTimeoutMS, minDrainTimeoutWithStoreMS)
+		return fieldError("stop_ms", "%d ms is too short, want at least %d ms with a store", c.DrainTimeoutMS, minDrainTimeoutWithStoreMS)
 	case c.DrainTimeoutMS < minDrainTimeoutMS:
-		return fieldError("stop_ms", "%d is too short, want at least %d", c.DrainTimeoutMS, minDrainTimeoutMS)
+		return fieldError("stop_ms", "%d ms is too short, want at least %d ms", c.DrainTimeoutMS, minDrainTimeoutMS)
 	case c.Limits.MemoryMB < minMemoryMB:
-		return fieldError("limits.memory_mb", "%d is too little, want at least %d", c.Limits.MemoryMB, minMemoryMB)
+		return fieldError("limits.memory_mb", "%d MiB is too little, want at least %d MiB", c.Limits.MemoryMB, minMemoryMB)
 	case c.Limits.Sockets < minSockets:
-		return fieldError("limits.sockets", "%d are too few, want at least %d", c.Limits.Sockets, minSockets)
+		return fieldError("limits.sockets", "%d is too small, want at least %d", c.Limits.Sockets, minSockets)
 	case c.Limits.Cores < 0:
-		return fieldError("limits.cores", "%g is impossible", c.Limits.Cores)
+		return fieldError("limits.cores", "%g is negative, want 0 or more", c.Limits.Cores)
 	}
 	return nil
 }
--- a/cmd/oxbowbridge/descriptors.go
+++ b/cmd/oxbowbridge/descriptors.go
@@ -10,14 +10,16 @@
 )
 
 const (
-	// storeDescriptorsDivisor: one in so many descriptors is for the replicated store, if
-	// there is one.
+	// storeDescriptorsDivisor is the divisor of the descriptor limit that gives the number
+	// of descriptors reserved for the replicated store.
 	storeDescriptorsDivisor = 8
-	// assumedOpenDescriptors is used where the system does not tell the number.
+	// assumedOpenDescriptors is the number of open descriptors that is assumed if
+	// /proc/self/fd can't be read.
 	assumedOpenDescriptors = 16
 )
 
-// divideDescriptors divides the descriptors that the configuration and the system allow.
+// divideDescriptors divides the file descriptors of the process between callers, backends and
+// the store.
 func divideDescriptors(cfg *config, log *zap.Logger) fdquota.Quotas {
 	usage := fdquota.Usage{Limit: descriptorLimit(cfg), OpenDescriptors: openDescriptors()}
 	for _, address := range []string{cfg.ListenAddress, cfg.AJP.ListenAddress} {
@@ -30,12 +32,13 @@
 	}
 	quotas := fdquota.Divide(usage)
 	if quotas.BelowMinimum {
-		log.Warn("few descriptors are left for connections", zap.Int("limit", usage.Limit), zap.Int("open", usage.OpenDescriptors))
+		log.Warn("too few file descriptors left for connections", zap.Int("limit", usage.Limit), zap.Int("open", usage.OpenDescriptors))
 	}
 	return quotas
 }
 
-// descriptorLimit is the configured limit, or the system's if that is lower.
+// descriptorLimit returns the configured limit or the operating system's limit, whichever is
+// lower.
 func descriptorLimit(cfg *config) int {
 	limit := cfg.Limits.Sockets
 	var system syscall.Rlimit
@@ -45,11 +48,12 @@
 	return limit
 }
 
-// openDescriptors is how many descriptors this process has, inherited ones included.
+// openDescriptors returns the number of open descriptors of this process, inherited ones
+// included.
 func openDescriptors() int {
 	list, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
 		return assumedOpenDescriptors
 	}
-	return len(list) - 1 // without that of the folder while it was read
+	return len(list) - 1 // without the descriptor of the directory that was read
 }
--- a/cmd/oxbowbridge/durable.go
+++ b/cmd/oxbowbridge/durable.go
@@ -11,10 +11,10 @@
 	"oxbowbridge/internal/storage/durable/vfs"
 )
 
-// durableCommand returns the commands that work on the folder of a durable store. They
-// take the folder's lock, so they fail while a service has it open.
+// durableCommand returns the commands that work on the directory of a durable store. They
+// take the lock of the directory, so they fail while a service has it open.
 func durableCommand() *cobra.Command {
-	c := &cobra.Command{Use: "durable", Short: "Work on the folder of a durable store that no service has open"}
+	c := &cobra.Command{Use: "durable", Short: "Inspect and modify the directory of a durable store that no service has open"}
 	add := func(use, short string, run func(c *cobra.Command, dir string) error) *cobra.Command {
 		sub := &cobra.Command{
 			Use:   use + " DIR",
@@ -26,23 +26,23 @@
 		return sub
 	}
 	asHex := false
-	load := add("load", "Put lines of KEY TAB VALUE from standard input, and print each key that is on disk",
+	load := add("load", "Write lines of KEY TAB VALUE from standard input, and print each key once it is on disk",
 		func(c *cobra.Command, dir string) error {
-			return loadFolder(dir, c.InOrStdin(), c.OutOrStdout(), asHex)
+			return loadDirectory(dir, c.InOrStdin(), c.OutOrStdout(), asHex)
 		})
-	dump := add("dump", "Print what the folder holds, or would recover to, without changing it",
-		func(c *cobra.Command, dir string) error { return dumpFolder(dir, c.OutOrStdout(), asHex) })
+	dump := add("dump", "Print the contents that opening the directory would recover, without changing it",
+		func(c *cobra.Command, dir string) error { return dumpDirectory(dir, c.OutOrStdout(), asHex) })
 	for _, sub := range []*cobra.Command{load, dump} {
-		sub.Flags().BoolVar(&asHex, "hex", false, "keys and values as hex digits, so that any bytes fit on a line")
+		sub.Flags().BoolVar(&asHex, "hex", false, "encode keys and values as hex digits, to allow any bytes on a line")
 	}
-	add("verify", "Read every byte that counts, and print a report", verifyFolder)
-	add("stat", "Print the figures of a folder", statFolder)
-	add("compact", "Give back all space that can be", compactFolder)
-	add("repair", "Make a damaged folder one that opens, and print what was lost", repairFolder)
+	add("verify", "Read and verify all data in use, and print a report", verifyDirectory)
+	add("stat", "Print statistics of a directory", statDirectory)
+	add("compact", "Reclaim all unused space", compactDirectory)
+	add("repair", "Make a damaged directory usable again, and print what was lost", repairDirectory)
 	return c
 }
 
-func verifyFolder(c *cobra.Command, dir string) error {
+func verifyDirectory(c *cobra.Command, dir string) error {
 	return withView(dir, func(view *durable.View, fs vfs.FS) error {
 		if err := view.Verify(fs); err != nil {
 			return err
@@ -51,17 +51,17 @@
 	})
 }
 
-func statFolder(c *cobra.Command, dir string) error {
+func statDirectory(c *cobra.Command, dir string) error {
 	return withView(dir, func(view *durable.View, _ vfs.FS) error {
 		return errors.Join(printJSON(c.OutOrStdout(), view.Stats()), damageError(view.Report))
 	})
 }
 
-func compactFolder(c *cobra.Command, dir string) error {
-	if err := folderExists(dir); err != nil {
+func compactDirectory(c *cobra.Command, dir string) error {
+	if err := checkDirectoryExists(dir); err != nil {
 		return err
 	}
-	store, err := openStore(dir)
+	store, err := openDurableStore(dir)
 	if err != nil {
 		return err
 	}
@@ -75,8 +75,8 @@
 	return nil
 }
 
-func repairFolder(c *cobra.Command, dir string) error {
-	if err := folderExists(dir); err != nil {
+func repairDirectory(c *cobra.Command, dir string) error {
+	if err := checkDirectoryExists(dir); err != nil {
 		return err
 	}
 	fs, err := vfs.OpenDir(dir)
@@ -93,13 +93,14 @@
 	return err
 }
 
-// folderExists keeps a command from making a folder that is missing.
-func folderExists(dir string) error {
+// checkDirectoryExists returns an error if the directory is missing, so that a command does not
+// create it.
+func checkDirectoryExists(dir string) error {
 	_, err := vfs.OpenDirReadOnly(dir)
 	return err
 }
 
-// damageError is the error of a folder that may miss what was acknowledged, or nil.
+// damageError returns an error if acknowledged data may be missing, or nil.
 func damageError(r *durable.Report) error {
 	if r.Loss != durable.AcknowledgedLoss {
 		return nil
@@ -107,7 +108,7 @@
 	return &exitError{exitCodeDamaged, &durable.DamagedError{Report: r}}
 }
 
-// withView reads a folder that nobody else may have open, and changes nothing in it.
+// withView locks a directory and calls use with a read-only view of its store.
 func withView(dir string, use func(*durable.View, vfs.FS) error) error {
 	fs, err := vfs.OpenDirReadOnly(dir)
 	if err != nil {
@@ -126,8 +127,9 @@
 	return use(view, fs)
 }
 
-// openStore opens a folder, or makes one. A torn tail is truncated, with a notice.
-func openStore(dir string) (*durable.Store, error) {
+// openDurableStore opens a directory, or creates one. It truncates a torn tail and prints a
+// message about that.
+func openDurableStore(dir string) (*durable.Store, error) {
 	fs, err := vfs.OpenDir(dir)
 	if err != nil {
 		return nil, err
@@ -140,7 +142,7 @@
 		return nil, err
 	}
 	if report.Loss == durable.TailLoss {
-		fmt.Fprintf(os.Stderr, "oxbowbridge: %d bytes of a tail that was never synced were cut off\n", report.TruncatedBytes)
+		fmt.Fprintf(os.Stderr, "oxbowbridge: truncated %d bytes of a log tail that was never synced\n", report.TruncatedBytes)
 	}
 	return store, nil
 }
--- a/cmd/oxbowbridge/durable_dump.go
+++ b/cmd/oxbowbridge/durable_dump.go
@@ -13,15 +13,15 @@
 	"oxbowbridge/internal/storage/durable/vfs"
 )
 
-// dumpFolder prints all keys, also those that expire, in their order, as lines of KEY
-// TAB VALUE. Values that can't be read are left out, and the folder counts as damaged.
-func dumpFolder(dir string, out io.Writer, asHex bool) error {
+// dumpDirectory prints all keys, including those with an expiry time, in ascending order, as
+// lines of KEY TAB VALUE. It omits values that can't be read and then returns an error.
+func dumpDirectory(dir string, out io.Writer, asHex bool) error {
 	return withView(dir, func(view *durable.View, _ vfs.FS) error {
 		if err := dumpKeys(view, out, asHex); err != nil {
 			return err
 		}
 		if view.Uninitialized() {
-			fmt.Fprintln(os.Stderr, "oxbowbridge: no store was ever written here")
+			fmt.Fprintln(os.Stderr, "oxbowbridge: directory contains no store")
 		}
 		if err := damageError(view.Report); err != nil {
 			return errors.Join(err, printJSON(os.Stderr, view.Report))
@@ -43,24 +43,24 @@
 		if line, formatErr = formatLine([]byte(i.Key), value, asHex); formatErr != nil {
 			return false
 		}
-		_, err = w.Write(line) // Flush returns the error again
+		_, err = w.Write(line) // Flush also returns this error
 		return err == nil
 	})
 	return errors.Join(formatErr, w.Flush())
 }
 
-// formatLine is a line of KEY TAB VALUE, in hex digits or as it is.
+// formatLine formats a line of KEY TAB VALUE, as hex digits or as raw bytes.
 func formatLine(key, value []byte, asHex bool) ([]byte, error) {
 	if asHex {
 		return fmt.Appendf(nil, "%x\t%x\n", key, value), nil
 	}
 	if bytes.ContainsAny(key, "\t\n") || bytes.IndexByte(value, '\n') >= 0 {
-		return nil, fmt.Errorf("%q does not fit on a line: use --hex", key)
+		return nil, fmt.Errorf("key %q or its value contains a tab or line break: use --hex", key)
 	}
 	return fmt.Appendf(nil, "%s\t%s\n", key, value), nil
 }
 
-// parseLine reads what formatLine wrote, without the end of the line.
+// parseLine parses a line that formatLine wrote, without its line break.
 func parseLine(line []byte, asHex bool) (key, value []byte, err error) {
 	key, value, ok := bytes.Cut(line, []byte{'\t'})
 	if !ok {
--- a/cmd/oxbowbridge/durable_load.go
+++ b/cmd/oxbowbridge/durable_load.go
@@ -10,30 +10,30 @@
 )
 
 const (
-	// maxInFlightPuts bounds the puts that were submitted and not printed yet.
+	// maxInFlightPuts bounds the number of puts that are submitted but not printed yet.
 	maxInFlightPuts = 256
-	// readBufferBytes is the length of reads of the input.
+	// readBufferBytes is the size of the input buffer.
 	readBufferBytes = 64 << 10
 )
 
-// loadResult is a key that is on disk, or the error that kept it from there.
+// loadResult is a key that is on disk, or the error of its put.
 type loadResult struct {
 	key []byte
 	err error
 }
 
-// loader puts lines into a store, and prints the keys in the order of the lines.
+// loader writes lines to a store, and prints their keys in the order of the lines.
 type loader struct {
 	store    *durable.Store
 	asHex    bool
-	results  chan loadResult // in the order of the lines
-	inFlight chan struct{}   // one element for each put that was not printed yet
+	results  chan loadResult // in the order of the input lines
+	inFlight chan struct{}   // one element for each put that is not printed yet
 }
 
-// loadFolder puts one line after the other, each synced, and prints each key that is
-// on disk. It ends at the first line that can't be put.
-func loadFolder(dir string, in io.Reader, out io.Writer, asHex bool) (err error) {
-	store, err := openStore(dir)
+// loadDirectory writes the lines of the input to a store, with sync, and prints each key once it
+// is on disk. It stops at the first line that fails.
+func loadDirectory(dir string, in io.Reader, out io.Writer, asHex bool) (err error) {
+	store, err := openDurableStore(dir)
 	if err != nil {
 		return err
 	}
@@ -47,18 +47,18 @@
 	printed := make(chan error, 1)
 	go func() { printed <- l.printResults(out) }()
 	err = l.putLines(in)
-	for range maxInFlightPuts { // until all results are printed
+	for range maxInFlightPuts { // waits until all results are printed
 		l.inFlight <- struct{}{}
 	}
 	close(l.results)
 	return errors.Join(err, <-printed)
 }
 
-// putLines submits a put for each line, until a line can't be read or the store is
-// read-only.
+// putLines submits a put for each line, until the end of the input, an invalid line, or the
+// store becomes read-only.
 func (l *loader) putLines(in io.Reader) error {
 	limits := durable.DefaultOptions()
-	maxLineBytes := 2*(limits.MaxKeyBytes+limits.MaxValueBytes) + 1 // in hex digits
+	maxLineBytes := 2*(limits.MaxKeyBytes+limits.MaxValueBytes) + 1 // two hex digits for each byte, and a tab
 	lines := bufio.NewReaderSize(in, readBufferBytes)
 	for number := 1; l.store.ReadOnlyError() == nil; number++ {
 		line, err := readLine(lines, maxLineBytes)
@@ -89,8 +89,8 @@
 	})
 }
 
-// printResults prints keys as they become durable, up to the first that did not. The
-// output is flushed when no further result waits.
+// printResults prints keys as they become durable, up to the first failed put. It flushes the
+// output when no further result is queued.
 func (l *loader) printResults(out io.Writer) error {
 	w := bufio.NewWriter(out)
 	var firstErr error
@@ -113,9 +113,9 @@
 	return errors.Join(firstErr, w.Flush())
 }
 
-var errLineTooLong = errors.New("line is too long")
+var errLineTooLong = errors.New("line too long")
 
-// readLine reads a line of at most maxBytes, without its end.
+// readLine reads a line of at most maxBytes and returns it without its line break.
 func readLine(r *bufio.Reader, maxBytes int) ([]byte, error) {
 	var line []byte
 	for {
--- a/cmd/oxbowbridge/exit.go
+++ b/cmd/oxbowbridge/exit.go
@@ -12,26 +12,26 @@
 // Exit codes.
 const (
 	exitCodeFailure = 1
-	exitCodeUsage   = 2 // bad arguments, or a bad configuration
-	exitCodeDamaged = 3 // acknowledged data may be missing
+	exitCodeUsage   = 2 // invalid arguments or configuration
+	exitCodeDamaged = 3 // acknowledged data of a durable store may be missing
 )
 
-// errConfig marks errors of the configuration.
+// errConfig marks configuration errors, which exit with exitCodeUsage.
 var errConfig = errors.New("configuration")
 
-// exitError is a failure with an exit code of its own.
+// exitError is an error with a specific exit code.
 type exitError struct {
 	code int
 	err  error
 }
 
-// Error returns the text of the failure.
+// Error returns the message of the wrapped error.
 func (e *exitError) Error() string { return e.err.Error() }
 
-// Unwrap returns the failure.
+// Unwrap returns the wrapped error.
 func (e *exitError) Unwrap() error { return e.err }
 
-// exitCodeOf is the exit code for a failure.
+// exitCodeOf returns the exit code for an error.
 func exitCodeOf(err error) int {
 	var exit *exitError
 	switch {
@@ -43,7 +43,7 @@
 	return exitCodeFailure
 }
 
-// usageError gives an error of the arguments its exit code; nil stays nil.
+// usageError marks an error in the arguments with exitCodeUsage. It returns nil for nil.
 func usageError(err error) error {
 	if err == nil {
 		return nil
@@ -51,14 +51,14 @@
 	return &exitError{exitCodeUsage, err}
 }
 
-// noArgs is cobra.NoArgs with the exit code of bad arguments.
+// noArgs is cobra.NoArgs with exitCodeUsage.
 func noArgs(c *cobra.Command, args []string) error { return usageError(cobra.NoArgs(c, args)) }
 
-// oneArg is cobra.ExactArgs(1) with the exit code of bad arguments.
+// oneArg is cobra.ExactArgs(1) with exitCodeUsage.
 func oneArg(c *cobra.Command, args []string) error { return usageError(cobra.ExactArgs(1)(c, args)) }
 
-// printTimeout is how long the last message may take to be written: a standard error that
-// nobody reads must not keep the process from ending.
+// printTimeout bounds the write of the final error message. A standard error whose reader has
+// stopped reading must not keep the process from exiting.
 const printTimeout = 100 * time.Millisecond
 
 func printError(err error) {
--- a/cmd/oxbowbridge/frontends.go
+++ b/cmd/oxbowbridge/frontends.go
@@ -20,28 +20,29 @@
 )
 
 const (
-	// effectDeduplicated is the effect, as the settings name it, of classes whose requests
-	// have an idempotency key.
+	// effectDeduplicated is the value of the setting effect for classes whose requests have
+	// an idempotency key.
 	effectDeduplicated = "deduplicated"
-	// listenRetryInterval is the time between two attempts to listen on an address in use.
+	// listenRetryInterval is the time between attempts to listen on an address that is in
+	// use.
 	listenRetryInterval = 50 * time.Millisecond
-	// predecessorExitSlack is what a predecessor that was killed at its stop_ms may take
-	// beyond them to end.
-	predecessorExitSlack = time.Second
+	// predecessorExitMargin is the time that a previous process of this service may take
+	// to exit after it was killed at its stop_ms.
+	predecessorExitMargin = time.Second
 )
 
-// configuredFrontend is one frontend with its place in the configuration.
+// configuredFrontend is a frontend with its address and its field in the configuration.
 type configuredFrontend struct {
 	listener interface {
 		dispatch.Frontend
 		Listen(loop *eventloop.Loop, addr string, maxConns int, pool *fdquota.ConnPool) error
 		Addr() net.Addr
 	}
-	field   string // of the configuration
+	field   string // path in the configuration
 	address string
 }
 
-// newFrontends returns the configured frontends. None listens yet.
+// newFrontends returns the configured frontends. They do not listen yet.
 func newFrontends(cfg *config, x *exchange.Exchange, log *zap.Logger) []configuredFrontend {
 	classes := frontendClasses(cfg)
 	var frontends []configuredFrontend
@@ -54,7 +55,7 @@
 	return frontends
 }
 
-// frontendClasses are the classes by the names that requests have.
+// frontendClasses returns the request classes by name.
 func frontendClasses(cfg *config) map[string]frontend.Class {
 	classes := map[string]frontend.Class{}
 	for i, class := range cfg.Settings.Classes {
@@ -63,13 +64,13 @@
 	return classes
 }
 
-// listenAll has all frontends listen, with equal parts of the caller connections. A notice
-// of the end stops the wait for an address in use.
-func listenAll(notice context.Context, cfg *config, frontends []configuredFrontend, loop *eventloop.Loop, pool *fdquota.ConnPool, log *zap.Logger) error {
-	maxWait := time.Duration(cfg.DrainTimeoutMS)*time.Millisecond + predecessorExitSlack
+// listenAll starts to listen on all frontends and divides the caller connections equally
+// between them. The end of shutdown aborts the wait for an address in use.
+func listenAll(shutdown context.Context, cfg *config, frontends []configuredFrontend, loop *eventloop.Loop, pool *fdquota.ConnPool, log *zap.Logger) error {
+	maxWait := time.Duration(cfg.DrainTimeoutMS)*time.Millisecond + predecessorExitMargin
 	for _, f := range frontends {
 		listen := func() error { return f.listener.Listen(loop, f.address, pool.MaxCallers()/len(frontends), pool) }
-		if err := f.listenWhenFree(notice, listen, maxWait, log); err != nil {
+		if err := f.listenWithRetry(shutdown, listen, maxWait, log); err != nil {
 			return fmt.Errorf("%w: %s: %w", errConfig, f.field, err)
 		}
 		log.Info("listening", zap.String("config_field", f.field), zap.Stringer("address", f.listener.Addr()))
@@ -77,9 +78,9 @@
 	return nil
 }
 
-// listenWhenFree retries while the address is in use, for at most maxWait: the process that
-// has it may be this one's predecessor, which ends once its own stop_ms are over.
-func (f configuredFrontend) listenWhenFree(notice context.Context, listen func() error, maxWait time.Duration, log *zap.Logger) error {
+// listenWithRetry retries while the address is in use, for at most maxWait. The previous
+// process of this service may still listen on it and exits by the end of its stop_ms.
+func (f configuredFrontend) listenWithRetry(shutdown context.Context, listen func() error, maxWait time.Duration, log *zap.Logger) error {
 	deadline := time.Now().Add(maxWait)
 	for warned := false; ; warned = true {
 		err := listen()
@@ -87,11 +88,11 @@
 			return err
 		}
 		if !warned {
-			log.Warn("address in use, trying again", zap.String("config_field", f.field),
+			log.Warn("address in use, retrying", zap.String("config_field", f.field),
 				zap.String("address", f.address), zap.Int64("max_wait_ms", maxWait.Milliseconds()))
 		}
 		select {
-		case <-notice.Done():
+		case <-shutdown.Done():
 			return err
 		case <-time.After(listenRetryInterval):
 		}
--- a/cmd/oxbowbridge/golden_test.go
+++ b/cmd/oxbowbridge/golden_test.go
@@ -22,7 +22,8 @@
 	"oxbowbridge/internal/testrig/golden"
 )
 
-// TestGoldenCommands: the names of all commands, their flags and their defaults.
+// TestGoldenCommands compares the names of all commands, their flags, flag types and defaults with a
+// golden file.
 func TestGoldenCommands(t *testing.T) {
 	var lines strings.Builder
 	var walk func(c *cobra.Command)
@@ -38,14 +39,14 @@
 		}
 	}
 	walk(rootCommand())
-	fmt.Fprintln(&lines, exitCodeFailure, exitCodeUsage, exitCodeDamaged, envToken, envName, keySettings, keyLevel, keyState)
+	fmt.Fprintln(&lines, exitCodeFailure, exitCodeUsage, exitCodeDamaged, envFencingToken, envLeaseName, keySettings, keyLogLevel, keyStatePrefix)
 	golden.Text(t, "testdata/commands.golden", lines.String())
 }
 
-// TestGoldenOutput: what the commands that ask a store print, as tables and as JSON, and
-// how they end.
+// TestGoldenOutput compares the output, exit codes and errors of the commands that use a store node with
+// a golden file, for tables and for JSON.
 func TestGoldenOutput(t *testing.T) {
-	node := httptest.NewServer(http.HandlerFunc(answerSample))
+	node := httptest.NewServer(http.HandlerFunc(serveSampleResponses))
 	defer node.Close()
 	address := strings.TrimPrefix(node.URL, "http://")
 	damaged := filepath.Join(t.TempDir(), "damaged")
@@ -80,18 +81,19 @@
 	}
 	text := strings.NewReplacer(address, "NODE", damaged, "FILE").Replace(lines.String())
 	text = regexp.MustCompile(`\d+h\d+m\d+s`).ReplaceAllString(text, "AGO")
-	text = regexp.MustCompile(` {2,}`).ReplaceAllString(text, "  ") // tables are as wide as the address
+	text = regexp.MustCompile(` {2,}`).ReplaceAllString(text, "  ") // the width of columns depends on the address
 	golden.Text(t, "testdata/output.golden", text)
 }
 
-// answerSample answers each request with one body of its kind.
-func answerSample(w http.ResponseWriter, r *http.Request) {
+// serveSampleResponses is the handler of a stand-in store node. It returns a sample body for each kind of
+// request.
+func serveSampleResponses(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("ETag", `"9"`)
 	w.Header().Set("Store-Revision", "11")
 	var body any
 	switch path := r.Method + " " + r.URL.Path; {
 	case path == "GET /status":
-		body = sample(&storeapi.Status{})
+		body = filledSample(&storeapi.Status{})
 	case path == "GET /store":
 		body = map[string]json.RawMessage{"a": []byte(`1`), "b": []byte(`{"x":1}`)}
 	case path == "GET /store/a":
@@ -102,14 +104,14 @@
 		request, _ := io.ReadAll(r.Body)
 		body = map[string]any{"held": !strings.Contains(string(request), `"if"`), "revision": 4, "results": []map[string]any{{"key": "a", "revision": 4, "value": 1}}}
 	case path == "GET /members":
-		body = sample(&storeapi.Members{})
+		body = filledSample(&storeapi.Members{})
 	case strings.Contains(path, "GET /watch"):
 		fmt.Fprint(w, "id: 8\nevent: change\ndata: {\"revision\":8,\"changes\":[{\"key\":\"a/b\",\"gone\":true},{\"key\":\"a\",\"value\":2}]}\n\nevent: compacted\ndata: {\"error\":\"compacted\",\"oldest\":12}\n\n")
 		return
 	case path == "GET /lease":
-		body = []any{sample(&storeapi.LeaseStatus{}), storeapi.LeaseStatus{Name: "job", Holder: "h1", Token: 7, TTLMS: 5000}}
+		body = []any{filledSample(&storeapi.LeaseStatus{}), storeapi.LeaseStatus{Name: "job", Holder: "h1", Token: 7, TTLMS: 5000}}
 	case path == "GET /lease/job", path == "POST /lease/job":
-		body = sample(&storeapi.LeaseStatus{})
+		body = filledSample(&storeapi.LeaseStatus{})
 	case path == "GET /work":
 		s := maintenance.Status{Controller: "n1", Budget: maintenance.DefaultDisruptionBudget(), HeadOfQueue: "m2", WaitReason: "1 are out, at most 1", Pause: maintenance.Pause{Paused: true, Reason: "by us"}}
 		for _, name := range []string{"m1", "m2", "m3"} {
@@ -118,7 +120,7 @@
 		}
 		body = s
 	case path == "POST /work":
-		body = sample(&maintenance.Order{})
+		body = filledSample(&maintenance.Order{})
 	default:
 		w.WriteHeader(http.StatusNoContent)
 		return
@@ -126,12 +128,13 @@
 	json.NewEncoder(w).Encode(body)
 }
 
-func sample[T any](value *T) *T {
+// filledSample fills all fields of a value with distinct sample data.
+func filledSample[T any](value *T) *T {
 	golden.Fill(value)
 	return value
 }
 
-// TestGoldenGuard: the lines that a process with a lease writes to its guard.
+// TestGoldenGuard guards the format of the lines between "lease run" and its guard process.
 func TestGoldenGuard(t *testing.T) {
 	read, write := io.Pipe()
 	g := &guardProcess{input: write}
--- a/cmd/oxbowbridge/lease.go
+++ b/cmd/oxbowbridge/lease.go
@@ -14,40 +14,40 @@
 	"oxbowbridge/internal/cluster/storeclient"
 )
 
-// leaseCLI is the flags of the sub-commands of lease.
+// leaseCLI holds the flags of the subcommands of "lease".
 type leaseCLI struct {
 	nodes          []string
 	asJSON         bool
 	acquireOptions leaseOptions // of acquire
 	runOptions     leaseOptions // of run
-	token          uint64       // of release
-	to             string       // of release: a waiter's holder name
-	grace          time.Duration
+	releaseToken   uint64       // of release
+	nextHolder     string       // of release: holder name of a waiter
+	gracePeriod    time.Duration
 }
 
-// Values of --wait that are no limit.
+// Values of --wait that are not a time limit.
 const (
 	noWait      time.Duration = 0
 	waitForever time.Duration = -1
 )
 
-// leaseOptions is what a lease is acquired with.
+// leaseOptions are the flags for acquiring a lease.
 type leaseOptions struct {
 	ttl      time.Duration
-	wait     time.Duration // for a lease that another holder has: noWait, waitForever or any other negative, or a limit
+	wait     time.Duration // time limit if another holder has the lease; noWait, or waitForever and any other negative value
 	holder   string
 	priority int
 }
 
 // addFlags adds the options as flags of a command.
 func (o *leaseOptions) addFlags(c *cobra.Command, defaultTTL, defaultWait time.Duration, waitUsage string) {
-	c.Flags().DurationVar(&o.ttl, "ttl", defaultTTL, "how long the lease goes on without a sign of its holder")
+	c.Flags().DurationVar(&o.ttl, "ttl", defaultTTL, "time after which the lease expires without a keep-alive from its holder")
 	c.Flags().DurationVar(&o.wait, "wait", defaultWait, waitUsage)
-	c.Flags().IntVar(&o.priority, "priority", 0, "among those who wait, higher goes first")
-	c.Flags().StringVar(&o.holder, "holder", "", "a name that nobody else goes by; by default one of this process")
+	c.Flags().IntVar(&o.priority, "priority", 0, "among waiters, a higher priority is granted first")
+	c.Flags().StringVar(&o.holder, "holder", "", "unique holder name; by default a new name for this process")
 }
 
-// holderName returns --holder, or a name of this process.
+// holderName returns --holder, or a generated name for this process.
 func (o *leaseOptions) holderName() string {
 	if o.holder == "" {
 		o.holder = leaseclient.NewHolderName()
@@ -55,25 +55,25 @@
 	return o.holder
 }
 
-// validate checks what no store accepts. Its error is one of the arguments.
+// validate checks the lease name and the flags. It returns a usage error.
 func (o *leaseOptions) validate(name string) error {
 	return usageError(lease.Validate(name, o.holderName(), o.ttl.Milliseconds()))
 }
 
 func leaseCommand() *cobra.Command {
 	s := &leaseCLI{}
-	c, add := nodesCommand("lease", "Leases of the replicated store: one holder acts at a time", &s.nodes, &s.asJSON)
-	add("list", "Show all leases that are held, and who waits for them", cobra.NoArgs, s.list)
-	add("show NAME", "Show one", cobra.ExactArgs(1), s.show)
-	acquire := add("acquire NAME", "Take a lease, once: nothing keeps it alive", cobra.ExactArgs(1), s.acquire)
-	s.acquireOptions.addFlags(acquire, 5*time.Second, noWait, "for which to wait if another has it, up to 30s")
-	release := add("release NAME", "Give a lease back", cobra.ExactArgs(1), s.release)
-	release.Flags().Uint64Var(&s.token, "token", 0, "under which it is held")
-	release.Flags().StringVar(&s.to, "to", "", "the one who is to have it, of those who wait")
-	add("revoke NAME", "Have a lease go on no further than the time that its holder was given", cobra.ExactArgs(1), s.revoke)
-	run := add("run NAME -- COMMAND ARGS", "Run a command while holding a lease, and stop it before the lease is over", cobra.MinimumNArgs(2), s.run)
-	s.runOptions.addFlags(run, 10*time.Second, waitForever, "for which to wait if another has it; by default for as long as it takes")
-	run.Flags().DurationVar(&s.grace, "grace", 0, "between SIGTERM and SIGKILL, which comes before the lease is over; by default a fifth of --ttl")
+	c, add := adminClientCommand("lease", "Leases of the replicated store: one holder at a time", &s.nodes, &s.asJSON)
+	add("list", "Show all held leases and their waiters", cobra.NoArgs, s.list)
+	add("show NAME", "Show a lease", cobra.ExactArgs(1), s.show)
+	acquire := add("acquire NAME", "Acquire a lease, without sending keep-alives for it", cobra.ExactArgs(1), s.acquire)
+	s.acquireOptions.addFlags(acquire, 5*time.Second, noWait, "how long to wait if another holder has the lease, up to 30s")
+	release := add("release NAME", "Release a lease", cobra.ExactArgs(1), s.release)
+	release.Flags().Uint64Var(&s.releaseToken, "token", 0, "fencing token of the lease")
+	release.Flags().StringVar(&s.nextHolder, "to", "", "holder name of the waiter that gets the lease next")
+	add("revoke NAME", "Revoke a lease: reject further keep-alives, so that it expires at the end of its TTL", cobra.ExactArgs(1), s.revoke)
+	run := add("run NAME -- COMMAND ARGS", "Run a command while holding a lease, and stop it before the lease expires", cobra.MinimumNArgs(2), s.run)
+	s.runOptions.addFlags(run, 10*time.Second, waitForever, "how long to wait if another holder has the lease; by default without limit")
+	run.Flags().DurationVar(&s.gracePeriod, "grace", 0, "time between SIGTERM and SIGKILL, which is sent before the lease expires; by default a fifth of --ttl")
 	c.AddCommand(guardCommand())
 	return c
 }
@@ -120,10 +120,10 @@
 }
 
 func (s *leaseCLI) release(c *cobra.Command, args []string) error {
-	if s.token == 0 {
+	if s.releaseToken == 0 {
 		return usageError(errors.New("--token: missing"))
 	}
-	return s.client().ReleaseLease(c.Context(), args[0], s.token, s.to)
+	return s.client().ReleaseLease(c.Context(), args[0], s.releaseToken, s.nextHolder)
 }
 
 func (s *leaseCLI) revoke(c *cobra.Command, args []string) error {
--- a/cmd/oxbowbridge/lease_guard.go
+++ b/cmd/oxbowbridge/lease_guard.go
@@ -14,26 +14,27 @@
 	"golang.org/x/sys/unix"
 )
 
-// The lines that a guard reads from its standard input. Its end before guardDone means that the
-// other process was killed.
+// Lines that the guard reads from its standard input. If the input ends before guardDoneLine, the process
+// that started the guard was killed.
 const (
-	guardPID      = "pid %d"   // of the command, the leader of its process group
-	guardDeadline = "until %d" // of the lease, nanoseconds of CLOCK_MONOTONIC
-	guardDone     = "done"     // the command has ended
+	guardPIDLine      = "pid %d"   // process id of the command, which leads its process group
+	guardDeadlineLine = "until %d" // deadline of the lease, nanoseconds of CLOCK_MONOTONIC
+	guardDoneLine     = "done"     // the command has exited
 )
 
 const (
-	guardStopTimeout   = time.Second // for the guard to end
+	guardStopTimeout   = time.Second // for the guard to exit
 	guardCheckInterval = 10 * time.Millisecond
 )
 
-// guardProcess is a second process that kills the command at the lease's deadline, should this process be
-// suspended or killed. It needs no answer from anybody.
+// guardProcess is a second process that kills the command at the deadline of the lease, in case this
+// process is suspended or killed. It does not depend on replies from the store or from this process.
 type guardProcess struct {
 	process *exec.Cmd
 	input   io.WriteCloser
 }
 
+// startGuard starts a guard and sends it the deadline.
 func startGuard(deadline time.Time) (*guardProcess, error) {
 	program, err := os.Executable()
 	if err != nil {
@@ -52,32 +53,33 @@
 	return g, nil
 }
 
-func (g *guardProcess) sendPID(pid int) { fmt.Fprintf(g.input, guardPID+"\n", pid) }
+func (g *guardProcess) sendPID(pid int) { fmt.Fprintf(g.input, guardPIDLine+"\n", pid) }
 
-// sendDeadline sends a deadline by the clock that all processes share.
+// sendDeadline sends a deadline as a time of CLOCK_MONOTONIC, which all processes share.
 func (g *guardProcess) sendDeadline(deadline time.Time) {
 	if now, err := monotonicNanoseconds(); err == nil {
-		fmt.Fprintf(g.input, guardDeadline+"\n", now+time.Until(deadline).Nanoseconds())
+		fmt.Fprintf(g.input, guardDeadlineLine+"\n", now+time.Until(deadline).Nanoseconds())
 	}
 }
 
-// stop ends the guard, by force if it is suspended.
+// stop ends the guard. It kills the guard if that does not exit within guardStopTimeout, for example
+// because it is suspended.
 func (g *guardProcess) stop() {
-	fmt.Fprintln(g.input, guardDone)
+	fmt.Fprintln(g.input, guardDoneLine)
 	g.input.Close()
 	kill := time.AfterFunc(guardStopTimeout, func() { g.process.Process.Kill() })
 	g.process.Wait()
 	kill.Stop()
 }
 
-// monotonicNanoseconds returns the machine's monotonic clock.
+// monotonicNanoseconds returns the time of CLOCK_MONOTONIC.
 func monotonicNanoseconds() (int64, error) {
 	var ts unix.Timespec
 	err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &ts)
 	return ts.Nano(), err
 }
 
-// guardCommand returns the guard's process.
+// guardCommand returns the hidden command that runs a guard.
 func guardCommand() *cobra.Command {
 	return &cobra.Command{Use: "guard", Hidden: true, Args: noArgs, RunE: func(c *cobra.Command, _ []string) error {
 		signal.Ignore(os.Interrupt, syscall.SIGTERM)
@@ -85,13 +87,13 @@
 	}}
 }
 
-// guardTarget is what a guard knows of the command that it may have to kill.
+// guardTarget is the command that a guard kills at the deadline.
 type guardTarget struct {
-	pid      int   // 0 until it is known
-	deadline int64 // nanoseconds of CLOCK_MONOTONIC; 0 until it is known
+	pid      int   // 0 until it is received
+	deadline int64 // nanoseconds of CLOCK_MONOTONIC; 0 until it is received
 }
 
-// runGuard kills the command at its deadline, or when the input ends before guardDone.
+// runGuard kills the command at the deadline, or when the input ends before guardDoneLine.
 func runGuard(input io.Reader) error {
 	lines := make(chan string)
 	go func() {
@@ -107,14 +109,15 @@
 			command.kill()
 			return err
 		}
-		// Lines go first: if this process was suspended, a new deadline may be among them.
+		// Pending lines are read before the deadline is checked: if this process was suspended, they
+		// may contain a new deadline.
 		select {
 		case line, open := <-lines:
 			if !open {
 				command.kill()
 				return nil
 			}
-			if line == guardDone {
+			if line == guardDoneLine {
 				return nil
 			}
 			command.update(line)
@@ -122,19 +125,19 @@
 		case <-time.After(guardCheckInterval):
 		}
 		if command.deadline > 0 && now >= command.deadline {
-			command.kill() // again and again, until the command has ended
+			command.kill() // repeated until guardDoneLine is received
 		}
 	}
 }
 
-// update reads guardPID or guardDeadline.
+// update parses a guardPIDLine or a guardDeadlineLine.
 func (g *guardTarget) update(line string) {
-	if matched, _ := fmt.Sscanf(line, guardPID, &g.pid); matched == 0 {
-		fmt.Sscanf(line, guardDeadline, &g.deadline)
+	if matched, _ := fmt.Sscanf(line, guardPIDLine, &g.pid); matched == 0 {
+		fmt.Sscanf(line, guardDeadlineLine, &g.deadline)
 	}
 }
 
-// kill kills the command's process group, if it is known.
+// kill kills the command's process group. It does nothing until the process id is known.
 func (g *guardTarget) kill() {
 	if g.pid > 1 {
 		syscall.Kill(-g.pid, syscall.SIGKILL)
--- a/cmd/oxbowbridge/lease_run.go
+++ b/cmd/oxbowbridge/lease_run.go
@@ -19,74 +19,74 @@
 	"oxbowbridge/internal/cluster/leaseclient"
 )
 
-// What a command that runs under a lease finds in its environment.
+// Environment variables that are set for a command that runs under a lease.
 const (
-	envToken = "OXBOWBRIDGE_LEASE_TOKEN" // the fencing token's number
-	envName  = "OXBOWBRIDGE_LEASE_NAME"
+	envFencingToken = "OXBOWBRIDGE_LEASE_TOKEN" // the fencing token, a decimal number
+	envLeaseName    = "OXBOWBRIDGE_LEASE_NAME"
 )
 
 const (
-	releaseTimeout      = 2 * time.Second // to ask for the lease's state and give it back; if that fails, it expires
-	defaultGraceDivisor = 5               // --grace is --ttl/5 by default,
-	maxGraceDivisor     = 4               // and at most --ttl/4
-	signalExitCodeBase  = 128             // plus the signal's number: exit code of a command that a signal ended
+	releaseTimeout      = 2 * time.Second // to query and release the lease; without a release it expires
+	defaultGraceDivisor = 5               // --grace is --ttl/5 by default
+	maxGraceDivisor     = 4               // --grace is at most --ttl/4
+	signalExitCodeBase  = 128             // the exit code of a command that a signal ended is this plus the signal number
 )
 
-// run acquires a lease, runs a command, and stops it in time if the lease can't be kept.
+// run acquires a lease and runs a command. It stops the command before the lease expires.
 func (s *leaseCLI) run(c *cobra.Command, args []string) error {
 	name, program := args[0], args[1]
-	path, err := s.checkRun(name, program)
+	path, err := s.validateRun(name, program)
 	if err != nil {
 		return err
 	}
-	// The command is killed with the thread that started it.
+	// Pdeathsig kills the command when the thread that started it exits.
 	runtime.LockOSThread()
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, os.Interrupt, syscall.SIGTERM)
 	manager := leaseclient.New(s.nodes, s.runOptions.holderName())
 	defer manager.Close()
-	held, err := s.acquireForRun(c.Context(), manager, name, signals)
+	heldLease, err := s.acquireForRun(c.Context(), manager, name, signals)
 	if err != nil {
 		return err
 	}
-	guard, err := startGuard(held.Deadline())
+	guard, err := startGuard(heldLease.Deadline())
 	if err != nil {
 		return err
 	}
 	command := exec.Command(path, args[2:]...)
 	command.Args[0] = program
 	command.Stdin, command.Stdout, command.Stderr = os.Stdin, c.OutOrStdout(), c.ErrOrStderr()
-	command.Env = append(os.Environ(), envToken+"="+strconv.FormatUint(held.Token, 10), envName+"="+held.Name)
+	command.Env = append(os.Environ(), envFencingToken+"="+strconv.FormatUint(heldLease.Token, 10), envLeaseName+"="+heldLease.Name)
 	command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	if err := command.Start(); err != nil {
 		guard.stop()
 		return fmt.Errorf("start %s: %w", program, err)
 	}
 	guard.sendPID(command.Process.Pid)
-	stopReason := newCommandStopper(command, held, guard, s.grace).wait(signals, s.runOptions.ttl)
+	stopReason := newCommandStopper(command, heldLease, guard, s.gracePeriod).wait(signals, s.runOptions.ttl)
 	guard.stop()
-	stopReason = releaseAfterRun(c, held, stopReason)
+	stopReason = releaseAfterRun(c, heldLease, stopReason)
 	if stopReason != nil {
 		fmt.Fprintln(c.ErrOrStderr(), "oxbowbridge: command stopped:", stopReason)
 	}
 	return commandError(program, command.ProcessState)
 }
 
-// checkRun checks the arguments and fills in --grace. It returns the program's path.
-func (s *leaseCLI) checkRun(name, program string) (path string, err error) {
+// validateRun checks the arguments, sets the default of --grace, and returns the path of the program.
+func (s *leaseCLI) validateRun(name, program string) (path string, err error) {
 	if err := s.runOptions.validate(name); err != nil {
 		return "", err
 	}
 	ttl := s.runOptions.ttl
-	s.grace = cmp.Or(s.grace, ttl/defaultGraceDivisor)
-	if s.grace < 0 || s.grace > ttl/maxGraceDivisor {
-		return "", usageError(fmt.Errorf("--grace: want at most a quarter of --ttl, %v", ttl/maxGraceDivisor))
+	s.gracePeriod = cmp.Or(s.gracePeriod, ttl/defaultGraceDivisor)
+	if s.gracePeriod < 0 || s.gracePeriod > ttl/maxGraceDivisor {
+		return "", usageError(fmt.Errorf("--grace: want 0 to a quarter of --ttl, %v", ttl/maxGraceDivisor))
 	}
 	path, err = exec.LookPath(program)
 	return path, usageError(err)
 }
 
-// acquireForRun waits for the lease as long as --wait says, and no longer than until a signal.
+// acquireForRun acquires the lease. It waits for at most --wait, and stops waiting on a signal.
 func (s *leaseCLI) acquireForRun(ctx context.Context, manager *leaseclient.Manager, name string, signals <-chan os.Signal) (*leaseclient.Lease, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -104,36 +104,36 @@
 		case <-acquired:
 		}
 	}()
-	held, err := manager.Acquire(ctx, leaseclient.AcquireOptions{
+	heldLease, err := manager.Acquire(ctx, leaseclient.AcquireOptions{
 		Name:     name,
 		TTL:      options.ttl,
 		Priority: options.priority,
 		Wait:     options.wait != noWait,
 	})
 	if errors.Is(err, context.DeadlineExceeded) {
-		err = fmt.Errorf("%w for all of %v", lease.ErrHeld, options.wait)
+		err = fmt.Errorf("%w after waiting for %v", lease.ErrHeld, options.wait)
 	}
-	return held, err
+	return heldLease, err
 }
 
-// releaseAfterRun gives the lease back. It returns why the command was stopped, nil if it was not,
-// with what the store says by now of a lease that was not kept alive in time.
-func releaseAfterRun(c *cobra.Command, held *leaseclient.Lease, stopReason error) error {
+// releaseAfterRun releases the lease. It returns the reason why the command was stopped, or nil. If the
+// lease was not kept alive in time, it adds the current state of the lease in the store to the reason.
+func releaseAfterRun(c *cobra.Command, heldLease *leaseclient.Lease, stopReason error) error {
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
 	if errors.Is(stopReason, leaseclient.ErrExpired) {
-		stopReason = withVerdict(ctx, held, stopReason)
+		stopReason = withLeaseState(ctx, heldLease, stopReason)
 	}
-	if err := held.Release(ctx); err != nil {
-		fmt.Fprintln(c.ErrOrStderr(), "oxbowbridge: lease not given back, it ends by itself:", err)
+	if err := heldLease.Release(ctx); err != nil {
+		fmt.Fprintln(c.ErrOrStderr(), "oxbowbridge: lease not released, it will expire:", err)
 	}
 	return stopReason
 }
 
-// withVerdict adds to a stop for want of an answer whether the lease was lost besides: a revocation
-// that no keep-alive has told of shows only now.
-func withVerdict(ctx context.Context, held *leaseclient.Lease, stopReason error) error {
-	err := held.Check(ctx)
+// withLeaseState adds the current state of the lease to the reason of a stop that was caused by missing
+// replies. A revocation that no keep-alive reply has reported is detected here.
+func withLeaseState(ctx context.Context, heldLease *leaseclient.Lease, stopReason error) error {
+	err := heldLease.Check(ctx)
 	switch {
 	case err == nil:
 		return stopReason
@@ -143,7 +143,7 @@
 	return fmt.Errorf("%w; not known whether it is held", stopReason)
 }
 
-// commandError returns the end of a command as an error with its exit code; nil if it succeeded.
+// commandError returns an error with the exit code of the command, or nil if the command succeeded.
 func commandError(program string, state *os.ProcessState) error {
 	code := state.ExitCode()
 	if status, ok := state.Sys().(syscall.WaitStatus); ok && status.Signaled() {
--- a/cmd/oxbowbridge/lease_run_test.go
+++ b/cmd/oxbowbridge/lease_run_test.go
@@ -16,9 +16,9 @@
 	"oxbowbridge/internal/cluster/leaseclient"
 )
 
-// startStopper returns the stopper of a command under a lease that the store grants, and says is lost
-// at the first keep-alive.
-func startStopper(t *testing.T) *commandStopper {
+// newStopperWithLostLease returns the stopper of a running command. Its stand-in store grants the lease and
+// reports it as lost at the first keep-alive.
+func newStopperWithLostLease(t *testing.T) *commandStopper {
 	t.Helper()
 	store := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch r.Method {
@@ -31,7 +31,7 @@
 	t.Cleanup(store.Close)
 	manager := leaseclient.New([]string{strings.TrimPrefix(store.URL, "http://")}, "h")
 	t.Cleanup(manager.Close)
-	held, err := manager.Acquire(t.Context(), leaseclient.AcquireOptions{Name: "long", TTL: lease.MinTTLMS * time.Millisecond})
+	heldLease, err := manager.Acquire(t.Context(), leaseclient.AcquireOptions{Name: "long", TTL: lease.MinTTLMS * time.Millisecond})
 	require.NoError(t, err)
 	command := exec.Command("sleep", "60")
 	command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
@@ -40,15 +40,15 @@
 		command.Process.Kill()
 		command.Wait()
 	})
-	return newCommandStopper(command, held, nil, 0)
+	return newCommandStopper(command, heldLease, nil, 0)
 }
 
-// TestLostBeforeLateDeadline guards against a stop that blames a want of answers when the process was
-// late to look, and the store's answer that the lease is lost is there already.
+// TestLostBeforeLateDeadline guards against a wrong stop reason: the process checks the deadline late,
+// after the store has reported the lease as lost. The reason must be the loss, not missing replies.
 func TestLostBeforeLateDeadline(t *testing.T) {
-	s := startStopper(t)
-	<-s.held.Context().Done()
-	s.enforceDeadline(s.deadline) // the tick of the clock is handled before the end of the context
+	s := newStopperWithLostLease(t)
+	<-s.lease.Context().Done()
+	s.enforceDeadline(s.deadline) // the ticker fires before the end of the context is handled
 	assert.ErrorIs(t, s.stopReason, leaseclient.ErrLost)
 	assert.NotErrorIs(t, s.stopReason, leaseclient.ErrExpired)
 }
--- a/cmd/oxbowbridge/logging.go
+++ b/cmd/oxbowbridge/logging.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// maxSameMessagesPerSecond is how often one message is logged within a second. Of
-	// further ones, each sampleEvery-th is. That bounds the cost of callers that fail by
-	// the thousand.
-	maxSameMessagesPerSecond = 50
-	sampleEvery              = 100
+	// sampleFirst is how often the same message is logged within a second. After that, one
+	// in sampleThereafter is logged. This bounds the cost of logging when thousands of
+	// callers fail.
+	sampleFirst      = 50
+	sampleThereafter = 100
 )
 
 // newLogger returns a logger that writes JSON lines to standard error without blocking.
@@ -24,5 +24,5 @@
 	encoding.EncodeTime = zapcore.ISO8601TimeEncoder
 	encoding.EncodeDuration = zapcore.StringDurationEncoder
 	lines := zapcore.NewCore(zapcore.NewJSONEncoder(encoding), logsink.New(os.Stderr), level)
-	return zap.New(zapcore.NewSamplerWithOptions(lines, time.Second, maxSameMessagesPerSecond, sampleEvery))
+	return zap.New(zapcore.NewSamplerWithOptions(lines, time.Second, sampleFirst, sampleThereafter))
 }
--- a/cmd/oxbowbridge/main.go
+++ b/cmd/oxbowbridge/main.go
@@ -1,8 +1,9 @@
-// Oxbowbridge admits, queues or rejects requests in front of one engine. Without a
-// sub-command it serves, with the configuration file that BALANCER_CONFIG names.
+// Oxbowbridge admits, queues or rejects requests in front of an engine or AJP upstreams.
+// Without a subcommand it runs the service with the configuration file that BALANCER_CONFIG
+// names.
 //
-// Exit codes: 0 after a drain or a command that succeeded, 2 on a bad configuration or bad
-// arguments, 3 if acknowledged data of a durable store may be missing, and 1 on any other
+// Exit codes: 0 after a drain or a successful command, 2 if the configuration or the arguments
+// are invalid, 3 if acknowledged data of a durable store may be missing, and 1 on any other
 // failure.
 package main
 
@@ -25,8 +26,8 @@
 func rootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:           "oxbowbridge",
-		Short:         "Admission for nomination requests: runs, queues or turns away",
-		Long:          "Without a sub-command the service runs, with the configuration that BALANCER_CONFIG names.",
+		Short:         "Admission control for nomination requests: run, queue or reject",
+		Long:          "Without a subcommand, runs the service with the configuration file that BALANCER_CONFIG names.",
 		Args:          noArgs,
 		RunE:          serveCommand,
 		SilenceUsage:  true,
@@ -42,17 +43,17 @@
 func serveCommand(*cobra.Command, []string) error { return serve(os.Getenv) }
 
 func configCommand() *cobra.Command {
-	c := &cobra.Command{Use: "config", Short: "Work with configuration files"}
+	c := &cobra.Command{Use: "config", Short: "Check configuration files"}
 	c.AddCommand(&cobra.Command{
 		Use:   "check FILE",
-		Short: "Say whether the service would start with a file",
+		Short: "Check whether a configuration file is valid",
 		Args:  oneArg,
 		RunE:  checkConfigFile,
 	})
 	return c
 }
 
-// checkConfigFile leaves out what the environment overrides.
+// checkConfigFile validates a configuration file without the overrides of the environment.
 func checkConfigFile(c *cobra.Command, args []string) error {
 	path := args[0]
 	text, err := os.ReadFile(path)
--- a/cmd/oxbowbridge/maintenance_agent.go
+++ b/cmd/oxbowbridge/maintenance_agent.go
@@ -14,24 +14,25 @@
 	"oxbowbridge/internal/proxy/exchange"
 )
 
-// loadTimeout is for the dispatcher to answer how busy the service is.
-const loadTimeout = 200 * time.Millisecond
+// loadQueryTimeout bounds the wait for the load that the dispatcher reports.
+const loadQueryTimeout = 200 * time.Millisecond
 
-// maintenanceAgent is the service's part in maintenance. Without its section in the configuration it
-// does nothing.
+// maintenanceAgent connects the service to its maintenance agent. Without the field "work" in the
+// configuration it does nothing.
 type maintenanceAgent struct {
-	agent          *agent.Agent // nil without its section
+	agent          *agent.Agent // nil without the field "work"
 	service        *service
 	node           *storeNode
-	drainRequested chan struct{} // closed when the machine leaves for maintenance
+	drainRequested chan struct{} // closed when the machine starts to drain for maintenance
 	requestDrain   sync.Once
-	ended          chan struct{} // closed when the agent sends no more heartbeats
+	agentStopped   chan struct{} // closed when the agent sends no more heartbeats
 }
 
+// openMaintenanceAgent starts the agent if it is configured.
 func openMaintenanceAgent(ctx context.Context, cfg *config, node *storeNode, s *service, log *zap.Logger) *maintenanceAgent {
-	m := &maintenanceAgent{service: s, node: node, drainRequested: make(chan struct{}), ended: make(chan struct{})}
+	m := &maintenanceAgent{service: s, node: node, drainRequested: make(chan struct{}), agentStopped: make(chan struct{})}
 	if cfg.Maintenance == nil {
-		close(m.ended)
+		close(m.agentStopped)
 		return m
 	}
 	localNode := ""
@@ -40,14 +41,14 @@
 	}
 	m.agent = agent.New(*cfg.Maintenance, cfg.Name, cfg.Limits.Cores, localNode, m, log)
 	go func() {
-		defer close(m.ended)
+		defer close(m.agentStopped)
 		m.agent.Run(ctx)
 	}()
 	return m
 }
 
-// Load asks the dispatcher how busy the service is. Without an answer in time that is not known. It also tells
-// whether the node of the store votes.
+// Load returns the load of the service, as unknown if the dispatcher does not report it in time. It also
+// reports whether the node of the replicated store is a learner.
 func (m *maintenanceAgent) Load() agent.Load {
 	answer := make(chan agent.Load, 1)
 	m.service.exchange.Post(exchange.Callback(func() {
@@ -58,13 +59,13 @@
 	var load agent.Load
 	select {
 	case load = <-answer:
-	case <-time.After(loadTimeout):
+	case <-time.After(loadQueryTimeout):
 	}
 	load.Learner = m.isLearner()
 	return load
 }
 
-// isLearner reports whether the service's own node of the store is a member without a vote.
+// isLearner reports whether the store node of this process is a learner, a member without a vote.
 func (m *maintenanceAgent) isLearner() bool {
 	if m.node.store == nil {
 		return false
@@ -73,8 +74,8 @@
 	return isMember && !votes
 }
 
-// StartDrain starts a graceful shutdown of the service, as on SIGTERM, and hands the leadership of the
-// store to another node.
+// StartDrain transfers the leadership of the store to another node and starts a graceful shutdown of the
+// service, as on SIGTERM.
 func (m *maintenanceAgent) StartDrain() {
 	if m.node.store != nil {
 		m.node.store.StepDown()
@@ -82,30 +83,31 @@
 	m.requestDrain.Do(func() { close(m.drainRequested) })
 }
 
-// finish ends the agent once the service has drained. If the machine has left for maintenance, it
-// performs that; after a command that succeeded the program starts again in the same process.
+// finish closes the agent after the service has drained. If the drain was for maintenance, it first runs
+// the maintenance command. If that command succeeds and asks for a restart, it replaces the process by a
+// new instance of the program.
 func (m *maintenanceAgent) finish(ctx context.Context) error {
 	if m.agent == nil {
 		return nil
 	}
 	select {
 	case <-m.drainRequested:
-	default: // a SIGTERM
-		<-m.ended
+	default: // drained because of a shutdown signal
+		<-m.agentStopped
 		m.agent.Close()
 		return nil
 	}
-	<-m.ended
+	<-m.agentStopped
 	restart, err := m.agent.PerformMaintenance()
 	m.agent.Close()
 	if err != nil || !restart || ctx.Err() != nil {
 		return err
 	}
 	m.node.close()
-	return fmt.Errorf("start again: %w", execSelf())
+	return fmt.Errorf("restart: %w", execSelf())
 }
 
-// execSelf replaces the process by a new one with the same arguments. It returns only an error.
+// execSelf replaces the process by a new instance with the same arguments. It returns only on an error.
 func execSelf() error {
 	program, err := os.Executable()
 	if err != nil {
--- a/cmd/oxbowbridge/notice.go
+++ b/cmd/oxbowbridge/notice.go
@@ -11,150 +11,157 @@
 )
 
 const (
-	// probeInterval is the time between the end of a look and the next one.
+	// probeInterval is the time between the end of a signal check and the start of the next one.
 	probeInterval = 25 * time.Millisecond
-	// probeTimeout is how long a probe is waited for. A process that was started with the signal
-	// blocked never gets some of them.
+	// probeTimeout is how long a check waits for the arrival of a probe. Some probes never arrive in a
+	// process that was started with probeSignal blocked.
 	probeTimeout = time.Second
-	// noticeSettleTime is how long a thread that has taken a signal may be held up before it has
-	// passed it on, also just after a standstill and beside busy processes.
-	noticeSettleTime = 100 * time.Millisecond
-	// probeSignal is the process's signal to itself. Of the signals that are pending for a process
-	// the kernel hands over those with the lowest numbers first, and so does Go's runtime with those
-	// below 32: SIGINT and SIGTERM before this one. By default it is ignored, so that one that is
-	// still pending does no harm to a program that takes the place of this one.
+	// signalSettleTime bounds the delay between the moment when a thread takes a signal and the moment
+	// when the Go runtime delivers it, also just after the process was suspended and on a busy machine.
+	signalSettleTime = 100 * time.Millisecond
+	// probeSignal is the signal that the process sends to itself. The kernel delivers the pending signals
+	// of a process in ascending order of their numbers, and the Go runtime does so for the numbers below
+	// 32: SIGINT and SIGTERM are delivered before this one. The default action of SIGWINCH is to ignore
+	// it, so a probe that is still pending after execve does no harm to the new program.
 	probeSignal = syscall.SIGWINCH
 )
 
-// stopNotice is the notice that the process will be stopped, by the first SIGTERM or SIGINT.
+// shutdownWatcher waits for the shutdown signal, the first SIGTERM or SIGINT, and estimates when that
+// signal was sent. Its context ends when the signal is received.
 //
-// What arrives too long after the notice was sent must not run, and a process that stood still, or
-// one of whose threads waits for a core, handles a signal late. The time of handling says little
-// therefore. So the process looks in short intervals whether a notice has been sent: it sends signals
-// to itself, and one that was sent before them mostly comes before them too. The notice counts from
-// the last look that ended noticeSettleTime before it came, for the rest.
-type stopNotice struct {
-	context.Context // ends with the notice
+// Requests that arrive too long after the signal was sent must not run. A process that was suspended, or
+// whose threads wait for a CPU core, handles a signal late, so the time of handling is not a usable
+// estimate. The process therefore checks for a pending shutdown signal every probeInterval: it sends
+// probes to itself, and a shutdown signal that was sent before a probe is usually delivered before it.
+// The estimate is the start of the last check that found no signal and that ended at least
+// signalSettleTime before the shutdown signal was received.
+type shutdownWatcher struct {
+	context.Context // canceled when the shutdown signal is received
 	end             context.CancelFunc
-	notices         chan os.Signal
+	shutdownSignals chan os.Signal
 	probes          chan os.Signal
-	senders         []func() error // of the probes of one look, in their order
-	looks           []look         // the oldest first, never empty; of the goroutine of watch
-	sentAfter       time.Time      // set when the notice has come: it was sent no earlier
+	senders         []func() error // send the probes of one check, in this order
+	checks          []signalCheck  // oldest first, never empty; used only by the goroutine of watch
+	earliestSentAt  time.Time      // the signal was not sent before this time; set before the context ends
 }
 
-// look is an attempt to find a notice that found none.
-type look struct {
-	beganAt time.Time // no notice had been sent by then, as far as is known
-	endedAt time.Time
+// signalCheck is a check that found no shutdown signal.
+type signalCheck struct {
+	startedAt time.Time // no shutdown signal is known to have been sent before this time
+	endedAt   time.Time
 }
 
-// watchStopNotice takes SIGTERM and SIGINT over, until the end of the process.
-func watchStopNotice() *stopNotice { return watchSignals(probeProcess, probeMainThread) }
-
-// watchSignals returns a notice that is watched with the probes of the given senders.
-func watchSignals(senders ...func() error) *stopNotice {
-	n := newStopNotice(senders...)
-	// os/signal delivers a signal to all its channels before the next one.
-	signal.Notify(n.notices, syscall.SIGTERM, syscall.SIGINT)
-	signal.Notify(n.probes, probeSignal)
-	go n.watch()
-	return n
+// watchShutdownSignals handles SIGTERM and SIGINT until the process exits.
+func watchShutdownSignals() *shutdownWatcher {
+	return startShutdownWatcher(sendProcessProbe, sendMainThreadProbe)
 }
 
-// probeProcess sends a probe that any thread may take, as a notice is sent: where one is pending, that
-// is taken first.
-func probeProcess() error { return unix.Kill(os.Getpid(), probeSignal) }
+// startShutdownWatcher starts a watcher whose checks send their probes with the given functions.
+func startShutdownWatcher(senders ...func() error) *shutdownWatcher {
+	w := newShutdownWatcher(senders...)
+	// os/signal delivers a signal to all registered channels before the next signal.
+	signal.Notify(w.shutdownSignals, syscall.SIGTERM, syscall.SIGINT)
+	signal.Notify(w.probes, probeSignal)
+	go w.watch()
+	return w
+}
+
+// sendProcessProbe sends a probe that any thread may take, like a shutdown signal from outside. If a
+// shutdown signal is pending for the process, a thread takes that signal first.
+func sendProcessProbe() error { return unix.Kill(os.Getpid(), probeSignal) }
 
-// probeMainThread sends a probe that only the main thread can take, which the kernel prefers for
-// notices. A thread that has taken a signal and waits for a core before it can pass it on takes no
-// other one until it has.
-func probeMainThread() error { return unix.Tgkill(os.Getpid(), os.Getpid(), probeSignal) }
+// sendMainThreadProbe sends a probe that only the main thread can take. The kernel prefers that thread
+// for signals to the process. A thread that has taken a signal, but waits for a CPU core to deliver it,
+// takes no further signal until the first one is delivered.
+func sendMainThreadProbe() error { return unix.Tgkill(os.Getpid(), os.Getpid(), probeSignal) }
 
-// newStopNotice returns a notice that has not come. Nothing watches its channels yet.
-func newStopNotice(senders ...func() error) *stopNotice {
+// newShutdownWatcher returns a watcher that is not registered for signals and not running yet.
+func newShutdownWatcher(senders ...func() error) *shutdownWatcher {
 	ctx, end := context.WithCancel(context.Background())
 	now := time.Now()
-	return &stopNotice{
-		Context: ctx,
-		end:     end,
-		notices: make(chan os.Signal, 1),
-		probes:  make(chan os.Signal, 1),
-		senders: senders,
-		looks:   []look{{beganAt: now, endedAt: now}},
+	return &shutdownWatcher{
+		Context:         ctx,
+		end:             end,
+		shutdownSignals: make(chan os.Signal, 1),
+		probes:          make(chan os.Signal, 1),
+		senders:         senders,
+		checks:          []signalCheck{{startedAt: now, endedAt: now}},
 	}
 }
 
-// watch looks again and again whether the notice has come, until it has.
-func (n *stopNotice) watch() {
-	defer n.end()
-	for !n.lookAndPause() {
+// watch repeats the check until the shutdown signal is received.
+func (w *shutdownWatcher) watch() {
+	defer w.end()
+	for !w.checkAndPause() {
 	}
-	n.sentAfter = settledLooks(n.looks, time.Now())[0].beganAt
+	w.earliestSentAt = settledChecks(w.checks, time.Now())[0].startedAt
 }
 
-// lookAndPause looks once, and reports whether the notice has come by the time of the next look.
-func (n *stopNotice) lookAndPause() (noticed bool) {
-	n.dropStrayProbe()
-	beganAt := time.Now()
-	for _, send := range n.senders {
-		if n.probe(send) {
+// checkAndPause performs one check and then waits for probeInterval. It reports whether the shutdown
+// signal was received during that time.
+func (w *shutdownWatcher) checkAndPause() (received bool) {
+	w.dropStrayProbe()
+	startedAt := time.Now()
+	for _, send := range w.senders {
+		if w.probe(send) {
 			return true
 		}
 	}
 	endedAt := time.Now()
-	n.looks = append(settledLooks(n.looks, endedAt), look{beganAt, endedAt})
+	w.checks = append(settledChecks(w.checks, endedAt), signalCheck{startedAt, endedAt})
 	select {
-	case <-n.notices:
+	case <-w.shutdownSignals:
 		return true
 	case <-time.After(probeInterval):
 		return false
 	}
 }
 
-// dropStrayProbe drops a probe that was late, or that another process has sent: it would pass for
-// the next one.
-func (n *stopNotice) dropStrayProbe() {
+// dropStrayProbe drops a probe that arrived after its check, or that another process sent. Otherwise
+// the next check would mistake it for its own probe.
+func (w *shutdownWatcher) dropStrayProbe() {
 	select {
-	case <-n.probes:
+	case <-w.probes:
 	default:
 	}
 }
 
-// probe sends a probe, waits until it comes, and reports whether the notice has come by then. One that
-// can't be sent, or does not come, shows nothing: the look then counts for what it finds at its end.
-func (n *stopNotice) probe(send func() error) (noticed bool) {
+// probe sends a probe, waits for its arrival, and reports whether the shutdown signal was received by
+// then. A probe that can't be sent or doesn't arrive gives no ordering; the result then depends only on
+// whether the shutdown signal is present at the end.
+func (w *shutdownWatcher) probe(send func() error) (received bool) {
 	if send() == nil {
 		select {
-		case <-n.notices:
+		case <-w.shutdownSignals:
 			return true
-		case <-n.probes:
+		case <-w.probes:
 		case <-time.After(probeTimeout):
 		}
 	}
 	select {
-	case <-n.notices: // it came before the probe, or just behind it
+	case <-w.shutdownSignals: // delivered before the probe, or just after it
 		return true
 	default:
 		return false
 	}
 }
 
-// settledLooks drops the looks, the oldest first, before the last that ended noticeSettleTime ago.
-func settledLooks(looks []look, now time.Time) []look {
-	for len(looks) > 1 && now.Sub(looks[1].endedAt) >= noticeSettleTime {
-		looks = looks[1:]
+// settledChecks drops the checks before the last one that ended at least signalSettleTime ago. If none
+// ended that long ago, it keeps all checks.
+func settledChecks(checks []signalCheck, now time.Time) []signalCheck {
+	for len(checks) > 1 && now.Sub(checks[1].endedAt) >= signalSettleTime {
+		checks = checks[1:]
 	}
-	return looks
+	return checks
 }
 
-// await waits for the notice, or for an order to drain, and returns a time that is no later than
-// when it was sent.
-func (n *stopNotice) await(ordered <-chan struct{}) time.Time {
+// await waits for the shutdown signal or for the close of drainRequested. It returns a time that is not
+// later than the sending of the shutdown signal, or the current time for a drain request.
+func (w *shutdownWatcher) await(drainRequested <-chan struct{}) time.Time {
 	select {
-	case <-n.Done():
-		return n.sentAfter
-	case <-ordered:
-		return time.Now() // it comes by no signal
+	case <-w.Done():
+		return w.earliestSentAt
+	case <-drainRequested:
+		return time.Now() // a drain request is not a signal and is not delayed
 	}
 }
--- a/cmd/oxbowbridge/notice_test.go
+++ b/cmd/oxbowbridge/notice_test.go
@@ -13,170 +13,173 @@
 	"oxbowbridge/internal/testrig"
 )
 
-// watched returns a notice that is watched, and the times at which its probes are sent, one for
-// each look. No probe comes back but by answer.
-func watched(t *testing.T) (n *stopNotice, sent <-chan time.Time, answer func()) {
+// startTestWatcher starts a watcher with fake probes. It returns a channel with the send time of each
+// probe, one for each check, and a function that delivers a probe. Without a call of that function no
+// probe arrives.
+func startTestWatcher(t *testing.T) (w *shutdownWatcher, probeTimes <-chan time.Time, deliverProbe func()) {
 	t.Helper()
 	probes := make(chan time.Time, 100)
-	n = newStopNotice(func() error {
+	w = newShutdownWatcher(func() error {
 		probes <- time.Now()
 		return nil
 	})
-	go n.watch()
+	go w.watch()
 	t.Cleanup(func() {
 		select {
-		case n.notices <- syscall.SIGTERM: // ends the watch
+		case w.shutdownSignals <- syscall.SIGTERM: // ends watch
 		default:
 		}
 	})
-	return n, probes, func() { n.probes <- probeSignal }
+	return w, probes, func() { w.probes <- probeSignal }
 }
 
-// TestNoticeHandledLate: the notice is handled long after it was sent, while the process goes on:
-// requests of that time would have run.
-func TestNoticeHandledLate(t *testing.T) {
-	n, sent, answer := watched(t)
-	first := <-sent
-	answer()
-	lastAnswered := <-sent
-	answer()
-	<-sent
-	time.Sleep(2 * noticeSettleTime)
-	n.notices <- syscall.SIGTERM
-	got := n.await(nil)
-	require.False(t, got.After(lastAnswered), "from when a probe had not been answered")
-	require.True(t, got.After(first), "no earlier than need be")
+// TestShutdownSignalHandledLate: the shutdown signal is handled long after it was sent. The estimate
+// must not be the time of handling, as requests that arrived before that time would run.
+func TestShutdownSignalHandledLate(t *testing.T) {
+	w, probeTimes, deliverProbe := startTestWatcher(t)
+	first := <-probeTimes
+	deliverProbe()
+	lastAnswered := <-probeTimes
+	deliverProbe()
+	<-probeTimes
+	time.Sleep(2 * signalSettleTime)
+	w.shutdownSignals <- syscall.SIGTERM
+	got := w.await(nil)
+	require.False(t, got.After(lastAnswered), "estimate is after the last probe that arrived was sent")
+	require.True(t, got.After(first), "estimate is not after the first probe, earlier than necessary")
 }
 
-// TestNoticeAfterStandstill: looks that follow a standstill closely do not count yet: the notice may
-// have come during it, and a thread that has taken it may be held up.
-func TestNoticeAfterStandstill(t *testing.T) {
+// TestShutdownSignalAfterProcessStall: checks that ended just after a stall of the process do not count
+// yet. The signal may have been sent during the stall, and the thread that took it may still be delayed.
+func TestShutdownSignalAfterProcessStall(t *testing.T) {
 	start := time.Now()
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
-	var looks []look
+	var checks []signalCheck
 	for _, ms := range []int{0, 25, 50, 400, 400, 401, 425, 450} {
-		looks = append(looks, look{beganAt: at(ms), endedAt: at(ms)})
+		checks = append(checks, signalCheck{startedAt: at(ms), endedAt: at(ms)})
 	}
-	require.Equal(t, at(50), settledLooks(looks, at(470))[0].beganAt, "the last one before the standstill")
-	require.Equal(t, at(401), settledLooks(looks, at(501))[0].beganAt)
-	require.Equal(t, at(0), settledLooks(looks[:1], at(500))[0].beganAt, "there is always one")
+	require.Equal(t, at(50), settledChecks(checks, at(470))[0].startedAt, "want the last check before the stall")
+	require.Equal(t, at(401), settledChecks(checks, at(501))[0].startedAt)
+	require.Equal(t, at(0), settledChecks(checks[:1], at(500))[0].startedAt, "want the only check kept")
 }
 
-// TestLookThatLasts: a look counts from its begin, and settles from its end: a probe that comes late
-// shows nothing of the time after it was sent.
-func TestLookThatLasts(t *testing.T) {
+// TestLongSignalCheck: the estimate uses the start of a check, and the settle time counts from its end.
+// A probe that arrives late proves nothing about the time after it was sent.
+func TestLongSignalCheck(t *testing.T) {
 	start := time.Now()
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
-	looks := []look{{at(0), at(10)}, {at(35), at(400)}, {at(425), at(430)}}
-	require.Equal(t, at(0), settledLooks(looks, at(499))[0].beganAt)
-	require.Equal(t, at(35), settledLooks(looks, at(500))[0].beganAt)
-	require.Equal(t, at(425), settledLooks(looks, at(530))[0].beganAt)
+	checks := []signalCheck{{at(0), at(10)}, {at(35), at(400)}, {at(425), at(430)}}
+	require.Equal(t, at(0), settledChecks(checks, at(499))[0].startedAt)
+	require.Equal(t, at(35), settledChecks(checks, at(500))[0].startedAt)
+	require.Equal(t, at(425), settledChecks(checks, at(530))[0].startedAt)
 }
 
-// TestNoticeBeforeItsProbe: of a notice and a probe that arrive together the notice was first, so
-// that the probe proves nothing.
-func TestNoticeBeforeItsProbe(t *testing.T) {
+// TestShutdownSignalBeforeProbe: if the shutdown signal and a probe arrive together, the shutdown signal
+// was sent first, so the check must not count as one that found no signal.
+func TestShutdownSignalBeforeProbe(t *testing.T) {
 	for range 50 {
-		var n *stopNotice
-		n = newStopNotice(func() error {
-			n.notices <- syscall.SIGTERM
-			n.probes <- probeSignal
+		var w *shutdownWatcher
+		w = newShutdownWatcher(func() error {
+			w.shutdownSignals <- syscall.SIGTERM
+			w.probes <- probeSignal
 			return nil
 		})
-		require.True(t, n.lookAndPause())
-		require.Len(t, n.looks, 1, "a look that found none")
+		require.True(t, w.checkAndPause())
+		require.Len(t, w.checks, 1, "the check counted as one without a signal")
 	}
 }
 
-// TestNoticeAfterProbeWasSent: a probe arrives long after it was sent, and the notice was sent in
-// between: the time counts from the sending of the probe, as requests of the time between would run.
-func TestNoticeAfterProbeWasSent(t *testing.T) {
-	n, sent, answer := watched(t)
-	<-sent
-	noticeSentAt := time.Now()
-	answer()
-	<-sent
-	time.Sleep(2 * noticeSettleTime)
-	n.notices <- syscall.SIGTERM
-	require.False(t, n.await(nil).After(noticeSentAt))
+// TestShutdownSignalAfterProbeWasSent: a probe arrives long after it was sent, and the shutdown signal
+// was sent in between. The estimate must be the send time of the probe: with the arrival time, requests
+// that arrived in between would run.
+func TestShutdownSignalAfterProbeWasSent(t *testing.T) {
+	w, probeTimes, deliverProbe := startTestWatcher(t)
+	<-probeTimes
+	signalSentAt := time.Now()
+	deliverProbe()
+	<-probeTimes
+	time.Sleep(2 * signalSettleTime)
+	w.shutdownSignals <- syscall.SIGTERM
+	require.False(t, w.await(nil).After(signalSentAt))
 }
 
-// TestProbeFromOutside: a probe of another process answers one that has not arrived, so that a notice
-// that is handled late counts from too late a time.
-func TestProbeFromOutside(t *testing.T) {
-	n, sent, answer := watched(t)
-	<-sent
-	answer()
-	answer() // nobody asked for this one
-	secondSentAt := <-sent
-	time.Sleep(2 * noticeSettleTime)
-	require.Empty(t, sent, "a third look, before the second has ended")
-	n.notices <- syscall.SIGTERM
-	require.False(t, n.await(nil).After(secondSentAt))
+// TestProbeFromAnotherProcess: a probe signal from another process must not count as the probe of the
+// next check. Otherwise the estimate for a signal that is handled late would be too late.
+func TestProbeFromAnotherProcess(t *testing.T) {
+	w, probeTimes, deliverProbe := startTestWatcher(t)
+	<-probeTimes
+	deliverProbe()
+	deliverProbe() // stands for the signal of another process
+	secondSentAt := <-probeTimes
+	time.Sleep(2 * signalSettleTime)
+	require.Empty(t, probeTimes, "a third check started before the second ended")
+	w.shutdownSignals <- syscall.SIGTERM
+	require.False(t, w.await(nil).After(secondSentAt))
 }
 
-// TestNoticeWithoutProbes: a process that may not signal itself goes on without a notice, and once it
-// gets one does not count it from its own start.
-func TestNoticeWithoutProbes(t *testing.T) {
+// TestShutdownSignalWithoutProbes: a process that is not permitted to signal itself keeps running until
+// the shutdown signal. The estimate must then be later than the start of the process.
+func TestShutdownSignalWithoutProbes(t *testing.T) {
 	var failed atomic.Int64
-	n := newStopNotice(func() error {
+	w := newShutdownWatcher(func() error {
 		failed.Add(1)
 		return errors.New("not permitted")
 	})
 	start := time.Now()
-	go n.watch()
-	testrig.Await(t, "further looks", func() bool { return failed.Load() >= 20 })
-	require.NoError(t, n.Err())
-	n.notices <- os.Interrupt
-	require.True(t, n.await(nil).After(start))
+	go w.watch()
+	testrig.Await(t, "20 failed probes", func() bool { return failed.Load() >= 20 })
+	require.NoError(t, w.Err())
+	w.shutdownSignals <- os.Interrupt
+	require.True(t, w.await(nil).After(start))
 }
 
-// TestProbesThatNeverCome: a process that is started with the signal blocked does not count a notice from
-// its own start.
-func TestProbesThatNeverCome(t *testing.T) {
-	n, sent, _ := watched(t)
-	<-sent
-	secondSentAt := <-sent
-	<-sent
-	time.Sleep(2 * noticeSettleTime)
-	n.notices <- syscall.SIGTERM
-	got := n.await(nil)
+// TestProbesNeverArrive: in a process that was started with the probe signal blocked, the estimate must
+// be later than the start of the process.
+func TestProbesNeverArrive(t *testing.T) {
+	w, probeTimes, _ := startTestWatcher(t)
+	<-probeTimes
+	secondSentAt := <-probeTimes
+	<-probeTimes
+	time.Sleep(2 * signalSettleTime)
+	w.shutdownSignals <- syscall.SIGTERM
+	got := w.await(nil)
 	require.WithinDuration(t, secondSentAt, got, probeTimeout/2)
 	require.False(t, got.After(secondSentAt))
 }
 
-// TestOrderedDrain: an order to drain comes by no signal, and counts from when it is known.
-func TestOrderedDrain(t *testing.T) {
-	n, _, _ := watched(t)
-	ordered := make(chan struct{})
-	close(ordered)
-	require.WithinDuration(t, time.Now(), n.await(ordered), time.Second)
-	require.NoError(t, n.Err())
+// TestRequestedDrain: a drain request is not a signal, so its time is the time at which it is received.
+func TestRequestedDrain(t *testing.T) {
+	w, _, _ := startTestWatcher(t)
+	drainRequested := make(chan struct{})
+	close(drainRequested)
+	require.WithinDuration(t, time.Now(), w.await(drainRequested), time.Second)
+	require.NoError(t, w.Err())
 }
 
-// TestProbesOfTheSystem: both probes of a look come back, and the notice, SIGTERM or SIGINT, ends the
-// watch.
-func TestProbesOfTheSystem(t *testing.T) {
-	for _, notice := range []syscall.Signal{syscall.SIGTERM, syscall.SIGINT} {
-		var looks atomic.Int64
-		n := watchSignals(probeProcess, func() error {
-			looks.Add(1)
-			return probeMainThread()
+// TestProbesWithRealSignals: with real signals both probes of a check arrive, and SIGTERM and SIGINT
+// each end the watcher.
+func TestProbesWithRealSignals(t *testing.T) {
+	for _, shutdownSignal := range []syscall.Signal{syscall.SIGTERM, syscall.SIGINT} {
+		var checks atomic.Int64
+		w := startShutdownWatcher(sendProcessProbe, func() error {
+			checks.Add(1)
+			return sendMainThreadProbe()
 		})
-		began := time.Now()
-		testrig.Await(t, "the end of two looks", func() bool { return looks.Load() >= 3 })
-		require.Less(t, time.Since(began), 2*probeTimeout, "a probe did not come back")
-		time.Sleep(2 * noticeSettleTime)
-		noticeSentAt := time.Now()
-		require.NoError(t, syscall.Kill(os.Getpid(), notice))
-		got := n.await(nil)
-		require.False(t, got.After(noticeSentAt))
-		require.True(t, got.After(began), "no look has ended")
+		startedAt := time.Now()
+		testrig.Await(t, "the end of two checks", func() bool { return checks.Load() >= 3 })
+		require.Less(t, time.Since(startedAt), 2*probeTimeout, "a probe did not arrive")
+		time.Sleep(2 * signalSettleTime)
+		signalSentAt := time.Now()
+		require.NoError(t, syscall.Kill(os.Getpid(), shutdownSignal))
+		got := w.await(nil)
+		require.False(t, got.After(signalSentAt))
+		require.True(t, got.After(startedAt), "no check has ended")
 	}
 }
 
-// TestProbeIsDeliveredLast: a probe that is delivered before a pending notice proves nothing. Go's runtime
-// takes the numbers below 32 at one time.
+// TestProbeIsDeliveredLast: the number of the probe signal must be above those of SIGTERM and SIGINT, as
+// a probe that is delivered before a pending shutdown signal proves nothing. It must be below 32, because
+// the Go runtime delivers the pending signals of that range in ascending order.
 func TestProbeIsDeliveredLast(t *testing.T) {
 	require.Greater(t, probeSignal, syscall.SIGTERM)
 	require.Greater(t, probeSignal, syscall.SIGINT)
--- a/cmd/oxbowbridge/runner.go
+++ b/cmd/oxbowbridge/runner.go
@@ -10,36 +10,38 @@
 	"oxbowbridge/internal/transport/session"
 )
 
-// preemptionPause names, in the settings, runs that keep their progress when stopped.
+// preemptionPause is the value of the setting halt for runs that keep their progress when they
+// are preempted.
 const preemptionPause = "pause"
 
-// runner is an exchange.Runner of this program.
+// runner is an exchange.Runner that can connect and change its addresses.
 type runner interface {
 	exchange.Runner
-	// Open connects.
+	// Open starts to connect.
 	Open()
-	// useAddresses connects to the addresses of another configuration. It is called in the
+	// setAddresses connects to the addresses of an updated configuration. It is called in the
 	// dispatcher's goroutine.
-	useAddresses(*config)
+	setAddresses(*config)
 }
 
 type engineRunner struct{ *engine.Session }
 
-func (r engineRunner) useAddresses(cfg *config) {
-	if cfg.EngineAddress != "" { // else upstreams are used from the next start
+func (r engineRunner) setAddresses(cfg *config) {
+	if cfg.EngineAddress != "" { // otherwise the configuration has upstreams, used from the next start
 		r.SetAddress(cfg.EngineAddress)
 	}
 }
 
 type upstreamRunner struct{ *ajp.UpstreamPool }
 
-func (r upstreamRunner) useAddresses(cfg *config) {
-	if len(cfg.AJP.UpstreamAddresses) > 0 { // else an engine is used from the next start
+func (r upstreamRunner) setAddresses(cfg *config) {
+	if len(cfg.AJP.UpstreamAddresses) > 0 { // otherwise the configuration has an engine, used from the next start
 		r.SetAddresses(cfg.AJP.UpstreamAddresses, cfg.AJP.UpstreamSecret)
 	}
 }
 
-// newRunner returns the engine, or the AJP upstreams if there are any.
+// newRunner returns a runner for the AJP upstreams if any are configured, otherwise for the
+// engine.
 func newRunner(cfg *config, sessionConfig session.Config) runner {
 	info := &cfg.Settings.Server
 	if len(cfg.AJP.UpstreamAddresses) == 0 {
@@ -61,10 +63,10 @@
 	}
 }
 
-// upstreamSeed differs between services, also where none has a seed of its own: their slow
-// starts must draw independently.
+// upstreamSeed returns a random seed that depends on the service name: the slow starts of two
+// services must be independent even if neither configures a seed.
 func upstreamSeed(cfg *config) uint64 {
-	seed, _ := cfg.parsedSeed() // valid, as validate parsed it
+	seed, _ := cfg.parsedSeed() // validate has checked it
 	name := fnv.New64a()
 	name.Write([]byte(cfg.Name))
 	return seed ^ name.Sum64()
--- a/cmd/oxbowbridge/serve.go
+++ b/cmd/oxbowbridge/serve.go
@@ -15,16 +15,17 @@
 )
 
 const (
-	// heapLimitFraction of limits.memory_mb is the soft limit of Go's heap.
+	// heapLimitFraction is the fraction of limits.memory_mb that is the soft memory limit of
+	// the Go runtime.
 	heapLimitFraction = 0.6
-	// goThreads is the number of threads that run Go code at a time: one for the dispatcher
-	// and one for the event loop.
+	// goThreads is the number of threads that run Go code at the same time: one for the
+	// dispatcher and one for the event loop.
 	goThreads = 2
 )
 
-// serve runs the service until a drain is over.
+// serve runs the service until it has drained.
 func serve(env func(string) string) error {
-	notice, hangup := handleSignals()
+	shutdown, hangup := handleSignals()
 	cfg, err := readConfig(env)
 	if err != nil {
 		return fmt.Errorf("%w: %w", errConfig, err)
@@ -34,55 +35,55 @@
 	level := zap.NewAtomicLevel()
 	log := newLogger(level).With(zap.String("name", cfg.Name))
 	defer log.Sync()
-	node, err := openStoreNode(notice, cfg, level, log)
+	node, err := openStoreNode(shutdown, cfg, level, log)
 	if err != nil {
 		return err
 	}
 	defer node.close()
-	s, err := newService(notice, cfg, log)
-	if notice.Err() != nil && errors.Is(err, syscall.EADDRINUSE) {
-		return nil // it never listened
+	s, err := newService(shutdown, cfg, log)
+	if shutdown.Err() != nil && errors.Is(err, syscall.EADDRINUSE) {
+		return nil // shut down before the service could listen
 	}
 	if err != nil {
 		return err
 	}
 	node.publishState(stateOpen)
-	agent := openMaintenanceAgent(notice, cfg, node, s, log)
+	agent := openMaintenanceAgent(shutdown, cfg, node, s, log)
 	var current atomic.Pointer[config]
 	current.Store(cfg)
-	// Neither waits for the other: a file that takes long to read must not delay the drain,
-	// and a reload counts also while the service drains, as requests in flight may need the
-	// new addresses.
+	// Reload and drain run in separate goroutines: a slow read of the file must not delay the
+	// drain, and a reload must take effect during the drain, as requests in flight may need
+	// the new addresses.
 	go reloadOnHangup(s, hangup, &current, env)
-	go drainOnNotice(notice, s, agent, node, &current)
+	go drainOnShutdown(shutdown, s, agent, node, &current)
 	s.dispatcher.Run()
-	return agent.finish(notice)
+	return agent.finish(shutdown)
 }
 
-// handleSignals takes over all signals, from the start of the process to its end: a SIGHUP
-// may come before the file is read or during a drain, a SIGTERM before anything listens,
-// and one more at any time.
-func handleSignals() (notice *stopNotice, hangup <-chan os.Signal) {
+// handleSignals registers the signal handlers, which stay in place until the process exits.
+// They must be registered first, because SIGHUP may arrive before the file is read or during
+// a drain, and SIGTERM may arrive before the service listens and again at any time.
+func handleSignals() (shutdown *shutdownWatcher, hangup <-chan os.Signal) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
-	notice = watchStopNotice()
-	// Without this the Go runtime ends the process when the reader of its log goes away.
+	shutdown = watchShutdownSignals()
+	// Without this the Go runtime ends the process when the reader of its log closes the pipe.
 	signal.Ignore(syscall.SIGPIPE)
-	return notice, hangups
+	return shutdown, hangups
 }
 
-// reloadOnHangup reads the file again at each SIGHUP.
+// reloadOnHangup reloads the configuration file at each SIGHUP.
 func reloadOnHangup(s *service, hangup <-chan os.Signal, current *atomic.Pointer[config], env func(string) string) {
 	for range hangup {
 		current.Store(s.reload(current.Load(), env))
 	}
 }
 
-// drainOnNotice starts the drain at the first notice: a signal, or an order of maintenance.
-// The store's shutdown is part of the drain timeout.
-func drainOnNotice(notice *stopNotice, s *service, machine *maintenanceAgent, node *storeNode, current *atomic.Pointer[config]) {
-	noticedAt := notice.await(machine.drainRequested)
+// drainOnShutdown starts the drain at the first shutdown signal or drain request for
+// maintenance. It reserves a part of the drain timeout for closing the store.
+func drainOnShutdown(shutdown *shutdownWatcher, s *service, agent *maintenanceAgent, node *storeNode, current *atomic.Pointer[config]) {
+	signaledAt := shutdown.await(agent.drainRequested)
 	node.publishState(stateDraining)
 	drainTimeout := time.Duration(current.Load().DrainTimeoutMS) * time.Millisecond
-	s.drain(noticedAt, drainTimeout-node.closeTimeout())
+	s.drain(signaledAt, drainTimeout-node.closeTimeout())
 }
--- a/cmd/oxbowbridge/service.go
+++ b/cmd/oxbowbridge/service.go
@@ -19,32 +19,34 @@
 )
 
 const (
-	// openRequestKB is the memory of an open request in this process, in KiB: body, result
-	// and bookkeeping.
+	// openRequestKB is the memory of an open request in this process, in KiB: its body, its
+	// result and internal state.
 	openRequestKB = 8
-	// openRequestsDivisor: open requests may take one part in so many of limits.memory_mb.
+	// openRequestsDivisor is the divisor of limits.memory_mb that gives the memory for open
+	// requests.
 	openRequestsDivisor = 3
-	// idempotencyKeysDivisor: idempotency keys with their results may take one part in so
-	// many of limits.memory_mb. Together with the open requests that is less than
-	// heapLimitFraction.
+	// idempotencyKeysDivisor is the divisor of limits.memory_mb that gives the memory for
+	// idempotency keys and their results. Together with the open requests this is less than
+	// heapLimitFraction of limits.memory_mb.
 	idempotencyKeysDivisor = 5
-	// dependencyShared names, in the settings, a dependency that all services share.
+	// dependencyShared is the value of the setting below for a dependency that all services
+	// share.
 	dependencyShared = "shared"
 )
 
-// service is the connected parts of the program that serve requests.
+// service holds the components of the process that handle requests.
 type service struct {
-	started       time.Time // the zero of the dispatcher's clock
-	dispatcher    *dispatch.Dispatcher
-	exchange      *exchange.Exchange
-	log           *zap.Logger
-	frontendAddrs []net.Addr    // in the order of the configuration
-	useAddresses  func(*config) // has the backend side use the addresses of another configuration; in the dispatcher's goroutine
+	started             time.Time // time zero of the dispatcher's clock
+	dispatcher          *dispatch.Dispatcher
+	exchange            *exchange.Exchange
+	log                 *zap.Logger
+	frontendAddrs       []net.Addr    // in the order of newFrontends
+	setBackendAddresses func(*config) // applies the addresses of the runner, records service and registry; called in the dispatcher's goroutine
 }
 
-// newService makes the parts, connects them and listens. A notice of the end stops its wait
+// newService creates the components and starts to listen. The end of shutdown aborts the wait
 // for an address in use.
-func newService(notice context.Context, cfg *config, log *zap.Logger) (*service, error) {
+func newService(shutdown context.Context, cfg *config, log *zap.Logger) (*service, error) {
 	quotas := divideDescriptors(cfg, log)
 	pool := fdquota.NewConnPool(quotas)
 	loop, err := eventloop.New(quotas.Lingering)
@@ -60,16 +62,16 @@
 		Log:      log,
 	}
 	runner := newRunner(cfg, sessionConfig)
-	calls := records.New(cfg.RecordsAddress, pool, callLinger(cfg), sessionConfig)
-	listing := registry.New(cfg.RegistryAddress, cfg.Name, sessionConfig)
+	recordsService := records.New(cfg.RecordsAddress, pool, callLinger(cfg), sessionConfig)
+	registration := registry.New(cfg.RegistryAddress, cfg.Name, sessionConfig)
 	frontends := newFrontends(cfg, sessionConfig.Exchange, log)
 	d := dispatch.Config{
 		Exchange:               sessionConfig.Exchange,
 		Timers:                 sessionConfig.Timers,
 		Runner:                 runner,
 		RunnerCannotPause:      len(cfg.AJP.UpstreamAddresses) > 0,
-		Dependency:             calls,
-		Registry:               listing,
+		Dependency:             recordsService,
+		Registry:               registration,
 		Lingering:              loop,
 		MaxIdempotencyKeyBytes: maxIdempotencyKeyBytes(cfg),
 		Now:                    sessionConfig.Now,
@@ -83,7 +85,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w: settings: %w", errConfig, err)
 	}
-	if err := listenAll(notice, cfg, frontends, loop, pool, log); err != nil {
+	if err := listenAll(shutdown, cfg, frontends, loop, pool, log); err != nil {
 		return nil, err
 	}
 	runner.Open()
@@ -91,49 +93,49 @@
 	for _, f := range frontends {
 		s.frontendAddrs = append(s.frontendAddrs, f.listener.Addr())
 	}
-	s.useAddresses = func(to *config) {
-		runner.useAddresses(to)
-		calls.SetAddress(to.RecordsAddress)
-		listing.SetAddress(to.RegistryAddress)
+	s.setBackendAddresses = func(updated *config) {
+		runner.setAddresses(updated)
+		recordsService.SetAddress(updated.RecordsAddress)
+		registration.SetAddress(updated.RegistryAddress)
 	}
 	return s, nil
 }
 
-// reload reads the file again and returns the configuration that is in force then. A file
-// that is not valid changes nothing.
+// reload reads the configuration file and returns the configuration that is now in effect. An
+// invalid file changes nothing.
 func (s *service) reload(old *config, env func(string) string) *config {
 	cfg, err := readConfig(env)
 	if err != nil {
 		s.log.Error("configuration rejected", zap.Error(err))
 		return old
 	}
-	s.exchange.Post(exchange.Callback(func() { s.useAddresses(cfg) }))
-	now, atNextStart := old.changedFields(cfg)
-	s.log.Info("configuration reloaded", zap.Strings("changed", now), zap.Strings("at_next_start", atNextStart))
+	s.exchange.Post(exchange.Callback(func() { s.setBackendAddresses(cfg) }))
+	applied, afterRestart := old.changedFields(cfg)
+	s.log.Info("configuration reloaded", zap.Strings("changed", applied), zap.Strings("at_next_start", afterRestart))
 	cfg.settingsFromStore = old.settingsFromStore
 	return cfg
 }
 
-// drain starts the drain in the dispatcher's goroutine. The process will be stopped from
-// outside at the timeout after the notice.
-func (s *service) drain(noticedAt time.Time, timeout time.Duration) {
-	s.exchange.Post(exchange.Callback(func() { s.dispatcher.Drain(noticedAt.Sub(s.started), timeout) }))
+// drain starts the drain in the dispatcher's goroutine. The process must exit within timeout
+// after signaledAt, the time of the shutdown signal.
+func (s *service) drain(signaledAt time.Time, timeout time.Duration) {
+	s.exchange.Post(exchange.Callback(func() { s.dispatcher.Drain(signaledAt.Sub(s.started), timeout) }))
 }
 
-// maxOpenRequests is how many requests may be open at a time, in the memory for them.
+// maxOpenRequests returns the maximum number of open requests, from the memory for them.
 func maxOpenRequests(cfg *config) int {
 	memoryKB := int(cfg.Limits.MemoryMB) << 10
 	return memoryKB / openRequestKB / openRequestsDivisor
 }
 
-// maxIdempotencyKeyBytes is the memory of the idempotency table, in bytes.
+// maxIdempotencyKeyBytes returns the memory limit of the idempotency key table, in bytes.
 func maxIdempotencyKeyBytes(cfg *config) int {
 	memoryBytes := int(cfg.Limits.MemoryMB) << 20
 	return memoryBytes / idempotencyKeysDivisor
 }
 
-// callLinger is how long an abandoned call stays in flight at a dependency that all
-// services share.
+// callLinger returns how long an abandoned call stays in flight at a dependency that all
+// services share, or 0 if the dependency is not shared.
 func callLinger(cfg *config) time.Duration {
 	if cfg.Settings.Server.Dependency != dependencyShared {
 		return 0
--- a/cmd/oxbowbridge/store.go
+++ b/cmd/oxbowbridge/store.go
@@ -10,27 +10,27 @@
 	"oxbowbridge/internal/cluster/storeclient"
 )
 
-// storeCLI is the flags of the sub-commands of store.
+// storeCLI holds the flags of the subcommands of "store".
 type storeCLI struct {
-	nodes      []string
-	asJSON     bool
-	local      bool   // of get
-	stale      string // of get: a duration
-	ifRevision uint64 // of put and delete
-	from       uint64 // of watch: a revision
-	list       bool   // of watch
-	undo       bool   // of restore
+	nodes        []string
+	asJSON       bool
+	local        bool   // of get
+	maxStaleness string // of get: a duration, such as 2s
+	ifRevision   uint64 // of put and delete
+	fromRevision uint64 // of watch: a revision
+	listFirst    bool   // of watch
+	undoRestore  bool   // of restore
 }
 
-// addCommand adds a sub-command whose bad arguments are a usage error.
+// addCommand adds a subcommand that returns a usage error for invalid arguments.
 type addCommand func(use, short string, args cobra.PositionalArgs, run func(*cobra.Command, []string) error) *cobra.Command
 
-// nodesCommand returns a command whose sub-commands ask the admin ports of a store's nodes, and what adds
-// one.
-func nodesCommand(use, short string, nodes *[]string, asJSON *bool) (*cobra.Command, addCommand) {
+// adminClientCommand returns a command whose subcommands use the admin addresses of store nodes, and a
+// function that adds a subcommand.
+func adminClientCommand(use, short string, nodes *[]string, asJSON *bool) (*cobra.Command, addCommand) {
 	c := &cobra.Command{Use: use, Short: short}
-	c.PersistentFlags().StringSliceVar(nodes, "nodes", []string{"127.0.0.1:7201"}, "admin addresses, any or all of them")
-	c.PersistentFlags().BoolVar(asJSON, "json", false, "print JSON in place of tables")
+	c.PersistentFlags().StringSliceVar(nodes, "nodes", []string{"127.0.0.1:7201"}, "admin addresses of one or more store nodes")
+	c.PersistentFlags().BoolVar(asJSON, "json", false, "print JSON instead of tables")
 	add := func(use, short string, args cobra.PositionalArgs, run func(*cobra.Command, []string) error) *cobra.Command {
 		checkArgs := func(c *cobra.Command, values []string) error { return usageError(args(c, values)) }
 		sub := &cobra.Command{Use: use, Short: short, RunE: run, Args: checkArgs}
@@ -40,49 +40,49 @@
 	return c, add
 }
 
-// storeRun carries out a sub-command of store.
-type storeRun func(c *cobra.Command, client *storeclient.Client, args []string) error
+// storeAction executes a subcommand of "store".
+type storeAction func(c *cobra.Command, client *storeclient.Client, args []string) error
 
-// addStoreCommand is addCommand for a command that needs a client.
-type addStoreCommand func(use, short string, args cobra.PositionalArgs, run storeRun) *cobra.Command
+// addStoreCommand adds a subcommand that uses a store client.
+type addStoreCommand func(use, short string, args cobra.PositionalArgs, run storeAction) *cobra.Command
 
 func storeCommand() *cobra.Command {
 	s := &storeCLI{}
-	c, addPlain := nodesCommand("store", "Read and write the replicated store, at any of its nodes", &s.nodes, &s.asJSON)
-	add := func(use, short string, args cobra.PositionalArgs, run storeRun) *cobra.Command {
+	c, addPlain := adminClientCommand("store", "Read and write the replicated store", &s.nodes, &s.asJSON)
+	add := func(use, short string, args cobra.PositionalArgs, run storeAction) *cobra.Command {
 		return addPlain(use, short, args, func(c *cobra.Command, values []string) error {
 			return run(c, storeclient.New(s.nodes), values)
 		})
 	}
-	s.addMembers(add)
-	add("status", "Show each node that --nodes names", cobra.NoArgs, s.status)
-	get := add("get [KEY]", "Print a key, or all", cobra.MaximumNArgs(1), s.get)
-	get.Flags().BoolVar(&s.local, "local", false, "what the node knows, however old")
-	get.Flags().StringVar(&s.stale, "stale", "", "a read that may be so old, such as 2s")
-	watchCommand := add("watch [PREFIX]", "Print what changes, at whichever node is there, until interrupted", cobra.MaximumNArgs(1), s.watch)
-	watchCommand.Flags().Uint64Var(&s.from, "from", 0, "from this revision on; 0 is from now")
-	watchCommand.Flags().BoolVar(&s.list, "list", false, "print the keys first, and follow from there")
-	put := add("put KEY JSON", "Write a key, once", cobra.ExactArgs(2), s.put)
-	del := add("delete KEY", "Remove a key", cobra.ExactArgs(1), s.delete)
+	s.addMemberCommands(add)
+	add("status", "Show the status of each node in --nodes", cobra.NoArgs, s.status)
+	get := add("get [KEY]", "Print the value of a key, or all keys", cobra.MaximumNArgs(1), s.get)
+	get.Flags().BoolVar(&s.local, "local", false, "read the local state of the node, which may be arbitrarily stale")
+	get.Flags().StringVar(&s.maxStaleness, "stale", "", "allow a read that is stale by at most this duration, such as 2s")
+	watchCommand := add("watch [PREFIX]", "Print changes of keys until interrupted, from any node that is available", cobra.MaximumNArgs(1), s.watch)
+	watchCommand.Flags().Uint64Var(&s.fromRevision, "from", 0, "first revision to print; 0 starts with the next change")
+	watchCommand.Flags().BoolVar(&s.listFirst, "list", false, "print the current keys first, then the changes after them")
+	put := add("put KEY JSON", "Write a key", cobra.ExactArgs(2), s.put)
+	del := add("delete KEY", "Delete a key", cobra.ExactArgs(1), s.delete)
 	for _, sub := range []*cobra.Command{put, del} {
-		sub.Flags().Uint64Var(&s.ifRevision, "if-revision", 0, "only if the key has this revision; 0 if it is not there")
+		sub.Flags().Uint64Var(&s.ifRevision, "if-revision", 0, "only if the key has this revision; 0 only if the key does not exist")
 	}
-	add("backup FILE", "Write a checked backup of all keys, as they were at one moment, to a new file", cobra.ExactArgs(1), s.backup)
-	restore := add("restore FILE", "Put a backup back into an empty store of another cluster", cobra.MaximumNArgs(1), s.restore)
-	restore.Flags().BoolVar(&s.undo, "undo", false, "without FILE: empty a store in which a restore was cut off")
-	add("txn", "Carry out a transaction, once, given as JSON on standard input:\n"+
+	add("backup FILE", "Write a consistent backup of all keys, with a checksum, to a new file", cobra.ExactArgs(1), s.backup)
+	restore := add("restore FILE", "Restore a backup to the empty store of another cluster", cobra.MaximumNArgs(1), s.restore)
+	restore.Flags().BoolVar(&s.undoRestore, "undo", false, "without FILE: empty a store in which a restore was interrupted")
+	add("txn", "Execute a transaction, read as JSON from standard input:\n"+
 		`{"if": [{"key": K, "revision": N}], "then": [{"do": "put", "key": K, "value": V}], "else": []}`, cobra.NoArgs, s.txn)
 	return c
 }
 
-// nodeStatus is one node of "store status".
+// nodeStatus is the status of one node in the output of "store status".
 type nodeStatus struct {
 	Address string `json:"address"`
 	storeapi.Status
 	Error string `json:"away,omitempty"` // why the node did not answer
 }
 
-// problem returns all that is wrong with a node.
+// problem returns the wait reason and the errors of a node.
 func (n nodeStatus) problem() string {
 	problem := n.Error + n.WaitingFor + n.SQLError
 	if n.ForeignPeers != "" {
--- a/cmd/oxbowbridge/store_keys.go
+++ b/cmd/oxbowbridge/store_keys.go
@@ -16,20 +16,20 @@
 	"oxbowbridge/internal/storage/atomicfile"
 )
 
-const maxTxnBytes = 1 << 20 // of standard input
+const maxTxnBytes = 1 << 20 // maximum size of a transaction on standard input
 
-// readQuery returns the query of a read, by the flags of get.
+// readQuery returns the URL query for a read with the flags of "store get".
 func (s *storeCLI) readQuery() string {
 	switch {
 	case s.local:
 		return "?local=1"
-	case s.stale != "":
-		return "?stale=" + s.stale
+	case s.maxStaleness != "":
+		return "?stale=" + s.maxStaleness
 	}
 	return ""
 }
 
-// get prints one key, or all.
+// get prints the value of one key, or all keys.
 func (s *storeCLI) get(c *cobra.Command, client *storeclient.Client, args []string) error {
 	if len(args) == 0 {
 		return s.getAll(c, client)
@@ -60,8 +60,8 @@
 	return printTable(c.OutOrStdout(), rows...)
 }
 
-// condition returns --if-revision; nil if it is not given.
-func (s *storeCLI) condition(c *cobra.Command) *uint64 {
+// expectedRevision returns --if-revision, or nil if the flag is not set.
+func (s *storeCLI) expectedRevision(c *cobra.Command) *uint64 {
 	if !c.Flags().Changed("if-revision") {
 		return nil
 	}
@@ -71,18 +71,18 @@
 func (s *storeCLI) put(c *cobra.Command, client *storeclient.Client, args []string) error {
 	key, value := args[0], args[1]
 	if !json.Valid([]byte(value)) {
-		return usageError(fmt.Errorf("%q is not JSON; a text needs its quotes", value))
+		return usageError(fmt.Errorf("value %q is not valid JSON; a string needs quotes", value))
 	}
-	response, err := client.Put(c.Context(), key, json.RawMessage(value), s.condition(c))
+	response, err := client.Put(c.Context(), key, json.RawMessage(value), s.expectedRevision(c))
 	return s.printResponse(c, response, err)
 }
 
 func (s *storeCLI) delete(c *cobra.Command, client *storeclient.Client, args []string) error {
-	response, err := client.Delete(c.Context(), args[0], s.condition(c))
+	response, err := client.Delete(c.Context(), args[0], s.expectedRevision(c))
 	return s.printResponse(c, response, err)
 }
 
-// txn carries out the transaction on standard input.
+// txn executes the transaction on standard input.
 func (s *storeCLI) txn(c *cobra.Command, client *storeclient.Client, _ []string) error {
 	decoder := json.NewDecoder(io.LimitReader(c.InOrStdin(), maxTxnBytes))
 	decoder.DisallowUnknownFields()
@@ -94,7 +94,7 @@
 	return s.printResponse(c, response, err)
 }
 
-// printResponse prints the outcome of a write, or returns its error.
+// printResponse prints the response to a write, or returns err if it is not nil.
 func (s *storeCLI) printResponse(c *cobra.Command, response kv.Response, err error) error {
 	if err != nil {
 		return err
@@ -102,7 +102,8 @@
 	if s.asJSON {
 		return printJSON(c.OutOrStdout(), response)
 	}
-	// HELD: the compares held. It says nothing of leases.
+	// The column HELD shows whether the compares of the transaction succeeded. It does not
+	// concern leases.
 	rows := [][]any{{"HELD", "REVISION", "KEY", "KEY REVISION", "VALUE"}}
 	for _, r := range response.Results {
 		rows = append(rows, []any{response.Succeeded, response.Revision, r.Key, r.Revision, string(r.Value)})
@@ -126,13 +127,13 @@
 		[]any{header.Cluster, header.Revision, header.Keys, header.Bytes, header.SHA256})
 }
 
-// restore restores a backup from a file, or with --undo empties a store in which that was
+// restore restores a backup from a file. With --undo it empties a store in which a restore was
 // interrupted.
 func (s *storeCLI) restore(c *cobra.Command, client *storeclient.Client, args []string) error {
-	if s.undo != (len(args) == 0) {
-		return usageError(errors.New("want FILE, or --undo"))
+	if s.undoRestore != (len(args) == 0) {
+		return usageError(errors.New("want either FILE or --undo"))
 	}
-	if s.undo {
+	if s.undoRestore {
 		return client.UndoRestore(c.Context())
 	}
 	file, err := os.Open(args[0])
--- a/cmd/oxbowbridge/store_members.go
+++ b/cmd/oxbowbridge/store_members.go
@@ -14,7 +14,7 @@
 	"oxbowbridge/internal/cluster/storeclient"
 )
 
-// members prints the members, as the leader sees them.
+// members prints the members of the cluster, as reported by the leader.
 func (s *storeCLI) members(c *cobra.Command, client *storeclient.Client, _ []string) error {
 	members, err := client.Members(c.Context())
 	if err != nil {
@@ -33,33 +33,34 @@
 	return printTable(c.OutOrStdout(), rows...)
 }
 
-// changeMember returns the command add, remove or promote; outcome is what it prints of the member.
-func changeMember(method, outcome string) storeRun {
+// memberChangeAction returns the action of add, remove or promote, which prints the member and outcome.
+func memberChangeAction(method, outcome string) storeAction {
 	return func(c *cobra.Command, client *storeclient.Client, args []string) error {
 		if err := client.ChangeMember(c.Context(), method, args[0]); err != nil {
 			return err
 		}
-		_, err := fmt.Fprintf(c.ErrOrStderr(), "%s %s; 'store members' shows how far it is\n", args[0], outcome)
+		_, err := fmt.Fprintf(c.ErrOrStderr(), "%s %s; 'store members' shows the progress\n", args[0], outcome)
 		return err
 	}
 }
 
-// addMembers adds the sub-commands about members.
-func (s *storeCLI) addMembers(add addStoreCommand) {
-	add("members", "Show the members, their disks, and the next change", cobra.NoArgs, s.members)
-	add("add NAME", "Let a node that was removed ask for a place again", cobra.ExactArgs(1), changeMember(http.MethodPut, "may join"))
-	add("remove NAME", "Take a node's vote and its place, and don't let it in again", cobra.ExactArgs(1), changeMember(http.MethodDelete, "is to leave"))
-	add("promote NAME", "Have a node have a vote rather than one that nobody asked for", cobra.ExactArgs(1), changeMember(http.MethodPost, "is to have a vote"))
+// addMemberCommands adds the subcommands for members.
+func (s *storeCLI) addMemberCommands(add addStoreCommand) {
+	add("members", "Show the members, their disk identities, and the next membership change", cobra.NoArgs, s.members)
+	add("add NAME", "Allow a removed node to join again", cobra.ExactArgs(1), memberChangeAction(http.MethodPut, "may join"))
+	add("remove NAME", "Remove a node from the cluster, and do not allow it to join again", cobra.ExactArgs(1), memberChangeAction(http.MethodDelete, "will be removed"))
+	add("promote NAME", "Prefer a node as voter over nodes that were not promoted", cobra.ExactArgs(1), memberChangeAction(http.MethodPost, "is preferred as voter"))
 	var cluster string
 	recoverCommand := add("recover CONFIG",
-		"Of a stopped node, with the others lost for good: show what it has, and with --cluster make a cluster of one of it",
+		"Show the data of a stopped node; with --cluster, make it a single-node cluster if the others are lost for good",
 		cobra.ExactArgs(1), func(c *cobra.Command, _ *storeclient.Client, args []string) error {
 			return s.recover(c, args[0], cluster)
 		})
-	recoverCommand.Flags().StringVar(&cluster, "cluster", "", "the old cluster's id, as confirmation")
+	recoverCommand.Flags().StringVar(&cluster, "cluster", "", "id of the old cluster, as confirmation")
 }
 
-// recover shows what a stopped node has, and makes a cluster of one of it if cluster confirms that.
+// recover shows the data of a stopped node. If cluster is the id of its cluster, it first makes the node a
+// single-node cluster.
 func (s *storeCLI) recover(c *cobra.Command, configPath, cluster string) error {
 	cfg, err := readConfig(func(name string) string {
 		if name == "BALANCER_CONFIG" {
@@ -71,45 +72,45 @@
 		return usageError(err)
 	}
 	if cfg.Store == nil {
-		return usageError(fmt.Errorf("%s has no store", configPath))
+		return usageError(fmt.Errorf("configuration file %s has no field \"store\"", configPath))
 	}
-	found, err := store.Inspect(*cfg.Store)
+	report, err := store.Inspect(*cfg.Store)
 	if err == nil && cluster != "" {
-		found, err = store.Recover(*cfg.Store, cluster)
+		report, err = store.Recover(*cfg.Store, cluster)
 	}
 	if err != nil {
 		return err
 	}
 	if s.asJSON {
-		return printJSON(c.OutOrStdout(), found)
+		return printJSON(c.OutOrStdout(), report)
 	}
-	return printTable(c.OutOrStdout(), recoveryRows(found)...)
+	return printTable(c.OutOrStdout(), recoveryRows(report)...)
 }
 
-// recoveryRows describes what a stopped node has.
-func recoveryRows(found store.RecoveryReport) [][]any {
+// recoveryRows returns the table that describes the data of a stopped node.
+func recoveryRows(report store.RecoveryReport) [][]any {
 	rows := [][]any{
-		{"NODE", found.Node},
-		{"ID", found.ID},
-		{"CLUSTER", found.Cluster},
-		{"KEYS", found.Keys},
-		{"LAST ENTRY", lastEntry(found.Watermark)},
-		{"TERM", found.Watermark.Term},
-		{"VOTERS", strings.Join(found.Voters, " ")},
+		{"NODE", report.Node},
+		{"ID", report.ID},
+		{"CLUSTER", report.Cluster},
+		{"KEYS", report.Keys},
+		{"LAST ENTRY", formatLastEntry(report.Watermark)},
+		{"TERM", report.Watermark.Term},
+		{"VOTERS", strings.Join(report.Voters, " ")},
 	}
-	for _, id := range slices.Sorted(maps.Keys(found.LastObserved)) {
-		rows = append(rows, []any{"SEEN OF " + id, lastEntry(found.LastObserved[id])})
+	for _, id := range slices.Sorted(maps.Keys(report.LastObserved)) {
+		rows = append(rows, []any{"SEEN OF " + id, formatLastEntry(report.LastObserved[id])})
 	}
-	for _, missing := range found.Missing {
+	for _, missing := range report.Missing {
 		rows = append(rows, []any{"MISSING", missing})
 	}
 	rows = append(rows, []any{"MAY BE MISSING", "whatever the others acknowledged after this node last heard of them"})
-	if found.NewCluster != "" {
-		return append(rows, []any{"NEW CLUSTER", found.NewCluster})
+	if report.NewCluster != "" {
+		return append(rows, []any{"NEW CLUSTER", report.NewCluster})
 	}
-	return append(rows, []any{"TO GO ON", "only if a majority of the voters is lost for good: --cluster " + found.Cluster})
+	return append(rows, []any{"TO GO ON", "only if a majority of the voters is lost for good: --cluster " + report.Cluster})
 }
 
-func lastEntry(mark diskidentity.Watermark) string {
-	return fmt.Sprintf("%d of term %d", mark.LastIndex, mark.LastTerm)
+func formatLastEntry(watermark diskidentity.Watermark) string {
+	return fmt.Sprintf("%d of term %d", watermark.LastIndex, watermark.LastTerm)
 }
--- a/cmd/oxbowbridge/store_node.go
+++ b/cmd/oxbowbridge/store_node.go
@@ -14,50 +14,50 @@
 	"oxbowbridge/internal/cluster/storeadmin"
 )
 
-// The keys of the store that the program reads and writes.
+// Keys of the store that the service reads and writes.
 const (
-	keySettings = "config/settings"  // in place of the file's settings, from the next start on
-	keyLevel    = "config/log_level" // "debug", "info", "warn" or "error", at once
-	keyState    = "state/"           // and the service's name: a serviceReport
+	keySettings    = "config/settings"  // replaces the settings of the configuration file at the next start
+	keyLogLevel    = "config/log_level" // "debug", "info", "warn" or "error"; takes effect immediately
+	keyStatePrefix = "state/"           // followed by the service name; the value is a serviceReport
 )
 
-// serviceState is what the service reports of itself.
+// serviceState is the state that the service publishes in the store.
 type serviceState string
 
-// States of the service, as they are stored.
+// States of the service. The values are stored.
 const (
 	stateOpen     serviceState = "open"
 	stateDraining serviceState = "draining"
 )
 
-// serviceReport is the service's state in the store.
+// serviceReport is the stored value of the service's state.
 type serviceReport struct {
-	SinceMS int64        `json:"since_ms"` // Unix time, when it was reported
+	SinceMS int64        `json:"since_ms"` // Unix time at which the state was published
 	State   serviceState `json:"state"`
 }
 
 const (
-	// catchUpTimeout is how long a start waits for the other nodes. Nine in ten restarted
-	// services have to be ready within 10 s, also when the store can't be reached.
+	// catchUpTimeout bounds the wait for the other store nodes at start. At least 90% of
+	// restarted services must be ready within 10 s, even if the store is unreachable.
 	catchUpTimeout = 4 * time.Second
 
-	publishTimeout       = 10 * time.Second // for one write of the service's state
+	publishTimeout       = 10 * time.Second // for one attempt to write the service's state
 	publishRetryInterval = time.Second
 )
 
-// storeNode is the program's node of the replicated store. A program without one has a storeNode
-// that does nothing.
+// storeNode is this process's node of the replicated store. If no store is configured, its methods do
+// nothing.
 type storeNode struct {
-	store       *store.Store // nil without a node
+	store       *store.Store // nil if no store is configured
 	singletons  *singleton.Tasks
 	serviceName string
 	log         *zap.Logger
-	states      chan serviceState // the last one to publish
-	caughtUp    atomic.Bool       // the node has read all that was committed when it started
+	states      chan serviceState // at most one: the state to publish next
+	caughtUp    atomic.Bool       // the node has applied all entries that were committed when it started
 }
 
-// openStoreNode starts the node, waits until it has caught up, for catchUpTimeout at most, and loads
-// the store's settings into cfg.
+// openStoreNode starts the node, waits up to catchUpTimeout until it has caught up, and loads the settings
+// of the store into cfg.
 func openStoreNode(ctx context.Context, cfg *config, level zap.AtomicLevel, log *zap.Logger) (*storeNode, error) {
 	if cfg.Store == nil {
 		return &storeNode{}, nil
@@ -73,21 +73,21 @@
 	}
 	n := &storeNode{store: s, singletons: singletons, serviceName: cfg.Name, log: log, states: make(chan serviceState, 1)}
 	s.OnChange(func(key string, value json.RawMessage) {
-		if key == keyLevel && n.caughtUp.Load() { // changes in a log that is replayed are past
-			n.setLevel(level, value)
+		if key == keyLogLevel && n.caughtUp.Load() { // ignores changes that are replayed from the log
+			n.setLogLevel(level, value)
 		}
 	})
 	startCtx, cancel := context.WithTimeout(ctx, catchUpTimeout)
 	defer cancel()
 	if s.WaitCaughtUp(startCtx) {
-		n.followLevel(level)
+		n.followLogLevel(level)
 		n.loadSettings(cfg)
 	} else {
 		log.Warn("store unreachable, starting with last good settings")
 		n.loadLastGoodSettings(cfg)
 		go func() {
 			if s.WaitCaughtUp(ctx) {
-				n.followLevel(level)
+				n.followLogLevel(level)
 			}
 		}()
 	}
@@ -95,8 +95,8 @@
 	return n, nil
 }
 
-// publishState writes the service's state to the store in the background, as soon as that is possible. Only the
-// last state counts.
+// publishState starts to write the service's state to the store in the background. It replaces a state that
+// is not written yet.
 func (n *storeNode) publishState(state serviceState) {
 	if n.store == nil {
 		return
@@ -111,6 +111,8 @@
 	}
 }
 
+// publishStates writes states to the store. It retries each state until that succeeds or a newer state is
+// queued.
 func (n *storeNode) publishStates() {
 	for state := range n.states {
 		report, err := json.Marshal(serviceReport{SinceMS: time.Now().UnixMilli(), State: state})
@@ -123,14 +125,14 @@
 	}
 }
 
-// tryPublish writes the service's report once, and reports whether that succeeded.
+// tryPublish makes one attempt to write a report, and reports whether it succeeded.
 func (n *storeNode) tryPublish(report json.RawMessage) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), publishTimeout)
 	defer cancel()
-	return n.store.Set(ctx, keyState+n.serviceName, report) == nil
+	return n.store.Set(ctx, keyStatePrefix+n.serviceName, report) == nil
 }
 
-// closeTimeout returns the part of the drain timeout that close may take.
+// closeTimeout returns the part of the drain timeout that is reserved for close.
 func (n *storeNode) closeTimeout() time.Duration {
 	if n.store == nil {
 		return 0
--- a/cmd/oxbowbridge/store_node_settings.go
+++ b/cmd/oxbowbridge/store_node_settings.go
@@ -10,19 +10,19 @@
 	"oxbowbridge/internal/sitesettings"
 )
 
-// defaultLevel is the log level without a key in the store.
-const defaultLevel = "info"
+// defaultLogLevel is the log level if the store has none.
+const defaultLogLevel = "info"
 
-// followLevel sets the log level, and has it follow the store from now on.
-func (n *storeNode) followLevel(level zap.AtomicLevel) {
+// followLogLevel sets the log level from the store, and enables later updates from the store.
+func (n *storeNode) followLogLevel(level zap.AtomicLevel) {
 	n.caughtUp.Store(true)
-	if value, ok := n.store.Get(keyLevel); ok {
-		n.setLevel(level, value)
+	if value, ok := n.store.Get(keyLogLevel); ok {
+		n.setLogLevel(level, value)
 	}
 }
 
-func (n *storeNode) setLevel(level zap.AtomicLevel, value json.RawMessage) {
-	text := defaultLevel
+func (n *storeNode) setLogLevel(level zap.AtomicLevel, value json.RawMessage) {
+	text := defaultLogLevel
 	if value != nil {
 		if err := json.Unmarshal(value, &text); err != nil {
 			n.log.Warn("invalid log level in store", zap.Error(err))
@@ -34,15 +34,15 @@
 	}
 }
 
-// loadSettings puts the store's settings into cfg and saves them as the last good ones. If they are
-// not valid, it loads the last good ones instead.
+// loadSettings copies the settings of the store to cfg and saves them as the last good settings. If they
+// are invalid, it loads the last good settings instead.
 func (n *storeNode) loadSettings(cfg *config) {
 	e, ok := n.store.Entry(keySettings)
 	if !ok {
 		return
 	}
 	version := store.GoodVersion{Revision: e.ModRevision, Value: e.Value}
-	if !n.applySettings(cfg, version, presentSettings) {
+	if !n.applySettings(cfg, version, currentSettings) {
 		n.loadLastGoodSettings(cfg)
 		return
 	}
@@ -51,28 +51,28 @@
 	}
 }
 
-// loadLastGoodSettings puts the settings with which this node last started into cfg. Without any,
-// those of the configuration file stay.
+// loadLastGoodSettings copies the last settings with which this node started successfully to cfg. If there
+// are none, cfg keeps the settings of the configuration file.
 func (n *storeNode) loadLastGoodSettings(cfg *config) {
 	version, ok, err := n.store.LastGood(keySettings)
 	switch {
 	case err != nil:
 		n.log.Error("reading last good settings failed, using settings of configuration file", zap.Error(err))
 	case ok:
-		n.applySettings(cfg, version, lastGoodSettings)
+		n.applySettings(cfg, version, savedSettings)
 	}
 }
 
-// settingsOrigin tells which of the store's settings are applied.
+// settingsOrigin is the origin of settings from the store.
 type settingsOrigin int
 
 const (
-	presentSettings  settingsOrigin = iota // those that the store has now
-	lastGoodSettings                       // those with which this node last started
+	currentSettings settingsOrigin = iota // read from the store now
+	savedSettings                         // saved locally at an earlier start
 )
 
-// applySettings puts settings of the store into cfg, and reports whether they are valid; if not, cfg
-// stays as it is.
+// applySettings copies settings of the store to cfg, and reports whether they are valid. Invalid settings
+// leave cfg unchanged.
 func (n *storeNode) applySettings(cfg *config, version store.GoodVersion, origin settingsOrigin) bool {
 	var settings sitesettings.Settings
 	err := sitesettings.DecodeJSON(version.Value, &settings)
@@ -85,6 +85,6 @@
 	}
 	cfg.Settings = settings
 	cfg.settingsFromStore = true
-	n.log.Info("settings loaded from store", zap.Uint64("revision", version.Revision), zap.Bool("last_good", origin == lastGoodSettings))
+	n.log.Info("settings loaded from store", zap.Uint64("revision", version.Revision), zap.Bool("last_good", origin == savedSettings))
 	return true
 }
--- a/cmd/oxbowbridge/store_watch.go
+++ b/cmd/oxbowbridge/store_watch.go
@@ -21,8 +21,8 @@
 
 // watch prints changes until it is interrupted.
 func (s *storeCLI) watch(c *cobra.Command, client *storeclient.Client, args []string) error {
-	if s.list && s.from != 0 {
-		return usageError(errors.New("--list and --from exclude each other"))
+	if s.listFirst && s.fromRevision != 0 {
+		return usageError(errors.New("--list and --from can't be used together"))
 	}
 	ctx, stop := signal.NotifyContext(c.Context(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -31,16 +31,16 @@
 		prefix = args[0]
 	}
 	printChanges := func(r watch.Revision) error { return s.printRevision(c.OutOrStdout(), r) }
-	from := s.from
-	if s.list {
-		present, err := listAsRevision(ctx, client, prefix)
+	from := s.fromRevision
+	if s.listFirst {
+		listed, err := listAsRevision(ctx, client, prefix)
 		if err != nil {
 			return err
 		}
-		if err := printChanges(present); err != nil {
+		if err := printChanges(listed); err != nil {
 			return err
 		}
-		from = present.Number + 1
+		from = listed.Number + 1
 	}
 	err := client.Watch(ctx, prefix, from, printChanges)
 	var compacted *watch.CompactedError
@@ -48,12 +48,12 @@
 	case ctx.Err() != nil:
 		return nil // interrupted
 	case errors.As(err, &compacted):
-		return fmt.Errorf("%w; start again with --list", err)
+		return fmt.Errorf("%w; restart with --list", err)
 	}
 	return err
 }
 
-// listAsRevision returns all keys with a prefix as one revision.
+// listAsRevision returns all current keys with a prefix as changes of one revision.
 func listAsRevision(ctx context.Context, client *storeclient.Client, prefix string) (watch.Revision, error) {
 	values, number, err := client.List(ctx, "")
 	if err != nil {
@@ -68,7 +68,7 @@
 	return revision, nil
 }
 
-// printRevision prints one line for each key that has changed, or with --json for the revision.
+// printRevision prints one line for each changed key, or with --json one line for the revision.
 func (s *storeCLI) printRevision(out io.Writer, r watch.Revision) error {
 	if s.asJSON {
 		return json.NewEncoder(out).Encode(r)
--- a/cmd/oxbowbridge/try.go
+++ b/cmd/oxbowbridge/try.go
@@ -18,46 +18,46 @@
 //go:embed try.json
 var tryConfig []byte
 
-// The stand-ins that a trial runs with.
+// Parameters of the stand-ins of a trial.
 const (
 	trialEngineCores  = 4
-	trialRunWork      = 60 * time.Millisecond
+	trialRunDuration  = 60 * time.Millisecond
 	trialCallDuration = 20 * time.Millisecond
-	trialCallingClass = "nom-submit" // whose runs make a call
+	trialCallingClass = "nom-submit" // runs of this class make a call
 )
 
-// The bounds of a trial's flags.
+// Limits of the flags of "try".
 const (
 	maxTrialRequests = 5000
-	maxTrialSpan     = time.Minute
+	maxTrialDuration = time.Minute
 )
 
-var errTrialFlags = errors.New("want 1 to 5000 requests within a minute")
+var errTrialFlags = errors.New("want --requests from 1 to 5000 and --within from 0 to 1m")
 
-// trial is one run of the service with all that it needs around it.
+// trial runs the service with stand-ins for the engine, the records service and the callers.
 type trial struct {
-	requests int           // to send; default 400
-	span     time.Duration // over which they are sent; default 3 s
+	requests int           // number of requests to send
+	duration time.Duration // time over which the requests are sent
 }
 
 func tryCommand() *cobra.Command {
 	t := &trial{}
 	c := &cobra.Command{
 		Use:   "try",
-		Short: "Run the service with a toy engine and a short load, and show the answers",
-		Long: "Starts the service, a toy engine, a toy records service and a caller in this process, on free\n" +
-			"loopback ports, sends a mixed load of more than the engine can do, and prints what came back.",
+		Short: "Run the service with a stand-in engine and a short load, and show the responses",
+		Long: "Starts the service, a stand-in engine, a stand-in records service and a caller in this process, on\n" +
+			"free loopback ports, sends a mixed load above the capacity of the engine, and prints the results.",
 		Args:    noArgs,
 		PreRunE: func(*cobra.Command, []string) error { return usageError(t.validate()) },
 		RunE:    func(c *cobra.Command, _ []string) error { return t.run(c.Context(), c.OutOrStdout()) },
 	}
-	c.Flags().IntVar(&t.requests, "requests", 400, "how many requests to send")
-	c.Flags().DurationVar(&t.span, "within", 3*time.Second, "over how long")
+	c.Flags().IntVar(&t.requests, "requests", 400, "number of requests to send")
+	c.Flags().DurationVar(&t.duration, "within", 3*time.Second, "time over which the requests are sent")
 	return c
 }
 
 func (t *trial) validate() error {
-	if t.requests < 1 || t.requests > maxTrialRequests || t.span < 0 || t.span > maxTrialSpan {
+	if t.requests < 1 || t.requests > maxTrialRequests || t.duration < 0 || t.duration > maxTrialDuration {
 		return errTrialFlags
 	}
 	return nil
@@ -79,7 +79,7 @@
 		return err
 	}
 	defer records.Close()
-	go (&standin.Engine{Cores: trialEngineCores, RunDuration: trialRunWork, CallingClasses: []string{trialCallingClass}}).Serve(engine)
+	go (&standin.Engine{Cores: trialEngineCores, RunDuration: trialRunDuration, CallingClasses: []string{trialCallingClass}}).Serve(engine)
 	go (&standin.RecordsService{ResponseDelay: trialCallDuration}).Serve(records)
 	cfg.EngineAddress = engine.Addr().String()
 	cfg.RecordsAddress = records.Addr().String()
@@ -87,16 +87,16 @@
 	if err != nil {
 		return err
 	}
-	ended := make(chan struct{})
+	drained := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(drained)
 		s.dispatcher.Run()
 	}()
 	address := s.frontendAddrs[0].String()
 	fmt.Fprintf(out, "service on %s, engine with %d cores and %v a request; %d requests within %v\n\n",
-		address, trialEngineCores, trialRunWork, t.requests, t.span)
+		address, trialEngineCores, trialRunDuration, t.requests, t.duration)
 	results := t.sendLoad(ctx, cfg, address)
 	s.drain(time.Now(), time.Duration(cfg.DrainTimeoutMS)*time.Millisecond)
-	<-ended
+	<-drained
 	return printResults(out, results)
 }
--- a/cmd/oxbowbridge/try_load.go
+++ b/cmd/oxbowbridge/try_load.go
@@ -14,36 +14,36 @@
 	"oxbowbridge/internal/standin"
 )
 
-// classResult counts what became of the requests of one class.
+// classResult counts the requests of one class by their outcome.
 type classResult struct {
-	class            string
-	sent             int
-	served           int
-	rejected         int
-	rejectedWithHint int // with the time after which to come back
-	failed           int
-	latencies        []time.Duration // of those served
+	class                  string
+	sent                   int
+	served                 int
+	rejected               int
+	rejectedWithRetryAfter int // rejected with a Retry-After time
+	failed                 int
+	latencies              []time.Duration // of the served requests
 }
 
-// trialResults has one result for each class. Its lock guards them.
+// trialResults has one result for each class. mu guards the results.
 type trialResults struct {
 	mu      sync.Mutex
 	classes []*classResult
 }
 
-// sendLoad sends requests at even intervals, whatever comes back, and waits for all
-// responses. The classes are drawn with a fixed seed.
+// sendLoad sends requests at even intervals, independent of the responses, and waits for all
+// responses. It chooses the classes at random with a fixed seed.
 func (t *trial) sendLoad(ctx context.Context, cfg *config, address string) []*classResult {
 	results := &trialResults{}
 	for _, class := range cfg.Settings.Classes {
 		results.classes = append(results.classes, &classResult{class: class.Name})
 	}
-	random := rand.New(rand.NewPCG(1, 2))
-	begin := time.Now()
+	rng := rand.New(rand.NewPCG(1, 2))
+	startedAt := time.Now()
 	var pending sync.WaitGroup
 	for i := range t.requests {
-		time.Sleep(time.Until(begin.Add(t.span * time.Duration(i) / time.Duration(t.requests))))
-		class := results.classes[random.IntN(len(results.classes))]
+		time.Sleep(time.Until(startedAt.Add(t.duration * time.Duration(i) / time.Duration(t.requests))))
+		class := results.classes[rng.IntN(len(results.classes))]
 		pending.Go(func() { results.sendOne(ctx, address, class, i) })
 	}
 	pending.Wait()
@@ -68,14 +68,14 @@
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
 		class.rejected++
 		if response.RetryAfterMillis != "" {
-			class.rejectedWithHint++
+			class.rejectedWithRetryAfter++
 		}
 	default:
 		class.failed++
 	}
 }
 
-// printResults prints a table with one line for each class.
+// printResults prints a table with one row for each class.
 func printResults(out io.Writer, classes []*classResult) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "class\tsent\tserved\trefused\twith advice\tfailed\tmedian\tslowest\t")
@@ -87,7 +87,7 @@
 			slowest = c.latencies[n-1].Round(time.Millisecond).String()
 		}
 		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t\n",
-			c.class, c.sent, c.served, c.rejected, c.rejectedWithHint, c.failed, median, slowest)
+			c.class, c.sent, c.served, c.rejected, c.rejectedWithRetryAfter, c.failed, median, slowest)
 	}
 	return table.Flush()
 }
--- a/cmd/oxbowbridge/version.go
+++ b/cmd/oxbowbridge/version.go
@@ -10,7 +10,7 @@
 func versionCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "version",
-		Short: "Say which build this is",
+		Short: "Print the version of this build",
 		Args:  noArgs,
 		Run: func(c *cobra.Command, _ []string) {
 			version, revision := buildVersion()
@@ -19,8 +19,8 @@
 	}
 }
 
-// buildVersion returns the version of the module with that of Go, and the revision that was
-// built.
+// buildVersion returns the module version together with the Go version, and the source revision
+// of the build.
 func buildVersion() (version, revision string) {
 	version, revision = "unknown", "unknown revision"
 	info, ok := debug.ReadBuildInfo()
--- a/cmd/oxbowbridge/work.go
+++ b/cmd/oxbowbridge/work.go
@@ -18,56 +18,57 @@
 	"oxbowbridge/internal/maintenance"
 )
 
-// workCLI is the flags of the sub-commands of work.
+// workCLI holds the flags of the subcommands of "work", which manage maintenance orders.
 type workCLI struct {
 	nodes         []string
 	asJSON        bool
 	reason        string        // of ask
 	duration      time.Duration // of ask
 	priority      int           // of ask
-	within        time.Duration // of ask: from now, for the latest start
+	within        time.Duration // of ask: time from now until the latest start
 	pauseReason   string        // of pause
-	chart         string        // of plan: a file
-	windows       []string      // of plan: FROM-TO
+	chart         string        // of plan: path of the chart file
+	windows       []string      // of plan: each FROM-TO
 	seed          uint64        // of plan
 	watchInterval time.Duration // of watch
 }
 
 func workCommand() *cobra.Command {
 	s := &workCLI{}
-	c, add := nodesCommand("work", "Take machines out for work, in an order that the services settle", &s.nodes, &s.asJSON)
-	ask := add("ask MACHINE ...", "Ask for work on machines", cobra.MinimumNArgs(1), s.ask)
-	ask.Flags().StringVar(&s.reason, "reason", "", "what for")
-	ask.Flags().DurationVar(&s.duration, "for", 10*time.Minute, "how long each is out at most")
-	ask.Flags().IntVar(&s.priority, "priority", 0, "higher goes first")
-	ask.Flags().DurationVar(&s.within, "within", 0, "not to begin later than that; 0 is any time")
-	add("list", "Show the order: who is out, who waits, and why", cobra.NoArgs, s.list)
-	plan := add("plan", "Lay out the whole order ahead, within the limits", cobra.NoArgs, s.plan)
-	plan.Flags().StringVar(&s.chart, "chart", "", "also draw it, to a file that ends in .svg or .png")
-	plan.Flags().StringSliceVar(&s.windows, "window", nil, "only begin from FROM to TO from now, such as 1h-5h; may be given again")
-	plan.Flags().Uint64Var(&s.seed, "seed", 1, "of the search")
-	add("cancel MACHINE ...", "Take requests back; one that failed loses its place", cobra.MinimumNArgs(1), s.forEach(cancelOrder))
-	pause := add("pause", "Have nobody new go", cobra.NoArgs, s.setPause(true))
-	pause.Flags().StringVar(&s.pauseReason, "reason", "by an operator", "why")
-	add("resume", "Have the order go on; what has failed by now is seen", cobra.NoArgs, s.setPause(false))
-	add("back MACHINE ...", "Say for machines that they are back", cobra.MinimumNArgs(1), s.forEach(reportReturned))
-	watchCommand := add("watch", "Show the order again and again, until it is done or interrupted", cobra.NoArgs, s.watch)
-	watchCommand.Flags().DurationVar(&s.watchInterval, "every", time.Second, "how often")
+	c, add := adminClientCommand("work", "Take machines out of service for maintenance, scheduled by the services", &s.nodes, &s.asJSON)
+	ask := add("ask MACHINE ...", "Request maintenance of machines", cobra.MinimumNArgs(1), s.ask)
+	ask.Flags().StringVar(&s.reason, "reason", "", "reason for the maintenance")
+	ask.Flags().DurationVar(&s.duration, "for", 10*time.Minute, "maximum time that each machine is out of service")
+	ask.Flags().IntVar(&s.priority, "priority", 0, "orders with a higher priority start first")
+	ask.Flags().DurationVar(&s.within, "within", 0, "latest start, as a time from now; 0 allows any time")
+	add("list", "Show the maintenance orders with their state and wait reason", cobra.NoArgs, s.list)
+	plan := add("plan", "Compute a schedule of all orders within the disruption budget", cobra.NoArgs, s.plan)
+	plan.Flags().StringVar(&s.chart, "chart", "", "also draw the schedule to this file, which ends in .svg or .png")
+	plan.Flags().StringSliceVar(&s.windows, "window", nil, "start maintenance only between FROM and TO from now, such as 1h-5h; can be repeated")
+	plan.Flags().Uint64Var(&s.seed, "seed", 1, "random seed of the search for a schedule")
+	add("cancel MACHINE ...", "Cancel orders that have not started, and abandon failed orders", cobra.MinimumNArgs(1), s.forEach(cancelOrder))
+	pause := add("pause", "Pause maintenance: start no further order", cobra.NoArgs, s.setPause(true))
+	pause.Flags().StringVar(&s.pauseReason, "reason", "by an operator", "reason for the pause")
+	add("resume", "Resume maintenance and acknowledge failed orders", cobra.NoArgs, s.setPause(false))
+	add("back MACHINE ...", "Report that machines are back in service", cobra.MinimumNArgs(1), s.forEach(reportReturned))
+	watchCommand := add("watch", "Show the maintenance orders periodically, until none is open or until interrupted", cobra.NoArgs, s.watch)
+	watchCommand.Flags().DurationVar(&s.watchInterval, "every", time.Second, "interval between updates")
 	return c
 }
 
 func (s *workCLI) client() *storeclient.Client { return storeclient.New(s.nodes) }
 
-// machineAction does something for one machine.
+// machineAction is an operation on one machine.
 type machineAction func(ctx context.Context, client *storeclient.Client, machine string) error
 
-// forEach does something for all machines that are named. Its error names each that failed.
-func (s *workCLI) forEach(do machineAction) func(*cobra.Command, []string) error {
+// forEach returns a command that applies the action to each machine in its arguments. Its error names each
+// machine for which the action failed.
+func (s *workCLI) forEach(action machineAction) func(*cobra.Command, []string) error {
 	return func(c *cobra.Command, machines []string) error {
 		client := s.client()
 		var errs []error
 		for _, machine := range machines {
-			if err := do(c.Context(), client, machine); err != nil {
+			if err := action(c.Context(), client, machine); err != nil {
 				errs = append(errs, fmt.Errorf("%s: %w", machine, err))
 			}
 		}
@@ -83,7 +84,7 @@
 	return client.ReportPhase(ctx, machine, maintenance.PhaseReport{Phase: maintenance.PhaseReturned})
 }
 
-// ask submits an order for each machine that is named, or none if one is not valid.
+// ask submits an order for each machine in its arguments, or no order if one of them is invalid.
 func (s *workCLI) ask(c *cobra.Command, machines []string) error {
 	order := maintenance.Order{Reason: s.reason, DurationMS: s.duration.Milliseconds(), Priority: s.priority}
 	if s.within > 0 {
@@ -137,7 +138,7 @@
 	return printTable(out, rows...)
 }
 
-// watch prints the orders again and again, until none is open or it is interrupted.
+// watch prints the orders periodically, until none is open or until interrupted.
 func (s *workCLI) watch(c *cobra.Command, _ []string) error {
 	ctx, stop := signal.NotifyContext(c.Context(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -168,7 +169,7 @@
 	}
 }
 
-// clearSequence returns what clears the screen, if that is where the output goes.
+// clearSequence returns the escape sequence that clears the screen, or "" if the output is not a terminal.
 func clearSequence(out io.Writer) string {
 	const cursorHomeAndClear = "\x1b[H\x1b[2J"
 	file, ok := out.(*os.File)
--- a/cmd/oxbowbridge/work_plan.go
+++ b/cmd/oxbowbridge/work_plan.go
@@ -12,15 +12,15 @@
 	"oxbowbridge/internal/maintenance/chart"
 )
 
-// plan prints a schedule of all orders that wait, as they are now. It is no promise: see
-// maintenance.ComputePlan for what it leaves out.
+// plan prints a schedule of all waiting orders, computed from their current state. The actual order may
+// differ: see maintenance.ComputePlan for what the schedule does not consider.
 func (s *workCLI) plan(c *cobra.Command, _ []string) error {
 	windows, err := parseWindows(s.windows)
 	if err != nil {
 		return usageError(err)
 	}
 	if s.chart != "" && !strings.HasSuffix(s.chart, ".svg") && !strings.HasSuffix(s.chart, ".png") {
-		return usageError(errors.New("--chart: want a file that ends in .svg or .png"))
+		return usageError(errors.New("--chart: want a file name that ends in .svg or .png"))
 	}
 	status, err := s.client().MaintenanceStatus(c.Context())
 	if err != nil {
@@ -34,7 +34,7 @@
 		return err
 	}
 	if shortage := input.VoterShortage(); shortage != "" {
-		fmt.Fprintf(c.ErrOrStderr(), "oxbowbridge: as things are, no voter goes: %s; the plan has them go one at a time\n", shortage)
+		fmt.Fprintf(c.ErrOrStderr(), "oxbowbridge: no voter can be taken out of service now: %s; the plan takes out one voter at a time\n", shortage)
 	}
 	if s.chart != "" {
 		if err := chart.Draw(s.chart, plan, input.TotalCapacity); err != nil {
@@ -61,14 +61,14 @@
 	return err
 }
 
-// parseWindows parses FROM-TO, durations from now.
-func parseWindows(texts []string) (windows []maintenance.StartWindow, err error) {
-	for _, text := range texts {
-		fromText, toText, found := strings.Cut(text, "-")
+// parseWindows parses values of the form FROM-TO, durations from now.
+func parseWindows(values []string) (windows []maintenance.StartWindow, err error) {
+	for _, value := range values {
+		fromText, toText, found := strings.Cut(value, "-")
 		from, fromErr := time.ParseDuration(fromText)
 		to, toErr := time.ParseDuration(toText)
 		if err := errors.Join(fromErr, toErr); err != nil || !found || from < 0 || to <= from {
-			return nil, errors.Join(fmt.Errorf("--window: %q is not FROM-TO, such as 1h-5h", text), err)
+			return nil, errors.Join(fmt.Errorf("--window: want FROM-TO, such as 1h-5h, not %q", value), err)
 		}
 		windows = append(windows, maintenance.StartWindow{From: from, To: to})
 	}
--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -1,11 +1,11 @@
 // Package logsink writes log lines to a file or pipe without ever blocking the goroutine
-// that logs. A pipe whose reader has stopped reading blocks write(2); the service must
-// keep on responding meanwhile.
+// that logs. If the reader of a pipe stops reading, write(2) blocks; the service must still
+// respond to requests.
 //
-// A [Sink] has one goroutine, which alone writes to the output; Sink.mu guards the
-// buffer between it and the loggers. Lines are written completely and in order, or
-// dropped completely when the buffer is full; a notice with their number follows.
-// Errors of the output are ignored.
+// Only the goroutine of a [Sink] writes to the output; Sink.mu guards the buffer between that
+// goroutine and the loggers. Lines are written complete and in order. If the buffer is full,
+// complete lines are dropped, and a log line with their number follows. Write errors of the
+// output are ignored.
 package logsink
 
 import (
@@ -16,25 +16,25 @@
 )
 
 const (
-	// maxBufferBytes bounds the bytes that wait to be written; further lines are dropped.
+	// maxBufferBytes bounds the size of the buffer; lines that do not fit are dropped.
 	maxBufferBytes = 256 << 10
-	// syncTimeout is how long Sync waits for the buffer to empty.
+	// syncTimeout bounds the wait of Sync for an empty buffer.
 	syncTimeout = 50 * time.Millisecond
 )
 
-// Sink is a zapcore.WriteSyncer that buffers lines and writes them from a goroutine of
-// its own. Its methods may be called from any goroutine.
+// Sink is a zapcore.WriteSyncer that buffers lines and writes them in a separate goroutine.
+// Its methods may be called from any goroutine.
 type Sink struct {
 	out  io.Writer
 	wake chan struct{}
 
-	mu      sync.Mutex
-	buffer  []byte          // complete lines that are not written yet
-	dropped int             // lines dropped since the last notice
-	waiters []chan struct{} // closed when the buffer has been written
+	mu          sync.Mutex
+	buffer      []byte          // complete lines that are not written yet
+	dropped     int             // lines dropped since the last log line about drops
+	syncWaiters []chan struct{} // of Sync, closed when the buffer has been written
 }
 
-// New returns a Sink that writes to out for as long as the process lives.
+// New returns a Sink that writes to out until the process exits.
 func New(out io.Writer) *Sink {
 	s := &Sink{out: out, wake: make(chan struct{}, 1)}
 	go s.run()
@@ -55,11 +55,11 @@
 	return len(line), nil
 }
 
-// Sync waits until all queued lines are written, but not longer than syncTimeout.
+// Sync waits until all queued lines are written, for at most syncTimeout. It never fails.
 func (s *Sink) Sync() error {
 	written := make(chan struct{})
 	s.mu.Lock()
-	s.waiters = append(s.waiters, written)
+	s.syncWaiters = append(s.syncWaiters, written)
 	s.mu.Unlock()
 	s.wakeWriter()
 	timeout := time.NewTimer(syncTimeout)
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// wakeWriter has the goroutine look at the buffer.
+// wakeWriter wakes the writing goroutine.
 func (s *Sink) wakeWriter() {
 	select {
 	case s.wake <- struct{}{}:
@@ -79,31 +79,32 @@
 	}
 }
 
-// run writes the buffer whenever it is woken.
+// run is the writing goroutine. It writes the buffer whenever wakeWriter wakes it.
 func (s *Sink) run() {
-	var writing []byte
+	var batch []byte
 	for range s.wake {
 		var waiters []chan struct{}
 		for {
-			writing, waiters = s.dequeue(writing)
-			if len(writing) == 0 {
+			batch, waiters = s.dequeue(batch)
+			if len(batch) == 0 {
 				break
 			}
-			s.out.Write(writing) // an error means that nobody reads any more
+			s.out.Write(batch) // ignored: an error means that the output has no reader
 			closeAll(waiters)
 		}
 		closeAll(waiters)
 	}
 }
 
-// dequeue exchanges the queued lines for an empty buffer, which reuses the given one.
+// dequeue returns the queued lines and the waiters of Sync. It reuses the memory of reuse for
+// the new, empty buffer.
 func (s *Sink) dequeue(reuse []byte) ([]byte, []chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	lines := s.buffer
-	waiters := s.waiters
+	waiters := s.syncWaiters
 	s.buffer = reuse[:0]
-	s.waiters = nil
+	s.syncWaiters = nil
 	if s.dropped > 0 {
 		lines = fmt.Appendf(lines, `{"level":"warn","msg":"log lines dropped","lines":%d}`+"\n", s.dropped)
 		s.dropped = 0
--- a/internal/logsink/logsink_test.go
+++ b/internal/logsink/logsink_test.go
@@ -10,9 +10,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestStalledReader: while nobody reads the pipe, lines are queued until the buffer is
-// full and then dropped; once somebody reads, all queued lines arrive complete and in
-// order, with the number of those that were dropped.
+// TestStalledReader: while the reader of the pipe is stalled, lines are queued until the
+// buffer is full and then dropped. When it reads again, all queued lines arrive complete and
+// in order, with the number of dropped lines.
 func TestStalledReader(t *testing.T) {
 	reader, writer, err := os.Pipe()
 	require.NoError(t, err)
@@ -25,7 +25,7 @@
 		require.NoError(t, err)
 		require.Equal(t, len(line), n)
 	}
-	require.NoError(t, s.Sync(), "does not wait for a stalled reader")
+	require.NoError(t, s.Sync(), "Sync waits for a stalled reader")
 
 	scan := bufio.NewScanner(reader)
 	var complete, dropped int
@@ -54,7 +54,8 @@
 	require.Equal(t, "afterwards", scan.Text())
 }
 
-// TestClosedReader: a pipe that nobody can read any more loses the lines, nothing else.
+// TestClosedReader: if the reader of the pipe is closed, lines are lost, but Write and Sync do
+// not fail.
 func TestClosedReader(t *testing.T) {
 	reader, writer, err := os.Pipe()
 	require.NoError(t, err)
--- a/internal/sitesettings/convert.go
+++ b/internal/sitesettings/convert.go
@@ -7,20 +7,20 @@
 	"oxbowbridge/admission"
 )
 
-// Admission converts the settings to those of a controller. The error names the
-// first word that is not known, and wraps ErrUnknownWord; the ranges of numbers
-// are checked by Validate and by admission.New.
+// Admission converts the settings to those of an admission controller. The error wraps
+// ErrUnknownWord and names the first setting with an unknown enum value. Validate and
+// admission.New check the ranges of numbers.
 func (s *Settings) Admission() (admission.Settings, error) {
-	var words wordReader
+	var enums enumParser
 	server, safety := &s.Server, &s.Safety
 	converted := admission.Settings{
 		MinInterval: s.MinInterval,
 		TiersAbove:  s.Tier,
 		Cores:       server.Cores,
-		Servers:     cmp.Or(s.Servers, 1), // the endpoint list may not hold this server yet
+		Servers:     cmp.Or(s.Servers, 1), // the endpoint list may not contain this server yet
 		Callers:     server.Callers,
 
-		WeightPerWork:     readWord(&words, weightUnits, "counted_by", s.WeightUnit),
+		WeightPerWork:     parseEnum(&enums, weightPerWorkByUnit, "counted_by", s.WeightUnit),
 		OverQuotaFraction: s.OverQuotaFraction,
 
 		SlowStart:         server.SlowStart,
@@ -34,13 +34,13 @@
 		KeyMemoryKB:       server.KeyMemoryKB,
 		ResultReuseWindow: server.ResultReuseWindow,
 
-		Dependency: readWord(&words, dependencies, "family_info.below", server.Dependency),
+		Dependency: parseEnum(&enums, dependenciesByName, "family_info.below", server.Dependency),
 		CallQuota:  server.CallQuota,
 		CallWindow: server.CallWindow,
 		CallLinger: server.CallLinger,
 
-		Preemption:        readWord(&words, preemptions, "family_info.halt", server.Preemption),
-		AdvertKind:        readWord(&words, adverts, "family_info.advert", server.Advert),
+		Preemption:        parseEnum(&enums, preemptionsByName, "family_info.halt", server.Preemption),
+		AdvertKind:        parseEnum(&enums, advertKindsByName, "family_info.advert", server.Advert),
 		NotifiesCanceled:  server.NotifiesCanceled,
 		DeepHealthChecks:  server.DeepHealthChecks,
 		MaxIdleTimeout:    server.MaxIdleTimeout,
@@ -53,24 +53,24 @@
 		converted.MaxRetryAfter = s.Bounds.MaxRetryAfter
 	}
 	for i := range s.Classes {
-		converted.Classes = append(converted.Classes, s.admissionClass(i, &words))
+		converted.Classes = append(converted.Classes, s.admissionClass(i, &enums))
 	}
 	for _, tenant := range s.Tenants {
 		converted.Tenants = append(converted.Tenants, admission.Tenant{QuotaPerSecond: tenant.QuotaPerSecond})
 	}
-	return converted, words.err
+	return converted, enums.err
 }
 
-// admissionClass converts a class. An objective beyond the deadline is allowed,
-// and the same as one at it.
-func (s *Settings) admissionClass(i int, words *wordReader) admission.Class {
+// admissionClass converts the class with index i. A latency objective beyond the deadline is
+// allowed and reduced to the deadline.
+func (s *Settings) admissionClass(i int, enums *enumParser) admission.Class {
 	class := &s.Classes[i]
 	converted := admission.Class{
 		LatencyObjective:   min(class.LatencyObjective, class.Deadline),
 		ObjectiveStretch:   class.ObjectiveStretch,
 		Deadline:           class.Deadline,
 		DedupWindow:        class.DedupWindow,
-		ExecutionSemantics: readWord(words, effects, "classes.effect", class.Effect),
+		ExecutionSemantics: parseEnum(enums, executionSemanticsByName, "classes.effect", class.Effect),
 		PriorityWeight:     class.PriorityWeight,
 		LateFraction:       class.LateFraction,
 	}
@@ -83,13 +83,15 @@
 	return converted
 }
 
-// wordReader keeps the error of the first word that is not known.
-type wordReader struct{ err error }
+// enumParser converts enum values and keeps the error of the first unknown one.
+type enumParser struct{ err error }
 
-func readWord[T any](r *wordReader, words map[string]T, key, word string) T {
-	value, ok := words[word]
-	if !ok && r.err == nil {
-		r.err = fmt.Errorf("%s: %w: %q", key, ErrUnknownWord, word)
+// parseEnum returns the value with the given name. If the name is unknown, it records an error that
+// names the setting.
+func parseEnum[T any](parser *enumParser, valuesByName map[string]T, key, name string) T {
+	value, ok := valuesByName[name]
+	if !ok && parser.err == nil {
+		parser.err = fmt.Errorf("%s: %w: %q", key, ErrUnknownWord, name)
 	}
 	return value
 }
--- a/internal/sitesettings/errors.go
+++ b/internal/sitesettings/errors.go
@@ -5,10 +5,10 @@
 	"fmt"
 )
 
-// ErrUnknownWord means that a word of an enumeration is not known.
-var ErrUnknownWord = errors.New("unknown word")
+// ErrUnknownWord means that a setting has an unknown enum value.
+var ErrUnknownWord = errors.New("unknown value")
 
-// SettingError names a setting whose value is missing or out of range.
+// SettingError reports a setting whose value is missing or out of range.
 type SettingError struct {
 	Key   string // path of JSON keys, such as classes.0.aim_ns
 	Value float64
@@ -16,10 +16,10 @@
 
 // Error implements error.
 func (e *SettingError) Error() string {
-	return fmt.Sprintf("%s: %g is missing or impossible", e.Key, e.Value)
+	return fmt.Sprintf("%s: %g is missing or out of range", e.Key, e.Value)
 }
 
-// TypeError names a JSON field whose value has the wrong type.
+// TypeError reports a JSON field whose value has the wrong type.
 type TypeError struct {
 	Field string // path of JSON keys
 	Want  string // Go type
--- a/internal/sitesettings/errors_test.go
+++ b/internal/sitesettings/errors_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// testSettings are valid settings.
+// testSettings are valid settings, with an unknown key that must be ignored.
 const testSettings = `{"tick_ns":4000000,"servers":10,"counted_by":"work","new_key":{"x":1},` +
 	`"bounds":{"max_retry_after_ns":1000000000,"retry_after":true},` +
 	`"classes":[{"name":"a","aim_ns":1000000000,"deadline_ns":2000000000,"effect":"deduplicated","value":2,"window_ns":5}],` +
@@ -21,7 +21,7 @@
 	require.Equal(t, "family_info.cores: want int, not string", mismatch.Error())
 }
 
-// TestValidateNamesTheSetting: a setting out of its range is named by its JSON path.
+// TestValidateNamesTheSetting checks that the error for an out-of-range setting names its JSON path.
 func TestValidateNamesTheSetting(t *testing.T) {
 	valid := func() *Settings {
 		var s Settings
@@ -31,14 +31,14 @@
 	}
 	require.NoError(t, valid().Validate())
 	for want, change := range map[string]func(*Settings){
-		"tick_ns: -1 is missing or impossible":                 func(s *Settings) { s.MinInterval = -1 },
-		"family_info.memory_kb: 0 is missing or impossible":    func(s *Settings) { s.Server.MemoryKB = 0 },
-		"family_info.run_factor: 0.5 is missing or impossible": func(s *Settings) { s.Server.RunMemoryFactor = 0.5 },
-		"safety.cold_share: 2 is missing or impossible":        func(s *Settings) { s.Safety.SlowStartMinSpeed = 2 },
-		"classes.0.aim_ns: 0 is missing or impossible":         func(s *Settings) { s.Classes[0].LatencyObjective = 0 },
-		"classes.0.late_share: -1 is missing or impossible":    func(s *Settings) { s.Classes[0].LateFraction = -1 },
-		"classes: at least one is needed":                      func(s *Settings) { s.Classes = nil },
-		"tenants.0.allowance_per_s: -3 is impossible":          func(s *Settings) { s.Tenants[0].QuotaPerSecond = -3 },
+		"tick_ns: -1 is missing or out of range":                         func(s *Settings) { s.MinInterval = -1 },
+		"family_info.memory_kb: 0 is missing or out of range":            func(s *Settings) { s.Server.MemoryKB = 0 },
+		"family_info.run_factor: 0.5 is missing or out of range":         func(s *Settings) { s.Server.RunMemoryFactor = 0.5 },
+		"safety.cold_share: 2 is missing or out of range":                func(s *Settings) { s.Safety.SlowStartMinSpeed = 2 },
+		"classes.0.aim_ns: 0 is missing or out of range":                 func(s *Settings) { s.Classes[0].LatencyObjective = 0 },
+		"classes.0.late_share: -1 is missing or out of range":            func(s *Settings) { s.Classes[0].LateFraction = -1 },
+		"classes: missing, want at least one":                            func(s *Settings) { s.Classes = nil },
+		"tenants.0.allowance_per_s: -3 is out of range, want at least 0": func(s *Settings) { s.Tenants[0].QuotaPerSecond = -3 },
 	} {
 		s := valid()
 		change(s)
--- a/internal/sitesettings/settings.go
+++ b/internal/sitesettings/settings.go
@@ -8,89 +8,90 @@
 	"oxbowbridge/admission"
 )
 
-// Settings is the settings object as JSON, with the keys that a controller or its host
-// uses; others are skipped. Times are in nanoseconds, an absent key is the zero value.
+// Settings is the JSON object with the settings of a site. It has the keys that the admission
+// controller or the service uses; decoding ignores others. Times are in nanoseconds. An absent
+// key has the zero value.
 type Settings struct {
 	Bounds            Bounds           `json:"bounds"`
 	Classes           []ClassSettings  `json:"classes"` // at least one
 	Clients           Clients          `json:"clients"`
-	WeightUnit        string           `json:"counted_by"` // what weights count by: request (default) or work
+	WeightUnit        string           `json:"counted_by"` // unit of the priority weights: request (default) or work
 	Server            ServerInfo       `json:"family_info"`
-	OverQuotaFraction float64          `json:"over_share_worth"` // of the weight, for requests beyond a tenant's quota
+	OverQuotaFraction float64          `json:"over_share_worth"` // fraction of the weight for requests beyond a tenant's quota
 	Safety            Safety           `json:"safety"`
-	Servers           int              `json:"servers"` // of this tier; 0 counts as 1
+	Servers           int              `json:"servers"` // number of servers of this tier; 0 counts as 1
 	Tenants           []TenantSettings `json:"tenants"`
-	MinInterval       time.Duration    `json:"tick_ns"` // least time between two calls of a controller
+	MinInterval       time.Duration    `json:"tick_ns"` // min. time between two calls of the controller
 	Tier              int              `json:"tier"`    // 0 is the first tier
 }
 
-// Bounds limits what callers follow.
+// Bounds limits the Retry-After times that callers follow.
 type Bounds struct {
-	MaxRetryAfter time.Duration `json:"max_retry_after_ns"` // longest retry advice that is followed
-	RetryAfter    bool          `json:"retry_after"`        // retry advice is passed on to clients
+	MaxRetryAfter time.Duration `json:"max_retry_after_ns"` // callers follow no longer Retry-After time
+	RetryAfter    bool          `json:"retry_after"`        // responses to callers contain a Retry-After time
 }
 
 // ClassSettings describes one class of requests; see admission.Class.
 type ClassSettings struct {
-	LatencyObjective time.Duration `json:"aim_ns"`      // above 0; beyond the deadline it counts as the deadline
-	ObjectiveStretch float64       `json:"aim_stretch"` // multiple of a request's own work that extends the objective
-	Deadline         time.Duration `json:"deadline_ns"` // above 0; across all attempts of a client
+	LatencyObjective time.Duration `json:"aim_ns"`      // above 0; capped at the deadline
+	ObjectiveStretch float64       `json:"aim_stretch"` // this multiple of a request's own work extends the objective
+	Deadline         time.Duration `json:"deadline_ns"` // above 0; covers all attempts of a client
 	Effect           string        `json:"effect"`      // idempotent, deduplicated or at_most_once
-	LateFraction     float64       `json:"late_share"`  // of the weight, for answers after the objective
+	LateFraction     float64       `json:"late_share"`  // fraction of the weight for responses after the objective
 	Name             string        `json:"name"`
 	PriorityWeight   float64       `json:"value"`     // at least 0
-	DedupWindow      time.Duration `json:"window_ns"` // deduplicated: how long duplicates may arrive
+	DedupWindow      time.Duration `json:"window_ns"` // with effect deduplicated: time in which duplicates may arrive
 }
 
-// Clients are habits of the clients.
+// Clients describes the behavior of clients.
 type Clients struct {
-	MarkRetries bool `json:"marks_retry"` // retries and hedged requests are marked
+	MarkRetries bool `json:"marks_retry"` // requests show whether they are retries or hedged requests
 }
 
-// ServerInfo describes the server and its site; see admission.Settings. Words
-// that are absent mean none.
+// ServerInfo describes the server and its site; see admission.Settings. An absent enum value
+// means none.
 type ServerInfo struct {
-	Advert                string        `json:"advert"`           // how callers read the advertised value: none, level, credit or weight
-	Dependency            string        `json:"below"`            // what calls go to: none, shared or tier
-	Callers               int           `json:"callers"`          // of this tier
-	CallQuota             float64       `json:"calls_out"`        // shared dependency: calls in flight of this server
-	ClassMakesCalls       []bool        `json:"class_calls"`      // by class
-	ClassDegradedFraction []float64     `json:"class_skip_worth"` // of the weight, by class, for answers without their call
+	Advert                string        `json:"advert"`           // how callers interpret the advertised value: none, level, credit or weight
+	Dependency            string        `json:"below"`            // dependency that receives calls: none, shared or tier
+	Callers               int           `json:"callers"`          // number of callers of this tier
+	CallQuota             float64       `json:"calls_out"`        // max. calls in flight from this server to a shared dependency
+	ClassMakesCalls       []bool        `json:"class_calls"`      // by class: runs make a call
+	ClassDegradedFraction []float64     `json:"class_skip_worth"` // by class: fraction of the weight for responses without a call
 	Cores                 int           `json:"cores"`            // at least 1
 	DeepHealthChecks      bool          `json:"deep_checks"`      // health checks do real work unless cached
-	CallWindow            time.Duration `json:"dep_window_ns"`    // over which calls in flight are averaged
-	SlowStart             bool          `json:"fresh_start"`      // the process started cold
-	Preemption            string        `json:"halt"`             // what happens to a run that is stopped: none, drop or pause
-	AdvertTTL             time.Duration `json:"heard_for_ns"`     // how long callers remember the advertised value
-	MaxIdleTimeout        time.Duration `json:"idle_ns"`          // after which callers close idle connections
-	KeyMemoryKB           float64       `json:"kb_per_key"`       // of one stored key
-	CallLinger            time.Duration `json:"linger_ns"`        // longest time that an abandoned call stays in flight
+	CallWindow            time.Duration `json:"dep_window_ns"`    // averaging window for calls in flight
+	SlowStart             bool          `json:"fresh_start"`      // the process starts with a slow start
+	Preemption            string        `json:"halt"`             // what preemption does to a run: none, drop or pause
+	AdvertTTL             time.Duration `json:"heard_for_ns"`     // how long callers use an advertised value
+	MaxIdleTimeout        time.Duration `json:"idle_ns"`          // callers close a connection after this idle time
+	KeyMemoryKB           float64       `json:"kb_per_key"`       // memory of one idempotency key
+	CallLinger            time.Duration `json:"linger_ns"`        // max. time that an abandoned call stays in flight
 	MemoryKB              float64       `json:"memory_kb"`        // above 0
-	GaugeNames            []string      `json:"own_stats"`        // in the order of Gauges
+	GaugeNames            []string      `json:"own_stats"`        // names of the values passed to Gauges, in this order
 	PassesDeadline        bool          `json:"passes_deadline"`  // requests carry their caller's timeout
-	Readiness             bool          `json:"readiness"`        // the endpoint list follows the health
-	RunMemoryFactor       float64       `json:"run_factor"`       // memory of a run over that of a queued request; at least 1
-	ResultReuseWindow     time.Duration `json:"share_for_ns"`     // how long the result of a read may answer others; 0: never
-	NotifiesCanceled      bool          `json:"tells_gone"`       // the server is notified when a caller gives up
+	Readiness             bool          `json:"readiness"`        // the endpoint list shows whether the server is healthy
+	RunMemoryFactor       float64       `json:"run_factor"`       // memory of a run divided by that of a queued request; at least 1
+	ResultReuseWindow     time.Duration `json:"share_for_ns"`     // how long a read result is reused for other requests; 0: never
+	NotifiesCanceled      bool          `json:"tells_gone"`       // the server is notified when a caller cancels a request
 }
 
-// Safety holds the figures of the rules that no server may break; see admission.Settings.
+// Safety contains the parameters of rules that no server may violate; see admission.Settings.
 type Safety struct {
-	AnswerGracePeriod time.Duration `json:"answer_slack_ns"` // how long after its deadline an answer still counts
-	SlowStartDuration time.Duration `json:"cold_ns"`         // longest time until a cold server is warm
-	SlowStartMinSpeed float64       `json:"cold_share"`      // least speed of a cold server, 0 to 1
-	DrainGracePeriod  time.Duration `json:"drain_grace_ns"`  // after the notice; later arrivals must not run
-	MaxRunsPerCore    float64       `json:"fall_multiple"`   // mean that a warm server survives; at least 1
-	OverloadWindow    time.Duration `json:"fall_ns"`         // over which MaxRunsPerCore is averaged
+	AnswerGracePeriod time.Duration `json:"answer_slack_ns"` // how long after its deadline a response is accepted
+	SlowStartDuration time.Duration `json:"cold_ns"`         // max. duration of a slow start
+	SlowStartMinSpeed float64       `json:"cold_share"`      // min. speed during a slow start, 0 to 1
+	DrainGracePeriod  time.Duration `json:"drain_grace_ns"`  // from the shutdown signal; later arrivals must not run
+	MaxRunsPerCore    float64       `json:"fall_multiple"`   // average of runs per core that a warm server sustains; at least 1
+	OverloadWindow    time.Duration `json:"fall_ns"`         // averaging window for MaxRunsPerCore
 }
 
 // TenantSettings describes one tenant; see admission.Tenant.
 type TenantSettings struct {
 	Name           string  `json:"name"`
-	QuotaPerSecond float64 `json:"allowance_per_s"` // requests per second over all servers; at least 0
+	QuotaPerSecond float64 `json:"allowance_per_s"` // requests per second, total of all servers; at least 0
 }
 
-// DecodeJSON reads JSON into v. An error of type is a *TypeError.
+// DecodeJSON decodes JSON into v. It reports a value of the wrong type as a *TypeError.
 func DecodeJSON(text []byte, v any) error {
 	err := json.Unmarshal(text, v)
 	var mismatch *json.UnmarshalTypeError
@@ -100,8 +101,8 @@
 	return err
 }
 
-// Gauges reads values in the order of GaugeNames; what is missing or unreadable
-// is not known.
+// Gauges returns the gauges with the given values, which are in the order of GaugeNames. A
+// gauge without a value is unknown.
 func (s *Settings) Gauges(values []float64) admission.Gauges {
 	g := UnknownGauges()
 	for i, name := range s.Server.GaugeNames {
--- a/internal/sitesettings/terms.go
+++ b/internal/sitesettings/terms.go
@@ -2,22 +2,22 @@
 
 import "oxbowbridge/admission"
 
-// Words of the settings; an absent word is "".
+// Enum values of the settings, by their JSON strings. "" stands for an absent setting.
 
-var effects = map[string]admission.ExecutionSemantics{
+var executionSemanticsByName = map[string]admission.ExecutionSemantics{
 	"idempotent":   admission.Idempotent,
 	"deduplicated": admission.Deduplicated,
 	"at_most_once": admission.AtMostOnce,
 }
 
-var preemptions = map[string]admission.Preemption{
+var preemptionsByName = map[string]admission.Preemption{
 	"":      admission.PreemptionNone,
 	"none":  admission.PreemptionNone,
 	"drop":  admission.PreemptionDrop,
 	"pause": admission.PreemptionPause,
 }
 
-var adverts = map[string]admission.AdvertKind{
+var advertKindsByName = map[string]admission.AdvertKind{
 	"":       admission.AdvertNone,
 	"none":   admission.AdvertNone,
 	"level":  admission.AdvertMinRank,
@@ -25,21 +25,22 @@
 	"weight": admission.AdvertWeight,
 }
 
-var dependencies = map[string]admission.Dependency{
+var dependenciesByName = map[string]admission.Dependency{
 	"":       admission.DependencyNone,
 	"none":   admission.DependencyNone,
 	"shared": admission.DependencyShared,
 	"tier":   admission.DependencyNextTier,
 }
 
-// weightUnits are the units that weights count by; true stands for a unit of work.
-var weightUnits = map[string]bool{
+// weightPerWorkByUnit maps the unit of weights to whether a weight is per unit of work instead of
+// per request.
+var weightPerWorkByUnit = map[string]bool{
 	"":        false,
 	"request": false,
 	"work":    true,
 }
 
-// UnknownGauges are the gauges of which none is known.
+// UnknownGauges returns gauges without any known value.
 func UnknownGauges() admission.Gauges {
 	return admission.Gauges{
 		CPUUtilization:    admission.UnknownGauge,
@@ -49,7 +50,7 @@
 	}
 }
 
-// SetGauge sets a gauge by its name in own_stats, and skips one that is not known.
+// SetGauge sets a gauge by its name in the setting own_stats. It ignores an unknown name.
 func SetGauge(g *admission.Gauges, name string, value float64) {
 	switch name {
 	case "core_use":
--- a/internal/sitesettings/validate.go
+++ b/internal/sitesettings/validate.go
@@ -5,56 +5,59 @@
 	"time"
 )
 
-// Validate checks the ranges of the settings. The error is a *SettingError that
-// names the first one out of range.
+// Validate checks the ranges of the settings. The error names the first setting that is
+// missing or out of range.
 func (s *Settings) Validate() error {
 	if len(s.Classes) == 0 {
-		return fmt.Errorf("classes: at least one is needed")
+		return fmt.Errorf("classes: missing, want at least one")
 	}
-	if err := firstOutOfRange(s.bounds()); err != nil {
+	if err := firstOutOfRange(s.rangeChecks()); err != nil {
 		return err
 	}
 	for i := range s.Classes {
-		if err := firstOutOfRange(s.Classes[i].bounds(fmt.Sprintf("classes.%d.", i))); err != nil {
+		if err := firstOutOfRange(s.Classes[i].rangeChecks(fmt.Sprintf("classes.%d.", i))); err != nil {
 			return err
 		}
 	}
 	for i, tenant := range s.Tenants {
 		if !(tenant.QuotaPerSecond >= 0) {
-			return fmt.Errorf("tenants.%d.allowance_per_s: %g is impossible", i, tenant.QuotaPerSecond)
+			return fmt.Errorf("tenants.%d.allowance_per_s: %g is out of range, want at least 0", i, tenant.QuotaPerSecond)
 		}
 	}
 	return nil
 }
 
-// bound is a setting and whether it is in its range.
-type bound struct {
-	key   string
-	value float64
-	ok    bool
+// rangeCheck is the value of a setting and whether it is in its range.
+type rangeCheck struct {
+	key     string
+	value   float64
+	inRange bool
 }
 
-func atLeast(key string, value, least float64) bound { return bound{key, value, value >= least} }
+func atLeast(key string, value, minimum float64) rangeCheck {
+	return rangeCheck{key, value, value >= minimum}
+}
 
-func above(key string, value, limit float64) bound { return bound{key, value, value > limit} }
+func above(key string, value, limit float64) rangeCheck { return rangeCheck{key, value, value > limit} }
 
-func notNegative(key string, value time.Duration) bound { return atLeast(key, float64(value), 0) }
+func notNegative(key string, value time.Duration) rangeCheck { return atLeast(key, float64(value), 0) }
 
-func positive(key string, value time.Duration) bound { return above(key, float64(value), 0) }
+func positive(key string, value time.Duration) rangeCheck { return above(key, float64(value), 0) }
 
-func firstOutOfRange(bounds []bound) error {
-	for _, b := range bounds {
-		if !b.ok {
+// firstOutOfRange returns a *SettingError for the first value that is out of range, or nil.
+func firstOutOfRange(checks []rangeCheck) error {
+	for _, b := range checks {
+		if !b.inRange {
 			return &SettingError{Key: b.key, Value: b.value}
 		}
 	}
 	return nil
 }
 
-func (s *Settings) bounds() []bound {
+func (s *Settings) rangeChecks() []rangeCheck {
 	server, safety := &s.Server, &s.Safety
 	minSpeed := safety.SlowStartMinSpeed
-	return []bound{
+	return []rangeCheck{
 		notNegative("tick_ns", s.MinInterval),
 		atLeast("servers", float64(s.Servers), 0),
 		atLeast("tier", float64(s.Tier), 0),
@@ -80,8 +83,8 @@
 	}
 }
 
-func (c *ClassSettings) bounds(prefix string) []bound {
-	return []bound{
+func (c *ClassSettings) rangeChecks(prefix string) []rangeCheck {
+	return []rangeCheck{
 		positive(prefix+"aim_ns", c.LatencyObjective),
 		positive(prefix+"deadline_ns", c.Deadline),
 		notNegative(prefix+"window_ns", c.DedupWindow),
--- a/tests/ready_test.go
+++ b/tests/ready_test.go
@@ -76,7 +76,7 @@
 			}
 			s.launch()
 			go func() { // gone some time after it was found there
-				for !strings.Contains(s.log(), "address in use, trying again") {
+				for !strings.Contains(s.log(), "address in use, retrying") {
 					time.Sleep(time.Millisecond)
 				}
 				holder.Close()
@@ -107,12 +107,12 @@
 		cfg["listen"], cfg["engine"], cfg["stop_ms"] = holder.Addr().String(), newEngine(t).addr, 500
 	}
 	s := start(t, held)
-	await(t, "the first try", func() bool { return strings.Contains(s.log(), "address in use, trying again") })
+	await(t, "the first try", func() bool { return strings.Contains(s.log(), "address in use, retrying") })
 	require.NoError(t, s.Signal(syscall.SIGTERM))
 	assert.NoError(t, <-s.exit)
 
 	s = start(t, held)
 	assert.EqualError(t, <-s.exit, "exit status 2")
 	assert.Contains(t, s.log(), "listen: listen tcp "+holder.Addr().String()+": bind: address already in use")
-	assert.Equal(t, 1, strings.Count(s.log(), "address in use, trying again"))
+	assert.Equal(t, 1, strings.Count(s.log(), "address in use, retrying"))
 }
