--- a/internal/proxy/dispatch/actions.go
+++ b/internal/proxy/dispatch/actions.go
@@ -65,7 +65,7 @@
 func (d *Dispatcher) setHealthy(healthy bool) {
 	d.controllerHealthy = healthy
 	d.updateHealth()
-	if d.SiteSettings.Server.Readiness {
+	if d.SiteSettings.Server.ReportsAvailability {
 		d.Registry.SetAvailable(healthy)
 	}
 	d.Log.Info("health check status set", zap.Bool("healthy", healthy))
--- a/internal/proxy/dispatch/arrival.go
+++ b/internal/proxy/dispatch/arrival.go
@@ -101,7 +101,7 @@
 
 // usesCallerTimeout reports whether the caller's own timeout applies instead of the class deadline.
 func (d *Dispatcher) usesCallerTimeout(r *request) bool {
-	return d.SiteSettings.Server.PassesDeadline && r.Timeout > 0
+	return d.SiteSettings.Server.UsesCallerTimeout && r.Timeout > 0
 }
 
 // responseDeadline returns the time by which the request must have its response.
--- a/internal/proxy/dispatch/dispatcher.go
+++ b/internal/proxy/dispatch/dispatcher.go
@@ -72,7 +72,7 @@
 		usedTraceIDs:       map[string]struct{}{},
 		runnerWarmingUp:    settings.SlowStart,
 		idleTimeout:        settings.MaxIdleTimeout,
-		gauges:             gaugeReading{values: c.SiteSettings.Gauges(nil)},
+		gauges:             gaugeReading{values: c.SiteSettings.GaugesFromValues(nil)},
 		rejections:         rejectionLog{unlogged: map[rejectionKey]int{}},
 	}, nil
 }
@@ -148,7 +148,7 @@
 	case exchange.Outcome:
 		d.handleOutcome(e)
 	case exchange.Gauges:
-		d.gauges = gaugeReading{values: d.SiteSettings.Gauges(e), readAt: d.Now()}
+		d.gauges = gaugeReading{values: d.SiteSettings.GaugesFromValues(e), readAt: d.Now()}
 	case exchange.RunnerReady:
 		d.handleRunnerReady(e)
 	case exchange.Callback:
--- a/internal/proxy/dispatch/drain.go
+++ b/internal/proxy/dispatch/drain.go
@@ -73,7 +73,7 @@
 	remaining := stopAt - d.Now()
 	d.Log.Info("drain started", zap.Int64("stop_in_ms", remaining.Milliseconds()), zap.Int("open_requests", len(d.byID)),
 		zap.Int64("noticed_unix_ms", wallTime.Add(-sinceSignal).UnixMilli()), zap.Int64("handled_after_ms", sinceSignal.Milliseconds()))
-	if d.SiteSettings.Server.Readiness {
+	if d.SiteSettings.Server.ReportsAvailability {
 		d.Registry.SetAvailable(false)
 	} else {
 		d.Registry.Deregister()
--- a/internal/proxy/dispatch/gauges.go
+++ b/internal/proxy/dispatch/gauges.go
@@ -42,7 +42,7 @@
 	d.Timers.Schedule(now+a.After, func() {
 		// Gauges are outdated if the connection is down or the runner does not respond.
 		if d.Now()-d.gauges.readAt > maxControllerGaugeAge {
-			d.gauges.values = d.SiteSettings.Gauges(nil)
+			d.gauges.values = d.SiteSettings.GaugesFromValues(nil)
 		}
 		d.reportEvent(admission.TimerFired{TimerID: a.TimerID, Gauges: d.gauges.values})
 	})
--- a/internal/proxy/dispatch/settings.go
+++ b/internal/proxy/dispatch/settings.go
@@ -20,7 +20,7 @@
 // wire protocols have no fields for them: the reuse of read results, and degraded runs that skip their
 // calls.
 func ControllerSettings(site *sitesettings.Settings) (admission.Settings, error) {
-	settings, err := site.Admission()
+	settings, err := site.AdmissionSettings()
 	if err != nil {
 		return settings, err
 	}
--- a/internal/simproto/errors.go
+++ b/internal/simproto/errors.go
@@ -14,7 +14,7 @@
 	// ErrOutOfRange means that a value is not a number or is out of range.
 	ErrOutOfRange = errors.New("not a number or out of range")
 	// ErrUnknownValue means that an enum value, in a field or in the settings, is unknown.
-	ErrUnknownValue = sitesettings.ErrUnknownWord
+	ErrUnknownValue = sitesettings.ErrUnknownValue
 	// ErrNotBool means that the value of a Boolean field is neither 0 nor 1.
 	ErrNotBool = errors.New("want 0 or 1")
 	// ErrMalformedField means that a part of a line does not have the form name=value.
--- a/internal/simproto/events.go
+++ b/internal/simproto/events.go
@@ -98,7 +98,7 @@
 		f.recordError(fieldSettings, err)
 		return nil
 	}
-	converted, err := settings.Admission()
+	converted, err := settings.AdmissionSettings()
 	if err != nil {
 		f.recordError(fieldSettings, err)
 		return nil
--- a/internal/sitesettings/convert.go
+++ b/internal/sitesettings/convert.go
@@ -7,10 +7,10 @@
 	"oxbowbridge/admission"
 )
 
-// Admission converts the settings to those of an admission controller. The error wraps
-// ErrUnknownWord and names the first setting with an unknown enum value. Validate and
+// AdmissionSettings converts the settings to those of an admission controller. The error wraps
+// ErrUnknownValue and names the first setting with an unknown enum value. Validate and
 // admission.New check the ranges of numbers.
-func (s *Settings) Admission() (admission.Settings, error) {
+func (s *Settings) AdmissionSettings() (admission.Settings, error) {
 	var enums enumParser
 	server, safety := &s.Server, &s.Safety
 	converted := admission.Settings{
@@ -47,9 +47,9 @@
 		AdvertTTL:         server.AdvertTTL,
 		AnswerGracePeriod: safety.AnswerGracePeriod,
 		DrainGracePeriod:  safety.DrainGracePeriod,
-		RetriesMarked:     s.Clients.MarkRetries,
+		RetriesMarked:     s.Clients.RetriesMarked,
 	}
-	if s.Bounds.RetryAfter {
+	if s.Bounds.SendRetryAfter {
 		converted.MaxRetryAfter = s.Bounds.MaxRetryAfter
 	}
 	for i := range s.Classes {
@@ -70,7 +70,7 @@
 		ObjectiveStretch:   class.ObjectiveStretch,
 		Deadline:           class.Deadline,
 		DedupWindow:        class.DedupWindow,
-		ExecutionSemantics: parseEnum(enums, executionSemanticsByName, "classes.effect", class.Effect),
+		ExecutionSemantics: parseEnum(enums, executionSemanticsByName, "classes.effect", class.ExecutionSemantics),
 		PriorityWeight:     class.PriorityWeight,
 		LateFraction:       class.LateFraction,
 	}
@@ -91,7 +91,7 @@
 func parseEnum[T any](parser *enumParser, valuesByName map[string]T, key, name string) T {
 	value, ok := valuesByName[name]
 	if !ok && parser.err == nil {
-		parser.err = fmt.Errorf("%s: %w: %q", key, ErrUnknownWord, name)
+		parser.err = fmt.Errorf("%s: %w: %q", key, ErrUnknownValue, name)
 	}
 	return value
 }
--- a/internal/sitesettings/doc.go
+++ b/internal/sitesettings/doc.go
@@ -5,6 +5,6 @@
 //
 // The keys and enum values of the object differ from the names in package admission. In this
 // package they are only in terms.go and in the JSON tags of [Settings]. Packages that read a
-// Settings before [Settings.Admission] converts it (cmd/oxbowbridge, and transport/ajp for
+// Settings before [Settings.AdmissionSettings] converts it (cmd/oxbowbridge, and transport/ajp for
 // gauge names) compare the enum values themselves.
 package sitesettings
--- a/internal/sitesettings/errors.go
+++ b/internal/sitesettings/errors.go
@@ -5,8 +5,8 @@
 	"fmt"
 )
 
-// ErrUnknownWord means that a setting has an unknown enum value.
-var ErrUnknownWord = errors.New("unknown value")
+// ErrUnknownValue means that a setting has an unknown enum value.
+var ErrUnknownValue = errors.New("unknown value")
 
 // SettingError reports a setting whose value is missing or out of range.
 type SettingError struct {
--- a/internal/sitesettings/settings.go
+++ b/internal/sitesettings/settings.go
@@ -12,40 +12,40 @@
 // controller or the service uses; decoding ignores others. Times are in nanoseconds. An absent
 // key has the zero value.
 type Settings struct {
-	Bounds            Bounds           `json:"bounds"`
+	Bounds            RetryAfterLimits `json:"bounds"`
 	Classes           []ClassSettings  `json:"classes"` // at least one
-	Clients           Clients          `json:"clients"`
+	Clients           ClientSettings   `json:"clients"`
 	WeightUnit        string           `json:"counted_by"` // unit of the priority weights: request (default) or work
 	Server            ServerInfo       `json:"family_info"`
 	OverQuotaFraction float64          `json:"over_share_worth"` // fraction of the weight for requests beyond a tenant's quota
-	Safety            Safety           `json:"safety"`
+	Safety            SafetySettings   `json:"safety"`
 	Servers           int              `json:"servers"` // number of servers of this tier; 0 counts as 1
 	Tenants           []TenantSettings `json:"tenants"`
 	MinInterval       time.Duration    `json:"tick_ns"` // min. time between two calls of the controller
 	Tier              int              `json:"tier"`    // 0 is the first tier
 }
 
-// Bounds limits the Retry-After times that callers follow.
-type Bounds struct {
-	MaxRetryAfter time.Duration `json:"max_retry_after_ns"` // callers follow no longer Retry-After time
-	RetryAfter    bool          `json:"retry_after"`        // responses to callers contain a Retry-After time
+// RetryAfterLimits limits the Retry-After times that callers follow.
+type RetryAfterLimits struct {
+	MaxRetryAfter  time.Duration `json:"max_retry_after_ns"` // callers follow no longer Retry-After time
+	SendRetryAfter bool          `json:"retry_after"`        // responses to callers contain a Retry-After time
 }
 
 // ClassSettings describes one class of requests; see admission.Class.
 type ClassSettings struct {
-	LatencyObjective time.Duration `json:"aim_ns"`      // above 0; capped at the deadline
-	ObjectiveStretch float64       `json:"aim_stretch"` // this multiple of a request's own work extends the objective
-	Deadline         time.Duration `json:"deadline_ns"` // above 0; covers all attempts of a client
-	Effect           string        `json:"effect"`      // idempotent, deduplicated or at_most_once
-	LateFraction     float64       `json:"late_share"`  // fraction of the weight for responses after the objective
-	Name             string        `json:"name"`
-	PriorityWeight   float64       `json:"value"`     // at least 0
-	DedupWindow      time.Duration `json:"window_ns"` // with effect deduplicated: time in which duplicates may arrive
+	LatencyObjective   time.Duration `json:"aim_ns"`      // above 0; capped at the deadline
+	ObjectiveStretch   float64       `json:"aim_stretch"` // this multiple of a request's own work extends the objective
+	Deadline           time.Duration `json:"deadline_ns"` // above 0; covers all attempts of a client
+	ExecutionSemantics string        `json:"effect"`      // idempotent, deduplicated or at_most_once
+	LateFraction       float64       `json:"late_share"`  // fraction of the weight for responses after the objective
+	Name               string        `json:"name"`
+	PriorityWeight     float64       `json:"value"`     // at least 0
+	DedupWindow        time.Duration `json:"window_ns"` // with effect deduplicated: time in which duplicates may arrive
 }
 
-// Clients describes the behavior of clients.
-type Clients struct {
-	MarkRetries bool `json:"marks_retry"` // requests show whether they are retries or hedged requests
+// ClientSettings describes the behavior of clients.
+type ClientSettings struct {
+	RetriesMarked bool `json:"marks_retry"` // requests show whether they are retries or hedged requests
 }
 
 // ServerInfo describes the server and its site; see admission.Settings. An absent enum value
@@ -68,15 +68,15 @@
 	CallLinger            time.Duration `json:"linger_ns"`        // max. time that an abandoned call stays in flight
 	MemoryKB              float64       `json:"memory_kb"`        // above 0
 	GaugeNames            []string      `json:"own_stats"`        // names of the values passed to Gauges, in this order
-	PassesDeadline        bool          `json:"passes_deadline"`  // requests carry their caller's timeout
-	Readiness             bool          `json:"readiness"`        // the endpoint list shows whether the server is healthy
+	UsesCallerTimeout     bool          `json:"passes_deadline"`  // requests carry their caller's timeout
+	ReportsAvailability   bool          `json:"readiness"`        // the endpoint list shows whether the server is healthy
 	RunMemoryFactor       float64       `json:"run_factor"`       // memory of a run divided by that of a queued request; at least 1
 	ResultReuseWindow     time.Duration `json:"share_for_ns"`     // how long a read result is reused for other requests; 0: never
 	NotifiesCanceled      bool          `json:"tells_gone"`       // the server is notified when a caller cancels a request
 }
 
-// Safety contains the parameters of rules that no server may violate; see admission.Settings.
-type Safety struct {
+// SafetySettings contains the parameters of rules that no server may violate; see admission.Settings.
+type SafetySettings struct {
 	AnswerGracePeriod time.Duration `json:"answer_slack_ns"` // how long after its deadline a response is accepted
 	SlowStartDuration time.Duration `json:"cold_ns"`         // max. duration of a slow start
 	SlowStartMinSpeed float64       `json:"cold_share"`      // min. speed during a slow start, 0 to 1
@@ -101,9 +101,9 @@
 	return err
 }
 
-// Gauges returns the gauges with the given values, which are in the order of GaugeNames. A
+// GaugesFromValues returns the gauges with the given values, which are in the order of GaugeNames. A
 // gauge without a value is unknown.
-func (s *Settings) Gauges(values []float64) admission.Gauges {
+func (s *Settings) GaugesFromValues(values []float64) admission.Gauges {
 	g := UnknownGauges()
 	for i, name := range s.Server.GaugeNames {
 		if i < len(values) {
