--- a/cmd/oxbowbridge/store_node_settings.go
+++ b/cmd/oxbowbridge/store_node_settings.go
@@ -41,7 +41,7 @@
 	if !ok {
 		return
 	}
-	version := store.GoodVersion{Revision: e.ModRevision, Value: e.Value}
+	version := store.LastGoodVersion{Revision: e.ModRevision, Value: e.Value}
 	if !n.applySettings(cfg, version, currentSettings) {
 		n.loadLastGoodSettings(cfg)
 		return
@@ -73,7 +73,7 @@
 
 // applySettings copies settings of the store to cfg, and reports whether they are valid. Invalid settings
 // leave cfg unchanged.
-func (n *storeNode) applySettings(cfg *config, version store.GoodVersion, origin settingsOrigin) bool {
+func (n *storeNode) applySettings(cfg *config, version store.LastGoodVersion, origin settingsOrigin) bool {
 	var settings sitesettings.Settings
 	err := sitesettings.DecodeJSON(version.Value, &settings)
 	if err == nil {
--- a/internal/cluster/store/pending_writes_test.go
+++ b/internal/cluster/store/pending_writes_test.go
@@ -8,8 +8,8 @@
 	"oxbowbridge/internal/cluster/kv"
 )
 
-// TestPendingWriteBounds: pending writes are bounded in number and bytes, and so is the store; a
-// full store accepts a delete.
+// TestPendingWriteBounds checks that pending writes are limited in number and bytes, that the total size
+// of values is limited, and that a full store still admits a delete.
 func TestPendingWriteBounds(t *testing.T) {
 	var w pendingWrites
 	for range maxPendingWrites {
@@ -20,8 +20,8 @@
 	require.NoError(t, w.reserve(maxPendingBytes, 0))
 	require.ErrorIs(t, w.reserve(1, 0), ErrTooManyWrites)
 	w.release(maxPendingBytes)
-	require.ErrorIs(t, w.reserve(1, MaxTotalBytes), kv.ErrFull)
-	require.NoError(t, w.reserve(0, MaxTotalBytes))
+	require.ErrorIs(t, w.reserve(1, MaxTotalValueBytes), kv.ErrFull)
+	require.NoError(t, w.reserve(0, MaxTotalValueBytes))
 	s := newReplicatedState()
 	require.Zero(t, s.valueBytes())
 	_, _, err := s.data.Apply(1, &kv.Request{Then: []kv.Op{{Kind: "put", Key: "a", Value: []byte("123")}, {Kind: "put", Key: "b", Value: []byte("1")}}})
--- a/internal/cluster/store/snapshot.go
+++ b/internal/cluster/store/snapshot.go
@@ -12,17 +12,17 @@
 	"oxbowbridge/internal/cluster/watch"
 )
 
-// snapshot is a copy of the whole state.
+// snapshot is a copy of the complete state.
 type snapshot struct{ *kv.State }
 
-// Snapshot copies the whole state. It is Raft's to call.
+// Snapshot copies the complete state. Only Raft calls it.
 func (s *replicatedState) Snapshot() (raft.FSMSnapshot, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return &snapshot{s.data.Clone()}, nil
 }
 
-// Persist writes a snapshot as JSON.
+// Persist writes the snapshot as JSON.
 func (m *snapshot) Persist(sink raft.SnapshotSink) error {
 	if err := json.NewEncoder(sink).Encode(m.State); err != nil {
 		sink.Cancel()
@@ -31,28 +31,28 @@
 	return sink.Close()
 }
 
-// Release does nothing: a snapshot is a copy.
+// Release does nothing, because the snapshot is a copy.
 func (m *snapshot) Release() {}
 
-// Restore replaces the whole state by a snapshot. It is Raft's to call. Listeners hear of every
-// entry of the new state, but not of keys that it lacks.
+// Restore replaces the complete state with a snapshot. Only Raft calls it. Listeners are called for every
+// entry of the new state, but not for keys that the new state lacks.
 func (s *replicatedState) Restore(r io.ReadCloser) error {
 	defer r.Close()
-	text, err := io.ReadAll(r)
+	encoded, err := io.ReadAll(r)
 	if err != nil {
 		return fmt.Errorf("read snapshot: %w", err)
 	}
-	restored, err := decodeSnapshot(text)
+	restored, err := decodeSnapshot(encoded)
 	if err != nil {
 		return fmt.Errorf("read snapshot: %w", err)
 	}
-	s.replace(restored).notify()
-	s.signalChanged()
+	s.replace(restored).notifyListeners()
+	s.wakeMirror()
 	return nil
 }
 
-// replace takes a state over, and returns its entries as changes.
-func (s *replicatedState) replace(restored *kv.State) (out effects) {
+// replace sets the state, and returns the entries of the new state as changes.
+func (s *replicatedState) replace(restored *kv.State) (out applyEffects) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.data = restored
@@ -66,31 +66,31 @@
 	return out
 }
 
-// decodeSnapshot reads a snapshot. An earlier version wrote the bare map of entries.
-func decodeSnapshot(text []byte) (*kv.State, error) {
+// decodeSnapshot decodes a snapshot. An earlier version wrote a bare map of entries.
+func decodeSnapshot(encoded []byte) (*kv.State, error) {
 	state := kv.New()
 	var form struct {
 		Applied *uint64      `json:"applied"`
 		Sum     *kv.Checksum `json:"sum"`
 	}
-	if json.Unmarshal(text, &form) == nil && form.Applied != nil {
-		if err := json.Unmarshal(text, state); err != nil {
+	if json.Unmarshal(encoded, &form) == nil && form.Applied != nil {
+		if err := json.Unmarshal(encoded, state); err != nil {
 			return nil, err
 		}
-	} else if err := decodeBareEntries(text, state); err != nil {
+	} else if err := decodeBareEntries(encoded, state); err != nil {
 		return nil, err
 	}
 	if state.Leases == nil || state.Leases.Leases == nil {
 		state.Leases = lease.NewState(0)
 	}
-	if form.Sum == nil { // of a version that had no checksums
+	if form.Sum == nil { // written by a version without checksums
 		state.Checksum = kv.Checksum{StartIndex: state.Applied}
 	}
 	return state, nil
 }
 
-func decodeBareEntries(text []byte, state *kv.State) error {
-	if err := json.Unmarshal(text, &state.Entries); err != nil {
+func decodeBareEntries(encoded []byte, state *kv.State) error {
+	if err := json.Unmarshal(encoded, &state.Entries); err != nil {
 		return err
 	}
 	for _, e := range state.Entries {
