--- a/cmd/oxbowbridge/command_stopper.go
+++ b/cmd/oxbowbridge/command_stopper.go
@@ -13,18 +13,18 @@
 // commandStopper stops a command before its lease expires: it sends SIGTERM when --grace remains before
 // the deadline of the lease, and SIGKILL at the deadline.
 type commandStopper struct {
-	command    *exec.Cmd
-	lease      *leaseclient.Lease
-	guard      *guardProcess
-	grace      time.Duration
-	deadline   time.Time // last known deadline of the lease
-	killAt     time.Time // the lease deadline that was known when SIGTERM was sent
-	stopReason error     // nil until SIGTERM is sent
+	command     *exec.Cmd
+	lease       *leaseclient.Lease
+	guard       *guardProcess
+	gracePeriod time.Duration
+	deadline    time.Time // last known deadline of the lease
+	killAt      time.Time // the lease deadline that was known when SIGTERM was sent
+	stopReason  error     // nil until SIGTERM is sent
 }
 
-func newCommandStopper(command *exec.Cmd, lease *leaseclient.Lease, guard *guardProcess, grace time.Duration) *commandStopper {
+func newCommandStopper(command *exec.Cmd, lease *leaseclient.Lease, guard *guardProcess, gracePeriod time.Duration) *commandStopper {
 	deadline := lease.Deadline()
-	return &commandStopper{command: command, lease: lease, guard: guard, grace: grace, deadline: deadline, killAt: deadline}
+	return &commandStopper{command: command, lease: lease, guard: guard, gracePeriod: gracePeriod, deadline: deadline, killAt: deadline}
 }
 
 // wait waits until the command exits, and stops it when the lease is lost or close to its deadline. It
@@ -75,7 +75,7 @@
 
 // enforceDeadline sends SIGTERM or SIGKILL to the command if it is due.
 func (s *commandStopper) enforceDeadline(now time.Time) {
-	if !now.Before(s.deadline.Add(-s.grace)) {
+	if !now.Before(s.deadline.Add(-s.gracePeriod)) {
 		s.stop(s.leaseEndReason())
 	}
 	if s.stopReason != nil && !now.Before(s.killAt) {
@@ -83,7 +83,8 @@
 	}
 }
 
-// leaseEndReason returns the error that ended the lease, or an error that no keep-alive succeeded in time.
+// leaseEndReason returns the error that ended the lease, or the lease's ExpiredError if no keep-alive
+// succeeded in time.
 func (s *commandStopper) leaseEndReason() error {
 	if s.lease.Context().Err() != nil {
 		return context.Cause(s.lease.Context())
--- a/cmd/oxbowbridge/config.go
+++ b/cmd/oxbowbridge/config.go
@@ -14,8 +14,8 @@
 // Environment variables of the configuration.
 const (
 	envConfigPath    = "BALANCER_CONFIG" // path of the configuration file; required
-	envServiceName   = "BALANCER_NAME"   // overrides the field name of the file
-	envListenAddress = "BALANCER_LISTEN" // overrides the field listen of the file
+	envServiceName   = "BALANCER_NAME"   // overrides "name" of the file
+	envListenAddress = "BALANCER_LISTEN" // overrides "listen" of the file
 )
 
 // config is the configuration file, a JSON object. Addresses are HOST:PORT. Fields without
@@ -44,8 +44,8 @@
 	DrainTimeoutMS int64 `json:"stop_ms"`
 	// Limits are the resources of the process. They are configured, not measured.
 	Limits struct {
-		// Cores is the number of CPU cores that the process may use; required with work.
-		// Default 0: unknown.
+		// Cores is the number of CPU cores that the process may use; required if the field
+		// work is set. Default 0: unknown.
 		Cores float64 `json:"cores"`
 		// MemoryMB is the memory that the process may use, in MiB, at least 32.
 		MemoryMB int64 `json:"memory_mb"`
--- a/cmd/oxbowbridge/config_validate.go
+++ b/cmd/oxbowbridge/config_validate.go
@@ -81,7 +81,8 @@
 	return nil
 }
 
-// validateSections lets the package that uses a section check it.
+// validateSections checks the fields settings, store and work with the validation of the
+// packages that use them.
 func (c *config) validateSections() error {
 	if _, err := dispatch.ControllerSettings(&c.Settings); err != nil {
 		return fmt.Errorf("settings: %w", err)
--- a/cmd/oxbowbridge/descriptors.go
+++ b/cmd/oxbowbridge/descriptors.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// storeDescriptorsDivisor is the divisor of the descriptor limit that gives the number
-	// of descriptors reserved for the replicated store.
+	// storeDescriptorsDivisor determines the number of descriptors that are reserved for the
+	// replicated store: the descriptor limit divided by this number.
 	storeDescriptorsDivisor = 8
 	// assumedOpenDescriptors is the number of open descriptors that is assumed if
 	// /proc/self/fd can't be read.
--- a/cmd/oxbowbridge/durable_load.go
+++ b/cmd/oxbowbridge/durable_load.go
@@ -30,8 +30,8 @@
 	inFlight chan struct{}   // one element for each put that is not printed yet
 }
 
-// loadDirectory writes the lines of the input to a store, with sync, and prints each key once it
-// is on disk. It stops at the first line that fails.
+// loadDirectory writes the lines of the input to a store, synced to disk, and prints each key once
+// it is on disk. It stops at the first line that fails.
 func loadDirectory(dir string, in io.Reader, out io.Writer, asHex bool) (err error) {
 	store, err := openDurableStore(dir)
 	if err != nil {
@@ -54,8 +54,8 @@
 	return errors.Join(err, <-printed)
 }
 
-// putLines submits a put for each line, until the end of the input, an invalid line, or the
-// store becomes read-only.
+// putLines submits a put for each line. It stops at the end of the input, at an invalid line, or
+// when the store is read-only.
 func (l *loader) putLines(in io.Reader) error {
 	limits := durable.DefaultOptions()
 	maxLineBytes := 2*(limits.MaxKeyBytes+limits.MaxValueBytes) + 1 // two hex digits for each byte, and a tab
--- a/cmd/oxbowbridge/frontends.go
+++ b/cmd/oxbowbridge/frontends.go
@@ -20,8 +20,8 @@
 )
 
 const (
-	// effectDeduplicated is the value of the setting effect for classes whose requests have
-	// an idempotency key.
+	// effectDeduplicated is the value of the setting classes.effect for classes whose requests
+	// have an idempotency key.
 	effectDeduplicated = "deduplicated"
 	// listenRetryInterval is the time between attempts to listen on an address that is in
 	// use.
@@ -65,7 +65,7 @@
 }
 
 // listenAll starts to listen on all frontends and divides the caller connections equally
-// between them. The end of shutdown aborts the wait for an address in use.
+// between them. If the context shutdown ends, the wait for an address in use is aborted.
 func listenAll(shutdown context.Context, cfg *config, frontends []configuredFrontend, loop *eventloop.Loop, pool *fdquota.ConnPool, log *zap.Logger) error {
 	maxWait := time.Duration(cfg.DrainTimeoutMS)*time.Millisecond + predecessorExitMargin
 	for _, f := range frontends {
--- a/cmd/oxbowbridge/lease.go
+++ b/cmd/oxbowbridge/lease.go
@@ -18,11 +18,11 @@
 type leaseCLI struct {
 	nodes          []string
 	asJSON         bool
-	acquireOptions leaseOptions // of acquire
-	runOptions     leaseOptions // of run
-	releaseToken   uint64       // of release
-	nextHolder     string       // of release: holder name of a waiter
-	gracePeriod    time.Duration
+	acquireOptions leaseOptions  // of acquire
+	runOptions     leaseOptions  // of run
+	releaseToken   uint64        // of release
+	nextHolder     string        // of release: holder name of a waiter
+	gracePeriod    time.Duration // of run
 }
 
 // Values of --wait that are not a time limit.
--- a/cmd/oxbowbridge/lease_guard.go
+++ b/cmd/oxbowbridge/lease_guard.go
@@ -23,7 +23,7 @@
 )
 
 const (
-	guardStopTimeout   = time.Second // for the guard to exit
+	guardStopTimeout   = time.Second // time for the guard to exit after guardDoneLine
 	guardCheckInterval = 10 * time.Millisecond
 )
 
@@ -47,7 +47,7 @@
 		err = g.process.Start()
 	}
 	if err != nil {
-		return nil, fmt.Errorf("start guard: %w", err)
+		return nil, fmt.Errorf("start guard process: %w", err)
 	}
 	g.sendDeadline(deadline)
 	return g, nil
@@ -62,8 +62,8 @@
 	}
 }
 
-// stop ends the guard. It kills the guard if that does not exit within guardStopTimeout, for example
-// because it is suspended.
+// stop ends the guard, and kills a guard that does not exit within guardStopTimeout, for example because
+// it is suspended.
 func (g *guardProcess) stop() {
 	fmt.Fprintln(g.input, guardDoneLine)
 	g.input.Close()
--- a/cmd/oxbowbridge/lease_run.go
+++ b/cmd/oxbowbridge/lease_run.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		return err
 	}
-	// Pdeathsig kills the command when the thread that started it exits.
+	// Pdeathsig kills the command when the thread that started it exits, so that thread is kept.
 	runtime.LockOSThread()
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, os.Interrupt, syscall.SIGTERM)
@@ -140,7 +140,7 @@
 	case errors.Is(err, leaseclient.ErrLost):
 		return fmt.Errorf("%w; %w", stopReason, err)
 	}
-	return fmt.Errorf("%w; not known whether it is held", stopReason)
+	return fmt.Errorf("%w; not known whether the lease is still held", stopReason)
 }
 
 // commandError returns an error with the exit code of the command, or nil if the command succeeded.
--- a/cmd/oxbowbridge/lease_run_test.go
+++ b/cmd/oxbowbridge/lease_run_test.go
@@ -43,9 +43,9 @@
 	return newCommandStopper(command, heldLease, nil, 0)
 }
 
-// TestLostBeforeLateDeadline guards against a wrong stop reason: the process checks the deadline late,
+// TestLostLeaseBeforeLateDeadlineCheck guards against a wrong stop reason: the process checks the deadline late,
 // after the store has reported the lease as lost. The reason must be the loss, not missing replies.
-func TestLostBeforeLateDeadline(t *testing.T) {
+func TestLostLeaseBeforeLateDeadlineCheck(t *testing.T) {
 	s := newStopperWithLostLease(t)
 	<-s.lease.Context().Done()
 	s.enforceDeadline(s.deadline) // the ticker fires before the end of the context is handled
--- a/cmd/oxbowbridge/maintenance_agent.go
+++ b/cmd/oxbowbridge/maintenance_agent.go
@@ -24,7 +24,7 @@
 	service        *service
 	node           *storeNode
 	drainRequested chan struct{} // closed when the machine starts to drain for maintenance
-	requestDrain   sync.Once
+	drainOnce      sync.Once
 	agentStopped   chan struct{} // closed when the agent sends no more heartbeats
 }
 
@@ -47,18 +47,18 @@
 	return m
 }
 
-// Load returns the load of the service, as unknown if the dispatcher does not report it in time. It also
-// reports whether the node of the replicated store is a learner.
+// Load returns the load of the service, which is unknown if the dispatcher does not report it in time. It
+// also returns whether the store node of this process is a learner.
 func (m *maintenanceAgent) Load() agent.Load {
-	answer := make(chan agent.Load, 1)
+	reportedLoad := make(chan agent.Load, 1)
 	m.service.exchange.Post(exchange.Callback(func() {
 		var load agent.Load
 		load.Utilization, load.Known, load.Warm = m.service.dispatcher.Load()
-		answer <- load
+		reportedLoad <- load
 	}))
 	var load agent.Load
 	select {
-	case load = <-answer:
+	case load = <-reportedLoad:
 	case <-time.After(loadQueryTimeout):
 	}
 	load.Learner = m.isLearner()
@@ -80,7 +80,7 @@
 	if m.node.store != nil {
 		m.node.store.StepDown()
 	}
-	m.requestDrain.Do(func() { close(m.drainRequested) })
+	m.drainOnce.Do(func() { close(m.drainRequested) })
 }
 
 // finish closes the agent after the service has drained. If the drain was for maintenance, it first runs
--- a/cmd/oxbowbridge/runner.go
+++ b/cmd/oxbowbridge/runner.go
@@ -10,8 +10,8 @@
 	"oxbowbridge/internal/transport/session"
 )
 
-// preemptionPause is the value of the setting halt for runs that keep their progress when they
-// are preempted.
+// preemptionPause is the value of the setting family_info.halt for runs that keep their
+// progress when they are preempted.
 const preemptionPause = "pause"
 
 // runner is an exchange.Runner that can connect and change its addresses.
--- a/cmd/oxbowbridge/serve.go
+++ b/cmd/oxbowbridge/serve.go
@@ -67,7 +67,7 @@
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	shutdown = watchShutdownSignals()
-	// Without this the Go runtime ends the process when the reader of its log closes the pipe.
+	// Otherwise a write to the log would end the process after the reader closed the pipe.
 	signal.Ignore(syscall.SIGPIPE)
 	return shutdown, hangups
 }
--- a/cmd/oxbowbridge/service.go
+++ b/cmd/oxbowbridge/service.go
@@ -22,15 +22,15 @@
 	// openRequestKB is the memory of an open request in this process, in KiB: its body, its
 	// result and internal state.
 	openRequestKB = 8
-	// openRequestsDivisor is the divisor of limits.memory_mb that gives the memory for open
-	// requests.
+	// openRequestsDivisor determines the memory for open requests: limits.memory_mb divided by
+	// this number.
 	openRequestsDivisor = 3
-	// idempotencyKeysDivisor is the divisor of limits.memory_mb that gives the memory for
-	// idempotency keys and their results. Together with the open requests this is less than
-	// heapLimitFraction of limits.memory_mb.
+	// idempotencyKeysDivisor determines the memory for idempotency keys and their results:
+	// limits.memory_mb divided by this number. Together with the memory for open requests this
+	// is less than heapLimitFraction of limits.memory_mb.
 	idempotencyKeysDivisor = 5
-	// dependencyShared is the value of the setting below for a dependency that all services
-	// share.
+	// dependencyShared is the value of the setting family_info.below for a dependency that all
+	// services share.
 	dependencyShared = "shared"
 )
 
@@ -44,8 +44,8 @@
 	setBackendAddresses func(*config) // applies the addresses of the runner, records service and registry; called in the dispatcher's goroutine
 }
 
-// newService creates the components and starts to listen. The end of shutdown aborts the wait
-// for an address in use.
+// newService creates the components and starts to listen. If the context shutdown ends, the
+// wait for an address in use is aborted.
 func newService(shutdown context.Context, cfg *config, log *zap.Logger) (*service, error) {
 	quotas := divideDescriptors(cfg, log)
 	pool := fdquota.NewConnPool(quotas)
--- a/cmd/oxbowbridge/store.go
+++ b/cmd/oxbowbridge/store.go
@@ -91,7 +91,7 @@
 	return problem
 }
 
-// status prints the status of each node. It fails if none answers.
+// status prints the status of each node. It fails if no node answers.
 func (s *storeCLI) status(c *cobra.Command, client *storeclient.Client, _ []string) error {
 	var nodes []nodeStatus
 	answered := 0
@@ -107,7 +107,7 @@
 	}
 	err := s.printStatus(c, nodes)
 	if answered == 0 {
-		err = errors.Join(err, errors.New("no node answered"))
+		err = errors.Join(err, errors.New("no node in --nodes answered"))
 	}
 	return err
 }
--- a/cmd/oxbowbridge/store_members.go
+++ b/cmd/oxbowbridge/store_members.go
@@ -33,7 +33,8 @@
 	return printTable(c.OutOrStdout(), rows...)
 }
 
-// memberChangeAction returns the action of add, remove or promote, which prints the member and outcome.
+// memberChangeAction returns the action of "store add", "store remove" or "store promote". On success the
+// action prints the name of the node and outcome.
 func memberChangeAction(method, outcome string) storeAction {
 	return func(c *cobra.Command, client *storeclient.Client, args []string) error {
 		if err := client.ChangeMember(c.Context(), method, args[0]); err != nil {
@@ -48,8 +49,8 @@
 func (s *storeCLI) addMemberCommands(add addStoreCommand) {
 	add("members", "Show the members, their disk identities, and the next membership change", cobra.NoArgs, s.members)
 	add("add NAME", "Allow a removed node to join again", cobra.ExactArgs(1), memberChangeAction(http.MethodPut, "may join"))
-	add("remove NAME", "Remove a node from the cluster, and do not allow it to join again", cobra.ExactArgs(1), memberChangeAction(http.MethodDelete, "will be removed"))
-	add("promote NAME", "Prefer a node as voter over nodes that were not promoted", cobra.ExactArgs(1), memberChangeAction(http.MethodPost, "is preferred as voter"))
+	add("remove NAME", "Remove a node, and do not allow it to join again", cobra.ExactArgs(1), memberChangeAction(http.MethodDelete, "will be removed"))
+	add("promote NAME", "Prefer a node as voter over other nodes", cobra.ExactArgs(1), memberChangeAction(http.MethodPost, "is preferred as voter"))
 	var cluster string
 	recoverCommand := add("recover CONFIG",
 		"Show the data of a stopped node; with --cluster, make it a single-node cluster if the others are lost for good",
--- a/cmd/oxbowbridge/try.go
+++ b/cmd/oxbowbridge/try.go
@@ -36,8 +36,8 @@
 
 // trial runs the service with stand-ins for the engine, the records service and the callers.
 type trial struct {
-	requests int           // number of requests to send
-	duration time.Duration // time over which the requests are sent
+	requests int           // number of requests to send, by default 400
+	duration time.Duration // time over which the requests are sent, by default 3 s
 }
 
 func tryCommand() *cobra.Command {
--- a/tests/lease_lost_test.go
+++ b/tests/lease_lost_test.go
@@ -91,6 +91,6 @@
 	c := newCluster(t, nil)
 	r := runUnderStalledLease(t, c, func(func()) {})
 	assert.Equal(t, 5, r.code, r.errs)
-	assert.Regexp(t, `(?m)^oxbowbridge: command stopped: lease could not be kept alive in time: long .*; not known whether it is held$`, r.errs)
+	assert.Regexp(t, `(?m)^oxbowbridge: command stopped: lease could not be kept alive in time: long .*; not known whether the lease is still held$`, r.errs)
 	assert.NotContains(t, r.errs, "lease is lost")
 }
