--- a/internal/cluster/kv/state.go
+++ b/internal/cluster/kv/state.go
@@ -11,37 +11,38 @@
 
 // Limits of the state.
 const (
-	MaxKeys     = 1000 // with those that were deleted
+	MaxKeys     = 1000 // includes deleted keys
 	MaxSessions = 1000
 )
 
-// maxClockAdvanceMS is by how many milliseconds one request may advance the log's time: a leader
-// whose clock is far ahead must not end all sessions at once.
+// maxClockAdvanceMS limits by how many milliseconds one request may advance the log time, so that one
+// request of a leader whose clock is far ahead does not expire all sessions.
 const maxClockAdvanceMS = 60 * 1000
 
-// Entry is a key. A deleted key stays, so that the store of record learns of it.
+// Entry is the state of one key. The entry of a deleted key is kept, so that the deletion also reaches
+// the SQL mirror.
 type Entry struct {
-	Value          json.RawMessage `json:"value,omitempty"`   // left out if nil: null would be decoded as a value
-	ModRevision    uint64          `json:"index"`             // of the last put or delete
-	CreateRevision uint64          `json:"created,omitempty"` // of the first put since it did not exist
+	Value          json.RawMessage `json:"value,omitempty"`   // omitted if nil, because null would be decoded as a value
+	ModRevision    uint64          `json:"index"`             // revision of the last put or delete
+	CreateRevision uint64          `json:"created,omitempty"` // revision of the put that created the key
 	Version        uint64          `json:"version,omitempty"` // number of puts since CreateRevision
 	Deleted        bool            `json:"gone"`
 }
 
-// State is the replicated state. A snapshot holds its exported fields. It is not safe for
-// concurrent use.
+// State is the replicated state. Snapshots contain its exported fields. It is not safe for concurrent
+// use.
 type State struct {
-	Applied  uint64              `json:"applied"` // log index of the last entry
-	TimeMS   int64               `json:"time_ms"` // the log's time, Unix milliseconds; never goes back
-	Entries  map[string]Entry    `json:"entries"`
-	Sessions map[uint64]*session `json:"sessions"`
-	Leases   *lease.State        `json:"leases"`
-	Checksum Checksum            `json:"sum"`
-
-	valueBytes int // or bytesUnknown
+	AppliedIndex uint64              `json:"applied"` // index of the last applied log entry
+	LogTimeMS    int64               `json:"time_ms"` // log time, Unix milliseconds; never decreases
+	Entries      map[string]Entry    `json:"entries"`
+	Sessions     map[uint64]*session `json:"sessions"`
+	Leases       *lease.State        `json:"leases"`
+	Checksum     Checksum            `json:"sum"`
+
+	valueBytes int // size of all values, or valueBytesUnknown
 }
 
-const bytesUnknown = -1
+const valueBytesUnknown = -1
 
 // New returns an empty state.
 func New() *State {
@@ -49,30 +50,30 @@
 		Entries:    map[string]Entry{},
 		Sessions:   map[uint64]*session{},
 		Leases:     lease.NewState(0),
-		valueBytes: bytesUnknown,
+		valueBytes: valueBytesUnknown,
 	}
 }
 
-// Clone returns a copy that shares only the values, which nothing changes.
+// Clone returns a copy. It shares only the bytes of the values, which are never modified.
 func (s *State) Clone() *State {
-	c := &State{
-		Applied:    s.Applied,
-		TimeMS:     s.TimeMS,
-		Entries:    maps.Clone(s.Entries),
-		Sessions:   map[uint64]*session{},
-		Leases:     s.Leases.Clone(),
-		Checksum:   s.Checksum,
-		valueBytes: bytesUnknown,
+	clone := &State{
+		AppliedIndex: s.AppliedIndex,
+		LogTimeMS:    s.LogTimeMS,
+		Entries:      maps.Clone(s.Entries),
+		Sessions:     map[uint64]*session{},
+		Leases:       s.Leases.Clone(),
+		Checksum:     s.Checksum,
+		valueBytes:   valueBytesUnknown,
 	}
-	for id, x := range s.Sessions {
-		c.Sessions[id] = x.clone()
+	for id, sess := range s.Sessions {
+		clone.Sessions[id] = sess.clone()
 	}
-	return c
+	return clone
 }
 
 // ValueBytes returns the size of all values in bytes.
 func (s *State) ValueBytes() int {
-	if s.valueBytes == bytesUnknown {
+	if s.valueBytes == valueBytesUnknown {
 		s.valueBytes = 0
 		for _, e := range s.Entries {
 			s.valueBytes += len(e.Value)
@@ -81,7 +82,7 @@
 	return s.valueBytes
 }
 
-// Revision of a key; 0 if it does not exist.
+// Revision returns the revision of a key, or 0 if the key does not exist.
 func (s *State) Revision(key string) uint64 {
 	if e, ok := s.Entries[key]; ok && !e.Deleted {
 		return e.ModRevision
@@ -89,12 +90,12 @@
 	return 0
 }
 
-// ApplyEntry applies the log entry at an index, whose bytes are data, and extends the running
-// checksum. r is the request that data decodes to; if it does not, decodeErr says so and nothing
-// but the index is recorded. It returns the keys that it changed, sorted.
+// ApplyEntry applies the log entry at an index and extends the running checksum. data is the encoded
+// entry and r the decoded request. If decoding failed, decodeErr is its error, and only the index and
+// the checksum advance. ApplyEntry returns the changed keys, sorted.
 func (s *State) ApplyEntry(index uint64, data []byte, r *Request, decodeErr error) (response Response, changed []string, err error) {
 	if decodeErr != nil {
-		s.Applied = index
+		s.AppliedIndex = index
 		err = decodeErr
 	} else {
 		response, changed, err = s.Apply(index, r)
@@ -103,11 +104,11 @@
 	return response, changed, err
 }
 
-// Apply carries out one request under its index in the log, which becomes the revision of the
-// keys that it writes. It returns those keys, sorted.
+// Apply applies the request of the log entry at an index. The index becomes the revision of the keys
+// that the request writes. Apply returns the changed keys, sorted.
 func (s *State) Apply(index uint64, r *Request) (response Response, changed []string, err error) {
-	s.Applied = index
-	s.advanceTime(r.TimeMS)
+	s.AppliedIndex = index
+	s.advanceLogTime(r.TimeMS)
 	if err := r.Validate(); err != nil {
 		return Response{}, nil, err
 	}
@@ -121,23 +122,23 @@
 	switch {
 	case len(r.LeaseOps) > 0:
 		return s.applyLeaseOps(index, r.LeaseOps), nil, nil
-	case r.Session != 0:
+	case r.SessionID != 0:
 		return s.applyInSession(index, r)
 	}
 	return s.applyTxn(index, r)
 }
 
-// advanceTime moves the log's time on, never back and by at most maxClockAdvanceMS, and ends the
-// sessions that have been idle for too long by it.
-func (s *State) advanceTime(timeMS int64) {
-	if s.TimeMS != 0 {
-		timeMS = min(timeMS, s.TimeMS+maxClockAdvanceMS)
+// advanceLogTime advances the log time to a request's timestamp, by at most maxClockAdvanceMS and never
+// backwards, and then expires idle sessions.
+func (s *State) advanceLogTime(timeMS int64) {
+	if s.LogTimeMS != 0 {
+		timeMS = min(timeMS, s.LogTimeMS+maxClockAdvanceMS)
 	}
-	if timeMS <= s.TimeMS {
+	if timeMS <= s.LogTimeMS {
 		return
 	}
-	s.TimeMS = timeMS
-	s.endIdleSessions()
+	s.LogTimeMS = timeMS
+	s.expireIdleSessions()
 }
 
 func (s *State) applyLeaseOps(index uint64, ops []lease.Op) Response {
@@ -152,11 +153,12 @@
 	return response
 }
 
-// isBlockedByRestore reports whether a request writes users' keys while a backup is being
-// restored, without being part of the restore: the restore's own requests compare its marker.
+// isBlockedByRestore reports whether a request writes user keys while a backup is being restored,
+// without being part of the restore. Requests that are part of it compare RestoreMarkerKey with its
+// revision.
 func (s *State) isBlockedByRestore(r *Request) bool {
-	marker := s.Revision(RestoreKey)
-	if marker == 0 || slices.Contains(r.If, Compare{RestoreKey, marker}) {
+	markerRevision := s.Revision(RestoreMarkerKey)
+	if markerRevision == 0 || slices.Contains(r.If, Compare{RestoreMarkerKey, markerRevision}) {
 		return false
 	}
 	return slices.ContainsFunc(slices.Concat(r.Then, r.Else), func(op Op) bool {
@@ -164,7 +166,7 @@
 	})
 }
 
-// checkFences makes sure that all leases that a request depends on are held.
+// checkFences returns ErrFenced unless each of the leases is held under its token.
 func (s *State) checkFences(fences []lease.FencingToken) error {
 	for _, f := range fences {
 		if !s.Leases.IsHeld(f.Name, f.Token) {
--- a/internal/cluster/raftstorage/log_entry.go
+++ b/internal/cluster/raftstorage/log_entry.go
@@ -9,20 +9,20 @@
 )
 
 const (
-	// entryForm is the first byte of an encoded entry.
-	entryForm = 1
-	// entryHeaderBytes is enough for what goes before the extensions.
+	// entryFormatVersion is the first byte of an encoded log entry.
+	entryFormatVersion = 1
+	// entryHeaderBytes is the buffer capacity reserved for all fields before the extensions.
 	entryHeaderBytes = 32
 )
 
-var errMalformedEntry = errors.New("can't be read")
+var errMalformedEntry = errors.New("malformed encoding")
 
-// encodeEntry is a byte for the form, a byte for the type, the term, the time in Unix nanoseconds (0
-// is none) and the length of the extensions as varints, the extensions, and the data. The index is
-// in the key.
+// encodeEntry encodes a log entry: one byte for the format version, one byte for the type, then as
+// varints the term, the append time in Unix nanoseconds (0 if there is none) and the length of the
+// extensions, then the extensions and the data. The index is not encoded, as it is part of the key.
 func encodeEntry(l *raft.Log) []byte {
 	b := make([]byte, 0, entryHeaderBytes+len(l.Extensions)+len(l.Data))
-	b = append(b, entryForm, byte(l.Type))
+	b = append(b, entryFormatVersion, byte(l.Type))
 	b = binary.AppendUvarint(b, l.Term)
 	appendedAt := int64(0)
 	if !l.AppendedAt.IsZero() {
@@ -34,9 +34,10 @@
 	return append(b, l.Data...)
 }
 
-// decodeEntry reads what encodeEntry wrote. to is changed only without an error; it shares b.
+// decodeEntry decodes the result of encodeEntry into to, which then shares memory with b. On an error,
+// to is unchanged.
 func decodeEntry(b []byte, to *raft.Log) error {
-	if len(b) < 2 || b[0] != entryForm {
+	if len(b) < 2 || b[0] != entryFormatVersion {
 		return errMalformedEntry
 	}
 	l := raft.Log{Type: raft.LogType(b[1])}
@@ -51,19 +52,19 @@
 		return errMalformedEntry
 	}
 	b = b[n:]
-	extensions, n := binary.Uvarint(b)
-	if n <= 0 || extensions > uint64(len(b)-n) {
+	extensionBytes, n := binary.Uvarint(b)
+	if n <= 0 || extensionBytes > uint64(len(b)-n) {
 		return errMalformedEntry
 	}
 	b = b[n:]
 	if appendedAt != 0 {
 		l.AppendedAt = time.Unix(0, appendedAt)
 	}
-	if extensions > 0 {
-		l.Extensions = b[:extensions:extensions]
+	if extensionBytes > 0 {
+		l.Extensions = b[:extensionBytes:extensionBytes]
 	}
-	if len(b) > int(extensions) {
-		l.Data = b[extensions:]
+	if len(b) > int(extensionBytes) {
+		l.Data = b[extensionBytes:]
 	}
 	*to = l
 	return nil
--- a/internal/cluster/singleton/backup_file_test.go
+++ b/internal/cluster/singleton/backup_file_test.go
@@ -6,13 +6,13 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestPartialBackups: guards against a partial file of a process that died that takes the place of a backup, or stays for
-// ever; and against the removal of files with other names.
+// TestPartialBackups checks that a temporary file left by a crashed process is deleted and does not count
+// as one of the backups to keep, and that files with other names are not deleted.
 func TestPartialBackups(t *testing.T) {
 	const (
-		kept    = "oxbowbridge-1700000000000-1.backup"
-		partial = "oxbowbridge-1700000000123-42.backup.partial-123"
+		complete = "oxbowbridge-1700000000000-1.backup"
+		partial  = "oxbowbridge-1700000000123-42.backup.partial-123"
 	)
-	names := []string{kept, partial, "other.partial-1", "oxbowbridge-1.backup.partial-1", partial + ".copy"}
-	assert.Equal(t, []string{partial}, expiredBackups(names, 1))
+	names := []string{complete, partial, "other.partial-1", "oxbowbridge-1.backup.partial-1", partial + ".copy"}
+	assert.Equal(t, []string{partial}, filesToRemove(names, 1))
 }
--- a/internal/cluster/store/backup_restore.go
+++ b/internal/cluster/store/backup_restore.go
@@ -64,7 +64,7 @@
 // restore marker is unchanged.
 type restoreWriter struct {
 	store          *Store
-	markerRevision uint64 // revision of kv.RestoreKey
+	markerRevision uint64 // revision of kv.RestoreMarkerKey
 	header         backup.Header
 	batch          []kv.Op
 	bytes          int // total size of the batch's values
@@ -95,14 +95,14 @@
 	if err != nil {
 		return err
 	}
-	r.batch = append(r.batch, kv.Delete(kv.RestoreKey), kv.Put(restoreResultKey, encoded))
+	r.batch = append(r.batch, kv.Delete(kv.RestoreMarkerKey), kv.Put(restoreResultKey, encoded))
 	return r.flush(ctx)
 }
 
 func (r *restoreWriter) flush(ctx context.Context) error {
 	response, err := r.store.Execute(kv.Request{
-		TokenFloor: tokenFloor(r.header.Token),
-		If:         []kv.Compare{{Key: kv.RestoreKey, Revision: r.markerRevision}},
+		TokenFloor: tokenFloor(r.header.MaxFencingToken),
+		If:         []kv.Compare{{Key: kv.RestoreMarkerKey, Revision: r.markerRevision}},
 		Then:       r.batch,
 	})
 	if err == nil && !response.Succeeded {
@@ -119,11 +119,11 @@
 		return err
 	}
 	entries, _ := s.state.entries()
-	marker, ok := entries[kv.RestoreKey]
+	marker, ok := entries[kv.RestoreMarkerKey]
 	if !ok {
 		return fmt.Errorf("%w: no backup is being put back", kv.ErrInvalidRequest)
 	}
-	batch := kv.Request{If: []kv.Compare{{Key: kv.RestoreKey, Revision: marker.ModRevision}}}
+	batch := kv.Request{If: []kv.Compare{{Key: kv.RestoreMarkerKey, Revision: marker.ModRevision}}}
 	for key := range entries {
 		// While the marker is at version 1, it is not verified that the store was empty, so that its keys may
 		// predate the restore.
@@ -137,7 +137,7 @@
 			batch.Then = nil
 		}
 	}
-	batch.Then = append(batch.Then, kv.Delete(kv.RestoreKey))
+	batch.Then = append(batch.Then, kv.Delete(kv.RestoreMarkerKey))
 	_, err := s.Execute(batch)
 	return err
 }
@@ -157,7 +157,7 @@
 		return 0, err
 	}
 	entries, _ := s.state.entries()
-	marker, ok := entries[kv.RestoreKey]
+	marker, ok := entries[kv.RestoreMarkerKey]
 	if !ok || !bytes.Equal(marker.Value, value) {
 		return 0, fmt.Errorf("%w: another backup is being put back", ErrNotEmpty)
 	}
@@ -165,12 +165,12 @@
 		return marker.ModRevision, nil
 	}
 	if userKeys := countUserKeys(entries); userKeys > 0 {
-		_, err = s.Execute(kv.Request{Then: []kv.Op{kv.Delete(kv.RestoreKey)}})
+		_, err = s.Execute(kv.Request{Then: []kv.Op{kv.Delete(kv.RestoreMarkerKey)}})
 		return 0, errors.Join(fmt.Errorf("%w: it has %d keys", ErrNotEmpty, userKeys), err)
 	}
 	response, err := s.Execute(kv.Request{
-		If:   []kv.Compare{{Key: kv.RestoreKey, Revision: marker.ModRevision}},
-		Then: []kv.Op{kv.Put(kv.RestoreKey, value)},
+		If:   []kv.Compare{{Key: kv.RestoreMarkerKey, Revision: marker.ModRevision}},
+		Then: []kv.Op{kv.Put(kv.RestoreMarkerKey, value)},
 	})
 	if err == nil && !response.Succeeded {
 		err = errRestoreSuperseded
@@ -185,8 +185,8 @@
 // applied all earlier entries.
 func (s *Store) putRestoreMarker(ctx context.Context, value json.RawMessage) error {
 	_, err := s.Execute(kv.Request{
-		If:   []kv.Compare{{Key: kv.RestoreKey}},
-		Then: []kv.Op{kv.Put(kv.RestoreKey, value)},
+		If:   []kv.Compare{{Key: kv.RestoreMarkerKey}},
+		Then: []kv.Op{kv.Put(kv.RestoreMarkerKey, value)},
 	})
 	if err != nil {
 		return err
--- a/internal/cluster/store/peers.go
+++ b/internal/cluster/store/peers.go
@@ -59,7 +59,7 @@
 
 func newPeerPoller(ctx context.Context, s *Store) *peerPoller {
 	client := storeclient.New(nil)
-	client.HTTP = &http.Client{Timeout: pollTimeout}
+	client.HTTPClient = &http.Client{Timeout: pollTimeout}
 	return &peerPoller{
 		store:    s,
 		client:   client,
--- a/internal/cluster/storeapi/golden_test.go
+++ b/internal/cluster/storeapi/golden_test.go
@@ -9,7 +9,7 @@
 	"oxbowbridge/internal/testrig/golden"
 )
 
-// TestGoldenTypes: bodies of requests and answers keep their JSON.
+// TestGoldenTypes checks that the JSON encoding of request and response bodies is unchanged.
 func TestGoldenTypes(t *testing.T) {
 	golden.JSON(t, "testdata/types.golden",
 		golden.Sample{Name: "status", Value: &Status{}},
@@ -27,14 +27,15 @@
 	)
 }
 
-// TestGoldenNames: header fields, limits, and the texts of fences, tags and errors.
+// TestGoldenNames checks that header names, limits, the formats of fencing tokens and entity tags, and
+// error texts are unchanged.
 func TestGoldenNames(t *testing.T) {
 	var lines strings.Builder
-	fmt.Fprintln(&lines, HeaderCluster, HeaderSession, HeaderRequestNumber, HeaderLease, HeaderRevision, HeaderLastEventID)
+	fmt.Fprintln(&lines, HeaderCluster, HeaderSession, HeaderRequestNumber, HeaderLease, HeaderStoreRevision, HeaderLastEventID)
 	fmt.Fprintln(&lines, WatchProgressInterval, MaxEventBytes, RestoreTimeout, CommitTimeout, MaxLeaseWait, MaxRenewals)
 	for _, text := range []string{"a/b/7", "/7", "a", "a/0", "a/x"} {
-		held, err := ParseFencingToken(text)
-		fmt.Fprintln(&lines, held.Name, held.Token, err)
+		fence, err := ParseFencingToken(text)
+		fmt.Fprintln(&lines, fence.Name, fence.Token, err)
 	}
 	for _, text := range []string{FormatETag(7), `7`, `"0"`, `"x"`, `W/"7"`} {
 		revision, err := ParseETag(text)
--- a/internal/cluster/storeclient/backup.go
+++ b/internal/cluster/storeclient/backup.go
@@ -10,9 +10,10 @@
 	"oxbowbridge/internal/cluster/storeapi"
 )
 
-// Backup takes a backup, and returns its header and its bytes if it is complete.
+// Backup takes a backup of the store and returns its header and its bytes. It fails if the backup is
+// incomplete or damaged.
 func (c *Client) Backup(ctx context.Context) (backup.Header, []byte, error) {
-	res, err := c.do(ctx, http.MethodGet, "/backup", nil)
+	res, err := c.sendWithRetry(ctx, http.MethodGet, "/backup", nil)
 	if err != nil {
 		return backup.Header{}, nil, err
 	}
@@ -23,16 +24,16 @@
 	return header, res.body, err
 }
 
-// Restore restores a backup, unless it is damaged. It may be repeated until it succeeds.
+// Restore checks a backup and restores the store from it. A failed restore can be retried.
 func (c *Client) Restore(ctx context.Context, r io.Reader) (restored storeapi.RestoreResponse, err error) {
-	text, err := io.ReadAll(r)
+	data, err := io.ReadAll(r)
 	if err != nil {
 		return restored, err
 	}
-	if _, _, err := backup.Read(bytes.NewReader(text)); err != nil {
+	if _, _, err := backup.Read(bytes.NewReader(data)); err != nil {
 		return restored, err
 	}
-	err = c.withAttemptTimeout(storeapi.RestoreTimeout).call(ctx, http.MethodPost, "/restore", text, &restored)
+	err = c.withAttemptTimeout(storeapi.RestoreTimeout).call(ctx, http.MethodPost, "/restore", data, &restored)
 	return restored, err
 }
 
--- a/internal/cluster/storeclient/transport.go
+++ b/internal/cluster/storeclient/transport.go
@@ -14,30 +14,31 @@
 	"oxbowbridge/internal/cluster/storeapi"
 )
 
-// maxAnswerBytes is above the largest answer, a backup.
-const maxAnswerBytes = backup.MaxBytes + 1<<20
+// maxResponseBytes bounds the body of a response. The largest one is a backup.
+const maxResponseBytes = backup.MaxBytes + 1<<20
 
-// response is an answer that has been read.
+// response is a response whose body has been read completely.
 type response struct {
 	statusCode int
 	header     http.Header
 	body       []byte
 }
 
-// statusError returns the answer as an error.
+// statusError returns the response as a *storeapi.StatusError.
 func (r *response) statusError() error { return storeapi.NewStatusError(r.statusCode, r.body) }
 
-// do sends a request to one node after the other until one gives a final answer, that is any but
-// 503. The request must be safe to repeat: a read, or a write in a session.
-func (c *Client) do(ctx context.Context, method, path string, body []byte) (*response, error) {
+// sendWithRetry sends a request to one node after the other, starting at a random node, until a node
+// responds with a status other than 503 or the retries are used up. The request must be idempotent: a
+// read, or a write in a session.
+func (c *Client) sendWithRetry(ctx context.Context, method, path string, body []byte) (*response, error) {
 	if len(c.Nodes) == 0 {
 		return nil, errNoNode
 	}
 	var lastErr error
 	first := rand.IntN(len(c.Nodes))
-	for attempt := range c.Retry.MaxRetries + 1 {
+	for attempt := range c.RetryPolicy.MaxRetries + 1 {
 		if attempt > 0 {
-			if err := c.Retry.wait(ctx, attempt); err != nil {
+			if err := c.RetryPolicy.wait(ctx, attempt); err != nil {
 				return nil, errors.Join(err, lastErr)
 			}
 		}
@@ -46,39 +47,39 @@
 		if err != nil {
 			return nil, err
 		}
-		res, err := c.send(req)
+		res, err := c.sendOnce(req)
 		if err == nil {
 			return res, nil
 		}
 		lastErr = err
 	}
-	return nil, fmt.Errorf("no node answered in %d attempts: %w", c.Retry.MaxRetries+1, lastErr)
+	return nil, fmt.Errorf("no node answered in %d attempts: %w", c.RetryPolicy.MaxRetries+1, lastErr)
 }
 
-// send sends a request once. An answer of 503 is an error.
-func (c *Client) send(req *http.Request) (*response, error) {
+// sendOnce sends a request once. A response with status 503 is returned as an error.
+func (c *Client) sendOnce(req *http.Request) (*response, error) {
 	c.cluster.setHeader(req)
-	res, err := c.HTTP.Do(req)
+	res, err := c.HTTPClient.Do(req)
 	if err != nil {
 		return nil, err
 	}
 	defer res.Body.Close()
 	c.cluster.pin(res.Header.Get(storeapi.HeaderCluster))
-	body, err := io.ReadAll(io.LimitReader(res.Body, maxAnswerBytes))
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxResponseBytes))
 	if err != nil {
 		return nil, err
 	}
-	answer := &response{statusCode: res.StatusCode, header: res.Header, body: body}
+	result := &response{statusCode: res.StatusCode, header: res.Header, body: body}
 	if res.StatusCode == http.StatusServiceUnavailable {
-		return nil, answer.statusError()
+		return nil, result.statusError()
 	}
-	return answer, nil
+	return result, nil
 }
 
-// call sends a request like do, and decodes the answer into out, unless that is nil. An answer that
-// is no success is a *storeapi.StatusError.
+// call sends a request with sendWithRetry and decodes the response into out, unless out is nil. For a
+// status of 300 or above it returns a *storeapi.StatusError.
 func (c *Client) call(ctx context.Context, method, path string, body []byte, out any) error {
-	res, err := c.do(ctx, method, path, body)
+	res, err := c.sendWithRetry(ctx, method, path, body)
 	if err != nil {
 		return err
 	}
@@ -89,12 +90,12 @@
 		return nil
 	}
 	if err := json.Unmarshal(res.body, out); err != nil {
-		return undecodable(err)
+		return decodeError(err)
 	}
 	return nil
 }
 
-// callJSON sends a request like call, with in as its JSON body.
+// callJSON is like call, with in encoded as JSON in the request body.
 func (c *Client) callJSON(ctx context.Context, method, path string, in, out any) error {
 	body, err := json.Marshal(in)
 	if err != nil {
--- a/internal/cluster/watch/history_test.go
+++ b/internal/cluster/watch/history_test.go
@@ -14,74 +14,76 @@
 	"oxbowbridge/internal/testrig/rapidseed"
 )
 
-// TestMain has rapid try the same histories each time, unless a seed is given.
+// TestMain fixes the seed of rapid, so that each run generates the same histories unless a seed is given.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	rapidseed.Fix()
 	os.Exit(m.Run())
 }
 
-// TestSinceAgainstWholeHistory: whatever is added, dropped and reset, a follower that goes page by
-// page gets each revision under its prefix that all of history has, once and in order,
-// or is told that its position is gone; and the history stays within its limits.
+// TestSinceAgainstWholeHistory compares a History with an unbounded list of revisions while revisions
+// are added and dropped and the history is reset. A watcher that reads page by page must get each
+// revision under its prefix once and in order, or a CompactedError, and the history must stay within
+// its limits.
 func TestSinceAgainstWholeHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{MaxRevisions: rapid.IntRange(1, 20).Draw(t, "revisions"), MaxBytes: rapid.IntRange(200, 2000).Draw(t, "bytes")}
-		page := Page{MaxRevisions: rapid.IntRange(1, 5).Draw(t, "page"), MaxBytes: rapid.IntRange(1, 500).Draw(t, "page bytes")}
+		pageLimits := PageLimits{MaxRevisions: rapid.IntRange(1, 5).Draw(t, "page"), MaxBytes: rapid.IntRange(1, 500).Draw(t, "page bytes")}
 		prefix := rapid.SampledFrom([]string{"", "a/", "b/"}).Draw(t, "prefix")
-		h, all := NewHistory(limits, 0), []Revision{}
-		next, reset := uint64(1), uint64(0)
+		h, allRevisions := NewHistory(limits, 0), []Revision{}
+		position, resetNumber := uint64(1), uint64(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 9).Draw(t, "step") {
 			case 0:
-				reset = h.latest + uint64(rapid.IntRange(0, 3).Draw(t, "ahead"))
-				h.Reset(reset)
-			case 1, 2: // the follower takes a page
-				got, to, err := h.Since(next, prefix, page)
-				var gone *CompactedError
+				resetNumber = h.latestNumber + uint64(rapid.IntRange(0, 3).Draw(t, "ahead"))
+				h.Reset(resetNumber)
+			case 1, 2: // the watcher reads one page
+				got, gotNext, err := h.Since(position, prefix, pageLimits)
+				var compactedErr *CompactedError
 				if err != nil {
-					require.ErrorAs(t, err, &gone)
-					require.Greater(t, gone.OldestRevision, next, "only what is gone is said to be")
-					next = gone.OldestRevision
+					require.ErrorAs(t, err, &compactedErr)
+					require.Greater(t, compactedErr.OldestRevision, position, "a CompactedError must only be returned for a dropped position")
+					position = compactedErr.OldestRevision
 					continue
 				}
-				require.GreaterOrEqual(t, next, reset, "not across a reset")
+				require.GreaterOrEqual(t, position, resetNumber, "a page must not span a reset")
 				var want []Revision
-				for _, r := range all {
-					if part := r.filter(prefix); r.Number >= next && r.Number < to && len(part.Changes) > 0 {
-						want = append(want, part)
+				for _, r := range allRevisions {
+					if filtered := r.filter(prefix); r.Number >= position && r.Number < gotNext && len(filtered.Changes) > 0 {
+						want = append(want, filtered)
 					}
 				}
 				require.Equal(t, want, got)
-				require.GreaterOrEqual(t, to, next)
-				require.LessOrEqual(t, to, max(next, h.latest+1))
-				next = to
+				require.GreaterOrEqual(t, gotNext, position)
+				require.LessOrEqual(t, gotNext, max(position, h.latestNumber+1))
+				position = gotNext
 			default:
-				r := Revision{Number: h.latest + uint64(rapid.IntRange(1, 3).Draw(t, "gap"))}
+				r := Revision{Number: h.latestNumber + uint64(rapid.IntRange(1, 3).Draw(t, "gap"))}
 				for i := range rapid.IntRange(0, 3).Draw(t, "changes") {
 					key := rapid.SampledFrom([]string{"a/", "b/"}).Draw(t, "of") + fmt.Sprint(i)
 					r.Changes = append(r.Changes, Change{Key: key, Value: json.RawMessage(strings.Repeat("7", i+1))})
 				}
 				h.Add(r.Number, r.Changes)
-				h.Add(r.Number, r.Changes) // read again
-				all = append(all, r)
+				h.Add(r.Number, r.Changes) // a revision that was already added is ignored
+				allRevisions = append(allRevisions, r)
 			}
 			require.LessOrEqual(t, len(h.revisions), limits.MaxRevisions)
-			require.LessOrEqual(t, h.bytes, limits.MaxBytes)
+			require.LessOrEqual(t, h.sizeBytes, limits.MaxBytes)
 		}
-		for i := 0; next <= h.latest; i++ { // the rest, in so many pages at most
-			_, to, err := h.Since(next, prefix, page)
+		for i := 0; position <= h.latestNumber; i++ { // reads the remaining pages
+			_, gotNext, err := h.Since(position, prefix, pageLimits)
 			if err != nil {
 				break
 			}
-			require.Greater(t, to, next, "a follower that is behind gets on")
+			require.Greater(t, gotNext, position, "each page must advance a watcher that is behind")
 			require.Less(t, i, 200)
-			next = to
+			position = gotNext
 		}
 	})
 }
 
-// TestDroppedRevisionsAreReleased: what was dropped is not held by the history's memory.
+// TestDroppedRevisionsAreReleased checks that the backing array of the history does not keep the
+// changes of dropped revisions in memory.
 func TestDroppedRevisionsAreReleased(t *testing.T) {
 	h := NewHistory(Limits{MaxRevisions: 2, MaxBytes: 1 << 20}, 0)
 	for n := range uint64(100) {
