--- a/cmd/oxbowbridge/lease_run.go
+++ b/cmd/oxbowbridge/lease_run.go
@@ -29,7 +29,7 @@
 	releaseTimeout      = 2 * time.Second // to query and release the lease; without a release it expires
 	defaultGraceDivisor = 5               // --grace is --ttl/5 by default
 	maxGraceDivisor     = 4               // --grace is at most --ttl/4
-	signalExitCodeBase  = 128             // the exit code of a command that a signal ended is this plus the signal number
+	signalExitCodeBase  = 128             // plus the signal number is the exit code if a signal ended the command
 )
 
 // run acquires a lease and runs a command. It stops the command before the lease expires.
--- a/internal/logsink/logsink_test.go
+++ b/internal/logsink/logsink_test.go
@@ -31,21 +31,21 @@
 	var complete, dropped int
 	for complete+dropped < lines && scan.Scan() {
 		if strings.HasPrefix(scan.Text(), "{") {
-			var notice struct {
+			var dropReport struct {
 				Message string `json:"msg"`
 				Lines   int    `json:"lines"`
 			}
-			require.NoError(t, json.Unmarshal(scan.Bytes(), &notice))
-			require.Equal(t, "log lines dropped", notice.Message)
-			dropped += notice.Lines
+			require.NoError(t, json.Unmarshal(scan.Bytes(), &dropReport))
+			require.Equal(t, "log lines dropped", dropReport.Message)
+			dropped += dropReport.Lines
 			continue
 		}
 		require.Equal(t, line, scan.Text()+"\n")
 		complete++
 	}
 	require.NoError(t, scan.Err())
-	require.Equal(t, lines, complete+dropped, "each line is written or counted")
-	require.Positive(t, dropped, "the buffer is bounded")
+	require.Equal(t, lines, complete+dropped, "each line must be written or counted as dropped")
+	require.Positive(t, dropped, "the buffer must be bounded")
 	require.GreaterOrEqual(t, complete*len(line), maxBufferBytes/2)
 
 	_, err = s.Write([]byte("afterwards\n"))
--- a/internal/sitesettings/settings.go
+++ b/internal/sitesettings/settings.go
@@ -21,13 +21,13 @@
 	Safety            SafetySettings   `json:"safety"`
 	Servers           int              `json:"servers"` // number of servers of this tier; 0 counts as 1
 	Tenants           []TenantSettings `json:"tenants"`
-	MinInterval       time.Duration    `json:"tick_ns"` // min. time between two calls of the controller
+	MinInterval       time.Duration    `json:"tick_ns"` // minimum time between two calls of the controller
 	Tier              int              `json:"tier"`    // 0 is the first tier
 }
 
 // RetryAfterLimits limits the Retry-After times that callers follow.
 type RetryAfterLimits struct {
-	MaxRetryAfter  time.Duration `json:"max_retry_after_ns"` // callers follow no longer Retry-After time
+	MaxRetryAfter  time.Duration `json:"max_retry_after_ns"` // longest Retry-After time that callers follow
 	SendRetryAfter bool          `json:"retry_after"`        // responses to callers contain a Retry-After time
 }
 
@@ -45,7 +45,7 @@
 
 // ClientSettings describes the behavior of clients.
 type ClientSettings struct {
-	RetriesMarked bool `json:"marks_retry"` // requests show whether they are retries or hedged requests
+	RetriesMarked bool `json:"marks_retry"` // callers mark retries and hedged requests
 }
 
 // ServerInfo describes the server and its site; see admission.Settings. An absent enum value
@@ -54,7 +54,7 @@
 	Advert                string        `json:"advert"`           // how callers interpret the advertised value: none, level, credit or weight
 	Dependency            string        `json:"below"`            // dependency that receives calls: none, shared or tier
 	Callers               int           `json:"callers"`          // number of callers of this tier
-	CallQuota             float64       `json:"calls_out"`        // max. calls in flight from this server to a shared dependency
+	CallQuota             float64       `json:"calls_out"`        // maximum calls in flight from this server to a shared dependency
 	ClassMakesCalls       []bool        `json:"class_calls"`      // by class: runs make a call
 	ClassDegradedFraction []float64     `json:"class_skip_worth"` // by class: fraction of the weight for responses without a call
 	Cores                 int           `json:"cores"`            // at least 1
@@ -65,11 +65,11 @@
 	AdvertTTL             time.Duration `json:"heard_for_ns"`     // how long callers use an advertised value
 	MaxIdleTimeout        time.Duration `json:"idle_ns"`          // callers close a connection after this idle time
 	KeyMemoryKB           float64       `json:"kb_per_key"`       // memory of one idempotency key
-	CallLinger            time.Duration `json:"linger_ns"`        // max. time that an abandoned call stays in flight
+	CallLinger            time.Duration `json:"linger_ns"`        // maximum time that an abandoned call stays in flight
 	MemoryKB              float64       `json:"memory_kb"`        // above 0
-	GaugeNames            []string      `json:"own_stats"`        // names of the values passed to Gauges, in this order
-	UsesCallerTimeout     bool          `json:"passes_deadline"`  // requests carry their caller's timeout
-	ReportsAvailability   bool          `json:"readiness"`        // the endpoint list shows whether the server is healthy
+	GaugeNames            []string      `json:"own_stats"`        // names of the values passed to GaugesFromValues, in this order
+	UsesCallerTimeout     bool          `json:"passes_deadline"`  // a caller's timeout applies instead of the class deadline
+	ReportsAvailability   bool          `json:"readiness"`        // the server reports its health to the service registry
 	RunMemoryFactor       float64       `json:"run_factor"`       // memory of a run divided by that of a queued request; at least 1
 	ResultReuseWindow     time.Duration `json:"share_for_ns"`     // how long a read result is reused for other requests; 0: never
 	NotifiesCanceled      bool          `json:"tells_gone"`       // the server is notified when a caller cancels a request
@@ -78,8 +78,8 @@
 // SafetySettings contains the parameters of rules that no server may violate; see admission.Settings.
 type SafetySettings struct {
 	AnswerGracePeriod time.Duration `json:"answer_slack_ns"` // how long after its deadline a response is accepted
-	SlowStartDuration time.Duration `json:"cold_ns"`         // max. duration of a slow start
-	SlowStartMinSpeed float64       `json:"cold_share"`      // min. speed during a slow start, 0 to 1
+	SlowStartDuration time.Duration `json:"cold_ns"`         // maximum duration of a slow start
+	SlowStartMinSpeed float64       `json:"cold_share"`      // minimum speed during a slow start, 0 to 1
 	DrainGracePeriod  time.Duration `json:"drain_grace_ns"`  // from the shutdown signal; later arrivals must not run
 	MaxRunsPerCore    float64       `json:"fall_multiple"`   // average of runs per core that a warm server sustains; at least 1
 	OverloadWindow    time.Duration `json:"fall_ns"`         // averaging window for MaxRunsPerCore
