--- a/internal/cluster/kv/golden_test.go
+++ b/internal/cluster/kv/golden_test.go
@@ -13,7 +13,7 @@
 	"oxbowbridge/internal/testrig/golden"
 )
 
-// TestGoldenTypes: log entries, snapshots and answers keep their JSON.
+// TestGoldenTypes checks that the JSON encoding of log entries, snapshots and responses is unchanged.
 func TestGoldenTypes(t *testing.T) {
 	golden.JSON(t, "testdata/types.golden",
 		golden.Sample{Name: "entry", Value: &Entry{}},
@@ -30,14 +30,15 @@
 	)
 }
 
-// TestGoldenKeys: names and limits that other nodes, backups and the log rely on.
+// TestGoldenKeys checks that the reserved keys and the limits are unchanged. Other nodes, backups and
+// existing logs depend on them.
 func TestGoldenKeys(t *testing.T) {
 	golden.Text(t, "testdata/keys.golden", fmt.Sprintln(
-		ReservedPrefix, ClusterKey, RestoreKey, PreviousClustersKey, RemovedPrefix, PreferredVoterPrefix, LeasesEnabledKey, StatePrefix,
-		MaxKeyBytes, MaxValueBytes, MaxKeys, MaxOps, MaxSessions, SessionWindow, MaxCachedResponseBytes, SessionTimeoutMS, maxClockAdvanceMS, checksumInterval, maxChecksumPoints, checksumPeriod))
+		ReservedPrefix, ClusterIDKey, RestoreMarkerKey, PreviousClustersKey, RemovedMemberPrefix, PreferredVoterPrefix, LeasesEnabledKey, ServiceStatePrefix,
+		MaxKeyBytes, MaxValueBytes, MaxKeys, MaxOps, MaxSessions, MaxCachedResponses, MaxCachedResponseBytes, SessionTimeoutMS, maxClockAdvanceMS, checksumInterval, maxChecksumPoints, checksumResetInterval))
 }
 
-// TestGoldenErrors: texts of errors, which answers over HTTP contain.
+// TestGoldenErrors checks that the error texts are unchanged. HTTP responses contain them.
 func TestGoldenErrors(t *testing.T) {
 	var lines strings.Builder
 	for _, err := range []error{ErrFull, ErrSessionNotFound, ErrStaleRequest, ErrFenced, ErrRestoring, ErrInvalidRequest} {
@@ -45,8 +46,8 @@
 	}
 	s := New()
 	for _, r := range []Request{
-		{Session: 1}, {Then: []Op{{Kind: "put"}}}, {Then: []Op{{Kind: "swap", Key: "a"}}}, {Then: []Op{{Kind: "get", Key: "a", Value: []byte("1")}}},
-		{Then: []Op{{Kind: "put", Key: "a", Value: []byte("null")}}}, {Session: 9, RequestNumber: 1}, {Fences: []lease.FencingToken{{Name: "job", Token: 3}}},
+		{SessionID: 1}, {Then: []Op{{Kind: "put"}}}, {Then: []Op{{Kind: "swap", Key: "a"}}}, {Then: []Op{{Kind: "get", Key: "a", Value: []byte("1")}}},
+		{Then: []Op{{Kind: "put", Key: "a", Value: []byte("null")}}}, {SessionID: 9, RequestNumber: 1}, {Fences: []lease.FencingToken{{Name: "job", Token: 3}}},
 	} {
 		_, _, err := s.Apply(1, &r)
 		fmt.Fprintln(&lines, err)
@@ -55,8 +56,8 @@
 	golden.Text(t, "testdata/errors.golden", lines.String())
 }
 
-// TestGoldenLog: a log as nodes have written it gives the same answers, changed keys,
-// running checksum and snapshot.
+// TestGoldenLog checks that applying a log of an earlier version still produces the same responses,
+// changed keys, running checksums and snapshot.
 func TestGoldenLog(t *testing.T) {
 	var lines strings.Builder
 	s := New()
@@ -73,12 +74,12 @@
 		`not a request`,
 	} {
 		var r Request
-		bad := json.Unmarshal([]byte(data), &r)
-		if bad != nil {
-			bad = errors.New("not read")
+		decodeErr := json.Unmarshal([]byte(data), &r)
+		if decodeErr != nil {
+			decodeErr = errors.New("not read")
 		}
-		a, changed, err := s.ApplyEntry(uint64(i+1), []byte(data), &r, bad)
-		text, marshalErr := json.Marshal(a)
+		response, changed, err := s.ApplyEntry(uint64(i+1), []byte(data), &r, decodeErr)
+		text, marshalErr := json.Marshal(response)
 		require.NoError(t, marshalErr)
 		fmt.Fprintln(&lines, i+1, string(text), changed, err, s.Checksum.StartIndex, s.Checksum.Sum)
 	}
@@ -86,9 +87,9 @@
 	require.NoError(t, err)
 	fmt.Fprintln(&lines, string(text))
 	golden.Text(t, "testdata/log.golden", lines.String())
-	read := New()
-	require.NoError(t, json.Unmarshal(text, read))
-	again, err := json.Marshal(read)
+	restored := New()
+	require.NoError(t, json.Unmarshal(text, restored))
+	reencoded, err := json.Marshal(restored)
 	require.NoError(t, err)
-	require.Equal(t, string(text), string(again))
+	require.Equal(t, string(text), string(reencoded))
 }
--- a/internal/cluster/raftstorage/snapshot_sink.go
+++ b/internal/cluster/raftstorage/snapshot_sink.go
@@ -8,54 +8,55 @@
 	"oxbowbridge/internal/storage/durable"
 )
 
-// snapshotSink writes a snapshot, chunk by chunk.
+// snapshotSink writes the content of a snapshot, chunk by chunk.
 type snapshotSink struct {
-	snapshots *snapshots
-	meta      raft.SnapshotMeta
-	buffer    []byte // not written yet
-	chunks    uint64 // written
-	ended     bool   // closed or cancelled
-	onClosed  func()
+	snapshots     *snapshotStore
+	meta          raft.SnapshotMeta
+	buffer        []byte // bytes that are not written yet
+	chunksWritten uint64
+	finished      bool // closed or cancelled
+	onClosed      func()
 }
 
-// ID is the snapshot's ID.
+// ID returns the ID of the snapshot.
 func (w *snapshotSink) ID() string { return w.meta.ID }
 
 func (w *snapshotSink) Write(p []byte) (int, error) {
 	w.buffer = append(w.buffer, p...)
 	w.meta.Size += int64(len(p))
 	for len(w.buffer) >= snapshotChunkBytes {
-		if err := w.flush(snapshotChunkBytes); err != nil {
+		if err := w.writeChunk(snapshotChunkBytes); err != nil {
 			return 0, err
 		}
 	}
 	return len(p), nil
 }
 
-// flush writes a chunk of n bytes.
-func (w *snapshotSink) flush(n int) error {
+// writeChunk writes the first n buffered bytes as the next chunk.
+func (w *snapshotSink) writeChunk(n int) error {
 	var b durable.Batch
-	b.Put(chunkKey(w.meta.ID, w.chunks), w.buffer[:n], 0)
+	b.Put(chunkKey(w.meta.ID, w.chunksWritten), w.buffer[:n], 0)
 	if _, err := w.snapshots.store.Apply(&b, durable.Buffered); err != nil {
 		return err
 	}
-	w.chunks++
+	w.chunksWritten++
 	w.buffer = append(w.buffer[:0], w.buffer[n:]...)
 	return nil
 }
 
-// Close makes the snapshot exist, and removes the older ones beyond retainedSnapshots.
+// Close writes the meta key, by which the snapshot comes into existence, and deletes the oldest
+// snapshots beyond retainedSnapshots.
 func (w *snapshotSink) Close() error {
-	if w.ended {
+	if w.finished {
 		return nil
 	}
-	w.ended = true
+	w.finished = true
 	if len(w.buffer) > 0 {
-		if err := w.flush(len(w.buffer)); err != nil {
+		if err := w.writeChunk(len(w.buffer)); err != nil {
 			return err
 		}
 	}
-	text, err := json.Marshal(w.meta)
+	encodedMeta, err := json.Marshal(w.meta)
 	if err != nil {
 		return err
 	}
@@ -66,22 +67,22 @@
 		return err
 	}
 	var b durable.Batch
-	b.Put(metaKey(w.meta.ID), text, 0)
+	b.Put(metaKey(w.meta.ID), encodedMeta, 0)
 	for _, older := range metas[min(len(metas), retainedSnapshots-1):] {
 		b.Delete(metaKey(older.ID))
 		deleteChunks(&b, older.ID)
 	}
-	_, err = w.snapshots.store.Apply(&b, durable.Synced) // the buffered chunks are synced with it
+	_, err = w.snapshots.store.Apply(&b, durable.Synced) // also syncs the chunks, which were written unsynced
 	w.onClosed()
 	return err
 }
 
-// Cancel removes what was written. After Close it does nothing.
+// Cancel deletes the written chunks. After Close it does nothing.
 func (w *snapshotSink) Cancel() error {
-	if w.ended {
+	if w.finished {
 		return nil
 	}
-	w.ended = true
+	w.finished = true
 	var b durable.Batch
 	deleteChunks(&b, w.meta.ID)
 	_, err := w.snapshots.store.Apply(&b, durable.Buffered)
--- a/internal/cluster/raftstorage/watermark.go
+++ b/internal/cluster/raftstorage/watermark.go
@@ -9,33 +9,35 @@
 	"oxbowbridge/internal/cluster/diskidentity"
 )
 
-// currentTermKey is Raft's stable key for the current term.
+// currentTermKey is the stable key under which Raft stores its current term.
 const currentTermKey = "CurrentTerm"
 
-// lastEntryAttempts is how often the last entry is read: it may be cut off after its index was
-// looked up.
-const lastEntryAttempts = 3
+// lastEntryReadAttempts is how many times reading the last log entry is attempted. Raft may delete the
+// entry between the lookup of its index and the read.
+const lastEntryReadAttempts = 3
 
-// Watermark is how far the disk has come, without the number of its starts.
-func (s *Storage) Watermark() (mark diskidentity.Watermark, err error) {
-	if mark.Term, err = s.GetUint64([]byte(currentTermKey)); err != nil {
-		return mark, fmt.Errorf("term: %w", err)
+// Watermark returns the watermark of the disk: the current term, and the term and index of the last log
+// entry or, if the log is empty, of the newest snapshot. The number of starts is not set.
+func (s *Storage) Watermark() (watermark diskidentity.Watermark, err error) {
+	if watermark.Term, err = s.GetUint64([]byte(currentTermKey)); err != nil {
+		return watermark, fmt.Errorf("read current term: %w", err)
 	}
-	found, err := s.lastEntry(&mark)
+	found, err := s.readLastEntry(&watermark)
 	if err != nil || found {
-		return mark, err
+		return watermark, err
 	}
 	metas, err := s.List()
 	if err == nil && len(metas) > 0 {
-		mark.LastTerm = metas[0].Term
-		mark.LastIndex = metas[0].Index
+		watermark.LastTerm = metas[0].Term
+		watermark.LastIndex = metas[0].Index
 	}
-	return mark, err
+	return watermark, err
 }
 
-// lastEntry sets the log's part of a watermark, if the log has an entry.
-func (s *Storage) lastEntry(mark *diskidentity.Watermark) (found bool, err error) {
-	for range lastEntryAttempts {
+// readLastEntry sets LastTerm and LastIndex of watermark to the term and index of the last log entry. It
+// returns false if it found no entry.
+func (s *Storage) readLastEntry(watermark *diskidentity.Watermark) (found bool, err error) {
+	for range lastEntryReadAttempts {
 		_, last := s.log.Bounds()
 		if last == 0 {
 			return false, nil
@@ -43,8 +45,8 @@
 		var entry raft.Log
 		err := s.GetLog(last, &entry)
 		if err == nil {
-			mark.LastTerm = entry.Term
-			mark.LastIndex = last
+			watermark.LastTerm = entry.Term
+			watermark.LastIndex = last
 			return true, nil
 		}
 		if !errors.Is(err, raft.ErrLogNotFound) {
--- a/internal/cluster/singleton/sessions.go
+++ b/internal/cluster/singleton/sessions.go
@@ -11,23 +11,23 @@
 	"oxbowbridge/internal/cluster/store"
 )
 
-// sessionExpiryInterval is how often the log's time is moved on while sessions are open.
-const sessionExpiryInterval = 30 * time.Second
+// idleSessionCheckInterval is how often expireSessions advances the log time while sessions are open.
+const idleSessionCheckInterval = 30 * time.Second
 
 func sessionTask(s *store.Store) leaseclient.Task {
 	return leaseclient.Task{
-		Name: LeaseSessions,
-		TTL:  leaseTTL,
+		Name: SessionExpiryLease,
+		TTL:  taskLeaseTTL,
 		Run: func(ctx context.Context, l *leaseclient.Lease) error {
 			return expireSessions(ctx, s, l.FencingToken())
 		},
 	}
 }
 
-// expireSessions commits empty requests, whose time moves the log's time on while there is no other write. Idle
-// sessions end by it.
+// expireSessions periodically commits an empty request. Its timestamp advances the log time even without
+// other writes, so that idle sessions expire.
 func expireSessions(ctx context.Context, s *store.Store, fence lease.FencingToken) error {
-	ticker := time.NewTicker(sessionExpiryInterval)
+	ticker := time.NewTicker(idleSessionCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -39,7 +39,7 @@
 			continue
 		}
 		if _, err := s.ExecuteOrForward(ctx, kv.Request{Fences: []lease.FencingToken{fence}}); err != nil {
-			return fmt.Errorf("end sessions: %w", err)
+			return fmt.Errorf("expire idle sessions: %w", err)
 		}
 	}
 }
--- a/internal/cluster/store/disk_state.go
+++ b/internal/cluster/store/disk_state.go
@@ -11,7 +11,7 @@
 )
 
 // Keys of the values that a node stores beside its log (raftstorage.PutLocal). The stored names are part
-// of the disk format and must not change. The cluster's ID is stored under kv.ClusterKey. The last good
+// of the disk format and must not change. The cluster's ID is stored under kv.ClusterIDKey. The last good
 // version of a replicated key is stored under that key (SaveLastGood).
 const (
 	diskIDKey         = "disk"   // the disk's identity
--- a/internal/cluster/store/majority_loss.go
+++ b/internal/cluster/store/majority_loss.go
@@ -45,7 +45,7 @@
 	if err := node.rewriteLog(self, report); err != nil {
 		return report, fmt.Errorf("rewrite log for the new cluster: %w", err)
 	}
-	if err := node.storage.PutLocal(kv.ClusterKey, []byte(report.NewCluster)); err != nil {
+	if err := node.storage.PutLocal(kv.ClusterIDKey, []byte(report.NewCluster)); err != nil {
 		return report, fmt.Errorf("save cluster id: %w", err)
 	}
 	return report, nil
@@ -81,12 +81,12 @@
 		json.Unmarshal(e.Value, &previous) // always valid JSON written by this package
 	}
 	previous = append(previous, r.previousCluster)
-	for key, value := range map[string]any{kv.ClusterKey: r.clusterID, kv.PreviousClustersKey: previous} {
+	for key, value := range map[string]any{kv.ClusterIDKey: r.clusterID, kv.PreviousClustersKey: previous} {
 		encoded, err := json.Marshal(value)
 		if err != nil {
 			return nil, err
 		}
-		data.Entries[key] = kv.Entry{Value: encoded, ModRevision: data.Applied, CreateRevision: data.Applied, Version: 1}
+		data.Entries[key] = kv.Entry{Value: encoded, ModRevision: data.AppliedIndex, CreateRevision: data.AppliedIndex, Version: 1}
 	}
 	return &snapshot{data}, nil
 }
--- a/internal/cluster/store/members.go
+++ b/internal/cluster/store/members.go
@@ -94,7 +94,7 @@
 func (s *Store) removedNames() (names []string) {
 	all, _ := s.state.entries()
 	for key := range all {
-		if name, ok := strings.CutPrefix(key, kv.RemovedPrefix); ok {
+		if name, ok := strings.CutPrefix(key, kv.RemovedMemberPrefix); ok {
 			names = append(names, name)
 		}
 	}
@@ -120,7 +120,7 @@
 	out = storeapi.Members{
 		Leader:       s.self.Name,
 		ConfigIndex:  observed.conf.Index,
-		WantedVoters: s.cfg.membershipPolicy().TargetVoters,
+		TargetVoters: s.cfg.membershipPolicy().TargetVoters,
 		Removed:      s.removedNames(),
 	}
 	for _, m := range observed.view.Members {
@@ -143,7 +143,7 @@
 	}
 	if step.ID == m.ID {
 		row.NextStep = step.Kind.String()
-		row.Reason = step.Reason
+		row.NextStepReason = step.Reason
 	}
 	return row
 }
@@ -167,7 +167,7 @@
 	case containsMemberName(voters, name) && len(voters) == 1:
 		return fmt.Errorf("%w: %s is the only voter", ErrMemberRejected, name)
 	}
-	return s.recordIntent(kv.RemovedPrefix+name, kv.PreferredVoterPrefix+name)
+	return s.recordIntent(kv.RemovedMemberPrefix+name, kv.PreferredVoterPrefix+name)
 }
 
 // AllowRejoin allows a removed node to join again. It does not add the member: the node itself requests
@@ -176,7 +176,7 @@
 	if !namePattern.MatchString(name) {
 		return fmt.Errorf("%w: name: %q", kv.ErrInvalidRequest, name)
 	}
-	return s.recordIntent("", kv.RemovedPrefix+name)
+	return s.recordIntent("", kv.RemovedMemberPrefix+name)
 }
 
 // PreferAsVoter records that a node is promoted to voter before nodes without this preference.
