--- a/internal/storage/durable/plan/planner_test.go
+++ b/internal/storage/durable/plan/planner_test.go
@@ -16,7 +16,7 @@
 // TestMain sets a fixed seed for rapid, unless a seed is given.
 func TestMain(m *testing.M) {
 	flag.Parse()
-	rapidseed.Fix()
+	rapidseed.SetDefault()
 	os.Exit(m.Run())
 }
 
