--- a/tests/fronts_test.go
+++ b/tests/fronts_test.go
@@ -87,7 +87,7 @@
 		status int
 		logs   string
 	}{
-		{"/call/nom-submit", fieldsOf(newTrace()), big, 413, "body of more than"},
+		{"/call/nom-submit", fieldsOf(newTrace()), big, 413, "body exceeds"},
 		{"/call/other", fieldsOf(newTrace()), nil, 400, "no such class"},
 		{"/call/nom-submit", map[string]string{"Trace-Id": "xyz"}, nil, 400, "Trace-Id"},
 		{"/call/nom-submit", past, nil, 400, "Reserve-Kb"},
