--- a/bench/durable/compaction.go
+++ b/bench/durable/compaction.go
@@ -26,10 +26,10 @@
 // compactionResults are the latencies of puts in ms, by quantile and round, and the work
 // of maintenance in the rounds with maintenance.
 type compactionResults struct {
-	idle        [][]float64
-	busy        [][]float64
-	movedBytes  int64
-	checkpoints int64
+	idle              [][]float64
+	duringMaintenance [][]float64
+	movedBytes        int64
+	checkpoints       int64
 }
 
 // compaction compares the latency of puts during compactions and checkpoints with the
@@ -37,19 +37,19 @@
 func (b *bench) compaction() error {
 	fmt.Print("\n## A put during maintenance\n\n| quantile | idle, ms | compacting, ms | ratio |\n| --- | --- | --- | --- |\n")
 	f := compactionResults{
-		idle: make([][]float64, len(compactionQuantiles)),
-		busy: make([][]float64, len(compactionQuantiles)),
+		idle:              make([][]float64, len(compactionQuantiles)),
+		duringMaintenance: make([][]float64, len(compactionQuantiles)),
 	}
 	for round := range b.rounds {
-		for _, working := range []bool{false, true} {
-			if err := b.compactionRound(&f, round, working); err != nil {
+		for _, withMaintenance := range []bool{false, true} {
+			if err := b.compactionRound(&f, round, withMaintenance); err != nil {
 				return err
 			}
 		}
 	}
 	for i, quantile := range compactionQuantiles {
 		fmt.Printf("| %g%% | %s | %s | %s |\n", quantile, medianAndRange(f.idle[i], "%.2f"),
-			medianAndRange(f.busy[i], "%.2f"), medianAndRange(ratios(f.busy[i], f.idle[i]), "%.2f"))
+			medianAndRange(f.duringMaintenance[i], "%.2f"), medianAndRange(ratios(f.duringMaintenance[i], f.idle[i]), "%.2f"))
 	}
 	fmt.Printf("\n%d puts/s of %d B over %d keys; %.1f MB were moved and %d checkpoints taken during the puts.\n",
 		compactionPutsPerSecond, compactionValueBytes, compactionKeys, float64(f.movedBytes)/1e6, f.checkpoints)
@@ -57,12 +57,12 @@
 }
 
 // compactionRound measures one new store. Half of its log is dead data.
-func (b *bench) compactionRound(f *compactionResults, round int, working bool) error {
+func (b *bench) compactionRound(f *compactionResults, round int, withMaintenance bool) error {
 	options := durable.Options{}
-	if !working { // limits so high that no maintenance is due
+	if !withMaintenance { // limits so high that no maintenance is due
 		options.Maintenance = plan.Limits{MinCheckpointLogBytes: 1 << 40, GarbageRatio: 1e6, PendingDropRatio: 1e6}
 	}
-	path := filepath.Join(b.dir, fmt.Sprint("compaction-", working, round))
+	path := filepath.Join(b.dir, fmt.Sprint("compaction-", withMaintenance, round))
 	defer os.RemoveAll(path)
 	store, err := openStore(path, options)
 	if err != nil {
@@ -79,8 +79,8 @@
 	}
 	after := store.Stats()
 	figures := f.idle
-	if working {
-		figures = f.busy
+	if withMaintenance {
+		figures = f.duringMaintenance
 		f.movedBytes += after.MovedBytes - before.MovedBytes
 		f.checkpoints += after.Checkpoints - before.Checkpoints
 	}
@@ -90,7 +90,8 @@
 	return store.Close()
 }
 
-// overwriteOnce puts twice as many values as there are keys.
+// overwriteOnce puts twice as many values as there are keys, so that about half of the log
+// is dead data.
 func overwriteOnce(store *durable.Store, rng *rand.Rand) error {
 	const syncInterval = 1000 // puts
 	for i := range compactionKeys * 2 {
--- a/bench/durable/main.go
+++ b/bench/durable/main.go
@@ -22,20 +22,20 @@
 	dir          string
 	rounds       int
 	keys         int           // number of keys of the large stores
-	loadDuration time.Duration // of each measurement of writes
+	loadDuration time.Duration // duration of each measurement of writes
 }
 
 func main() {
 	log.SetFlags(0)
 	b := bench{}
-	only := ""
+	tableNames := ""
 	flag.StringVar(&b.dir, "dir", "", "parent folder of the temporary files (default: the system's temporary folder)")
 	flag.IntVar(&b.rounds, "rounds", 3, "number of repetitions of each measurement")
 	flag.IntVar(&b.keys, "keys", 1_000_000, "number of keys of the large stores")
 	flag.DurationVar(&b.loadDuration, "span", time.Second, "duration of each measurement of writes")
-	flag.StringVar(&only, "only", "puts,compaction,open,space,index", "comma-separated names of the tables to measure")
+	flag.StringVar(&tableNames, "only", "puts,compaction,open,space,index", "comma-separated names of the tables to measure")
 	flag.Parse()
-	if err := b.run(only); err != nil {
+	if err := b.run(tableNames); err != nil {
 		log.Fatal(err)
 	}
 }
--- a/internal/storage/durable/batch_header.go
+++ b/internal/storage/durable/batch_header.go
@@ -28,9 +28,9 @@
 	seq              uint64
 	syncedSeq        uint64 // all batches up to this one were on disk when this one was written
 	opCount          uint32
-	previousChecksum uint32 // of the previous batch's header; it chains the batches
+	previousChecksum uint32 // checksum of the previous batch's header
 	payloadChecksum  uint32
-	checksum         uint32 // of this header
+	checksum         uint32 // checksum of this header
 }
 
 // encode sets the payload length and the checksums, writes the header to b and returns
--- a/internal/storage/durable/corrupt_test.go
+++ b/internal/storage/durable/corrupt_test.go
@@ -64,9 +64,9 @@
 	if err == nil {
 		got, damaged := readState(t, s)
 		if i := slices.Index(b.states, got); i < 0 && damaged == 0 || damaged > 0 && !isSubsetOfAnyState(b, got) {
-			t.Errorf("%s: no such state: %s\n%+v", what, got, r)
+			t.Errorf("%s: state never existed: %s\n%+v", what, got, r)
 		} else if damaged == 0 && !slices.Contains(b.states[max(0, len(b.states)-1-maxLostBatches):], got) {
-			t.Errorf("%s: the state is older than it may be\n%+v", what, r)
+			t.Errorf("%s: state is older than allowed\n%+v", what, r)
 		}
 		if err := s.Close(); err != nil {
 			t.Errorf("%s: %v", what, err)
@@ -75,7 +75,7 @@
 	}
 	var d *DamagedError
 	if !errors.As(err, &d) || len(d.Report.Faults) == 0 {
-		t.Errorf("%s: not a typed error: %v", what, err)
+		t.Errorf("%s: want a DamagedError with faults, got: %v", what, err)
 		return false
 	}
 	if f.Steps() != before {
@@ -96,7 +96,7 @@
 		return false
 	}
 	if got, _ := readState(t, s); !isSubsetOfAnyState(b, got) {
-		t.Errorf("%s: after repair, no such state: %s", what, got)
+		t.Errorf("%s: after repair, state never existed: %s", what, got)
 	}
 	if err := s.Put([]byte("after"), []byte(repeatedNumber(3, 30))); err != nil {
 		t.Errorf("%s: after repair: %v", what, err)
@@ -119,9 +119,9 @@
 // removes every file. No damage may give a state that never existed.
 func TestEveryByteDamaged(t *testing.T) {
 	b, images := newWorkloadImages(t)
-	patterns, repairs := []byte{0x01, 0x80, 0xff}, 23
+	patterns, repairInterval := []byte{0x01, 0x80, 0xff}, 23
 	if *longRun {
-		patterns, repairs = []byte{0x01, 0x02, 0x04, 0x08, 0x10, 0x20, 0x40, 0x80, 0xff, 0x55}, 1
+		patterns, repairInterval = []byte{0x01, 0x02, 0x04, 0x08, 0x10, 0x20, 0x40, 0x80, 0xff, 0x55}, 1
 	}
 	for when, image := range images {
 		var opened, rejected atomic.Int64
@@ -137,7 +137,7 @@
 				}
 				c := maps.Clone(image)
 				c[name] = changed
-				if checkOpenOfDamagedFolder(t, b, c, fmt.Sprintf("%s, %s %s byte %d", when, name, what, i), maxLostBatches, i%repairs == 0) {
+				if checkOpenOfDamagedFolder(t, b, c, fmt.Sprintf("%s, %s %s byte %d", when, name, what, i), maxLostBatches, i%repairInterval == 0) {
 					opened.Add(1)
 				} else {
 					rejected.Add(1)
@@ -214,11 +214,11 @@
 		require.NoError(t, s.Sync())
 		s.maintenance.stop()
 	}
-	f, old := &faultfs.FS{}, &faultfs.FS{}
+	f, oldFS := &faultfs.FS{}, &faultfs.FS{}
 	writeBatches(f, "new")
-	writeBatches(old, "old")
+	writeBatches(oldFS, "old")
 	name := segmentName(1)
-	image, oldContent := f.Image(), old.Image()[name]
+	image, oldContent := f.Image(), oldFS.Image()[name]
 	batchLen := (len(image[name]) - headerLen) / 4
 	image[name] = append(image[name][:headerLen+2*batchLen:headerLen+2*batchLen], oldContent[headerLen+2*batchLen:]...)
 	s, _, err := Open(faultfs.FromImage(image), smallOptions())
@@ -236,7 +236,7 @@
 	b, images := newWorkloadImages(t)
 	image := images["closed"]
 	names := slices.Sorted(maps.Keys(image))
-	segments, checkpoints, damages := []string{}, []string{}, 0
+	segments, checkpoints, repairedDamages := []string{}, []string{}, 0
 	for _, name := range names {
 		switch {
 		case strings.HasSuffix(name, segmentSuffix):
@@ -257,7 +257,7 @@
 	for _, name := range segments {
 		damage = append(damage, func(c map[string][]byte) { c[name] = c[name][:len(c[name])/2] }, func(c map[string][]byte) { delete(c, name) })
 	}
-	for d, corrupt := range damage {
+	for damageIndex, corrupt := range damage {
 		c := map[string][]byte{}
 		for name, data := range image {
 			c[name] = slices.Clone(data)
@@ -267,32 +267,32 @@
 		if _, err := Repair(faultless, smallOptions()); errors.Is(err, ErrUnrecoverable) || faultless.Steps() == 0 {
 			continue
 		}
-		damages++
-		for k := 1; k <= faultless.Steps(); k++ {
+		repairedDamages++
+		for crashStep := 1; crashStep <= faultless.Steps(); crashStep++ {
 			for seed := range uint64(4) {
 				f := faultfs.FromImage(c)
 				f.FaultAt = func(step int, _, _ string) faultfs.Fault {
-					if step == k {
+					if step == crashStep {
 						return faultfs.Crash
 					}
 					return faultfs.NoFault
 				}
 				_, err := Repair(f, smallOptions())
 				require.Error(t, err)
-				f = f.AfterCrash(rand.New(rand.NewPCG(uint64(k), seed)), []float64{0, 0.5, 1, 0.8}[seed])
+				f = f.AfterCrash(rand.New(rand.NewPCG(uint64(crashStep), seed)), []float64{0, 0.5, 1, 0.8}[seed])
 				s, _, err := Open(f, smallOptions())
 				if errors.Is(err, ErrDamaged) {
 					_, err = Repair(f, smallOptions())
-					require.NoError(t, err, "damage %d, step %d, seed %d", d, k, seed)
+					require.NoError(t, err, "damage %d, step %d, seed %d", damageIndex, crashStep, seed)
 					s, _, err = Open(f, smallOptions())
 				}
-				require.NoError(t, err, "damage %d, step %d, seed %d", d, k, seed)
+				require.NoError(t, err, "damage %d, step %d, seed %d", damageIndex, crashStep, seed)
 				got, _ := readState(t, s)
-				require.True(t, isSubsetOfAnyState(b, got), "damage %d, step %d, seed %d: %s", d, k, seed, got)
+				require.True(t, isSubsetOfAnyState(b, got), "damage %d, step %d, seed %d: %s", damageIndex, crashStep, seed, got)
 				require.NoError(t, s.Put([]byte("after"), []byte(repeatedNumber(3, 30))))
 				require.NoError(t, s.Close())
 			}
 		}
 	}
-	require.Greater(t, damages, 4)
+	require.Greater(t, repairedDamages, 4)
 }
--- a/internal/storage/durable/crash_test.go
+++ b/internal/storage/durable/crash_test.go
@@ -45,10 +45,10 @@
 	if *longRun {
 		seeds = 40
 	}
-	runParallel(t, steps, func(k int) {
+	runParallel(t, steps, func(stepIndex int) {
 		for _, fault := range []faultfs.Fault{faultfs.Crash, faultfs.IOError, faultfs.ShortWrite} {
 			f := &faultfs.FS{FaultAt: func(step int, _, _ string) faultfs.Fault {
-				if step == k+1 {
+				if step == stepIndex+1 {
 					return fault
 				}
 				return faultfs.NoFault
@@ -62,42 +62,42 @@
 				}
 			}
 			if fault == faultfs.Crash && err == nil {
-				t.Errorf("step %d: a crash caused no error", k+1)
+				t.Errorf("step %d: a crash caused no error", stepIndex+1)
 			}
 			for seed := range seeds {
-				keep := []float64{0.5, 0, 1, 0.9}[seed%4]
-				g := f.AfterCrash(rand.New(rand.NewPCG(uint64(k), seed)), keep)
+				survivalProbability := []float64{0.5, 0, 1, 0.9}[seed%4]
+				crashedFS := f.AfterCrash(rand.New(rand.NewPCG(uint64(stepIndex), seed)), survivalProbability)
 				if seed%4 == 0 && fault == faultfs.Crash {
-					crashDuringRecovery(t, b, g, seed)
+					crashDuringRecovery(t, b, crashedFS, seed)
 				}
-				checkRecoveredState(t, b, g, fmt.Sprintf("%v at step %d, seed %d", fault, k+1, seed))
+				checkRecoveredState(t, b, crashedFS, fmt.Sprintf("%v at step %d, seed %d", fault, stepIndex+1, seed))
 			}
 		}
 	})
 }
 
 // crashDuringRecovery injects a crash at each I/O step of the recovery in turn.
-func crashDuringRecovery(t *testing.T, b *workload, g *faultfs.FS, seed uint64) {
-	image := g.Image()
-	for k := 1; ; k++ {
-		h := faultfs.FromImage(image)
-		h.FaultAt = func(step int, _, _ string) faultfs.Fault {
-			if step == k {
+func crashDuringRecovery(t *testing.T, b *workload, crashedFS *faultfs.FS, seed uint64) {
+	image := crashedFS.Image()
+	for crashStep := 1; ; crashStep++ {
+		recoveryFS := faultfs.FromImage(image)
+		recoveryFS.FaultAt = func(step int, _, _ string) faultfs.Fault {
+			if step == crashStep {
 				return faultfs.Crash
 			}
 			return faultfs.NoFault
 		}
-		s, _, err := Open(h, smallOptions())
+		s, _, err := Open(recoveryFS, smallOptions())
 		if err == nil {
-			h.FaultAt = nil
+			recoveryFS.FaultAt = nil
 			s.Close()
 			return
 		}
 		if errors.Is(err, ErrDamaged) {
-			t.Errorf("recovery, step %d: %v", k, err)
+			t.Errorf("recovery, step %d: %v", crashStep, err)
 			return
 		}
-		checkRecoveredState(t, b, h.AfterCrash(rand.New(rand.NewPCG(uint64(k), seed)), 0.5), fmt.Sprintf("recovery, step %d", k))
+		checkRecoveredState(t, b, recoveryFS.AfterCrash(rand.New(rand.NewPCG(uint64(crashStep), seed)), 0.5), fmt.Sprintf("recovery, step %d", crashStep))
 	}
 }
 
@@ -114,7 +114,7 @@
 		t.Errorf("%s: %d values are damaged", description, damaged)
 	}
 	if r.Loss == AcknowledgedLoss || !slices.Contains(b.states[b.acknowledged:], got) {
-		t.Errorf("%s: not a state from %d on: %s\n%+v", description, b.acknowledged, got, r)
+		t.Errorf("%s: got no state from %d onward: %s\n%+v", description, b.acknowledged, got, r)
 	}
 	if err := s.Put([]byte("after"), []byte(repeatedNumber(1, 30))); err != nil {
 		t.Errorf("%s: %v", description, err)
--- a/internal/storage/durable/errors.go
+++ b/internal/storage/durable/errors.go
@@ -10,7 +10,7 @@
 var (
 	// ErrNotFound means that the key does not exist or has expired.
 	ErrNotFound = errors.New("key not found")
-	// ErrClosed means that the store, or the snapshot, was closed.
+	// ErrClosed means that the store or the snapshot is closed.
 	ErrClosed = errors.New("store is closed")
 	// ErrFull means that the batch was rejected for lack of disk space and nothing of
 	// it was stored. Deletes still work.
@@ -22,7 +22,7 @@
 	// ErrDamaged means that data which was acknowledged, or may have been, can't be read.
 	ErrDamaged = errors.New("store is damaged")
 	// ErrUnrecoverable means that no consistent state can be recovered.
-	ErrUnrecoverable = errors.New("nothing can be recovered")
+	ErrUnrecoverable = errors.New("no consistent state can be recovered")
 	// ErrTooManySnapshots means that Options.MaxSnapshots snapshots are open already.
 	ErrTooManySnapshots = errors.New("too many open snapshots")
 )
@@ -39,8 +39,8 @@
 	ErrRangeOrder = errors.New("range ends before its start")
 )
 
-// DamagedError says why a folder was not opened. It matches ErrDamaged, and
-// ErrUnrecoverable if the report says so.
+// DamagedError is the error for a folder that was not opened because of damage. It
+// matches ErrDamaged, and ErrUnrecoverable if Report.Unrecoverable is set.
 type DamagedError struct{ Report *Report }
 
 // Error lists the faults of the report.
@@ -52,7 +52,7 @@
 	return fmt.Sprintf("%v: %s", ErrDamaged, strings.Join(faults, "; "))
 }
 
-// Is matches ErrDamaged, and ErrUnrecoverable if the report says so.
+// Is matches ErrDamaged, and ErrUnrecoverable if Report.Unrecoverable is set.
 func (e *DamagedError) Is(target error) bool {
 	return target == ErrDamaged || target == ErrUnrecoverable && e.Report.Unrecoverable
 }
--- a/internal/storage/durable/faultfs/faultfs.go
+++ b/internal/storage/durable/faultfs/faultfs.go
@@ -45,8 +45,8 @@
 
 	mu      sync.Mutex
 	files   map[string]*inode
-	synced  map[string]*inode // as of the last SyncDir
-	pending []dirChange       // since the last SyncDir
+	synced  map[string]*inode // files at the last SyncDir
+	pending []dirChange       // changes since the last SyncDir
 	locked  bool
 	steps   int // number of operations that changed the folder, including failed ones
 	crashed bool
@@ -56,7 +56,7 @@
 
 // dirChange is a change of a file name since the last SyncDir.
 type dirChange struct {
-	removed string // "" if none
+	removed string // removed name; "" if none
 	added   string
 	target  *inode // file of the added name; nil if none
 }
--- a/internal/storage/durable/faultfs/file.go
+++ b/internal/storage/durable/faultfs/file.go
@@ -92,7 +92,7 @@
 	return int64(len(m.inode.data)), nil
 }
 
-// Close does nothing; the file may still be used.
+// Close does nothing; the file remains usable.
 func (m *memFile) Close() error { return nil }
 
 // writeAt writes p to data at an offset and returns data, extended if necessary.
--- a/internal/storage/durable/index.go
+++ b/internal/storage/durable/index.go
@@ -134,15 +134,15 @@
 		e.size = uint32(o.size)
 	}
 	old, replaced := x.tree.Set(e)
-	x.account(&e, 1, seq)
+	x.updateCounts(&e, 1, seq)
 	if replaced {
-		x.account(&old, -1, seq)
+		x.updateCounts(&old, -1, seq)
 	}
 }
 
 func (x *index) delete(seq uint64, e indexEntry) {
 	if old, ok := x.tree.Delete(e); ok {
-		x.account(&old, -1, seq)
+		x.updateCounts(&old, -1, seq)
 	}
 }
 
@@ -162,10 +162,10 @@
 	}
 }
 
-// account updates the counts when an entry is added (sign 1) or removed (sign -1).
-func (x *index) account(e *indexEntry, sign int64, seq uint64) {
+// updateCounts updates the counts when an entry is added (sign 1) or removed (sign -1).
+func (x *index) updateCounts(e *indexEntry, sign int64, seq uint64) {
 	x.liveBytes += sign * e.liveBytes()
-	x.accountExpiry(e, sign)
+	x.updateExpirations(e, sign)
 	if e.place == valueLost {
 		x.valuesLost += sign
 	}
@@ -182,10 +182,10 @@
 	}
 }
 
-// accountExpiry adds or removes the expiration of an entry. A put calls it for the new
+// updateExpirations adds or removes the expiration of an entry. A put calls it for the new
 // entry before the replaced one, so it must not remove an expiration that the new entry
 // has as well.
-func (x *index) accountExpiry(e *indexEntry, sign int64) {
+func (x *index) updateExpirations(e *indexEntry, sign int64) {
 	if e.expiry <= 0 {
 		return
 	}
@@ -201,7 +201,7 @@
 // loadSorted adds an entry of a checkpoint. Calls must be in ascending order of keys.
 func (x *index) loadSorted(e indexEntry) {
 	x.tree.Load(e)
-	x.account(&e, 1, 0)
+	x.updateCounts(&e, 1, 0)
 }
 
 // markLost marks entries whose value can't be read.
@@ -213,7 +213,7 @@
 		marked.offset = 0
 		marked.size = 0
 		x.tree.Set(marked)
-		x.account(&marked, 1, seq)
-		x.account(&old, -1, seq)
+		x.updateCounts(&marked, 1, seq)
+		x.updateCounts(&old, -1, seq)
 	}
 }
--- a/internal/storage/durable/inspect.go
+++ b/internal/storage/durable/inspect.go
@@ -55,7 +55,7 @@
 	LiveBytes               int64 `json:"live_bytes"`
 	KeysOnDisk              int64 `json:"keys_on_disk"` // number of keys whose value would not be in memory
 	LogBytesSinceCheckpoint int64 `json:"log_behind_bytes"`
-	QuarantinedFiles        int   `json:"files_set_aside"` // by repairs
+	QuarantinedFiles        int   `json:"files_set_aside"` // files that repairs renamed with the prefix "damaged-"
 }
 
 // Stats returns the statistics of the folder.
--- a/internal/storage/durable/maintenance.go
+++ b/internal/storage/durable/maintenance.go
@@ -18,7 +18,7 @@
 type maintainer struct {
 	store      *Store
 	start      time.Time
-	manualTime atomic.Int64  // in ns, of the last RunMaintenance
+	manualTime atomic.Int64  // time passed to the last RunMaintenance, in ns
 	quit       chan struct{} // closed to stop
 	loopDone   chan struct{} // closed when the loop has returned
 
@@ -31,7 +31,7 @@
 	lastStepFailed  bool
 
 	errMu   sync.Mutex
-	lastErr error // of the last step; nil if it succeeded
+	lastErr error // error of the last step; nil if the step succeeded
 }
 
 func (m *maintainer) init(s *Store, r *recovery) {
@@ -149,7 +149,7 @@
 	if err := m.store.ReadOnlyError(); err != nil {
 		return stepResult{}, err
 	}
-	state := m.observe()
+	state := m.planState()
 	state.ReclaimAll = mode == reclaimAll
 	m.lastStepFailed = false
 	step := m.planner.Next(state)
--- a/internal/storage/durable/maintenance_state.go
+++ b/internal/storage/durable/maintenance_state.go
@@ -8,8 +8,8 @@
 	"oxbowbridge/internal/storage/durable/plan"
 )
 
-// observe returns the state for the planner.
-func (m *maintainer) observe() plan.State {
+// planState returns the state for the planner.
+func (m *maintainer) planState() plan.State {
 	s := m.store
 	state := plan.State{
 		Now:                     m.now(),
@@ -33,12 +33,12 @@
 	s.manifestMu.Unlock()
 	state.OlderCheckpointSeq = olderCheckpoint.seq
 	state.OlderCheckpointSegment = olderCheckpoint.segment
-	s.observeIndex(&state)
+	s.addIndexState(&state)
 	return state
 }
 
-// observeIndex adds the snapshots and segments to the state.
-func (s *Store) observeIndex(state *plan.State) {
+// addIndexState adds the snapshots and segments to the state.
+func (s *Store) addIndexState(state *plan.State) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	state.Seq = s.seq
--- a/internal/storage/durable/manifest.go
+++ b/internal/storage/durable/manifest.go
@@ -10,7 +10,7 @@
 const (
 	// manifestLen is the length of the manifest in bytes.
 	manifestLen = 128
-	// retainedCheckpoints is how many checkpoints the manifest names, oldest first. If
+	// retainedCheckpoints is the number of checkpoints in the manifest, oldest first. If
 	// the newest can't be read, recovery loads the other one and replays more of the log.
 	retainedCheckpoints = 2
 	// newestCheckpoint is the index of the newest checkpoint in manifest.checkpoints.
--- a/internal/storage/durable/model_test.go
+++ b/internal/storage/durable/model_test.go
@@ -107,17 +107,17 @@
 	b.expire("key", 4)
 	f.Add(b.payload, uint32(b.opCount))
 	f.Fuzz(func(t *testing.T, payload []byte, ops uint32) {
-		var again []byte
+		var reencoded []byte
 		if err := forEachOp(payload, ops, func(o op) error {
-			end := again
-			again = appendOp(again, o)
+			end := reencoded
+			reencoded = appendOp(reencoded, o)
 			if o.kind == opPut || o.kind == opMove {
-				copy(again[len(again)-checksumLen:], payload[o.offset+o.size-checksumLen:])
+				copy(reencoded[len(reencoded)-checksumLen:], payload[o.offset+o.size-checksumLen:])
 			}
-			require.Equal(t, o.size, len(again)-len(end))
+			require.Equal(t, o.size, len(reencoded)-len(end))
 			return nil
 		}); err == nil {
-			require.Equal(t, string(payload), string(again), "an operation has one encoding only")
+			require.Equal(t, string(payload), string(reencoded), "an operation has one encoding only")
 		}
 		parseBatchHeader(payload, ops)
 	})
@@ -152,9 +152,9 @@
 			return
 		}
 		require.Equal(t, e.key(), string(key))
-		again, _, _, err := parseEntry(appendEntry(nil, &e, last, seq), []byte(last), seq)
+		reparsed, _, _, err := parseEntry(appendEntry(nil, &e, last, seq), []byte(last), seq)
 		require.NoError(t, err)
-		require.Equal(t, e, again)
+		require.Equal(t, e, reparsed)
 		require.LessOrEqual(t, len(rest), len(b))
 	})
 }
@@ -183,8 +183,8 @@
 			peak = max(peak, b.store.Stats().UsedBytes)
 		}
 	}
-	st := b.store.Stats()
-	t.Logf("live data: %d bytes, peak usage: %d bytes", st.LiveBytes, peak)
-	require.Less(t, float64(peak), 2.5*float64(st.LiveBytes))
+	stats := b.store.Stats()
+	t.Logf("live data: %d bytes, peak usage: %d bytes", stats.LiveBytes, peak)
+	require.Less(t, float64(peak), 2.5*float64(stats.LiveBytes))
 	require.NoError(t, b.store.Close())
 }
--- a/internal/storage/durable/op.go
+++ b/internal/storage/durable/op.go
@@ -218,7 +218,7 @@
 			encoded := payload[offset : offset+o.size]
 			seq := batchSeq
 			if o.kind == opMove {
-				seq = 0 // the version that a move carries binds it
+				seq = 0 // the checksum of a move covers its version in place of a sequence number
 			}
 			binary.LittleEndian.PutUint32(encoded[len(encoded)-checksumLen:], opChecksum(salt, seq, encoded))
 		}
--- a/internal/storage/durable/plan/limits.go
+++ b/internal/storage/durable/plan/limits.go
@@ -87,7 +87,7 @@
 func (l *Limits) validate() error {
 	smallestBytes := min(l.MaxBytes, l.MinSegmentBytes, l.MaxSegmentBytes, l.MinCheckpointLogBytes, l.BytesPerSecond, l.MaxStepBytes)
 	shortestDelay := min(l.MaxUnsyncedAge, l.IdleCheckpointDelay, l.RetryDelay)
-	smallestRatio := min(l.CheckpointLogRatio, l.GarbageRatio, l.PendingDropRatio) // NaN if one of them is
+	smallestRatio := min(l.CheckpointLogRatio, l.GarbageRatio, l.PendingDropRatio) // NaN if one of the ratios is NaN
 	switch {
 	case smallestBytes < 0 || shortestDelay < 0:
 		return errors.New("maintenance: a limit is negative")
--- a/internal/storage/durable/plan/planner.go
+++ b/internal/storage/durable/plan/planner.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	// idleDelay is the time between two decisions when there is nothing to do.
+	// idleDelay is the time until the next decision when no step is due.
 	idleDelay = 100 * time.Millisecond
 	// minBudgetDelay is the shortest wait for the budget to grow.
 	minBudgetDelay = time.Millisecond
@@ -112,19 +112,19 @@
 // space, or much data can't be dropped before a checkpoint.
 func (l *Limits) checkpointDue(s State, idle bool) bool {
 	if s.Seq <= s.OlderCheckpointSeq {
-		return false // both checkpoints cover the whole log
+		return false // both checkpoints cover all batches
 	}
-	lengthDue := int64(l.CheckpointLogRatio * float64(s.Space.CheckpointBytes))
-	if s.LogBytesSinceCheckpoint >= max(l.MinCheckpointLogBytes, lengthDue) {
+	lengthThreshold := int64(l.CheckpointLogRatio * float64(s.Space.CheckpointBytes))
+	if s.LogBytesSinceCheckpoint >= max(l.MinCheckpointLogBytes, lengthThreshold) {
 		return true
 	}
 	pending := s.pendingDropBytes()
-	idleDue := max(l.MinCheckpointLogBytes/idleCheckpointLogDivisor, s.Space.LiveBytes/idleCheckpointLiveDivisor)
-	if idle && s.LogBytesSinceCheckpoint+pending >= idleDue {
+	idleThreshold := max(l.MinCheckpointLogBytes/idleCheckpointLogDivisor, s.Space.LiveBytes/idleCheckpointLiveDivisor)
+	if idle && s.LogBytesSinceCheckpoint+pending >= idleThreshold {
 		return true // a checkpoint delays no writes now, and the next start replays less
 	}
-	pendingDue := int64(l.PendingDropRatio * float64(s.Space.LiveBytes))
-	return pending >= max(l.MinCheckpointLogBytes/pendingDropLogDivisor, pendingDue)
+	pendingThreshold := int64(l.PendingDropRatio * float64(s.Space.LiveBytes))
+	return pending >= max(l.MinCheckpointLogBytes/pendingDropLogDivisor, pendingThreshold)
 }
 
 // minGainDivisor: a segment is compacted only if its ratio of dead to live data exceeds
--- a/internal/storage/durable/plan/state.go
+++ b/internal/storage/durable/plan/state.go
@@ -110,7 +110,7 @@
 // Step is a decision of the planner.
 type Step struct {
 	Kind        StepKind
-	Segment     uint32        // of DropSegment and BeginCompaction
+	Segment     uint32        // number of the segment, for DropSegment and StartCompaction
 	BudgetBytes int64         // number of bytes to read and write, for ContinueTask
 	Delay       time.Duration // time until the next decision, for all kinds
 }
--- a/internal/storage/durable/segment.go
+++ b/internal/storage/durable/segment.go
@@ -41,10 +41,10 @@
 type segmentHeader struct {
 	storeID          uint64
 	number           uint32
-	previousSize     int64  // bytes of the segment before
-	previousSeq      uint64 // the last batch before this segment
+	previousSize     int64  // length of the previous segment in bytes
+	previousSeq      uint64 // sequence number of the last batch of the previous segment
 	previousChecksum uint32 // checksum of that batch's header
-	checksum         uint32 // of this header; the first batch chains to it
+	checksum         uint32 // checksum of this header; the first batch has it as previousChecksum
 }
 
 func (h *segmentHeader) encode() []byte {
@@ -103,7 +103,7 @@
 		if o.version != e.version {
 			return nil, fmt.Errorf("%w: value of %q is an older one", ErrDamaged, e.key())
 		}
-		seq = 0 // the version that a move carries binds it
+		seq = 0 // the checksum of a move covers its version in place of a sequence number
 	}
 	stored := binary.LittleEndian.Uint32(b[len(b)-checksumLen:])
 	if opChecksum(s.salt, seq, b) != stored {
--- a/internal/storage/durable/stats.go
+++ b/internal/storage/durable/stats.go
@@ -16,8 +16,8 @@
 
 // Stats are statistics of an open store.
 type Stats struct {
-	Seq                     uint64 `json:"seq"`    // the last batch that readers see
-	SyncedSeq               uint64 `json:"synced"` // the last batch on disk
+	Seq                     uint64 `json:"seq"`    // sequence number of the last batch that readers see
+	SyncedSeq               uint64 `json:"synced"` // sequence number of the last batch on disk
 	Keys                    int    `json:"keys"`
 	KeysOnDisk              int64  `json:"keys_on_disk"` // number of keys whose value is not in memory
 	LiveBytes               int64  `json:"live_bytes"`
@@ -31,11 +31,11 @@
 	Batches         int64 `json:"batches"`
 	Syncs           int64 `json:"syncs"`
 	Groups          int64 `json:"groups"`
-	RejectedFull    int64 `json:"turned_away_full"` // batches
+	RejectedFull    int64 `json:"turned_away_full"` // batches rejected for lack of disk space
 	Checkpoints     int64 `json:"checkpoints"`
 	Compactions     int64 `json:"compactions"`
 	DroppedSegments int64 `json:"segments_dropped"`
-	MovedBytes      int64 `json:"moved_bytes"` // by compactions
+	MovedBytes      int64 `json:"moved_bytes"` // bytes that compactions wrote
 	// Current state.
 	Snapshots        int    `json:"snapshots"`
 	ReadOnlyReason   string `json:"read_only,omitempty"`
--- a/internal/storage/durable/store.go
+++ b/internal/storage/durable/store.go
@@ -129,7 +129,7 @@
 	s.maintenance.stop()
 	close(s.requests)
 	<-s.committerDone
-	err := s.persistState()
+	err := s.syncAndUpdateManifest()
 	s.closeFiles()
 	if lockErr := s.lock.Close(); err == nil {
 		err = lockErr
@@ -137,9 +137,9 @@
 	return err
 }
 
-// persistState syncs the log and records the synced sequence number in the manifest.
+// syncAndUpdateManifest syncs the log and records the synced sequence number in the manifest.
 // The committer must have returned.
-func (s *Store) persistState() error {
+func (s *Store) syncAndUpdateManifest() error {
 	if err := s.ReadOnlyError(); err != nil {
 		return err
 	}
--- a/internal/storage/durable/store_test.go
+++ b/internal/storage/durable/store_test.go
@@ -67,7 +67,7 @@
 type change struct {
 	puts       map[string]string
 	deletes    []string
-	deleteFrom string // a range to delete
+	deleteFrom string // start of a range to delete; "" for no range
 	deleteTo   string
 }
 
@@ -250,17 +250,17 @@
 	got, damaged := readState(t, b.store)
 	assert.Equal(t, formatModel(b.model), got)
 	assert.Zero(t, damaged)
-	st := b.store.Stats()
-	assert.Greater(t, st.Checkpoints, int64(2))
-	assert.Greater(t, st.Compactions, int64(1))
-	assert.Greater(t, st.DroppedSegments, int64(3))
+	stats := b.store.Stats()
+	assert.Greater(t, stats.Checkpoints, int64(2))
+	assert.Greater(t, stats.Compactions, int64(1))
+	assert.Greater(t, stats.DroppedSegments, int64(3))
 	require.NoError(t, b.store.Compact(t.Context()))
 	list, _ := f.List()
 	sum := int64(0)
 	for _, i := range list {
 		sum += i.Size
 	}
-	assert.Equal(t, sum, b.store.Stats().UsedBytes, "the space is accounted for")
+	assert.Equal(t, sum, b.store.Stats().UsedBytes, "UsedBytes equals the length of all files")
 	require.NoError(t, b.store.Close())
 	s, r, err := Open(f, smallOptions())
 	require.NoError(t, err)
@@ -295,9 +295,9 @@
 		}()
 	}
 	wg.Wait()
-	st := s.Stats()
-	assert.EqualValues(t, 320, st.Batches)
-	assert.Less(t, st.Syncs, int64(200))
+	stats := s.Stats()
+	assert.EqualValues(t, 320, stats.Batches)
+	assert.Less(t, stats.Syncs, int64(200))
 	require.NoError(t, s.Close())
 }
 
@@ -322,8 +322,8 @@
 				if err = b.store.Put(fmt.Appendf(nil, "%04d", n), bytes.Repeat([]byte{'x'}, 200)); err != nil {
 					break
 				}
-				if _, uerr := b.store.RunMaintenance(time.Duration(n) * time.Millisecond); uerr != nil {
-					require.NotErrorIs(t, uerr, ErrReadOnly)
+				if _, maintenanceErr := b.store.RunMaintenance(time.Duration(n) * time.Millisecond); maintenanceErr != nil {
+					require.NotErrorIs(t, maintenanceErr, ErrReadOnly)
 				}
 			}
 			require.ErrorIs(t, err, ErrFull)
@@ -348,8 +348,8 @@
 			require.NoError(t, <-results)
 			for i := range n * 3 / 4 {
 				require.NoError(t, b.store.Delete(fmt.Appendf(nil, "%04d", i)), i)
-				if _, uerr := b.store.RunMaintenance(time.Duration(n+i) * time.Second); uerr != nil {
-					require.NotErrorIs(t, uerr, ErrReadOnly)
+				if _, maintenanceErr := b.store.RunMaintenance(time.Duration(n+i) * time.Second); maintenanceErr != nil {
+					require.NotErrorIs(t, maintenanceErr, ErrReadOnly)
 				}
 			}
 			require.NoError(t, b.store.Compact(t.Context()))
--- a/internal/storage/durable/stream/stream.go
+++ b/internal/storage/durable/stream/stream.go
@@ -8,7 +8,7 @@
 // Only one goroutine at a time may change a stream; any goroutine may read it. Bounds
 // change only after the store has acknowledged the change, so readers never see an
 // entry whose write failed. Each change is one batch of the store and therefore atomic.
-// Errors of the store are returned unchanged.
+// Other errors of the store are returned unchanged.
 package stream
 
 import (
