--- a/bench/durable/index.go
+++ b/bench/durable/index.go
@@ -73,11 +73,11 @@
 // measureNanosPerKey calls a function for each key, and returns the mean time per key in
 // nanoseconds.
 func measureNanosPerKey(keys []string, use func(key string)) float64 {
-	began := time.Now()
+	start := time.Now()
 	for _, key := range keys {
 		use(key)
 	}
-	return elapsedNanosPerKey(began, len(keys))
+	return elapsedNanosPerKey(start, len(keys))
 }
 
 func elapsedNanosPerKey(start time.Time, keys int) float64 {
--- a/internal/storage/atomicfile/crash_test.go
+++ b/internal/storage/atomicfile/crash_test.go
@@ -69,9 +69,9 @@
 	assert.Equal(t, "whole", string(data))
 }
 
-// TestNothingLeftBeside: no temporary file remains after a call that returned, with or
+// TestNoTemporaryFileRemains: no temporary file remains after a call that returned, with or
 // without an error.
-func TestNothingLeftBeside(t *testing.T) {
+func TestNoTemporaryFileRemains(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "file")
 	require.NoError(t, WriteNew(path, []byte("first")))
