--- a/internal/storage/atomicfile/crash_test.go
+++ b/internal/storage/atomicfile/crash_test.go
@@ -69,9 +69,9 @@
 	assert.Equal(t, "whole", string(data))
 }
 
-// TestNoTemporaryFileRemains: no temporary file remains after a call that returned, with or
+// TestNothingLeftBeside: no temporary file remains after a call that returned, with or
 // without an error.
-func TestNoTemporaryFileRemains(t *testing.T) {
+func TestNothingLeftBeside(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "file")
 	require.NoError(t, WriteNew(path, []byte("first")))
--- a/internal/storage/durable/batch.go
+++ b/internal/storage/durable/batch.go
@@ -10,8 +10,8 @@
 type Batch struct {
 	payload          []byte
 	opCount          uint32
-	maxKeyLen        int // bytes, of the longest key
-	maxValueLen      int // bytes, of the longest value
+	maxKeyLen        int // length of the longest key in bytes
+	maxValueLen      int // length of the longest value in bytes
 	hasReversedRange bool
 	hasPuts          bool
 	hasEmptyKey      bool
--- a/internal/storage/durable/commit.go
+++ b/internal/storage/durable/commit.go
@@ -100,8 +100,8 @@
 	}
 }
 
-// prepareSegment rotates the active segment if it is long enough. If the disk is full,
-// the segment grows further, up to maxSegmentBytes.
+// prepareSegment rotates the active segment if it has reached the length at which it is
+// sealed. If the disk is full, the segment grows further, up to maxSegmentBytes.
 func (s *Store) prepareSegment() error {
 	if s.logTail.segment.size >= s.options.Maintenance.SegmentBytes(s.liveBytes.Load()) {
 		if err := s.rotateSegment(); err != nil && !isDiskFull(err) {
--- a/internal/storage/durable/corrupt_test.go
+++ b/internal/storage/durable/corrupt_test.go
@@ -155,14 +155,14 @@
 			delete(c, name)
 			checkOpenOfDamagedFolder(t, b, c, when+", without "+name, 0, true)
 		}
-		t.Logf("%s: %d folders opened, %d refused", when, opened.Load(), rejected.Load())
+		t.Logf("%s: %d folders opened, %d rejected", when, opened.Load(), rejected.Load())
 		require.Positive(t, opened.Load())
 		require.Positive(t, rejected.Load())
 	}
 }
 
 // TestSwappedFiles: a file that was replaced by another file of the same store, or by
-// the file of that name of another store, is detected.
+// the file of that name of another store, is detected or has no effect on the state.
 func TestSwappedFiles(t *testing.T) {
 	b, images := newWorkloadImages(t)
 	image := images["closed"]
--- a/internal/storage/durable/plan/limits.go
+++ b/internal/storage/durable/plan/limits.go
@@ -16,8 +16,9 @@
 	// defaults 256 KiB and 64 MiB, at most 1 GiB.
 	MinSegmentBytes int64
 	MaxSegmentBytes int64
-	// MinCheckpointLogBytes is the length of the log since the last checkpoint below
-	// which a busy store takes no checkpoint for the length of the log; default 4 MiB.
+	// MinCheckpointLogBytes is the minimum length of the log since the last checkpoint at
+	// which a checkpoint is due; default 4 MiB. An idle store, or one with much data
+	// waiting to be dropped, takes a checkpoint earlier.
 	MinCheckpointLogBytes int64
 	// CheckpointLogRatio: a checkpoint is due when the log since the last checkpoint has
 	// this multiple of that checkpoint's length; default 1.
