--- a/internal/testrig/cluster_links.go
+++ b/internal/testrig/cluster_links.go
@@ -1,9 +1,9 @@
 package testrig
 
-// direction is one direction of calls between two nodes.
+// direction is an ordered pair of nodes: connections are opened from one node to the other.
 type direction struct{ from, to int }
 
-// linkPair are the links from one node to the ports of another.
+// linkPair holds the links from one node to the Raft port and to the admin port of another node.
 type linkPair struct{ raft, admin *Link }
 
 func (p linkPair) setMode(m LinkMode) {
@@ -11,8 +11,8 @@
 	p.admin.SetMode(m)
 }
 
-// AddLinks puts links between any two of the founders, for each direction of calls. It
-// must be called before they start.
+// AddLinks inserts links between all pairs of founders, separate ones for each direction. It must be
+// called before the founders are started.
 func (c *Cluster) AddLinks() {
 	c.links = map[direction]linkPair{}
 	for from := range c.Founders {
@@ -30,13 +30,13 @@
 func (c *Cluster) newLink(addr string) *Link {
 	l, err := NewLink(addr)
 	if err != nil {
-		c.T.Fatalf("link: %v", err)
+		c.T.Fatalf("start link: %v", err)
 	}
 	c.T.Cleanup(l.Close)
 	return l
 }
 
-// SetNodeLinks sets the links from a node, and those to it.
+// SetNodeLinks sets the mode of all links from a node, and the mode of all links to it.
 func (c *Cluster) SetNodeLinks(node int, from, to LinkMode) {
 	for d, pair := range c.links {
 		switch node {
@@ -48,18 +48,18 @@
 	}
 }
 
-// SetLinksOneWay sets the links from one node to another.
+// SetLinksOneWay sets the mode of the links from one node to another.
 func (c *Cluster) SetLinksOneWay(from, to int, m LinkMode) {
 	c.links[direction{from, to}].setMode(m)
 }
 
-// SetLinksBetween sets the links between two nodes, both ways.
+// SetLinksBetween sets the mode of the links between two nodes in both directions.
 func (c *Cluster) SetLinksBetween(a, b int, m LinkMode) {
 	c.SetLinksOneWay(a, b, m)
 	c.SetLinksOneWay(b, a, m)
 }
 
-// HealLinks heals all links.
+// HealLinks resets all links to normal forwarding.
 func (c *Cluster) HealLinks() {
 	for _, pair := range c.links {
 		pair.setMode(LinkMode{})
--- a/internal/testrig/doc.go
+++ b/internal/testrig/doc.go
@@ -1,12 +1,13 @@
-// Package testrig injects faults into several processes of the program, for process
-// tests and benchmarks: links between any two of them that are cut, stalled, delayed,
-// slowed and healed, processes that are killed, paused and resumed, folders that are
-// removed, restored or made to fail, and a schedule of such faults from a seed. It
-// also has checkers: a history of operations that must be linearizable, and a
-// resource that only one holder of a fencing token may act on. The addresses that it gives
-// out are reserved against other test processes.
+// Package testrig runs clusters of oxbowbridge processes for process tests and benchmarks, and injects
+// faults into them. It cuts, stalls, delays, throttles and heals the network links between processes. It
+// kills, pauses and resumes processes. It removes and restores store directories, or makes their file
+// operations fail. A schedule of such faults is generated from a seed.
+//
+// The package also has two checkers: a history of operations that must be linearizable, and a resource
+// that only one lease holder at a time may act on. The addresses that the package hands out are reserved
+// against other test processes.
 //
 // A [Cluster] belongs to the goroutine of its test. [Link], [Resource], [History] and
-// [Prober] may be used from many goroutines; each guards its state with a mutex. A
-// condition that does not hold in time ends the test through [T].
+// [Prober] may be used from several goroutines; each guards its state with a mutex. A
+// condition that is not met in time fails the test through [T].
 package testrig
--- a/internal/testrig/history.go
+++ b/internal/testrig/history.go
@@ -11,18 +11,19 @@
 type RegisterOp struct {
 	Key      string
 	Write    bool
-	Value    string // written
-	Expected string // the value that a compare-and-set needs to find; "" for a plain write
+	Value    string // the value to write
+	Expected string // the current value that a compare-and-set requires; "" for an unconditional write
 }
 
-// CompareFailed is the result of a compare-and-set that found another value. No
-// written value equals it, as they are JSON strings.
+// CompareFailed is the result of a compare-and-set that found a value other than the expected one. It
+// differs from all values that clients write, because these are JSON strings.
 const CompareFailed = "Unequal"
 
-// compareSucceeded is the result of a compare-and-set that wrote.
+// compareSucceeded is the result of a compare-and-set that wrote its value.
 const compareSucceeded = "done"
 
-// registerModel is a key that is written and read; each key is checked on its own.
+// registerModel is the porcupine model of a register. The operations on each key are checked
+// independently of those on other keys.
 var registerModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[string][]porcupine.Operation{}
@@ -49,73 +50,74 @@
 	},
 }
 
-// History is what clients did, on the clock of this process. The counts may be read
-// once the clients have ended.
+// History records the operations of clients with timestamps from the clock of this process. The counts
+// may be read once all clients have stopped.
 type History struct {
 	mu         sync.Mutex
 	operations []porcupine.Operation
 	started    time.Time
 
-	Writes        int // acknowledged, or failed comparisons
-	Reads         int // that returned a value, or that there is none
+	Writes        int // writes that were acknowledged, or rejected because a comparison failed
+	Reads         int // reads that returned a value, or that the key does not exist
 	UnknownWrites int // writes of unknown outcome
 	FailedReads   int // failed reads
 }
 
-// NewHistory returns an empty history that begins now.
+// NewHistory returns an empty history that starts now.
 func NewHistory() *History { return &History{started: time.Now()} }
 
-// NeverReturned is the end of an operation of unknown outcome, in nanoseconds: later
-// than that of any other.
+// NeverReturned is the end time, in nanoseconds, of an operation of unknown outcome. It is later than the
+// end time of any other operation.
 const NeverReturned = int64(1) << 60
 
-// Add records one operation with its result, from call to end in nanoseconds since
-// the history began.
+// Add records one operation with its result. The parameters call and end are the times at which the
+// operation started and ended, in nanoseconds since the start of the history.
 func (h *History) Add(client int, in RegisterOp, out string, call, end int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.operations = append(h.operations, porcupine.Operation{ClientId: client, Input: in, Call: call, Output: out, Return: end})
 }
 
-// Elapsed is the time since the history began.
+// Elapsed returns the time since the start of the history.
 func (h *History) Elapsed() time.Duration { return time.Since(h.started) }
 
 const (
-	// minWrites and minReads are the operations that must have succeeded for a
-	// meaningful check.
+	// A history needs more than minWrites writes and minReads reads that succeeded for a meaningful check.
 	minWrites = 50
 	minReads  = 100
-	// maxExtraDuration is how much longer than planned the clients may run to get there.
+	// maxExtraDuration is how much longer than planned the clients may run to complete enough operations.
 	maxExtraDuration = 2 * AwaitTimeout
 )
 
-// HasEnoughOperations reports whether enough operations have succeeded for a meaningful check,
-// or the time for them has passed.
+// HasEnoughOperations reports whether enough operations have succeeded for a meaningful check, or
+// minDuration and maxExtraDuration have passed.
 func (h *History) HasEnoughOperations(minDuration time.Duration) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.Writes > minWrites && h.Reads > minReads || time.Since(h.started) > minDuration+maxExtraDuration
 }
 
-// checkTimeout bounds a check; a history that takes longer counts as not linearizable.
+// checkTimeout limits the duration of a check. A history whose check takes longer is reported as not
+// linearizable.
 const checkTimeout = time.Minute
 
-// Linearizable reports whether the operations on each key can have taken place one
-// after the other, each between its call and its end.
+// Linearizable reports whether some sequential order explains the results of the operations on each key,
+// with each operation taking effect between its start and its end.
 func (h *History) Linearizable() bool {
 	result, _ := porcupine.CheckOperationsVerbose(registerModel, h.relevant(), checkTimeout)
 	return result == porcupine.Ok
 }
 
-// Clone copies the operations, to go on differently.
+// Clone returns a history with a copy of the operations, so that a test can append other operations to
+// each.
 func (h *History) Clone() *History {
 	return &History{operations: append([]porcupine.Operation(nil), h.operations...)}
 }
 
-// relevant leaves out writes of unknown outcome that nobody read: values are written
-// once, so all that they can do is to have a compare-and-set find another value.
-// Comparisons that failed after such a write began prove nothing then, and are left
-// out too. With them the check would take too long.
+// relevant returns the operations that the check needs. It leaves out writes of unknown outcome whose
+// value no client read. Each value is written only once, so such a write can have only one visible effect:
+// a later compare-and-set may fail because of it. Failed comparisons that ended after the start of such a
+// write are therefore left out too. With these operations the check would take too long.
 func (h *History) relevant() []porcupine.Operation {
 	wasRead := map[string]bool{} // by value
 	for _, o := range h.operations {
@@ -126,7 +128,7 @@
 	isUnreadUnknown := func(o porcupine.Operation) bool {
 		return o.Return == NeverReturned && !wasRead[o.Input.(RegisterOp).Value]
 	}
-	firstUnknown := map[string]int64{} // by key: the earliest call
+	firstUnknown := map[string]int64{} // by key: start of the earliest unread write of unknown outcome
 	for _, o := range h.operations {
 		key := o.Input.(RegisterOp).Key
 		if first, ok := firstUnknown[key]; isUnreadUnknown(o) && (!ok || o.Call < first) {
@@ -136,8 +138,8 @@
 	var relevant []porcupine.Operation
 	for _, o := range h.operations {
 		first, hasUnknown := firstUnknown[o.Input.(RegisterOp).Key]
-		provesNothing := o.Output == CompareFailed && hasUnknown && first < o.Return
-		if !isUnreadUnknown(o) && !provesNothing {
+		isInconclusive := o.Output == CompareFailed && hasUnknown && first < o.Return
+		if !isUnreadUnknown(o) && !isInconclusive {
 			relevant = append(relevant, o)
 		}
 	}
--- a/internal/testrig/history_client.go
+++ b/internal/testrig/history_client.go
@@ -10,26 +10,26 @@
 )
 
 const (
-	// clientStream is the second seed of each client's generator; its id is the first.
+	// clientStream is the second seed of each client's random generator. The first seed is the client's id.
 	clientStream = 7
-	// clientTimeout bounds one operation.
+	// clientTimeout is the timeout of one operation.
 	clientTimeout = 4 * time.Second
-	// maxClientPauseMillis bounds the pause between two operations.
+	// maxClientPauseMillis is the upper limit of the random pause before each operation.
 	maxClientPauseMillis = 10
-	// clientRetryDelay is the further pause after an operation that failed.
+	// clientRetryDelay is the additional pause after an operation that failed.
 	clientRetryDelay = 50 * time.Millisecond
-	// registerCount is how many keys the clients share.
+	// registerCount is the number of keys, which all clients use.
 	registerCount = 5
-	// writeOdds and compareOdds: one operation in writeOdds is a write, and one write in
-	// compareOdds of a key that was read is a compare-and-set.
+	// On average, one operation in writeOdds is a write. One write in compareOdds is a compare-and-set if
+	// the client has read the key before.
 	writeOdds   = 3
 	compareOdds = 2
 )
 
-// taggedValue is a value that was read, with its entity tag.
+// taggedValue is a value that was read, with its ETag.
 type taggedValue struct{ value, tag string }
 
-// historyClient is one client of a history.
+// historyClient is a client whose operations are recorded in a history.
 type historyClient struct {
 	history  *History
 	cluster  *Cluster
@@ -39,7 +39,7 @@
 	lastRead map[string]taggedValue // by key
 }
 
-// RunClient reads, writes and compares-and-sets at random nodes until stop is closed.
+// RunClient sends reads, writes and compare-and-set operations to random nodes until stop is closed.
 func (h *History) RunClient(c *Cluster, id int, stop <-chan struct{}) {
 	client := &historyClient{
 		history:  h,
@@ -55,14 +55,14 @@
 			return
 		case <-time.After(time.Duration(client.rng.IntN(maxClientPauseMillis)) * time.Millisecond):
 		}
-		if !client.operate(client.drawOp(n)) {
+		if !client.operate(client.randomOp(n)) {
 			time.Sleep(clientRetryDelay)
 		}
 	}
 }
 
-// drawOp draws the client's n-th operation. Each value is written once in a history.
-func (c *historyClient) drawOp(n int) RegisterOp {
+// randomOp returns a random operation, the client's n-th. Each value is written only once in a history.
+func (c *historyClient) randomOp(n int) RegisterOp {
 	in := RegisterOp{
 		Key:   fmt.Sprint("reg/", c.rng.IntN(registerCount)),
 		Write: c.rng.IntN(writeOdds) == 0,
@@ -77,8 +77,7 @@
 	return in
 }
 
-// operate carries out one operation and records it. It reports whether it has a known
-// outcome.
+// operate executes one operation and records it. It reports whether the outcome is known.
 func (c *historyClient) operate(in RegisterOp) (ok bool) {
 	req := c.newRequest(in)
 	call := c.history.Elapsed().Nanoseconds()
@@ -111,7 +110,7 @@
 	return req
 }
 
-// send sends a request, and remembers a value that was read.
+// send sends a request. It stores a value that was read in lastRead.
 func (c *historyClient) send(in RegisterOp, req *http.Request) (code int, text string, err error) {
 	res, err := c.http.Do(req)
 	if err != nil {
@@ -126,7 +125,7 @@
 	return res.StatusCode, text, err
 }
 
-// isOutcome reports whether a status code tells if the operation took effect.
+// isOutcome reports whether a status code shows if the operation took effect.
 func isOutcome(in RegisterOp, code int) bool {
 	switch code {
 	case http.StatusOK, http.StatusNoContent:
@@ -139,7 +138,7 @@
 	return false
 }
 
-// resultOf is the result of an operation with a known outcome, as the model has it.
+// resultOf returns the result of an operation with a known outcome, in the form that registerModel expects.
 func resultOf(in RegisterOp, code int, text string) string {
 	switch {
 	case in.Write && code == http.StatusPreconditionFailed:
@@ -152,7 +151,7 @@
 	return text
 }
 
-// count counts an operation; ok says whether its outcome is known.
+// count counts an operation; ok is true if its outcome is known.
 func (h *History) count(in RegisterOp, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/testrig/link.go
+++ b/internal/testrig/link.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// LinkMode is what a link does with the bytes between a caller and a port. The zero
-// mode passes them on.
+// LinkMode is the set of faults that a link applies to the bytes between a client and a target port. The
+// zero value forwards all bytes without a fault.
 type LinkMode struct {
-	// Cut resets connections, and refuses new ones.
+	// Cut closes all connections and resets new ones.
 	Cut bool
-	// StallRequests and StallResponses stall the bytes to and from the port; connections
-	// stay half open.
+	// StallRequests stops forwarding bytes to the target port, StallResponses stops forwarding bytes from
+	// it. The connections stay open.
 	StallRequests  bool
 	StallResponses bool
-	// CutAfterBytes ends the connections behind so many more bytes, counted both ways, and
-	// heals the link then; 0 is never.
+	// CutAfterBytes closes a connection once the link has forwarded this many more bytes, counted over all
+	// connections and both directions. It then resets to 0, which means no limit.
 	CutAfterBytes int
-	// ResponseGarbage is passed on once, in front of the next bytes from the port.
+	// ResponseGarbage is inserted once, before the next bytes from the target port.
 	ResponseGarbage string
-	// Delay is added to each read, each way.
+	// Delay is the time that the link waits before it forwards each chunk of bytes, in both directions.
 	Delay time.Duration
-	// BytesPerSecond bounds the rate, each way; 0 is no bound.
+	// BytesPerSecond limits the rate of each connection in each direction; 0 means no limit.
 	BytesPerSecond int
-	// ResetBurst is how long connections are reset at the begin of each ResetInterval;
-	// 0 is never.
+	// ResetBurst is how long connections are reset at the start of each ResetInterval;
+	// 0 means never.
 	ResetBurst    time.Duration
 	ResetInterval time.Duration
 }
@@ -35,9 +35,9 @@
 	linkBufferBytes = 32 << 10
 )
 
-// Link is a TCP proxy between one caller and one port.
+// Link is a TCP proxy between clients and one target port that can inject network faults.
 type Link struct {
-	Addr string // loopback address that the caller connects to
+	Addr string // loopback address that clients connect to
 
 	target   string
 	started  time.Time
@@ -49,7 +49,7 @@
 	conns       map[net.Conn]bool
 }
 
-// NewLink starts a link to an address; Close ends it.
+// NewLink starts a link to a target address on a free port; Close stops it.
 func NewLink(target string) (*Link, error) {
 	listener, err := ListenFree()
 	if err != nil {
@@ -58,7 +58,7 @@
 	return startLink(listener, target), nil
 }
 
-// NewLinkAt starts a link at a loopback address, as that of one that was closed.
+// NewLinkAt starts a link that listens on a given loopback address, for example that of a closed link.
 func NewLinkAt(addr, target string) (*Link, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -90,13 +90,13 @@
 	}
 }
 
-// Close cuts the link for good.
+// Close stops the listener and closes all connections.
 func (l *Link) Close() {
 	l.listener.Close()
 	l.SetMode(LinkMode{Cut: true})
 }
 
-// SetMode changes what the link does; the zero mode heals it.
+// SetMode replaces the faults of the link. The zero mode removes all faults.
 func (l *Link) SetMode(m LinkMode) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -109,7 +109,7 @@
 	}
 }
 
-// isDown reports whether connections are reset now. The lock is held.
+// isDown reports whether the link currently resets connections. The caller must hold mu.
 func (l *Link) isDown() bool {
 	m := l.mode
 	if m.Cut {
@@ -118,41 +118,41 @@
 	return m.ResetBurst > 0 && m.ResetInterval > 0 && time.Since(l.started)%m.ResetInterval < m.ResetBurst
 }
 
-// serve passes on what goes over one connection.
-func (l *Link) serve(caller net.Conn) {
-	port, err := net.DialTimeout("tcp", l.target, linkDialTimeout)
+// serve forwards one connection to the target port.
+func (l *Link) serve(client net.Conn) {
+	target, err := net.DialTimeout("tcp", l.target, linkDialTimeout)
 	l.mu.Lock()
 	if err != nil || l.isDown() {
 		l.mu.Unlock()
-		caller.(*net.TCPConn).SetLinger(0) // closes with a reset
-		caller.Close()
+		client.(*net.TCPConn).SetLinger(0) // Close sends a reset
+		client.Close()
 		if err == nil {
-			port.Close()
+			target.Close()
 		}
 		return
 	}
-	l.conns[caller] = true
-	l.conns[port] = true
+	l.conns[client] = true
+	l.conns[target] = true
 	l.mu.Unlock()
 	var directions sync.WaitGroup
-	directions.Go(func() { l.copyBytes(port, caller, false) })
-	directions.Go(func() { l.copyBytes(caller, port, true) })
+	directions.Go(func() { l.copyBytes(target, client, false) })
+	directions.Go(func() { l.copyBytes(client, target, true) })
 	directions.Wait()
 	l.mu.Lock()
-	delete(l.conns, caller)
-	delete(l.conns, port)
+	delete(l.conns, client)
+	delete(l.conns, target)
 	l.mu.Unlock()
 }
 
-// holds tells whether the bytes of one direction are stalled.
-func (m LinkMode) holds(responses bool) bool {
+// stalls reports whether the bytes of one direction are stalled.
+func (m LinkMode) stalls(responses bool) bool {
 	if responses {
 		return m.StallResponses
 	}
 	return m.StallRequests
 }
 
-// copyBytes passes on one direction until either end closes.
+// copyBytes forwards the bytes of one direction until a connection is closed or a fault ends it.
 func (l *Link) copyBytes(to, from net.Conn, responses bool) {
 	defer to.Close()
 	defer from.Close()
@@ -160,12 +160,12 @@
 	for {
 		n, err := from.Read(buffer)
 		l.mu.Lock()
-		for l.mode.holds(responses) && !l.mode.Cut {
+		for l.mode.stalls(responses) && !l.mode.Cut {
 			l.modeChanged.Wait()
 		}
 		mode := l.mode
 		down := l.isDown()
-		passed, cut := l.countBytes(n)
+		forwarded, cut := l.countBytes(n)
 		garbage := ""
 		if responses && n > 0 {
 			garbage = mode.ResponseGarbage
@@ -180,15 +180,15 @@
 			delay += time.Duration(n) * time.Second / time.Duration(mode.BytesPerSecond)
 		}
 		time.Sleep(delay)
-		if _, err := to.Write(append([]byte(garbage), buffer[:passed]...)); err != nil || cut {
+		if _, err := to.Write(append([]byte(garbage), buffer[:forwarded]...)); err != nil || cut {
 			return
 		}
 	}
 }
 
-// countBytes returns how many of n bytes pass before the connections end by CutAfterBytes, and
-// whether they end behind these. The lock is held.
-func (l *Link) countBytes(n int) (passed int, cut bool) {
+// countBytes returns how many of n bytes to forward under CutAfterBytes, and whether to close the
+// connection after them. The caller must hold mu.
+func (l *Link) countBytes(n int) (forwarded int, cut bool) {
 	if l.mode.CutAfterBytes == 0 {
 		return n, false
 	}
@@ -196,7 +196,7 @@
 		l.mode.CutAfterBytes -= n
 		return n, false
 	}
-	passed = l.mode.CutAfterBytes
+	forwarded = l.mode.CutAfterBytes
 	l.mode.CutAfterBytes = 0
-	return passed, true
+	return forwarded, true
 }
--- a/internal/testrig/ports.go
+++ b/internal/testrig/ports.go
@@ -11,29 +11,30 @@
 	"syscall"
 )
 
-// Ports of tests lie below those that the system gives to outgoing connections, which could
-// take them before a process listens.
+// Test ports are below the system's ephemeral port range. Otherwise an outgoing connection could occupy a
+// port before the process under test listens on it.
 const (
 	firstPort     = 20000
 	portsPerBlock = 50
 	portBlocks    = 240
-	// shareBlocks is how many blocks a process reserves whatever other processes do.
-	shareBlocks = 15
-	// blocksLeftFree are left to other processes by one that has its share: enough for eight.
-	blocksLeftFree = 8 * shareBlocks
+	// minBlocksPerProcess is how many blocks a process may reserve without regard to other processes.
+	minBlocksPerProcess = 15
+	// blocksLeftFree is the number of free blocks that a process with minBlocksPerProcess blocks leaves to
+	// other processes. It is enough for eight processes.
+	blocksLeftFree = 8 * minBlocksPerProcess
 )
 
-// errNoPortBlock means that other processes have reserved all blocks of ports.
-var errNoPortBlock = errors.New("no block of ports is free")
+// errNoPortBlock is returned if other processes have reserved all port blocks.
+var errNoPortBlock = errors.New("no port block is free")
 
-// processPorts starts at any block, as programs of tests may still send to ports that
-// a process which has just ended had reserved.
+// processPorts is the port pool of this process. Its first block is random because programs that were
+// started by an earlier test process may still send to the ports of that process.
 var processPorts = &portPool{lockDir: os.TempDir(), firstBlock: rand.IntN(portBlocks)}
 
-// FreeAddr returns a loopback address that nothing listens on. No other process that uses this
-// package gets it as long as this one runs. A process gets each address once, until it has used
-// up what others leave to it: at least shareBlocks, half of all ports if it is alone. It then
-// gets those again that it got first.
+// FreeAddr returns a loopback address that no process listens on. As long as this process runs, no other
+// process that uses this package gets the same address. FreeAddr returns an address again only after it has
+// handed out all ports that this process may reserve: at least minBlocksPerProcess blocks, and half of all
+// blocks if no other process uses the package. It then starts again with the first port.
 func FreeAddr(t T) string {
 	listener, err := ListenFree()
 	if err != nil {
@@ -43,49 +44,49 @@
 	return listener.Addr().String()
 }
 
-// ListenFree listens at an address as that of FreeAddr. At a port of the system's choice a
-// listener could get what a program still sends to another one that has just been closed.
+// ListenFree listens on an address that is chosen as in FreeAddr. With a port that the system chooses, the
+// listener could receive data that a program still sends to a listener that was just closed.
 func ListenFree() (net.Listener, error) {
 	return processPorts.listen()
 }
 
-// portPool gives out the ports of the blocks that this process has reserved.
+// portPool hands out ports from the blocks that this process has reserved.
 type portPool struct {
-	lockDir    string // has the lock files of the blocks
-	firstBlock int    // the first one to try
+	lockDir    string // directory of the lock files of the blocks
+	firstBlock int    // index of the first block to try
 
 	mu       sync.Mutex
-	reserved []portBlock // in the order of their use
-	nextPort int         // index among the ports of the reserved blocks
+	reserved []portBlock // in the order of reservation
+	nextPort int         // index into the ports of all reserved blocks
 }
 
-// portBlock is a block of ports, reserved while its lock file is open.
+// portBlock is a block of ports. It is reserved as long as its lock file is open.
 type portBlock struct {
 	firstPort int
 	lock      *os.File
 }
 
-// listen listens at the next port that is free.
+// listen listens on the next port that no program uses.
 func (p *portPool) listen() (listener net.Listener, err error) {
 	for range portBlocks * portsPerBlock {
-		port, takeErr := p.takePort()
-		if takeErr != nil {
-			return nil, takeErr
+		port, allocateErr := p.allocatePort()
+		if allocateErr != nil {
+			return nil, allocateErr
 		}
 		listener, err = net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", port))
 		if !errors.Is(err, syscall.EADDRINUSE) {
 			return listener, err
 		}
 	}
-	return nil, fmt.Errorf("all ports of this process are in use: %w", err)
+	return nil, fmt.Errorf("all ports that this process has reserved are in use: %w", err)
 }
 
-// takePort returns the next port.
-func (p *portPool) takePort() (int, error) {
+// allocatePort returns the next port of the reserved blocks. It does not check whether the port is in use.
+func (p *portPool) allocatePort() (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.nextPort == len(p.reserved)*portsPerBlock {
-		if err := p.extendLocked(); err != nil {
+		if err := p.extendOrReuseLocked(); err != nil {
 			return 0, err
 		}
 	}
@@ -95,10 +96,10 @@
 	return port, nil
 }
 
-// extendLocked reserves another block once all ports were given out, or begins again with the first
-// port if other processes need what is free. The pool's lock is held.
-func (p *portPool) extendLocked() error {
-	if len(p.reserved) >= shareBlocks && p.countFree() <= blocksLeftFree {
+// extendOrReuseLocked is called when all ports were handed out. It reserves another block, or restarts at
+// the first port if the remaining free blocks must be left to other processes. The caller must hold mu.
+func (p *portPool) extendOrReuseLocked() error {
+	if len(p.reserved) >= minBlocksPerProcess && p.countFreeBlocks() <= blocksLeftFree {
 		p.nextPort = 0
 		return nil
 	}
@@ -110,8 +111,8 @@
 	return nil
 }
 
-// countFree returns how many blocks no process has reserved.
-func (p *portPool) countFree() int {
+// countFreeBlocks returns the number of blocks that no process has reserved.
+func (p *portPool) countFreeBlocks() int {
 	free := 0
 	for index := range portBlocks {
 		if lock, err := lockFile(p.lockPath(index)); err == nil {
@@ -122,7 +123,7 @@
 	return free
 }
 
-// reserveBlock reserves a block that no process has, this one included.
+// reserveBlock reserves a block that no process has reserved yet.
 func (p *portPool) reserveBlock() (portBlock, error) {
 	for i := range portBlocks {
 		index := (p.firstBlock + i) % portBlocks
@@ -134,16 +135,16 @@
 			return portBlock{}, err
 		}
 	}
-	return portBlock{}, fmt.Errorf("%w: test processes have locked all %d (files %s), this one %d; run fewer at once",
+	return portBlock{}, fmt.Errorf("%w: test processes have locked all %d blocks (files %s), this process %d of them; run fewer test processes at once",
 		errNoPortBlock, portBlocks, filepath.Join(p.lockDir, "oxbowbridge-test-ports-*.lock"), len(p.reserved))
 }
 
-// lockPath returns the path of a block's lock file.
 func (p *portPool) lockPath(index int) string {
 	return filepath.Join(p.lockDir, fmt.Sprintf("oxbowbridge-test-ports-%d.lock", firstPort+index*portsPerBlock))
 }
 
-// lockFile opens a file and locks it exclusively until it is closed or the process ends.
+// lockFile opens a file with an exclusive lock, which is released when the file is closed or the process
+// exits. It returns syscall.EWOULDBLOCK if the file is already locked.
 func lockFile(path string) (*os.File, error) {
 	file, err := os.OpenFile(path, os.O_RDONLY|os.O_CREATE, 0o644)
 	if err != nil {
--- a/internal/testrig/ports_test.go
+++ b/internal/testrig/ports_test.go
@@ -13,32 +13,33 @@
 	"github.com/stretchr/testify/require"
 )
 
-// envTakePorts is set in a process that takes ports for TestPortsOfTwoProcesses.
-const envTakePorts = "TESTRIG_TAKE_PORTS"
+// envAllocatePorts is set in the child processes that allocate ports for TestPortsOfTwoProcesses.
+const envAllocatePorts = "TESTRIG_TAKE_PORTS"
 
-// portsTaken spans several blocks.
-const portsTaken = 2*portsPerBlock + 1
+// portsPerChild is large enough to need several blocks.
+const portsPerChild = 2*portsPerBlock + 1
 
-// TestPortsOfTwoProcesses guards against two test processes that take each other's ports.
+// TestPortsOfTwoProcesses guards against two test processes that allocate the same port.
 func TestPortsOfTwoProcesses(t *testing.T) {
-	if os.Getenv(envTakePorts) != "" {
-		takePorts(t)
+	if os.Getenv(envAllocatePorts) != "" {
+		printAllocatedAddrs(t)
 		return
 	}
-	taken := map[string]bool{}
+	allocated := map[string]bool{}
 	for range 2 {
-		for _, addr := range startPortTaker(t) {
-			require.False(t, taken[addr], "%s is taken twice", addr)
-			taken[addr] = true
+		for _, addr := range startAllocatingProcess(t) {
+			require.False(t, allocated[addr], "address %s is allocated twice", addr)
+			allocated[addr] = true
 		}
 	}
-	require.Len(t, taken, 2*portsTaken)
+	require.Len(t, allocated, 2*portsPerChild)
 }
 
-// startPortTaker starts a process that takes ports, and keeps them until the test ends.
-func startPortTaker(t *testing.T) (addrs []string) {
+// startAllocatingProcess starts a child process that allocates ports and reserves them until the test ends.
+// It returns the addresses.
+func startAllocatingProcess(t *testing.T) (addrs []string) {
 	command := exec.Command(os.Args[0], "-test.run=^TestPortsOfTwoProcesses$")
-	command.Env = append(os.Environ(), envTakePorts+"=1")
+	command.Env = append(os.Environ(), envAllocatePorts+"=1")
 	command.Stderr = os.Stderr
 	stdin, err := command.StdinPipe()
 	require.NoError(t, err)
@@ -50,8 +51,8 @@
 		command.Wait()
 	})
 	lines := bufio.NewScanner(stdout)
-	for range portsTaken {
-		require.True(t, lines.Scan(), "the process has ended")
+	for range portsPerChild {
+		require.True(t, lines.Scan(), "the child process has exited")
 		addr := lines.Text()
 		require.True(t, strings.HasPrefix(addr, "127.0.0.1:"), addr)
 		addrs = append(addrs, addr)
@@ -59,77 +60,79 @@
 	return addrs
 }
 
-// takePorts prints addresses, beginning at the same block in each process, and waits for the end of the input.
-func takePorts(t *testing.T) {
+// printAllocatedAddrs runs in the child process. It allocates addresses, prints them, and waits until its standard
+// input is closed. All child processes try the same block first.
+func printAllocatedAddrs(t *testing.T) {
 	processPorts.firstBlock = 0
-	for range portsTaken {
+	for range portsPerChild {
 		os.Stdout.WriteString(FreeAddr(t) + "\n")
 	}
 	os.Stdin.Read(make([]byte, 1))
 }
 
-// TestPortsOnce guards against a port that a process gets twice while enough are free, or that is none of the tests'.
+// TestPortsOnce guards against a port that is allocated twice while other ports are free, and against ports outside of
+// the range for tests.
 func TestPortsOnce(t *testing.T) {
 	pool := &portPool{lockDir: t.TempDir(), firstBlock: portBlocks - 1}
-	ports := takeEachPort(t, pool)
-	require.Len(t, ports, (portBlocks-blocksLeftFree)*portsPerBlock, "of a process that is alone")
+	ports := allocateUntilReuse(t, pool)
+	require.Len(t, ports, (portBlocks-blocksLeftFree)*portsPerBlock, "number of ports of a process without competition")
 	for _, port := range ports {
 		require.GreaterOrEqual(t, port, 20000)
 		require.LessOrEqual(t, port, 31999)
 	}
 	for _, want := range ports[1:] {
-		port, err := pool.takePort()
+		port, err := pool.allocatePort()
 		require.NoError(t, err)
-		require.Equal(t, want, port, "those that it got first come again first")
+		require.Equal(t, want, port, "ports are reused in the order of their allocation")
 	}
 }
 
-// takeEachPort takes ports until the first one comes again, and returns them in order.
-func takeEachPort(t *testing.T, pool *portPool) (ports []int) {
-	taken := map[int]bool{}
+// allocateUntilReuse allocates ports until the pool returns the first one again. It returns the distinct ports in order.
+func allocateUntilReuse(t *testing.T, pool *portPool) (ports []int) {
+	allocated := map[int]bool{}
 	for {
-		port, err := pool.takePort()
+		port, err := pool.allocatePort()
 		require.NoError(t, err)
-		if taken[port] {
+		if allocated[port] {
 			require.Equal(t, ports[0], port)
 			return ports
 		}
-		taken[port] = true
+		allocated[port] = true
 		ports = append(ports, port)
 	}
 }
 
-// TestPortShares guards against processes that find no port because others have taken all, and against one that takes a
-// port which another has reserved, once no block is free.
+// TestPortShares guards against a process that gets no port because other processes have reserved all blocks, and
+// against one that allocates a port of another process when no block is free.
 func TestPortShares(t *testing.T) {
 	dir := t.TempDir()
-	taken := map[int]bool{}
+	allocated := map[int]bool{}
 	pools := []*portPool{{lockDir: dir}}
-	for range blocksLeftFree / shareBlocks {
+	for range blocksLeftFree / minBlocksPerProcess {
 		pools = append(pools, &portPool{lockDir: dir})
 	}
 	for i, pool := range pools {
-		ports := takeEachPort(t, pool)
-		require.GreaterOrEqual(t, len(ports), shareBlocks*portsPerBlock, "process %d", i)
+		ports := allocateUntilReuse(t, pool)
+		require.GreaterOrEqual(t, len(ports), minBlocksPerProcess*portsPerBlock, "number of ports of process %d", i)
 		for _, port := range ports {
-			require.False(t, taken[port], "%d is taken by two processes", port)
-			taken[port] = true
+			require.False(t, allocated[port], "port %d is allocated by two processes", port)
+			allocated[port] = true
 		}
 	}
-	late := &portPool{lockDir: dir}
-	_, err := late.takePort()
+	latePool := &portPool{lockDir: dir}
+	_, err := latePool.allocatePort()
 	require.ErrorIs(t, err, errNoPortBlock)
 	require.ErrorContains(t, err, dir)
 
 	freed := pools[1].reserved[3]
 	require.NoError(t, freed.lock.Close())
-	port, err := late.takePort()
+	port, err := latePool.allocatePort()
 	require.NoError(t, err)
 	require.Equal(t, freed.firstPort, port)
-	runtime.KeepAlive(pools) // a lock file that nobody refers to is closed
+	runtime.KeepAlive(pools) // the garbage collector closes a lock file that is no longer referenced
 }
 
-// TestPortInUse guards against an address that a program outside of the tests listens at.
+// TestPortInUse guards against returning an address that another program already listens on.
 func TestPortInUse(t *testing.T) {
 	pool := &portPool{lockDir: os.TempDir(), firstBlock: processPorts.firstBlock}
 	first, err := pool.listen()
--- a/internal/testrig/prober.go
+++ b/internal/testrig/prober.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	proberTimeout = 500 * time.Millisecond // of one write
-	proberPause   = 5 * time.Millisecond   // between two writes
+	proberTimeout = 500 * time.Millisecond // timeout of one write
+	proberPause   = 5 * time.Millisecond   // pause between two writes
 )
 
-// interval is the time from the begin of a write to its acknowledgment.
-type interval struct{ began, ended time.Time }
+// writeInterval is the time from the start of a write to its acknowledgment.
+type writeInterval struct{ started, ended time.Time }
 
-// Prober writes one key without pause, at all nodes in turn, and records when writes
-// that succeeded began and ended.
+// Prober continuously writes one key, to each node in turn. It records the start and end times of the
+// writes that succeeded.
 type Prober struct {
 	mu     sync.Mutex
-	writes []interval
+	writes []writeInterval
 }
 
 // Run writes until stop is closed.
@@ -38,9 +38,9 @@
 	}
 }
 
-// write writes a number at one node.
+// write writes the number n to the node with the given admin address.
 func (p *Prober) write(client *http.Client, admin string, n int) {
-	began := time.Now()
+	started := time.Now()
 	req, err := http.NewRequest(http.MethodPut, "http://"+admin+"/store/probe", strings.NewReader(fmt.Sprint(n)))
 	if err != nil {
 		panic(err)
@@ -56,16 +56,16 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.writes = append(p.writes, interval{began, time.Now()})
+	p.writes = append(p.writes, writeInterval{started, time.Now()})
 }
 
-// FirstWriteAfter is when the first write ended that began after a time. There is none
-// if no write began before that time.
+// FirstWriteAfter returns when the first successful write that started at or after a given time ended. It
+// reports false if there is no such write, or no write that started before that time.
 func (p *Prober) FirstWriteAfter(at time.Time) (ended time.Time, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i := len(p.writes) - 1; i >= 0; i-- {
-		if !p.writes[i].began.Before(at) {
+		if !p.writes[i].started.Before(at) {
 			continue
 		}
 		if i+1 < len(p.writes) {
--- a/internal/testrig/resource.go
+++ b/internal/testrig/resource.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Action is one that a resource has accepted. Its times are of the resource's clock.
+// Action is an action that took effect on a resource. The times are taken from the clock of the resource.
 type Action struct {
 	Holder string
 	Token  uint64
@@ -18,27 +18,27 @@
 	End    time.Time
 }
 
-// defaultActionDuration is how long an action takes where the test sets nothing else.
+// defaultActionDuration is the duration of an action unless a test sets another one.
 const defaultActionDuration = 2 * time.Millisecond
 
-// Resource is something that only one process may act on at a time: POST
-// /act?holder=H&token=T takes ActionDuration. A fenced resource keeps the highest token
-// that it has received, and rejects lower ones, also of actions during which a higher
-// one arrived.
+// Resource is an HTTP server for a resource that only one lease holder may act on at a time. The request
+// POST /act?holder=H&token=T performs an action, which takes ActionDuration. A fenced resource stores the
+// highest token that it has received and rejects actions with a lower token. It also rejects an action if a
+// higher token arrives before the action ends.
 type Resource struct {
-	URL            string // of the server, without /act
+	URL            string // base URL of the server, without /act
 	ActionDuration time.Duration
 
 	server *httptest.Server
 	fenced bool // rejects stale tokens
 
 	mu       sync.Mutex
-	highest  uint64 // token that was received
+	highest  uint64 // highest token that was received
 	actions  []Action
-	rejected int // actions
+	rejected int // number of rejected actions
 }
 
-// NewResource starts a resource; one without a fence accepts any token.
+// NewResource starts a resource. If it is not fenced, it accepts any token.
 func NewResource(t T, fenced bool) *Resource {
 	r := &Resource{ActionDuration: defaultActionDuration, fenced: fenced}
 	r.server = httptest.NewServer(r)
@@ -47,7 +47,7 @@
 	return r
 }
 
-// ServeHTTP carries out one action.
+// ServeHTTP handles one action.
 func (r *Resource) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	token, err := strconv.ParseUint(q.URL.Query().Get("token"), 10, 64)
 	action := Action{Holder: q.URL.Query().Get("holder"), Token: token, Begin: time.Now()}
@@ -62,7 +62,7 @@
 	}
 }
 
-// admit begins an action, unless the fence rejects its token.
+// admit reports whether an action with this token may start.
 func (r *Resource) admit(token uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -73,7 +73,7 @@
 	return true
 }
 
-// commit has an action take effect, unless a higher token arrived during it.
+// commit records that an action took effect, unless a higher token has arrived since it started.
 func (r *Resource) commit(action Action) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -84,7 +84,8 @@
 	return true
 }
 
-// rejectStale reports whether the fence rejects a token, and counts it. The lock is held.
+// rejectStale reports whether a token is lower than the highest one on a fenced resource, and counts the
+// rejected action. The caller must hold mu.
 func (r *Resource) rejectStale(token uint64) bool {
 	if !r.fenced || token >= r.highest {
 		return false
@@ -93,8 +94,8 @@
 	return true
 }
 
-// Violations names what no run may show: a token that took effect after a higher one,
-// actions of two holders that overlap, or a token that two holders had.
+// Violations describes violations of mutual exclusion: an action that took effect after one with a higher
+// token, overlapping actions of two holders, or one token used by two holders.
 func (r *Resource) Violations() (violations []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -102,12 +103,12 @@
 	var last Action
 	for _, a := range r.actions {
 		if holder, ok := holders[a.Token]; ok && holder != a.Holder {
-			violations = append(violations, fmt.Sprintf("token %d of %s and %s", a.Token, holder, a.Holder))
+			violations = append(violations, fmt.Sprintf("token %d was used by both %s and %s", a.Token, holder, a.Holder))
 		}
 		holders[a.Token] = a.Holder
 		switch {
 		case a.Token < last.Token:
-			violations = append(violations, fmt.Sprintf("token %d of %s after %d of %s", a.Token, a.Holder, last.Token, last.Holder))
+			violations = append(violations, fmt.Sprintf("token %d of %s took effect after token %d of %s", a.Token, a.Holder, last.Token, last.Holder))
 		case a.Holder != last.Holder && a.Begin.Before(last.End):
 			violations = append(violations, fmt.Sprintf("actions of %s and %s overlap", a.Holder, last.Holder))
 		}
@@ -116,7 +117,7 @@
 	return violations
 }
 
-// Counts are the tokens and the actions that took effect, and the rejected actions.
+// Counts returns the numbers of distinct tokens, of actions that took effect, and of rejected actions.
 func (r *Resource) Counts() (tokens, actions, rejected int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -127,7 +128,7 @@
 	return len(distinct), len(r.actions), r.rejected
 }
 
-// LastAction is the last action that took effect.
+// LastAction returns the last action that took effect. It reports false if there is none.
 func (r *Resource) LastAction() (a Action, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -137,13 +138,14 @@
 	return r.actions[len(r.actions)-1], true
 }
 
-// ActedAfter reports whether the last action that took effect began after a time.
+// ActedAfter reports whether the last action that took effect started after a given time.
 func (r *Resource) ActedAfter(at time.Time) bool {
 	a, ok := r.LastAction()
 	return ok && a.Begin.After(at)
 }
 
-// LongestGap is the longest time between two actions that took effect, after a time.
+// LongestGap returns the longest time between the ends of two consecutive actions that took effect after a given
+// time. The time from since to the end of the first such action counts too.
 func (r *Resource) LongestGap(since time.Time) (longest time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/testrig/schedule.go
+++ b/internal/testrig/schedule.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// Fault is a fault of one node that can be injected and ended.
+// Fault is a fault that can be injected into a node, with the function that ends it.
 type Fault struct {
 	Name string
-	// IsolatesLeader reports whether the others lose their leader if it is the node.
+	// IsolatesLeader is true if the fault separates the leader from the other nodes when it is injected
+	// into the leader.
 	IsolatesLeader bool
 	Inject         func(node int)
 	Recover        func(node int)
@@ -17,31 +18,31 @@
 // ScheduledFault is one fault of a schedule.
 type ScheduledFault struct {
 	Fault       Fault
-	DelayBefore time.Duration // without a fault
+	DelayBefore time.Duration // fault-free time before the fault
 	Duration    time.Duration
-	Node        int // for faults that choose a node
+	Node        int // random node, for faults that apply to any node
 }
 
-// scheduleStream is the second seed of the generator, which sets schedules apart from
-// other uses of the same seed.
+// scheduleStream is the second seed of the schedule's random generator. It makes the sequence differ from
+// those of other generators with the same first seed.
 const scheduleStream = 11
 
-// quietDivisor is the part of the shortest duration that the quiet time before a fault
-// is at least.
-const quietDivisor = 5
+// delayDivisor sets the minimum fault-free time before a fault: the minimum duration of a fault divided
+// by delayDivisor.
+const delayDivisor = 5
 
-// Schedule draws faults from a seed, without end. Each round has all of them once, in
-// a random order. The same seed gives the same faults.
+// Schedule is an endless random sequence of faults. Each round contains every fault once, in random order.
+// The same seed produces the same sequence.
 type Schedule struct {
 	Seed        uint64
 	rng         *rand.Rand
 	faults      []Fault
-	order       []int // of the rest of this round: indexes of faults
+	order       []int // indexes into faults of the remaining faults of this round
 	minDuration time.Duration
 	nodes       int
 }
 
-// NewSchedule returns a schedule of faults on a number of nodes. Each takes once to
+// NewSchedule returns a schedule of faults for a number of nodes. Each fault lasts between minDuration and
 // twice minDuration.
 func NewSchedule(seed uint64, nodes int, minDuration time.Duration, faults ...Fault) *Schedule {
 	return &Schedule{
@@ -53,19 +54,19 @@
 	}
 }
 
-// Next draws the next fault.
+// Next returns the next fault of the schedule.
 func (s *Schedule) Next() ScheduledFault {
 	if len(s.order) == 0 {
 		s.order = s.rng.Perm(len(s.faults))
 	}
 	fault := s.faults[s.order[0]]
 	s.order = s.order[1:]
-	quietBefore := s.drawDuration(s.minDuration / quietDivisor)
-	duration := s.drawDuration(s.minDuration)
-	return ScheduledFault{Fault: fault, DelayBefore: quietBefore, Duration: duration, Node: s.rng.IntN(s.nodes)}
+	delayBefore := s.randomDuration(s.minDuration / delayDivisor)
+	duration := s.randomDuration(s.minDuration)
+	return ScheduledFault{Fault: fault, DelayBefore: delayBefore, Duration: duration, Node: s.rng.IntN(s.nodes)}
 }
 
-// drawDuration draws from once to twice a duration.
-func (s *Schedule) drawDuration(shortest time.Duration) time.Duration {
-	return shortest + time.Duration(s.rng.Int64N(int64(shortest)))
+// randomDuration returns a random duration between minimum and twice minimum.
+func (s *Schedule) randomDuration(minimum time.Duration) time.Duration {
+	return minimum + time.Duration(s.rng.Int64N(int64(minimum)))
 }
