--- a/bench/store/cluster.go
+++ b/bench/store/cluster.go
@@ -11,69 +11,69 @@
 	"oxbowbridge/internal/testrig"
 )
 
-// rigHost is the testrig.T of a tool: a failure panics, and ends the measurement of a
-// build.
-type rigHost struct {
+// benchT implements testrig.T outside of a test. A failure panics, which aborts the measurement of the
+// current build.
+type benchT struct {
 	dir      string
 	cleanups []func()
 }
 
 // Helper does nothing.
-func (h *rigHost) Helper() {}
+func (b *benchT) Helper() {}
 
-// Logf logs.
-func (h *rigHost) Logf(format string, args ...any) { log.Printf(format, args...) }
+// Logf writes a message to the standard logger.
+func (b *benchT) Logf(format string, args ...any) { log.Printf(format, args...) }
 
-// Cleanup has a function called when the measurement has ended.
-func (h *rigHost) Cleanup(cleanup func()) { h.cleanups = append(h.cleanups, cleanup) }
+// Cleanup registers a function that is called when the measurement has ended.
+func (b *benchT) Cleanup(cleanup func()) { b.cleanups = append(b.cleanups, cleanup) }
 
-// Fatalf ends the measurement of this build.
-func (h *rigHost) Fatalf(format string, args ...any) { panic(fmt.Errorf(format, args...)) }
+// Fatalf aborts the measurement of the current build with a panic.
+func (b *benchT) Fatalf(format string, args ...any) { panic(fmt.Errorf(format, args...)) }
 
-// TempDir makes a folder that is removed when the measurement has ended.
-func (h *rigHost) TempDir() string {
-	dir, err := os.MkdirTemp(h.dir, "")
+// TempDir creates a directory that is removed when the measurement has ended.
+func (b *benchT) TempDir() string {
+	dir, err := os.MkdirTemp(b.dir, "")
 	if err != nil {
 		panic(err)
 	}
 	return dir
 }
 
-// daemon is one process of a build.
+// daemon is a running oxbowbridge process of one build.
 type daemon struct{ *exec.Cmd }
 
-// Signal sends a signal.
+// Signal implements testrig.Process.
 func (d daemon) Signal(sig os.Signal) error { return d.Process.Signal(sig) }
 
-// Kill ends the process at once, and waits for its end.
+// Kill sends SIGKILL to the process and waits until it has exited.
 func (d daemon) Kill() {
 	d.Process.Kill()
 	d.Wait()
 }
 
-// Log is empty: what a daemon logs is not kept.
+// Log returns an empty string because the benchmark does not capture the daemon's log output.
 func (d daemon) Log() string { return "" }
 
-// withCluster runs a measurement on a new cluster of a build.
+// withCluster runs a measurement on a new cluster of processes of one build.
 func (b *bench) withCluster(built build, nodes int, measure func(*testrig.Cluster) error) (err error) {
-	host := &rigHost{}
-	if host.dir, err = os.MkdirTemp("", "store-bench"); err != nil {
+	tb := &benchT{}
+	if tb.dir, err = os.MkdirTemp("", "store-bench"); err != nil {
 		return err
 	}
-	defer os.RemoveAll(host.dir)
+	defer os.RemoveAll(tb.dir)
 	defer func() {
-		for _, cleanup := range host.cleanups {
+		for _, cleanup := range tb.cleanups {
 			cleanup()
 		}
 		if failure := recover(); failure != nil {
 			err = fmt.Errorf("%v", failure)
 		}
 	}()
-	c := testrig.NewCluster(host, nodes, nodes)
+	c := testrig.NewCluster(tb, nodes, nodes)
 	c.Launch = func(node int, store map[string]any) testrig.Process {
-		d, err := b.launch(host, c.Peers[node].Name, built, store)
+		d, err := b.launch(tb, c.Peers[node].Name, built, store)
 		if err != nil {
-			host.Fatalf("start: %v", err)
+			tb.Fatalf("start daemon: %v", err)
 		}
 		return d
 	}
@@ -82,21 +82,21 @@
 	return measure(c)
 }
 
-// launch starts a daemon with the configuration of the benchmark and a store section.
-func (b *bench) launch(host *rigHost, node string, built build, store map[string]any) (testrig.Process, error) {
+// launch starts a daemon with the benchmark's configuration and the given store section.
+func (b *bench) launch(tb *benchT, node string, built build, store map[string]any) (testrig.Process, error) {
 	var config map[string]any
 	if err := json.Unmarshal(b.config, &config); err != nil {
-		return nil, fmt.Errorf("configuration: %w", err)
+		return nil, fmt.Errorf("parse configuration: %w", err)
 	}
 	config["name"] = node
-	config["listen"] = testrig.FreeAddr(host)
-	config["engine"] = testrig.FreeAddr(host)
+	config["listen"] = testrig.FreeAddr(tb)
+	config["engine"] = testrig.FreeAddr(tb)
 	config["store"] = store
 	text, err := json.Marshal(config)
 	if err != nil {
 		return nil, err
 	}
-	path := filepath.Join(host.dir, node+".json")
+	path := filepath.Join(tb.dir, node+".json")
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		return nil, err
 	}
--- a/bench/store/leases.go
+++ b/bench/store/leases.go
@@ -15,13 +15,13 @@
 
 const leaseNodes = 5
 
-// leaseBench is what is measured of leases, at five nodes.
+// leaseBench measures leases on a cluster of five nodes.
 type leaseBench struct {
 	*bench
 	cluster *testrig.Cluster
 	built   build
-	pids    []int    // by node
-	admins  []string // addresses, by node
+	pids    []int    // process ids, by node
+	admins  []string // admin addresses, by node
 }
 
 // measureLeases measures the leases of one build.
@@ -41,37 +41,38 @@
 	})
 }
 
-func (l *leaseBench) record(measured string, value float64) {
-	l.figures.add(measured, l.built.name, value)
+func (l *leaseBench) record(metricName string, value float64) {
+	l.metrics.add(metricName, l.built.name, value)
 }
 
-// The lease that handovers measure.
+// Parameters of the handover measurement.
 const (
 	handoverTTL  = 2 * time.Second
 	handoverName = "killed"
-	// waiterHeadStart is the time in which the next holder has begun to wait.
+	// waiterHeadStart is the delay between the acquire request of the next holder and the kill of the
+	// current one. It ensures that the next holder already waits for the lease.
 	waiterHeadStart = 200 * time.Millisecond
-	// handoverStepMillis and handoverSpreadMillis spread the kills over a second of the
-	// lease: each comes a step later than the one before, modulo the spread.
+	// Each kill happens handoverStepMillis later in the lease period than the previous one, modulo
+	// handoverSpreadMillis. This spreads the kills over one second of the period.
 	handoverStepMillis   = 137
 	handoverSpreadMillis = 1000
 )
 
-// handovers kills a holder, again and again, and measures until the next one has the
-// lease.
+// handovers repeatedly kills the holder of a lease and measures the time until the next holder is granted
+// the lease.
 func (l *leaseBench) handovers() error {
 	for n := range l.outages {
 		elapsed, err := l.handover(n)
 		if err != nil {
 			return err
 		}
-		measured := fmt.Sprintf("ms from a holder's SIGKILL to the next grant, TTL %d", handoverTTL.Milliseconds())
-		l.record(measured, float64(elapsed.Milliseconds()))
+		metricName := fmt.Sprintf("ms from a holder's SIGKILL to the next grant, TTL %d", handoverTTL.Milliseconds())
+		l.record(metricName, float64(elapsed.Milliseconds()))
 	}
 	return nil
 }
 
-// handover measures one handover, at another time of the lease for each n.
+// handover measures one handover. The time within the lease period at which it kills the holder depends on n.
 func (l *leaseBench) handover(n int) (elapsed time.Duration, err error) {
 	holder := exec.Command(l.built.path, "lease", "run", handoverName, "--ttl", handoverTTL.String(),
 		"--nodes", strings.Join(l.admins, ","), "--", "sleep", "60")
@@ -80,7 +81,7 @@
 	if err := holder.Start(); err != nil {
 		return 0, err
 	}
-	testrig.Await(l.cluster.T, "the holder", func() bool {
+	testrig.Await(l.cluster.T, "the lease has a holder", func() bool {
 		return l.cluster.GetJSON(0, "/lease/"+handoverName, &struct{}{})
 	})
 	offsetMillis := n * handoverStepMillis % handoverSpreadMillis
@@ -97,18 +98,18 @@
 	}()
 	time.Sleep(waiterHeadStart)
 	holder.Process.Signal(syscall.SIGKILL)
-	began := time.Now()
+	started := time.Now()
 	if err := <-granted; err != nil {
 		return 0, err
 	}
-	elapsed = time.Since(began)
+	elapsed = time.Since(started)
 	holder.Wait()
 	next.Close()
 	return elapsed, nil
 }
 
-// contention measures contenders that acquire and release a lease: one for all of them,
-// or one each.
+// contention measures contenders that acquire and release leases. They either compete for one lease or use
+// one lease each.
 func (l *leaseBench) contention() error {
 	for _, c := range []struct {
 		contenders int
@@ -125,10 +126,10 @@
 	return nil
 }
 
-// contentionTTL is well above the time that a lease is held.
+// contentionTTL is much longer than a contender holds its lease, so that no lease expires.
 const contentionTTL = 10 * time.Second
 
-// contend measures one number of contenders.
+// contend measures one combination of the number of contenders and the number of leases.
 func (l *leaseBench) contend(contenders int, oneName bool) error {
 	situation := fmt.Sprintf("%02d contenders, a name each", contenders)
 	if oneName {
@@ -144,7 +145,7 @@
 		if !oneName {
 			name = fmt.Sprint("contender/", id)
 		}
-		began := time.Now()
+		started := time.Now()
 		options := leaseclient.AcquireOptions{Name: name, TTL: contentionTTL, Wait: true}
 		handle, err := managers[id].Acquire(context.Background(), options)
 		if err != nil {
@@ -152,7 +153,7 @@
 		}
 		acquired := time.Now()
 		err = handle.Release(context.Background())
-		l.record("us to acquire, "+situation, float64(acquired.Sub(began).Microseconds()))
+		l.record("us to acquire, "+situation, float64(acquired.Sub(started).Microseconds()))
 		l.record("us to release, "+situation, float64(time.Since(acquired).Microseconds()))
 		return err
 	})
--- a/bench/store/load.go
+++ b/bench/store/load.go
@@ -12,12 +12,12 @@
 	"oxbowbridge/internal/testrig"
 )
 
-// put writes a key at a node.
+// put sends a write of a key to a node.
 func (b *bench) put(c *testrig.Cluster, node int, key, value string) error {
 	return b.request(http.MethodPut, "http://"+c.Peers[node].Admin+"/store/"+key, value)
 }
 
-// request sends a request; a status from 300 on is an error.
+// request sends an HTTP request. A response status of 300 or above is an error.
 func (b *bench) request(method, url, body string) error {
 	req, err := http.NewRequest(method, url, strings.NewReader(body))
 	if err != nil {
@@ -35,16 +35,16 @@
 	return err
 }
 
-// load is how many operations a second so many clients complete. It ends with the
-// first error.
+// load runs operations in the given number of concurrent clients and returns how many operations per second
+// completed. A client stops at its first error; load then returns an error.
 func (b *bench) load(clients int, duration time.Duration, operate func(client, i int) error) (float64, error) {
 	var completed atomic.Int64
 	var running sync.WaitGroup
 	failed := make(chan error, clients)
-	began := time.Now()
+	started := time.Now()
 	for client := range clients {
 		running.Go(func() {
-			for i := 0; time.Since(began) < duration; i++ {
+			for i := 0; time.Since(started) < duration; i++ {
 				if err := operate(client, i); err != nil {
 					failed <- err
 					return
@@ -54,7 +54,7 @@
 		})
 	}
 	running.Wait()
-	elapsed := time.Since(began)
+	elapsed := time.Since(started)
 	select {
 	case err := <-failed:
 		return 0, err
--- a/bench/store/main.go
+++ b/bench/store/main.go
@@ -1,11 +1,12 @@
-// Store measures the replicated store of one or more builds of the program, taking
-// turns in each round, three daemons each on loopback ports:
+// Store measures the replicated store of one or more builds of oxbowbridge. In each round, it measures each
+// build once, with a cluster of three daemons on loopback ports:
 //
 //	go run ./bench/store -bin now=bin/oxbowbridge -bin before=/tmp/before/oxbowbridge
 //
-// It prints acknowledged writes a second, reads a second at a follower, the time from the
-// loss of the leader to the next acknowledged write, and, of builds that know members,
-// what a node that has missed much or lost its disk costs, as Markdown.
+// It prints a Markdown table with the acknowledged writes per second, the reads per second at a follower, and
+// the time from the loss of the leader to the next acknowledged write. With -behind, it also measures how a
+// node catches up after it has missed writes and how a node with a lost disk is replaced. This requires a
+// build that reports the cluster's members.
 package main
 
 import (
@@ -19,16 +20,16 @@
 	"time"
 )
 
-// build is a program that is measured.
+// build is an executable to measure.
 type build struct{ name, path string }
 
-// builds is a flag that may be given again.
+// builds is the value of a flag that may be repeated.
 type builds []build
 
-// String is the value as usage texts show it.
+// String returns the value for usage texts.
 func (b *builds) String() string { return fmt.Sprint(*b) }
 
-// Set adds a build, NAME=PATH.
+// Set adds a build that is given as NAME=PATH.
 func (b *builds) Set(text string) error {
 	name, path, ok := strings.Cut(text, "=")
 	if !ok {
@@ -40,18 +41,18 @@
 
 const (
 	requestTimeout = 10 * time.Second
-	// maxIdleConns lets each client of a load keep its connection.
+	// maxIdleConns is large enough that every client of a load can reuse its connection.
 	maxIdleConns = 128
 )
 
-// bench is what all measurements share.
+// bench has the settings, the HTTP client and the results of all measurements.
 type bench struct {
-	config       []byte // JSON, without a store
+	config       []byte // JSON configuration without a store section
 	loadDuration time.Duration
-	outages      int // how often the leader is lost in a round
-	missedWrites int // before a node returns; 0 leaves that out
+	outages      int // number of leader outages of each kind per round
+	missedWrites int // number of writes that a node misses before it catches up; 0 skips this measurement
 	http         *http.Client
-	figures      figures
+	metrics      metrics
 }
 
 func main() {
@@ -60,16 +61,16 @@
 		http: &http.Client{Timeout: requestTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConns}},
 	}
 	var measured builds
-	config := flag.String("config", "examples/config.json", "configuration without a store")
-	flag.DurationVar(&b.loadDuration, "span", 2*time.Second, "length of each load")
-	rounds := flag.Int("rounds", 3, "how often")
-	flag.IntVar(&b.outages, "outages", 4, "how often the leader is killed, and stopped, in a round")
-	flag.IntVar(&b.missedWrites, "behind", 0, "writes that a node misses before it is measured how it comes back; 0 leaves that out")
-	leases := flag.Bool("leases", false, "measure leases, at five nodes, in place of the rest")
-	flag.Var(&measured, "bin", "a build, NAME=PATH; may be given again")
+	config := flag.String("config", "examples/config.json", "path of a configuration without a store section")
+	flag.DurationVar(&b.loadDuration, "span", 2*time.Second, "duration of each load")
+	rounds := flag.Int("rounds", 3, "number of rounds")
+	flag.IntVar(&b.outages, "outages", 4, "number of times that the leader is killed, and that it is paused, in each round")
+	flag.IntVar(&b.missedWrites, "behind", 0, "number of writes that a node misses before it catches up; 0 skips this measurement")
+	leases := flag.Bool("leases", false, "measure leases on five nodes instead of the store")
+	flag.Var(&measured, "bin", "build to measure, as NAME=PATH; may be repeated")
 	flag.Parse()
 	if len(measured) == 0 {
-		log.Fatal("name a build with -bin")
+		log.Fatal("no build to measure: the flag -bin is missing")
 	}
 	var err error
 	if b.config, err = os.ReadFile(*config); err != nil {
@@ -86,5 +87,5 @@
 			}
 		}
 	}
-	b.figures.print()
+	b.metrics.print()
 }
--- a/bench/store/many_leases.go
+++ b/bench/store/many_leases.go
@@ -11,20 +11,20 @@
 	"oxbowbridge/internal/cluster/leaseclient"
 )
 
-// The leases that are kept alive at once.
+// Parameters of the measurement with many leases.
 const (
 	manyHolders      = 300
 	manyLeaseCount   = 10000
 	manyTTL          = 10 * time.Second
 	manyHolderPrefix = "many-"
-	// maxParallelAcquires bounds the acquisitions at once.
+	// maxParallelAcquires is the maximum number of concurrent acquire requests.
 	maxParallelAcquires = 32
-	// logEntriesPeriodSeconds is the time that log entries are counted for.
+	// logEntriesPeriodSeconds is the period that the number of log entries is reported for.
 	logEntriesPeriodSeconds = 100
 )
 
-// manyLeases has leases of many holders kept alive, and measures what that costs the
-// leader.
+// manyLeases keeps many leases of many holders alive, and measures the CPU time, the memory and the log
+// entries that they cost the leader.
 func (l *leaseBench) manyLeases() error {
 	leader := l.cluster.WaitForLeader()
 	memoryBefore := residentBytes(l.pids[leader])
@@ -38,14 +38,14 @@
 	}
 	var before, after struct{ Last uint64 }
 	if !l.cluster.GetJSON(leader, "/status", &before) {
-		return errors.New("no status")
+		return errors.New("read status of the leader: no valid response")
 	}
 	cpuBefore := cpuTime(l.pids[leader])
-	began := time.Now()
+	started := time.Now()
 	time.Sleep(2 * manyTTL)
-	seconds := time.Since(began).Seconds()
+	seconds := time.Since(started).Seconds()
 	if !l.cluster.GetJSON(leader, "/status", &after) || leader != l.cluster.WaitForLeader() {
-		return errors.New("the leader has changed")
+		return errors.New("the leader changed during the measurement, or did not return its status")
 	}
 	cpuSeconds := (cpuTime(l.pids[leader]) - cpuBefore).Seconds()
 	memoryGrowth := residentBytes(l.pids[leader]) - memoryBefore
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// acquireMany has the managers acquire all leases, in turn.
+// acquireMany acquires all leases. It distributes them evenly over the managers.
 func acquireMany(managers []*leaseclient.Manager) error {
 	var running sync.WaitGroup
 	failed := make(chan error, len(managers))
@@ -89,11 +89,11 @@
 	}
 }
 
-// countHeld is how many of the leases are held.
+// countHeld returns how many leases the holders of this measurement hold, according to a node.
 func (l *leaseBench) countHeld(node int) (held int, err error) {
 	var leases []struct{ Holder string }
 	if !l.cluster.GetJSON(node, "/lease", &leases) {
-		return 0, errors.New("no list")
+		return 0, errors.New("list leases: no valid response")
 	}
 	for _, lease := range leases {
 		if strings.HasPrefix(lease.Holder, manyHolderPrefix) {
--- a/bench/store/figures_test.go
+++ b/bench/store/metrics_test.go
@@ -7,22 +7,23 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestFiguresOfSeveralGoroutines: values that several goroutines add at a time were lost, or made two figures of one.
-func TestFiguresOfSeveralGoroutines(t *testing.T) {
+// TestMetricsOfSeveralGoroutines guards against a data race in metrics.add: when several goroutines added values at the
+// same time, values were lost, or a metric was created twice.
+func TestMetricsOfSeveralGoroutines(t *testing.T) {
 	const (
 		goroutines = 8
 		values     = 10_000
 	)
-	var all figures
-	var adding sync.WaitGroup
+	var all metrics
+	var writers sync.WaitGroup
 	for range goroutines {
-		adding.Go(func() {
+		writers.Go(func() {
 			for range values {
 				all.add("us of a write", "now", 100)
 			}
 		})
 	}
-	adding.Wait()
+	writers.Wait()
 	require.Len(t, all.entries, 1)
 	require.EqualValues(t, goroutines*values, all.entries[0].values.TotalCount())
 }
--- a/bench/store/proc.go
+++ b/bench/store/proc.go
@@ -7,26 +7,26 @@
 	"time"
 )
 
-// clockTicks are the ticks a second of /proc/PID/stat, as Linux shows them to all
-// programs.
-const clockTicks = 100
+// clockTicksPerSecond is the unit of the times in /proc/PID/stat. Linux always reports 100 ticks per second
+// to user space.
+const clockTicksPerSecond = 100
 
-// cpuTime is the CPU time that a process has used; 0 if it has ended.
+// cpuTime returns the CPU time that a process has used, or 0 if the process has exited.
 func cpuTime(pid int) time.Duration {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0
 	}
-	_, rest, _ := strings.Cut(string(text), ") ") // the name may hold spaces
-	const userField, systemField = 11, 12         // after the name; proc(5) counts from the pid
+	_, rest, _ := strings.Cut(string(text), ") ") // the process name may contain spaces
+	const userField, systemField = 11, 12         // indexes after the process name; proc(5) counts from the pid
 	fields := strings.Fields(rest)
 	var user, system int64
 	fmt.Sscan(fields[userField], &user)
 	fmt.Sscan(fields[systemField], &system)
-	return time.Duration(user+system) * time.Second / clockTicks
+	return time.Duration(user+system) * time.Second / clockTicksPerSecond
 }
 
-// residentBytes is the resident memory of a process; 0 if it has ended.
+// residentBytes returns the resident memory of a process, or 0 if the process has exited.
 func residentBytes(pid int) int64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
--- a/bench/store/store.go
+++ b/bench/store/store.go
@@ -13,16 +13,17 @@
 
 const (
 	storeNodes = 3
-	// readClients and catchUpClients are the clients of these loads.
+	// readClients is the number of clients that read, catchUpClients the number of clients that write what a
+	// node misses.
 	readClients    = 8
 	catchUpClients = 64
 	// retryPause is the pause between two attempts to write.
 	retryPause = 2 * time.Millisecond
-	// leaderSettleTime is the time in which a new leader is known to all nodes.
+	// leaderSettleTime is the time after an election in which all nodes learn of the new leader.
 	leaderSettleTime = 300 * time.Millisecond
 )
 
-// storeBench is what is measured of the store, at three nodes.
+// storeBench measures the store on a cluster of three nodes.
 type storeBench struct {
 	*bench
 	cluster   *testrig.Cluster
@@ -40,31 +41,31 @@
 			s.outage("ms from the leader's SIGKILL to a write", c.Kill, c.Start)
 			s.outage("ms from the leader's SIGSTOP to a write", c.Pause, c.Resume)
 		}
-		knowsMembers := len(c.Members(c.WaitForLeader())) == storeNodes
-		if b.missedWrites > 0 && knowsMembers {
+		reportsMembers := len(c.Members(c.WaitForLeader())) == storeNodes
+		if b.missedWrites > 0 && reportsMembers {
 			return s.catchUp()
 		}
 		return nil
 	})
 }
 
-func (s *storeBench) record(measured string, value float64) {
-	s.figures.add(measured, s.buildName, value)
+func (s *storeBench) record(metricName string, value float64) {
+	s.metrics.add(metricName, s.buildName, value)
 }
 
-func (s *storeBench) recordMillis(measured string, since time.Time) {
-	s.record(measured, float64(time.Since(since).Milliseconds()))
+func (s *storeBench) recordMillis(metricName string, since time.Time) {
+	s.record(metricName, float64(time.Since(since).Milliseconds()))
 }
 
-// hundredDigits is a JSON string that ends with a number.
-func hundredDigits(i int) string { return fmt.Sprintf(`"%0100d"`, i) }
+// hundredDigitValue returns a JSON string of 100 digits: the number i with leading zeros.
+func hundredDigitValue(i int) string { return fmt.Sprintf(`"%0100d"`, i) }
 
-// writesAndReads measures loads of writes at the leader, and of reads at a follower.
+// writesAndReads measures the throughput of writes at the leader and of reads at a follower.
 func (s *storeBench) writesAndReads() error {
 	leader := s.cluster.WaitForLeader()
 	for _, clients := range []int{1, 8, 64} {
 		rate, err := s.load(clients, s.loadDuration, func(client, i int) error {
-			return s.put(s.cluster, leader, fmt.Sprint("k", client), hundredDigits(i))
+			return s.put(s.cluster, leader, fmt.Sprint("k", client), hundredDigitValue(i))
 		})
 		if err != nil {
 			return err
@@ -84,24 +85,25 @@
 	return nil
 }
 
-// outage loses the leader, and measures until a write at another node is acknowledged.
-func (s *storeBench) outage(measured string, lose, restore func(node int)) {
+// outage stops the leader with the function stop and measures the time until another node acknowledges a
+// write. It then restores the stopped node and waits until the node is up to date.
+func (s *storeBench) outage(metricName string, stop, restore func(node int)) {
 	leader := s.cluster.WaitForLeader()
 	time.Sleep(leaderSettleTime)
-	lose(leader)
-	began := time.Now()
+	stop(leader)
+	started := time.Now()
 	for attempt := 1; s.put(s.cluster, (leader+1+attempt%2)%storeNodes, "after", "1") != nil; attempt++ {
 		time.Sleep(retryPause)
 	}
-	s.recordMillis(measured, began)
+	s.recordMillis(metricName, started)
 	restore(leader)
-	testrig.Await(s.cluster.T, "the node to be up to date", func() bool {
+	testrig.Await(s.cluster.T, "the restored node is up to date", func() bool {
 		return s.cluster.GetJSON(leader, "/store/after", new(int))
 	})
 }
 
-// catchUp has a node miss writes and return, and then lose its disk, while a client
-// goes on writing.
+// catchUp measures a node that restarts after it has missed writes, and a node whose lost disk is replaced.
+// It also measures the writes of a client meanwhile.
 func (s *storeBench) catchUp() error {
 	leader := s.cluster.WaitForLeader()
 	node := (leader + 1) % storeNodes
@@ -111,23 +113,23 @@
 		return err
 	}
 	s.writeDuring("while a node catches up", leader, func() {
-		began := time.Now()
+		started := time.Now()
 		s.cluster.Start(node)
-		testrig.Await(s.cluster.T, "the node to be up to date", func() bool {
+		testrig.Await(s.cluster.T, "the restarted node is up to date", func() bool {
 			return s.cluster.GetJSON(node, "/store/beside", new(int))
 		})
-		s.recordMillis(fmt.Sprintf("ms from the start of a node that misses %d writes to a fresh read", s.missedWrites), began)
+		s.recordMillis(fmt.Sprintf("ms from the start of a node that misses %d writes to a fresh read", s.missedWrites), started)
 	})
 	s.writeDuring("while a lost disk is replaced", leader, func() {
-		began := time.Now()
+		started := time.Now()
 		s.cluster.ReplaceDisk(node)
 		s.cluster.WaitForVoters(0, 1, 2)
-		s.recordMillis("ms from a lost disk to full strength", began)
+		s.recordMillis("ms from a lost disk to full strength", started)
 	})
 	return nil
 }
 
-// writeMissed writes as many values as a node is to miss.
+// writeMissed writes missedWrites values while a node is stopped.
 func (s *storeBench) writeMissed(leader int) error {
 	var remaining atomic.Int64
 	remaining.Store(int64(s.missedWrites))
@@ -135,7 +137,7 @@
 		if remaining.Add(-1) < 0 {
 			return io.EOF
 		}
-		return s.put(s.cluster, leader, fmt.Sprint("k", client), hundredDigits(i))
+		return s.put(s.cluster, leader, fmt.Sprint("k", client), hundredDigitValue(i))
 	})
 	if errors.Is(err, io.EOF) {
 		return nil
@@ -143,7 +145,7 @@
 	return err
 }
 
-// writeDuring measures writes at the leader while a function runs.
+// writeDuring measures the latency of writes at the leader while a function runs.
 func (s *storeBench) writeDuring(situation string, leader int, run func()) {
 	stop := make(chan struct{})
 	ended := make(chan struct{})
@@ -155,9 +157,9 @@
 				return
 			default:
 			}
-			began := time.Now()
+			started := time.Now()
 			if s.put(s.cluster, leader, "beside", "1") == nil {
-				s.record("us of a write "+situation, float64(time.Since(began).Microseconds()))
+				s.record("us of a write "+situation, float64(time.Since(started).Microseconds()))
 			}
 			time.Sleep(retryPause)
 		}
--- a/examples/standin/main.go
+++ b/examples/standin/main.go
@@ -1,10 +1,10 @@
-// Standin is a small engine to try oxbowbridge with, and a caller:
+// Standin is a minimal engine and a caller for trying out oxbowbridge:
 //
-//	go run ./examples/standin                       the engine, on 127.0.0.1:6100
-//	go run ./examples/standin -call nom-submit hi   one request to 127.0.0.1:9090
-//	go run ./examples/standin -call nom-update -key K hi   one of a class that may come again
+//	go run ./examples/standin                              runs the engine on 127.0.0.1:6100
+//	go run ./examples/standin -call nom-submit hi          sends one request to 127.0.0.1:9090
+//	go run ./examples/standin -call nom-update -key K hi   sends one request with an idempotency key
 //
-// The engine runs four requests at a time, 300 ms each; more wait for a core.
+// The engine executes up to four runs at a time, each for 300 ms. Further runs wait for a free core.
 package main
 
 import (
@@ -25,10 +25,10 @@
 )
 
 func main() {
-	engineAddr := flag.String("engine", "127.0.0.1:6100", "where the engine listens")
-	serviceAddr := flag.String("service", "127.0.0.1:9090", "where the service listens")
-	class := flag.String("call", "", "send one request of this class, with the arguments as its body")
-	key := flag.String("key", "", "the request's Replay-Key, the same for all its tries")
+	engineAddr := flag.String("engine", "127.0.0.1:6100", "listen address of the engine")
+	serviceAddr := flag.String("service", "127.0.0.1:9090", "address of the service to send the request to")
+	class := flag.String("call", "", "send one request of this class, with the arguments as the body, instead of running the engine")
+	key := flag.String("key", "", "idempotency key (Replay-Key) of the request, the same for all attempts")
 	flag.Parse()
 	var err error
 	if *class != "" {
@@ -41,26 +41,27 @@
 		err = serveEngine(*engineAddr)
 	}
 	if err != nil {
-		log.Fatal("toy: ", err)
+		log.Fatal("standin: ", err)
 	}
 }
 
-// serveEngine runs the engine until the process ends.
+// serveEngine runs the engine until the process exits.
 func serveEngine(addr string) error {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return err
 	}
-	log.Println("toy engine on", listener.Addr())
+	log.Println("engine listening on", listener.Addr())
 	engine := &standin.Engine{
 		Cores:       engineCores,
 		RunDuration: runDuration,
-		OnRun:       func(class, body string) { log.Printf("run: %s %s", class, body) },
+		OnRun:       func(class, body string) { log.Printf("starting run: %s %s", class, body) },
 	}
 	return engine.Serve(listener)
 }
 
-// call sends one request, and prints the response as the service sent it.
+// call sends one request and prints the status, the Hold-Off-Ms header if there is one, and the body of the
+// response.
 func call(addr string, request standin.Request) error {
 	response, err := standin.Call(context.Background(), addr, request)
 	if err != nil {
--- a/internal/standin/caller.go
+++ b/internal/standin/caller.go
@@ -15,50 +15,50 @@
 	"time"
 )
 
-// FastCGI, as far as a caller of one request on a connection needs it. Each record is
-// a header and a content of at most 65535 bytes.
+// The subset of FastCGI for one request per connection. Each record has a header and up to 65535 bytes of
+// content.
 const (
 	fastCGIVersion   = 1
-	recordHeaderLen  = 8 // bytes
+	recordHeaderLen  = 8 // in bytes
 	requestID        = 1
 	recordBegin      = 1
 	recordEndRequest = 3
 	recordParams     = 4
 	recordStdin      = 5
-	// beginResponder asks for the responder role, on a connection that is closed after
-	// the request.
+	// beginResponder is the content of the begin record. It requests the responder role, and that the
+	// server closes the connection after the request.
 	beginResponder = "\x00\x01\x00\x00\x00\x00\x00\x00"
-	// maxShortLen is the longest name or value whose length is sent in one byte.
+	// maxShortLen is the maximum length of a name or value whose length is encoded in one byte.
 	maxShortLen = 127
 )
 
-// memoryReserveKB is the memory that a request declares, in KB.
+// memoryReserveKB is the memory that each request asks the service to reserve, in KB.
 const memoryReserveKB = "24.5"
 
-// maxResponseBytes is the length from which on the rest of a response is dropped.
+// maxResponseBytes is the length above which the rest of a response is discarded.
 const maxResponseBytes = 2 * maxBodyBytes
 
 // Request is a request to the service.
 type Request struct {
 	Class string
-	// IdempotencyKey makes a request of a class with duplicate detection idempotent, the
-	// same for all attempts; at most 127 bytes are sent.
+	// IdempotencyKey identifies a request in a class with duplicate detection. All attempts of a request
+	// must have the same key. Only the first 127 bytes are sent.
 	IdempotencyKey string
-	// Body is cut at 65535 bytes.
+	// Body is truncated to 65535 bytes.
 	Body string
 }
 
-// Response is the service's response.
+// Response is the response of the service to a request.
 type Response struct {
-	Status int // as in HTTP
-	// RetryAfterMillis is the delay in ms after which a rejected request may be sent
-	// again, in decimal digits as on the wire; "" if the service gave none.
+	Status int // HTTP status code
+	// RetryAfterMillis is the delay in ms after which a rejected request may be retried, as decimal
+	// digits. It is "" if the service sent no delay.
 	RetryAfterMillis string
 	Body             string
 }
 
-// Call sends one request over FastCGI, on a connection of its own. The context bounds
-// the whole call.
+// Call sends one request over a new FastCGI connection and returns the response. It aborts when the
+// context is done.
 func Call(ctx context.Context, addr string, request Request) (Response, error) {
 	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 	if err != nil {
@@ -73,7 +73,7 @@
 	return readResponse(conn)
 }
 
-// encodeRequest is the request as FastCGI records.
+// encodeRequest encodes a request as a sequence of FastCGI records.
 func encodeRequest(request Request) []byte {
 	out := appendRecord(nil, recordBegin, beginResponder)
 	out = appendRecord(out, recordParams, encodeParams(request))
@@ -114,13 +114,13 @@
 	return append(out, content...)
 }
 
-// readResponse reads records up to the end of the request, and parses their content.
+// readResponse reads records up to the end-of-request record and parses their content.
 func readResponse(conn net.Conn) (Response, error) {
 	var text bytes.Buffer
 	for in := bufio.NewReader(conn); ; {
 		kind, content, err := readRecord(in)
 		if err != nil {
-			return Response{}, fmt.Errorf("no answer: %w", err)
+			return Response{}, fmt.Errorf("read response: %w", err)
 		}
 		if kind == recordEndRequest {
 			break
@@ -132,7 +132,7 @@
 	return parseResponse(&text)
 }
 
-// readRecord reads one record, and leaves out its padding.
+// readRecord reads one record and discards its padding.
 func readRecord(in io.Reader) (kind byte, content []byte, err error) {
 	header := make([]byte, recordHeaderLen)
 	if _, err := io.ReadFull(in, header); err != nil {
@@ -147,17 +147,17 @@
 	return header[1], content[:contentLen], nil
 }
 
-// parseResponse reads header fields and a body.
+// parseResponse parses the header fields and the body of a response.
 func parseResponse(text io.Reader) (Response, error) {
 	in := bufio.NewReader(text)
 	fields, err := textproto.NewReader(in).ReadMIMEHeader()
 	if err != nil {
-		return Response{}, fmt.Errorf("answer can't be read: %w", err)
+		return Response{}, fmt.Errorf("parse response header: %w", err)
 	}
 	body, _ := io.ReadAll(in)
 	response := Response{RetryAfterMillis: fields.Get("Hold-Off-Ms"), Body: string(body)}
 	if response.Status, err = strconv.Atoi(fields.Get("Status")); err != nil {
-		return response, fmt.Errorf("answer has no status: %w", err)
+		return response, fmt.Errorf("response has no valid status: %w", err)
 	}
 	return response, nil
 }
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -11,32 +11,31 @@
 	"time"
 )
 
-// upstreamReplyTimeout bounds the wait for the reply to a run's call. The wait of a run
-// that was halted meanwhile ends with it too.
-const upstreamReplyTimeout = time.Minute
+// callReplyTimeout limits how long a run waits for the reply to its call. A run that is halted during this
+// wait also waits until the timeout.
+const callReplyTimeout = time.Minute
 
-// Engine runs requests, each for the same time. Requests that find no core free wait
-// for one.
+// Engine executes runs of a fixed duration. A run waits if no core is free.
 type Engine struct {
-	// Cores is how many requests run at once.
+	// Cores is the maximum number of concurrent runs.
 	Cores int
-	// RunDuration is how long each of them runs.
+	// RunDuration is the duration of each run.
 	RunDuration time.Duration
-	// DurationFunc is called for the duration of each run in place of RunDuration, if it is set.
+	// DurationFunc, if set, returns the duration of each run and replaces RunDuration.
 	DurationFunc func() time.Duration
-	// CommandDelayFunc is called for the time that passes before each command is carried out, and those
-	// behind it on the same connection, if it is set.
+	// CommandDelayFunc, if set, returns how long the engine waits before it executes each command. The
+	// wait also delays all later commands on the same connection.
 	CommandDelayFunc func() time.Duration
-	// CallingClasses are the classes whose runs call the records service half way.
+	// CallingClasses lists the classes whose runs call the records service before they end.
 	CallingClasses []string
-	// OnRun is called at the begin of each run, if it is set. It must not block.
+	// OnRun, if set, is called at the start of each run. It must not block.
 	OnRun func(class, body string)
 
 	mu      sync.Mutex
-	conn    net.Conn               // the attached one
-	notices []string               // all that were sent; those not received are sent again
-	replies map[string]chan []byte // by run: where the reply to its call arrives
-	cores   chan struct{}          // one element for each core in use
+	conn    net.Conn               // the connection that attached last
+	notices []string               // all notices sent; after a reconnect, the missed ones are resent
+	replies map[string]chan []byte // by run id; receives the reply to the run's call
+	cores   chan struct{}          // has one element for each core in use
 	started time.Time
 }
 
@@ -51,7 +50,7 @@
 	})
 }
 
-// handle carries out one command of the service.
+// handle executes one command from the service.
 func (e *Engine) handle(conn net.Conn, command lineCommand) {
 	if e.CommandDelayFunc != nil {
 		time.Sleep(e.CommandDelayFunc())
@@ -63,12 +62,12 @@
 		e.attach(conn, command.words[1])
 	case "RUN":
 		if len(command.words) > 2 {
-			e.start(command.id(), command.words[2], command.body)
+			e.startRun(command.id(), command.words[2], command.body)
 		}
 	case "FEED":
 		select {
 		case e.replies[command.id()] <- command.body:
-		default: // no run, or one that has its reply
+		default: // the run does not exist, or already has its reply
 		}
 	case "HALT":
 		e.finish(command.id(), "STOPPED", nil)
@@ -78,8 +77,9 @@
 	}
 }
 
-// attach sends the notices after the number that the service has received. A service
-// that has received none was restarted; its runs are forgotten. The lock is held.
+// attach sends the notices that the service has missed: those with a number above lastNotice. If the
+// service has received no notice, it was restarted, and the engine discards its runs and notices. The
+// caller must hold mu.
 func (e *Engine) attach(conn net.Conn, lastNotice string) {
 	received, _ := strconv.Atoi(lastNotice)
 	if received == 0 {
@@ -91,8 +91,8 @@
 	fmt.Fprintf(conn, "HELLO WARM %d\r\n%s", time.Since(e.started).Milliseconds(), strings.Join(missed, ""))
 }
 
-// start begins a run, unless it has begun before. The lock is held.
-func (e *Engine) start(id, class string, body []byte) {
+// startRun starts a run unless a run with this id exists already. The caller must hold mu.
+func (e *Engine) startRun(id, class string, body []byte) {
 	if e.replies[id] != nil {
 		return
 	}
@@ -104,11 +104,12 @@
 	go e.run(id, class, body, reply)
 }
 
-// run waits for a core, and runs one request. During its call the core is free.
+// run waits for a free core and executes one run. It releases the core while it waits for the reply to its
+// call.
 func (e *Engine) run(id, class string, body []byte, reply chan []byte) {
 	e.cores <- struct{}{}
 	defer func() { <-e.cores }()
-	time.Sleep(e.duration())
+	time.Sleep(e.nextRunDuration())
 	result := fmt.Appendf(nil, "%s done: %s", class, body)
 	if slices.Contains(e.CallingClasses, class) {
 		e.sendCall(id, body)
@@ -116,7 +117,7 @@
 		select {
 		case response := <-reply:
 			result = fmt.Appendf(result, " (%s)", response)
-		case <-time.After(upstreamReplyTimeout):
+		case <-time.After(callReplyTimeout):
 		}
 		e.cores <- struct{}{}
 	}
@@ -125,7 +126,7 @@
 	e.finish(id, "OK", result)
 }
 
-func (e *Engine) duration() time.Duration {
+func (e *Engine) nextRunDuration() time.Duration {
 	if e.DurationFunc != nil {
 		return e.DurationFunc()
 	}
@@ -138,7 +139,8 @@
 	e.notify(fmt.Sprintf("NEED %d %s %d\r\n%s\r\n", e.nextNotice(), id, len(body), body))
 }
 
-// finish sends the end of a run, once. The lock is held.
+// finish removes a run and notifies the service of its outcome. It does nothing if the run does not exist.
+// The caller must hold mu.
 func (e *Engine) finish(id, outcome string, result []byte) {
 	if e.replies[id] == nil {
 		return
@@ -148,10 +150,10 @@
 		e.nextNotice(), id, outcome, e.RunDuration.Milliseconds(), len(result), result))
 }
 
-// nextNotice is the number of the next notice, from 1. The lock is held.
+// nextNotice returns the number of the next notice. The first notice has number 1. The caller must hold mu.
 func (e *Engine) nextNotice() int { return len(e.notices) + 1 }
 
-// notify sends a notice and stores it for a new connection. The lock is held.
+// notify sends a notice and stores it so that it can be resent on a new connection. The caller must hold mu.
 func (e *Engine) notify(notice string) {
 	e.notices = append(e.notices, notice)
 	io.WriteString(e.conn, notice)
--- a/internal/standin/lineserver.go
+++ b/internal/standin/lineserver.go
@@ -9,10 +9,11 @@
 	"strings"
 )
 
-// maxBodyBytes bounds the body of a request or a reply.
+// maxBodyBytes is the maximum length of a request body or reply body.
 const maxBodyBytes = 1 << 16
 
-// serve handles each connection, and closes it then, until the listener is closed.
+// serve accepts connections until the listener is closed. It handles each connection in a separate
+// goroutine and closes it afterwards.
 func serve(listener net.Listener, handle func(net.Conn)) error {
 	for {
 		conn, err := listener.Accept()
@@ -29,20 +30,20 @@
 	}
 }
 
-// lineCommand is one line of words, with the body that follows it on the wire.
+// lineCommand is a command of a line protocol: a line of words and the body that may follow it.
 type lineCommand struct {
 	words []string // at least two
-	body  []byte   // nil without a body
+	body  []byte   // nil if the command has no body
 }
 
-// name is the first word.
+// name returns the name of the command, which is its first word.
 func (c *lineCommand) name() string { return c.words[0] }
 
-// id is the second word; most commands begin with the id of a run.
+// id returns the second word. In most commands it is the id of a run.
 func (c *lineCommand) id() string { return c.words[1] }
 
-// readCommands reads lines, and the bodies of those commands that have one, until the
-// connection ends or something malformed arrives. A body's length is the last word.
+// readCommands reads commands and passes them to handle until the connection is closed or a command is
+// malformed. The last word of a command with a body is the length of the body.
 func readCommands(conn net.Conn, hasBody func(name string) bool, handle func(lineCommand)) {
 	in := bufio.NewReader(conn)
 	for {
@@ -60,9 +61,9 @@
 	}
 }
 
-var errBodyLength = errors.New("length of the body is wrong")
+var errBodyLength = errors.New("body length is not a number or exceeds the limit")
 
-// readBody reads a body and the line end after it.
+// readBody reads a body and the line ending that follows it.
 func readBody(in io.Reader, length string) ([]byte, error) {
 	const lineEndLen = 2 // \r\n
 	n, err := strconv.Atoi(length)
--- a/internal/standin/records_service.go
+++ b/internal/standin/records_service.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// CallResult is how a call to the records service ends, as the protocol names it.
+// CallResult is the result of a call to the records service. Its value is the word for it in the protocol.
 type CallResult string
 
 // The results of a call.
 const (
-	CallDone     CallResult = "DONE"  // with the reply "recorded"
-	CallRejected CallResult = "WAIT"  // it never ran
-	CallFailed   CallResult = "ERROR" // it may have had its effect
-	// CallLost is no word of the protocol: the connection ends without a reply, and the call may
-	// have had its effect.
+	CallDone     CallResult = "DONE"  // the call succeeded; its reply body is "recorded"
+	CallRejected CallResult = "WAIT"  // the call was not executed
+	CallFailed   CallResult = "ERROR" // the call may have been executed
+	// CallLost closes the connection without a reply. It is not a word of the protocol. The call may have
+	// been executed.
 	CallLost CallResult = ""
 )
 
-// RecordsService answers every call with "recorded", or as ResultFunc says.
+// RecordsService replies "recorded" to every call, unless ResultFunc returns another result.
 type RecordsService struct {
-	// ReplyDelay is the time from a call to its answer.
+	// ReplyDelay is the time between a call and its reply.
 	ReplyDelay time.Duration
-	// ResultFunc is called for the result of each call, if it is set. It must not block.
+	// ResultFunc, if set, returns the result of each call. It must not block.
 	ResultFunc func(traceID string) CallResult
 }
 
--- a/internal/testrig/golden/golden.go
+++ b/internal/testrig/golden/golden.go
@@ -1,5 +1,5 @@
-// Package golden compares the encoded form of types that reach a disk or another process
-// with files under testdata, so that a renamed field or JSON tag fails a test.
+// Package golden compares the encoded form of types that are stored or sent to other processes with files
+// under testdata. A test then fails if a field or a JSON tag is renamed.
 package golden
 
 import (
@@ -21,15 +21,14 @@
 
 var update = flag.Bool("update-golden", false, "write the golden files instead of comparing with them")
 
-// Sample is one type to compare. Value is a pointer to it; its content is replaced.
+// Sample is a type to compare.
 type Sample struct {
-	Name  string // in the golden file
-	Value any
+	Name  string // name of the type in the golden file
+	Value any    // pointer to a value of the type, which JSON overwrites
 }
 
-// JSON fills each sample with values that are not zero and compares its JSON with the line
-// "NAME JSON" of a golden file, byte for byte. It then decodes that line and compares the
-// decoded value with the sample.
+// JSON fills each sample with nonzero values and compares its JSON with the line "NAME JSON" of a golden
+// file, byte for byte. It then decodes that line and compares the decoded value with the sample.
 func JSON(t *testing.T, path string, samples ...Sample) {
 	t.Helper()
 	var lines bytes.Buffer
@@ -59,7 +58,7 @@
 	}
 }
 
-// Text compares a text with a golden file, byte for byte.
+// Text compares a string with the content of a golden file, byte for byte.
 func Text(t *testing.T, path, text string) {
 	t.Helper()
 	if *update {
@@ -71,10 +70,11 @@
 	require.Equal(t, string(stored), text, path)
 }
 
-// readTimeout is how long ReadBytes waits for all bytes.
+// readTimeout is the maximum time that RequireBytes waits for all bytes.
 const readTimeout = 10 * time.Second
 
-// RequireBytes reads as many bytes from a connection as are wanted, and compares them.
+// RequireBytes reads len(want) bytes from a connection and compares them with want. The parameter what
+// describes them in failure messages.
 func RequireBytes(t *testing.T, peer net.Conn, want, what string) {
 	t.Helper()
 	require.NoError(t, peer.SetReadDeadline(time.Now().Add(readTimeout)))
@@ -84,8 +84,8 @@
 	require.NoError(t, err, what)
 }
 
-// Fill sets each exported field that a pointer leads to, to a value that is not zero and
-// differs from all others. Slices and maps get one element.
+// Fill sets all exported fields of the value that pointer points to, including those of nested values. Every
+// field gets a different nonzero value, except that every bool is true. Slices and maps get one element.
 func Fill(pointer any) {
 	counter := 0
 	fill(reflect.ValueOf(pointer).Elem(), &counter)
@@ -93,7 +93,7 @@
 
 var rawMessage = reflect.TypeFor[json.RawMessage]()
 
-// fill sets a value from a counter, which it increments.
+// fill increments the counter and sets a value that is derived from it.
 func fill(v reflect.Value, counter *int) {
 	*counter++
 	if v.Type() == rawMessage {
@@ -135,6 +135,6 @@
 			}
 		}
 	default:
-		panic(fmt.Sprintf("golden: no sample for %s", v.Type()))
+		panic(fmt.Sprintf("golden: Fill does not support type %s", v.Type()))
 	}
 }
--- a/internal/testrig/golden/golden_test.go
+++ b/internal/testrig/golden/golden_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestFillLeavesNothingZero: omitempty hides no field of a sample, and no two fields have
-// the same value.
+// TestFillLeavesNothingZero guards against a zero field in a sample, which omitempty would leave out of the
+// golden file, and against two fields with the same value.
 func TestFillLeavesNothingZero(t *testing.T) {
 	type inner struct {
 		Number uint8   `json:"number,omitempty"`
--- a/internal/testrig/rapidseed/rapidseed.go
+++ b/internal/testrig/rapidseed/rapidseed.go
@@ -1,4 +1,4 @@
-// Package rapidseed makes property tests give the same verdict every time.
+// Package rapidseed makes property tests with rapid deterministic: they use a fixed seed by default.
 package rapidseed
 
 import "flag"
@@ -8,8 +8,8 @@
 	fixedSeed = "20261201"
 )
 
-// SetDefault has rapid try the same cases each time, unless a seed is given. It is for
-// TestMain of a package that uses rapid, once the flags are parsed.
+// SetDefault sets the flag -rapid.seed to a fixed seed unless a seed was given on the command line. Call it
+// in TestMain of a package that uses rapid, after the flags are parsed.
 func SetDefault() {
 	if seed := flag.Lookup(seedFlag); seed.Value.String() == seed.DefValue {
 		flag.Set(seedFlag, fixedSeed)
