--- a/internal/transport/engine/out_of_turn_test.go
+++ b/internal/transport/engine/unexpected_messages_test.go
@@ -30,10 +30,10 @@
 	"DONE 1 2 3 4 -1\r\n", "HEL", "DONE %n %t OK 1 99\r\nshort",
 }
 
-// TestEngineOutOfTurn checks that an engine that sends arbitrary messages at any time does not crash the
-// process. The messages are sent before ATTACH, after the end of a run and in fragments, with closed
-// connections in between. Afterwards the next connection to a correct engine works.
-func TestEngineOutOfTurn(t *testing.T) {
+// TestEngineUnexpectedMessages checks that an engine does not crash the process when it sends messages that
+// the protocol does not allow at that time. The messages are sent before ATTACH, after the end of a run and
+// in fragments, with closed connections in between. Afterwards the next connection to a correct engine works.
+func TestEngineUnexpectedMessages(t *testing.T) {
 	for seed := range uint64(protocolfuzz.SeedCount) {
 		runUnexpectedMessages(t, seed, seed%2 == 0)
 	}
--- a/internal/transport/records/out_of_turn_test.go
+++ b/internal/transport/records/unexpected_messages_test.go
@@ -22,10 +22,10 @@
 	"%t DONE 99\r\nshort", "%t WHAT\r\n", "DONE\r\n", "\r\n", "\x00\xff\r\n", "%t WA", "%t WAIT 5\r\n",
 }
 
-// TestRecordsOutOfTurn checks that a service that sends arbitrary messages at any time, including replies
-// with the right trace ids before a call, does not crash the process. Each call ends at most once, and a
-// later call to a correct service succeeds.
-func TestRecordsOutOfTurn(t *testing.T) {
+// TestRecordsUnexpectedMessages checks that a records service does not crash the process when it sends
+// messages that the protocol does not allow at that time, such as a reply with a valid trace id before the
+// call. Each call ends at most once, and a later call to a correct service succeeds.
+func TestRecordsUnexpectedMessages(t *testing.T) {
 	for seed := range uint64(protocolfuzz.SeedCount) {
 		r := newClientFixture(t, 4)
 		goodAddr := r.client.addr
--- a/internal/transport/registry/out_of_turn_test.go
+++ b/internal/transport/registry/unexpected_messages_test.go
@@ -133,10 +133,10 @@
 	}
 }
 
-// FuzzRegistryOutOfTurn checks that the reports continue after a registry was stopped, restarted, moved to
-// another address, or has sent unexpected datagrams. A restarted registry receives the availability that
-// the dispatcher set last, and only "closed" after Deregister.
-func FuzzRegistryOutOfTurn(f *testing.F) {
+// FuzzRegistryUnexpectedMessages checks that the reports continue after a registry was stopped, restarted,
+// moved to another address, or has sent unexpected datagrams. A restarted registry receives the availability
+// that the dispatcher set last, and only "closed" after Deregister.
+func FuzzRegistryUnexpectedMessages(f *testing.F) {
 	protocolfuzz.Fuzz(f, newReporterFixture)
 }
 
