--- a/internal/testrig/link.go
+++ b/internal/testrig/link.go
@@ -119,28 +119,28 @@
 }
 
 // serve forwards one connection to the target port.
-func (l *Link) serve(client net.Conn) {
-	target, err := net.DialTimeout("tcp", l.target, linkDialTimeout)
+func (l *Link) serve(clientConn net.Conn) {
+	targetConn, err := net.DialTimeout("tcp", l.target, linkDialTimeout)
 	l.mu.Lock()
 	if err != nil || l.isDown() {
 		l.mu.Unlock()
-		client.(*net.TCPConn).SetLinger(0) // Close sends a reset
-		client.Close()
+		clientConn.(*net.TCPConn).SetLinger(0) // Close sends a reset
+		clientConn.Close()
 		if err == nil {
-			target.Close()
+			targetConn.Close()
 		}
 		return
 	}
-	l.conns[client] = true
-	l.conns[target] = true
+	l.conns[clientConn] = true
+	l.conns[targetConn] = true
 	l.mu.Unlock()
 	var directions sync.WaitGroup
-	directions.Go(func() { l.copyBytes(target, client, false) })
-	directions.Go(func() { l.copyBytes(client, target, true) })
+	directions.Go(func() { l.copyBytes(targetConn, clientConn, false) })
+	directions.Go(func() { l.copyBytes(clientConn, targetConn, true) })
 	directions.Wait()
 	l.mu.Lock()
-	delete(l.conns, client)
-	delete(l.conns, target)
+	delete(l.conns, clientConn)
+	delete(l.conns, targetConn)
 	l.mu.Unlock()
 }
 
