--- a/tests/backup_test.go
+++ b/tests/backup_test.go
@@ -20,8 +20,8 @@
 	"oxbowbridge/internal/cluster/storeclient"
 )
 
-// pair is a transaction that writes two keys alike.
-func pair(i int) kv.Request {
+// putPairRequest is a transaction that writes two keys alike.
+func putPairRequest(i int) kv.Request {
 	v := json.RawMessage(fmt.Sprint(i))
 	return kv.Request{Then: []kv.Op{{Kind: "put", Key: "pair/a", Value: v}, {Kind: "put", Key: "pair/b", Value: v}}}
 }
@@ -30,7 +30,7 @@
 // the store; it makes a new cluster, and nothing else takes it.
 func TestBackup(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, nil)
+	c := newRunningCluster(t, nil)
 	client := c.client()
 	for i := range 40 {
 		_, err := client.Put(t.Context(), fmt.Sprint("config/k", i), json.RawMessage(fmt.Sprintf(`{"n":%d}`, i)), nil)
@@ -42,7 +42,7 @@
 	var wg sync.WaitGroup
 	wg.Go(func() {
 		for w, i := c.client(), 0; ctx.Err() == nil; i++ {
-			w.Txn(ctx, pair(i))
+			w.Txn(ctx, putPairRequest(i))
 		}
 	})
 	lead := c.WaitForLeader()
@@ -68,28 +68,28 @@
 	wg.Wait()
 	path := filepath.Join(t.TempDir(), "backup")
 	nodes := "--nodes=" + strings.Join(client.Nodes, ",")
-	out, code := sub(t, "store", "backup", path, nodes)
+	out, code := runCLICombined(t, "store", "backup", path, nodes)
 	require.Equal(t, 0, code, out)
 	require.Contains(t, out, head.Cluster)
-	_, code = sub(t, "store", "backup", path, nodes)
+	_, code = runCLICombined(t, "store", "backup", path, nodes)
 	require.Equal(t, 1, code, "a file that is there is not written over")
-	out, code = sub(t, "store", "restore", path, nodes)
+	out, code = runCLICombined(t, "store", "restore", path, nodes)
 	require.Equal(t, 1, code, out)
 	require.Contains(t, out, "taken from")
 
 	text, err = os.ReadFile(path)
 	require.NoError(t, err)
-	n := newCluster(t, nil)
+	n := newRunningCluster(t, nil)
 	fresh := "--nodes=" + n.Peers[(n.WaitForLeader()+1)%3].Admin // not the leader
 	bad := filepath.Join(t.TempDir(), "bad")
 	require.NoError(t, os.WriteFile(bad, bytes.Replace(text, []byte(`"n":39`), []byte(`"n":38`), 1), 0o600))
-	out, code = sub(t, "store", "restore", bad, fresh)
+	out, code = runCLICombined(t, "store", "restore", bad, fresh)
 	require.Equal(t, 1, code, out)
 	require.Contains(t, out, "damaged")
 	status, _ := n.Request(0, "POST", "/restore", string(text[:len(text)-3]))
 	require.Equal(t, 400, status)
 	for range 2 { // the second time as if the answer had been lost
-		out, code = sub(t, "store", "restore", path, fresh)
+		out, code = runCLICombined(t, "store", "restore", path, fresh)
 		require.Equal(t, 0, code, out)
 	}
 	for i := range 3 {
@@ -98,17 +98,17 @@
 		require.Equal(t, 404, status)
 	}
 	other := filepath.Join(t.TempDir(), "other")
-	_, code = sub(t, "store", "backup", other, fresh)
+	_, code = runCLICombined(t, "store", "backup", other, fresh)
 	require.Equal(t, 0, code)
-	_, code = sub(t, "store", "put", "note/later", "1", nodes)
+	_, code = runCLICombined(t, "store", "put", "note/later", "1", nodes)
 	require.Equal(t, 0, code)
 	again, _, err := client.Backup(t.Context())
 	require.NoError(t, err)
 	require.Equal(t, head.Cluster, again.Cluster)
 	require.NoError(t, os.Remove(path))
-	_, code = sub(t, "store", "backup", path, nodes)
+	_, code = runCLICombined(t, "store", "backup", path, nodes)
 	require.Equal(t, 0, code)
-	out, code = sub(t, "store", "restore", path, fresh)
+	out, code = runCLICombined(t, "store", "restore", path, fresh)
 	require.Equal(t, 1, code, out)
 	require.Contains(t, out, "empty")
 	require.Equal(t, 204, func() int { code, _ := n.Request(1, "PUT", "/store/note/on", "1"); return code }(), "it goes on after a refusal")
@@ -128,7 +128,7 @@
 	var text bytes.Buffer
 	_, err := backup.Write(&text, backup.Header{Cluster: "another", Revision: 800}, keys)
 	require.NoError(t, err)
-	c := newCluster(t, nil)
+	c := newRunningCluster(t, nil)
 	await(t, "the cluster's id", func() bool {
 		st, err := c.client().Status(t.Context(), c.client().Nodes[0])
 		return err == nil && st.Cluster != ""
@@ -173,7 +173,7 @@
 // the new one. It serves nothing as fresh, and changes nothing there.
 func TestOldFolder(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, nil)
+	c := newRunningCluster(t, nil)
 	c.Put(0, "note/old", `1`)
 	c.WaitForValue(2, "note/old", `1`)
 	await(t, "the cluster's id", func() bool { return strings.Contains(c.nodes[2].log(), `"msg":"cluster id learned"`) })
@@ -215,8 +215,8 @@
 	c.WaitForValue(2, "note/more", `3`)
 }
 
-// sub runs a sub-command, and gives both its outputs as one.
-func sub(t *testing.T, args ...string) (string, int) {
-	out, errs, code := cli(t, "", args...)
+// runCLICombined runs a runCLICombined-command, and gives both its outputs as one.
+func runCLICombined(t *testing.T, args ...string) (string, int) {
+	out, errs, code := runCLI(t, "", args...)
 	return out + errs, code
 }
--- a/tests/clients_test.go
+++ b/tests/clients_test.go
@@ -12,33 +12,33 @@
 	"time"
 )
 
-// answer is what a caller got.
-type answer struct {
+// response is what a caller got.
+type response struct {
 	status  int
 	headers map[string]string
 	body    string
 }
 
-// client is a caller in one of the protocols, one request at a time.
-type client interface {
-	do(path string, fields map[string]string, body []byte) (answer, error)
+// protocolClient is a caller in one of the protocols, one request at a time.
+type protocolClient interface {
+	do(path string, fields map[string]string, body []byte) (response, error)
 	Close() error
 }
 
 var traces atomic.Uint64
 
-// newTrace names a new try.
-func newTrace() string { return fmt.Sprintf("%016x", traces.Add(1)) }
+// newTraceID names a new try.
+func newTraceID() string { return fmt.Sprintf("%016x", traces.Add(1)) }
 
-// fieldsOf are the fields of a new request.
-func fieldsOf(trace string) map[string]string {
+// requestHeaders are the fields of a new request.
+func requestHeaders(trace string) map[string]string {
 	return map[string]string{"Trace-Id": trace, "Accepted-At-Ms": strconv.FormatInt(time.Now().UnixMilli(), 10),
 		"Client-No": "4", "Expected-Ms": "12.50", "Reserve-Kb": "46", "Standing": "0.6250"}
 }
 
-func parseCGI(text string) answer {
+func parseCGIResponse(text string) response {
 	head, body, _ := strings.Cut(text, "\r\n\r\n")
-	a := answer{headers: map[string]string{}, body: body}
+	a := response{headers: map[string]string{}, body: body}
 	for _, l := range strings.Split(head, "\r\n") {
 		name, value, _ := strings.Cut(l, ": ")
 		a.headers[name] = value
@@ -47,19 +47,19 @@
 	return a
 }
 
-// fcgi is a FastCGI connection of a balancer.
-type fcgi struct {
+// fcgiConn is a FastCGI connection of a balancer.
+type fcgiConn struct {
 	net.Conn
 	r *bufio.Reader
 }
 
-func dialFCGI(addr string) (*fcgi, error) {
+func dialFCGI(addr string) (*fcgiConn, error) {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	c.SetDeadline(time.Now().Add(patience))
-	return &fcgi{c, bufio.NewReader(c)}, nil
+	c.SetDeadline(time.Now().Add(awaitTimeout))
+	return &fcgiConn{c, bufio.NewReader(c)}, nil
 }
 
 func fcgiRecord(kind byte, id uint16, content []byte) []byte {
@@ -93,8 +93,8 @@
 	return append(b, fcgiRecord(5, id, nil)...)
 }
 
-// read takes the next answer, whatever its id; proto is its protocol status.
-func (c *fcgi) read() (id uint16, a answer, proto byte, err error) {
+// readResponse takes the next answer, whatever its id; proto is its protocol status.
+func (c *fcgiConn) readResponse() (id uint16, a response, proto byte, err error) {
 	var out []byte
 	for {
 		h := make([]byte, 8)
@@ -109,38 +109,38 @@
 		case 6:
 			out = append(out, content...)
 		case 3:
-			return binary.BigEndian.Uint16(h[2:]), parseCGI(string(out)), content[4], nil
+			return binary.BigEndian.Uint16(h[2:]), parseCGIResponse(string(out)), content[4], nil
 		default:
-			return 0, answer{body: string(content)}, h[1], nil
+			return 0, response{body: string(content)}, h[1], nil
 		}
 	}
 }
 
-func (c *fcgi) do(path string, fields map[string]string, body []byte) (answer, error) {
+func (c *fcgiConn) do(path string, fields map[string]string, body []byte) (response, error) {
 	if _, err := c.Write(fcgiRequest(1, path, fields, body)); err != nil {
-		return answer{}, err
+		return response{}, err
 	}
-	_, a, _, err := c.read()
+	_, a, _, err := c.readResponse()
 	return a, err
 }
 
-// ajp is an AJP connection of a web server.
-type ajp struct {
+// ajpConn is an AJP connection of a web server.
+type ajpConn struct {
 	net.Conn
 	r      *bufio.Reader
 	secret string
 }
 
-func dialAJP(addr string) (*ajp, error) {
+func dialAJP(addr string) (*ajpConn, error) {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	c.SetDeadline(time.Now().Add(patience))
-	return &ajp{c, bufio.NewReader(c), "s3"}, nil
+	c.SetDeadline(time.Now().Add(awaitTimeout))
+	return &ajpConn{c, bufio.NewReader(c), "s3"}, nil
 }
 
-func ajpString(b []byte, s string) []byte {
+func appendAJPString(b []byte, s string) []byte {
 	return append(append(binary.BigEndian.AppendUint16(b, uint16(len(s))), s...), 0)
 }
 
@@ -148,38 +148,38 @@
 	return append(binary.BigEndian.AppendUint16([]byte(magic), uint16(len(content))), content...)
 }
 
-func ajpChunk(b []byte) []byte {
+func ajpBodyChunk(b []byte) []byte {
 	if len(b) == 0 {
 		return ajpPacket("\x12\x34", nil)
 	}
 	return ajpPacket("\x12\x34", append(binary.BigEndian.AppendUint16(nil, uint16(len(b))), b...))
 }
 
-// ajpForward prints a FORWARD_REQUEST; a negative length tells none.
-func ajpForward(path, secret string, fields map[string]string, length int) []byte {
+// ajpForwardRequest prints a FORWARD_REQUEST; a negative length tells none.
+func ajpForwardRequest(path, secret string, fields map[string]string, length int) []byte {
 	b := []byte{2, 4}
 	for _, s := range []string{"HTTP/1.1", path, "127.0.0.1", "desk", "head-office"} {
-		b = ajpString(b, s)
+		b = appendAJPString(b, s)
 	}
 	b = append(b, 0, 80, 0)
 	b = binary.BigEndian.AppendUint16(b, uint16(len(fields)+2))
-	b = ajpString(append(b, 0xA0, 0x0B), "head-office") // a coded name
+	b = appendAJPString(append(b, 0xA0, 0x0B), "head-office") // a coded name
 	if length >= 0 {
-		b = ajpString(append(b, 0xA0, 0x08), strconv.Itoa(length))
+		b = appendAJPString(append(b, 0xA0, 0x08), strconv.Itoa(length))
 	} else {
-		b = ajpString(ajpString(b, "Transfer-Encoding"), "chunked")
+		b = appendAJPString(appendAJPString(b, "Transfer-Encoding"), "chunked")
 	}
 	for name, value := range fields {
-		b = ajpString(ajpString(b, name), value)
+		b = appendAJPString(appendAJPString(b, name), value)
 	}
-	b = ajpString(append(b, 0x05), "query=1")
-	b = ajpString(ajpString(append(b, 0x0A), "AJP_REMOTE_PORT"), "1")
-	b = ajpString(append(b, 0x0C), secret)
+	b = appendAJPString(append(b, 0x05), "query=1")
+	b = appendAJPString(appendAJPString(append(b, 0x0A), "AJP_REMOTE_PORT"), "1")
+	b = appendAJPString(append(b, 0x0C), secret)
 	return ajpPacket("\x12\x34", append(b, 0xFF))
 }
 
-// packet reads one packet, of either direction.
-func (c *ajp) packet() ([]byte, error) {
+// readPacket reads one readPacket, of either direction.
+func (c *ajpConn) readPacket() ([]byte, error) {
 	h := make([]byte, 4)
 	if _, err := io.ReadFull(c.r, h); err != nil {
 		return nil, err
@@ -189,11 +189,11 @@
 	return content, err
 }
 
-// read takes the answer, and sends rest in pieces when asked.
-func (c *ajp) read(rest []byte) (answer, error) {
-	a := answer{headers: map[string]string{}}
+// readResponse takes the answer, and sends rest in pieces when asked.
+func (c *ajpConn) readResponse(rest []byte) (response, error) {
+	a := response{headers: map[string]string{}}
 	for {
-		p, err := c.packet()
+		p, err := c.readPacket()
 		if err != nil {
 			return a, err
 		}
@@ -207,7 +207,7 @@
 			return a, nil
 		case 6:
 			n := min(len(rest), 700)
-			c.Write(ajpChunk(rest[:n]))
+			c.Write(ajpBodyChunk(rest[:n]))
 			rest = rest[n:]
 		}
 	}
@@ -231,14 +231,14 @@
 	return h
 }
 
-func (c *ajp) do(path string, fields map[string]string, body []byte) (answer, error) {
+func (c *ajpConn) do(path string, fields map[string]string, body []byte) (response, error) {
 	n := min(len(body), 700)
-	b := ajpForward(path, c.secret, fields, len(body))
+	b := ajpForwardRequest(path, c.secret, fields, len(body))
 	if n > 0 {
-		b = append(b, ajpChunk(body[:n])...)
+		b = append(b, ajpBodyChunk(body[:n])...)
 	}
 	if _, err := c.Write(b); err != nil {
-		return answer{}, err
+		return response{}, err
 	}
-	return c.read(body[n:])
+	return c.readResponse(body[n:])
 }
--- a/tests/contenders_test.go
+++ b/tests/contenders_test.go
@@ -20,15 +20,15 @@
 	"oxbowbridge/internal/testrig"
 )
 
-const envActor = "OXBOWBRIDGE_TEST_ACTOR"
+const envLeaseCommandURL = "OXBOWBRIDGE_TEST_ACTOR"
 
-// actor is the command of a contender: this test's own program, which acts on the resource
+// runLeaseCommand is the command of a contender: this test's own program, which acts on the resource
 // without pause and without asking anybody, for as long as it is let.
-func actor(url string) int {
+func runLeaseCommand(url string) int {
 	web := &http.Client{Timeout: time.Second}
 	query := "?holder=" + os.Getenv("HOLDER") + "&token=" + os.Getenv("OXBOWBRIDGE_LEASE_TOKEN")
-	most, _ := strconv.Atoi(os.Getenv("ACTS"))
-	for range most {
+	maxActions, _ := strconv.Atoi(os.Getenv("ACTS"))
+	for range maxActions {
 		time.Sleep(3 * time.Millisecond)
 		res, err := web.Post(url+"/act"+query, "", nil)
 		if err == nil {
@@ -41,49 +41,49 @@
 // contender is a process that wants the lease again and again, and acts under it. It
 // reaches each node of the store over a link of its own.
 type contender struct {
-	t     *testing.T
-	name  string
-	nodes []string
-	links []*testrig.Link
-	url   string
-	ttl   time.Duration
+	t           *testing.T
+	name        string
+	nodes       []string
+	links       []*testrig.Link
+	resourceURL string
+	ttl         time.Duration
 
-	mu     sync.Mutex
-	runs   int
-	cmd    *exec.Cmd
-	ended  bool
-	log    strings.Builder
-	cycles sync.WaitGroup
+	mu         sync.Mutex
+	runCount   int
+	cmd        *exec.Cmd
+	stopped    bool
+	stderr     strings.Builder
+	background sync.WaitGroup
 }
 
 func newContender(t *testing.T, c *cluster, i int, res *testrig.Resource, ttl time.Duration) *contender {
-	x := &contender{t: t, name: fmt.Sprint("c", i), url: res.URL, ttl: ttl}
+	x := &contender{t: t, name: fmt.Sprint("c", i), resourceURL: res.URL, ttl: ttl}
 	for n := range c.Peers {
 		l, err := testrig.NewLink(c.Peers[(n+i)%len(c.Peers)].Admin)
 		require.NoError(t, err)
 		t.Cleanup(l.Close)
 		x.links, x.nodes = append(x.links, l), append(x.nodes, l.Addr)
 	}
-	x.cycles.Go(x.cycle)
-	t.Cleanup(x.end)
+	x.background.Go(x.runRepeatedly)
+	t.Cleanup(x.stop)
 	return x
 }
 
-// cycle runs the command under the lease, again and again.
-func (x *contender) cycle() {
+// runRepeatedly runs the command under the lease, again and again.
+func (x *contender) runRepeatedly() {
 	for {
 		x.mu.Lock()
-		if x.ended {
+		if x.stopped {
 			x.mu.Unlock()
 			return
 		}
-		x.runs++
-		holder := fmt.Sprintf("%s-%d", x.name, x.runs)
-		x.cmd = exec.Command(program, "lease", "run", "job", "--ttl", x.ttl.String(), "--holder", holder, "--nodes", strings.Join(x.nodes, ","),
+		x.runCount++
+		holder := fmt.Sprintf("%s-%d", x.name, x.runCount)
+		x.cmd = exec.Command(programPath, "lease", "run", "job", "--ttl", x.ttl.String(), "--holder", holder, "--nodes", strings.Join(x.nodes, ","),
 			"--", os.Args[0])
-		x.cmd.Env = append(os.Environ(), envActor+"="+x.url, "HOLDER="+holder, fmt.Sprint("ACTS=", 80+x.runs*37%160))
+		x.cmd.Env = append(os.Environ(), envLeaseCommandURL+"="+x.resourceURL, "HOLDER="+holder, fmt.Sprint("ACTS=", 80+x.runCount*37%160))
 		x.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
-		x.cmd.Stderr = &x.log
+		x.cmd.Stderr = &x.stderr
 		err := x.cmd.Start()
 		cmd := x.cmd
 		x.mu.Unlock()
@@ -96,17 +96,17 @@
 	}
 }
 
-func (x *contender) end() {
+func (x *contender) stop() {
 	x.mu.Lock()
-	x.ended = true
+	x.stopped = true
 	x.cmd.Process.Kill()
 	x.mu.Unlock()
-	x.signal(syscall.SIGCONT)
-	x.cycles.Wait()
+	x.signalTree(syscall.SIGCONT)
+	x.background.Wait()
 }
 
-// family are the present process and all below it, in any process group.
-func (x *contender) family() []int {
+// processTree are the present process and all below it, in any process group.
+func (x *contender) processTree() []int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	parents := map[int]int{}
@@ -132,12 +132,12 @@
 	return all
 }
 
-// signal goes to all of them. When they go on, the command does so a moment earlier than
+// signalTree goes to all of them. When they go on, the command does so a moment earlier than
 // those that stop it, as may happen.
-func (x *contender) signal(sig syscall.Signal) {
+func (x *contender) signalTree(sig syscall.Signal) {
 	var rest []int
-	for _, pid := range x.family() {
-		if exe, _ := os.Readlink(fmt.Sprintf("/proc/%d/exe", pid)); exe != program && sig == syscall.SIGCONT {
+	for _, pid := range x.processTree() {
+		if exe, _ := os.Readlink(fmt.Sprintf("/proc/%d/exe", pid)); exe != programPath && sig == syscall.SIGCONT {
 			syscall.Kill(pid, sig)
 		} else {
 			rest = append(rest, pid)
@@ -151,44 +151,44 @@
 	}
 }
 
-// alone goes to the process that holds the lease, and not to its command or its guard.
-func (x *contender) alone(sig syscall.Signal) {
+// signalLeaseProcess goes to the process that holds the lease, and not to its command or its guard.
+func (x *contender) signalLeaseProcess(sig syscall.Signal) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.cmd.Process.Signal(sig)
 }
 
-func (x *contender) set(m testrig.LinkMode) {
+func (x *contender) setLinks(m testrig.LinkMode) {
 	for _, l := range x.links {
 		l.SetMode(m)
 	}
 }
 
-// stage is nodes of the store and contenders for one lease.
-type stage struct {
+// leaseContest is nodes of the store and contenders for one lease.
+type leaseContest struct {
 	*cluster
-	res  *testrig.Resource
-	list []*contender
-	ttl  time.Duration
+	resource   *testrig.Resource
+	contenders []*contender
+	ttl        time.Duration
 }
 
-func newStage(t *testing.T, nodes, contenders int, fence bool) *stage {
-	c := newNodes(t, nodes, nodes)
+func newLeaseContest(t *testing.T, nodes, contenders int, fence bool) *leaseContest {
+	c := newStoppedCluster(t, nodes, nodes)
 	c.AddLinks()
 	c.Bootstrap()
-	s := &stage{cluster: c, res: testrig.NewResource(t, fence), ttl: time.Second}
+	s := &leaseContest{cluster: c, resource: testrig.NewResource(t, fence), ttl: time.Second}
 	for i := range contenders {
-		s.list = append(s.list, newContender(t, c, i, s.res, s.ttl))
+		s.contenders = append(s.contenders, newContender(t, c, i, s.resource, s.ttl))
 	}
-	await(t, "a first act", func() bool { _, acts, _ := s.res.Counts(); return acts > 0 })
+	await(t, "a first act", func() bool { _, acts, _ := s.resource.Counts(); return acts > 0 })
 	return s
 }
 
 // holder waits for a contender that has the lease and acts.
-func (s *stage) holder() (x *contender, token uint64) {
+func (s *leaseContest) holder() (x *contender, token uint64) {
 	testrig.Await(s.T, "a holder that acts", func() bool {
-		a, ok := s.res.LastAction()
-		for _, c := range s.list {
+		a, ok := s.resource.LastAction()
+		for _, c := range s.contenders {
 			if name, _, _ := strings.Cut(a.Holder, "-"); ok && time.Since(a.End) < 50*time.Millisecond && c.name == name {
 				x, token = c, a.Token
 			}
@@ -199,7 +199,7 @@
 }
 
 // faults are those of the store's nodes and of the holder, which comes with its token.
-func (s *stage) faults() []testrig.Fault {
+func (s *leaseContest) faults() []testrig.Fault {
 	var at *contender
 	with := func(do func(x *contender)) func(int) {
 		return func(int) { at, _ = s.holder(); do(at) }
@@ -220,13 +220,13 @@
 	}
 	return []testrig.Fault{
 		{Name: "all at once", IsolatesLeader: true, Inject: func(i int) {
-			s.list[int(*seed)%len(s.list)].alone(syscall.SIGKILL)
+			s.contenders[int(*seed)%len(s.contenders)].signalLeaseProcess(syscall.SIGKILL)
 			s.SetLinksAround((i+1)%len(s.Peers), testrig.LinkMode{HoldRequests: true}, testrig.LinkMode{})
 			s.SetLinksAround((i+2)%len(s.Peers), slow, slow)
 			s.Pause(i)
-			long(func(x *contender) { x.signal(syscall.SIGSTOP) })(i)
+			long(func(x *contender) { x.signalTree(syscall.SIGSTOP) })(i)
 		}, Recover: func(i int) {
-			at.signal(syscall.SIGCONT)
+			at.signalTree(syscall.SIGCONT)
 			s.Resume(i)
 			s.HealLinks()
 		}},
@@ -236,12 +236,12 @@
 		{Name: "leader not heard", Inject: func(i int) { s.SetLinksAround(i, testrig.LinkMode{HoldRequests: true}, testrig.LinkMode{}) }, Recover: heal},
 		{Name: "all links of the store slow", Inject: all(func(i int) { s.SetLinksAround(i, slow, slow) }), Recover: all(heal)},
 		{Name: "all nodes killed", Inject: all(s.Kill), Recover: all(s.Start)},
-		{Name: "holder and its command stopped", Inject: long(func(x *contender) { x.signal(syscall.SIGSTOP) }), Recover: undo(func(x *contender) { x.signal(syscall.SIGCONT) })},
-		{Name: "holder stopped, its command goes on", Inject: long(func(x *contender) { x.alone(syscall.SIGSTOP) }), Recover: undo(func(x *contender) { x.alone(syscall.SIGCONT) })},
-		{Name: "holder killed", Inject: with(func(x *contender) { x.alone(syscall.SIGKILL) }), Recover: func(int) {}},
-		{Name: "holder cut off from the store", Inject: with(func(x *contender) { x.set(testrig.LinkMode{Cut: true}) }), Recover: undo(func(x *contender) { x.set(testrig.LinkMode{}) })},
-		{Name: "holder's answers are lost", Inject: with(func(x *contender) { x.set(testrig.LinkMode{HoldResponses: true}) }), Recover: undo(func(x *contender) { x.set(testrig.LinkMode{}) })},
-		{Name: "holder half open", Inject: with(func(x *contender) { x.set(held) }), Recover: undo(func(x *contender) { x.set(testrig.LinkMode{}) })},
+		{Name: "holder and its command stopped", Inject: long(func(x *contender) { x.signalTree(syscall.SIGSTOP) }), Recover: undo(func(x *contender) { x.signalTree(syscall.SIGCONT) })},
+		{Name: "holder stopped, its command goes on", Inject: long(func(x *contender) { x.signalLeaseProcess(syscall.SIGSTOP) }), Recover: undo(func(x *contender) { x.signalLeaseProcess(syscall.SIGCONT) })},
+		{Name: "holder killed", Inject: with(func(x *contender) { x.signalLeaseProcess(syscall.SIGKILL) }), Recover: func(int) {}},
+		{Name: "holder cut off from the store", Inject: with(func(x *contender) { x.setLinks(testrig.LinkMode{Cut: true}) }), Recover: undo(func(x *contender) { x.setLinks(testrig.LinkMode{}) })},
+		{Name: "holder's answers are lost", Inject: with(func(x *contender) { x.setLinks(testrig.LinkMode{HoldResponses: true}) }), Recover: undo(func(x *contender) { x.setLinks(testrig.LinkMode{}) })},
+		{Name: "holder half open", Inject: with(func(x *contender) { x.setLinks(held) }), Recover: undo(func(x *contender) { x.setLinks(testrig.LinkMode{}) })},
 	}
 }
 
@@ -250,30 +250,30 @@
 // that stood still is refused. -faults 10m is its long form, and prints its table with -v.
 func TestContenders(t *testing.T) {
 	t.Parallel()
-	replay(t)
-	s := newStage(t, 5, 7, true)
+	logSeedOnFailure(t)
+	s := newLeaseContest(t, 5, 7, true)
 	faults := s.faults()
 	plan := testrig.NewSchedule(*seed, 5, s.ttl, faults...)
 	began, gaps, refused := time.Now(), map[string][]time.Duration{}, map[string]int{}
-	for n := 0; n < len(faults) || time.Since(began) < *faultTime; n++ {
+	for n := 0; n < len(faults) || time.Since(began) < *faultDuration; n++ {
 		turn := plan.Next()
 		f := turn.Fault
 		i := s.WaitForLeader()
 		s.holder()
 		time.Sleep(turn.QuietBefore)
-		_, _, before := s.res.Counts()
+		_, _, before := s.resource.Counts()
 		at := time.Now()
 		f.Inject(i)
 		time.Sleep(turn.Duration)
 		f.Recover(i)
 		undone := time.Now()
-		await(t, "an act after "+f.Name, func() bool { return s.res.ActedAfter(undone) })
-		gaps[f.Name] = append(gaps[f.Name], s.res.LongestGap(at).Round(time.Millisecond))
-		_, _, after := s.res.Counts()
+		await(t, "an act after "+f.Name, func() bool { return s.resource.ActedAfter(undone) })
+		gaps[f.Name] = append(gaps[f.Name], s.resource.LongestGap(at).Round(time.Millisecond))
+		_, _, after := s.resource.Counts()
 		refused[f.Name] += after - before
 	}
-	tokens, acts, all := s.res.Counts()
-	assert.Empty(t, s.res.Violations())
+	tokens, acts, all := s.resource.Counts()
+	assert.Empty(t, s.resource.Violations())
 	assert.Greater(t, tokens, len(faults))
 	t.Logf("seed %d, %v: %d tokens acted, %d acts, %d acts refused by the fence", *seed, time.Since(began).Round(time.Second), tokens, acts, all)
 	for _, f := range faults {
@@ -287,13 +287,13 @@
 // TestContendersNoFence: the check sees what the fence keeps out.
 func TestContendersNoFence(t *testing.T) {
 	t.Parallel()
-	s := newStage(t, 3, 3, false)
+	s := newLeaseContest(t, 3, 3, false)
 	await(t, "an act of one that stood still", func() bool {
 		x, token := s.holder()
-		x.signal(syscall.SIGSTOP)
-		await(t, "the next holder", func() bool { a, _ := s.res.LastAction(); return a.Token != token })
-		x.signal(syscall.SIGCONT)
+		x.signalTree(syscall.SIGSTOP)
+		await(t, "the next holder", func() bool { a, _ := s.resource.LastAction(); return a.Token != token })
+		x.signalTree(syscall.SIGCONT)
 		time.Sleep(100 * time.Millisecond)
-		return len(s.res.Violations()) > 0
+		return len(s.resource.Violations()) > 0
 	})
 }
--- a/tests/deploy_test.go
+++ b/tests/deploy_test.go
@@ -17,14 +17,14 @@
 // TestDeployedForm: what the deploy file builds asks for a dynamic loader and the C
 // library, so that a library can be loaded into the process, and `run` becomes it.
 func TestDeployedForm(t *testing.T) {
-	file, err := elf.Open(program)
+	file, err := elf.Open(programPath)
 	require.NoError(t, err)
 	defer file.Close()
 	assert.True(t, slices.ContainsFunc(file.Progs, func(p *elf.Prog) bool { return p.Type == elf.PT_INTERP }), "no dynamic interpreter")
 	libs, err := file.ImportedLibraries()
 	require.NoError(t, err)
 	assert.Contains(t, libs, "libc.so.6")
-	assert.Equal(t, "exec bin/oxbowbridge", deployed("run"))
+	assert.Equal(t, "exec bin/oxbowbridge", deployFileValue("run"))
 }
 
 // TestNothingOfOurs: with a file as the platform writes it the service listens at its one
@@ -32,27 +32,27 @@
 // and starts no other process: what is ours is off unless its section is there.
 func TestNothingOfOurs(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, func(cfg object) { delete(cfg, "ajp") })
+	w := newTestbed(t, func(cfg object) { delete(cfg, "ajp") })
 	for _, class := range classNames {
-		assert.Equal(t, 200, w.status(class, "call"))
+		assert.Equal(t, 200, w.responseStatus(class, "call"))
 	}
-	got := look(t, w.cmd.Process.Pid)
-	assert.Equal(t, []string{w.fcgi}, got.listens)
+	got := inspectProcess(t, w.cmd.Process.Pid)
+	assert.Equal(t, []string{w.fcgiAddr}, got.listens)
 	assert.Empty(t, got.unix)
 	assert.Empty(t, got.writes)
 	assert.Empty(t, got.children)
 	for _, addr := range got.calls {
 		assert.Contains(t, []string{w.engine.addr, w.records.addr}, addr)
 	}
-	with := newWorld(t, nil) // the check sees what a section turns on
-	assert.Equal(t, 2, len(look(t, with.cmd.Process.Pid).listens))
+	with := newTestbed(t, nil) // the check sees what a section turns on
+	assert.Equal(t, 2, len(inspectProcess(t, with.cmd.Process.Pid).listens))
 }
 
-// open is what a process has open to the outside.
-type open struct{ listens, calls, unix, writes, children []string }
+// openResources is what a process has openResources to the outside.
+type openResources struct{ listens, calls, unix, writes, children []string }
 
-// look reads what the system tells of a process.
-func look(t *testing.T, pid int) (out open) {
+// inspectProcess reads what the system tells of a process.
+func inspectProcess(t *testing.T, pid int) (out openResources) {
 	proc := fmt.Sprint("/proc/", pid)
 	fds, err := filepath.Glob(proc + "/fd/*")
 	require.NoError(t, err)
@@ -87,7 +87,7 @@
 	}
 	for _, name := range []string{"tcp", "tcp6"} {
 		rows(name, 9, func(f []string) {
-			switch local, remote := address(f[1]), address(f[2]); {
+			switch local, remote := parseProcAddress(f[1]), parseProcAddress(f[2]); {
 			case f[3] == "0A":
 				out.listens = append(out.listens, local)
 			case !slices.Contains(out.listens, local):
@@ -107,8 +107,8 @@
 	return out
 }
 
-// address is one of /proc/net/tcp, as the rest of the tests writes it.
-func address(hex string) string {
+// parseProcAddress is one of /proc/net/tcp, as the rest of the tests writes it.
+func parseProcAddress(hex string) string {
 	var a, b, c, d byte
 	var port int
 	if n, _ := fmt.Sscanf(hex, "%02X%02X%02X%02X:%04X", &d, &c, &b, &a, &port); n != 5 || len(hex) != 13 {
--- a/tests/descriptors_test.go
+++ b/tests/descriptors_test.go
@@ -14,20 +14,20 @@
 	"github.com/stretchr/testify/require"
 )
 
-// newCrowd connects without end, as fast as it is let, until the test is over: half of its
+// connectIdleClients connects without end, as fast as it is let, until the test is over: half of its
 // members say nothing, the others ask for the health once and stay.
-func newCrowd(t *testing.T, addr string, size int) {
+func connectIdleClients(t *testing.T, addr string, size int) {
 	ctx, end := context.WithCancel(context.Background())
 	var members sync.WaitGroup
 	for i := range size {
-		members.Go(func() { crowdMember(ctx, addr, i%2 == 0) })
+		members.Go(func() { runIdleClient(ctx, addr, i%2 == 0) })
 	}
 	t.Cleanup(func() { end(); members.Wait() })
 }
 
-// crowdMember opens another connection whenever the service has ended one, and ends its
+// runIdleClient opens another connection whenever the service has ended one, and ends its
 // own side of that only then: until then it holds a descriptor of the service.
-func crowdMember(ctx context.Context, addr string, asks bool) {
+func runIdleClient(ctx context.Context, addr string, asks bool) {
 	var last net.Conn
 	for {
 		c, err := net.Dial("tcp", addr)
@@ -61,13 +61,13 @@
 func TestIdleClientsFillDescriptors(t *testing.T) {
 	t.Parallel()
 	const limit = 64
-	lookup := freePort(t)
-	w := newWorld(t, func(cfg object) {
+	lookup := freeAddr(t)
+	w := newTestbed(t, func(cfg object) {
 		delete(cfg, "ajp")
 		cfg["lookup"], cfg[testDescriptors] = lookup, limit
 		cfg["limits"].(object)["sockets"] = limit
 	})
-	newCrowd(t, w.fcgi, limit)
+	connectIdleClients(t, w.fcgiAddr, limit)
 	held := func() int {
 		list, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", w.cmd.Process.Pid))
 		require.NoError(t, err)
@@ -76,16 +76,16 @@
 	most := 0
 	for round := range 10 {
 		w.engine.mu.Lock()
-		attached := countOf(w.engine.heard, "ATTACH")
+		attached := countWithPrefix(w.engine.receivedCommands, "ATTACH")
 		w.engine.conn.Close()
 		w.engine.mu.Unlock()
-		await(t, "the engine link again", func() bool { return w.engine.heardOf("ATTACH") > attached })
+		await(t, "the engine link again", func() bool { return w.engine.countReceived("ATTACH") > attached })
 		for _, class := range classNames { // with calls below, unsafe ones on a connection of their own
 			// A new connection may be ended for one of the crowd before its request is read,
 			// as any that is not in use, and a request that waited long to be read is refused:
 			// callers send such a request again. One that failed had no descriptor for its call.
 			await(t, "an answer", func() bool {
-				a, err := w.call(class, "call")
+				a, err := w.sendRequest(class, "call")
 				if err == nil && a.status != 503 {
 					assert.Equal(t, 200, a.status, "%s in round %d", class, round)
 				}
@@ -101,13 +101,13 @@
 	require.NoError(t, err)
 	defer udp.Close()
 	b := make([]byte, 100)
-	require.NoError(t, udp.SetReadDeadline(time.Now().Add(patience)))
+	require.NoError(t, udp.SetReadDeadline(time.Now().Add(awaitTimeout)))
 	n, _, err := udp.ReadFrom(b)
 	require.NoError(t, err)
 	assert.Equal(t, "PULSE n3 open", string(b[:n]))
 	await(t, "a good health check", func() bool {
-		a, err := w.fcgiDo("/ping", nil, "")
+		a, err := w.sendFCGI("/ping", nil, "")
 		return err == nil && a.status == 200
 	})
-	w.drain()
+	w.terminate()
 }
--- a/tests/disk_address_test.go
+++ b/tests/disk_address_test.go
@@ -10,8 +10,8 @@
 // its disk, and keys that it alone holds are lost.
 func TestWrongPeerAddress(t *testing.T) {
 	t.Parallel()
-	c := stopOlderAndBehind(t)
-	defer c.logDisks(t)
+	c := stopWithOlderAndLaggingDisks(t)
+	defer c.logDisksOnFailure(t)
 	launch := c.Launch
 	c.Launch = func(node int, store map[string]any) testrig.Process {
 		peers := store["peers"].([]testrig.Peer)
@@ -20,7 +20,7 @@
 	}
 	c.Start(0)
 	c.Start(2)
-	c.requireRefusals(t, 0, 2)
+	c.requireNotServing(t, 0, 2)
 	c.KillAll()
 	c.Launch = launch
 	for i := range 3 {
--- a/tests/disk_play_keys_test.go
+++ b/tests/disk_play_keys_test.go
@@ -67,9 +67,9 @@
 	return len(w.acked)
 }
 
-// allAt reports whether a node answers a fresh read of all keys, and ends the test if one is
+// checkAllAt reports whether a node answers a fresh read of all keys, and ends the test if one is
 // missing there that was acknowledged before the read.
-func (w *keyWriter) allAt(t *testing.T, c *cluster, node int) bool {
+func (w *keyWriter) checkAllAt(t *testing.T, c *cluster, node int) bool {
 	t.Helper()
 	w.mu.Lock()
 	acked := w.acked[:len(w.acked):len(w.acked)]
--- a/tests/disk_play_plan_test.go
+++ b/tests/disk_play_plan_test.go
@@ -14,27 +14,27 @@
 const (
 	folderIntact folderFault = iota
 	folderWiped
-	folderOlder // brought back as it was when the incident began
+	folderFromOlderCopy // brought back as it was when the incident began
 )
 
 func (f folderFault) String() string { return [...]string{"intact", "wiped", "older"}[f] }
 
 const (
-	// incidentsPerPlay is how many incidents a play has, one after the other.
-	incidentsPerPlay = 3
-	// noLaggard is in place of a node in an incident before which no node is down.
-	noLaggard = -1
+	// incidentsPerScenario is how many incidents a play has, one after the other.
+	incidentsPerScenario = 3
+	// noNodeStoppedBefore is in place of a node in an incident before which no node is down.
+	noNodeStoppedBefore = -1
 	// maxKillDelay bounds the moment of a kill; at most all nodes are down together after it.
 	maxKillDelay = 400 * time.Millisecond
 	// minDowntime and maxDowntime bound how long a node is down that doesn't restart at once.
 	minDowntime = 100 * time.Millisecond
 	maxDowntime = 1200 * time.Millisecond
-	// restartsAtOnceOdds: one killed node in this many restarts at once.
-	restartsAtOnceOdds = 3
+	// immediateRestartOdds: one killed node in this many restarts at once.
+	immediateRestartOdds = 3
 )
 
-// playStep is the kill or the start of a node, at a time since the first step may come.
-type playStep struct {
+// scenarioStep is the kill or the start of a node, at a time since the first step may come.
+type scenarioStep struct {
 	at      time.Duration
 	node    int
 	isStart bool
@@ -42,9 +42,9 @@
 
 // incident is up to a minority of nodes whose folders fail, and the restarts of other nodes beside it.
 type incident struct {
-	faults  []folderFault // by node
-	laggard int           // an intact node that is down before, while writes go on
-	steps   []playStep    // in order of time; at the end all nodes have been started
+	faults        []folderFault  // by node
+	stoppedBefore int            // an intact node that is down before, while writes go on
+	steps         []scenarioStep // in order of time; at the end all nodes have been started
 }
 
 func (i incident) String() string {
@@ -54,8 +54,8 @@
 			words = append(words, fmt.Sprintf("folder of s%d %s", node, fault))
 		}
 	}
-	if i.laggard != noLaggard {
-		words = append(words, fmt.Sprintf("s%d down before", i.laggard))
+	if i.stoppedBefore != noNodeStoppedBefore {
+		words = append(words, fmt.Sprintf("s%d down before", i.stoppedBefore))
 	}
 	for _, step := range i.steps {
 		verb := "kill"
@@ -71,14 +71,14 @@
 func drawIncidents(seed uint64, nodes int) []incident {
 	rng := rand.New(rand.NewPCG(seed, uint64(nodes)))
 	var list []incident
-	for range incidentsPerPlay {
+	for range incidentsPerScenario {
 		list = append(list, drawIncident(rng, nodes))
 	}
 	return list
 }
 
 func drawIncident(rng *rand.Rand, nodes int) incident {
-	drawn := incident{faults: make([]folderFault, nodes), laggard: noLaggard}
+	drawn := incident{faults: make([]folderFault, nodes), stoppedBefore: noNodeStoppedBefore}
 	order := rng.Perm(nodes)
 	minority := (nodes - 1) / 2
 	faulty := 1 + rng.IntN(minority)
@@ -88,13 +88,13 @@
 	}
 	intact := order[faulty:]
 	if rng.IntN(2) == 0 {
-		drawn.laggard, intact = intact[0], intact[1:]
-		drawn.steps = append(drawn.steps, playStep{at: drawDowntime(rng), node: drawn.laggard, isStart: true})
+		drawn.stoppedBefore, intact = intact[0], intact[1:]
+		drawn.steps = append(drawn.steps, scenarioStep{at: drawDowntime(rng), node: drawn.stoppedBefore, isStart: true})
 	}
 	for _, node := range drawKilled(rng, intact) {
 		drawn.addRestart(rng, node)
 	}
-	slices.SortStableFunc(drawn.steps, func(a, b playStep) int { return int(a.at - b.at) })
+	slices.SortStableFunc(drawn.steps, func(a, b scenarioStep) int { return int(a.at - b.at) })
 	return drawn
 }
 
@@ -113,12 +113,12 @@
 func (i *incident) addRestart(rng *rand.Rand, node int) {
 	kill := time.Duration(rng.Int64N(int64(maxKillDelay)))
 	i.steps = append(i.steps,
-		playStep{at: kill, node: node},
-		playStep{at: kill + drawDowntime(rng), node: node, isStart: true})
+		scenarioStep{at: kill, node: node},
+		scenarioStep{at: kill + drawDowntime(rng), node: node, isStart: true})
 }
 
 func drawDowntime(rng *rand.Rand) time.Duration {
-	if rng.IntN(restartsAtOnceOdds) == 0 {
+	if rng.IntN(immediateRestartOdds) == 0 {
 		return 0
 	}
 	return minDowntime + time.Duration(rng.Int64N(int64(maxDowntime-minDowntime)))
--- a/tests/disk_play_report_test.go
+++ b/tests/disk_play_report_test.go
@@ -9,26 +9,26 @@
 	"oxbowbridge/internal/cluster/storeapi"
 )
 
-// noteTime is the form of the time in the nodes' logs.
-const noteTime = "15:04:05.000Z"
+// logTimeOfDay is the form of the time in the nodes' logs.
+const logTimeOfDay = "15:04:05.000Z"
 
 // memberIDPattern finds the members that a wait reason names.
 var memberIDPattern = regexp.MustCompile(`s[0-9]+@[0-9a-f]+`)
 
-// note puts a step down with its time, to be read beside the nodes' logs.
-func (p *diskPlay) note(verb string, node int) {
-	p.t.Logf("%s incident %d: %s s%d", time.Now().UTC().Format(noteTime), p.next+1, verb, node)
+// logStep puts a step down with its time, to be read beside the nodes' logs.
+func (p *diskScenario) logStep(verb string, node int) {
+	p.t.Logf("%s incident %d: %s s%d", time.Now().UTC().Format(logTimeOfDay), p.next+1, verb, node)
 }
 
-// report says on failure what was played, and what each node waits for.
-func (p *diskPlay) report() {
-	nodes := len(p.all)
+// reportFailure says on failure what was played, and what each node waits for.
+func (p *diskScenario) reportFailure() {
+	nodes := len(p.nodeIndexes)
 	p.t.Logf("the same play again: -run '^TestDiskPlays$/^%d-nodes-seed-%d$' -seed %d -disk-plays 1", nodes, p.seed, p.seed)
 	for n, played := range p.incidents[:min(p.next+1, len(p.incidents))] {
 		p.t.Logf("incident %d of %d nodes, seed %d: %s", n+1, nodes, p.seed, played)
 	}
 	var statuses []storeapi.Status
-	for _, node := range p.all {
+	for _, node := range p.nodeIndexes {
 		code, text := p.Request(node, "GET", "/status", "")
 		p.t.Logf("seed %d: status of s%d: %d %s", p.seed, node, code, text)
 		var status storeapi.Status
@@ -37,12 +37,12 @@
 		}
 	}
 	if len(statuses) == nodes { // else the disk may be that of a node that does not answer
-		p.reportDisksGivenUp(statuses)
+		p.reportRemovedDisks(statuses)
 	}
 }
 
-// reportDisksGivenUp names the nodes that wait for word of a disk that no node has any more.
-func (p *diskPlay) reportDisksGivenUp(statuses []storeapi.Status) {
+// reportRemovedDisks names the nodes that wait for word of a disk that no node has any more.
+func (p *diskScenario) reportRemovedDisks(statuses []storeapi.Status) {
 	var present []string
 	for _, status := range statuses {
 		present = append(present, status.ID)
--- a/tests/disk_plays_test.go
+++ b/tests/disk_plays_test.go
@@ -15,16 +15,16 @@
 	"oxbowbridge/internal/testrig"
 )
 
-var diskPlays = flag.Int("disk-plays", 1, "how many seeds, from -seed on, TestDiskPlays plays with three nodes and with five")
+var diskScenarios = flag.Int("disk-plays", 1, "how many seeds, from -seed on, TestDiskPlays plays with three nodes and with five")
 
 const (
-	// playClients is how many clients of the history a play has.
-	playClients = 4
+	// historyClients is how many clients of the history a play has.
+	historyClients = 4
 	// writesBeforeIncident are acknowledged after the folders are copied and before any is damaged.
 	writesBeforeIncident = 20
-	// watermarksSaved is the time within which a node has saved what it observed of other disks: it
+	// watermarkSaveTime is the time within which a node has saved what it observed of other disks: it
 	// saves once a second, on a tick of 200 ms.
-	watermarksSaved = 1500 * time.Millisecond
+	watermarkSaveTime = 1500 * time.Millisecond
 )
 
 // TestDiskPlays: with vouchers -1 up to a minority of the folders is wiped or brought back older,
@@ -33,57 +33,57 @@
 func TestDiskPlays(t *testing.T) {
 	t.Parallel()
 	for _, nodes := range []int{3, 5} {
-		for n := range *diskPlays {
-			playSeed := *seed + uint64(n)
-			t.Run(fmt.Sprintf("%d-nodes-seed-%d", nodes, playSeed), func(t *testing.T) {
+		for n := range *diskScenarios {
+			scenarioSeed := *seed + uint64(n)
+			t.Run(fmt.Sprintf("%d-nodes-seed-%d", nodes, scenarioSeed), func(t *testing.T) {
 				t.Parallel()
-				playDisks(t, playSeed, nodes)
+				runDiskScenario(t, scenarioSeed, nodes)
 			})
 		}
 	}
 }
 
-// diskPlay is a cluster whose folders fail while clients go on.
-type diskPlay struct {
+// diskScenario is a cluster whose folders fail while clients go on.
+type diskScenario struct {
 	*cluster
-	t         *testing.T
-	seed      uint64
-	all       []int // nodes
-	incidents []incident
-	next      int // index of the current incident, or how many there were
-	history   *testrig.History
-	keys      keyWriter
-	stop      chan struct{}
-	clients   sync.WaitGroup
+	t           *testing.T
+	seed        uint64
+	nodeIndexes []int // nodes
+	incidents   []incident
+	next        int // index of the current incident, or how many there were
+	history     *testrig.History
+	keys        keyWriter
+	stop        chan struct{}
+	clients     sync.WaitGroup
 }
 
-func playDisks(t *testing.T, playSeed uint64, nodes int) {
-	p := &diskPlay{cluster: newNodes(t, nodes, nodes), t: t, seed: playSeed, incidents: drawIncidents(playSeed, nodes),
+func runDiskScenario(t *testing.T, playSeed uint64, nodes int) {
+	p := &diskScenario{cluster: newStoppedCluster(t, nodes, nodes), t: t, seed: playSeed, incidents: drawIncidents(playSeed, nodes),
 		history: testrig.NewHistory(), stop: make(chan struct{})}
 	for node := range nodes {
-		p.all = append(p.all, node)
+		p.nodeIndexes = append(p.nodeIndexes, node)
 	}
 	p.StoreFields["vouchers"] = -1
 	p.Bootstrap()
-	p.awaitWhole()
+	p.awaitRecovered()
 	p.startClients()
-	defer p.end() // also if a check ends the test
+	defer p.stopAndCheck() // also if a check ends the test
 	for ; p.next < len(p.incidents); p.next++ {
-		p.playIncident(p.incidents[p.next])
+		p.runIncident(p.incidents[p.next])
 	}
 }
 
-func (p *diskPlay) startClients() {
-	for id := range playClients {
+func (p *diskScenario) startClients() {
+	for id := range historyClients {
 		p.clients.Go(func() { p.history.RunClient(p.Cluster, id, p.stop) })
 	}
 	p.clients.Go(func() { p.keys.run(p.cluster, p.seed, p.stop) })
 }
 
-// end stops the clients and checks what they saw, also of a play that has failed.
-func (p *diskPlay) end() {
+// stopAndCheck stops the clients and checks what they saw, also of a play that has failed.
+func (p *diskScenario) stopAndCheck() {
 	if p.t.Failed() {
-		p.report()
+		p.reportFailure()
 	}
 	close(p.stop)
 	p.clients.Wait()
@@ -93,48 +93,48 @@
 	if p.t.Failed() {
 		return // not all nodes may answer
 	}
-	p.WaitForEqual(p.all...)
-	p.awaitWhole()
+	p.WaitForEqual(p.nodeIndexes...)
+	p.awaitRecovered()
 }
 
-// playIncident plays one incident, and waits until the cluster is whole again.
-func (p *diskPlay) playIncident(now incident) {
+// runIncident plays one incident, and waits until the cluster is whole again.
+func (p *diskScenario) runIncident(now incident) {
 	copies, marks := p.copyFolders(now)
-	if now.laggard != noLaggard {
-		p.note("kill", now.laggard)
-		p.Kill(now.laggard)
+	if now.stoppedBefore != noNodeStoppedBefore {
+		p.logStep("kill", now.stoppedBefore)
+		p.Kill(now.stoppedBefore)
 	}
 	before := p.keys.count()
 	await(p.t, "writes before the incident", func() bool { return p.keys.count() >= before+writesBeforeIncident })
 	for node, mark := range marks {
-		p.awaitObserved(node, mark, now.laggard)
+		p.awaitLaterWatermark(node, mark, now.stoppedBefore)
 	}
-	time.Sleep(watermarksSaved)
-	began := time.Now()
+	time.Sleep(watermarkSaveTime)
+	startedAt := time.Now()
 	for _, step := range now.steps {
-		time.Sleep(time.Until(began.Add(step.at)))
-		p.carryOut(step, now, copies)
+		time.Sleep(time.Until(startedAt.Add(step.at)))
+		p.runStep(step, now, copies)
 	}
 	started := time.Now()
-	p.awaitWhole()
+	p.awaitRecovered()
 	p.t.Logf("incident %d: whole after %v: %s", p.next+1, time.Since(started).Round(time.Millisecond), now)
 }
 
 // copyFolders copies the folders that are to be brought back, and returns the copies and a
 // watermark of each disk that is not before that of its copy.
-func (p *diskPlay) copyFolders(now incident) (copies map[int]string, marks map[int]diskidentity.Watermark) {
+func (p *diskScenario) copyFolders(now incident) (copies map[int]string, marks map[int]diskidentity.Watermark) {
 	copies, marks = map[int]string{}, map[int]diskidentity.Watermark{}
 	for node, fault := range now.faults {
-		if fault == folderOlder {
+		if fault == folderFromOlderCopy {
 			copies[node] = p.CopyFolder(node)
-			marks[node] = p.self(node, "").Watermark
+			marks[node] = p.diskReport(node, "").Watermark
 		}
 	}
 	return copies, marks
 }
 
-// self is a node's report of its disk, and what it has observed of another node's.
-func (p *diskPlay) self(node int, askerID string) (report storeapi.PeerStatus) {
+// diskReport is a node's report of its disk, and what it has observed of another node's.
+func (p *diskScenario) diskReport(node int, askerID string) (report storeapi.PeerStatus) {
 	await(p.t, "a report of a disk", func() bool {
 		report = storeapi.PeerStatus{}
 		return p.GetJSON(node, "/self?from="+askerID, &report)
@@ -142,57 +142,57 @@
 	return report
 }
 
-// awaitObserved waits until each other node that is up has observed more of a node's disk.
-func (p *diskPlay) awaitObserved(node int, mark diskidentity.Watermark, laggard int) {
-	id := p.id(node)
-	for _, other := range p.all {
+// awaitLaterWatermark waits until each other node that is up has observed more of a node's disk.
+func (p *diskScenario) awaitLaterWatermark(node int, mark diskidentity.Watermark, laggard int) {
+	id := p.memberID(node)
+	for _, other := range p.nodeIndexes {
 		if other == node || other == laggard {
 			continue
 		}
 		await(p.t, "a later watermark", func() bool {
-			seen := p.self(other, id).LastObserved
+			seen := p.diskReport(other, id).LastObserved
 			return seen != nil && seen.CompareLog(mark) > 0
 		})
 	}
 }
 
-// carryOut kills a node, and damages its folder if that is its part in the incident, or starts it.
-func (p *diskPlay) carryOut(step playStep, now incident, copies map[int]string) {
+// runStep kills a node, and damages its folder if that is its part in the incident, or starts it.
+func (p *diskScenario) runStep(step scenarioStep, now incident, copies map[int]string) {
 	if step.isStart {
-		p.note("start", step.node)
+		p.logStep("start", step.node)
 		p.Start(step.node)
 		return
 	}
-	p.note("kill", step.node)
+	p.logStep("kill", step.node)
 	p.Kill(step.node)
 	switch now.faults[step.node] {
 	case folderWiped:
 		p.WipeFolder(step.node)
-	case folderOlder:
+	case folderFromOlderCopy:
 		p.RestoreFolder(step.node, copies[step.node])
 	}
 }
 
-// awaitWhole waits until all nodes are voters with the disks that they have now, a write is done,
+// awaitRecovered waits until all nodes are voters with the disks that they have now, a write is done,
 // and each node has all acknowledged keys; all of it within one AwaitTimeout.
-func (p *diskPlay) awaitWhole() {
+func (p *diskScenario) awaitRecovered() {
 	p.t.Helper()
 	key, value := fmt.Sprint("whole/", p.next), fmt.Sprint(p.next)
 	await(p.t, "a whole cluster", func() bool {
-		if !p.HasVoters(p.all...) {
+		if !p.HasVoters(p.nodeIndexes...) {
 			return false
 		}
 		if code, _ := p.Request(0, "PUT", "/store/"+key, value); code != 204 {
 			return false
 		}
-		for _, node := range p.all {
+		for _, node := range p.nodeIndexes {
 			code, text := p.Request(node, "GET", "/store/"+key, "")
 			if code != 200 {
 				require.NotEqual(p.t, 404, code, "the write is gone at s%d", node)
 				return false
 			}
 			require.Equal(p.t, value, text)
-			if !p.keys.allAt(p.t, p.cluster, node) {
+			if !p.keys.checkAllAt(p.t, p.cluster, node) {
 				return false
 			}
 		}
--- a/tests/disk_restarts_test.go
+++ b/tests/disk_restarts_test.go
@@ -15,13 +15,13 @@
 // while its folder opens and fails the first write. Once the disk works, the node serves what it had.
 func TestFailingDiskIsNotHammered(t *testing.T) {
 	t.Parallel()
-	build, err := withFaults()
+	build, err := faultInjectionBuild()
 	require.NoError(t, err)
 	for _, fault := range []string{faultfs.DiskFull, faultfs.FailWrites} {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
-			c := newNodes(t, 1, 1)
-			c.build = build
+			c := newStoppedCluster(t, 1, 1)
+			c.buildPath = build
 			checkPacedRestarts(t, c, fault)
 		})
 	}
@@ -30,7 +30,7 @@
 func checkPacedRestarts(t *testing.T, c *cluster, fault string) {
 	const wantLines, minimum = 4, 3 * time.Second // restarts after 0, 1 and 2 s
 	c.Bootstrap()
-	fill(c, 0, "note", 5)
+	writeKeys(c, 0, "note", 5)
 	lines := func() int { return strings.Count(c.nodes[0].log(), `"msg":"incarnation ended"`) }
 	began := time.Now()
 	c.InjectFault(0, fault)
@@ -40,5 +40,5 @@
 	})
 	assert.GreaterOrEqual(t, time.Since(began), minimum, "%d lines", lines())
 	c.InjectFault(0, "")
-	await(t, "all keys", func() bool { return filled(t, c, 0, "note", 5) })
+	await(t, "all keys", func() bool { return hasWrittenKeys(t, c, 0, "note", 5) })
 }
--- a/tests/disk_waits_test.go
+++ b/tests/disk_waits_test.go
@@ -15,32 +15,32 @@
 )
 
 const (
-	// allOtherVoters is the setting "vouchers" with which a start waits for each other voter.
-	allOtherVoters = -1
-	// observationSaved is longer than a node keeps what it observed of other disks in memory only.
-	observationSaved = 1200 * time.Millisecond
-	// refusalChecked is how long nodes must refuse; an election takes half a second.
-	refusalChecked = 3 * time.Second
-	earlyKeys      = 5
-	noteKeys       = 30
+	// vouchersAllOtherVoters is the setting "vouchers" with which a start waits for each other voter.
+	vouchersAllOtherVoters = -1
+	// observationSaveTime is longer than a node keeps what it observed of other disks in memory only.
+	observationSaveTime = 1200 * time.Millisecond
+	// refusalCheckTime is how long nodes must refuse; an election takes half a second.
+	refusalCheckTime = 3 * time.Second
+	earlyKeys        = 5
+	noteKeys         = 30
 )
 
-// newCautiousNodes is a cluster of three with some keys, each of whose starts waits for all voters.
-func newCautiousNodes(t *testing.T) *cluster {
-	c := newNodes(t, 3, 3)
+// newClusterAwaitingAllVoters is a cluster of three with some keys, each of whose starts waits for all voters.
+func newClusterAwaitingAllVoters(t *testing.T) *cluster {
+	c := newStoppedCluster(t, 3, 3)
 	c.AddLinks()
-	c.StoreFields["vouchers"] = allOtherVoters
+	c.StoreFields["vouchers"] = vouchersAllOtherVoters
 	c.Bootstrap()
-	fill(c, 0, "early", earlyKeys)
+	writeKeys(c, 0, "early", earlyKeys)
 	for i := range 3 {
-		await(t, "the early keys", func() bool { return filled(t, c, i, "early", earlyKeys) })
+		await(t, "the early keys", func() bool { return hasWrittenKeys(t, c, i, "early", earlyKeys) })
 	}
 	c.WaitForVoters(0, 1, 2)
 	return c
 }
 
-// logDisks logs what each node says of itself and of its disk, if the test has failed.
-func (c *cluster) logDisks(t *testing.T) {
+// logDisksOnFailure logs what each node says of itself and of its disk, if the test has failed.
+func (c *cluster) logDisksOnFailure(t *testing.T) {
 	if !t.Failed() {
 		return
 	}
@@ -71,7 +71,7 @@
 	await(t, "the disk to be observed", func() bool {
 		return c.GetJSON(by, "/self?from="+self.ID, &observed) && observed.Seen.LastIndex >= self.Mark.LastIndex
 	})
-	time.Sleep(observationSaved)
+	time.Sleep(observationSaveTime)
 }
 
 // waitForLog waits until the present process of a node has logged a text.
@@ -79,12 +79,12 @@
 	await(t, text, func() bool { return strings.Contains(c.nodes[node].log(), text) })
 }
 
-// requireRefusals requires that nodes, once they listen, serve neither a read nor a write for some time.
-func (c *cluster) requireRefusals(t *testing.T, nodes ...int) {
+// requireNotServing requires that nodes, once they listen, serve neither a read nor a write for some time.
+func (c *cluster) requireNotServing(t *testing.T, nodes ...int) {
 	for _, node := range nodes {
 		await(t, "the node to listen", func() bool { code, _ := c.Request(node, "GET", "/status", ""); return code == 200 })
 	}
-	for end := time.Now().Add(refusalChecked); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(refusalCheckTime); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		for _, node := range nodes {
 			code, text := c.Request(node, "GET", "/store/note/1", "")
 			require.Equal(t, 503, code, "read at node %d: %s", node, text)
@@ -100,7 +100,7 @@
 	c.WaitForVoters(0, 1, 2)
 	for i := range 3 {
 		await(t, "all keys", func() bool {
-			return filled(t, c, i, "early", earlyKeys) && filled(t, c, i, "note", noteKeys)
+			return hasWrittenKeys(t, c, i, "early", earlyKeys) && hasWrittenKeys(t, c, i, "note", noteKeys)
 		})
 	}
 	c.Put(0, "note/last", `"new"`)
@@ -109,16 +109,16 @@
 	}
 }
 
-// testDiskGivenUp has n0 go down, keys be acknowledged by n1 and n2, and n1 be found out by n2 with
+// testRenewedDisk has n0 go down, keys be acknowledged by n1 and n2, and n1 be found out by n2 with
 // a folder from before those keys. n0 stays down; n1 and n2 are up, and have no majority. One of these
 // two restarts, n0 starts, and all must recover.
-func testDiskGivenUp(t *testing.T, restarted int) {
+func testRenewedDisk(t *testing.T, restarted int) {
 	t.Helper()
-	c := newCautiousNodes(t)
-	defer c.logDisks(t)
+	c := newClusterAwaitingAllVoters(t)
+	defer c.logDisksOnFailure(t)
 	older := c.CopyFolder(1)
 	c.Kill(0)
-	fill(c, 2, "note", noteKeys)
+	writeKeys(c, 2, "note", noteKeys)
 	c.waitForObservation(t, 2, 1)
 	c.Kill(1)
 	c.RestoreFolder(1, older)
@@ -133,21 +133,21 @@
 // TestDiskGivenUpWhileOthersRestart: two voters start after a third one gave its older disk up, and wait for it for ever.
 func TestDiskGivenUpWhileOthersRestart(t *testing.T) {
 	t.Parallel()
-	testDiskGivenUp(t, 2)
+	testRenewedDisk(t, 2)
 }
 
 // TestDiskGivenUpThenKilled: as above, but the one that gave its disk up restarts at once, and no longer knows why.
 func TestDiskGivenUpThenKilled(t *testing.T) {
 	t.Parallel()
-	testDiskGivenUp(t, 1)
+	testRenewedDisk(t, 1)
 }
 
 // TestDiskLostWhileVoterRestarts: a restarted voter waits for ever for a wiped disk, and the third has no majority.
 func TestDiskLostWhileVoterRestarts(t *testing.T) {
 	t.Parallel()
-	c := newCautiousNodes(t)
-	defer c.logDisks(t)
-	fill(c, 2, "note", noteKeys)
+	c := newClusterAwaitingAllVoters(t)
+	defer c.logDisksOnFailure(t)
+	writeKeys(c, 2, "note", noteKeys)
 	c.Kill(0)
 	c.WipeFolder(0)
 	c.Kill(1)
@@ -159,21 +159,21 @@
 // TestDiskLostWhileAllRestart: all restart, one wiped and one behind; keys are lost, or they wait for ever.
 func TestDiskLostWhileAllRestart(t *testing.T) {
 	t.Parallel()
-	c := newCautiousNodes(t)
-	defer c.logDisks(t)
+	c := newClusterAwaitingAllVoters(t)
+	defer c.logDisksOnFailure(t)
 	c.Kill(2)
-	fill(c, 0, "note", noteKeys)
+	writeKeys(c, 0, "note", noteKeys)
 	c.KillAll()
 	c.WipeFolder(1)
 	c.Start(1)
 	c.Start(2)
-	c.requireRefusals(t, 1, 2)
+	c.requireNotServing(t, 1, 2)
 	c.waitForLog(t, 2, "must say that this disk is not older")
 	c.waitForLog(t, 2, "voter's disk replaced; attestation no longer required")
 	var status storeapi.Status
 	require.True(t, c.GetJSON(2, "/status", &status))
 	assert.NotZero(t, status.LastIndex, "how far the log of a waiting node is")
-	assert.Contains(t, status.WaitingReason, "as its node has "+c.id(1))
+	assert.Contains(t, status.WaitingReason, "as its node has "+c.memberID(1))
 	c.Start(0)
 	c.requireRecovery(t)
 }
@@ -183,8 +183,8 @@
 	t.Parallel()
 	t.Run("OlderDiskGivenUpFirst", func(t *testing.T) {
 		t.Parallel()
-		c := startOlderAndBehind(t)
-		defer c.logDisks(t)
+		c := startWithOlderAndLaggingDisks(t)
+		defer c.logDisksOnFailure(t)
 		c.SetLinksFrom(2, 1, testrig.LinkMode{Cut: true}) // n2 hears of n1 after n0 has
 		c.Start(1)
 		c.waitForLog(t, 0, "disk identity renewed")
@@ -193,8 +193,8 @@
 	})
 	t.Run("OthersResumeFirst", func(t *testing.T) {
 		t.Parallel()
-		c := startOlderAndBehind(t)
-		defer c.logDisks(t)
+		c := startWithOlderAndLaggingDisks(t)
+		defer c.logDisksOnFailure(t)
 		c.SetLinksFrom(0, 1, testrig.LinkMode{Cut: true}) // n0 hears of n1 after n2 has
 		c.Start(1)
 		c.waitForLog(t, 2, `"verdict":"resume"`)
@@ -204,12 +204,12 @@
 	})
 }
 
-// stopOlderAndBehind has n0 with an older folder and n2 without the keys that n1 holds alone. None of them runs.
-func stopOlderAndBehind(t *testing.T) *cluster {
-	c := newCautiousNodes(t)
+// stopWithOlderAndLaggingDisks has n0 with an older folder and n2 without the keys that n1 holds alone. None of them runs.
+func stopWithOlderAndLaggingDisks(t *testing.T) *cluster {
+	c := newClusterAwaitingAllVoters(t)
 	older := c.CopyFolder(0)
 	c.Kill(2)
-	fill(c, 1, "note", noteKeys)
+	writeKeys(c, 1, "note", noteKeys)
 	c.waitForObservation(t, 1, 0)
 	c.Kill(0)
 	c.RestoreFolder(0, older)
@@ -217,13 +217,13 @@
 	return c
 }
 
-// startOlderAndBehind starts n0 with an older folder and n2 without the keys that n1 holds alone, and requires that both
+// startWithOlderAndLaggingDisks starts n0 with an older folder and n2 without the keys that n1 holds alone, and requires that both
 // refuse as long as n1 is away.
-func startOlderAndBehind(t *testing.T) *cluster {
-	c := stopOlderAndBehind(t)
+func startWithOlderAndLaggingDisks(t *testing.T) *cluster {
+	c := stopWithOlderAndLaggingDisks(t)
 	c.Start(0)
 	c.Start(2)
-	c.requireRefusals(t, 0, 2)
+	c.requireNotServing(t, 0, 2)
 	for _, node := range []int{0, 2} {
 		c.waitForLog(t, node, "must say that this disk is not older")
 	}
@@ -236,9 +236,9 @@
 	for name, waitForVote := range map[string]bool{"BeforeTheEmptyOneJoins": false, "AfterTheEmptyOneHasJoined": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			c := newCautiousNodes(t)
-			defer c.logDisks(t)
-			fill(c, 2, "note", noteKeys)
+			c := newClusterAwaitingAllVoters(t)
+			defer c.logDisksOnFailure(t)
+			writeKeys(c, 2, "note", noteKeys)
 			c.Kill(0)
 			trueFolder := c.Dirs[0] + ".true"
 			require.NoError(t, os.Rename(c.Dirs[0], trueFolder))
--- a/tests/disks_test.go
+++ b/tests/disks_test.go
@@ -19,15 +19,15 @@
 	"oxbowbridge/internal/testrig"
 )
 
-// fill writes keys at a node, each until it is acknowledged.
-func fill(c *cluster, node int, prefix string, n int) {
+// writeKeys writes keys at a node, each until it is acknowledged.
+func writeKeys(c *cluster, node int, prefix string, n int) {
 	for k := range n {
 		c.Put(node, fmt.Sprint(prefix, "/", k), fmt.Sprint(k))
 	}
 }
 
-// filled tells whether a node answers all of them, and fails on any other good answer.
-func filled(t *testing.T, c *cluster, node int, prefix string, n int) bool {
+// hasWrittenKeys tells whether a node answers all of them, and fails on any other good answer.
+func hasWrittenKeys(t *testing.T, c *cluster, node int, prefix string, n int) bool {
 	for k := range n {
 		code, text := c.Request(node, "GET", fmt.Sprint("/store/", prefix, "/", k), "")
 		if code != 200 {
@@ -39,8 +39,8 @@
 	return true
 }
 
-// id is a running node's name and disk.
-func (c *cluster) id(node int) string {
+// memberID is a running node's name and disk.
+func (c *cluster) memberID(node int) string {
 	var self struct{ ID string }
 	c.GetJSON(node, "/self", &self)
 	return self.ID
@@ -51,10 +51,10 @@
 // no key is lost, and n1 becomes a member again by itself.
 func TestLostDisk(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, nil)
-	fill(c, 0, "early", 5)
+	c := newRunningCluster(t, nil)
+	writeKeys(c, 0, "early", 5)
 	c.Kill(2)
-	fill(c, 0, "note", 40)
+	writeKeys(c, 0, "note", 40)
 	c.Kill(1)
 	c.WipeFolder(1)
 	c.Kill(0)
@@ -76,7 +76,7 @@
 	c.Start(0)
 	c.WaitForVoters(0, 1, 2)
 	for i := range 3 {
-		await(t, "all keys", func() bool { return filled(t, c, i, "note", 40) && filled(t, c, i, "early", 5) })
+		await(t, "all keys", func() bool { return hasWrittenKeys(t, c, i, "note", 40) && hasWrittenKeys(t, c, i, "early", 5) })
 	}
 }
 
@@ -84,12 +84,12 @@
 // of a disk that is gone. The new disk there gives none for the old one.
 func TestWipedDoesNotVote(t *testing.T) {
 	t.Parallel()
-	c := newWired(t)
+	c := newLinkedCluster(t)
 	lead := c.WaitForLeader()
 	lost, behind := (lead+1)%3, (lead+2)%3
-	fill(c, lead, "early", 5)
+	writeKeys(c, lead, "early", 5)
 	c.SetLinksAround(behind, testrig.LinkMode{Cut: true}, testrig.LinkMode{Cut: true})
-	fill(c, lead, "note", 20)
+	writeKeys(c, lead, "note", 20)
 	c.Kill(lead)
 	c.Kill(lost)
 	c.WipeFolder(lost)
@@ -107,7 +107,7 @@
 	c.Start(lead)
 	c.WaitForVoters(0, 1, 2)
 	for i := range 3 {
-		await(t, "all keys", func() bool { return filled(t, c, i, "note", 20) && filled(t, c, i, "early", 5) })
+		await(t, "all keys", func() bool { return hasWrittenKeys(t, c, i, "note", 20) && hasWrittenKeys(t, c, i, "early", 5) })
 	}
 }
 
@@ -115,8 +115,8 @@
 // none of the first disks is left. Nothing acknowledged is lost.
 func TestEachDiskWiped(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, nil)
-	fill(c, 0, "note", 20)
+	c := newRunningCluster(t, nil)
+	writeKeys(c, 0, "note", 20)
 	first := c.Members(0)
 	h, stop := testrig.NewHistory(), make(chan struct{})
 	var wg sync.WaitGroup
@@ -134,14 +134,14 @@
 	}
 	require.True(t, h.Linearizable())
 	c.WaitForEqual(0, 1, 2)
-	assert.True(t, filled(t, c, 1, "note", 20))
+	assert.True(t, hasWrittenKeys(t, c, 1, "note", 20))
 }
 
 // TestOlderFolder: a folder that is brought back as it was a while ago is noticed by what
 // the others have seen of it, alone, and while its node reaches one other only.
 func TestOlderFolder(t *testing.T) {
 	t.Parallel()
-	c := newWired(t)
+	c := newLinkedCluster(t)
 	for _, cut := range []bool{false, true} {
 		lead := c.WaitForLeader()
 		old := (lead + 1) % 3
@@ -176,7 +176,7 @@
 		}
 		require.True(t, c.GetJSON(lead, "/self?from=x", &before))
 		await(t, "the others to have seen it", func() bool { return mark(third, old) >= before.Mark.LastIndex })
-		was := c.id(old)
+		was := c.memberID(old)
 		c.Kill(old)
 		c.RestoreFolder(old, then)
 		if cut {
@@ -204,7 +204,7 @@
 		c.WaitForVoters(0, 1, 2)
 		for i := range 3 {
 			c.WaitForValue(i, "note/age", `"new"`)
-			await(t, "all keys", func() bool { return filled(t, c, i, "more", 30) })
+			await(t, "all keys", func() bool { return hasWrittenKeys(t, c, i, "more", 30) })
 		}
 	}
 }
@@ -213,8 +213,8 @@
 // own, and is taken in when it is reached again.
 func TestWipedAndCutOff(t *testing.T) {
 	t.Parallel()
-	c := newWired(t)
-	fill(c, 0, "note", 10)
+	c := newLinkedCluster(t)
+	writeKeys(c, 0, "note", 10)
 	lost := c.WaitForLeader()
 	c.Kill(lost)
 	c.WipeFolder(lost)
@@ -227,7 +227,7 @@
 	assert.Equal(t, 503, code, text)
 	c.HealLinks()
 	c.WaitForVoters(0, 1, 2)
-	await(t, "all keys", func() bool { return filled(t, c, lost, "note", 11) })
+	await(t, "all keys", func() bool { return hasWrittenKeys(t, c, lost, "note", 11) })
 }
 
 // TestMembers: a node joins from its seeds, takes the place of a voter that is gone, is
@@ -235,10 +235,10 @@
 // gets its vote; the leader leaves.
 func TestMembers(t *testing.T) {
 	t.Parallel()
-	c := newNodes(t, 3, 4)
+	c := newStoppedCluster(t, 3, 4)
 	c.StoreFields["replace_after_ms"] = 1500
 	c.Bootstrap()
-	fill(c, 0, "note", 10)
+	writeKeys(c, 0, "note", 10)
 	c.Start(3)
 	role := func(node int) (role string) {
 		for _, m := range c.Members(c.WaitForLeader()) {
@@ -253,10 +253,10 @@
 	c.Kill(gone)
 	await(t, "its vote to go to the standby", func() bool { return role(3) == "voter" && role(gone) == "learner" })
 	c.Start(gone)
-	await(t, "all keys", func() bool { return filled(t, c, 3, "note", 10) && filled(t, c, gone, "note", 10) })
+	await(t, "all keys", func() bool { return hasWrittenKeys(t, c, 3, "note", 10) && hasWrittenKeys(t, c, gone, "note", 10) })
 	nodes := "--nodes=" + strings.Join(c.client().Nodes, ",")
 	run := func(args ...string) string {
-		out, errs, code := cli(t, "", append(append([]string{"store"}, args...), nodes)...)
+		out, errs, code := runCLI(t, "", append(append([]string{"store"}, args...), nodes)...)
 		require.Zero(t, code, "%v: %s", args, errs)
 		return out
 	}
@@ -279,7 +279,7 @@
 	lead := c.WaitForLeader()
 	run("remove", c.Peers[lead].Name)
 	await(t, "the leader to be gone", func() bool { return c.WaitForLeader(lead) != lead && role(lead) == "" })
-	_, errs, code := cli(t, "", "store", "remove", "nobody", nodes)
+	_, errs, code := runCLI(t, "", "store", "remove", "nobody", nodes)
 	assert.Equal(t, 1, code)
 	assert.Contains(t, errs, "no such member")
 	c.Put(3, "note/last", "1")
@@ -293,10 +293,10 @@
 // it who they are, and is taken in by them; with nobody else to reach it waits.
 func TestJoinBehindPartition(t *testing.T) {
 	t.Parallel()
-	c := newNodes(t, 3, 4)
+	c := newStoppedCluster(t, 3, 4)
 	c.AddLinks()
 	c.Bootstrap()
-	fill(c, 0, "note", 10)
+	writeKeys(c, 0, "note", 10)
 	alone := (c.WaitForLeader() + 1) % 3
 	c.SetLinksAround(alone, testrig.LinkMode{Cut: true}, testrig.LinkMode{Cut: true})
 	for i := range 3 {
@@ -313,7 +313,7 @@
 	for i := range 3 {
 		c.Resume(i)
 	}
-	await(t, "all keys", func() bool { return filled(t, c, 3, "note", 10) })
+	await(t, "all keys", func() bool { return hasWrittenKeys(t, c, 3, "note", 10) })
 	assert.Empty(t, c.Members(alone), "it is still cut off")
 	c.HealLinks()
 	await(t, "it to be seen everywhere", func() bool { return len(c.Members(alone)) == 4 })
@@ -323,10 +323,10 @@
 // and all nodes at once; what was decided is done by the next one, once.
 func TestLeaderLostInStep(t *testing.T) {
 	t.Parallel()
-	c := newNodes(t, 3, 4)
+	c := newStoppedCluster(t, 3, 4)
 	c.StoreFields["replace_after_ms"] = 1000
 	c.Bootstrap()
-	fill(c, 0, "note", 10)
+	writeKeys(c, 0, "note", 10)
 	said := func(node int, step string) func() bool {
 		n := strings.Count(c.nodes[node].log(), step)
 		return func() bool { return strings.Count(c.nodes[node].log(), step) > n }
@@ -347,7 +347,7 @@
 		code, _ := c.Request(next2, "DELETE", "/members/"+c.Peers[out].Name, "")
 		return code == 204
 	})
-	await(t, "its vote to be taken", func() bool { return c.Members(next2)[c.id(out)].Role != "voter" })
+	await(t, "its vote to be taken", func() bool { return c.Members(next2)[c.memberID(out)].Role != "voter" })
 	c.KillAll()
 	for i := range 4 {
 		c.Start(i)
@@ -367,7 +367,7 @@
 	})
 	for i := range 4 {
 		if i != out {
-			await(t, "all keys", func() bool { return filled(t, c, i, "note", 10) })
+			await(t, "all keys", func() bool { return hasWrittenKeys(t, c, i, "note", 10) })
 		}
 	}
 }
@@ -377,10 +377,10 @@
 // itself once the disk works again.
 func TestDiskFails(t *testing.T) {
 	t.Parallel()
-	build, err := withFaults()
+	build, err := faultInjectionBuild()
 	require.NoError(t, err)
-	c := newNodes(t, 3, 3)
-	c.build = build
+	c := newStoppedCluster(t, 3, 3)
+	c.buildPath = build
 	c.Bootstrap()
 	n := 0
 	for _, cue := range []string{faultfs.DiskFull, faultfs.FailWrites, faultfs.FailSyncs} {
@@ -401,10 +401,10 @@
 			n++
 			code, text := c.Request(bad, "GET", "/store/note/0", "")
 			assert.Equal(t, 503, code, "%s, leader %v: %s", cue, leads, text)
-			c.nodes[bad].ready() // it still serves its callers
+			c.nodes[bad].awaitReady() // it still serves its callers
 			c.InjectFault(bad, "")
 			c.WaitForVoters(0, 1, 2)
-			await(t, "all keys", func() bool { return filled(t, c, bad, "note", n) })
+			await(t, "all keys", func() bool { return hasWrittenKeys(t, c, bad, "note", n) })
 		}
 	}
 }
@@ -414,32 +414,32 @@
 // and serve nothing, and new ones join.
 func TestRecover(t *testing.T) {
 	t.Parallel()
-	c := newNodes(t, 3, 3)
+	c := newStoppedCluster(t, 3, 3)
 	c.Bootstrap()
-	fill(c, 0, "note", 20)
-	await(t, "its keys", func() bool { return filled(t, c, 2, "note", 20) })
+	writeKeys(c, 0, "note", 20)
+	await(t, "its keys", func() bool { return hasWrittenKeys(t, c, 2, "note", 20) })
 	var st struct{ Cluster string }
 	await(t, "the cluster's id", func() bool { return c.GetJSON(2, "/status", &st) && st.Cluster != "" })
-	config := c.nodes[2].path
-	_, errs, code := cli(t, "", "store", "recover", config)
+	config := c.nodes[2].configPath
+	_, errs, code := runCLI(t, "", "store", "recover", config)
 	assert.Equal(t, 1, code, "it runs")
 	assert.Contains(t, errs, "in use")
 	c.KillAll()
-	out, errs, code := cli(t, "", "store", "recover", config)
+	out, errs, code := runCLI(t, "", "store", "recover", config)
 	require.Zero(t, code, errs)
 	assert.Contains(t, out, st.Cluster)
 	assert.Contains(t, out, "MAY BE MISSING")
-	_, errs, code = cli(t, "", "store", "recover", config, "--cluster", "another")
+	_, errs, code = runCLI(t, "", "store", "recover", config, "--cluster", "another")
 	assert.Equal(t, 1, code)
 	assert.Contains(t, errs, "not confirmed")
 	c.Start(2)
 	await(t, "it to wait", func() bool { return strings.Contains(c.nodes[2].log(), "must say that this disk is not older") })
 	c.Kill(2)
-	_, errs, code = cli(t, "", "store", "recover", config, "--cluster", st.Cluster)
+	_, errs, code = runCLI(t, "", "store", "recover", config, "--cluster", st.Cluster)
 	require.Zero(t, code, errs)
 	c.Start(2)
 	c.WaitForVoters(2)
-	assert.True(t, filled(t, c, 2, "note", 20))
+	assert.True(t, hasWrittenKeys(t, c, 2, "note", 20))
 	c.Put(2, "note/20", "20")
 	c.Start(0)
 	c.Start(1)
@@ -455,7 +455,7 @@
 	}
 	c.WaitForVoters(0, 1, 2)
 	for i := range 3 {
-		await(t, "all keys", func() bool { return filled(t, c, i, "note", 21) })
+		await(t, "all keys", func() bool { return hasWrittenKeys(t, c, i, "note", 21) })
 	}
 }
 
@@ -463,10 +463,10 @@
 // is a new member; it serves its callers all the while.
 func TestDamagedFolder(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, nil)
-	fill(c, 0, "note", 30)
-	await(t, "its keys", func() bool { return filled(t, c, 1, "note", 30) })
-	was := c.id(1)
+	c := newRunningCluster(t, nil)
+	writeKeys(c, 0, "note", 30)
+	await(t, "its keys", func() bool { return hasWrittenKeys(t, c, 1, "note", 30) })
+	was := c.memberID(1)
 	c.Kill(1)
 	logs, err := filepath.Glob(filepath.Join(c.Dirs[1], "*.log"))
 	require.NoError(t, err)
@@ -486,14 +486,14 @@
 	})
 	c.WaitForVoters(0, 1, 2)
 	assert.DirExists(t, c.Dirs[1]+".refused-1")
-	await(t, "all keys", func() bool { return filled(t, c, 1, "note", 30) })
+	await(t, "all keys", func() bool { return hasWrittenKeys(t, c, 1, "note", 30) })
 }
 
 // TestFolderOfTheVersionBefore: folders whose members are names alone start, and one by
 // one, while all is well, each member becomes its disk; nothing is lost on the way.
 func TestFolderOfTheVersionBefore(t *testing.T) {
 	t.Parallel()
-	c := newNodes(t, 3, 3)
+	c := newStoppedCluster(t, 3, 3)
 	var conf raft.Configuration
 	for _, p := range c.Peers {
 		conf.Servers = append(conf.Servers, raft.Server{ID: raft.ServerID(p.Name), Address: raft.ServerAddress(p.Raft)})
@@ -508,7 +508,7 @@
 		require.NoError(t, disk.Close())
 	}
 	c.Bootstrap()
-	fill(c, 0, "note", 20)
+	writeKeys(c, 0, "note", 20)
 	await(t, "three disks in place of three names", func() bool {
 		m, disks := c.Members(c.WaitForLeader()), 0
 		for id, x := range m {
@@ -519,11 +519,11 @@
 		return disks == 3 && len(m) == 3
 	})
 	for i := range 3 {
-		await(t, "all keys", func() bool { return filled(t, c, i, "note", 20) })
+		await(t, "all keys", func() bool { return hasWrittenKeys(t, c, i, "note", 20) })
 	}
 	c.ReplaceDisk(0)
 	c.WaitForVoters(0, 1, 2)
-	assert.True(t, filled(t, c, 0, "note", 20))
+	assert.True(t, hasWrittenKeys(t, c, 0, "note", 20))
 }
 
 // TestStateApart: a node has made something else of one entry than the others, and its log
@@ -531,12 +531,12 @@
 // that it has, and comes back as a new member with the others' state.
 func TestStateApart(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, nil)
+	c := newRunningCluster(t, nil)
 	odd := (c.WaitForLeader() + 1) % 3
 	other := (odd + 1) % 3
 	c.Put(other, "note/one", `"as most have it"`)
 	c.WaitForEqual(0, 1, 2)
-	was := c.id(odd)
+	was := c.memberID(odd)
 	c.Kill(odd)
 	disk, _, err := raftstorage.Open(c.Dirs[odd])
 	require.NoError(t, err)
@@ -555,14 +555,14 @@
 	require.NoError(t, disk.StoreLogs(rest))
 	require.NoError(t, disk.Close())
 	c.Start(odd)
-	fill(c, other, "more", 40)
+	writeKeys(c, other, "more", 40)
 	await(t, "the node to find out", func() bool {
 		return strings.Contains(c.nodes[odd].log(), "the state differs from that of most other nodes: at entry ")
 	})
 	c.WaitForVoters(0, 1, 2)
-	assert.NotEqual(t, was, c.id(odd))
+	assert.NotEqual(t, was, c.memberID(odd))
 	c.WaitForValue(odd, "note/one", `"as most have it"`)
-	await(t, "all keys", func() bool { return filled(t, c, odd, "more", 40) })
+	await(t, "all keys", func() bool { return hasWrittenKeys(t, c, odd, "more", 40) })
 	c.WaitForEqual(0, 1, 2)
 	assert.DirExists(t, c.Dirs[odd]+".refused-1", "what it had is kept for whoever looks into it")
 }
--- a/tests/durable_test.go
+++ b/tests/durable_test.go
@@ -19,12 +19,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-var kills = flag.Int("kills", 8, "how often TestLoadKilled kills a load")
+var loadKills = flag.Int("kills", 8, "how often TestLoadKilled kills a load")
 
-// cli runs the program to its end.
-func cli(t *testing.T, in string, args ...string) (out, errs string, code int) {
+// runCLI runs the program to its end.
+func runCLI(t *testing.T, in string, args ...string) (out, errs string, code int) {
 	t.Helper()
-	c := exec.Command(program, args...)
+	c := exec.Command(programPath, args...)
 	var stdout, stderr bytes.Buffer
 	c.Stdin, c.Stdout, c.Stderr = strings.NewReader(in), &stdout, &stderr
 	err := c.Run()
@@ -40,29 +40,29 @@
 // TestCommands: what each says and exits with when called well and badly.
 func TestCommands(t *testing.T) {
 	t.Parallel()
-	out, _, code := cli(t, "", "version")
+	out, _, code := runCLI(t, "", "version")
 	assert.Zero(t, code)
 	assert.Contains(t, out, "oxbowbridge")
 	for _, file := range []string{"operator.json", "store-standby.json", "store-leases.json", "work.json"} {
-		_, errs, code := cli(t, "", "config", "check", "../deploy/"+file)
+		_, errs, code := runCLI(t, "", "config", "check", "../deploy/"+file)
 		assert.Zero(t, code, errs)
 	}
-	out, _, code = cli(t, "", "config", "check", "../examples/config.json")
+	out, _, code = runCLI(t, "", "config", "check", "../examples/config.json")
 	assert.Zero(t, code)
 	assert.Equal(t, "ok\n", out)
 	text, err := os.ReadFile("../examples/config.json")
 	require.NoError(t, err)
 	bad := filepath.Join(t.TempDir(), "bad.json")
 	require.NoError(t, os.WriteFile(bad, bytes.Replace(text, []byte(`"stop_ms": 4000`), []byte(`"stop_ms": 4`), 1), 0o600))
-	_, errs, code := cli(t, "", "config", "check", bad)
+	_, errs, code := runCLI(t, "", "config", "check", bad)
 	assert.Equal(t, 2, code)
 	assert.Contains(t, errs, "stop_ms")
 	for _, args := range [][]string{{"nonsense"}, {"durable", "dump"}, {"durable", "load", "x", "--nonsense"}, {"try", "--requests", "0"}, {"serve", "x"}} {
-		_, errs, code = cli(t, "", args...)
+		_, errs, code = runCLI(t, "", args...)
 		assert.Equal(t, 2, code, args)
 		assert.NotEmpty(t, errs, args)
 	}
-	out, _, code = cli(t, "", "try", "--requests", "60", "--within", "500ms")
+	out, _, code = runCLI(t, "", "try", "--requests", "60", "--within", "500ms")
 	assert.Zero(t, code)
 	for _, class := range classNames {
 		assert.Contains(t, out, class)
@@ -74,25 +74,25 @@
 	t.Parallel()
 	dir := filepath.Join(t.TempDir(), "store")
 	long := strings.Repeat("long ", 100)
-	out, errs, code := cli(t, "b\t2\na\t\nb\t3\nc\t"+long+"\n", "durable", "load", dir)
+	out, errs, code := runCLI(t, "b\t2\na\t\nb\t3\nc\t"+long+"\n", "durable", "load", dir)
 	require.Zero(t, code, errs)
 	assert.Equal(t, "ok b\nok a\nok b\nok c\n", out)
 	want := "a\t\nb\t3\nc\t" + long + "\n"
-	out, _, code = cli(t, "", "durable", "dump", dir)
+	out, _, code = runCLI(t, "", "durable", "dump", dir)
 	assert.Zero(t, code)
 	assert.Equal(t, want, out)
-	_, errs, code = cli(t, "no tab here\n", "durable", "load", dir)
+	_, errs, code = runCLI(t, "no tab here\n", "durable", "load", dir)
 	assert.Equal(t, 2, code)
 	assert.Contains(t, errs, "line 1")
-	out, _, code = cli(t, "", "durable", "compact", dir)
+	out, _, code = runCLI(t, "", "durable", "compact", dir)
 	assert.Zero(t, code)
 	assert.Contains(t, out, "live")
-	out, _, code = cli(t, "", "durable", "verify", dir)
+	out, _, code = runCLI(t, "", "durable", "verify", dir)
 	assert.Zero(t, code)
 	assert.Contains(t, out, `"loss": "none"`)
-	out, _, code = cli(t, "", "durable", "dump", dir, "--hex")
+	out, _, code = runCLI(t, "", "durable", "dump", dir, "--hex")
 	assert.Zero(t, code)
-	out, errs, code = cli(t, out, "durable", "load", dir+"2", "--hex")
+	out, errs, code = runCLI(t, out, "durable", "load", dir+"2", "--hex")
 	require.Zero(t, code, errs)
 	assert.Equal(t, 3, strings.Count(out, "ok "))
 
@@ -100,30 +100,30 @@
 	text, err := os.ReadFile(log)
 	require.NoError(t, err)
 	require.NoError(t, os.WriteFile(log, bytes.Replace(text, []byte("long"), []byte("lung"), 1), 0o600))
-	before := folder(t, dir)
-	out, errs, code = cli(t, "", "durable", "dump", dir)
+	before := readFolder(t, dir)
+	out, errs, code = runCLI(t, "", "durable", "dump", dir)
 	assert.Equal(t, 3, code)
 	assert.Equal(t, "a\t\nb\t3\n", out)
 	assert.Contains(t, errs, `"lost_keys": 1`)
-	_, _, code = cli(t, "", "durable", "verify", dir)
+	_, _, code = runCLI(t, "", "durable", "verify", dir)
 	assert.Equal(t, 3, code)
-	assert.Equal(t, before, folder(t, dir), "reading changes nothing")
+	assert.Equal(t, before, readFolder(t, dir), "reading changes nothing")
 	require.NoError(t, os.Truncate(log, 70))
-	_, errs, code = cli(t, "", "durable", "load", dir)
+	_, errs, code = runCLI(t, "", "durable", "load", dir)
 	assert.Equal(t, 3, code)
 	assert.Contains(t, errs, "damaged")
-	_, _, code = cli(t, "", "durable", "repair", dir)
+	_, _, code = runCLI(t, "", "durable", "repair", dir)
 	assert.Zero(t, code)
-	_, errs, code = cli(t, "c\tnew\n", "durable", "load", dir)
+	_, errs, code = runCLI(t, "c\tnew\n", "durable", "load", dir)
 	assert.Zero(t, code, errs)
-	out, _, code = cli(t, "", "durable", "dump", dir)
+	out, _, code = runCLI(t, "", "durable", "dump", dir)
 	assert.Zero(t, code)
 	assert.Equal(t, "a\t\nb\t3\nc\tnew\n", out)
-	_, _, code = cli(t, "", "durable", "dump", dir+"none")
+	_, _, code = runCLI(t, "", "durable", "dump", dir+"none")
 	assert.Equal(t, 1, code)
 }
 
-func folder(t *testing.T, dir string) map[string]string {
+func readFolder(t *testing.T, dir string) map[string]string {
 	files, err := os.ReadDir(dir)
 	require.NoError(t, err)
 	m := map[string]string{}
@@ -141,8 +141,8 @@
 	t.Parallel()
 	dir, rng := filepath.Join(t.TempDir(), "store"), rand.New(rand.NewPCG(1, 2))
 	acked, n := map[string]string{}, 0
-	for round := range *kills {
-		c := exec.Command(program, "durable", "load", dir)
+	for round := range *loadKills {
+		c := exec.Command(programPath, "durable", "load", dir)
 		in, err := c.StdinPipe()
 		require.NoError(t, err)
 		out, err := c.StdoutPipe()
@@ -177,7 +177,7 @@
 		}
 		c.Wait()
 		end := <-sent
-		dumped, errs, code := cli(t, "", "durable", "dump", dir)
+		dumped, errs, code := runCLI(t, "", "durable", "dump", dir)
 		require.Zero(t, code, errs)
 		have := map[string]string{}
 		for line := range strings.Lines(dumped) {
@@ -198,7 +198,7 @@
 			acked[k] = v
 		}
 	}
-	require.Greater(t, n, *kills)
+	require.Greater(t, n, *loadKills)
 }
 
 func valueOf(i int) string { return strings.Repeat(fmt.Sprint(i, ","), 1+i%40) }
--- a/tests/endings_test.go
+++ b/tests/endings_test.go
@@ -18,18 +18,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-// atItsEnd reads until the service ends the connection, which must not be a reset.
-func atItsEnd(t *testing.T, c net.Conn, r io.Reader) {
+// requireOrderlyClose reads until the service ends the connection, which must not be a reset.
+func requireOrderlyClose(t *testing.T, c net.Conn, r io.Reader) {
 	t.Helper()
 	rest, err := io.ReadAll(r)
 	require.NoError(t, err, "reset, or still open")
 	require.Empty(t, rest, "more than was owed")
 }
 
-// deaf waits until the service takes no more connections.
-func (s *service) deaf() {
+// awaitListenersClosed waits until the service takes no more connections.
+func (s *service) awaitListenersClosed() {
 	await(s.t, "the listeners to close", func() bool {
-		for _, addr := range []string{s.fcgi, s.ajp} {
+		for _, addr := range []string{s.fcgiAddr, s.ajpAddr} {
 			if c, err := net.Dial("tcp", addr); err == nil {
 				c.Close()
 				return false
@@ -44,13 +44,13 @@
 // KEEP_CONN, and faults by the dozen.
 func TestFaultLeavesAnswers(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, nil)
-	half := fcgiRequest(9, "/call/nom-submit", fieldsOf(newTrace()), []byte("ok"))
-	single := fcgiRequest(9, "/call/nom-submit", fieldsOf(newTrace()), []byte("ok"))
+	w := newTestbed(t, nil)
+	half := fcgiRequest(9, "/call/nom-submit", requestHeaders(newTraceID()), []byte("ok"))
+	single := fcgiRequest(9, "/call/nom-submit", requestHeaders(newTraceID()), []byte("ok"))
 	single[10] = 0 // its flags: the connection is to be closed behind it
 	var faults []byte
 	for id := range uint16(17) {
-		faults = append(faults, fcgiRequest(20+id, "/call/other", fieldsOf(newTrace()), nil)...)
+		faults = append(faults, fcgiRequest(20+id, "/call/other", requestHeaders(newTraceID()), nil)...)
 	}
 	for what, tt := range map[string]struct {
 		then    []byte
@@ -63,50 +63,50 @@
 		"faults":         {faults, 17},
 	} {
 		t.Run(what, func(t *testing.T) {
-			trace := newTrace()
-			held, given := w.engine.held(), strings.Count(w.log(), "callers stalled")
-			c, err := dialFCGI(w.fcgi)
+			trace := newTraceID()
+			held, given := w.engine.heldRuns(), strings.Count(w.log(), "callers stalled")
+			c, err := dialFCGI(w.fcgiAddr)
 			require.NoError(t, err)
 			defer c.Close()
-			_, err = c.Write(append(fcgiRequest(1, "/call/nom-submit", fieldsOf(trace), []byte("hold")), tt.then...))
+			_, err = c.Write(append(fcgiRequest(1, "/call/nom-submit", requestHeaders(trace), []byte("hold")), tt.then...))
 			require.NoError(t, err)
-			await(t, "the run", func() bool { return w.engine.held() == held+1 })
+			await(t, "the run", func() bool { return w.engine.heldRuns() == held+1 })
 			for range tt.answers {
-				id, _, _, err := c.read()
+				id, _, _, err := c.readResponse()
 				require.NoError(t, err)
 				require.NotEqual(t, uint16(1), id)
 			}
 			if strings.HasPrefix(what, "half") {
 				await(t, "the half to be given up", func() bool { return strings.Count(w.log(), "callers stalled") > given })
 			}
-			refused := newTrace() // on a connection that is about to end nothing begins
-			_, err = c.Write(fcgiRequest(5, "/call/nom-submit", fieldsOf(refused), []byte("ok")))
+			refused := newTraceID() // on a connection that is about to end nothing begins
+			_, err = c.Write(fcgiRequest(5, "/call/nom-submit", requestHeaders(refused), []byte("ok")))
 			require.NoError(t, err)
 			if what != "garbage" {
-				await(t, "what follows to be read", func() bool { return w.status("nom-submit", "ok") == 200 })
+				await(t, "what follows to be read", func() bool { return w.responseStatus("nom-submit", "ok") == 200 })
 			}
-			w.engine.release()
-			id, a, _, err := c.read()
+			w.engine.releaseHeld()
+			id, a, _, err := c.readResponse()
 			require.NoError(t, err, "the answer that was owed")
 			assert.Equal(t, uint16(1), id)
 			assert.Equal(t, "result of "+trace, a.body)
-			atItsEnd(t, c, c.r)
-			assert.Zero(t, w.engine.heardOf("RUN "+refused))
+			requireOrderlyClose(t, c, c.r)
+			assert.Zero(t, w.engine.countReceived("RUN "+refused))
 		})
 	}
-	trace := newTrace()
-	c, err := dialAJP(w.ajp)
+	trace := newTraceID()
+	c, err := dialAJP(w.ajpAddr)
 	require.NoError(t, err)
 	defer c.Close()
-	held := w.engine.held()
-	_, err = c.Write(append(append(ajpForward("/call/nom-submit", "s3", fieldsOf(trace), 4), ajpChunk([]byte("hold"))...), "garbage"...))
+	held := w.engine.heldRuns()
+	_, err = c.Write(append(append(ajpForwardRequest("/call/nom-submit", "s3", requestHeaders(trace), 4), ajpBodyChunk([]byte("hold"))...), "garbage"...))
 	require.NoError(t, err)
-	await(t, "the run", func() bool { return w.engine.held() == held+1 })
-	w.engine.release()
-	a, err := c.read(nil)
+	await(t, "the run", func() bool { return w.engine.heldRuns() == held+1 })
+	w.engine.releaseHeld()
+	a, err := c.readResponse(nil)
 	require.NoError(t, err)
 	assert.Equal(t, "result of "+trace, a.body)
-	atItsEnd(t, c, c.r)
+	requireOrderlyClose(t, c, c.r)
 }
 
 // TestDrainHearsTheHalf: of a request that was half written when the service began to
@@ -114,41 +114,41 @@
 // that crosses the end of an idle connection meets no reset, and never runs.
 func TestDrainHearsTheHalf(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, func(cfg object) {
+	w := newTestbed(t, func(cfg object) {
 		cfg["settings"].(object)["safety"].(object)["drain_grace_ns"] = 200e6
 	})
-	trace := newTrace()
-	fields := fieldsOf(trace)
+	trace := newTraceID()
+	fields := requestHeaders(trace)
 	fields["Accepted-At-Ms"] = strconv.FormatInt(time.Now().Add(30*time.Second).UnixMilli(), 10) // counts as the time of reading
 	request := fcgiRequest(1, "/call/nom-submit", fields, []byte("ok"))
-	half, err := dialFCGI(w.fcgi)
+	half, err := dialFCGI(w.fcgiAddr)
 	require.NoError(t, err)
 	defer half.Close()
 	half.do("/ping", nil, nil)
 	_, err = half.Write(request[:5]) // not even its first record is whole
 	require.NoError(t, err)
-	idle, err := dialFCGI(w.fcgi)
+	idle, err := dialFCGI(w.fcgiAddr)
 	require.NoError(t, err)
 	defer idle.Close()
 	_, err = idle.do("/ping", nil, nil)
 	require.NoError(t, err)
 	require.NoError(t, w.Signal(syscall.SIGTERM))
-	atItsEnd(t, idle, idle.r) // it rested until the service ended it
-	crossed := newTrace()
-	_, err = idle.Write(fcgiRequest(1, "/call/nom-submit", fieldsOf(crossed), []byte("ok")))
+	requireOrderlyClose(t, idle, idle.r) // it rested until the service ended it
+	crossed := newTraceID()
+	_, err = idle.Write(fcgiRequest(1, "/call/nom-submit", requestHeaders(crossed), []byte("ok")))
 	require.NoError(t, err)
-	w.deaf()
+	w.awaitListenersClosed()
 	_, err = half.Write(request[5:])
 	require.NoError(t, err)
-	_, a, _, err := half.read()
+	_, a, _, err := half.readResponse()
 	require.NoError(t, err)
 	assert.Equal(t, 503, a.status)
-	atItsEnd(t, half, half.r)
+	requireOrderlyClose(t, half, half.r)
 	_, err = idle.Read(make([]byte, 1))
 	assert.Equal(t, io.EOF, err, "a reset")
-	w.ended() // though neither peer has ended its side
-	assert.Zero(t, w.engine.heardOf("RUN "+crossed))
-	assert.Zero(t, w.engine.heardOf("RUN "+trace))
+	w.requireCleanExit() // though neither peer has ended its side
+	assert.Zero(t, w.engine.countReceived("RUN "+crossed))
+	assert.Zero(t, w.engine.countReceived("RUN "+trace))
 }
 
 // TestCutAtEachByte: a request that is cut at any byte, by its caller's end or by the
@@ -156,14 +156,14 @@
 func TestCutAtEachByte(t *testing.T) {
 	t.Parallel()
 	for _, callerEnds := range []bool{true, false} {
-		w := newWorld(t, func(cfg object) {
+		w := newTestbed(t, func(cfg object) {
 			cfg["limits"].(object)["sockets"] = 4096
 			cfg["settings"].(object)["safety"].(object)["drain_grace_ns"] = 100e6
 		})
-		runs := w.engine.heardOf("RUN")
-		request := fcgiRequest(1, "/call/nom-submit", fieldsOf(newTrace()), []byte("ok"))
-		forward := append(ajpForward("/call/nom-submit", "s3", fieldsOf(newTrace()), 2), ajpChunk([]byte("ok"))...)
-		for addr, whole := range map[string][]byte{w.fcgi: request, w.ajp: forward} {
+		runs := w.engine.countReceived("RUN")
+		request := fcgiRequest(1, "/call/nom-submit", requestHeaders(newTraceID()), []byte("ok"))
+		forward := append(ajpForwardRequest("/call/nom-submit", "s3", requestHeaders(newTraceID()), 2), ajpBodyChunk([]byte("ok"))...)
+		for addr, whole := range map[string][]byte{w.fcgiAddr: request, w.ajpAddr: forward} {
 			for n := range whole {
 				c, err := net.Dial("tcp", addr)
 				require.NoError(t, err)
@@ -175,9 +175,9 @@
 				}
 			}
 		}
-		assert.Equal(t, 200, w.status("nom-submit", "ok"))
-		w.drain()
-		assert.Equal(t, runs+1, w.engine.heardOf("RUN"))
+		assert.Equal(t, 200, w.responseStatus("nom-submit", "ok"))
+		w.terminate()
+		assert.Equal(t, runs+1, w.engine.countReceived("RUN"))
 	}
 }
 
@@ -187,7 +187,7 @@
 func TestRestartsUnderLoad(t *testing.T) {
 	t.Parallel()
 	for range 3 {
-		w := newWorld(t, func(cfg object) {
+		w := newTestbed(t, func(cfg object) {
 			cfg["settings"].(object)["safety"].(object)["drain_grace_ns"] = 100e6
 		})
 		type outcome struct {
@@ -200,13 +200,13 @@
 			go func() {
 				defer func() { done <- struct{}{} }()
 				for {
-					c, err := dialFCGI(w.fcgi)
+					c, err := dialFCGI(w.fcgiAddr)
 					if err != nil {
 						return // refused: nothing ran
 					}
 					for range 50 {
-						trace := newTrace()
-						if _, err = c.do("/call/nom-submit", fieldsOf(trace), []byte("ok")); err != nil {
+						trace := newTraceID()
+						if _, err = c.do("/call/nom-submit", requestHeaders(trace), []byte("ok")); err != nil {
 							lost <- outcome{trace, err}
 							break
 						}
@@ -215,16 +215,16 @@
 				}
 			}()
 		}
-		await(t, "load", func() bool { return w.engine.heardOf("RUN") > 50 })
+		await(t, "load", func() bool { return w.engine.countReceived("RUN") > 50 })
 		require.NoError(t, w.Signal(syscall.SIGTERM))
 		for range 8 {
 			<-done
 		}
-		w.ended()
+		w.requireCleanExit()
 		close(lost)
 		for l := range lost {
 			assert.ErrorIs(t, l.err, io.EOF, l.trace)
-			assert.Zero(t, w.engine.heardOf("RUN "+l.trace), "ran, and its caller never heard")
+			assert.Zero(t, w.engine.countReceived("RUN "+l.trace), "ran, and its caller never heard")
 		}
 	}
 }
@@ -233,11 +233,11 @@
 // during the drain, whose calls go to the new address.
 func TestSignalsAtAnyTime(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, nil)
+	w := newTestbed(t, nil)
 	path := filepath.Join(t.TempDir(), "fifo")
 	require.NoError(t, syscall.Mkfifo(path, 0o600))
-	early := exec.Command(program)
-	early.Env = append(os.Environ(), "BALANCER_CONFIG="+path, "BALANCER_LISTEN="+freePort(t))
+	early := exec.Command(programPath)
+	early.Env = append(os.Environ(), "BALANCER_CONFIG="+path, "BALANCER_LISTEN="+freeAddr(t))
 	require.NoError(t, early.Start())
 	defer early.Process.Kill()
 	file, err := os.OpenFile(path, os.O_WRONLY, 0) // opens once the program reads
@@ -249,7 +249,7 @@
 		cfg[k] = v
 	}
 	delete(cfg, "ajp")
-	cfg["engine"] = newEngine(t).addr
+	cfg["engine"] = newEngineStandin(t).addr
 	require.NoError(t, json.NewEncoder(file).Encode(cfg))
 	require.NoError(t, file.Close())
 	exit := make(chan error, 1)
@@ -257,22 +257,22 @@
 	select {
 	case err := <-exit:
 		assert.NoError(t, err, "told to leave before it had read its file")
-	case <-time.After(patience):
+	case <-time.After(awaitTimeout):
 		t.Fatal("told to leave before it had read its file, and still there")
 	}
 
-	old, trace := w.records, newTrace()
-	got := w.later("nom-submit", trace, "hold")
-	await(t, "a run", func() bool { return w.engine.held() == 1 })
+	old, trace := w.records, newTraceID()
+	got := w.sendAsync("nom-submit", trace, "hold")
+	await(t, "a run", func() bool { return w.engine.heldRuns() == 1 })
 	require.NoError(t, w.Signal(syscall.SIGTERM))
 	w.awaitDrainStarted()
-	w.records = newRecords(t)
-	w.reload(func(cfg object) { cfg["records"] = w.records.addr })
+	w.records = newRecordsStandin(t)
+	w.reloadConfig(func(cfg object) { cfg["records"] = w.records.addr })
 	w.engine.mu.Lock()
-	w.engine.notice("NEED %d "+trace+" ", "late call")
+	w.engine.sendNotice("NEED %d "+trace+" ", "late call")
 	w.engine.mu.Unlock()
 	assert.Equal(t, "reply:late call", (<-got).body)
-	assert.Equal(t, []int{0, 1}, []int{old.heardOf("OP"), w.records.heardOf("OP")})
+	assert.Equal(t, []int{0, 1}, []int{old.countReceived("OP"), w.records.countReceived("OP")})
 	for over := false; !over; {
 		for _, sig := range []os.Signal{syscall.SIGTERM, syscall.SIGHUP} {
 			err := w.Signal(sig)
@@ -280,49 +280,49 @@
 			require.True(t, err == nil || over, err)
 		}
 	}
-	w.ended()
+	w.requireCleanExit()
 }
 
 // TestNoticeDuringReload: the notice comes while the program reads its file again, and the
 // file doesn't come to its end. It is told to leave all the same.
 func TestNoticeDuringReload(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, nil)
-	require.NoError(t, os.Remove(w.path))
-	require.NoError(t, syscall.Mkfifo(w.path, 0o600))
+	w := newTestbed(t, nil)
+	require.NoError(t, os.Remove(w.configPath))
+	require.NoError(t, syscall.Mkfifo(w.configPath, 0o600))
 	require.NoError(t, w.Signal(syscall.SIGHUP))
-	file, err := os.OpenFile(w.path, os.O_WRONLY, 0) // opens once the program reads
+	file, err := os.OpenFile(w.configPath, os.O_WRONLY, 0) // opens once the program reads
 	require.NoError(t, err)
 	defer file.Close()
 	require.NoError(t, w.Signal(syscall.SIGTERM))
-	w.ended()
+	w.requireCleanExit()
 	assert.Contains(t, w.log(), `"msg":"drain finished"`)
 }
 
 // TestReadyOnceItServes: health checks are bad until the engine is there, whatever comes.
 func TestReadyOnceItServes(t *testing.T) {
 	t.Parallel()
-	e := newEngine(t)
-	e.deaf = true
-	s := start(t, func(cfg object) { cfg["engine"], cfg["records"] = e.addr, newRecords(t).addr })
-	w := &world{service: s, engine: e}
-	await(t, "ATTACH", func() bool { return e.heardOf("ATTACH") == 1 })
-	got := w.later("nom-submit", newTrace(), "ok") // has the module decide
-	await(t, "a connection to be read", func() bool { return w.ping() == 503 })
+	e := newEngineStandin(t)
+	e.ignoresCommands = true
+	s := startService(t, func(cfg object) { cfg["engine"], cfg["records"] = e.addr, newRecordsStandin(t).addr })
+	w := &testbed{service: s, engine: e}
+	await(t, "ATTACH", func() bool { return e.countReceived("ATTACH") == 1 })
+	got := w.sendAsync("nom-submit", newTraceID(), "ok") // has the module decide
+	await(t, "a connection to be read", func() bool { return w.healthStatus() == 503 })
 	for range 20 {
-		require.Equal(t, 503, w.ping())
+		require.Equal(t, 503, w.healthStatus())
 	}
 	e.mu.Lock()
-	e.deaf = false
+	e.ignoresCommands = false
 	e.mu.Unlock()
-	e.command([]string{"ATTACH", "0"}, nil)
+	e.handleCommand([]string{"ATTACH", "0"}, nil)
 	assert.Equal(t, 200, (<-got).status)
-	assert.Equal(t, 200, w.ping())
+	assert.Equal(t, 200, w.healthStatus())
 }
 
-// ping is the status of a health check.
-func (w *world) ping() int {
-	a, err := w.fcgiDo("/ping", nil, "")
+// healthStatus is the status of a health check.
+func (w *testbed) healthStatus() int {
+	a, err := w.sendFCGI("/ping", nil, "")
 	require.NoError(w.t, err)
 	return a.status
 }
@@ -332,36 +332,36 @@
 // once only: nothing shows that it was in vain.
 func TestEngineSilent(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, nil)
+	w := newTestbed(t, nil)
 	w.engine.mu.Lock()
-	w.engine.deaf = true
+	w.engine.ignoresCommands = true
 	w.engine.mu.Unlock()
-	trace, submit := newTrace(), newTrace()
-	got, never := w.later("balance-view", trace, "ok"), w.later("nom-submit", submit, "ok")
-	await(t, "a RUN in vain", func() bool { return w.engine.heardOf("RUN "+trace) == 1 })
-	await(t, "a RUN that may not be repeated", func() bool { return w.engine.heardOf("RUN "+submit) == 1 })
-	await(t, "another link", func() bool { return w.engine.heardOf("ATTACH") == 2 })
+	trace, submit := newTraceID(), newTraceID()
+	got, never := w.sendAsync("balance-view", trace, "ok"), w.sendAsync("nom-submit", submit, "ok")
+	await(t, "a RUN in vain", func() bool { return w.engine.countReceived("RUN "+trace) == 1 })
+	await(t, "a RUN that may not be repeated", func() bool { return w.engine.countReceived("RUN "+submit) == 1 })
+	await(t, "another link", func() bool { return w.engine.countReceived("ATTACH") == 2 })
 	w.engine.mu.Lock()
-	w.engine.deaf = false
+	w.engine.ignoresCommands = false
 	w.engine.mu.Unlock()
-	w.engine.command([]string{"ATTACH", "0"}, nil)
+	w.engine.handleCommand([]string{"ATTACH", "0"}, nil)
 	assert.Equal(t, "result of "+trace, (<-got).body)
-	assert.Equal(t, 1, w.engine.runs[trace])
+	assert.Equal(t, 1, w.engine.runCounts[trace])
 	assert.Equal(t, 500, (<-never).status, "RUN may have been read: not rejected")
-	assert.Equal(t, 1, w.engine.heardOf("RUN "+submit))
+	assert.Equal(t, 1, w.engine.countReceived("RUN "+submit))
 }
 
 // TestReplyCutShort: a reply of the records service that ends in its middle proves
 // nothing: the call is made again only where that is safe.
 func TestReplyCutShort(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, nil)
+	w := newTestbed(t, nil)
 	for class, want := range map[string]struct{ status, calls int }{"nom-submit": {500, 1}, "balance-view": {200, 2}} {
 		for _, cut := range []string{"%s DONE 40\r\nhalf of it", "%s WA", "%s WAIT\r", "%s DONE 4\r\nfour", "%s"} {
-			ops := w.records.heardOf("OP")
-			w.records.setOnce("cut:" + cut)
-			assert.Equal(t, want.status, w.status(class, "call"), "%s %q", class, cut)
-			assert.Equal(t, ops+want.calls, w.records.heardOf("OP"), "%s %q", class, cut)
+			ops := w.records.countReceived("OP")
+			w.records.setNextReply("cut:" + cut)
+			assert.Equal(t, want.status, w.responseStatus(class, "call"), "%s %q", class, cut)
+			assert.Equal(t, ops+want.calls, w.records.countReceived("OP"), "%s %q", class, cut)
 		}
 	}
 }
@@ -370,55 +370,55 @@
 // their call, and answered with the answer unread. Each gets its one answer, whole.
 func TestDrainAtEachStage(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, func(cfg object) { cfg["settings"].(object)["family_info"].(object)["cores"] = 1 })
-	dial := func() *fcgi {
-		c, err := dialFCGI(w.fcgi)
+	w := newTestbed(t, func(cfg object) { cfg["settings"].(object)["family_info"].(object)["cores"] = 1 })
+	dial := func() *fcgiConn {
+		c, err := dialFCGI(w.fcgiAddr)
 		require.NoError(t, err)
 		t.Cleanup(func() { c.Close() })
 		return c
 	}
-	send := func(trace, body string) *fcgi {
+	send := func(trace, body string) *fcgiConn {
 		c := dial()
-		_, err := c.Write(fcgiRequest(1, "/call/nom-submit", fieldsOf(trace), []byte(body)))
+		_, err := c.Write(fcgiRequest(1, "/call/nom-submit", requestHeaders(trace), []byte(body)))
 		require.NoError(t, err)
 		return c
 	}
-	unread := send(newTrace(), "ok")
-	await(t, "a run", func() bool { return w.engine.heardOf("RUN") == 1 })
-	w.records.set("silence")
-	calling := newTrace()
+	unread := send(newTraceID(), "ok")
+	await(t, "a run", func() bool { return w.engine.countReceived("RUN") == 1 })
+	w.records.setReply("silence")
+	calling := newTraceID()
 	called := send(calling, "call")
-	await(t, "a call", func() bool { return w.records.heardOf("OP "+calling) == 1 })
-	running := newTrace()
+	await(t, "a call", func() bool { return w.records.countReceived("OP "+calling) == 1 })
+	running := newTraceID()
 	ran := send(running, "hold")
-	await(t, "a run", func() bool { return w.engine.held() == 1 })
-	late := newTrace()
+	await(t, "a run", func() bool { return w.engine.heldRuns() == 1 })
+	late := newTraceID()
 	held := send(late, "ok")
 	half := dial()
-	last := newTrace()
-	request := fcgiRequest(1, "/call/nom-submit", fieldsOf(last), []byte("ok"))
+	last := newTraceID()
+	request := fcgiRequest(1, "/call/nom-submit", requestHeaders(last), []byte("ok"))
 	_, err := half.Write(request[:len(request)/2])
 	require.NoError(t, err)
-	assert.Equal(t, 200, w.ping(), "all before it is read")
+	assert.Equal(t, 200, w.healthStatus(), "all before it is read")
 	require.NoError(t, w.Signal(syscall.SIGTERM))
 	w.awaitDrainStarted()
 	_, err = half.Write(request[len(request)/2:])
 	require.NoError(t, err)
-	w.records.answer("reply")
-	w.engine.release()
-	for what, c := range map[string]*fcgi{"unread": unread, "at its call": called, "running": ran, "held": held, "half": half} {
-		_, a, _, err := c.read()
+	w.records.replyToLast("reply")
+	w.engine.releaseHeld()
+	for what, c := range map[string]*fcgiConn{"unread": unread, "at its call": called, "running": ran, "held": held, "half": half} {
+		_, a, _, err := c.readResponse()
 		require.NoError(t, err, what)
 		if what == "held" || what == "half" { // one core: they may have been turned away
 			assert.Contains(t, []int{200, 503}, a.status, what)
 		} else {
 			assert.Equal(t, 200, a.status, what)
 		}
-		atItsEnd(t, c, c.r)
+		requireOrderlyClose(t, c, c.r)
 		c.Close()
 	}
-	w.ended()
-	for trace, n := range w.engine.runs {
+	w.requireCleanExit()
+	for trace, n := range w.engine.runCounts {
 		assert.Equal(t, 1, n, trace)
 	}
 }
@@ -427,45 +427,45 @@
 // caller is gone, so nobody hears, and no other try under its name runs again.
 func TestHaltCrossesDone(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, nil)
+	w := newTestbed(t, nil)
 	w.engine.mu.Lock()
-	w.engine.crosses = true
+	w.engine.completesBeforeHalt = true
 	w.engine.mu.Unlock()
-	trace := newTrace()
-	c, err := dialFCGI(w.fcgi)
+	trace := newTraceID()
+	c, err := dialFCGI(w.fcgiAddr)
 	require.NoError(t, err)
-	_, err = c.Write(fcgiRequest(1, "/call/nom-submit", fieldsOf(trace), []byte("hold")))
+	_, err = c.Write(fcgiRequest(1, "/call/nom-submit", requestHeaders(trace), []byte("hold")))
 	require.NoError(t, err)
-	await(t, "a run", func() bool { return w.engine.held() == 1 })
+	await(t, "a run", func() bool { return w.engine.heldRuns() == 1 })
 	c.Close()
-	await(t, "HALT", func() bool { return w.engine.heardOf("HALT "+trace) == 1 })
-	a, err := w.fcgiDo("/call/nom-submit", fieldsOf(trace), "ok")
+	await(t, "HALT", func() bool { return w.engine.countReceived("HALT "+trace) == 1 })
+	a, err := w.sendFCGI("/call/nom-submit", requestHeaders(trace), "ok")
 	require.NoError(t, err)
 	assert.Equal(t, 500, a.status, "it may have had its effect")
-	assert.Equal(t, 200, w.status("nom-submit", "ok"))
-	assert.Equal(t, 1, w.engine.runs[trace])
-	w.drain()
+	assert.Equal(t, 200, w.responseStatus("nom-submit", "ok"))
+	assert.Equal(t, 1, w.engine.runCounts[trace])
+	w.terminate()
 }
 
 // TestRoomForOthersFirst: a full table makes room by ending what has said nothing, before
 // what has said half a message, though that came first.
 func TestRoomForOthersFirst(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, func(cfg object) { cfg["limits"].(object)["sockets"] = 80 }) // some 20 connections of each front
-	request := fcgiRequest(1, "/call/nom-submit", fieldsOf(newTrace()), []byte("ok"))
-	half, err := dialFCGI(w.fcgi)
+	w := newTestbed(t, func(cfg object) { cfg["limits"].(object)["sockets"] = 80 }) // some 20 connections of each front
+	request := fcgiRequest(1, "/call/nom-submit", requestHeaders(newTraceID()), []byte("ok"))
+	half, err := dialFCGI(w.fcgiAddr)
 	require.NoError(t, err)
 	defer half.Close()
 	_, err = half.Write(request[:len(request)/2])
 	require.NoError(t, err)
-	assert.Equal(t, 200, w.ping(), "the half is read")
+	assert.Equal(t, 200, w.healthStatus(), "the half is read")
 	for range 40 { // all within the time that half a message has
-		raw(t, w.fcgi)
+		dialAndWrite(t, w.fcgiAddr)
 	}
-	assert.Equal(t, 200, w.ping(), "the forty are taken")
+	assert.Equal(t, 200, w.healthStatus(), "the forty are taken")
 	_, err = half.Write(request[len(request)/2:])
 	require.NoError(t, err)
-	_, a, _, err := half.read()
+	_, a, _, err := half.readResponse()
 	require.NoError(t, err)
 	assert.Equal(t, 200, a.status)
 }
--- a/tests/examples_test.go
+++ b/tests/examples_test.go
@@ -13,15 +13,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fromFile starts the program on a configuration of the repository, with free
+// startFromFile starts the program on a configuration of the repository, with free
 // ports in place of its own, and the toy engine that it speaks to.
-func fromFile(t *testing.T, path string) (s *service, toy string, said *logBuffer) {
+func startFromFile(t *testing.T, path string) (s *service, standinPath string, said *logBuffer) {
 	text, err := os.ReadFile(path)
 	require.NoError(t, err)
 	ports := map[string]string{}
 	text = regexp.MustCompile(`127\.0\.0\.1:\d+`).ReplaceAllFunc(text, func(old []byte) []byte {
 		if ports[string(old)] == "" {
-			ports[string(old)] = freePort(t)
+			ports[string(old)] = freeAddr(t)
 		}
 		return []byte(ports[string(old)])
 	})
@@ -31,96 +31,96 @@
 		store["dir"] = t.TempDir()
 		store["sql"].(object)["dsn"] = "file:" + filepath.Join(t.TempDir(), "record.db")
 	}
-	toy = filepath.Join(t.TempDir(), "toy")
-	out, err := exec.Command("go", "build", "-o", toy, "../examples/standin").CombinedOutput()
+	standinPath = filepath.Join(t.TempDir(), "toy")
+	out, err := exec.Command("go", "build", "-o", standinPath, "../examples/standin").CombinedOutput()
 	require.NoError(t, err, string(out))
-	engine := exec.Command(toy, "-engine", cfg["engine"].(string))
+	engine := exec.Command(standinPath, "-engine", cfg["engine"].(string))
 	said = &logBuffer{}
 	engine.Stderr = said
 	require.NoError(t, engine.Start())
 	t.Cleanup(func() { engine.Process.Kill() })
-	s = start(t, func(c object) {
+	s = startService(t, func(c object) {
 		clear(c)
 		for k, v := range cfg {
 			c[k] = v
 		}
 	})
-	s.fcgi = cfg["listen"].(string)
+	s.fcgiAddr = cfg["listen"].(string)
 	if ajp, ok := cfg["ajp"].(object); ok {
-		s.ajp = ajp["listen"].(string)
+		s.ajpAddr = ajp["listen"].(string)
 	}
-	s.ready()
-	return s, toy, said
+	s.awaitReady()
+	return s, standinPath, said
 }
 
 // TestExample does what examples/README.md tells a newcomer to do.
 func TestExample(t *testing.T) {
 	t.Parallel()
-	s, toy, _ := fromFile(t, "../examples/config.json")
-	out, err := exec.Command(toy, "-service", s.fcgi, "-call", "nom-submit", "200", "GJ").CombinedOutput()
+	s, toy, _ := startFromFile(t, "../examples/config.json")
+	out, err := exec.Command(toy, "-service", s.fcgiAddr, "-call", "nom-submit", "200", "GJ").CombinedOutput()
 	require.NoError(t, err, string(out))
 	assert.Contains(t, string(out), "Status: 200")
 	assert.Contains(t, string(out), "nom-submit done: 200 GJ")
-	s.drain()
+	s.terminate()
 }
 
 // TestKeyedExample does what the same page tells of a class that may come again.
 func TestKeyedExample(t *testing.T) {
 	t.Parallel()
-	s, toy, said := fromFile(t, "../examples/keyed.json")
+	s, toy, said := startFromFile(t, "../examples/keyed.json")
 	for i, tt := range []struct{ key, body, want string }{
 		{"k1", "200", "Status: 200\n\nnom-update done: 200"}, {"k1", "200", "Status: 200\n\nnom-update done: 200"},
 		{"k1", "300", "Status: 500"}, {"k2", "200", "Status: 200"}, {"", "200", "Status: 400"},
 	} {
-		out, err := exec.Command(toy, "-service", s.fcgi, "-call", "nom-update", "-key", tt.key, tt.body).CombinedOutput()
+		out, err := exec.Command(toy, "-service", s.fcgiAddr, "-call", "nom-update", "-key", tt.key, tt.body).CombinedOutput()
 		require.NoError(t, err, string(out))
 		assert.Contains(t, string(out), tt.want, i)
 	}
 	assert.Equal(t, 2, strings.Count(said.log(), "run: nom-update 200"), said.log())
-	s.drain()
+	s.terminate()
 }
 
 // TestOperatorFile: the file under deploy/ serves both fronts, also while the
 // other nodes of its store are away.
 func TestOperatorFile(t *testing.T) {
 	t.Parallel()
-	s, _, _ := fromFile(t, "../deploy/operator.json")
-	c, err := dialAJP(s.ajp)
+	s, _, _ := startFromFile(t, "../deploy/operator.json")
+	c, err := dialAJP(s.ajpAddr)
 	require.NoError(t, err)
 	c.secret = "change-me"
-	a, err := c.do("/call/nom-submit", fieldsOf(newTrace()), []byte("200 GJ"))
+	a, err := c.do("/call/nom-submit", requestHeaders(newTraceID()), []byte("200 GJ"))
 	require.NoError(t, err)
 	assert.Equal(t, "nom-submit done: 200 GJ", a.body)
 	assert.Contains(t, s.log(), "store unreachable, starting with last good settings")
-	s.drain()
+	s.terminate()
 }
 
 // TestCallerGone: where the site says so, a request that its caller takes back
 // is stopped, in both protocols.
 func TestCallerGone(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, func(cfg object) { cfg["settings"].(object)["family_info"].(object)["tells_gone"] = true })
-	c, err := dialFCGI(w.fcgi)
+	w := newTestbed(t, func(cfg object) { cfg["settings"].(object)["family_info"].(object)["tells_gone"] = true })
+	c, err := dialFCGI(w.fcgiAddr)
 	require.NoError(t, err)
-	first, second := newTrace(), newTrace()
-	_, err = c.Write(fcgiRequest(1, "/call/balance-view", fieldsOf(first), []byte("hold")))
+	first, second := newTraceID(), newTraceID()
+	_, err = c.Write(fcgiRequest(1, "/call/balance-view", requestHeaders(first), []byte("hold")))
 	require.NoError(t, err)
-	d, err := dialAJP(w.ajp)
+	d, err := dialAJP(w.ajpAddr)
 	require.NoError(t, err)
-	_, err = d.Write(append(ajpForward("/call/nom-submit", "s3", fieldsOf(second), 4), ajpChunk([]byte("hold"))...))
+	_, err = d.Write(append(ajpForwardRequest("/call/nom-submit", "s3", requestHeaders(second), 4), ajpBodyChunk([]byte("hold"))...))
 	require.NoError(t, err)
-	await(t, "two runs", func() bool { return w.engine.held() == 2 })
+	await(t, "two runs", func() bool { return w.engine.heldRuns() == 2 })
 	_, err = c.Write(fcgiRecord(2, 1, nil)) // ABORT_REQUEST
 	require.NoError(t, err)
-	id, _, _, err := c.read()
+	id, _, _, err := c.readResponse()
 	require.NoError(t, err)
 	assert.EqualValues(t, 1, id)
 	d.Close()
 	await(t, "both to be stopped", func() bool {
-		return w.engine.heardOf("HALT "+first) == 1 && w.engine.heardOf("HALT "+second) == 1
+		return w.engine.countReceived("HALT "+first) == 1 && w.engine.countReceived("HALT "+second) == 1
 	})
 	w.engine.mu.Lock()
-	w.engine.holds = nil
+	w.engine.heldTraces = nil
 	w.engine.mu.Unlock()
-	w.drain()
+	w.terminate()
 }
--- a/tests/faults_test.go
+++ b/tests/faults_test.go
@@ -20,9 +20,9 @@
 	"oxbowbridge/internal/testrig"
 )
 
-// newWired is three nodes that run, and call each other over links.
-func newWired(t *testing.T) *cluster {
-	c := newNodes(t, 3, 3)
+// newLinkedCluster is three nodes that run, and call each other over links.
+func newLinkedCluster(t *testing.T) *cluster {
+	c := newStoppedCluster(t, 3, 3)
 	c.AddLinks()
 	c.Bootstrap()
 	return c
@@ -33,7 +33,7 @@
 // others go on, and it catches up.
 func TestLeaderCutOff(t *testing.T) {
 	t.Parallel()
-	w := newWired(t)
+	w := newLinkedCluster(t)
 	for n, fault := range [][2]testrig.LinkMode{{{Cut: true}, {Cut: true}}, {{HoldRequests: true}, {}}, {{HoldRequests: true, HoldResponses: true}, {HoldRequests: true, HoldResponses: true}}} {
 		lead := w.WaitForLeader()
 		old, now := fmt.Sprintf("%d", 2*n), fmt.Sprintf("%d", 2*n+1)
@@ -62,9 +62,9 @@
 	}
 }
 
-// overtaken has the others write a key while their former leader stands still, and reads
+// writeAndQueueReads has the others write a key while their former leader stands still, and reads
 // wait in its sockets: they are answered with that value, or not at all.
-func (c *cluster) overtaken(t *testing.T, stopped int, key, value string) *sync.WaitGroup {
+func (c *cluster) writeAndQueueReads(t *testing.T, stopped int, key, value string) *sync.WaitGroup {
 	others := storeclient.New([]string{c.Peers[(stopped+1)%3].Admin, c.Peers[(stopped+2)%3].Admin})
 	_, err := others.Put(t.Context(), key, json.RawMessage(value), nil)
 	require.NoError(t, err)
@@ -90,13 +90,13 @@
 // reads that waited for it with what that one wrote, or not at all.
 func TestStoppedLeader(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, object{})
+	c := newRunningCluster(t, object{})
 	for round := range 2 {
 		lead := c.WaitForLeader()
 		c.Put(lead, "note/stop", fmt.Sprint(2*round))
 		c.Pause(lead)
 		value := fmt.Sprint(2*round + 1)
-		wg := c.overtaken(t, lead, "note/stop", value)
+		wg := c.writeAndQueueReads(t, lead, "note/stop", value)
 		time.Sleep(50 * time.Millisecond) // they lie in its sockets
 		c.Resume(lead)
 		wg.Wait()
@@ -108,7 +108,7 @@
 // been stopped, is answered by the next leader in the same request.
 func TestForwardedWrite(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, nil)
+	c := newRunningCluster(t, nil)
 	var a struct{ Session uint64 }
 	await(t, "a session", func() bool {
 		code, text := c.Request(0, "POST", "/session", "")
@@ -135,8 +135,8 @@
 // seed is that of the schedules.
 var seed = flag.Uint64("seed", 11, "of the faults' schedules")
 
-// replay says on failure how the same schedule is played again.
-func replay(t *testing.T) {
+// logSeedOnFailure says on failure how the same schedule is played again.
+func logSeedOnFailure(t *testing.T) {
 	t.Cleanup(func() {
 		if t.Failed() {
 			t.Logf("the same schedule again: -run '^%s$' -seed %d", t.Name(), *seed)
@@ -144,8 +144,8 @@
 	})
 }
 
-// change has a member removed, or let in again.
-func (c *cluster) change(method string, node int) {
+// changeMember has a member removed, or let in again.
+func (c *cluster) changeMember(method string, node int) {
 	testrig.Await(c.T, "a change of the members", func() bool {
 		code, _ := c.Request(c.WaitForLeader(), method, "/members/"+c.Peers[node].Name, "")
 		return code == 204
@@ -164,8 +164,8 @@
 // -faults 10m is its long form, and prints its table with -v.
 func TestFaults(t *testing.T) {
 	t.Parallel()
-	replay(t)
-	w := newWired(t)
+	logSeedOnFailure(t)
+	w := newLinkedCluster(t)
 	h := testrig.NewHistory()
 	stop, probe := make(chan struct{}), &testrig.Prober{}
 	var wg sync.WaitGroup
@@ -209,14 +209,14 @@
 			w.Start(i)
 			strong(i)
 		}},
-		testrig.Fault{Name: "member removed, and let in again", Inject: func(i int) { w.change("DELETE", (i+1)%3) }, Recover: func(i int) {
-			w.change("PUT", (i+1)%3)
+		testrig.Fault{Name: "member removed, and let in again", Inject: func(i int) { w.changeMember("DELETE", (i+1)%3) }, Recover: func(i int) {
+			w.changeMember("PUT", (i+1)%3)
 			strong(i)
 		}})
 	plan := testrig.NewSchedule(*seed, 3, 1500*time.Millisecond, faults...)
 	var outages []outage
 	count := map[string]int{}
-	for h.Elapsed() < *faultTime || !h.HasEnough(*faultTime) {
+	for h.Elapsed() < *faultDuration || !h.HasEnough(*faultDuration) {
 		turn := plan.Next()
 		f := turn.Fault
 		i := w.WaitForLeader()
@@ -243,7 +243,7 @@
 	assert.Greater(t, h.Writes, 50)
 	assert.Greater(t, h.Reads, 100)
 	w.WaitForEqual(0, 1, 2)
-	t.Logf("seed %d, %v: %d writes and compare-and-sets, %d reads, %d writes of unknown outcome, %d not answered", *seed, *faultTime,
+	t.Logf("seed %d, %v: %d writes and compare-and-sets, %d reads, %d writes of unknown outcome, %d not answered", *seed, *faultDuration,
 		h.Writes, h.Reads, h.Unknown, h.Rejected)
 	for _, f := range faults {
 		var took []time.Duration
--- a/tests/first_start_test.go
+++ b/tests/first_start_test.go
@@ -29,8 +29,8 @@
 // one, also after that folder was removed.
 func TestFounderFolderSetAside(t *testing.T) {
 	t.Parallel()
-	c := newNodes(t, 3, 3)
-	defer c.logDisks(t)
+	c := newStoppedCluster(t, 3, 3)
+	defer c.logDisksOnFailure(t)
 	c.Start(1)
 	c.waitForLog(t, 1, "must say whether there is a cluster yet")
 	c.Kill(1)
@@ -51,13 +51,13 @@
 // one, also after the folder was removed.
 func TestFounderOfOtherCluster(t *testing.T) {
 	t.Parallel()
-	earlier := newCluster(t, nil)
+	earlier := newRunningCluster(t, nil)
 	earlier.Put(0, "note/early", "1")
 	earlier.WaitForValue(1, "note/early", "1")
 	folder := earlier.CopyFolder(1)
 	earlier.KillAll()
-	c := newNodes(t, 3, 3)
-	defer c.logDisks(t)
+	c := newStoppedCluster(t, 3, 3)
+	defer c.logDisksOnFailure(t)
 	c.RestoreFolder(1, folder)
 	for i := range 3 {
 		c.Start(i)
--- a/tests/fronts_test.go
+++ b/tests/fronts_test.go
@@ -16,20 +16,20 @@
 	"github.com/stretchr/testify/require"
 )
 
-// call sends one request on a new connection of the front.
-func (w *world) call(class, body string) (answer, error) {
-	return w.fcgiDo("/call/"+class, fieldsOf(newTrace()), body)
+// sendRequest sends one request on a new connection of the front.
+func (w *testbed) sendRequest(class, body string) (response, error) {
+	return w.sendFCGI("/call/"+class, requestHeaders(newTraceID()), body)
 }
 
-func (w *world) fcgiDo(path string, fields map[string]string, body string) (answer, error) {
-	c, err := dialFCGI(w.fcgi)
+func (w *testbed) sendFCGI(path string, fields map[string]string, body string) (response, error) {
+	c, err := dialFCGI(w.fcgiAddr)
 	require.NoError(w.t, err)
 	defer c.Close()
 	return c.do(path, fields, []byte(body))
 }
 
-func (w *world) status(class, body string) int {
-	a, err := w.call(class, body)
+func (w *testbed) responseStatus(class, body string) int {
+	a, err := w.sendRequest(class, body)
 	require.NoError(w.t, err)
 	return a.status
 }
@@ -38,47 +38,47 @@
 // connection and no more, answers in any order, and closing only what is idle.
 func TestFastCGIRecords(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, func(cfg object) {
+	w := newTestbed(t, func(cfg object) {
 		cfg["settings"].(object)["family_info"].(object)["idle_ns"] = 10e6 // shorter than the runs below
 		cfg["settings"].(object)["family_info"].(object)["memory_kb"] = 4000
 		cfg["settings"].(object)["family_info"].(object)["cores"] = 40
 	})
-	c, err := dialFCGI(w.fcgi)
+	c, err := dialFCGI(w.fcgiAddr)
 	require.NoError(t, err)
 	var all []byte
 	for id := range uint16(33) {
-		all = append(all, fcgiRequest(id+1, "/call/nom-submit", fieldsOf(newTrace()), []byte("hold"))...)
+		all = append(all, fcgiRequest(id+1, "/call/nom-submit", requestHeaders(newTraceID()), []byte("hold"))...)
 	}
 	for ; len(all) > 0; all = all[min(len(all), 1000):] { // cut through records
 		_, err := c.Write(all[:min(len(all), 1000)])
 		require.NoError(t, err)
 	}
-	id, _, proto, err := c.read()
+	id, _, proto, err := c.readResponse()
 	require.NoError(t, err)
 	assert.Equal(t, []int{33, 2}, []int{int(id), int(proto)}, "the 33rd is OVERLOADED")
-	await(t, "32 runs", func() bool { return w.engine.held() == 32 })
+	await(t, "32 runs", func() bool { return w.engine.heldRuns() == 32 })
 	time.Sleep(1200 * time.Millisecond) // two sweeps for idle connections
-	w.engine.release()
+	w.engine.releaseHeld()
 	seen := map[uint16]bool{}
 	for range 32 {
-		id, a, proto, err := c.read()
+		id, a, proto, err := c.readResponse()
 		require.NoError(t, err)
 		assert.Equal(t, []int{200, 0}, []int{a.status, int(proto)})
 		assert.False(t, seen[id])
 		seen[id] = true
 	}
-	_, _, _, err = c.read()
+	_, _, _, err = c.readResponse()
 	assert.ErrorContains(t, err, "EOF", "closed once it is idle")
 }
 
 // TestFastCGIBadInput: a fault costs its request, or its connection, and one line.
 func TestFastCGIBadInput(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, nil)
-	c, err := dialFCGI(w.fcgi)
+	w := newTestbed(t, nil)
+	c, err := dialFCGI(w.fcgiAddr)
 	require.NoError(t, err)
 	big := bytes.Repeat([]byte("x"), 3000)
-	past := fieldsOf(newTrace())
+	past := requestHeaders(newTraceID())
 	past["Reserve-Kb"] = "-1"
 	for _, tt := range []struct {
 		path   string
@@ -87,8 +87,8 @@
 		status int
 		logs   string
 	}{
-		{"/call/nom-submit", fieldsOf(newTrace()), big, 413, "body of more than"},
-		{"/call/other", fieldsOf(newTrace()), nil, 400, "no such class"},
+		{"/call/nom-submit", requestHeaders(newTraceID()), big, 413, "body of more than"},
+		{"/call/other", requestHeaders(newTraceID()), nil, 400, "no such class"},
 		{"/call/nom-submit", map[string]string{"Trace-Id": "xyz"}, nil, 400, "Trace-Id"},
 		{"/call/nom-submit", past, nil, 400, "Reserve-Kb"},
 	} {
@@ -97,44 +97,44 @@
 		assert.Equal(t, tt.status, a.status)
 		await(t, tt.logs, func() bool { return strings.Count(w.log(), tt.logs) == 1 })
 	}
-	a, err := c.do("/call/nom-submit", fieldsOf(newTrace()), []byte("ok"))
+	a, err := c.do("/call/nom-submit", requestHeaders(newTraceID()), []byte("ok"))
 	require.NoError(t, err, "the connection goes on")
 	assert.Equal(t, 200, a.status)
 	_, err = c.Write(fcgiRecord(1, 7, []byte{0, 9, 1, 0, 0, 0, 0, 0}))
 	require.NoError(t, err)
-	_, _, proto, err := c.read()
+	_, _, proto, err := c.readResponse()
 	require.NoError(t, err)
 	assert.EqualValues(t, 3, proto, "UNKNOWN_ROLE")
 	_, err = c.Write(fcgiRecord(9, 0, []byte("\x0f\x00FCGI_MPXS_CONNS")))
 	require.NoError(t, err)
-	_, a, proto, err = c.read()
+	_, a, proto, err = c.readResponse()
 	require.NoError(t, err)
 	assert.EqualValues(t, 10, proto)
 	assert.Contains(t, a.body, "FCGI_MPXS_CONNS1")
 	_, err = c.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
 	require.NoError(t, err)
-	_, _, _, err = c.read()
+	_, _, _, err = c.readResponse()
 	assert.Error(t, err, "closed")
 	await(t, "a line", func() bool {
 		return strings.Count(w.log(), `"malformed input, connection closed","name":"n3","protocol":"FastCGI"`) == 1
 	})
-	assert.Equal(t, 200, w.status("nom-submit", "ok"))
+	assert.Equal(t, 200, w.responseStatus("nom-submit", "ok"))
 }
 
 // TestSlowReader: answers that nobody reads hold up no one else.
 func TestSlowReader(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, nil)
-	slow, err := dialFCGI(w.fcgi)
+	w := newTestbed(t, nil)
+	slow, err := dialFCGI(w.fcgiAddr)
 	require.NoError(t, err)
 	slow.Conn.(*net.TCPConn).SetReadBuffer(1)
 	for id := range uint16(10) {
-		_, err = slow.Write(fcgiRequest(id+1, "/call/nom-submit", fieldsOf(newTrace()), []byte("ok")))
+		_, err = slow.Write(fcgiRequest(id+1, "/call/nom-submit", requestHeaders(newTraceID()), []byte("ok")))
 		require.NoError(t, err)
 	}
-	assert.Equal(t, 200, w.status("nom-submit", "ok"))
+	assert.Equal(t, 200, w.responseStatus("nom-submit", "ok"))
 	for range 10 {
-		_, a, _, err := slow.read()
+		_, a, _, err := slow.readResponse()
 		require.NoError(t, err)
 		assert.Equal(t, 200, a.status)
 	}
@@ -143,24 +143,24 @@
 // TestArrival: the stamp sets the arrival, from which the due time runs.
 func TestArrival(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, nil)
-	c, err := dialFCGI(w.fcgi)
+	w := newTestbed(t, nil)
+	c, err := dialFCGI(w.fcgiAddr)
 	require.NoError(t, err)
 	for i, ago := range []time.Duration{-time.Minute, 0, 6 * time.Second, 11 * time.Second} { // of 12; ahead counts as now
-		fields := fieldsOf(newTrace())
+		fields := requestHeaders(newTraceID())
 		fields["Accepted-At-Ms"] = strconv.FormatInt(time.Now().Add(-ago).UnixMilli(), 10)
 		_, err := c.Write(fcgiRequest(uint16(i+1), "/call/nom-submit", fields, []byte("silence")))
 		require.NoError(t, err)
 	}
-	await(t, "four runs", func() bool { return w.engine.heardOf("RUN") == 4 })
-	fields := fieldsOf(newTrace())
+	await(t, "four runs", func() bool { return w.engine.countReceived("RUN") == 4 })
+	fields := requestHeaders(newTraceID())
 	fields["Accepted-At-Ms"] = strconv.FormatInt(time.Now().Add(-time.Minute).UnixMilli(), 10)
-	past, err := w.fcgiDo("/call/nom-submit", fields, "ok")
+	past, err := w.sendFCGI("/call/nom-submit", fields, "ok")
 	require.NoError(t, err)
 	assert.Equal(t, 503, past.status, "past its due time: never run")
-	assert.Equal(t, 4, w.engine.heardOf("RUN"))
+	assert.Equal(t, 4, w.engine.countReceived("RUN"))
 	for _, want := range []uint16{4, 3} { // read last, due first
-		id, a, _, err := c.read()
+		id, a, _, err := c.readResponse()
 		require.NoError(t, err)
 		assert.Equal(t, []int{int(want), 500}, []int{int(id), a.status})
 	}
@@ -169,60 +169,60 @@
 // TestAJPCallers: pings, pieces of a body, secrets, and what is never a request.
 func TestAJPCallers(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, nil)
-	dial := func() *ajp {
-		c, err := dialAJP(w.ajp)
+	w := newTestbed(t, nil)
+	dial := func() *ajpConn {
+		c, err := dialAJP(w.ajpAddr)
 		require.NoError(t, err)
 		return c
 	}
 	c := dial()
 	c.Write(append(ajpPacket("\x12\x34", []byte{7}), ajpPacket("\x12\x34", []byte{10})...)) // SHUTDOWN, CPING
-	p, err := c.packet()
+	p, err := c.readPacket()
 	require.NoError(t, err)
 	assert.Equal(t, []byte{9}, p)
-	trace := newTrace()
-	c.Write(ajpForward("/call/nom-submit", "s3", fieldsOf(trace), -1)) // no length told: asked for
-	a, err := c.read([]byte("ok"))
+	trace := newTraceID()
+	c.Write(ajpForwardRequest("/call/nom-submit", "s3", requestHeaders(trace), -1)) // no length told: asked for
+	a, err := c.readResponse([]byte("ok"))
 	require.NoError(t, err)
 	assert.Equal(t, "result of "+trace, a.body)
-	a, err = c.do("/call/nom-submit", fieldsOf(newTrace()), append([]byte("ok"), bytes.Repeat([]byte(" "), 2000)...))
+	a, err = c.do("/call/nom-submit", requestHeaders(newTraceID()), append([]byte("ok"), bytes.Repeat([]byte(" "), 2000)...))
 	require.NoError(t, err)
 	assert.Equal(t, 500, a.status, "a body of three pieces, which the engine doesn't know")
 	a, err = c.do("/ping", nil, nil)
 	require.NoError(t, err)
 	assert.Equal(t, 200, a.status)
-	a, err = c.do("/call/nom-submit", fieldsOf(newTrace()), bytes.Repeat([]byte("x"), 3000))
+	a, err = c.do("/call/nom-submit", requestHeaders(newTraceID()), bytes.Repeat([]byte("x"), 3000))
 	require.NoError(t, err)
 	assert.Equal(t, 413, a.status)
 	for _, secret := range []string{"", "wrong"} {
 		c = dial()
 		c.secret = secret
-		a, err = c.do("/call/nom-submit", fieldsOf(newTrace()), []byte("ok"))
+		a, err = c.do("/call/nom-submit", requestHeaders(newTraceID()), []byte("ok"))
 		require.NoError(t, err)
 		assert.Equal(t, 403, a.status)
 	}
 	c = dial()
-	lost := newTrace()
-	c.Write(append(ajpForward("/call/nom-submit", "s3", fieldsOf(lost), 10), ajpChunk([]byte("ok"))...))
-	p, err = c.packet()
+	lost := newTraceID()
+	c.Write(append(ajpForwardRequest("/call/nom-submit", "s3", requestHeaders(lost), 10), ajpBodyChunk([]byte("ok"))...))
+	p, err = c.readPacket()
 	require.NoError(t, err)
 	assert.EqualValues(t, 6, p[0], "GET_BODY_CHUNK")
 	c.Close() // mid-body
 	c = dial()
 	c.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
-	_, err = c.packet()
+	_, err = c.readPacket()
 	assert.Error(t, err, "closed")
 	await(t, "a line", func() bool {
 		return strings.Count(w.log(), `"malformed input, connection closed","name":"n3","protocol":"AJP"`) == 1
 	})
-	w.drain()
-	assert.Zero(t, w.engine.heardOf("RUN "+lost))
+	w.terminate()
+	assert.Zero(t, w.engine.countReceived("RUN "+lost))
 }
 
-// refusesToStart starts the program on a file that is wrong: it ends with 2 and one line
+// requireStartRefused starts the program on a file that is wrong: it ends with 2 and one line
 // that says what.
-func refusesToStart(t *testing.T, want string, change func(object)) {
-	s := start(t, func(c object) {
+func requireStartRefused(t *testing.T, want string, change func(object)) {
+	s := startService(t, func(c object) {
 		c["engine"] = "127.0.0.1:1"
 		change(c)
 	})
@@ -231,7 +231,7 @@
 		var exit *exec.ExitError
 		require.ErrorAs(t, err, &exit, want)
 		assert.Equal(t, 2, exit.ExitCode(), want)
-	case <-time.After(patience):
+	case <-time.After(awaitTimeout):
 		t.Fatal("still there: ", want)
 	}
 	assert.Equal(t, 1, strings.Count(s.log(), "\n"), s.log())
@@ -254,25 +254,25 @@
 		"ajp.secret: ":               func(c object) { c["ajp"] = object{"listen": ":8009"} }, // all addresses
 		"ajp.upstreams":              func(c object) { c["ajp"] = object{"upstreams": []string{"127.0.0.1:1"}} },
 	} {
-		refusesToStart(t, want, change)
+		requireStartRefused(t, want, change)
 	}
 	path := filepath.Join(t.TempDir(), "c.json")
 	require.NoError(t, os.WriteFile(path, []byte("{"), 0o600))
-	cmd := exec.Command(program)
+	cmd := exec.Command(programPath)
 	cmd.Env = append(os.Environ(), "BALANCER_CONFIG="+path)
 	out, err := cmd.CombinedOutput()
 	assert.Error(t, err)
 	assert.Equal(t, "oxbowbridge: configuration: unexpected end of JSON input\n", string(out))
 }
 
-// directory stands in for it: its address, and the next report that comes.
-func directory(t *testing.T) (addr string, next func() string) {
+// newRegistryStandin stands in for it: its address, and the next report that comes.
+func newRegistryStandin(t *testing.T) (addr string, next func() string) {
 	udp, err := net.ListenPacket("udp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { udp.Close() })
 	return udp.LocalAddr().String(), func() string {
 		b := make([]byte, 100)
-		udp.SetReadDeadline(time.Now().Add(patience))
+		udp.SetReadDeadline(time.Now().Add(awaitTimeout))
 		n, _, err := udp.ReadFrom(b)
 		require.NoError(t, err)
 		return string(b[:n])
@@ -283,14 +283,14 @@
 // again and again, as reports get lost, and never as open.
 func TestDirectoryListens(t *testing.T) {
 	t.Parallel()
-	addr, next := directory(t)
-	w := newWorld(t, func(cfg object) {
+	addr, next := newRegistryStandin(t)
+	w := newTestbed(t, func(cfg object) {
 		cfg["lookup"] = addr
 		cfg["settings"].(object)["family_info"].(object)["readiness"] = true
 	})
 	require.Equal(t, "PULSE n3 open", next())
-	got := w.later("nom-submit", newTrace(), "hold")
-	await(t, "a run", func() bool { return w.engine.held() == 1 })
+	got := w.sendAsync("nom-submit", newTraceID(), "hold")
+	await(t, "a run", func() bool { return w.engine.heldRuns() == 1 })
 	require.NoError(t, w.cmd.Process.Signal(os.Interrupt))
 	for s := next(); s != "PULSE n3 closed"; s = next() {
 		require.Equal(t, "PULSE n3 open", s)
@@ -298,16 +298,16 @@
 	for range 5 {
 		require.Equal(t, "PULSE n3 closed", next())
 	}
-	w.engine.release()
+	w.engine.releaseHeld()
 	assert.Equal(t, 200, (<-got).status)
-	w.ended()
+	w.requireCleanExit()
 }
 
 // TestDirectory: reports while it serves, and a last one at the notice.
 func TestDirectory(t *testing.T) {
 	t.Parallel()
-	addr, next := directory(t)
-	w := newWorld(t, func(cfg object) { cfg["lookup"] = addr })
+	addr, next := newRegistryStandin(t)
+	w := newTestbed(t, func(cfg object) { cfg["lookup"] = addr })
 	for i := range 3 {
 		require.Equal(t, "PULSE n3 open", next(), fmt.Sprint(i))
 	}
@@ -315,5 +315,5 @@
 	for s := next(); s != "PULSE n3 closed"; s = next() {
 		require.Equal(t, "PULSE n3 open", s)
 	}
-	w.ended()
+	w.requireCleanExit()
 }
--- a/tests/lease_lost_test.go
+++ b/tests/lease_lost_test.go
@@ -39,19 +39,19 @@
 		}
 	}
 	dir := t.TempDir()
-	started, told, mayEnd := filepath.Join(dir, "started"), filepath.Join(dir, "told"), filepath.Join(dir, "may-end")
-	script := fmt.Sprintf("trap 'touch %s; while [ ! -e %s ]; do sleep 0.02; done; exit 5' TERM; touch %s; while :; do sleep 0.02; done", told, mayEnd, started)
+	started, stopRequested, mayEnd := filepath.Join(dir, "started"), filepath.Join(dir, "told"), filepath.Join(dir, "may-end")
+	script := fmt.Sprintf("trap 'touch %s; while [ ! -e %s ]; do sleep 0.02; done; exit 5' TERM; touch %s; while :; do sleep 0.02; done", stopRequested, mayEnd, started)
 	exists := func(path string) func() bool {
 		return func() bool { _, err := os.Stat(path); return err == nil }
 	}
 	ended := make(chan commandResult, 1)
 	go func() {
-		out, errs, code := cli(t, "", "lease", "run", "long", "--ttl=4s", "--grace=1s", "--nodes="+strings.Join(nodes, ","), "--", "sh", "-c", script)
+		out, errs, code := runCLI(t, "", "lease", "run", "long", "--ttl=4s", "--grace=1s", "--nodes="+strings.Join(nodes, ","), "--", "sh", "-c", script)
 		ended <- commandResult{out, errs, code}
 	}()
 	await(t, "the command to run", exists(started)) // the grant has come, and SIGTERM is heard
 	setAll(testrig.LinkMode{HoldRequests: true, HoldResponses: true})
-	await(t, "the command to be told to stop", exists(told))
+	await(t, "the command to be told to stop", exists(stopRequested))
 	afterStop(func() { setAll(testrig.LinkMode{}) })
 	require.NoError(t, os.WriteFile(mayEnd, nil, 0o600))
 	return <-ended
@@ -61,9 +61,9 @@
 // was not kept alive in time, when no keep-alive was answered between the revocation and the grace.
 func TestRevokedWhileNodesStall(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, nil)
+	c := newRunningCluster(t, nil)
 	r := runUnderStalledLease(t, c, func(heal func()) {
-		code, text := c.sure(0, "DELETE", "/lease/long?revoke=1", "")
+		code, text := c.requestWithRetry(0, "DELETE", "/lease/long?revoke=1", "")
 		require.Equal(t, 204, code, text)
 		heal()
 	})
@@ -75,12 +75,12 @@
 // as held, and against a stop whose line does not say how the last keep-alive failed.
 func TestStoppedWhileNodesStall(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, nil)
+	c := newRunningCluster(t, nil)
 	r := runUnderStalledLease(t, c, func(heal func()) { heal() })
 	assert.Equal(t, 5, r.code, r.errs)
 	assert.Regexp(t, `(?m)^oxbowbridge: command stopped: lease could not be kept alive in time: long \(last keep-alive: .*deadline exceeded.*\)$`, r.errs)
 	assert.NotContains(t, r.errs, "lease is lost")
-	code, _ := c.sure(0, "GET", "/lease/long", "")
+	code, _ := c.requestWithRetry(0, "GET", "/lease/long", "")
 	assert.Equal(t, 404, code, "it was given back")
 }
 
@@ -88,7 +88,7 @@
 // when no node answers, or that waits for that answer without end.
 func TestStoppedWithoutAnswer(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, nil)
+	c := newRunningCluster(t, nil)
 	r := runUnderStalledLease(t, c, func(func()) {})
 	assert.Equal(t, 5, r.code, r.errs)
 	assert.Regexp(t, `(?m)^oxbowbridge: command stopped: lease could not be kept alive in time: long .*; not known whether the lease is still held$`, r.errs)
--- a/tests/leases_test.go
+++ b/tests/leases_test.go
@@ -24,8 +24,8 @@
 	"oxbowbridge/internal/testrig"
 )
 
-// grant asks a node for a lease until its answer is a sure one.
-func (c *cluster) grant(node int, name, body string) (code int, l storeapi.LeaseStatus) {
+// acquireLease asks a node for a lease until its answer is a sure one.
+func (c *cluster) acquireLease(node int, name, body string) (code int, l storeapi.LeaseStatus) {
 	testrig.Await(c.T, "an answer to a request for a lease", func() bool {
 		var text string
 		code, text = c.Request(node, "POST", "/lease/"+name, body)
@@ -35,8 +35,8 @@
 	return code, l
 }
 
-// sure asks until it is not told to ask again.
-func (c *cluster) sure(node int, method, path, body string, fields ...string) (code int, text string) {
+// requestWithRetry asks until it is not told to ask again.
+func (c *cluster) requestWithRetry(node int, method, path, body string, fields ...string) (code int, text string) {
 	testrig.Await(c.T, method+" "+path, func() bool {
 		req, err := http.NewRequest(method, "http://"+c.Peers[node].Admin+path, strings.NewReader(body))
 		if err != nil {
@@ -45,7 +45,7 @@
 		for i := 0; i < len(fields); i += 2 {
 			req.Header.Add(fields[i], fields[i+1])
 		}
-		res, err := (&http.Client{Timeout: patience}).Do(req)
+		res, err := (&http.Client{Timeout: awaitTimeout}).Do(req)
 		if err != nil {
 			return false
 		}
@@ -61,38 +61,38 @@
 // can't be, is told so, and tokens only grow.
 func TestLeases(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, nil)
-	code, first := c.grant(0, "job/a", `{"holder":"h1","ttl_ms":60000}`)
+	c := newRunningCluster(t, nil)
+	code, first := c.acquireLease(0, "job/a", `{"holder":"h1","ttl_ms":60000}`)
 	require.Equal(t, 200, code)
-	code, same := c.grant(1, "job/a", `{"holder":"h1","ttl_ms":60000}`)
+	code, same := c.acquireLease(1, "job/a", `{"holder":"h1","ttl_ms":60000}`)
 	assert.Equal(t, []any{200, first.Token}, []any{code, same.Token}, "its answer was lost")
-	code, held := c.grant(2, "job/a", `{"holder":"h2","ttl_ms":60000}`)
+	code, held := c.acquireLease(2, "job/a", `{"holder":"h2","ttl_ms":60000}`)
 	assert.Equal(t, []any{409, "h1", first.Token}, []any{code, held.Holder, held.Token})
 	for i := range 3 {
-		code, text := c.sure(i, "PUT", "/lease/job/a", fmt.Sprintf(`{"token":%d}`, first.Token))
+		code, text := c.requestWithRetry(i, "PUT", "/lease/job/a", fmt.Sprintf(`{"token":%d}`, first.Token))
 		assert.Equal(t, 200, code, text)
-		code, text = c.sure(i, "PUT", "/lease/job/a", fmt.Sprintf(`{"token":%d}`, first.Token+9))
+		code, text = c.requestWithRetry(i, "PUT", "/lease/job/a", fmt.Sprintf(`{"token":%d}`, first.Token+9))
 		assert.Equal(t, 410, code, text)
-		code, text = c.sure(i, "GET", "/lease/job/a", "")
+		code, text = c.requestWithRetry(i, "GET", "/lease/job/a", "")
 		assert.Equal(t, 200, code)
 		assert.Contains(t, text, `"holder":"h1"`)
-		code, _ = c.sure(i, "GET", "/lease/other", "")
+		code, _ = c.requestWithRetry(i, "GET", "/lease/other", "")
 		assert.Equal(t, 404, code)
 	}
 	// Writes that hold only under the lease.
 	fence := fmt.Sprintf("job/a/%d", first.Token)
-	code, text := c.sure(1, "PUT", "/store/note/f", "1", "Lease", fence)
+	code, text := c.requestWithRetry(1, "PUT", "/store/note/f", "1", "Lease", fence)
 	assert.Equal(t, 204, code, text)
-	code, _ = c.sure(2, "PUT", "/store/note/f", "2", "Lease", fmt.Sprintf("job/a/%d", first.Token-1))
+	code, _ = c.requestWithRetry(2, "PUT", "/store/note/f", "2", "Lease", fmt.Sprintf("job/a/%d", first.Token-1))
 	assert.Equal(t, 412, code)
-	code, _ = c.sure(0, "DELETE", "/store/note/f", "", "Lease", "job/b/1")
+	code, _ = c.requestWithRetry(0, "DELETE", "/store/note/f", "", "Lease", "job/b/1")
 	assert.Equal(t, 412, code)
 	txn := `{"then":[{"do":"put","key":"note/f","value":3}]}`
-	code, _ = c.sure(0, "POST", "/txn", txn, "Lease", fence, "Lease", "job/b/1")
+	code, _ = c.requestWithRetry(0, "POST", "/txn", txn, "Lease", fence, "Lease", "job/b/1")
 	assert.Equal(t, 412, code)
-	code, _ = c.sure(0, "POST", "/txn", txn, "Lease", fence)
+	code, _ = c.requestWithRetry(0, "POST", "/txn", txn, "Lease", fence)
 	assert.Equal(t, 200, code)
-	code, _ = c.sure(0, "PUT", "/store/note/f", "4", "Lease", "nonsense")
+	code, _ = c.requestWithRetry(0, "PUT", "/store/note/f", "4", "Lease", "nonsense")
 	assert.Equal(t, 400, code)
 	c.WaitForValue(2, "note/f", "3")
 	// The queue: by priority, then in the order of coming; each waits at another node.
@@ -104,7 +104,7 @@
 	answers := make(chan got, 3)
 	for i, w := range []string{"w0", "w1", "w2"} {
 		go func() {
-			code, l := c.grant(i, "job/a", fmt.Sprintf(`{"holder":%q,"ttl_ms":60000,"wait_ms":20000,"priority":%d}`, w, map[string]int{"w2": 1}[w]))
+			code, l := c.acquireLease(i, "job/a", fmt.Sprintf(`{"holder":%q,"ttl_ms":60000,"wait_ms":20000,"priority":%d}`, w, map[string]int{"w2": 1}[w]))
 			answers <- got{w, code, l.Token}
 		}()
 		await(t, w+" in the queue", func() bool {
@@ -116,18 +116,18 @@
 	for _, want := range []string{"w2", "w1", "w0"} { // w1 by being handed it
 		path := fmt.Sprintf("/lease/job/a?token=%d", last)
 		if want == "w1" {
-			code, _ = c.sure(0, "DELETE", path+"&to=nobody", "")
+			code, _ = c.requestWithRetry(0, "DELETE", path+"&to=nobody", "")
 			assert.Equal(t, 409, code)
 			path += "&to=w1"
 		}
-		code, text := c.sure(2, "DELETE", path, "")
+		code, text := c.requestWithRetry(2, "DELETE", path, "")
 		assert.Equal(t, 204, code, text)
 		a := <-answers
 		assert.Equal(t, []any{want, 200}, []any{a.holder, a.code})
 		assert.Greater(t, a.token, last)
 		last = a.token
 	}
-	code, _ = c.sure(0, "DELETE", fmt.Sprintf("/lease/job/a?token=%d", first.Token), "")
+	code, _ = c.requestWithRetry(0, "DELETE", fmt.Sprintf("/lease/job/a?token=%d", first.Token), "")
 	assert.Equal(t, 410, code)
 	// One that goes away while it waits leaves the queue.
 	web := &http.Client{Timeout: 500 * time.Millisecond}
@@ -140,14 +140,14 @@
 	// What can't be.
 	for _, bad := range [][2]string{{"job/a", `{"holder":"","ttl_ms":5000}`}, {"job/a", `{"holder":"h","ttl_ms":1}`}, {"a%20b", `{"holder":"h","ttl_ms":5000}`},
 		{"job/a", `{"holder":"h","ttl_ms":5000,"wait_ms":-1}`}, {"job/a", `{"holder":"h","ttl_ms":5000,"wait_ms":99999999}`}, {"job/a", `{"nonsense":1}`}} {
-		code, text := c.sure(1, "POST", "/lease/"+bad[0], bad[1])
+		code, text := c.requestWithRetry(1, "POST", "/lease/"+bad[0], bad[1])
 		assert.Equal(t, 400, code, "%v: %s", bad, text)
 	}
 	for _, path := range []string{"/lease/job/a", "/lease/job/a?token=x", "/lease/job/a?token=1&revoke=1"} {
-		code, _ = c.sure(1, "DELETE", path, "")
+		code, _ = c.requestWithRetry(1, "DELETE", path, "")
 		assert.Equal(t, 400, code, path)
 	}
-	code, _ = c.sure(1, "POST", "/txn", `{"leases":[{"do":"acquire","name":"x","holder":"y","ttl_ms":5000}],"then":[]}`)
+	code, _ = c.requestWithRetry(1, "POST", "/txn", `{"leases":[{"do":"acquire","name":"x","holder":"y","ttl_ms":5000}],"then":[]}`)
 	assert.Equal(t, 400, code)
 }
 
@@ -155,10 +155,10 @@
 // the leader is lost; all nodes killed at once, it is held on.
 func TestLeaseExpires(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, nil)
+	c := newRunningCluster(t, nil)
 	const ttl = 3 * time.Second
 	ask := func(node int, holder string, wait time.Duration) (int, storeapi.LeaseStatus) {
-		return c.grant(node, "job", fmt.Sprintf(`{"holder":%q,"ttl_ms":%d,"wait_ms":%d}`, holder, ttl.Milliseconds(), wait.Milliseconds()))
+		return c.acquireLease(node, "job", fmt.Sprintf(`{"holder":%q,"ttl_ms":%d,"wait_ms":%d}`, holder, ttl.Milliseconds(), wait.Milliseconds()))
 	}
 	code, l := ask(0, "h0", 0)
 	require.Equal(t, 200, code)
@@ -180,13 +180,13 @@
 		l = next
 	}
 	// Revoked: not kept alive any more, and no one else's before its time is over.
-	code, l = c.grant(0, "long", `{"holder":"h","ttl_ms":600000}`)
+	code, l = c.acquireLease(0, "long", `{"holder":"h","ttl_ms":600000}`)
 	require.Equal(t, 200, code)
-	code, text := c.sure(0, "DELETE", "/lease/long?revoke=1", "")
+	code, text := c.requestWithRetry(0, "DELETE", "/lease/long?revoke=1", "")
 	assert.Equal(t, 204, code, text)
-	code, _ = c.sure(0, "PUT", "/lease/long", fmt.Sprintf(`{"token":%d}`, l.Token))
+	code, _ = c.requestWithRetry(0, "PUT", "/lease/long", fmt.Sprintf(`{"token":%d}`, l.Token))
 	assert.Equal(t, 410, code)
-	code, _ = c.grant(0, "long", `{"holder":"h","ttl_ms":600000}`)
+	code, _ = c.acquireLease(0, "long", `{"holder":"h","ttl_ms":600000}`)
 	assert.Equal(t, 409, code)
 }
 
@@ -194,65 +194,65 @@
 // that is made anew of one node.
 func TestTokensGrow(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, nil)
-	_, before := c.grant(0, "job", `{"holder":"h","ttl_ms":500}`)
-	_, text := c.sure(0, "GET", "/backup", "")
+	c := newRunningCluster(t, nil)
+	_, before := c.acquireLease(0, "job", `{"holder":"h","ttl_ms":500}`)
+	_, text := c.requestWithRetry(0, "GET", "/backup", "")
 	later := before
 	for i := range 5 { // after the backup
-		_, later = c.grant(0, fmt.Sprint("job", i), `{"holder":"h","ttl_ms":500}`)
+		_, later = c.acquireLease(0, fmt.Sprint("job", i), `{"holder":"h","ttl_ms":500}`)
 	}
-	other := newCluster(t, nil)
-	code, answer := other.sure(0, "POST", "/restore", text)
+	other := newRunningCluster(t, nil)
+	code, answer := other.requestWithRetry(0, "POST", "/restore", text)
 	require.Equal(t, 200, code, answer)
-	code, l := other.grant(1, "job", `{"holder":"h","ttl_ms":500}`)
+	code, l := other.acquireLease(1, "job", `{"holder":"h","ttl_ms":500}`)
 	assert.Equal(t, 200, code, "leases are not restored")
 	assert.Greater(t, l.Token, later.Token)
 	c.KillAll()
-	path := c.nodes[1].path
-	out, errs, code := cli(t, "", "store", "recover", path, "--json")
+	path := c.nodes[1].configPath
+	out, errs, code := runCLI(t, "", "store", "recover", path, "--json")
 	require.Zero(t, code, errs)
 	var left struct{ Cluster string }
 	require.NoError(t, json.Unmarshal([]byte(out), &left))
-	_, errs, code = cli(t, "", "store", "recover", path, "--cluster", left.Cluster)
+	_, errs, code = runCLI(t, "", "store", "recover", path, "--cluster", left.Cluster)
 	require.Zero(t, code, errs)
 	c.Start(1)
 	c.WaitForLeader()
-	code, l = c.grant(1, "new", `{"holder":"h","ttl_ms":500}`)
+	code, l = c.acquireLease(1, "new", `{"holder":"h","ttl_ms":500}`)
 	require.Equal(t, 200, code)
-	assert.Greater(t, l.Token, later.Token+lostMost)
+	assert.Greater(t, l.Token, later.Token+maxLostTokens)
 }
 
-const lostMost = 1000 // tokens that a lost majority may have given besides
+const maxLostTokens = 1000 // tokens that a lost majority may have given besides
 
 // TestLeaseCommands: the command line, and a command that is stopped in time.
 func TestLeaseCommands(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, nil)
+	c := newRunningCluster(t, nil)
 	all := "--nodes=" + strings.Join(c.client().Nodes, ",")
-	out, errs, code := cli(t, "", "lease", "acquire", "job", "--holder=h1", "--ttl=60s", "--json", all)
+	out, errs, code := runCLI(t, "", "lease", "acquire", "job", "--holder=h1", "--ttl=60s", "--json", all)
 	require.Zero(t, code, errs)
 	var l storeapi.LeaseStatus
 	require.NoError(t, json.Unmarshal([]byte(out), &l))
-	_, errs, code = cli(t, "", "lease", "acquire", "job", all)
+	_, errs, code = runCLI(t, "", "lease", "acquire", "job", all)
 	assert.Equal(t, 1, code)
 	assert.Contains(t, errs, "lease is held by h1")
-	_, errs, code = cli(t, "", "lease", "run", "job", "--wait=300ms", all, "--", "true")
+	_, errs, code = runCLI(t, "", "lease", "run", "job", "--wait=300ms", all, "--", "true")
 	assert.Equal(t, 1, code)
 	assert.Contains(t, errs, "lease is held")
-	out, _, code = cli(t, "", "lease", "list", all)
+	out, _, code = runCLI(t, "", "lease", "list", all)
 	assert.Zero(t, code)
 	assert.Contains(t, out, "h1")
 	assert.Contains(t, out, "fleet/sessions")
-	out, _, code = cli(t, "", "lease", "show", "job", all)
+	out, _, code = runCLI(t, "", "lease", "show", "job", all)
 	assert.Zero(t, code)
 	assert.Contains(t, out, fmt.Sprint(l.Token))
-	_, errs, code = cli(t, "", "lease", "release", "job", fmt.Sprint("--token=", l.Token), all)
+	_, errs, code = runCLI(t, "", "lease", "release", "job", fmt.Sprint("--token=", l.Token), all)
 	assert.Zero(t, code, errs)
-	out, errs, code = cli(t, "", "lease", "run", "job", all, "--", "sh", "-c", "echo token $OXBOWBRIDGE_LEASE_TOKEN; exit 7")
+	out, errs, code = runCLI(t, "", "lease", "run", "job", all, "--", "sh", "-c", "echo token $OXBOWBRIDGE_LEASE_TOKEN; exit 7")
 	assert.Equal(t, 7, code, errs)
 	assert.Regexp(t, `^token [1-9]\d+\n`, out)
 	for _, bad := range [][]string{{"run", "job", "--grace=9s", "--", "true"}, {"run", "job", "--", "no-such-program"}, {"acquire", "a b"}, {"release", "job"}, {"show"}} {
-		_, _, code = cli(t, "", append(append([]string{"lease"}, bad...), all)...)
+		_, _, code = runCLI(t, "", append(append([]string{"lease"}, bad...), all)...)
 		assert.Equal(t, 2, code, bad)
 	}
 	// Revoked while the command runs: it is told to end, at the next sign of life.
@@ -262,12 +262,12 @@
 	}
 	ended := make(chan result, 1)
 	go func() {
-		out, errs, code := cli(t, "", "lease", "run", "long", "--ttl=2s", all, "--", "sh", "-c", "trap 'echo told; exit 5' TERM; while :; do sleep 0.05; done")
+		out, errs, code := runCLI(t, "", "lease", "run", "long", "--ttl=2s", all, "--", "sh", "-c", "trap 'echo told; exit 5' TERM; while :; do sleep 0.05; done")
 		ended <- result{out, errs, code}
 	}()
 	await(t, "the lease to be held", func() bool { code, _ := c.Request(0, "GET", "/lease/long", ""); return code == 200 })
 	time.Sleep(200 * time.Millisecond)
-	_, errs, code = cli(t, "", "lease", "revoke", "long", all)
+	_, errs, code = runCLI(t, "", "lease", "revoke", "long", all)
 	assert.Zero(t, code, errs)
 	r := <-ended
 	assert.Equal(t, 5, r.code, r.errs)
@@ -279,7 +279,7 @@
 // when it is lost another does. What an older holder writes is refused by the database.
 func TestFleetTasks(t *testing.T) {
 	t.Parallel()
-	c := newNodes(t, 3, 3)
+	c := newStoppedCluster(t, 3, 3)
 	path, dir := filepath.Join(t.TempDir(), "record.db"), filepath.Join(t.TempDir(), "backups")
 	c.StoreFields["sql"] = object{"driver": "sqlite", "dsn": "file:" + path + "?_pragma=busy_timeout(5000)"}
 	c.StoreFields["backup"] = object{"dir": dir, "every": "1s", "keep": 3}
@@ -315,7 +315,7 @@
 		return names
 	}
 	c.Put(0, "note/1", "1")
-	await(t, "the store of record", func() bool { return recorded(db, "note/1") })
+	await(t, "the store of record", func() bool { return isMirrored(db, "note/1") })
 	await(t, "three backups", func() bool { return len(backups()) >= 3 })
 	var at0, at1 int64
 	for _, name := range backups() {
@@ -327,14 +327,14 @@
 	at, token := holder("fleet/mirror")
 	// It stands still, and another one goes on. Not in a transaction of SQLite, whose lock would
 	// stand still with it (TestRecordIsLocked): it gets none while this one is open.
-	between(t, db, "EXCLUSIVE", func() { c.Pause(at) })
+	withDatabaseLocked(t, db, "EXCLUSIVE", func() { c.Pause(at) })
 	next := (at + 1) % 3
 	await(t, "another holder", func() bool {
 		var l storeapi.LeaseStatus
 		return c.GetJSON(next, "/lease/fleet/mirror", &l) && l.Token > token
 	})
 	c.Put(next, "note/2", "2")
-	await(t, "the store of record by another", func() bool { return recorded(db, "note/2") })
+	await(t, "the store of record by another", func() bool { return isMirrored(db, "note/2") })
 	c.Resume(at)
 	c.WaitForValue(at, "note/2", "2")
 	newest := backups()
@@ -371,17 +371,17 @@
 		}
 		return false
 	})
-	assert.False(t, recorded(db, "note/3"))
+	assert.False(t, isMirrored(db, "note/3"))
 }
 
-// recorded tells whether the store of record has a key.
-func recorded(db *sql.DB, key string) bool {
+// isMirrored tells whether the store of record has a key.
+func isMirrored(db *sql.DB, key string) bool {
 	var n int
 	return db.QueryRow(`SELECT count(*) FROM oxbowbridge_store WHERE name = $1`, key).Scan(&n) == nil && n == 1
 }
 
-// between runs f while the database is locked by a transaction in the test's hand.
-func between(t *testing.T, db *sql.DB, lock string, f func()) {
+// withDatabaseLocked runs f while the database is locked by a transaction in the test's hand.
+func withDatabaseLocked(t *testing.T, db *sql.DB, lock string, f func()) {
 	t.Helper()
 	conn, err := db.Conn(t.Context())
 	require.NoError(t, err)
@@ -399,7 +399,7 @@
 // writes all the same, the node says why the record stays behind, and then catches up.
 func TestRecordIsLocked(t *testing.T) {
 	t.Parallel()
-	c := newNodes(t, 1, 1)
+	c := newStoppedCluster(t, 1, 1)
 	dsn := "file:" + filepath.Join(t.TempDir(), "record.db") + "?_pragma=busy_timeout(%d)"
 	c.StoreFields["sql"] = object{"driver": "sqlite", "dsn": fmt.Sprintf(dsn, 50)}
 	c.Bootstrap()
@@ -413,14 +413,14 @@
 		}
 	}
 	c.Put(0, "note/1", "1")
-	await(t, "the store of record", func() bool { return recorded(db, "note/1") })
-	between(t, db, "IMMEDIATE", func() {
+	await(t, "the store of record", func() bool { return isMirrored(db, "note/1") })
+	withDatabaseLocked(t, db, "IMMEDIATE", func() {
 		c.Put(0, "note/2", "2")
 		c.WaitForValue(0, "note/2", "2")
 		await(t, "the reason", says("locked"))
-		assert.False(t, recorded(db, "note/2"))
+		assert.False(t, isMirrored(db, "note/2"))
 	})
-	await(t, "the record to catch up", func() bool { return recorded(db, "note/2") })
+	await(t, "the record to catch up", func() bool { return isMirrored(db, "note/2") })
 	await(t, "no reason any more", says(""))
 }
 
@@ -428,7 +428,7 @@
 // the lease can be another's; many leases travel in one keep-alive.
 func TestManagerEndsLeaseInTime(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, nil)
+	c := newRunningCluster(t, nil)
 	var links []*testrig.Link
 	var nodes []string
 	for _, p := range c.Peers {
@@ -457,7 +457,7 @@
 	}
 	ends := make(chan time.Time, 1)
 	go func() { <-held[0].Context().Done(); ends <- time.Now() }()
-	code, _ := c.grant(0, "job/0", fmt.Sprintf(`{"holder":"next","ttl_ms":%d,"wait_ms":15000}`, ttl.Milliseconds()))
+	code, _ := c.acquireLease(0, "job/0", fmt.Sprintf(`{"holder":"next","ttl_ms":%d,"wait_ms":15000}`, ttl.Milliseconds()))
 	given := time.Now()
 	require.Equal(t, 200, code)
 	assert.True(t, (<-ends).Before(given))
--- a/tests/linear_test.go
+++ b/tests/linear_test.go
@@ -19,7 +19,7 @@
 	"oxbowbridge/internal/testrig"
 )
 
-var faultTime = flag.Duration("faults", 15*time.Second, "how long TestLinearizable and TestFaults go on")
+var faultDuration = flag.Duration("faults", 15*time.Second, "how long TestLinearizable and TestFaults go on")
 
 // TestLinearizable: clients read and write at three nodes while one after the other
 // is killed and comes back. No read is older than what was acknowledged before it
@@ -27,7 +27,7 @@
 // long form.
 func TestLinearizable(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, object{})
+	c := newRunningCluster(t, object{})
 	h := testrig.NewHistory()
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
@@ -39,7 +39,7 @@
 		}()
 	}
 	rng, kills := rand.New(rand.NewPCG(3, 3)), 0
-	for h.Elapsed() < *faultTime || !h.HasEnough(*faultTime) {
+	for h.Elapsed() < *faultDuration || !h.HasEnough(*faultDuration) {
 		time.Sleep(time.Duration(500+rng.IntN(1000)) * time.Millisecond)
 		i := rng.IntN(3)
 		if kills%2 == 0 {
@@ -89,7 +89,7 @@
 // it knows can be had for the asking.
 func TestFreshness(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, object{})
+	c := newRunningCluster(t, object{})
 	c.Put(0, "note/a", `"one"`)
 	for i := range 3 {
 		c.WaitForValue(i, "note/a?stale=30s", `"one"`)
@@ -115,7 +115,7 @@
 // are killed. Each took effect once, and none was lost.
 func TestOnce(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, object{})
+	c := newRunningCluster(t, object{})
 	const clients, writes = 4, 250
 	var wg sync.WaitGroup
 	repeats := make([]int, clients)
@@ -126,7 +126,7 @@
 			rng := rand.New(rand.NewPCG(uint64(id), 5))
 			web := &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 			do := func(method, path, body string, session, number int) (code int, text string) {
-				for end := time.Now().Add(2 * patience); time.Now().Before(end); time.Sleep(30 * time.Millisecond) {
+				for end := time.Now().Add(2 * awaitTimeout); time.Now().Before(end); time.Sleep(30 * time.Millisecond) {
 					req, err := http.NewRequest(method, "http://"+c.Peers[rng.IntN(3)].Admin+path, strings.NewReader(body))
 					if err != nil {
 						panic(err)
@@ -201,14 +201,14 @@
 // TestConditions: a write that names the revision it knows takes effect only on that.
 func TestConditions(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, object{})
+	c := newRunningCluster(t, object{})
 	with := func(i int, method, path, body string, fields ...string) (int, string, string) {
 		req, err := http.NewRequest(method, "http://"+c.Peers[i].Admin+path, strings.NewReader(body))
 		require.NoError(t, err)
 		for f := 0; f < len(fields); f += 2 {
 			req.Header.Set(fields[f], fields[f+1])
 		}
-		res, err := (&http.Client{Timeout: patience}).Do(req)
+		res, err := (&http.Client{Timeout: awaitTimeout}).Do(req)
 		require.NoError(t, err)
 		defer res.Body.Close()
 		text, _ := io.ReadAll(res.Body)
@@ -273,7 +273,7 @@
 // started on. With the others back, it catches up.
 func TestColdReplica(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, object{})
+	c := newRunningCluster(t, object{})
 	classes := func(name string) string {
 		set := settings()
 		set["classes"] = []object{{"name": name, "effect": "idempotent", "value": 1, "aim_ns": 1e9, "deadline_ns": 2e9}}
@@ -291,10 +291,10 @@
 		c.Kill(i)
 	}
 	c.Start(2)
-	c.nodes[2].ready()
+	c.nodes[2].awaitReady()
 	assert.Contains(t, c.nodes[2].log(), `"last_good":true`)
-	w := &world{service: c.nodes[2]}
-	assert.Equal(t, []int{200, 400}, []int{w.status("first", "ok"), w.status("second", "ok")})
+	w := &testbed{service: c.nodes[2]}
+	assert.Equal(t, []int{200, 400}, []int{w.responseStatus("first", "ok"), w.responseStatus("second", "ok")})
 	code, text := c.Request(2, "GET", "/store/config/settings", "")
 	assert.Equal(t, 503, code, text)
 	c.Start(0)
@@ -304,8 +304,8 @@
 		c.Put(0, "config/settings", set)
 		c.Kill(2)
 		c.Start(2)
-		c.nodes[2].ready()
-		assert.Equal(t, 200, (&world{service: c.nodes[2]}).status("second", "ok"))
+		c.nodes[2].awaitReady()
+		assert.Equal(t, 200, (&testbed{service: c.nodes[2]}).responseStatus("second", "ok"))
 	}
 	assert.Contains(t, c.nodes[2].log(), "invalid settings in store")
 }
@@ -313,33 +313,33 @@
 // TestStoreCommands: the command line works at any node, also just after a kill.
 func TestStoreCommands(t *testing.T) {
 	t.Parallel()
-	c := newCluster(t, object{})
+	c := newRunningCluster(t, object{})
 	nodes := c.client().Nodes
 	all := "--nodes=" + strings.Join(nodes, ",")
-	_, errs, code := cli(t, "", "store", "put", "note/a", `"one"`, all)
+	_, errs, code := runCLI(t, "", "store", "put", "note/a", `"one"`, all)
 	require.Zero(t, code, errs)
-	out, errs, code := cli(t, "", "store", "get", "note/a", "--nodes="+nodes[1])
+	out, errs, code := runCLI(t, "", "store", "get", "note/a", "--nodes="+nodes[1])
 	require.Zero(t, code, errs)
 	assert.Equal(t, "\"one\"\n", out)
-	_, errs, code = cli(t, "", "store", "put", "note/a", `"two"`, "--if-revision=0", all)
+	_, errs, code = runCLI(t, "", "store", "put", "note/a", `"two"`, "--if-revision=0", all)
 	assert.Equal(t, 1, code)
 	assert.Contains(t, errs, "the key has revision")
 	c.Kill(c.WaitForLeader())
-	out, errs, code = cli(t, `{"then":[{"do":"put","key":"note/b","value":2},{"do":"get","key":"note/a"}]}`, "store", "txn", "--json", all)
+	out, errs, code = runCLI(t, `{"then":[{"do":"put","key":"note/b","value":2},{"do":"get","key":"note/a"}]}`, "store", "txn", "--json", all)
 	require.Zero(t, code, errs)
 	assert.Contains(t, out, `"value": "one"`)
-	out, errs, code = cli(t, "", "store", "get", all)
+	out, errs, code = runCLI(t, "", "store", "get", all)
 	require.Zero(t, code, errs)
 	assert.Contains(t, out, "note/b")
-	out, _, code = cli(t, "", "store", "status", all)
+	out, _, code = runCLI(t, "", "store", "status", all)
 	assert.Zero(t, code)
 	assert.Contains(t, out, "Leader")
 	assert.Contains(t, out, "refused", "the one that is away")
-	_, _, code = cli(t, "", "store", "delete", "note/b", all)
+	_, _, code = runCLI(t, "", "store", "delete", "note/b", all)
 	assert.Zero(t, code)
-	_, errs, code = cli(t, "", "store", "get", "note/b", all)
+	_, errs, code = runCLI(t, "", "store", "get", "note/b", all)
 	assert.Equal(t, 1, code)
 	assert.Contains(t, errs, "no such key")
-	_, _, code = cli(t, "", "store", "put", "note/b", "text", all)
+	_, _, code = runCLI(t, "", "store", "put", "note/b", "text", all)
 	assert.Equal(t, 2, code)
 }
--- a/tests/log_test.go
+++ b/tests/log_test.go
@@ -10,13 +10,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// badRequests makes the service write more log lines than a pipe of one page holds.
-func badRequests(t *testing.T, w *world) {
+// sendBadRequests makes the service write more log lines than a pipe of one page holds.
+func sendBadRequests(t *testing.T, w *testbed) {
 	for range 3 {
-		c, err := dialFCGI(w.fcgi)
+		c, err := dialFCGI(w.fcgiAddr)
 		require.NoError(t, err)
 		for range 12 { // one connection may send 16 faults
-			a, err := c.do("/call/other", fieldsOf(newTrace()), nil)
+			a, err := c.do("/call/other", requestHeaders(newTraceID()), nil)
 			require.NoError(t, err)
 			assert.Equal(t, 400, a.status)
 		}
@@ -36,16 +36,16 @@
 			defer reader.Close()
 			_, err = unix.FcntlInt(writer.Fd(), unix.F_SETPIPE_SZ, os.Getpagesize())
 			require.NoError(t, err)
-			w := newWorldWith(t, writer, nil)
+			w := newTestbedWithLog(t, writer, nil)
 			writer.Close()
 			if leaves {
 				reader.Close()
 			}
-			badRequests(t, w)
-			assert.Equal(t, 200, w.status("nom-submit", "ok"))
+			sendBadRequests(t, w)
+			assert.Equal(t, 200, w.responseStatus("nom-submit", "ok"))
 			require.NoError(t, w.Signal(syscall.SIGHUP))
-			assert.Equal(t, 200, w.status("nom-submit", "call"))
-			w.drain()
+			assert.Equal(t, 200, w.responseStatus("nom-submit", "call"))
+			w.terminate()
 		})
 	}
 }
--- a/tests/notice_starved_test.go
+++ b/tests/notice_starved_test.go
@@ -16,13 +16,13 @@
 )
 
 const (
-	// starvedServices is how many services each have one thread that waits for a core: twice as many as
+	// servicesWithBusyThread is how many services each have one thread that waits for a core: twice as many as
 	// a service has threads, as a rule. Which thread takes the signal and which ones pass it on varies.
-	starvedServices = 16
-	// starvingThreads have a thread that wakes up beside them wait for up to 0.5 s.
-	starvingThreads = 150
-	// starvingLead is the time from their begin to the first signal.
-	starvingLead = 20 * time.Millisecond
+	servicesWithBusyThread = 16
+	// busyThreadCount have a thread that wakes up beside them wait for up to 0.5 s.
+	busyThreadCount = 150
+	// busyLeadTime is the time from their begin to the first signal.
+	busyLeadTime = 20 * time.Millisecond
 )
 
 // TestNoticeThreadStarved: one thread of the process waits for a core, and the others go on without the
@@ -30,16 +30,16 @@
 // It takes no part in t.Parallel: what else runs on that CPU waits too.
 func TestNoticeThreadStarved(t *testing.T) {
 	cpu := lastCPU(t)
-	worlds := make([]*world, starvedServices)
+	worlds := make([]*testbed, servicesWithBusyThread)
 	for i := range worlds {
-		worlds[i] = newWorld(t, nil)
+		worlds[i] = newTestbed(t, nil)
 	}
-	beginBusy, endBusy := startBusyThreads(t, starvingThreads, cpu)
+	beginBusy, endBusy := startBusyThreads(t, busyThreadCount, cpu)
 	for i, w := range worlds {
 		w.pinOneThread(i, cpu)
 	}
 	beginBusy()
-	time.Sleep(starvingLead)
+	time.Sleep(busyLeadTime)
 	sentAt := make([]time.Time, len(worlds))
 	for i, w := range worlds {
 		sentAt[i] = time.Now()
--- a/tests/process_test.go
+++ b/tests/process_test.go
@@ -26,18 +26,18 @@
 	"oxbowbridge/internal/testrig"
 )
 
-const patience = testrig.AwaitTimeout
+const awaitTimeout = testrig.AwaitTimeout
 
 // What the tests use of the rig by a short name.
 func await(t *testing.T, what string, ok func() bool) { t.Helper(); testrig.Await(t, what, ok) }
 
-func freePort(t *testing.T) string { return testrig.FreeAddr(t) }
+func freeAddr(t *testing.T) string { return testrig.FreeAddr(t) }
 
-var program string
+var programPath string
 
 func TestMain(m *testing.M) {
-	if url := os.Getenv(envActor); url != "" { // this process is the command of a contender
-		os.Exit(actor(url))
+	if url := os.Getenv(envLeaseCommandURL); url != "" { // this process is the command of a contender
+		os.Exit(runLeaseCommand(url))
 	}
 	if threads := os.Getenv(envBusyThreads); threads != "" { // this process keeps a CPU busy
 		os.Exit(busyThreads(threads, os.Getenv(envBusyCPU)))
@@ -46,8 +46,8 @@
 	if err != nil {
 		panic(err)
 	}
-	program = filepath.Join(dir, "oxbowbridge")
-	build := strings.ReplaceAll(deployed("build"), "bin/", dir+"/")
+	programPath = filepath.Join(dir, "oxbowbridge")
+	build := strings.ReplaceAll(deployFileValue("build"), "bin/", dir+"/")
 	sh := exec.Command("sh", "-c", build)
 	sh.Dir = ".."
 	if out, err := sh.CombinedOutput(); err != nil {
@@ -58,9 +58,9 @@
 	os.Exit(code)
 }
 
-// withFaults is the program of the test build, whose folders fail on cue.
-var withFaults = sync.OnceValues(func() (string, error) {
-	path := filepath.Join(filepath.Dir(program), "faults")
+// faultInjectionBuild is the program of the test build, whose folders fail on cue.
+var faultInjectionBuild = sync.OnceValues(func() (string, error) {
+	path := filepath.Join(filepath.Dir(programPath), "faults")
 	out, err := exec.Command("go", "build", "-tags", "faults", "-o", path, "../cmd/oxbowbridge").CombinedOutput()
 	if err != nil {
 		err = fmt.Errorf("%w: %s", err, out)
@@ -68,9 +68,9 @@
 	return path, err
 })
 
-// deployed is the value of a key of the deploy file: the tests play the program
+// deployFileValue is the value of a key of the deploy file: the tests play the program
 // that it builds.
-func deployed(key string) string {
+func deployFileValue(key string) string {
 	text, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
 		panic(err)
@@ -105,19 +105,19 @@
 
 // service is the program under test.
 type service struct {
-	t       *testing.T
-	cmd     *exec.Cmd
-	fcgi    string
-	ajp     string
-	exit    chan error
-	program string // another build
-	name    string
-	logTo   *os.File // in place of the buffer
+	t         *testing.T
+	cmd       *exec.Cmd
+	fcgiAddr  string
+	ajpAddr   string
+	exit      chan error
+	buildPath string // another build
+	name      string
+	logFile   *os.File // in place of the buffer
 
 	descriptors int           // the process's limit, 0 for that of the tests
-	gone        chan struct{} // closed after the end
+	exited      chan struct{} // closed after the end
 	cfg         object
-	path        string
+	configPath  string
 	logBuffer
 }
 
@@ -145,12 +145,12 @@
 func (s *service) writeConfig() {
 	text, err := json.Marshal(s.cfg)
 	require.NoError(s.t, err)
-	require.NoError(s.t, os.WriteFile(s.path, text, 0o600))
+	require.NoError(s.t, os.WriteFile(s.configPath, text, 0o600))
 }
 
-// reload has the program read a changed file, and waits for the line that it
+// reloadConfig has the program read a changed file, and waits for the line that it
 // logs about that.
-func (s *service) reload(change func(object)) string {
+func (s *service) reloadConfig(change func(object)) string {
 	said := func() []string {
 		return slices.DeleteFunc(strings.Split(s.log(), "\n"), func(l string) bool { return !strings.Contains(l, `"msg":"configuration `) })
 	}
@@ -162,33 +162,35 @@
 	return said()[n]
 }
 
-// start runs the program with a configuration that change may alter.
-func start(t *testing.T, change func(object)) *service { return startBuild(t, "", change) }
+// startService runs the program with a configuration that change may alter.
+func startService(t *testing.T, change func(object)) *service {
+	return startServiceBuild(t, "", change)
+}
 
-// startBuild runs another build of the program.
-func startBuild(t *testing.T, build string, change func(object)) *service {
-	return startLogging(t, build, nil, change)
+// startServiceBuild runs another build of the program.
+func startServiceBuild(t *testing.T, build string, change func(object)) *service {
+	return startServiceWithLog(t, build, nil, change)
 }
 
 // testDescriptors is a field that a test may add to a configuration, and that the program
 // never sees: the limit on descriptors under which its process is started.
 const testDescriptors = "test_descriptors"
 
-// startLogging runs a build with its log going to a file or pipe in place of the buffer.
-func startLogging(t *testing.T, build string, log *os.File, change func(object)) *service {
-	s := &service{t: t, program: build, fcgi: freePort(t), ajp: freePort(t)}
-	cfg := object{"name": "n3", "listen": s.fcgi, "seed": "8c1f30d27a5be964", "stop_ms": 4000,
+// startServiceWithLog runs a build with its log going to a file or pipe in place of the buffer.
+func startServiceWithLog(t *testing.T, build string, log *os.File, change func(object)) *service {
+	s := &service{t: t, buildPath: build, fcgiAddr: freeAddr(t), ajpAddr: freeAddr(t)}
+	cfg := object{"name": "n3", "listen": s.fcgiAddr, "seed": "8c1f30d27a5be964", "stop_ms": 4000,
 		"limits":   object{"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-		"settings": settings(), "ajp": object{"listen": s.ajp, "secret": "s3"}}
+		"settings": settings(), "ajp": object{"listen": s.ajpAddr, "secret": "s3"}}
 	change(cfg)
 	s.name = fmt.Sprint(cfg["name"])
 	cfg["name"] = "in-the-file" // the environment's goes before it
-	s.cfg, s.path = cfg, filepath.Join(t.TempDir(), "config.json")
+	s.cfg, s.configPath = cfg, filepath.Join(t.TempDir(), "config.json")
 	s.descriptors, _ = cfg[testDescriptors].(int)
 	delete(cfg, testDescriptors)
 	s.writeConfig()
-	s.logTo = log
-	s.launch()
+	s.logFile = log
+	s.startProcess()
 	t.Cleanup(func() {
 		s.cmd.Process.Kill()
 		if t.Failed() {
@@ -198,20 +200,20 @@
 	return s
 }
 
-// launch starts the process, also once more after its end.
-func (s *service) launch() {
-	s.exit, s.gone = make(chan error, 1), make(chan struct{})
-	s.cmd = exec.Command(cmp.Or(s.program, program))
+// startProcess starts the process, also once more after its end.
+func (s *service) startProcess() {
+	s.exit, s.exited = make(chan error, 1), make(chan struct{})
+	s.cmd = exec.Command(cmp.Or(s.buildPath, programPath))
 	if s.descriptors > 0 {
-		s.cmd = exec.Command("sh", "-c", fmt.Sprintf(`ulimit -n %d && exec "$0"`, s.descriptors), cmp.Or(s.program, program))
+		s.cmd = exec.Command("sh", "-c", fmt.Sprintf(`ulimit -n %d && exec "$0"`, s.descriptors), cmp.Or(s.buildPath, programPath))
 	}
-	s.cmd.Env = append(os.Environ(), "BALANCER_CONFIG="+s.path, "BALANCER_NAME="+s.name)
+	s.cmd.Env = append(os.Environ(), "BALANCER_CONFIG="+s.configPath, "BALANCER_NAME="+s.name)
 	s.cmd.Stderr = s
-	if s.logTo != nil {
-		s.cmd.Stderr = s.logTo
+	if s.logFile != nil {
+		s.cmd.Stderr = s.logFile
 	}
 	require.NoError(s.t, s.cmd.Start())
-	running, exit, gone := s.cmd, s.exit, s.gone
+	running, exit, gone := s.cmd, s.exit, s.exited
 	go func() { exit <- running.Wait(); close(gone) }()
 }
 
@@ -221,13 +223,13 @@
 // Kill ends it, and waits for its end.
 func (s *service) Kill() {
 	s.cmd.Process.Kill()
-	<-s.gone
+	<-s.exited
 }
 
-// ready waits until health checks are good.
-func (s *service) ready() {
+// awaitReady waits until health checks are good.
+func (s *service) awaitReady() {
 	await(s.t, "a good health check", func() bool {
-		c, err := dialFCGI(s.fcgi)
+		c, err := dialFCGI(s.fcgiAddr)
 		if err != nil {
 			return false
 		}
@@ -242,13 +244,13 @@
 	await(s.t, "the notice", func() bool { return strings.Contains(s.log(), `"msg":"drain started"`) })
 }
 
-// drain sends the notice and waits for the end, which must be in time and good.
-func (s *service) drain() {
+// terminate sends the notice and waits for the end, which must be in time and good.
+func (s *service) terminate() {
 	require.NoError(s.t, s.cmd.Process.Signal(syscall.SIGTERM))
-	s.ended()
+	s.requireCleanExit()
 }
 
-func (s *service) ended() {
+func (s *service) requireCleanExit() {
 	select {
 	case err := <-s.exit:
 		require.NoError(s.t, err, "exit code")
@@ -257,31 +259,31 @@
 	}
 }
 
-// world is a service with its engine and records service.
-type world struct {
+// testbed is a service with its engine and records service.
+type testbed struct {
 	*service
-	engine  *engine
-	records *records
+	engine  *engineStandin
+	records *recordsStandin
 }
 
-func newWorld(t *testing.T, change func(object)) *world { return newWorldWith(t, nil, change) }
+func newTestbed(t *testing.T, change func(object)) *testbed { return newTestbedWithLog(t, nil, change) }
 
-// newWorldWith is newWorld with the service's log going to a file or pipe.
-func newWorldWith(t *testing.T, log *os.File, change func(object)) *world {
-	w := &world{engine: newEngine(t), records: newRecords(t)}
-	w.service = startLogging(t, "", log, func(cfg object) {
+// newTestbedWithLog is newWorld with the service's log going to a file or pipe.
+func newTestbedWithLog(t *testing.T, log *os.File, change func(object)) *testbed {
+	w := &testbed{engine: newEngineStandin(t), records: newRecordsStandin(t)}
+	w.service = startServiceWithLog(t, "", log, func(cfg object) {
 		cfg["engine"], cfg["records"] = w.engine.addr, w.records.addr
 		if change != nil {
 			change(cfg)
 		}
 	})
-	w.ready()
+	w.awaitReady()
 	return w
 }
 
-// linesOf reads lines of words, and the bytes after those that long picks. It ends at an empty line, which nobody sends
+// readLineProtocol reads lines of words, and the bytes after those that long picks. It ends at an empty line, which nobody sends
 // in these protocols: the client is then none of this test's program.
-func linesOf(c net.Conn, long func([]string) bool, handle func(words []string, payload []byte)) {
+func readLineProtocol(c net.Conn, long func([]string) bool, handle func(words []string, payload []byte)) {
 	r := bufio.NewReader(c)
 	for {
 		line, err := r.ReadString('\n')
@@ -305,8 +307,8 @@
 	}
 }
 
-// server accepts connections on a loopback address.
-func server(t *testing.T, serve func(net.Conn)) string {
+// startTCPServer accepts connections on a loopback address.
+func startTCPServer(t *testing.T, serve func(net.Conn)) string {
 	ln, err := testrig.ListenFree()
 	require.NoError(t, err)
 	t.Cleanup(func() { ln.Close() })
@@ -322,101 +324,101 @@
 	return ln.Addr().String()
 }
 
-// engine stands in for the engine. A run's body says what becomes of it: "ok"
+// engineStandin stands in for the engineStandin. A run's body says what becomes of it: "ok"
 // and "error" end it, "call" has it stand at a call first, "hold" waits for
 // release, "two calls" stands at one, and after the release at another.
-type engine struct {
-	addr    string
-	mu      sync.Mutex
-	conn    net.Conn
-	notices []string
-	runs    map[string]int // how often each trace began to run
-	active  map[string]bool
-	calls   map[string]string // by trace: "two" until the first of two calls has its reply
-	holds   []string
-	heard   []string
-	deaf    bool     // reads commands and does nothing
-	blind   bool     // answers no STAT
-	drops   bool     // reads RUN, and begins none
-	crosses bool     // runs end well just before their HALT is read
-	forgets int      // so many of the next links are accepted and then forgotten
-	gauged  int      // STATs that it answered
-	endsNow bool     // runs that hold end right after the next STATS sync
-	between []string // have the reply to their first call, and wait for release
-}
-
-func newEngine(t *testing.T) *engine {
-	e := &engine{runs: map[string]int{}, active: map[string]bool{}, calls: map[string]string{}}
-	e.addr = e.listen(t)
+type engineStandin struct {
+	addr                string
+	mu                  sync.Mutex
+	conn                net.Conn
+	notices             []string
+	runCounts           map[string]int // how often each trace began to run
+	active              map[string]bool
+	callStages          map[string]string // by trace: "two" until the first of two calls has its reply
+	heldTraces          []string
+	receivedCommands    []string
+	ignoresCommands     bool     // reads commands and does nothing
+	ignoresStat         bool     // answers no STAT
+	ignoresRun          bool     // reads RUN, and begins none
+	completesBeforeHalt bool     // runs end well just before their HALT is read
+	linksToIgnore       int      // so many of the next links are accepted and then forgotten
+	answeredStats       int      // STATs that it answered
+	releaseAfterSync    bool     // runs that hold end right after the next STATS sync
+	betweenCalls        []string // have the reply to their first call, and wait for release
+}
+
+func newEngineStandin(t *testing.T) *engineStandin {
+	e := &engineStandin{runCounts: map[string]int{}, active: map[string]bool{}, callStages: map[string]string{}}
+	e.addr = e.addListener(t)
 	return e
 }
 
-// listen opens one more address of the same engine.
-func (e *engine) listen(t *testing.T) string {
-	return server(t, func(c net.Conn) {
+// addListener opens one more address of the same engine.
+func (e *engineStandin) addListener(t *testing.T) string {
+	return startTCPServer(t, func(c net.Conn) {
 		e.mu.Lock()
-		if e.forgets > 0 {
-			e.forgets--
+		if e.linksToIgnore > 0 {
+			e.linksToIgnore--
 			e.mu.Unlock()
 			t.Cleanup(func() { c.Close() })
 			return
 		}
 		e.conn = c
 		e.mu.Unlock()
-		linesOf(c, func(w []string) bool { return w[0] == "RUN" || w[0] == "FEED" }, e.command)
+		readLineProtocol(c, func(w []string) bool { return w[0] == "RUN" || w[0] == "FEED" }, e.handleCommand)
 	})
 }
 
-func (e *engine) command(w []string, body []byte) {
+func (e *engineStandin) handleCommand(w []string, body []byte) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if w[0] != "STAT" {
-		e.heard = append(e.heard, strings.Join(w, " "))
+		e.receivedCommands = append(e.receivedCommands, strings.Join(w, " "))
 	}
 	switch {
-	case e.deaf, e.blind && w[0] == "STAT":
+	case e.ignoresCommands, e.ignoresStat && w[0] == "STAT":
 	case w[0] == "ATTACH":
 		n, _ := strconv.Atoi(w[1])
 		fmt.Fprintf(e.conn, "HELLO WARM 20000\r\n%s", strings.Join(e.notices[n:], ""))
 	case w[0] == "STAT":
-		e.gauged++
+		e.answeredStats++
 		fmt.Fprintf(e.conn, "STATS %s 0.1 1 0.1 1\r\n", w[1])
-		if e.endsNow && w[1] == "sync" {
-			e.releaseLocked()
+		if e.releaseAfterSync && w[1] == "sync" {
+			e.releaseHeldLocked()
 		}
-	case w[0] == "RUN" && (e.active[w[1]] || e.drops): // nothing happens
+	case w[0] == "RUN" && (e.active[w[1]] || e.ignoresRun): // nothing happens
 	case w[0] == "RUN":
-		e.runs[w[1]]++
+		e.runCounts[w[1]]++
 		e.active[w[1]] = true
 		switch string(body) {
 		case "ok":
-			e.notice("DONE %d "+w[1]+" OK 5 ", "result of "+w[1])
+			e.sendNotice("DONE %d "+w[1]+" OK 5 ", "result of "+w[1])
 		case "big":
-			e.notice("DONE %d "+w[1]+" OK 5 ", strings.Repeat("x", 4<<10))
+			e.sendNotice("DONE %d "+w[1]+" OK 5 ", strings.Repeat("x", 4<<10))
 		case "error":
-			e.notice("DONE %d "+w[1]+" ERROR 5 ", "")
+			e.sendNotice("DONE %d "+w[1]+" ERROR 5 ", "")
 		case "call", "two calls":
-			e.calls[w[1]] = strings.Fields(string(body))[0]
-			e.notice("NEED %d "+w[1]+" ", "call of "+w[1])
+			e.callStages[w[1]] = strings.Fields(string(body))[0]
+			e.sendNotice("NEED %d "+w[1]+" ", "call of "+w[1])
 		case "unknown":
 			fmt.Fprintf(e.conn, "NO RUN %s\r\n", w[1])
 		case "hold":
-			e.holds = append(e.holds, w[1])
+			e.heldTraces = append(e.heldTraces, w[1])
 		}
-	case w[0] == "FEED" && e.calls[w[1]] == "two":
-		e.calls[w[1]] = "call"
-		e.between = append(e.between, w[1])
+	case w[0] == "FEED" && e.callStages[w[1]] == "two":
+		e.callStages[w[1]] = "call"
+		e.betweenCalls = append(e.betweenCalls, w[1])
 	case w[0] == "FEED":
-		e.notice("DONE %d "+w[1]+" OK 5 ", string(body))
-	case w[0] == "HALT" && e.crosses:
-		e.notice("DONE %d "+w[1]+" OK 5 ", "result of "+w[1])
+		e.sendNotice("DONE %d "+w[1]+" OK 5 ", string(body))
+	case w[0] == "HALT" && e.completesBeforeHalt:
+		e.sendNotice("DONE %d "+w[1]+" OK 5 ", "result of "+w[1])
 	case w[0] == "HALT":
-		e.notice("DONE %d "+w[1]+" STOPPED 5 ", "")
+		e.sendNotice("DONE %d "+w[1]+" STOPPED 5 ", "")
 	}
 }
 
-// notice sends a numbered notice that ends in a payload, and keeps it.
-func (e *engine) notice(format, payload string) {
+// sendNotice sends a numbered sendNotice that ends in a payload, and keeps it.
+func (e *engineStandin) sendNotice(format, payload string) {
 	n := fmt.Sprintf(format, len(e.notices)+1) + fmt.Sprintf("%d\r\n%s\r\n", len(payload), payload)
 	e.notices = append(e.notices, n)
 	if w := strings.Fields(n); w[0] == "DONE" {
@@ -425,38 +427,38 @@
 	e.conn.Write([]byte(n))
 }
 
-// release ends all runs that are held, last first.
-func (e *engine) release() {
+// releaseHeld ends all runs that are held, last first.
+func (e *engineStandin) releaseHeld() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.releaseLocked()
+	e.releaseHeldLocked()
 }
 
-func (e *engine) releaseLocked() {
-	for i := len(e.holds) - 1; i >= 0; i-- {
-		e.notice("DONE %d "+e.holds[i]+" OK 5 ", "result of "+e.holds[i])
+func (e *engineStandin) releaseHeldLocked() {
+	for i := len(e.heldTraces) - 1; i >= 0; i-- {
+		e.sendNotice("DONE %d "+e.heldTraces[i]+" OK 5 ", "result of "+e.heldTraces[i])
 	}
-	e.holds = nil
-	for _, trace := range e.between {
-		e.notice("NEED %d "+trace+" ", "second call of "+trace)
+	e.heldTraces = nil
+	for _, trace := range e.betweenCalls {
+		e.sendNotice("NEED %d "+trace+" ", "second call of "+trace)
 	}
-	e.between = nil
+	e.betweenCalls = nil
 }
 
-func (e *engine) held() int {
+func (e *engineStandin) heldRuns() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return len(e.holds)
+	return len(e.heldTraces)
 }
 
-// heardOf counts the commands that start so.
-func (e *engine) heardOf(start string) int {
+// countReceived counts the commands that start so.
+func (e *engineStandin) countReceived(startService string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return countOf(e.heard, start)
+	return countWithPrefix(e.receivedCommands, startService)
 }
 
-func countOf(lines []string, start string) (n int) {
+func countWithPrefix(lines []string, start string) (n int) {
 	for _, l := range lines {
 		if strings.HasPrefix(l, start) {
 			n++
@@ -465,42 +467,42 @@
 	return n
 }
 
-// records stands in for the records service: reply says how calls end. What is
+// recordsStandin stands in for the recordsStandin service: reply says how calls end. What is
 // no word of the protocol is sent as it is, with the call's trace for %s.
-type records struct {
-	addr  string
-	mu    sync.Mutex
-	reply string
-	once  string // in its place, for one call
-	heard []string
-	conns int
-	ended int // of them
-	last  net.Conn
-	asked string // latest trace
-}
-
-// answer gives the latest call a reply that was held back.
-func (r *records) answer(body string) {
+type recordsStandin struct {
+	addr          string
+	mu            sync.Mutex
+	reply         string
+	nextReply     string // in its place, for one call
+	receivedLines []string
+	acceptedConns int
+	closedConns   int // of them
+	lastConn      net.Conn
+	lastTrace     string // latest trace
+}
+
+// replyToLast gives the latest call a reply that was held back.
+func (r *recordsStandin) replyToLast(body string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	fmt.Fprintf(r.last, "%s DONE %d\r\n%s\r\n", r.asked, len(body), body)
+	fmt.Fprintf(r.lastConn, "%s DONE %d\r\n%s\r\n", r.lastTrace, len(body), body)
 }
 
-func newRecords(t *testing.T) *records {
-	r := &records{reply: "DONE"}
-	r.addr = server(t, func(c net.Conn) {
-		r.count(&r.conns)
-		defer r.count(&r.ended)
-		linesOf(c, func(w []string) bool { return w[0] == "OP" }, func(w []string, body []byte) {
+func newRecordsStandin(t *testing.T) *recordsStandin {
+	r := &recordsStandin{reply: "DONE"}
+	r.addr = startTCPServer(t, func(c net.Conn) {
+		r.increment(&r.acceptedConns)
+		defer r.increment(&r.closedConns)
+		readLineProtocol(c, func(w []string) bool { return w[0] == "OP" }, func(w []string, body []byte) {
 			r.mu.Lock()
 			defer r.mu.Unlock()
-			r.heard = append(r.heard, strings.Join(w, " "))
+			r.receivedLines = append(r.receivedLines, strings.Join(w, " "))
 			if w[0] != "OP" {
 				return
 			}
-			r.last, r.asked = c, w[1]
-			reply := cmp.Or(r.once, r.reply)
-			r.once = ""
+			r.lastConn, r.lastTrace = c, w[1]
+			reply := cmp.Or(r.nextReply, r.reply)
+			r.nextReply = ""
 			switch reply {
 			case "DONE":
 				fmt.Fprintf(c, "%s DONE %d\r\n%s\r\n", w[1], len(body)+6, "reply:"+string(body))
@@ -524,32 +526,32 @@
 	return r
 }
 
-func (r *records) count(n *int) {
+func (r *recordsStandin) increment(n *int) {
 	r.mu.Lock()
 	*n++
 	r.mu.Unlock()
 }
 
-func (r *records) closed() int {
+func (r *recordsStandin) closedCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.ended
+	return r.closedConns
 }
 
-func (r *records) setOnce(reply string) {
+func (r *recordsStandin) setNextReply(reply string) {
 	r.mu.Lock()
-	r.once, r.reply = reply, "DONE"
+	r.nextReply, r.reply = reply, "DONE"
 	r.mu.Unlock()
 }
 
-func (r *records) set(reply string) {
+func (r *recordsStandin) setReply(reply string) {
 	r.mu.Lock()
 	r.reply = reply
 	r.mu.Unlock()
 }
 
-func (r *records) heardOf(start string) int {
+func (r *recordsStandin) countReceived(start string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return countOf(r.heard, start)
+	return countWithPrefix(r.receivedLines, start)
 }
--- a/tests/ramp_test.go
+++ b/tests/ramp_test.go
@@ -20,20 +20,20 @@
 // sharedUpstream is an AJP server that many services send to, and that notes how many runs
 // it has on its cores. It can end and start again at its address.
 type sharedUpstream struct {
-	t    *testing.T
-	addr string
-	work time.Duration // of each run
+	t           *testing.T
+	addr        string
+	runDuration time.Duration // of each run
 
-	mu      sync.Mutex
-	ln      net.Listener
-	conns   map[net.Conn]bool
-	running int
-	changes []runsAt // since the latest start
-	done    int
+	mu              sync.Mutex
+	ln              net.Listener
+	conns           map[net.Conn]bool
+	running         int
+	runCountChanges []runCountChange // since the latest start
+	completedRuns   int
 }
 
-// runsAt is how many runs there were from a moment on.
-type runsAt struct {
+// runCountChange is how many runs there were from a moment on.
+type runCountChange struct {
 	at   time.Time
 	runs int
 }
@@ -42,8 +42,8 @@
 	ln, err := net.Listen("tcp", u.addr)
 	require.NoError(u.t, err)
 	u.mu.Lock()
-	u.ln, u.conns, u.running, u.done = ln, map[net.Conn]bool{}, 0, 0
-	u.changes = []runsAt{{time.Now(), 0}}
+	u.ln, u.conns, u.running, u.completedRuns = ln, map[net.Conn]bool{}, 0, 0
+	u.runCountChanges = []runCountChange{{time.Now(), 0}}
 	u.mu.Unlock()
 	go func() {
 		for {
@@ -66,8 +66,8 @@
 	}()
 }
 
-// end closes its address and all its connections.
-func (u *sharedUpstream) end() {
+// stop closes its address and all its connections.
+func (u *sharedUpstream) stop() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.ln.Close()
@@ -77,8 +77,8 @@
 	u.conns = nil
 }
 
-// change notes that a run has begun or ended on a connection of the present life.
-func (u *sharedUpstream) change(c net.Conn, by int) {
+// addRuns notes that a run has begun or ended on a connection of the present life.
+func (u *sharedUpstream) addRuns(c net.Conn, by int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if !u.conns[c] {
@@ -86,16 +86,16 @@
 	}
 	u.running += by
 	if by < 0 {
-		u.done++
+		u.completedRuns++
 	}
-	u.changes = append(u.changes, runsAt{time.Now(), u.running})
+	u.runCountChanges = append(u.runCountChanges, runCountChange{time.Now(), u.running})
 }
 
 func (u *sharedUpstream) serve(raw net.Conn) {
 	defer raw.Close()
-	c := &ajp{Conn: raw, r: bufio.NewReader(raw)}
+	c := &ajpConn{Conn: raw, r: bufio.NewReader(raw)}
 	for {
-		p, err := c.packet()
+		p, err := c.readPacket()
 		if err != nil {
 			return
 		}
@@ -103,42 +103,42 @@
 			c.Write(ajpPacket("AB", []byte{9}))
 			continue
 		}
-		if _, err := c.packet(); err != nil { // the body
+		if _, err := c.readPacket(); err != nil { // the body
 			return
 		}
-		u.change(raw, 1)
-		time.Sleep(u.work)
-		u.change(raw, -1)
-		c.Write(ajpPacket("AB", append(ajpString([]byte{4, 0, 200}, "OK"), 0, 0)))
+		u.addRuns(raw, 1)
+		time.Sleep(u.runDuration)
+		u.addRuns(raw, -1)
+		c.Write(ajpPacket("AB", append(appendAJPString([]byte{4, 0, 200}, "OK"), 0, 0)))
 		c.Write(ajpPacket("AB", []byte{3, 0, 2, 'o', 'k', 0}))
 		c.Write(ajpPacket("AB", []byte{5, 1}))
 	}
 }
 
-// most is the largest mean of runs in any window since the start, over what is allowed then.
-func (u *sharedUpstream) most(window time.Duration, allowed func(age time.Duration) float64) (excess, mean float64) {
+// maxExcess is the largest mean of runs in any window since the start, over what is allowed then.
+func (u *sharedUpstream) maxExcess(window time.Duration, allowed func(age time.Duration) float64) (excess, mean float64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	began := u.changes[0].at
+	began := u.runCountChanges[0].at
 	excess = math.Inf(-1)
-	for i, end := range u.changes {
+	for i, end := range u.runCountChanges {
 		from, sum := end.at.Add(-window), 0.0
 		for j := i; j > 0; j-- {
-			begin := u.changes[j-1].at
+			begin := u.runCountChanges[j-1].at
 			if begin.Before(from) {
 				begin = from
 			}
-			sum += u.changes[j].at.Sub(begin).Seconds() * float64(u.changes[j-1].runs)
-			if u.changes[j-1].at.Before(from) {
+			sum += u.runCountChanges[j].at.Sub(begin).Seconds() * float64(u.runCountChanges[j-1].runs)
+			if u.runCountChanges[j-1].at.Before(from) {
 				break
 			}
 		}
 		mean := sum / window.Seconds()
 		excess = max(excess, mean-allowed(end.at.Sub(began)))
 	}
-	last := u.changes[len(u.changes)-1].at.Sub(began).Seconds()
-	for i := 1; i < len(u.changes); i++ {
-		mean += u.changes[i].at.Sub(u.changes[i-1].at).Seconds() * float64(u.changes[i-1].runs) / last
+	last := u.runCountChanges[len(u.runCountChanges)-1].at.Sub(began).Seconds()
+	for i := 1; i < len(u.runCountChanges); i++ {
+		mean += u.runCountChanges[i].at.Sub(u.runCountChanges[i-1].at).Seconds() * float64(u.runCountChanges[i-1].runs) / last
 	}
 	return excess, mean
 }
@@ -150,12 +150,12 @@
 func TestColdServerUnderThirty(t *testing.T) {
 	const services, callers = 30, 3
 	limits := slowstart.Config{Cores: 2, MaxRunsPerCore: 8, MinSpeed: 0.2, Duration: 5 * time.Second, AveragingWindow: time.Second, Processes: services}
-	u := &sharedUpstream{t: t, addr: freePort(t), work: 100 * time.Millisecond}
+	u := &sharedUpstream{t: t, addr: freeAddr(t), runDuration: 100 * time.Millisecond}
 	u.start()
-	t.Cleanup(u.end)
+	t.Cleanup(u.stop)
 	var all []*service
 	for i := range services {
-		all = append(all, start(t, func(cfg object) {
+		all = append(all, startService(t, func(cfg object) {
 			cfg["name"], cfg["seed"] = fmt.Sprint("n", i), fmt.Sprintf("%x", 1000+i)
 			cfg["ajp"] = object{"upstreams": []string{u.addr}}
 			cfg["settings"].(object)["servers"] = services
@@ -168,12 +168,12 @@
 	var ended atomic.Bool
 	var load sync.WaitGroup
 	for _, s := range all {
-		s.ready()
+		s.awaitReady()
 		for range callers {
 			load.Go(func() {
 				for !ended.Load() {
-					if c, err := dialFCGI(s.fcgi); err == nil {
-						c.do("/call/balance-view", fieldsOf(newTrace()), []byte("ok"))
+					if c, err := dialFCGI(s.fcgiAddr); err == nil {
+						c.do("/call/balance-view", requestHeaders(newTraceID()), []byte("ok"))
 						c.Close()
 					}
 				}
@@ -181,14 +181,18 @@
 		}
 	}
 	t.Cleanup(func() { ended.Store(true); load.Wait() })
-	await(t, "load", func() bool { u.mu.Lock(); defer u.mu.Unlock(); return u.done > 10*services })
-	u.end()
+	await(t, "load", func() bool { u.mu.Lock(); defer u.mu.Unlock(); return u.completedRuns > 10*services })
+	u.stop()
 	for _, s := range all {
 		await(t, "the news of the end", func() bool { return strings.Contains(s.log(), "upstream not reached") })
 	}
 	u.start()
-	await(t, "a warm server", func() bool { u.mu.Lock(); defer u.mu.Unlock(); return time.Since(u.changes[0].at) > limits.Duration })
-	excess, mean := u.most(limits.AveragingWindow, func(age time.Duration) float64 {
+	await(t, "a warm server", func() bool {
+		u.mu.Lock()
+		defer u.mu.Unlock()
+		return time.Since(u.runCountChanges[0].at) > limits.Duration
+	})
+	excess, mean := u.maxExcess(limits.AveragingWindow, func(age time.Duration) float64 {
 		n := limits.MaxRuns(age)
 		return n + 2*math.Sqrt(n) + 2
 	})
--- a/tests/ready_test.go
+++ b/tests/ready_test.go
@@ -13,14 +13,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// readyMost is the operators' term for nine in ten restarted processes.
-const readyMost = 10 * time.Second
+// maxReadyTime is the operators' term for nine in ten restarted processes.
+const maxReadyTime = 10 * time.Second
 
-// readyWithin tells how long a service takes to a good health check, if it is ready in time.
-func (s *service) readyWithin(most time.Duration) (time.Duration, bool) {
+// awaitReadyWithin tells how long a service takes to a good health check, if it is ready in time.
+func (s *service) awaitReadyWithin(most time.Duration) (time.Duration, bool) {
 	began := time.Now()
 	for time.Since(began) < most {
-		if c, err := dialFCGI(s.fcgi); err == nil {
+		if c, err := dialFCGI(s.fcgiAddr); err == nil {
 			a, err := c.do("/ping", nil, nil)
 			c.Close()
 			if err == nil && a.status == 200 {
@@ -34,7 +34,7 @@
 
 // silentServer accepts connections, and neither reads nor writes.
 func silentServer(t *testing.T) string {
-	return server(t, func(c net.Conn) { t.Cleanup(func() { c.Close() }) })
+	return startTCPServer(t, func(c net.Conn) { t.Cleanup(func() { c.Close() }) })
 }
 
 // TestReadyAfterRestart: services are killed and started again while the first link to the
@@ -44,16 +44,16 @@
 	t.Parallel()
 	const services, withStore = 10, 4
 	var all []*service
-	var engines []*engine
+	var engines []*engineStandin
 	for i := range services {
-		e := newEngine(t)
+		e := newEngineStandin(t)
 		engines = append(engines, e)
-		s := start(t, func(cfg object) {
-			cfg["engine"], cfg["records"], cfg["lookup"] = e.addr, freePort(t), freePort(t)
+		s := startService(t, func(cfg object) {
+			cfg["engine"], cfg["records"], cfg["lookup"] = e.addr, freeAddr(t), freeAddr(t)
 			if i < withStore {
 				cfg["store"] = object{"node": "s1", "dir": t.TempDir(), "peers": []object{
-					{"name": "s1", "raft": freePort(t), "admin": freePort(t)},
-					{"name": "s2", "raft": freePort(t), "admin": freePort(t)},
+					{"name": "s1", "raft": freeAddr(t), "admin": freeAddr(t)},
+					{"name": "s2", "raft": freeAddr(t), "admin": freeAddr(t)},
 					{"name": "s3", "raft": silentServer(t), "admin": silentServer(t)},
 				}, "sql": object{"driver": "postgres", "dsn": fmt.Sprintf("postgres://u:p@%s/x?sslmode=disable", silentServer(t))}}
 			}
@@ -65,23 +65,23 @@
 	inTime := make([]bool, services)
 	for i, s := range all {
 		wait.Go(func() {
-			s.readyWithin(patience)
+			s.awaitReadyWithin(awaitTimeout)
 			s.Kill()
 			engines[i].mu.Lock()
-			engines[i].forgets = 1
+			engines[i].linksToIgnore = 1
 			engines[i].mu.Unlock()
-			holder, err := net.Listen("tcp", s.fcgi) // a predecessor that still drains
+			holder, err := net.Listen("tcp", s.fcgiAddr) // a predecessor that still drains
 			if !assert.NoError(t, err) {
 				return
 			}
-			s.launch()
+			s.startProcess()
 			go func() { // gone some time after it was found there
 				for !strings.Contains(s.log(), "address in use, retrying") {
 					time.Sleep(time.Millisecond)
 				}
 				holder.Close()
 			}()
-			took[i], inTime[i] = s.readyWithin(readyMost)
+			took[i], inTime[i] = s.awaitReadyWithin(maxReadyTime)
 		})
 	}
 	wait.Wait()
@@ -104,14 +104,14 @@
 	require.NoError(t, err)
 	defer holder.Close()
 	held := func(cfg object) {
-		cfg["listen"], cfg["engine"], cfg["stop_ms"] = holder.Addr().String(), newEngine(t).addr, 500
+		cfg["listen"], cfg["engine"], cfg["stop_ms"] = holder.Addr().String(), newEngineStandin(t).addr, 500
 	}
-	s := start(t, held)
+	s := startService(t, held)
 	await(t, "the first try", func() bool { return strings.Contains(s.log(), "address in use, retrying") })
 	require.NoError(t, s.Signal(syscall.SIGTERM))
 	assert.NoError(t, <-s.exit)
 
-	s = start(t, held)
+	s = startService(t, held)
 	assert.EqualError(t, <-s.exit, "exit status 2")
 	assert.Contains(t, s.log(), "listen: listen tcp "+holder.Addr().String()+": bind: address already in use")
 	assert.Equal(t, 1, strings.Count(s.log(), "address in use, retrying"))
--- a/tests/rejections_test.go
+++ b/tests/rejections_test.go
@@ -19,7 +19,7 @@
 }
 
 // rejectionLines are the lines of the service's log on rejected requests.
-func (w *world) rejectionLines() (lines []rejectionLine) {
+func (w *testbed) rejectionLines() (lines []rejectionLine) {
 	for text := range strings.Lines(w.log()) {
 		var line rejectionLine
 		if json.Unmarshal([]byte(text), &line) == nil && line.Msg == "requests rejected by the admission controller" {
@@ -33,26 +33,26 @@
 // crowd of rejected requests fills it.
 func TestLogNamesRuleOfRejections(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, nil)
-	c := &callers{w: w, dial: protocols["fastcgi"], count: map[string]int{}}
+	w := newTestbed(t, nil)
+	c := &callerGroup{w: w, dial: protocolDialers["fastcgi"], outcomeCounts: map[string]int{}}
 	const fit = 20
 	for i := range fit {
 		c.send("nom-update", "hold")
-		await(t, "a run", func() bool { return w.engine.held() == i+1 })
+		await(t, "a run", func() bool { return w.engine.heldRuns() == i+1 })
 	}
 
-	require.Equal(t, 503, w.status("balance-view", "ok"))
+	require.Equal(t, 503, w.responseStatus("balance-view", "ok"))
 	first := rejectionLine{Msg: "requests rejected by the admission controller", Class: "balance-view", Reason: "memory_full", Count: 1}
 	await(t, "a line", func() bool { return len(w.rejectionLines()) > 0 })
 	require.Equal(t, first, w.rejectionLines()[0])
 
 	const crowd = 300
 	began := time.Now()
-	connection, err := dialFCGI(w.fcgi)
+	connection, err := dialFCGI(w.fcgiAddr)
 	require.NoError(t, err)
 	defer connection.Close()
 	for range crowd {
-		a, err := connection.do("/call/balance-view", fieldsOf(newTrace()), []byte("ok"))
+		a, err := connection.do("/call/balance-view", requestHeaders(newTraceID()), []byte("ok"))
 		require.NoError(t, err)
 		require.Equal(t, 503, a.status)
 	}
@@ -70,7 +70,7 @@
 		assert.Equal(t, first.Class, line.Class)
 		assert.Equal(t, first.Reason, line.Reason)
 	}
-	w.engine.release()
-	c.settled(fit)
-	w.drain()
+	w.engine.releaseHeld()
+	c.awaitOutcomes(fit)
+	w.terminate()
 }
