--- a/tests/soak_faults_test.go
+++ b/tests/soak_faults_test.go
@@ -47,7 +47,7 @@
 	case kind < 16:
 		s.pause(time.Duration(rng.IntN(120)) * time.Millisecond)
 	case kind < 18:
-		s.runner.drawLink(rng).SetMode(testrig.LinkMode{GarbleResponses: s.runner.drawMalformed(rng)})
+		s.runner.drawLink(rng).SetMode(testrig.LinkMode{ResponseGarbage: s.runner.drawMalformed(rng)})
 	case kind < 21:
 		s.injectRecordsFault(rng)
 	default:
@@ -65,7 +65,7 @@
 		time.Sleep(time.Duration(rng.IntN(100)) * time.Millisecond)
 		s.records.link.SetMode(testrig.LinkMode{})
 	case 1:
-		s.records.link.SetMode(testrig.LinkMode{GarbleResponses: malformedReplies[rng.IntN(len(malformedReplies))]})
+		s.records.link.SetMode(testrig.LinkMode{ResponseGarbage: malformedReplies[rng.IntN(len(malformedReplies))]})
 	default:
 		s.records.addLink(s.t)
 		s.reconfigure("records", s.records.link.Addr)
