--- a/internal/cluster/backup/backup.go
+++ b/internal/cluster/backup/backup.go
@@ -19,8 +19,8 @@
 const (
 	formatName             = "oxbowbridge-backup-1"
 	maxHeaderBytes         = 1 << 10
-	maxEscapedBytesPerByte = 6  // encoded size of one byte of a key, as \u00XX
-	maxEntryOverheadBytes  = 64 // of one line, without key and value
+	maxEscapedBytesPerByte = 6  // maximum encoded size of one byte of a key, as \u00XX
+	maxEntryOverheadBytes  = 64 // maximum size of an entry's line without key and value
 )
 
 // ErrCorrupt means that a file is not a backup, or was truncated or modified.
@@ -41,7 +41,7 @@
 // Entry is one key of a backup. Entries are sorted by key.
 type Entry struct {
 	Key      string          `json:"key"`
-	Revision uint64          `json:"revision"` // in the cluster that the backup was taken from
+	Revision uint64          `json:"revision"` // revision of the key in the cluster that the backup was taken from
 	Value    json.RawMessage `json:"value"`
 }
 
--- a/internal/cluster/diskidentity/attesters.go
+++ b/internal/cluster/diskidentity/attesters.go
@@ -59,8 +59,8 @@
 }
 
 // showsReplacementOf reports whether an attestation proves that a member's node has another disk, which belongs to
-// this cluster or to none. An attestation by a node with another name proves nothing: that node answers at the
-// member's address.
+// this cluster or to none. An attestation by a node with another name proves nothing: it
+// means only that another node answers at the member's address.
 func (a *Attestation) showsReplacementOf(id, cluster string) bool {
 	sameNode := MemberName(a.ID) == MemberName(id) && MemberDisk(a.ID) != ""
 	return sameNode && (a.Cluster == "" || a.Cluster == cluster)
@@ -81,8 +81,8 @@
 	return min(required, max(majority, others-len(tally.replaced)))
 }
 
-// waitReason returns the reason for VerdictWait if need attestations are required: the voters whose attestations
-// are missing, and what operators can do.
+// waitReason returns the reason for VerdictWait if the disk needs the attestations of need other voters. The reason
+// names the voters whose attestations are missing, and what operators can do.
 func (t *attesterTally) waitReason(need int) Reason {
 	stillNeeded := need - len(t.attested)
 	if stillNeeded > len(t.missing) {
--- a/internal/cluster/kv/keys.go
+++ b/internal/cluster/kv/keys.go
@@ -9,8 +9,8 @@
 	ClusterIDKey         = ReservedPrefix + "id"       // the cluster's id, which never changes
 	RestoreMarkerKey     = ReservedPrefix + "restore"  // exists during a restore and identifies the backup
 	PreviousClustersKey  = ReservedPrefix + "was"      // ids of the clusters that this cluster was recovered from
-	RemovedMemberPrefix  = ReservedPrefix + "removed/" // + name of a node that an operator removed
-	PreferredVoterPrefix = ReservedPrefix + "prefer/"  // + name of a node that should be a voter
+	RemovedMemberPrefix  = ReservedPrefix + "removed/" // followed by the name of a node that an operator removed
+	PreferredVoterPrefix = ReservedPrefix + "prefer/"  // followed by the name of a node that operators prefer as a voter
 	LeasesEnabledKey     = ReservedPrefix + "leases"   // exists once all members support leases
 	ServiceStatePrefix   = "state/"                    // status reports of services; a restore skips them
 )
--- a/internal/cluster/kv/request.go
+++ b/internal/cluster/kv/request.go
@@ -54,7 +54,7 @@
 	TimeMS        int64                `json:"time_ms"`           // timestamp that the leader set, Unix milliseconds
 	OpenSession   bool                 `json:"open,omitempty"`    // if true, all other fields but TimeMS are ignored
 	LeaseOps      []lease.Op           `json:"leases,omitempty"`  // applied independently of each other
-	TokenFloor    uint64               `json:"floor,omitempty"`   // later fencing tokens are higher; 0: no floor
+	TokenFloor    uint64               `json:"floor,omitempty"`   // all later fencing tokens are higher; 0 means no floor
 	Fences        []lease.FencingToken `json:"fence,omitempty"`   // leases that must be held, else ErrFenced
 	SessionID     uint64               `json:"session,omitempty"` // session of the request; 0 if it has none
 	RequestNumber uint64               `json:"number,omitempty"`  // from 1, ascending in the session
--- a/internal/cluster/lease/model_test.go
+++ b/internal/cluster/lease/model_test.go
@@ -41,7 +41,7 @@
 
 const (
 	sent     messageStage = iota // in flight to a leader
-	arrived                      // at a leader that has not confirmed its leadership since
+	arrived                      // at a leader that has not confirmed its leadership since the arrival
 	answered                     // answer in flight to the holder
 )
 
@@ -104,7 +104,7 @@
 	useResource, noFencing                                                      bool          // holders act on a resource, possibly after their deadline
 	operatorOps                                                                 bool          // leases are also revoked and handed over
 	holderTick, leaderTick                                                      time.Duration // duration of a tick by a holder's clock and by the leader's clock
-	tokenLimit                                                                  uint16        // states that issue this token are not explored
+	tokenLimit                                                                  uint16        // states in which this token was issued are not explored
 	messagesPerHolder                                                           int           // messages in flight for one holder at a time
 }
 
--- a/internal/cluster/leaseclient/check.go
+++ b/internal/cluster/leaseclient/check.go
@@ -10,7 +10,7 @@
 	"oxbowbridge/internal/cluster/storeclient"
 )
 
-const checkAttemptTimeout = 500 * time.Millisecond // for one node's answer to a request of Check
+const checkAttemptTimeout = 500 * time.Millisecond // timeout of one request that Check sends to a node
 
 // Check asks the store whether the lease is still held under this token. A holder that stopped because no
 // keep-alive was answered calls it to report the cause; a nil result does not allow the holder to act again.
--- a/internal/cluster/leaseclient/lease.go
+++ b/internal/cluster/leaseclient/lease.go
@@ -95,10 +95,10 @@
 	token := l.state.Release()
 	l.cancelContext(fmt.Errorf("%w: %s", ErrReleased, l.Name))
 	m.mu.Unlock()
-	defer m.unregister(l) // deferred: no new lease with this name before the store has released it or ctx has ended
+	defer m.unregister(l) // deferred: this process can't acquire the lease again before the store has released it or ctx has ended
 	return m.callUntilFinal(ctx, func(node *storeclient.Client) (bool, error) {
 		err := node.ReleaseLease(ctx, l.Name, token, "")
-		if err == nil || isNotHeld(err) { // an earlier attempt released it and its answer was lost, or it expired
+		if err == nil || isNotHeld(err) { // an earlier attempt released the lease and its answer was lost, or the lease has expired
 			return true, nil
 		}
 		return isRejected(err), err
--- a/internal/cluster/leaseclient/manager.go
+++ b/internal/cluster/leaseclient/manager.go
@@ -13,7 +13,7 @@
 
 const (
 	maxRequestWait = 10 * time.Second       // maximum queueing time of one request; the request is then repeated
-	releaseTimeout = 500 * time.Millisecond // to release a lease when a task or the manager ends; short, as it delays the shutdown
+	releaseTimeout = 500 * time.Millisecond // timeout for a release when a task or the manager ends; short, as it delays the shutdown
 )
 
 // Manager acquires and renews the leases of a process. It is safe for concurrent use.
--- a/internal/cluster/membership/lost_disks_model_test.go
+++ b/internal/cluster/membership/lost_disks_model_test.go
@@ -7,7 +7,7 @@
 // prefixes of one history until an acknowledged entry is lost, which is the failure that the model searches for.
 const (
 	maxNodes       = 5
-	maxGenerations = 3 // successive disks of a node
+	maxGenerations = 3 // maximum number of successive disks of a node
 	maxLogLength   = 6
 )
 
--- a/internal/cluster/membership/lost_disks_test.go
+++ b/internal/cluster/membership/lost_disks_test.go
@@ -66,7 +66,7 @@
 	return found
 }
 
-// record stores the number of events of a failure that transition x is the first to show.
+// record stores the number of events for each kind of failure that transition x shows and no earlier transition did.
 func (e *exploration) record(x transition, events int) {
 	if x.outcome != converged && e.lostAfter == 0 {
 		e.lostAfter = events
@@ -83,7 +83,8 @@
 //   - If member IDs are names only, a wiped folder loses entries.
 //   - If member IDs contain the disk identity, wiped folders lose no entry within the depth.
 //   - One folder rolled back to an older backup loses no entry if all other voters must attest a disk. If a
-//     majority is enough, the shortest loss found is the one that can't be told apart from a power failure of all nodes.
+//     majority is enough, the shortest sequence of events that loses an entry is one that the nodes can't distinguish
+//     from a power failure of all nodes.
 func TestLostDisks(t *testing.T) {
 	t.Parallel()
 	for n := 3; n <= maxNodes; n++ {
--- a/internal/cluster/membership/step.go
+++ b/internal/cluster/membership/step.go
@@ -49,7 +49,7 @@
 }
 
 // demoteLostDisk demotes a voter whose disk is lost without waiting for a replacement: the disk can't
-// return, and its vote counts towards the majority that is needed.
+// return, and as long as the member is a voter, it raises the number of votes that a majority needs.
 func (p Policy) demoteLostDisk(v View, c voterCounts) Step {
 	for _, m := range v.Members {
 		if m.Role == Voter && m.DiskLost && p.keepsQuorumWithout(c, m) {
--- a/internal/cluster/membership/view.go
+++ b/internal/cluster/membership/view.go
@@ -17,7 +17,7 @@
 // Member is the state of one member as the leader observes it.
 type Member struct {
 	ID            string
-	Zone          string // failure domain; "" is a zone of its own
+	Zone          string // failure domain; members with "" share one
 	Role          Role
 	Up            bool
 	DownFor       time.Duration // 0 if the member is up
--- a/internal/cluster/store/errors.go
+++ b/internal/cluster/store/errors.go
@@ -98,5 +98,5 @@
 var (
 	errWrongMember = errors.New("another is meant")
 	errHandshake   = errors.New("greeting can't be read")
-	errStaleTerm   = errors.New("the term is over")
+	errStaleTerm   = errors.New("request is for a term that this node has left")
 )
--- a/internal/cluster/store/lease_requests.go
+++ b/internal/cluster/store/lease_requests.go
@@ -102,8 +102,8 @@
 	return l, lease.ErrHeld // the lease was granted by the entry, and has ended or changed holder since
 }
 
-// RenewLeases renews leases, and returns the names of those whose token is no longer the current one in
-// lost. It returns ErrNoLeader on any node but the leader.
+// RenewLeases renews leases. lost has the names of the leases whose token is no longer the current one. The
+// error is ErrNoLeader on any node but the leader.
 func (s *Store) RenewLeases(ctx context.Context, list []lease.FencingToken) (renewed map[string]lease.Lease, lost []string, err error) {
 	receivedAt := s.leases.now()
 	deadlines, err := s.confirmedDeadlines(ctx)
@@ -141,8 +141,8 @@
 	return response.LeaseResults[0].Err()
 }
 
-// Leases returns the held leases, or the one named only, and the time until each expires without a
-// renewal. It returns ErrNoLeader on any node but the leader.
+// Leases returns the held leases, or only the one named nameFilter, and the time until each expires without
+// a renewal. It returns ErrNoLeader on any node but the leader.
 func (s *Store) Leases(ctx context.Context, nameFilter string) (all map[string]lease.Lease, remaining map[string]time.Duration, err error) {
 	deadlines, err := s.confirmedDeadlines(ctx)
 	if err != nil {
--- a/internal/cluster/store/lease_service.go
+++ b/internal/cluster/store/lease_service.go
@@ -186,7 +186,7 @@
 		}
 		report, recent := s.peers.lastReport(diskidentity.MemberName(id))
 		if !recent || report.ID != id || !report.SupportsLeases {
-			return fmt.Errorf("%w: member %s has not reported support for leases", ErrLeasesUnavailable, id)
+			return fmt.Errorf("%w: not known of %s", ErrLeasesUnavailable, id)
 		}
 	}
 	_, err := s.Execute(kv.Request{
--- a/internal/cluster/store/mirror.go
+++ b/internal/cluster/store/mirror.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	mirrorInterval   = time.Second     // between two synchronizations if no entry is applied meanwhile
+	mirrorInterval   = time.Second     // time between two synchronizations if no entry is applied meanwhile
 	maxMirrorBackoff = 5 * time.Second // maximum pause between two attempts while the database fails
 	// mirrorAbandonAfter is how long writes may fail before the node releases the mirror's lease. The
 	// database may be unreachable for this node only, so that another node may succeed.
--- a/internal/cluster/store/mirror_session.go
+++ b/internal/cluster/store/mirror_session.go
@@ -130,7 +130,7 @@
 	return nil
 }
 
-// importMissing writes keys that only the database has to the store.
+// importMissing adds the keys that only the database has to the store.
 func (m *mirrorSession) importMissing(ctx context.Context) error {
 	if _, err := m.store.WaitFresh(ctx, Freshness{}); err != nil {
 		return fmt.Errorf("wait for the log: %w", err)
--- a/internal/cluster/store/read_index.go
+++ b/internal/cluster/store/read_index.go
@@ -12,8 +12,8 @@
 	"oxbowbridge/internal/cluster/storeapi"
 )
 
-// readIndexResult is a read index. At the time at, when the index was requested, the cluster had committed
-// no entry above it.
+// readIndexResult is a read index and the time at which it was requested. At that time the cluster had
+// committed no entry with a higher index.
 type readIndexResult struct {
 	index uint64
 	at    time.Time
--- a/internal/cluster/store/replicated_state.go
+++ b/internal/cluster/store/replicated_state.go
@@ -28,7 +28,7 @@
 	checksums  kv.ChecksumHistory // recent checksums, to compare with those of other voters
 	listeners  []changeListener
 	advanced   chan struct{} // closed when the next entry is applied
-	mirrorWake chan struct{} // capacity 1: holds a token if an entry was applied since the mirror last received it
+	mirrorWake chan struct{} // capacity 1: holds a token if an entry was applied since the mirror last received a token
 
 	// onLeaseGranted is called without the lock when a lease is granted to a waiting holder.
 	onLeaseGranted func(name, holder string)
@@ -137,7 +137,7 @@
 	return s.data.LogTimeMS
 }
 
-// sessionCount returns the number of open sessionCount.
+// sessionCount returns the number of open sessions.
 func (s *replicatedState) sessionCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/cluster/store/storage_test.go
+++ b/internal/cluster/store/storage_test.go
@@ -55,8 +55,8 @@
 }
 
 // faultyReplacementOpener returns an opener that opens the damaged folder normally, and its replacement
-// with a fault. The first step changes to the replacement's files succeed and all later ones fail, as
-// after a crash. failed is set when the fault occurs.
+// with a fault. step is the number of creates, writes and syncs in the replacement that succeed; all later
+// ones fail, as after a crash. failed is set when the fault occurs.
 func faultyReplacementOpener(fault string, step int64, failed *atomic.Bool) folderOpener {
 	opened := 0
 	return func(dir string) (*raftstorage.Storage, *durable.Report, error) {
@@ -108,7 +108,7 @@
 	s := newDamagedStore(t)
 	loggedLines := 0
 	core, _ := observer.New(zap.ErrorLevel)
-	s.log = zap.New(core, zap.Hooks(func(zapcore.Entry) error { // called by the log message right before the folder is moved
+	s.log = zap.New(core, zap.Hooks(func(zapcore.Entry) error { // runs when the message is logged, right before the folder is moved
 		assert.DirExists(t, s.cfg.Dir)
 		assert.FileExists(t, s.cfg.Dir+replacementMarkerSuffix)
 		loggedLines++
--- a/internal/cluster/store/watermarks.go
+++ b/internal/cluster/store/watermarks.go
@@ -72,7 +72,7 @@
 		return nil
 	}
 	p.unsaved = false
-	encoded, _ := json.Marshal(p.observed) // cannot fail: a map of integers by name
+	encoded, _ := json.Marshal(p.observed) // cannot fail: watermarks consist of integers
 	return encoded
 }
 
--- a/internal/cluster/storeadmin/forward.go
+++ b/internal/cluster/storeadmin/forward.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	forwardTimeout     = storeapi.CommitTimeout + time.Second // total for all attempts of one request
+	forwardTimeout     = storeapi.CommitTimeout + time.Second // timeout for all attempts of one request together
 	leaderPollInterval = 20 * time.Millisecond                // interval of the checks for a new leader
 	leaderlessTimeout  = 1500 * time.Millisecond              // maximum wait of a request while no leader can be reached
 	maxRelayedBytes    = kv.MaxOps * 2 * kv.MaxValueBytes     // maximum size of a relayed response
-	maxErrorBodyBytes  = 1 << 10                              // bytes that are read of a 503 response
-	headerForwarded    = "Forwarded"                          // set by a node that forwards a request
+	maxErrorBodyBytes  = 1 << 10                              // maximum number of bytes read from a 503 response
+	headerForwarded    = "Forwarded"                          // header field that a node sets when it forwards a request
 	restorePath        = "/restore"
 	leasePathPrefix    = "/lease/"
 )
@@ -35,7 +35,7 @@
 // forwardOptions configures how a request is forwarded.
 type forwardOptions struct {
 	idempotent bool          // the request may be sent again when its outcome is unknown
-	timeout    time.Duration // total for all attempts
+	timeout    time.Duration // timeout for all attempts together
 	slots      slots         // a slot is occupied while the request is forwarded
 }
 
@@ -99,7 +99,7 @@
 // a status other than 503, and any request while it can't have reached a leader. It gives up when ctx ends, or when no
 // leader could be reached for leaderlessTimeout. The error is errBecameLeader if this node has become the leader.
 func (s *server) sendToLeaderWithRetries(ctx context.Context, r *http.Request, body []byte, idempotent bool) (*http.Response, error) {
-	var leaderlessSince time.Time // start of the time without a reachable leader; zero if there was one
+	var leaderlessSince time.Time // start of the time without a reachable leader; zero while a leader is reachable
 	for {
 		res, sent, err := s.sendToLeader(ctx, r, body)
 		if err == nil {
--- a/internal/cluster/storeadmin/voters_test.go
+++ b/internal/cluster/storeadmin/voters_test.go
@@ -25,7 +25,7 @@
 	for i, node := range []testNode{leader, follower, learner} {
 		heartbeat := maintenance.Heartbeat{IntervalMS: 1000, Sequence: uint64(i + 1)}
 		heartbeat.Name = node.store.Name()
-		heartbeat.IsVoter = true // the previous version's agents report this for each node
+		heartbeat.IsVoter = true // agents of the previous version report true for each node
 		_, err := leader.controller.RecordHeartbeat(t.Context(), heartbeat)
 		require.NoError(t, err)
 		voters[heartbeat.Name] = node != learner
--- a/internal/cluster/storeadmin/watch.go
+++ b/internal/cluster/storeadmin/watch.go
@@ -17,8 +17,9 @@
 var watchPage = watch.PageLimits{MaxRevisions: 512, MaxBytes: 64 << 10}
 
 // watch serves GET /watch?prefix=P&from=REVISION: a stream of server-sent events with the changes to keys
-// with a prefix. It starts at a revision, after the Last-Event-ID, or, without either, after the current
-// revision. Each event is one revision and has its number as id, so that a client can resume after it.
+// with a prefix. It starts after the revision in the Last-Event-ID header, at the revision from, or, without
+// either, after the current revision. Each event is one revision and has its number as id, so that a client
+// can resume after it.
 func (s *server) watch(w http.ResponseWriter, r *http.Request) error {
 	prefix := r.URL.Query().Get("prefix")
 	from, err := parsePosition(r)
@@ -82,7 +83,7 @@
 			return
 		case <-newRevisions:
 		case <-progress.C:
-			if from > announced { // the revisions since then changed other keys only
+			if from > announced { // all revisions since announced changed only keys without the prefix
 				announced = from
 				stream.writeProgress(from)
 			} else {
--- a/internal/cluster/storeclient/client.go
+++ b/internal/cluster/storeclient/client.go
@@ -62,13 +62,13 @@
 	MaxBackoff time.Duration
 }
 
-// defaultRetryPolicy retries for long enough to get over the election of a new leader.
+// defaultRetryPolicy retries for long enough to outlast the election of a new leader.
 func defaultRetryPolicy() RetryPolicy {
 	return RetryPolicy{MaxRetries: 12, MinBackoff: 50 * time.Millisecond, MaxBackoff: time.Second}
 }
 
 // Backoff returns the pause before a retry; the first retry has the number 1. The pause doubles from
-// MinBackoff to MaxBackoff. jitter, from 0 to 1, scales it between half and all of that.
+// MinBackoff to MaxBackoff. jitter, from 0 to 1, scales the result between half of the pause and all of it.
 func (p RetryPolicy) Backoff(retry int, jitter float64) time.Duration {
 	pause := p.MinBackoff
 	for range retry - 1 {
--- a/internal/maintenance/agent/agent.go
+++ b/internal/maintenance/agent/agent.go
@@ -20,9 +20,9 @@
 
 const (
 	machineLeaseTTL     = 10 * time.Second
-	reportTimeout       = 10 * time.Second // for one report, including retries
-	releaseTimeout      = time.Second      // for the release of the machine's lease, which otherwise expires
-	minHeartbeatTimeout = 2 * time.Second  // for one heartbeat; the heartbeat interval applies if it is longer
+	reportTimeout       = 10 * time.Second // timeout of one report, including retries
+	releaseTimeout      = time.Second      // timeout for releasing the machine's lease, which otherwise expires
+	minHeartbeatTimeout = 2 * time.Second  // minimum timeout of one heartbeat; the heartbeat interval applies if it is longer
 	unknownUtilization  = 1                // an unknown utilization counts as full
 )
 
@@ -45,7 +45,7 @@
 // Agent is the maintenance agent of one machine.
 type Agent struct {
 	cfg     Config
-	machine maintenance.Machine // the fixed fields
+	machine maintenance.Machine // only the fields that don't change between heartbeats
 	service Service
 	client  *storeclient.Client
 	leases  *leaseclient.Manager
--- a/internal/maintenance/agent/command.go
+++ b/internal/maintenance/agent/command.go
@@ -31,7 +31,7 @@
 	grant := a.lease.Token
 	if err := a.report(maintenance.PhaseReport{Phase: maintenance.PhaseOut, GrantToken: grant}); err != nil {
 		// The order stays in draining until the machine returns.
-		a.log.Error("report that the machine is out failed", zap.Uint64("grant", grant), zap.Error(err))
+		a.log.Error("could not report that the machine is out", zap.Uint64("grant", grant), zap.Error(err))
 	}
 	a.release(a.lease) // if this fails, the lease expires
 	a.log.Info("machine out of service for maintenance", zap.Uint64("grant", grant))
--- a/internal/maintenance/machines_out.go
+++ b/internal/maintenance/machines_out.go
@@ -14,7 +14,7 @@
 type machineOut struct {
 	name  string
 	phase Phase        // phase of its order; "" if it is out without an order
-	state MachineState // shown if it is out without an order
+	state MachineState // shown in place of the phase if the machine is out without an order
 }
 
 func (m machineOut) String() string {
--- a/internal/maintenance/plan_place.go
+++ b/internal/maintenance/plan_place.go
@@ -62,8 +62,8 @@
 		return false
 	}
 	for _, other := range schedule {
-		startsMeanwhile := other.Start > start && other.Start < start+t.Duration
-		if startsMeanwhile && !in.fitsAt(schedule, t, other.Start) {
+		startsDuring := other.Start > start && other.Start < start+t.Duration
+		if startsDuring && !in.fitsAt(schedule, t, other.Start) {
 			return false
 		}
 	}
@@ -126,8 +126,8 @@
 }
 
 // lowerBound returns a lower bound of the duration of any plan: the maximum of the longest task, the total time of
-// all tasks divided by MaxOut, that of each zone divided by MaxOutPerZone, and the total of time and capacity divided
-// by the capacity that may be out.
+// all tasks divided by MaxOut, that of each zone divided by MaxOutPerZone, and the sum of time times capacity of all
+// tasks divided by the capacity that may be out.
 func (in PlanInput) lowerBound(fixed, free []PlanTask) time.Duration {
 	var bound time.Duration
 	var total, coreTime float64
--- a/internal/maintenance/plan_search.go
+++ b/internal/maintenance/plan_search.go
@@ -11,7 +11,7 @@
 	minSearchSchedules = 20
 	maxSearchSchedules = 2000
 	searchBudget       = 2_000_000 // schedules tried by a local search, times the square of the number of tasks
-	searchSecondSeed   = 17        // of the random number generator, besides PlanInput.Seed
+	searchSecondSeed   = 17        // second seed of the random number generator, after PlanInput.Seed
 )
 
 // searchExhaustively tries all lists that start with the tasks of prefix. It prunes prefixes whose schedule is
@@ -36,8 +36,8 @@
 		if slices.ContainsFunc(rest, func(other PlanTask) bool { return other.Priority > t.Priority }) {
 			continue
 		}
-		without := slices.Delete(slices.Clone(rest), i, i+1)
-		in.searchExhaustively(fixed, append(slices.Clone(prefix), t), without, best)
+		remaining := slices.Delete(slices.Clone(rest), i, i+1)
+		in.searchExhaustively(fixed, append(slices.Clone(prefix), t), remaining, best)
 	}
 }
 
--- a/internal/maintenance/simulation_test.go
+++ b/internal/maintenance/simulation_test.go
@@ -26,7 +26,7 @@
 	pending                 []simDecision  // decisions that are not written yet
 	faultsUntilMS           int64          // end of fault injection, in virtual time
 	missedHeartbeatFraction float64        // fraction of the machines whose heartbeats are missed
-	utilizations            []float64      // utilizations of all machines, in turns; if empty, each keeps its own
+	utilizations            []float64      // utilizations that all machines have in turn; if empty, each machine keeps its own
 	skipFence               bool           // writes ignore the fencing token
 	skipCompare             bool           // writes ignore the versions read
 	maxOut                  int            // maximum number of machines out of service at a time
--- a/internal/maintenance/usage.go
+++ b/internal/maintenance/usage.go
@@ -7,9 +7,9 @@
 type budgetUsage struct {
 	budget    DisruptionBudget
 	machines  map[string]Machine
-	isOut     map[string]bool  // the machine is out by its order, or not in service
-	abandoned map[string]bool  // these machines use no slot, but their capacity is missing
-	phases    map[string]Phase // phases of the orders by which machines are out
+	isOut     map[string]bool  // the machine is out because of its order, or not in service
+	abandoned map[string]bool  // the machine's order was abandoned: it uses no slot, but its capacity is missing
+	phases    map[string]Phase // phases of the orders because of which machines are out
 
 	totalCapacity float64
 	zoneCapacity  map[string]float64
@@ -173,18 +173,19 @@
 	b := u.budget
 	capacityOut := u.capacityOut + m.Capacity()
 	zoneCapacityOut := u.zoneCapacityOut[m.Zone] + m.Capacity()
-	staying := u.capacityInService - m.Capacity()
+	remainingCapacity := u.capacityInService - m.Capacity()
 	inZone := u.zoneSlots(m.Zone)
 	switch {
-	case staying <= 0:
+	case remainingCapacity <= 0:
 		return fmt.Sprintf("none of %.1f cores would stay in service%s", u.totalCapacity, &u.out)
 	case capacityOut > b.MaxCapacityFraction*u.totalCapacity && u.slotsUsed.count > 0:
 		return fmt.Sprintf("%.1f of %.1f cores would be out, at most %.0f%%%s", capacityOut, u.totalCapacity, 100*b.MaxCapacityFraction, &u.out)
 	case zoneCapacityOut > b.MaxZoneCapacityFraction*u.zoneCapacity[m.Zone] && inZone.count > 0:
 		return fmt.Sprintf("%.1f of %.1f cores of zone %q would be out, at most %.0f%%%s",
 			zoneCapacityOut, u.zoneCapacity[m.Zone], m.Zone, 100*b.MaxZoneCapacityFraction, inZone)
-	case u.capacityInUse > (1-b.SpareCapacityFraction)*staying:
-		return fmt.Sprintf("%.1f cores are in use, and %.1f would stay, of which %.0f%% are kept spare", u.capacityInUse, staying, 100*b.SpareCapacityFraction)
+	case u.capacityInUse > (1-b.SpareCapacityFraction)*remainingCapacity:
+		return fmt.Sprintf("%.1f cores are in use, and %.1f would stay, of which %.0f%% are kept spare",
+			u.capacityInUse, remainingCapacity, 100*b.SpareCapacityFraction)
 	}
 	return ""
 }
@@ -199,12 +200,12 @@
 }
 
 // voterShortageReason returns a reason if fewer voters than required would stay in service, or "".
-func voterShortageReason(voters, staying, spare int) string {
+func voterShortageReason(voters, remaining, spare int) string {
 	want := requiredVoters(voters, spare)
-	if staying >= want {
+	if remaining >= want {
 		return ""
 	}
-	return fmt.Sprintf("%d of the store's %d voters would stay, want %d", staying, voters, want)
+	return fmt.Sprintf("%d of the store's %d voters would stay, want %d", remaining, voters, want)
 }
 
 // requiredVoters returns how many of a store's voters must stay in service: a quorum plus the spare ones.
--- a/internal/storage/durable/checkpoint_entry.go
+++ b/internal/storage/durable/checkpoint_entry.go
@@ -6,12 +6,13 @@
 	"math"
 )
 
-// entryHasExpiry is the bit of an entry's flags that tells that an expiry follows. The
+// entryHasExpiry is the bit of an entry's flags that is set if an expiry follows. The
 // other bits are the value's place.
 const entryHasExpiry = 0x80
 
 // appendEntry encodes one entry of a block. The prefix that its key shares with the
-// previous key of the block is not repeated. The seq is the checkpoint's.
+// previous key of the block is not repeated. The version
+// is encoded as its difference from seq, the last sequence number that the checkpoint covers.
 func appendEntry(b []byte, e *indexEntry, previousKey string, seq uint64) []byte {
 	key := e.key()
 	shared := 0
--- a/internal/storage/durable/checkpoint_header.go
+++ b/internal/storage/durable/checkpoint_header.go
@@ -19,7 +19,7 @@
 	checkpointNumberOffset        = 20
 	checkpointSeqOffset           = 24
 	checkpointSegmentOffset       = 32
-	checkpointLogOffset           = 36 // of the offset in that segment
+	checkpointLogOffset           = 36 // offset of the field with the log offset in that segment
 	checkpointChainChecksumOffset = 44
 )
 
@@ -27,7 +27,7 @@
 type checkpointHeader struct {
 	storeID     uint64
 	number      uint32
-	logPosition position // after the last batch that the checkpoint covers
+	logPosition position // position after the last batch that the checkpoint covers
 }
 
 func (h *checkpointHeader) encode() []byte {
--- a/internal/storage/durable/checkpoint_reader.go
+++ b/internal/storage/durable/checkpoint_reader.go
@@ -13,7 +13,7 @@
 	name          string
 	file          vfs.File
 	size          int64  // length of the file in bytes
-	offset        int64  // of the next block
+	offset        int64  // offset of the next block in the file
 	chainChecksum uint32 // checksum of the last block, or of the header
 	block         []byte // payload of the last block
 	header        checkpointHeader
--- a/internal/storage/durable/compaction.go
+++ b/internal/storage/durable/compaction.go
@@ -8,8 +8,8 @@
 // compaction moves the live values of a sealed segment to the end of the log.
 type compaction struct {
 	segment    *segment
-	nextOffset int64  // of the next batch
-	payload    []byte // of the last batch that was read; reused for the next
+	nextOffset int64  // offset of the next batch in the segment
+	payload    []byte // payload of the last batch that was read; the buffer is reused for the next one
 }
 
 // loggedBatch is a batch read from the log. The payload is valid until the next batch
@@ -92,7 +92,7 @@
 }
 
 // markUnreadable marks a segment that still has live values after compaction read all
-// its batches: those values are where no batch can be read.
+// its batches: those values lie in a part of the segment in which no batch can be read.
 func (s *Store) markUnreadable(segment *segment) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/storage/durable/concurrency_test.go
+++ b/internal/storage/durable/concurrency_test.go
@@ -108,7 +108,7 @@
 	require.NoError(t, b.store.rotateSegment())
 	releaseCommitter, results := make(chan struct{}), make(chan error, 3)
 	b.store.submit(&request{run: func() error { <-releaseCommitter; return nil }, done: func(uint64, error) {}})
-	for len(b.store.requests) > 0 { // until the committer has dequeued the function
+	for len(b.store.requests) > 0 { // waits until the committer has dequeued the function
 		runtime.Gosched()
 	}
 	var put, deletion Batch
--- a/internal/storage/durable/index.go
+++ b/internal/storage/durable/index.go
@@ -19,8 +19,8 @@
 	version uint64 // sequence number of the batch that put the value
 	expiry  int64  // 0 is never
 	segment uint32 // number of the segment with the operation that has the value
-	offset  uint32 // of the operation in the segment, in bytes
-	size    uint32 // of the operation, in bytes
+	offset  uint32 // offset of the operation in the segment, in bytes
+	size    uint32 // size of the operation in bytes
 	keyLen  uint16
 	place   valuePlace
 }
--- a/internal/storage/durable/maintenance.go
+++ b/internal/storage/durable/maintenance.go
@@ -27,7 +27,7 @@
 	checkpoint      *checkpointWriter // the checkpoint that is being written, or nil
 	compaction      *compaction       // the running compaction, or nil
 	nextCheckpoint  uint32            // number of the next checkpoint
-	coveredLogBytes int64             // log since the previous checkpoint that the running one covers
+	coveredLogBytes int64             // length of the log from the previous checkpoint to the running one
 	lastStepFailed  bool
 
 	errMu   sync.Mutex
--- a/internal/storage/durable/plan/planner.go
+++ b/internal/storage/durable/plan/planner.go
@@ -5,7 +5,7 @@
 const (
 	// idleDelay is the time until the next decision when no step is due.
 	idleDelay = 100 * time.Millisecond
-	// minBudgetDelay is the shortest wait for the budget to grow.
+	// minBudgetDelay is the minimum wait for the budget to grow.
 	minBudgetDelay = time.Millisecond
 )
 
@@ -99,7 +99,8 @@
 const (
 	// idleCheckpointLogDivisor and idleCheckpointLiveDivisor divide
 	// MinCheckpointLogBytes and the live data. While the store is idle, a checkpoint is
-	// due when the log and the data that wait for it reach the larger of the quotients.
+	// due when the log since the last checkpoint plus the data waiting to be dropped
+	// reach the larger of the quotients.
 	idleCheckpointLogDivisor  = 16
 	idleCheckpointLiveDivisor = 20
 	// pendingDropLogDivisor divides MinCheckpointLogBytes. The quotient is the minimum
--- a/internal/storage/durable/recover.go
+++ b/internal/storage/durable/recover.go
@@ -14,13 +14,13 @@
 	uninitialized           bool // no batch was ever acknowledged in the folder
 	manifest                *manifest
 	index                   *index
-	end                     position // of the last valid batch
+	end                     position // end of the last valid batch
 	logBytesSinceCheckpoint int64
 	checkpoints             [retainedCheckpoints]checkpointRef // zero for an unreadable checkpoint
 	files                   map[string]int64                   // file lengths in bytes, by name
 	maxSegment              uint32
 	maxCheckpoint           uint32
-	maxSeq                  uint64 // highest sequence number found in any file, also after the end
+	maxSeq                  uint64 // highest sequence number found in any file, also in batches after end
 	report                  *Report
 	segments                []uint32 // numbers, ascending
 }
--- a/internal/storage/durable/replay.go
+++ b/internal/storage/durable/replay.go
@@ -173,8 +173,8 @@
 type batchReader struct {
 	segment *segment
 	in      io.Reader // reads the segment from the position onward
-	end     *position // after the last batch that was visited
-	payload []byte    // of the last batch; reused for the next
+	end     *position // position after the last batch that was visited
+	payload []byte    // payload of the last batch; the buffer is reused for the next one
 }
 
 // readBatches visits the batches of a segment from a position onward. It verifies each
--- a/internal/storage/durable/report.go
+++ b/internal/storage/durable/report.go
@@ -34,8 +34,8 @@
 	Keys             int      `json:"keys"`
 	Segments         int      `json:"segments"`
 	CheckpointNumber uint32   `json:"checkpoint"` // the checkpoint that was loaded; 0 if none
-	ReplayedBatches  int      `json:"replayed"`   // after the checkpoint
-	TruncatedBytes   int64    `json:"cut_bytes"`  // after the last valid batch
+	ReplayedBatches  int      `json:"replayed"`   // number of batches replayed after the checkpoint
+	TruncatedBytes   int64    `json:"cut_bytes"`  // length of the torn tail after the last valid batch
 	Loss             Loss     `json:"loss"`
 	LostKeys         int      `json:"lost_keys"` // number of keys whose value can't be read
 	Unrecoverable    bool     `json:"hopeless"`  // no consistent state can be recovered
--- a/internal/storage/durable/stats.go
+++ b/internal/storage/durable/stats.go
@@ -24,7 +24,7 @@
 	UsedBytes               int64  `json:"used_bytes"` // length of all files
 	MaxBytes                int64  `json:"max_bytes"`
 	Segments                int    `json:"segments"`
-	DeadBytes               int64  `json:"dead_bytes"` // in sealed segments
+	DeadBytes               int64  `json:"dead_bytes"` // dead bytes in sealed segments
 	LogBytesSinceCheckpoint int64  `json:"log_behind_bytes"`
 	CheckpointBytes         int64  `json:"checkpoint_bytes"` // length of the newest checkpoint
 	// Counters since the store was opened.
@@ -39,7 +39,7 @@
 	// Current state.
 	Snapshots        int    `json:"snapshots"`
 	ReadOnlyReason   string `json:"read_only,omitempty"`
-	MaintenanceError string `json:"upkeep_error,omitempty"` // of the last maintenance step
+	MaintenanceError string `json:"upkeep_error,omitempty"` // error of the last maintenance step
 }
 
 // Stats returns the current statistics.
--- a/internal/storage/durable/write.go
+++ b/internal/storage/durable/write.go
@@ -21,7 +21,7 @@
 	run          func() error // the function to run; nil for a batch
 	done         func(seq uint64, err error)
 	header       batchHeader // set when the batch is encoded
-	bufferOffset int         // of the batch in the group's buffer, in bytes
+	bufferOffset int         // offset of the batch in the group's buffer, in bytes
 }
 
 // Apply writes a batch, and returns its sequence number once the batch has the
