--- a/internal/cluster/store/replicated_state.go
+++ b/internal/cluster/store/replicated_state.go
@@ -123,7 +123,11 @@
 }
 
 // revisionsSince reads the history (see Store.RevisionsSince). Its error is a watch.CompactedError.
-func (s *replicatedState) revisionsSince(from uint64, prefix string, page watch.PageLimits) (list []watch.Revision, next uint64, more <-chan struct{}, err error) {
+func (s *replicatedState) revisionsSince(
+	from uint64,
+	prefix string,
+	page watch.PageLimits,
+) (list []watch.Revision, next uint64, more <-chan struct{}, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	list, next, err = s.history.Since(from, prefix, page)
