--- a/admission/actions.go
+++ b/admission/actions.go
@@ -31,7 +31,7 @@
 // Degrade resumes a request without its call.
 type Degrade struct{ ID uint32 }
 
-// StoreKey stores the key of a request, by which its duplicates are recognised.
+// StoreKey stores the key of a request, by which its duplicates are recognized.
 type StoreKey struct {
 	ID  uint32
 	TTL time.Duration
--- a/admission/admit.go
+++ b/admission/admit.go
@@ -62,7 +62,7 @@
 
 // policyAdmits reports whether r(i)(s) ≥ ∇h(s). It compares the reward of the request itself, which
 // depends on the request's remaining time and its tenant's quota, without a tolerance. The
-// class thresholds, which are logged and advertised, use the reward of the class and break ties in favour
+// class thresholds, which are logged and advertised, use the reward of the class and break ties in favor
 // of the class (admissionModel.admits), so the decision on a request may differ from its class's
 // threshold.
 func (c *Controller) policyAdmits(r *request, state int) bool {
--- a/admission/answers.go
+++ b/admission/answers.go
@@ -20,8 +20,8 @@
 func (c *Controller) expiry(r *request) time.Duration {
 	expiry := r.deadline - c.deadlineLead()
 	if r.phase == phaseQueued {
-		halfRun := time.Duration(c.runTimes.meanRunSeconds[r.class] / 2 * float64(time.Second))
-		expiry = min(expiry, r.objective-halfRun)
+		halfMeanRun := time.Duration(c.runTimes.meanRunSeconds[r.class] / 2 * float64(time.Second))
+		expiry = min(expiry, r.objective-halfMeanRun)
 	}
 	return expiry
 }
--- a/admission/calls_test.go
+++ b/admission/calls_test.go
@@ -85,14 +85,14 @@
 }
 
 // completeCalls runs requests whose calls each take the given time.
-func (r *testController) completeCalls(calls int, took time.Duration) {
+func (r *testController) completeCalls(calls int, duration time.Duration) {
 	r.t.Helper()
 	for i := range calls {
 		id := uint32(10000 + i)
 		r.handleAfter(ms, newArrival(id, 1))
 		r.handleAfter(ms, CallNeeded{id})
-		r.handleAfter(ms, CallCompleted{ID: id, Elapsed: took, Outcome: OutcomeOK})
-		r.handleAfter(ms, Completed{ID: id, Elapsed: took, Outcome: OutcomeOK})
+		r.handleAfter(ms, CallCompleted{ID: id, Elapsed: duration, Outcome: OutcomeOK})
+		r.handleAfter(ms, Completed{ID: id, Elapsed: duration, Outcome: OutcomeOK})
 	}
 }
 
--- a/admission/concurrency_test.go
+++ b/admission/concurrency_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestLimitGrowsOnlyWhileCoresWouldIdle(t *testing.T) {
+func TestLimitGrowsOnlyWhileCoresWouldBeIdle(t *testing.T) {
 	for name, tt := range map[string]struct {
 		runQueue float64
 		calls    uint32
--- a/admission/doc.go
+++ b/admission/doc.go
@@ -3,7 +3,7 @@
 //
 // A server owns one [Controller]. It passes events to [Controller.Handle] and executes the returned
 // actions in order, at the same clock time. The events of one call of Handle form a batch. The
-// controller has no clock, goroutine, I/O or global state: the server owns the clock and serialises
+// controller has no clock, goroutine, I/O or global state: the server owns the clock and serializes
 // the calls. Equal sequences of calls return bit-identical actions, so the order of floating-point
 // operations must not change.
 //
--- a/admission/drain.go
+++ b/admission/drain.go
@@ -29,8 +29,8 @@
 }
 
 // arrivedAfterDrainGrace reports whether a request arrived too late to run. The grace period is not
-// shortened if the server is stopped before its end; the server closes its listeners by then
-// (internal/proxy/dispatch/drain.go).
+// shortened if the server is stopped before the period ends; the server closes its listeners before
+// the stop (internal/proxy/dispatch/drain.go).
 func (c *Controller) arrivedAfterDrainGrace(r *request) bool {
 	return c.draining && r.arrivedAt > c.drainStartedAt+c.settings.DrainGracePeriod
 }
--- a/admission/duplicates.go
+++ b/admission/duplicates.go
@@ -10,10 +10,10 @@
 // request without the key of a stored request is an independent request.
 
 // minFreeMemoryForReadKeys is the fraction of the memory that must be free before the key of a read
-// is stored. Such a key is an optimisation and not needed for correctness.
+// is stored. Such a key is an optimization and not needed for correctness.
 const minFreeMemoryForReadKeys = 0.5
 
-// storedKey is the key of a request, by which its duplicates are recognised.
+// storedKey is the key of a request, by which its duplicates are recognized.
 type storedKey struct {
 	id        uint32
 	expiresAt time.Duration // clock time
--- a/admission/duplicates_test.go
+++ b/admission/duplicates_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestKeyOfUnrunRequestIsEvicted(t *testing.T) {
+func TestKeyOfRequestThatNeverRanIsEvicted(t *testing.T) {
 	r := newTestController(t, enableDeduplication)
 	r.handleAfter(0, newArrival(901, 1), newArrival(902, 1))
 	r.wantActions(r.handleAfter(0, newArrival(1, 1)), StoreKey{1, 7 * time.Second})
--- a/admission/policy.go
+++ b/admission/policy.go
@@ -9,7 +9,7 @@
 // The admission Markov decision process (MDP) and its solution by the policy iteration PI-B
 // (sections 2, 3 and 5).
 //
-// A server is modelled as an M/M/c/S queue with several classes of requests. The state s is the
+// A server is modeled as an M/M/c/S queue with several classes of requests. The state s is the
 // number of requests queued or running. Policy iteration finds the policy with the maximum mean
 // reward per second (gain) for the model that the fields of admissionModel describe.
 
@@ -56,7 +56,7 @@
 }
 
 // optimisticProbabilities shifts up to radius/2 of probability from the classes with the smallest
-// reward to the class with the greatest reward, which maximises the gain over the confidence set
+// reward to the class with the greatest reward, which maximizes the gain over the confidence set
 // (theorem 4.3). byReward lists the classes by decreasing reward.
 func optimisticProbabilities(probabilities []float64, radius float64, byReward []int) []float64 {
 	optimistic := slices.Clone(probabilities)
@@ -132,7 +132,7 @@
 }
 
 // admits reports whether the policy with the given bias difference admits the class in the state.
-// Ties and rounding errors are resolved in favour of the class.
+// Ties and rounding errors are resolved in favor of the class.
 func (m *admissionModel) admits(class, state int, bias float64) bool {
 	return m.rewards[state][class] >= bias-tieTolerance*(1+math.Abs(bias))
 }
--- a/admission/retryadvice_test.go
+++ b/admission/retryadvice_test.go
@@ -33,8 +33,8 @@
 	r := newTestController(t, nil)
 	r.fillCores()
 	r.wantActions(r.handleAfter(ms, newArrival(1, 0)), Reject{ID: 1, Reason: RejectPolicy})
-	if lambda := r.controller.policy.model.arrivalRate; lambda <= r.controller.serviceCapacity() {
-		t.Errorf("Λ̃ %v, want above cμ: otherwise this test checks nothing", lambda)
+	if rate := r.controller.policy.model.arrivalRate; rate <= r.controller.serviceCapacity() {
+		t.Errorf("Λ̃ %v, want above cμ: otherwise this test checks nothing", rate)
 	}
 }
 
--- a/admission/reward.go
+++ b/admission/reward.go
@@ -13,8 +13,8 @@
 // classRewards returns, by class, the weight R(i) and the cost γ(i) per second of waiting.
 func (c *Controller) classRewards(classProbabilities []float64) (weights, costs []float64) {
 	meanRun := 0.0
-	for i, share := range classProbabilities {
-		meanRun += share * c.runTimes.meanRunSeconds[i]
+	for i, probability := range classProbabilities {
+		meanRun += probability * c.runTimes.meanRunSeconds[i]
 	}
 	weights = make([]float64, len(classProbabilities))
 	costs = make([]float64, len(classProbabilities))
--- a/admission/runtimes.go
+++ b/admission/runtimes.go
@@ -27,11 +27,11 @@
 // runTimes holds the estimates. Run-seconds are seconds multiplied by the number of running
 // requests.
 type runTimes struct {
-	completed           float64   // number of completed runs; limitHistory discounts older runs
-	runSeconds          float64   // run-seconds of completed and current runs; limitHistory discounts older runs
-	runSecondsSinceExit float64   // run-seconds since a run last released its core
-	meanRunSeconds      []float64 // moving average of the run time in seconds, by class
-	successFraction     []float64 // moving average of the fraction of runs that answered their caller successfully, by class
+	completed              float64   // number of completed runs; limitHistory discounts older runs
+	runSeconds             float64   // run-seconds of completed and current runs; limitHistory discounts older runs
+	runSecondsSinceRelease float64   // run-seconds since a run last released its core
+	meanRunSeconds         []float64 // moving average of the run time in seconds, by class
+	successFraction        []float64 // moving average of the fraction of runs that answered their caller successfully, by class
 }
 
 func newRunTimes(classes []Class) runTimes {
@@ -51,12 +51,12 @@
 // addRunSeconds adds run-seconds that have passed.
 func (t *runTimes) addRunSeconds(runSeconds float64) {
 	t.runSeconds += runSeconds
-	t.runSecondsSinceExit += runSeconds
+	t.runSecondsSinceRelease += runSeconds
 }
 
 // resetOverdueCompletions is called when a run releases its core, and when a run starts while no other is
 // running.
-func (t *runTimes) resetOverdueCompletions() { t.runSecondsSinceExit = 0 }
+func (t *runTimes) resetOverdueCompletions() { t.runSecondsSinceRelease = 0 }
 
 // observe counts a run that ended by itself after the given seconds.
 func (t *runTimes) observe(class int, seconds float64) {
@@ -88,7 +88,7 @@
 func (t *runTimes) serviceRate() float64 {
 	rate := t.completed / t.runSeconds
 	if t.overdueCompletions() > toleratedOverdueCompletions {
-		rate = math.Min(rate, toleratedOverdueCompletions/t.runSecondsSinceExit)
+		rate = math.Min(rate, toleratedOverdueCompletions/t.runSecondsSinceRelease)
 	}
 	return rate
 }
@@ -96,5 +96,5 @@
 // overdueCompletions is the number of overdue completions: how many runs should have released their cores
 // since the last one did.
 func (t *runTimes) overdueCompletions() float64 {
-	return t.runSecondsSinceExit * t.completed / math.Max(t.runSeconds-t.runSecondsSinceExit, minRunSeconds)
+	return t.runSecondsSinceRelease * t.completed / math.Max(t.runSeconds-t.runSecondsSinceRelease, minRunSeconds)
 }
--- a/admission/settings.go
+++ b/admission/settings.go
@@ -56,7 +56,7 @@
 	// Deadline is how long a client waits for a response, over all of its attempts.
 	Deadline time.Duration
 	// DedupWindow is how long the key of a Deduplicated request is stored. A duplicate that arrives
-	// later is not recognised.
+	// later is not recognized.
 	DedupWindow        time.Duration
 	ExecutionSemantics ExecutionSemantics
 	// PriorityWeight is the reward of one request, or of one unit of work if Settings.WeightPerWork is
@@ -135,7 +135,7 @@
 	AdvertKind AdvertKind
 	// MaxIdleTimeout is the maximum idle timeout of a connection.
 	MaxIdleTimeout time.Duration
-	// MaxRetryAfter is the maximum retry delay that callers honour; 0 disables RetryAfter.
+	// MaxRetryAfter is the maximum retry delay that callers honor; 0 disables RetryAfter.
 	MaxRetryAfter time.Duration
 	// DrainGracePeriod is the time after Drain during which arriving requests may still run. Requests
 	// that arrive later must not run.
--- a/admission/simulated_server_test.go
+++ b/admission/simulated_server_test.go
@@ -125,7 +125,7 @@
 		s.requestByID(a.ID).phase = serverAwaitingResult
 	case Advertise:
 		if s.settings.AdvertKind == AdvertNone || a.Value < 0 {
-			s.t.Fatalf("at %v: advertised value %v with no advert kind or a negative value", s.now, a.Value)
+			s.t.Fatalf("at %v: advertised value %v, want at least 0 and an advert kind other than AdvertNone", s.now, a.Value)
 		}
 	case SetIdleTimeout:
 		if a.Timeout < 10*ms || a.Timeout > s.settings.MaxIdleTimeout {
--- a/admission/slowstart_test.go
+++ b/admission/slowstart_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestColdServerSurvivesFewerRuns(t *testing.T) {
+func TestColdServerSustainsFewerRuns(t *testing.T) {
 	r := newTestController(t, func(s *Settings) { s.SlowStart, s.MaxRunsPerCore, s.SlowStartMinSpeed = true, 2, 0 })
 	if cold := r.controller.maxRuns(); cold != 2 {
 		t.Errorf("at the start: %v runs, want the number of cores", cold)
--- a/cmd/oxbowbridge/descriptors.go
+++ b/cmd/oxbowbridge/descriptors.go
@@ -41,9 +41,9 @@
 // lower.
 func descriptorLimit(cfg *config) int {
 	limit := cfg.Limits.Sockets
-	var system syscall.Rlimit
-	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &system) == nil && system.Cur < uint64(limit) {
-		limit = int(system.Cur)
+	var systemLimit syscall.Rlimit
+	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &systemLimit) == nil && systemLimit.Cur < uint64(limit) {
+		limit = int(systemLimit.Cur)
 	}
 	return limit
 }
--- a/cmd/oxbowbridge/serve.go
+++ b/cmd/oxbowbridge/serve.go
@@ -67,7 +67,8 @@
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	shutdown = watchShutdownSignals()
-	// Otherwise a write to the log would end the process after the reader closed the pipe.
+	// SIGPIPE is ignored: otherwise a write to the log would end the process after the reader of the log has
+	// closed the pipe.
 	signal.Ignore(syscall.SIGPIPE)
 	return shutdown, hangups
 }
--- a/cmd/oxbowbridge/notice.go
+++ b/cmd/oxbowbridge/shutdown_signal.go
@@ -127,8 +127,8 @@
 }
 
 // probe sends a probe, waits for its arrival, and reports whether the shutdown signal was received by
-// then. A probe that can't be sent or doesn't arrive gives no ordering; the result then depends only on
-// whether the shutdown signal is present at the end.
+// then. A probe that can't be sent or doesn't arrive shows no order of signals; the result then depends
+// only on whether the shutdown signal was received by the end.
 func (w *shutdownWatcher) probe(send func() error) (received bool) {
 	if send() == nil {
 		select {
--- a/cmd/oxbowbridge/work.go
+++ b/cmd/oxbowbridge/work.go
@@ -132,8 +132,8 @@
 	}
 	rows := [][]any{{"MACHINE", "STATE", "SINCE", "FOR", "PRIORITY", "REASON", "WHY"}}
 	for _, o := range status.Orders {
-		inPhase := time.Since(time.UnixMilli(o.PhaseSinceMS)).Round(time.Second)
-		rows = append(rows, []any{o.Machine, o.Phase, inPhase, milliseconds(o.DurationMS), o.Priority, o.Reason, o.PhaseReason + o.WaitReason})
+		timeInPhase := time.Since(time.UnixMilli(o.PhaseSinceMS)).Round(time.Second)
+		rows = append(rows, []any{o.Machine, o.Phase, timeInPhase, milliseconds(o.DurationMS), o.Priority, o.Reason, o.PhaseReason + o.WaitReason})
 	}
 	return printTable(out, rows...)
 }
--- a/internal/proxy/dispatch/arrival.go
+++ b/internal/proxy/dispatch/arrival.go
@@ -122,7 +122,7 @@
 	return a
 }
 
-// handleRequestCanceled ends a request that its caller cancelled or whose connection was closed. No
+// handleRequestCanceled ends a request that its caller canceled or whose connection was closed. No
 // response can reach the caller, but respond must still be called to release the request's slot in the
 // exchange; the Responder drops the bytes. A run that waits for a call is stopped to free its
 // resources.
--- a/internal/proxy/dispatch/atmostonce.go
+++ b/internal/proxy/dispatch/atmostonce.go
@@ -19,8 +19,8 @@
 func (d *Dispatcher) isIdempotent(r *request) bool { return d.effect(r) == admission.Idempotent }
 
 // isDuplicateTraceID reports whether an attempt with this trace id is tracked or has run.
-// Callers resend an attempt if its connection was closed before a response. The first copy may be
-// running, so the response to the second copy makes no promise about it.
+// Callers resend an attempt if its connection was closed before a response. The first arrival may be
+// running, so the response to the second one must not promise that nothing ran.
 func (d *Dispatcher) isDuplicateTraceID(traceID string) bool {
 	_, used := d.usedTraceIDs[traceID]
 	return used || d.byTraceID[traceID] != nil
--- a/internal/proxy/dispatch/drain.go
+++ b/internal/proxy/dispatch/drain.go
@@ -27,7 +27,7 @@
 //
 // Two related times are defined elsewhere. The controller rejects requests that arrive after
 // DrainGracePeriod, which it does not shorten for a near stop, and responds to all requests by
-// answerBeforeStop before the stop time that it got (admission/drain.go). A service with a store is
+// responseMarginBeforeStop before the stop time that it got (admission/drain.go). A service with a store is
 // stopped earlier, to leave time to close the store (cmd/oxbowbridge).
 const (
 	// stopReserve is the part of the drain timeout reserved for the last responses and for closing
--- a/internal/proxy/dispatch/invariants_test.go
+++ b/internal/proxy/dispatch/invariants_test.go
@@ -197,7 +197,7 @@
 }
 
 // submitRandomRequests submits random requests. Some repeat an earlier request, some reuse the
-// idempotency key of an earlier request, and some are cancelled.
+// idempotency key of an earlier request, and some are canceled.
 func (s *fakeEnvironment) submitRandomRequests() {
 	for range s.random.IntN(4) {
 		request := s.newRandomRequest()
--- a/internal/proxy/exchange/event.go
+++ b/internal/proxy/exchange/event.go
@@ -6,7 +6,7 @@
 // Callback.
 type Event interface{ event() }
 
-// RequestCanceled reports that the caller cancelled a request or that its connection was closed, so
+// RequestCanceled reports that the caller canceled a request or that its connection was closed, so
 // that no one waits for the response.
 type RequestCanceled struct{ Request *Request }
 
--- a/internal/proxy/exchange/job.go
+++ b/internal/proxy/exchange/job.go
@@ -12,7 +12,7 @@
 	// classes: idempotency keys detect what callers resend, not what a session resends.
 	Idempotent bool
 	// Restarted says that an earlier run of the request was stopped. A stop command that is executed
-	// late may still hit the new run.
+	// late may still stop the new run.
 	Restarted bool
 	// Timeout is how long the job may take. A run may continue after the timeout while the runner is
 	// known to have it. A run that may have been lost is given up after the timeout.
--- a/internal/proxy/fdquota/fdquota_test.go
+++ b/internal/proxy/fdquota/fdquota_test.go
@@ -78,9 +78,9 @@
 	})
 }
 
-// TestDivideSmallest checks that the lowest limit that the configuration allows (64) is enough for a
+// TestDivideMinimumLimit checks that the lowest limit that the configuration allows (64) is enough for a
 // process that was started with ten open descriptors, and that a lower limit sets BelowMinimum.
-func TestDivideSmallest(t *testing.T) {
+func TestDivideMinimumLimit(t *testing.T) {
 	require.Equal(t, Quotas{Connections: 37, ReservedForCalls: 4, Lingering: 2}, Divide(Usage{Limit: 64, OpenDescriptors: 10, Listeners: 1}))
 	require.Equal(t, Quotas{Connections: 10, ReservedForCalls: 2, Lingering: 1, BelowMinimum: true}, Divide(Usage{Limit: 30, OpenDescriptors: 10, Listeners: 1}))
 }
--- a/internal/proxy/fdquota/pool.go
+++ b/internal/proxy/fdquota/pool.go
@@ -37,9 +37,9 @@
 func (p *ConnPool) AcquireCall() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	reserved := p.calls < p.quotas.ReservedForCalls
-	sharedFree := p.calls+p.callers < p.quotas.Connections && p.calls < p.quotas.Connections/maxCallsDivisor
-	if reserved || sharedFree {
+	hasReservedCapacity := p.calls < p.quotas.ReservedForCalls
+	hasSharedCapacity := p.calls+p.callers < p.quotas.Connections && p.calls < p.quotas.Connections/maxCallsDivisor
+	if hasReservedCapacity || hasSharedCapacity {
 		p.calls++
 		return true
 	}
--- a/internal/proxy/idempotency/table.go
+++ b/internal/proxy/idempotency/table.go
@@ -131,7 +131,7 @@
 
 // Complete stores the result of the entry's owner and returns the attempts that wait for it. The entry
 // expires at the given time. If the owner was never started, the entry is removed immediately. An
-// entry that has already ended is not changed.
+// entry whose owner has already ended is not changed.
 func (t *Table) Complete(e *Entry, result []byte, expiry time.Duration) (waiters []uint32) {
 	if e.OwnerEnded {
 		return nil
@@ -152,7 +152,7 @@
 	return waiters
 }
 
-// NextExpiry returns the expiry time of the entry that expires next, or false if no entry has ended.
+// NextExpiry returns the expiry time of the entry that expires next, or false if no entry has an expiry time.
 func (t *Table) NextExpiry() (time.Duration, bool) {
 	if len(t.byExpiry) == 0 {
 		return 0, false
--- a/internal/proxy/slowstart/slowstart_test.go
+++ b/internal/proxy/slowstart/slowstart_test.go
@@ -35,10 +35,10 @@
 	require.InDelta(t, 4*8, c.MaxRuns(0), 1e-9)
 }
 
-// TestSumOfProcesses checks for any number of processes that the sum of their quotas equals the total
+// TestSumOfQuotas checks for any number of processes that the sum of their quotas equals the total
 // on average, and that it exceeds the total by more than twice its square root + 2 in at most one
 // window.
-func TestSumOfProcesses(t *testing.T) {
+func TestSumOfQuotas(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newConfig(rapid.IntRange(1, 200).Draw(t, "processes"))
 		c.Cores = rapid.IntRange(1, 40).Draw(t, "cores")
@@ -68,9 +68,9 @@
 	})
 }
 
-// TestQuotaStaysForAWindow checks that the quota changes at most once per window, and that a warm
+// TestQuotaIsConstantWithinWindow checks that the quota changes at most once per window, and that a warm
 // server has no limit.
-func TestQuotaStaysForAWindow(t *testing.T) {
+func TestQuotaIsConstantWithinWindow(t *testing.T) {
 	c := newConfig(30)
 	c.Duration = time.Hour // so long that the total quota hardly grows during the test
 	s := New(c, 7, 0)
--- a/internal/proxy/timerqueue/queue.go
+++ b/internal/proxy/timerqueue/queue.go
@@ -14,7 +14,7 @@
 	due      time.Duration
 	sequence uint64 // position in the order of scheduling
 	run      func()
-	done     bool // has run or was cancelled
+	done     bool // has run or was canceled
 }
 
 // Queue is a list of timers. The zero value is an empty queue. Times are durations since a fixed
@@ -41,7 +41,7 @@
 }
 
 // Cancel removes a timer from the queue. It does nothing if the timer is nil, has run or was already
-// cancelled.
+// canceled.
 func (q *Queue) Cancel(t *Timer) {
 	if t == nil || t.done {
 		return
--- a/internal/transport/engine/golden_test.go
+++ b/internal/transport/engine/golden_test.go
@@ -65,11 +65,11 @@
 
 // connectEngine opens the session, checks ATTACH, sends hello, waits for the given number of events and
 // reads the first poll. The test sends the answer to that poll on the returned connection.
-func (f *sessionFixture) connectEngine(lastNotice int, hello string, events int) net.Conn {
+func (f *sessionFixture) connectEngine(lastNotification int, hello string, events int) net.Conn {
 	f.t.Helper()
 	f.session.Open()
 	c := f.acceptConn()
-	f.engineReads(c, fmt.Sprintf("ATTACH %d\r\n", lastNotice))
+	f.engineReads(c, fmt.Sprintf("ATTACH %d\r\n", lastNotification))
 	f.engineSends(c, hello+"\r\n", events)
 	f.engineReads(c, "STAT sync\r\n")
 	return c
--- a/internal/transport/engine/resync.go
+++ b/internal/transport/engine/resync.go
@@ -96,8 +96,8 @@
 }
 
 // onNotificationTimeout sends an acknowledged idempotent run again, or gives a run up. It waits further
-// while no run that was submitted later has ended, since the engine may hang. A run that is
-// acknowledged and not idempotent has until the request's deadline, since the run may only be slow.
+// while no run that was submitted after the start of the wait has ended, since the engine may hang. A run
+// that is acknowledged and not idempotent has until the request's deadline, since the run may only be slow.
 func (s *Session) onNotificationTimeout(r *run) {
 	engineCompletesRuns := s.lastEndedSubmittedAt > r.waitingSince // false while the engine hangs
 	acknowledged := !r.latestCommandMayBeLost()
--- a/internal/transport/engine/session.go
+++ b/internal/transport/engine/session.go
@@ -25,8 +25,8 @@
 	greetingTimeout = 2 * time.Second
 
 	// The connection counts as lost after more than maxUnansweredPolls polls without a message from
-	// the engine. Polls that are closer together than minPollInterval count as one, so that takes at
-	// least 5 s, and longer if RequestGauges is called less often.
+	// the engine. Polls that are closer together than minPollInterval count as one, so detecting the
+	// loss takes at least 5 s, and longer if RequestGauges is called less often.
 	minPollInterval    = 250 * time.Millisecond
 	maxUnansweredPolls = 20
 )
--- a/internal/transport/fastcgi/record_test.go
+++ b/internal/transport/fastcgi/record_test.go
@@ -21,8 +21,8 @@
 				err := p.feed(b, func(r record) error {
 					out = append(append(out, r.recordType), r.content...)
 					parsePairs(r.content, func(name, value string) {
-						again := appendPair(nil, name, value)
-						require.NoError(t, parsePairs(again, func(n, v string) { require.Equal(t, name+value, n+v) }))
+						reencoded := appendPair(nil, name, value)
+						require.NoError(t, parsePairs(reencoded, func(n, v string) { require.Equal(t, name+value, n+v) }))
 					})
 					return nil
 				})
--- a/internal/transport/frontend/headers.go
+++ b/internal/transport/frontend/headers.go
@@ -15,7 +15,7 @@
 	headerExpectedWork   = "Expected-Ms"    // expected work on one core, milliseconds
 	headerMemory         = "Reserve-Kb"     // memory reserved for the request, kB
 	headerRank           = "Standing"       // rank, at least 0 and less than 1
-	headerSubject        = "Lookup-Key"     // subject of a read; absent from writes
+	headerLookupKey      = "Lookup-Key"     // subject of a read; absent from writes
 	headerIdempotencyKey = "Replay-Key"     // idempotency key of a deduplicated class
 	headerTenant         = "Project"        // tenant, at sites with tenants
 	headerTimeout        = "Max-Wait-Ms"    // the caller's timeout, milliseconds since arrival
@@ -25,7 +25,7 @@
 const (
 	headerRetryAfter       = "Hold-Off-Ms"     // on a rejection: the earliest retry, in milliseconds
 	headerNoOtherServer    = "No-Other-Server" // on a rejection: "1" tells the caller not to retry at another server
-	headerFeedback         = "Feedback"        // the value that the admission controller advertises
+	headerAdvertisedValue  = "Feedback"        // the value that the admission controller advertises
 	headerNoOtherServerSet = "1"
 )
 
--- a/internal/transport/frontend/request.go
+++ b/internal/transport/frontend/request.go
@@ -54,7 +54,7 @@
 		TraceID:      r.Header(HeaderTraceID),
 		Class:        class.Index,
 		Tenant:       r.Header(headerTenant),
-		HasLookupKey: r.Header(headerSubject) != "",
+		HasLookupKey: r.Header(headerLookupKey) != "",
 	}
 	if !exchange.IsTraceID(req.TraceID) {
 		return nil, fmt.Errorf("%s %q: want 16 hex digits", HeaderTraceID, req.TraceID)
@@ -106,13 +106,13 @@
 // counts as now. Times far from now are rejected, since the admission controller would take a long wait
 // for an overload of this process.
 func (r RawRequest) decodeArrival(req *exchange.Request, now time.Time) error {
-	stamp := r.Header(headerAcceptedAt)
-	ms, err := strconv.ParseInt(stamp, 10, 64)
+	timestamp := r.Header(headerAcceptedAt)
+	ms, err := strconv.ParseInt(timestamp, 10, 64)
 	if err != nil || ms < now.Add(-maxArrivalAge).UnixMilli() || ms > now.Add(maxArrivalAhead).UnixMilli() {
-		return fmt.Errorf("%s %q: want Unix milliseconds, at most %v ago and %v ahead", headerAcceptedAt, stamp, maxArrivalAge, maxArrivalAhead)
+		return fmt.Errorf("%s %q: want Unix milliseconds, at most %v ago and %v ahead", headerAcceptedAt, timestamp, maxArrivalAge, maxArrivalAhead)
 	}
-	waited := max(0, now.Sub(time.UnixMilli(ms)))
-	req.ArrivedAt = now.Add(-waited)
+	age := max(0, now.Sub(time.UnixMilli(ms)))
+	req.ArrivedAt = now.Add(-age)
 	return nil
 }
 
--- a/internal/transport/frontend/response.go
+++ b/internal/transport/frontend/response.go
@@ -41,7 +41,7 @@
 	if !ok {
 		return nil
 	}
-	return []Header{{headerFeedback, strconv.FormatFloat(value, 'f', -1, 64)}}
+	return []Header{{headerAdvertisedValue, strconv.FormatFloat(value, 'f', -1, 64)}}
 }
 
 // HealthResponse returns the response to a health check.
--- a/internal/transport/frontend/stop_listening_test.go
+++ b/internal/transport/frontend/stop_listening_test.go
@@ -17,8 +17,8 @@
 
 func (failingListener) Close() error { return errors.New("close failed") }
 
-// TestListenerFailureIsLogged guards against a listener whose close fails, and resets callers, without a log
-// entry.
+// TestListenerFailureIsLogged checks that a failed close of the listener, which may reset connections of
+// callers, is logged.
 func TestListenerFailureIsLogged(t *testing.T) {
 	core, logged := observer.New(zapcore.WarnLevel)
 	s := NewServer(Config{Log: zap.New(core)})
--- a/internal/transport/records/conn.go
+++ b/internal/transport/records/conn.go
@@ -17,13 +17,13 @@
 
 const (
 	// maxIdleTime is how long an idle connection is cached. The service closes idle connections after
-	// 10 s, and some network hops drop them earlier. A call that fails on a dropped connection says
-	// nothing about the service.
+	// 10 s, and some network hops drop them earlier. The failure of a call on a dropped connection
+	// does not indicate a fault of the service.
 	maxIdleTime  = time.Second
 	maxIdleConns = 16
 
-	// Dials for one call. Dials are retried since the service may be moving to another address. The
-	// delay doubles with each dial.
+	// Maximum number of dials for one call, and the delay before the second dial. Dials are retried
+	// since the service may be moving to another address. The delay doubles with each dial.
 	maxDials       = 5
 	dialRetryDelay = 20 * time.Millisecond
 
--- a/internal/transport/records/doc.go
+++ b/internal/transport/records/doc.go
@@ -4,6 +4,6 @@
 //
 // Each connection carries one call at a time, since a malformed reply makes the connection unusable
 // and other calls must not fail with it. The number of connections is limited by the descriptors that
-// the pool has for calls. Further calls queue. If none is left, an idle connection is closed to make
-// room for a call.
+// the pool has for calls. Further calls queue. If no descriptor is left, an idle connection is closed
+// to make room for a call.
 package records
