--- a/admission/purity_test.go
+++ b/admission/purity_test.go
@@ -53,8 +53,8 @@
 
 // findImpurities lists the imports and uses in a file that are not allowed.
 func findImpurities(fileSet *token.FileSet, file *ast.File) (problems []string) {
-	report := func(node ast.Node, what string) {
-		problems = append(problems, fileSet.Position(node.Pos()).String()+": "+what)
+	report := func(node ast.Node, problem string) {
+		problems = append(problems, fileSet.Position(node.Pos()).String()+": "+problem)
 	}
 	imported := map[string]string{} // local name -> path
 	for _, spec := range file.Imports {
--- a/admission/retryadvice.go
+++ b/admission/retryadvice.go
@@ -42,8 +42,8 @@
 
 // retriesFutile reports whether another server would probably reject the request too. In a large
 // fleet one server may be full while most have free capacity, so rejections at this server alone
-// indicate that others reject too only if most requests are rejected. A rejection below the first tier wastes the work of
-// the tiers above, and a retry of it always counts as futile.
+// indicate that others reject too only if most requests are rejected. A rejection below the first
+// tier wastes the work of the tiers above, and a retry of it always counts as futile.
 func (c *Controller) retriesFutile() bool {
 	othersReject := c.retryFraction > futileRetryFraction || !c.settings.RetriesMarked
 	return c.settings.TiersAbove > 0 || c.rejectedFraction > surelyFutileRejectedFraction ||
--- a/cmd/oxbowbridge/frontends.go
+++ b/cmd/oxbowbridge/frontends.go
@@ -27,7 +27,7 @@
 	// use.
 	listenRetryInterval = 50 * time.Millisecond
 	// predecessorExitMargin is the time that a previous process of this service may take
-	// to exit after it was killed at its stop_ms.
+	// to exit after it was killed at the end of its stop_ms.
 	predecessorExitMargin = time.Second
 )
 
--- a/cmd/oxbowbridge/shutdown_signal_test.go
+++ b/cmd/oxbowbridge/shutdown_signal_test.go
@@ -39,13 +39,13 @@
 	w, probeTimes, deliverProbe := startTestWatcher(t)
 	first := <-probeTimes
 	deliverProbe()
-	lastAnswered := <-probeTimes
+	lastDelivered := <-probeTimes
 	deliverProbe()
 	<-probeTimes
 	time.Sleep(2 * signalSettleTime)
 	w.shutdownSignals <- syscall.SIGTERM
 	got := w.await(nil)
-	require.False(t, got.After(lastAnswered), "estimate is after the last probe that arrived was sent")
+	require.False(t, got.After(lastDelivered), "estimate is after the last probe that arrived was sent")
 	require.True(t, got.After(first), "estimate is not after the first probe, earlier than necessary")
 }
 
--- a/internal/proxy/dispatch/atmostonce.go
+++ b/internal/proxy/dispatch/atmostonce.go
@@ -9,13 +9,13 @@
 //     never run (isDuplicateTraceID), even after the first attempt was removed (recordUsedTraceID).
 //   - An attempt that was started is not started again (mayStart).
 //   - An attempt that duplicates another by its idempotency key is not started (mayStart).
-//   - No response promises that nothing ran if a run may have happened (mayPromiseNotRun).
-//   - A session does not resend a run or call that may have happened (Job.Idempotent).
+//   - No response promises that nothing ran if a run may have been executed (mayPromiseNotRun).
+//   - A session does not resend a run or call that may have been executed (Job.Idempotent).
 //
 // The rules also apply to deduplicated classes: an idempotency key detects attempts that callers
 // repeat, but not messages that this process sends twice.
 
-// isIdempotent reports whether runs and calls of the request may happen more than once.
+// isIdempotent reports whether runs and calls of the request may be executed more than once.
 func (d *Dispatcher) isIdempotent(r *request) bool { return d.effect(r) == admission.Idempotent }
 
 // isDuplicateTraceID reports whether an attempt with this trace id is tracked or has run.
--- a/internal/proxy/dispatch/invariants_test.go
+++ b/internal/proxy/dispatch/invariants_test.go
@@ -65,7 +65,7 @@
 	requestResponses int // number of responses to the request
 }
 
-// Respond checks that a request gets one response and that the response is true.
+// Respond checks that a request gets one response and that the response agrees with the runs of the request.
 func (a *fakeResponder) Respond(r exchange.Response) {
 	a.requestResponses++
 	a.responseCount++
--- a/internal/proxy/idempotency/table.go
+++ b/internal/proxy/idempotency/table.go
@@ -73,7 +73,7 @@
 	maxBytes  int
 	usedBytes int
 	byKey     map[string]*Entry
-	byExpiry  expiryHeap // entries that have ended
+	byExpiry  expiryHeap // entries with an expiry time
 }
 
 // New returns an empty table that uses at most maxBytes.
--- a/internal/proxy/idempotency/table_test.go
+++ b/internal/proxy/idempotency/table_test.go
@@ -26,7 +26,7 @@
 type expectedEntry struct {
 	entry   *Entry
 	body    string
-	expiry  time.Duration // set when the entry has ended
+	expiry  time.Duration // set when the owner has ended
 	waiters []uint32
 }
 
--- a/internal/transport/engine/delivery/delivery_test.go
+++ b/internal/transport/engine/delivery/delivery_test.go
@@ -111,8 +111,8 @@
 const maxSteps = 400
 
 // step executes a step of the model, if the model's state allows it.
-func (m *model) step(what string) {
-	switch what {
+func (m *model) step(name string) {
+	switch name {
 	case "submit run":
 		m.submitRun()
 	case "lose connection":
@@ -192,14 +192,14 @@
 	}
 	read := (*from)[0]
 	*from = (*from)[1:]
-	onCurrent := from == &m.toEngine
+	onCurrentConn := from == &m.toEngine
 	switch {
 	case read.kind == runCommand && !m.running[read.number]:
 		m.running[read.number] = true
 		m.runCounts[read.number]++
-	case read.kind == poll && onCurrent:
+	case read.kind == poll && onCurrentConn:
 		m.toService = append(m.toService, message{kind: pollAnswer})
-	case read.kind == attach && onCurrent:
+	case read.kind == attach && onCurrentConn:
 		m.toService = append(m.toService, message{kind: hello})
 		for n := max(read.number, m.droppedNotifications) + 1; n <= len(m.endedRuns); n++ {
 			m.toService = append(m.toService, message{runEnd, n})
@@ -262,7 +262,7 @@
 	}
 	m.resynced = true
 	history := HistoryComplete
-	if m.notificationsMissing || m.lastNotification < m.droppedNotifications { // in the service, a gap in the notifications of other runs shows this
+	if m.notificationsMissing || m.lastNotification < m.droppedNotifications { // in the service, a gap in the notification numbers of other runs shows the drop
 		history = HistoryIncomplete
 	}
 	switch m.command.Resync(history, m.idempotency) {
--- a/internal/transport/frontend/headers.go
+++ b/internal/transport/frontend/headers.go
@@ -24,7 +24,7 @@
 // Headers of a response.
 const (
 	headerRetryAfter       = "Hold-Off-Ms"     // on a rejection: the earliest retry, in milliseconds
-	headerNoOtherServer    = "No-Other-Server" // on a rejection: "1" tells the caller not to retry at another server
+	headerNoOtherServer    = "No-Other-Server" // on a rejection: "1" asks the caller not to retry at another server
 	headerAdvertisedValue  = "Feedback"        // the value that the admission controller advertises
 	headerNoOtherServerSet = "1"
 )
--- a/internal/transport/records/client.go
+++ b/internal/transport/records/client.go
@@ -40,7 +40,7 @@
 
 // New returns a Client that connects on demand, as long as the pool has descriptors for calls. Without
 // an address each call ends as unreachable. A service that is shared by several clients may count a
-// canceled call for the time linger. A call is sent again only after that time, so that each request
+// canceled call for the duration linger. A call is sent again only after that time, so that each request
 // counts as at most one call.
 func New(addr string, pool *fdquota.ConnPool, linger time.Duration, deps session.Config) *Client {
 	return &Client{
