--- a/bench/store/load.go
+++ b/bench/store/load.go
@@ -36,7 +36,7 @@
 }
 
 // load runs operations in the given number of concurrent clients and returns how many operations per second
-// completed. A client stops at its first error; load then returns an error.
+// completed. A client stops at its first error. If a client has failed, load returns its error.
 func (b *bench) load(clients int, duration time.Duration, operate func(client, i int) error) (float64, error) {
 	var completed atomic.Int64
 	var running sync.WaitGroup
--- a/internal/standin/lineserver.go
+++ b/internal/standin/lineserver.go
@@ -61,7 +61,7 @@
 	}
 }
 
-var errBodyLength = errors.New("body length is not a number or exceeds the limit")
+var errBodyLength = errors.New("body length is not a number between 0 and the maximum")
 
 // readBody reads a body and the line ending that follows it.
 func readBody(in io.Reader, length string) ([]byte, error) {
--- a/internal/testrig/cluster_admin.go
+++ b/internal/testrig/cluster_admin.go
@@ -33,7 +33,7 @@
 }
 
 // WaitForLeader waits until a node reports that it is the leader, and returns this node. It does not
-// ask excluded nodes.
+// query excluded nodes.
 func (c *Cluster) WaitForLeader(excluded ...int) (leader int) {
 	c.T.Helper()
 	Await(c.T, "a node reports that it is the leader", func() bool {
--- a/internal/testrig/history.go
+++ b/internal/testrig/history.go
@@ -108,8 +108,8 @@
 	return result == porcupine.Ok
 }
 
-// Clone returns a history with a copy of the operations, so that a test can append other operations to
-// each.
+// Clone returns a history with a copy of the operations, so that a test can append different operations
+// to the copy and to the original.
 func (h *History) Clone() *History {
 	return &History{operations: append([]porcupine.Operation(nil), h.operations...)}
 }
--- a/internal/testrig/link.go
+++ b/internal/testrig/link.go
@@ -25,7 +25,7 @@
 	// BytesPerSecond limits the rate of each connection in each direction; 0 means no limit.
 	BytesPerSecond int
 	// ResetBurst is how long connections are reset at the start of each ResetInterval;
-	// 0 means never.
+	// 0 disables these resets.
 	ResetBurst    time.Duration
 	ResetInterval time.Duration
 }
--- a/internal/testrig/resource.go
+++ b/internal/testrig/resource.go
@@ -14,7 +14,7 @@
 type Action struct {
 	Holder string
 	Token  uint64
-	Begin  time.Time
+	Start  time.Time
 	End    time.Time
 }
 
@@ -50,7 +50,7 @@
 // ServeHTTP handles one action.
 func (r *Resource) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	token, err := strconv.ParseUint(q.URL.Query().Get("token"), 10, 64)
-	action := Action{Holder: q.URL.Query().Get("holder"), Token: token, Begin: time.Now()}
+	action := Action{Holder: q.URL.Query().Get("holder"), Token: token, Start: time.Now()}
 	if err != nil || !r.admit(token) {
 		http.Error(w, "a higher token was received before", http.StatusPreconditionFailed)
 		return
@@ -109,7 +109,7 @@
 		switch {
 		case a.Token < last.Token:
 			violations = append(violations, fmt.Sprintf("token %d of %s took effect after token %d of %s", a.Token, a.Holder, last.Token, last.Holder))
-		case a.Holder != last.Holder && a.Begin.Before(last.End):
+		case a.Holder != last.Holder && a.Start.Before(last.End):
 			violations = append(violations, fmt.Sprintf("actions of %s and %s overlap", a.Holder, last.Holder))
 		}
 		last = a
@@ -141,7 +141,7 @@
 // ActedAfter reports whether the last action that took effect started after a given time.
 func (r *Resource) ActedAfter(at time.Time) bool {
 	a, ok := r.LastAction()
-	return ok && a.Begin.After(at)
+	return ok && a.Start.After(at)
 }
 
 // LongestGap returns the longest time between the ends of two consecutive actions that took effect after a given
