--- a/tests/process_test.go
+++ b/tests/process_test.go
@@ -1,5 +1,4 @@
-// Package tests starts the real program as a process and talks to it as its
-// callers and its servers would.
+// Package tests starts the built program as a process and talks to it as its callers and its servers do.
 package tests
 
 import (
@@ -28,7 +27,7 @@
 
 const awaitTimeout = testrig.AwaitTimeout
 
-// What the tests use of the rig by a short name.
+// await shortens the test rig's helper of that name.
 func await(t *testing.T, what string, ok func() bool) { t.Helper(); testrig.Await(t, what, ok) }
 
 func freeAddr(t *testing.T) string { return testrig.FreeAddr(t) }
@@ -36,7 +35,7 @@
 var programPath string
 
 func TestMain(m *testing.M) {
-	if url := os.Getenv(envLeaseCommandURL); url != "" { // this process is the command of a contender
+	if url := os.Getenv(envLeaseCommandURL); url != "" { // this process is the command that a contender runs under its lease
 		os.Exit(runLeaseCommand(url))
 	}
 	if threads := os.Getenv(envBusyThreads); threads != "" { // this process keeps a CPU busy
@@ -58,7 +57,8 @@
 	os.Exit(code)
 }
 
-// faultInjectionBuild is the program of the test build, whose folders fail on cue.
+// faultInjectionBuild builds the program with the build tag "faults", in which tests can make storage
+// operations fail. It returns the path of the executable.
 var faultInjectionBuild = sync.OnceValues(func() (string, error) {
 	path := filepath.Join(filepath.Dir(programPath), "faults")
 	out, err := exec.Command("go", "build", "-tags", "faults", "-o", path, "../cmd/oxbowbridge").CombinedOutput()
@@ -68,8 +68,8 @@
 	return path, err
 })
 
-// deployFileValue is the value of a key of the deploy file: the tests play the program
-// that it builds.
+// deployFileValue returns the value of a key in the deploy file. TestMain builds the program with that file's
+// command.
 func deployFileValue(key string) string {
 	text, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
@@ -85,7 +85,7 @@
 
 type object = map[string]any
 
-// settings are those of a small site: 20 requests of 46 kB fill its memory.
+// settings returns the settings of a small site: 20 requests of 46 kB fill its memory.
 func settings() object {
 	class := func(name, effect string, deadline time.Duration) object {
 		return object{"name": name, "effect": effect, "value": 2, "aim_ns": deadline * 3 / 4, "deadline_ns": deadline}
@@ -103,25 +103,25 @@
 	}
 }
 
-// service is the program under test.
+// service is one process of the program under test.
 type service struct {
 	t         *testing.T
 	cmd       *exec.Cmd
 	fcgiAddr  string
 	ajpAddr   string
 	exit      chan error
-	buildPath string // another build
+	buildPath string // executable to run; empty for the one that TestMain built
 	name      string
-	logFile   *os.File // in place of the buffer
+	logFile   *os.File // receives the log; nil for logBuffer
 
-	descriptors int           // the process's limit, 0 for that of the tests
-	exited      chan struct{} // closed after the end
+	descriptors int // file descriptor limit of the process; 0 to inherit the limit of the tests
+	exited      chan struct{} // closed once the process has exited
 	cfg         object
 	configPath  string
 	logBuffer
 }
 
-// logBuffer is what a process has written so far.
+// logBuffer collects what a process has written so far.
 type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -133,7 +133,7 @@
 	return l.text.Write(b)
 }
 
-// Log is what the process has written.
+// Log returns what the process has written so far.
 func (l *logBuffer) Log() string { return l.log() }
 
 func (l *logBuffer) log() string {
@@ -148,8 +148,8 @@
 	require.NoError(s.t, os.WriteFile(s.configPath, text, 0o600))
 }
 
-// reloadConfig has the program read a changed file, and waits for the line that it
-// logs about that.
+// reloadConfig changes the configuration file and sends SIGHUP. It returns the line that the program logs about
+// the configuration.
 func (s *service) reloadConfig(change func(object)) string {
 	said := func() []string {
 		return slices.DeleteFunc(strings.Split(s.log(), "\n"), func(l string) bool { return !strings.Contains(l, `"msg":"configuration `) })
@@ -162,21 +162,22 @@
 	return said()[n]
 }
 
-// startService runs the program with a configuration that change may alter.
+// startService starts the program with the default test configuration, after change has modified it.
 func startService(t *testing.T, change func(object)) *service {
 	return startServiceBuild(t, "", change)
 }
 
-// startServiceBuild runs another build of the program.
+// startServiceBuild is startService with another build of the program.
 func startServiceBuild(t *testing.T, build string, change func(object)) *service {
 	return startServiceWithLog(t, build, nil, change)
 }
 
-// testDescriptors is a field that a test may add to a configuration, and that the program
-// never sees: the limit on descriptors under which its process is started.
+// testDescriptors is a field that a test may add to a configuration. It sets the file descriptor limit of the
+// process and is removed before the file is written.
 const testDescriptors = "test_descriptors"
 
-// startServiceWithLog runs a build with its log going to a file or pipe in place of the buffer.
+// startServiceWithLog starts a build of the program that logs to a file or pipe; with a nil file it logs to
+// logBuffer.
 func startServiceWithLog(t *testing.T, build string, log *os.File, change func(object)) *service {
 	s := &service{t: t, buildPath: build, fcgiAddr: freeAddr(t), ajpAddr: freeAddr(t)}
 	cfg := object{"name": "n3", "listen": s.fcgiAddr, "seed": "8c1f30d27a5be964", "stop_ms": 4000,
@@ -184,7 +185,7 @@
 		"settings": settings(), "ajp": object{"listen": s.ajpAddr, "secret": "s3"}}
 	change(cfg)
 	s.name = fmt.Sprint(cfg["name"])
-	cfg["name"] = "in-the-file" // the environment's goes before it
+	cfg["name"] = "in-the-file" // BALANCER_NAME overrides the name in the file
 	s.cfg, s.configPath = cfg, filepath.Join(t.TempDir(), "config.json")
 	s.descriptors, _ = cfg[testDescriptors].(int)
 	delete(cfg, testDescriptors)
@@ -200,7 +201,7 @@
 	return s
 }
 
-// startProcess starts the process, also once more after its end.
+// startProcess starts the process. It may be called again after the process has exited.
 func (s *service) startProcess() {
 	s.exit, s.exited = make(chan error, 1), make(chan struct{})
 	s.cmd = exec.Command(cmp.Or(s.buildPath, programPath))
@@ -217,16 +218,16 @@
 	go func() { exit <- running.Wait(); close(gone) }()
 }
 
-// Signal sends one.
+// Signal sends a signal to the process.
 func (s *service) Signal(sig os.Signal) error { return s.cmd.Process.Signal(sig) }
 
-// Kill ends it, and waits for its end.
+// Kill kills the process and waits for its exit.
 func (s *service) Kill() {
 	s.cmd.Process.Kill()
 	<-s.exited
 }
 
-// awaitReady waits until health checks are good.
+// awaitReady waits until a health check succeeds.
 func (s *service) awaitReady() {
 	await(s.t, "a good health check", func() bool {
 		c, err := dialFCGI(s.fcgiAddr)
@@ -239,12 +240,12 @@
 	})
 }
 
-// awaitDrainStarted waits until the service has taken note that it will be stopped.
+// awaitDrainStarted waits until the service has logged that it handles a termination signal.
 func (s *service) awaitDrainStarted() {
 	await(s.t, "the notice", func() bool { return strings.Contains(s.log(), `"msg":"drain started"`) })
 }
 
-// terminate sends the notice and waits for the end, which must be in time and good.
+// terminate sends SIGTERM. The process must exit with code 0 within stop_ms.
 func (s *service) terminate() {
 	require.NoError(s.t, s.cmd.Process.Signal(syscall.SIGTERM))
 	s.requireCleanExit()
@@ -254,12 +255,12 @@
 	select {
 	case err := <-s.exit:
 		require.NoError(s.t, err, "exit code")
-	case <-time.After(4 * time.Second): // stop_ms
+	case <-time.After(4 * time.Second): // stop_ms of the default configuration
 		s.t.Fatal("still there when it would be killed")
 	}
 }
 
-// testbed is a service with its engine and records service.
+// testbed is a service with a stand-in engine and a stand-in records service.
 type testbed struct {
 	*service
 	engine  *engineStandin
@@ -268,7 +269,7 @@
 
 func newTestbed(t *testing.T, change func(object)) *testbed { return newTestbedWithLog(t, nil, change) }
 
-// newTestbedWithLog is newWorld with the service's log going to a file or pipe.
+// newTestbedWithLog is newTestbed with the service's log written to a file or pipe.
 func newTestbedWithLog(t *testing.T, log *os.File, change func(object)) *testbed {
 	w := &testbed{engine: newEngineStandin(t), records: newRecordsStandin(t)}
 	w.service = startServiceWithLog(t, "", log, func(cfg object) {
@@ -281,8 +282,9 @@
 	return w
 }
 
-// readLineProtocol reads lines of words, and the bytes after those that long picks. It ends at an empty line, which nobody sends
-// in these protocols: the client is then none of this test's program.
+// readLineProtocol reads lines of space-separated words. After a line for which long reports true, it reads a
+// payload whose length is the line's last word. It returns at an empty line, which none of these protocols has:
+// it comes from a client that is not the program under test.
 func readLineProtocol(c net.Conn, long func([]string) bool, handle func(words []string, payload []byte)) {
 	r := bufio.NewReader(c)
 	for {
@@ -307,7 +309,7 @@
 	}
 }
 
-// startTCPServer accepts connections on a loopback address.
+// startTCPServer serves connections on a free loopback address, which it returns.
 func startTCPServer(t *testing.T, serve func(net.Conn)) string {
 	ln, err := testrig.ListenFree()
 	require.NoError(t, err)
@@ -324,27 +326,27 @@
 	return ln.Addr().String()
 }
 
-// engineStandin stands in for the engineStandin. A run's body says what becomes of it: "ok"
-// and "error" end it, "call" has it stand at a call first, "hold" waits for
-// release, "two calls" stands at one, and after the release at another.
+// engineStandin stands in for the engine. The body of a run selects its outcome: "ok" and "error" complete it,
+// "call" makes one call first, "hold" waits for releaseHeld, "two calls" makes a call, waits for releaseHeld
+// and makes a second one.
 type engineStandin struct {
 	addr                string
 	mu                  sync.Mutex
 	conn                net.Conn
 	notices             []string
-	runCounts           map[string]int // how often each trace began to run
+	runCounts           map[string]int // runs started, by trace id
 	active              map[string]bool
-	callStages          map[string]string // by trace: "two" until the first of two calls has its reply
+	callStages          map[string]string // by trace id: "two" before the reply to the first of two calls, then "call"
 	heldTraces          []string
 	receivedCommands    []string
-	ignoresCommands     bool     // reads commands and does nothing
-	ignoresStat         bool     // answers no STAT
-	ignoresRun          bool     // reads RUN, and begins none
-	completesBeforeHalt bool     // runs end well just before their HALT is read
-	linksToIgnore       int      // so many of the next links are accepted and then forgotten
-	answeredStats       int      // STATs that it answered
-	releaseAfterSync    bool     // runs that hold end right after the next STATS sync
-	betweenCalls        []string // have the reply to their first call, and wait for release
+	ignoresCommands     bool // reads commands without handling them
+	ignoresStat         bool // does not answer STAT
+	ignoresRun          bool // reads RUN without starting a run
+	completesBeforeHalt bool // a run completes successfully just before its HALT is read
+	linksToIgnore       int // number of further connections that are accepted and never read
+	answeredStats       int // STAT commands answered
+	releaseAfterSync    bool // held runs complete right after the next answer to STAT sync
+	betweenCalls        []string // trace ids of runs that have the reply to their first call and wait for releaseHeld
 }
 
 func newEngineStandin(t *testing.T) *engineStandin {
@@ -353,7 +355,7 @@
 	return e
 }
 
-// addListener opens one more address of the same engine.
+// addListener makes the same engine listen on another address, which it returns.
 func (e *engineStandin) addListener(t *testing.T) string {
 	return startTCPServer(t, func(c net.Conn) {
 		e.mu.Lock()
@@ -386,7 +388,7 @@
 		if e.releaseAfterSync && w[1] == "sync" {
 			e.releaseHeldLocked()
 		}
-	case w[0] == "RUN" && (e.active[w[1]] || e.ignoresRun): // nothing happens
+	case w[0] == "RUN" && (e.active[w[1]] || e.ignoresRun): // the command is ignored
 	case w[0] == "RUN":
 		e.runCounts[w[1]]++
 		e.active[w[1]] = true
@@ -417,7 +419,7 @@
 	}
 }
 
-// sendNotice sends a numbered sendNotice that ends in a payload, and keeps it.
+// sendNotice sends a numbered notice that ends in a payload, and stores it for later connections.
 func (e *engineStandin) sendNotice(format, payload string) {
 	n := fmt.Sprintf(format, len(e.notices)+1) + fmt.Sprintf("%d\r\n%s\r\n", len(payload), payload)
 	e.notices = append(e.notices, n)
@@ -427,7 +429,7 @@
 	e.conn.Write([]byte(n))
 }
 
-// releaseHeld ends all runs that are held, last first.
+// releaseHeld completes all held runs, the latest first, and lets runs between two calls make the second one.
 func (e *engineStandin) releaseHeld() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -451,11 +453,11 @@
 	return len(e.heldTraces)
 }
 
-// countReceived counts the commands that start so.
-func (e *engineStandin) countReceived(startService string) int {
+// countReceived counts the received commands that start with prefix.
+func (e *engineStandin) countReceived(prefix string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return countWithPrefix(e.receivedCommands, startService)
+	return countWithPrefix(e.receivedCommands, prefix)
 }
 
 func countWithPrefix(lines []string, start string) (n int) {
@@ -467,21 +469,21 @@
 	return n
 }
 
-// recordsStandin stands in for the recordsStandin service: reply says how calls end. What is
-// no word of the protocol is sent as it is, with the call's trace for %s.
+// recordsStandin stands in for the records service. reply selects how it answers calls. A text that is not a
+// word of the protocol is sent as it is, with the call's trace id in place of %s.
 type recordsStandin struct {
 	addr          string
 	mu            sync.Mutex
 	reply         string
-	nextReply     string // in its place, for one call
+	nextReply     string // replaces reply for one call
 	receivedLines []string
 	acceptedConns int
-	closedConns   int // of them
+	closedConns   int // accepted connections that have been closed
 	lastConn      net.Conn
-	lastTrace     string // latest trace
+	lastTrace     string // trace id of the latest call
 }
 
-// replyToLast gives the latest call a reply that was held back.
+// replyToLast sends the reply to the latest call, which was not answered before.
 func (r *recordsStandin) replyToLast(body string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -512,7 +514,7 @@
 				c.Close()
 			case "silence":
 			default:
-				reply, cut := strings.CutPrefix(reply, "cut:") // the connection ends behind it
+				reply, cut := strings.CutPrefix(reply, "cut:") // the connection is closed after the reply
 				if strings.Contains(reply, "%") {
 					reply = fmt.Sprintf(reply, w[1])
 				}
@@ -550,8 +552,8 @@
 	r.mu.Unlock()
 }
 
-func (r *recordsStandin) countReceived(start string) int {
+func (r *recordsStandin) countReceived(prefix string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return countWithPrefix(r.receivedLines, start)
+	return countWithPrefix(r.receivedLines, prefix)
 }
--- a/tests/soak_answers_test.go
+++ b/tests/soak_answers_test.go
@@ -16,13 +16,12 @@
 	logTimeResolution = time.Millisecond
 )
 
-// failedRunMessages begin the lines of the log that say of a trace id that its run has failed.
+// failedRunMessages are the messages of log lines that report the failure of a run with its trace id.
 var failedRunMessages = []string{"run given up, its engine connection was lost", "run failed", "upstream failed a run"}
 
-// checkFailedRuns: what is given up is answered at once, by the time that the sockets add to each
-// limit: a run that the program gives up, by the time in its log; a nom-submit whose call may have
-// had its effect, by the time of its end at the records service; and one that came after the
-// drain's grace, by the time of its last byte. It returns how many runs were given up.
+// checkFailedRuns checks that a failure is answered within soakSocketDelay: after the log line for a run that
+// the program fails, after the end of the call for a nom-submit whose call may have taken effect, and after the
+// last byte for a request that arrives after the drain grace period. It returns the number of failed runs.
 func (s *soakRun) checkFailedRuns() int {
 	givenUp := s.failedRunTimes()
 	for _, a := range s.attempts {
@@ -42,7 +41,8 @@
 	return len(givenUp)
 }
 
-// checkCalls: no call of a nom-submit is made again, unless the one before it never ran.
+// checkCalls checks that a call of a nom-submit is repeated only if the call before it was rejected, and so
+// never ran.
 func (s *soakRun) checkCalls(a *soakAttempt) {
 	calls := s.records.calls[a.trace]
 	for i, call := range calls {
@@ -62,7 +62,7 @@
 	}
 }
 
-// failedRunTimes are the times in the log of runs that were given up, by trace id.
+// failedRunTimes returns the logged failure time of each failed run, by trace id.
 func (s *soakRun) failedRunTimes() map[string]time.Time {
 	at := map[string]time.Time{}
 	for line := range strings.Lines(s.log()) {
--- a/tests/soak_callers_test.go
+++ b/tests/soak_callers_test.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// drawnClasses are those of a caller's requests; most may run once.
+// drawnClasses are the classes from which callers draw; most are at-most-once.
 var drawnClasses = slices.Concat(classNames, []string{"nom-submit", "nom-submit", "nom-update"})
 
-// soakCaller sends one request after the other, on a connection that it keeps until the
-// service or the caller itself ends it.
+// soakCaller sends requests one after the other on a connection that it reuses until the service or the caller
+// closes it.
 type soakCaller struct {
 	*soakRun
 	rng    *rand.Rand
@@ -20,7 +20,7 @@
 	conn   soakConn
 }
 
-// soakConn is a connection in one of the protocols.
+// soakConn is a caller's connection in either protocol.
 type soakConn interface {
 	Write([]byte) (int, error)
 	Close() error
@@ -43,7 +43,7 @@
 
 func (c *ajpConn) receive() (response, error) { return c.readResponse(nil) }
 
-// protocol is that of all the caller's connections.
+// protocol returns the protocol of all connections of the caller.
 func (c *soakCaller) protocol() string {
 	if c.number%2 == 0 {
 		return "fastcgi"
@@ -60,7 +60,7 @@
 
 const reconnectDelay = 5 * time.Millisecond
 
-// run sends requests until the process has ended.
+// run sends requests until the process has exited.
 func (c *soakCaller) run(over <-chan struct{}) {
 	defer c.close()
 	for {
@@ -99,7 +99,7 @@
 	}
 }
 
-// request sends one request in one of the ways in which callers do.
+// request sends one request, sometimes slowly, incompletely, with a duplicate, or closing the connection early.
 func (c *soakCaller) request() {
 	class := drawnClasses[c.rng.IntN(len(drawnClasses))]
 	c.sent++
@@ -119,7 +119,7 @@
 	}
 }
 
-// encoded are the bytes of an attempt; those of one identity share the key.
+// encoded returns the bytes of an attempt. Attempts with the same identity have the same idempotency key.
 func (c *soakCaller) encoded(a *soakAttempt) []byte {
 	a.trace = newTraceID()
 	fields := requestHeaders(a.trace)
@@ -130,7 +130,7 @@
 	return c.conn.encode(a.class, fields, a.identity)
 }
 
-// exchange writes a request and awaits its answer.
+// exchange writes a request and reads its response.
 func (c *soakCaller) exchange(a *soakAttempt) {
 	request := c.encoded(a)
 	a.sentAt = time.Now()
@@ -138,7 +138,7 @@
 	c.await(a)
 }
 
-// await reads the answer to a request that was written.
+// await reads the response to a request that was written.
 func (c *soakCaller) await(a *soakAttempt) {
 	if a.err == nil {
 		a.sentCompletely = true
@@ -150,7 +150,7 @@
 	}
 }
 
-// writeInPieces takes a while to write a request, at most a third of the deadline.
+// writeInPieces writes a request slowly, within a third of the deadline.
 func (c *soakCaller) writeInPieces(a *soakAttempt) {
 	request := c.encoded(a)
 	for range 3 {
@@ -168,7 +168,7 @@
 	c.await(a)
 }
 
-// writeAndClose closes the connection at some time after the request.
+// writeAndClose closes the connection up to 20 ms after it wrote the request.
 func (c *soakCaller) writeAndClose(a *soakAttempt) {
 	request := c.encoded(a)
 	a.abandoned = true
@@ -179,7 +179,7 @@
 	c.close()
 }
 
-// writePartAndClose closes the connection within a request, which must not run then.
+// writePartAndClose closes the connection within a request. Such a request must not run.
 func (c *soakCaller) writePartAndClose(a *soakAttempt) {
 	request := c.encoded(a)
 	a.abandoned = true
@@ -188,8 +188,8 @@
 	c.close()
 }
 
-// sendWithDuplicate sends a keyed request, and after a while another attempt of it on a connection of
-// its own, which may come before the answer to the first.
+// sendWithDuplicate sends a request with an idempotency key and, up to 30 ms later, a second attempt on another
+// connection. The second attempt may arrive before the first is answered.
 func (c *soakCaller) sendWithDuplicate(a *soakAttempt) {
 	again := *a
 	request := c.encoded(&again)
--- a/tests/soak_checks_test.go
+++ b/tests/soak_checks_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// check holds what callers saw against what the engine did.
+// check compares the outcomes that callers saw with the runs at the engine or the upstreams.
 func (s *soakRun) check() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -27,7 +27,7 @@
 	}
 }
 
-// checkRuns: a request that may run once ran once at most.
+// checkRuns checks that no at-most-once request ran twice, and returns how many did.
 func (s *soakRun) checkRuns() (twice int) {
 	for identity, runs := range s.runner.runs {
 		if len(runs) > 1 && isAtMostOnce(identity) {
@@ -38,12 +38,12 @@
 	return twice
 }
 
-// isAtMostOnce tells it by the class, with which an identity begins.
+// isAtMostOnce reports whether the class at the start of the identity is at-most-once.
 func isAtMostOnce(identity string) bool {
 	return strings.HasPrefix(identity, "nom-submit") || strings.HasPrefix(identity, "nom-update")
 }
 
-// checkAttempt returns the attempt's outcome for the table.
+// checkAttempt checks one attempt and returns its outcome for the table.
 func (s *soakRun) checkAttempt(a *soakAttempt) string {
 	runs := s.runner.runs[a.identity]
 	late := a.sentAt.After(s.noticeAt.Add(soakDrainGrace + soakSocketDelay))
@@ -75,8 +75,8 @@
 	return "failed"
 }
 
-// checkConnectionError: a connection may end without an answer only where its end crosses a request that
-// never runs: in a drain, and in a crowd.
+// checkConnectionError checks an attempt whose connection closed without a response. That is allowed only if
+// the request did not run, and only during the drain or while idle connections fill the connection table.
 func (s *soakRun) checkConnectionError(a *soakAttempt, runs int) string {
 	var failure net.Error
 	mayEnd := a.endedAt.After(s.noticeAt) || s.plan.idleConnections > 0
@@ -92,13 +92,13 @@
 	return "not taken"
 }
 
-// checkProcess: no panic, and memory and descriptors within their limits.
+// checkProcess checks that the process did not panic and stayed within its memory and descriptor limits.
 func (s *soakRun) checkProcess() {
 	log := s.log()
 	assert.NotContains(s.t, log, "panic:")
 	assert.NotContains(s.t, log, "fatal error:")
 	assert.NotContains(s.t, log, "too many open files")
 	assert.LessOrEqual(s.t, s.peakMemory, soakMemoryMB<<10, "KB of memory")
-	// The system lets the process have no more than the limit: one that used them all ran out.
+	// The kernel enforces the limit, so a process that reaches it has run out of descriptors.
 	assert.Less(s.t, s.peakSockets, soakSockets, "descriptors")
 }
--- a/tests/soak_faults_test.go
+++ b/tests/soak_faults_test.go
@@ -12,10 +12,10 @@
 	"oxbowbridge/internal/testrig"
 )
 
-// maxCutBytes is how many bytes at most pass before a cut: more than the longest command.
+// maxCutBytes is the most bytes that pass before a link is cut. It is more than the longest command.
 const maxCutBytes = 400
 
-// injectFaults has one fault follow the other until the time is over.
+// injectFaults injects one fault after the other for soakDuration, then removes all faults.
 func (s *soakRun) injectFaults() {
 	rng := s.rng(streamFaults)
 	for end := time.Now().Add(*soakDuration); time.Now().Before(end); {
@@ -55,7 +55,7 @@
 	}
 }
 
-// malformedReplies are no replies.
+// malformedReplies are lines that are not valid replies.
 var malformedReplies = []string{"\r\n", "WHAT\r\n", "\x00\xff\r\n", "0 DONE -1\r\n"}
 
 func (s *soakRun) injectRecordsFault(rng *rand.Rand) {
@@ -82,7 +82,7 @@
 	s.registry.setMode(mode)
 }
 
-// changeRunnerAddress gives the same engine, or upstreams, other addresses.
+// changeRunnerAddress moves the engine, or the upstreams, to other addresses.
 func (s *soakRun) changeRunnerAddress() {
 	s.runner.addLinks()
 	s.runner.configure(s.cfg)
@@ -90,14 +90,14 @@
 	s.Signal(syscall.SIGHUP)
 }
 
-// reconfigure has the program read a changed value.
+// reconfigure changes a configuration value and makes the program reload its file.
 func (s *soakRun) reconfigure(key string, value any) {
 	s.cfg[key] = value
 	s.writeConfig()
 	s.Signal(syscall.SIGHUP)
 }
 
-// pause stops the process for a while.
+// pause stops the process for a time with SIGSTOP.
 func (s *soakRun) pause(span time.Duration) {
 	began := time.Now()
 	s.Signal(syscall.SIGSTOP)
@@ -106,7 +106,7 @@
 	s.stalls.recordStall(time.Since(began))
 }
 
-// measure notes the most memory and descriptors that the process has used.
+// measure records the peak memory and descriptor use of the process.
 func (s *soakRun) measure() {
 	proc := fmt.Sprintf("/proc/%d/", s.cmd.Process.Pid)
 	status, _ := os.ReadFile(proc + "status")
--- a/tests/soak_peers_test.go
+++ b/tests/soak_peers_test.go
@@ -12,17 +12,17 @@
 	"oxbowbridge/internal/testrig"
 )
 
-// soakRecordsService fails some calls, and notes all.
+// soakRecordsService is a stand-in records service that fails some calls and records them all.
 type soakRecordsService struct {
 	target string
-	link   *testrig.Link // the one in use
+	link   *testrig.Link // the link currently configured
 
 	mu    sync.Mutex
 	rng   *rand.Rand
 	calls map[string][]soakCall // by trace id
 }
 
-// soakCall is how one call ended, at the service.
+// soakCall is the result of one call as the records service saw it.
 type soakCall struct {
 	result standin.CallResult
 	at     time.Time
@@ -39,7 +39,7 @@
 	return r
 }
 
-// addLink gives the service another address. Calls in flight go on over the one before.
+// addLink gives the service another address. Calls in flight continue over the previous one.
 func (r *soakRecordsService) addLink(t *testing.T) {
 	link, err := testrig.NewLink(r.target)
 	require.NoError(t, err)
@@ -55,7 +55,7 @@
 	return result
 }
 
-// drawResult has one call in forty end badly. The lock is held.
+// drawResult makes one call in forty fail. The caller holds the lock.
 func (r *soakRecordsService) drawResult() standin.CallResult {
 	if r.rng.IntN(40) > 0 {
 		return standin.CallDone
--- a/tests/soak_registry_test.go
+++ b/tests/soak_registry_test.go
@@ -9,34 +9,34 @@
 	"github.com/stretchr/testify/require"
 )
 
-// registryMode is what the registry does with the reports.
+// registryMode is how the registry handles reports.
 type registryMode string
 
 const (
 	registryHealthy      registryMode = "well"
 	registryClosed       registryMode = "gone"    // its socket is closed
-	registrySlow         registryMode = "slow"    // it reads one report in a while
-	registrySendsGarbage registryMode = "garbled" // it answers reports, with what is no message
-	registryMoved        registryMode = "moved"   // it has another address, and is well there
+	registrySlow         registryMode = "slow" // it reads one report every slowRegistryDelay
+	registrySendsGarbage registryMode = "garbled" // it answers reports with bytes that are not a message
+	registryMoved        registryMode = "moved" // it works, at another address
 )
 
 var registryModes = []registryMode{registryHealthy, registryClosed, registrySlow, registrySendsGarbage, registryMoved}
 
 const (
 	slowRegistryDelay = 500 * time.Millisecond
-	// registryReportTimeout is how long after its last report a service is taken off the list.
+	// registryReportTimeout is how long after its last report a service is removed from the endpoint list.
 	registryReportTimeout = 3 * time.Second
 	maxGarbageBytes       = 1400
 )
 
-// soakRegistry notes all reports.
+// soakRegistry is a stand-in service registry that records all reports.
 type soakRegistry struct {
 	t    *testing.T
 	addr string
 
 	mu      sync.Mutex
 	mode    registryMode
-	socket  net.PacketConn // nil while it is gone
+	socket  net.PacketConn // nil while closed
 	reports []soakReport
 }
 
@@ -52,7 +52,7 @@
 	return r
 }
 
-// changeAddress gives the registry another address.
+// changeAddress moves the registry to another address.
 func (r *soakRegistry) changeAddress() {
 	r.setMode(registryClosed)
 	r.addr = "127.0.0.1:0"
@@ -72,7 +72,7 @@
 	}
 }
 
-// listen opens the socket, at the address before if there was one. The lock is held.
+// listen opens the socket, at its previous address if there is one. The caller holds the lock.
 func (r *soakRegistry) listen() {
 	require.Eventually(r.t, func() bool {
 		socket, err := net.ListenPacket("udp", r.addr)
@@ -112,15 +112,15 @@
 	return r.reports[:len(r.reports):len(r.reports)]
 }
 
-// awaitReport: a registry that is well again hears of the service before it would take it off
+// awaitReport requires that a registry that works again gets a report before it would remove the service from
 // its list.
 func (r *soakRegistry) awaitReport(t *testing.T) {
 	heard := len(r.allReports())
 	require.Eventually(t, func() bool { return len(r.allReports()) > heard }, registryReportTimeout, time.Millisecond, "no report to the registry")
 }
 
-// check: each report is one of the two, and none that lists the service as open follows the last
-// one, which says that it is closed.
+// check requires that each report is valid, that the last state reported is closed, and that no report lists
+// the service as open after it.
 func (r *soakRegistry) check() {
 	reports := r.allReports()
 	closed := false
--- a/tests/soak_runner_test.go
+++ b/tests/soak_runner_test.go
@@ -15,32 +15,32 @@
 )
 
 const (
-	maxRunTime      = 16 * time.Millisecond // of a drawn run
+	maxRunTime      = 16 * time.Millisecond // of a run
 	upstreamsInUse  = 2
 	maxHoldMs       = 60
 	maxOutageMs     = 400
-	relistenTimeout = 2 * time.Second // in which an address that was closed can be listened on again
+	relistenTimeout = 2 * time.Second // time within which a closed address must be available again
 )
 
-// soakRunners make what does the work, by the name of the sub-test.
+// soakRunners create the engine or the upstreams, by name of the subtest.
 var soakRunners = map[string]func(*testing.T, *rand.Rand) *soakRunner{
 	"engine": newSoakEngine, "upstreams": newSoakUpstreams,
 }
 
-// soakRunner is an engine or AJP servers; it counts the runs of each identity. Its links cut
-// connections, move, vanish and come back.
+// soakRunner is an engine or a group of AJP upstreams that records the runs of each identity. The links to it
+// can be cut, stalled, moved, closed and reopened.
 type soakRunner struct {
 	t                 *testing.T
 	listener          net.Listener
-	links             []*testrig.Link // the last inUse are those in use
+	links             []*testrig.Link // the last inUse links are configured
 	inUse             int
 	linkFaults        int
-	malformedMessages []string // on which the program closes the connection
+	malformedMessages []string // messages after which the program must close the connection
 	configure         func(object)
 
 	mu              sync.Mutex
 	rng             *rand.Rand
-	maxCommandDelay time.Duration // most that a command waits
+	maxCommandDelay time.Duration // maximum delay of a command
 	runs            map[string][]time.Time
 }
 
@@ -93,7 +93,8 @@
 	return r.malformedMessages[rng.IntN(len(r.malformedMessages))]
 }
 
-// holdTraffic has answers come late or be lost with the connection, or the same with commands.
+// holdTraffic stalls a link in one direction for a time. Then the stalled bytes are delivered, or lost with the
+// connection.
 func (r *soakRunner) holdTraffic(rng *rand.Rand) {
 	link := r.drawLink(rng)
 	mode := testrig.LinkMode{StallResponses: true}
@@ -111,7 +112,7 @@
 	link.SetMode(testrig.LinkMode{})
 }
 
-// interruptListener has one address end all connections and refuse new ones for a while.
+// interruptListener closes all connections of one address and refuses new ones for a time.
 func (r *soakRunner) interruptListener(rng *rand.Rand) {
 	r.linkFaults++
 	link := r.drawLink(rng)
@@ -127,7 +128,7 @@
 	r.links[slices.Index(r.links, link)] = restored
 }
 
-// clearFaults ends all faults.
+// clearFaults removes all faults.
 func (r *soakRunner) clearFaults() {
 	r.setMaxCommandDelay(0)
 	for _, link := range r.linksInUse() {
@@ -141,7 +142,7 @@
 	r.runs[body] = append(r.runs[body], time.Now())
 }
 
-// drawDuration returns a time up to a bound.
+// drawDuration returns a random duration below bound.
 func (r *soakRunner) drawDuration(bound time.Duration) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -163,7 +164,8 @@
 	r.maxCommandDelay = most
 }
 
-// awaitPendingCommands waits until commands that are still on their way have been carried out.
+// awaitPendingCommands waits until commands still in flight have been executed, so that the number of runs no
+// longer changes.
 func (r *soakRunner) awaitPendingCommands() {
 	r.setMaxCommandDelay(0)
 	for count := -1; ; time.Sleep(50 * time.Millisecond) {
--- a/tests/soak_stalls_test.go
+++ b/tests/soak_stalls_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// stallMonitor notes when this process itself stood still, or had stopped the program: such time
-// does not count against an answer.
+// stallMonitor records the times in which this test process was not scheduled or had paused the program. They
+// are not counted against response times.
 type stallMonitor struct {
 	done   chan struct{}
 	mu     sync.Mutex
@@ -43,7 +43,7 @@
 	}
 }
 
-// recordStall adds a standstill that ends now.
+// recordStall records a stall that ends now.
 func (m *stallMonitor) recordStall(took time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -52,7 +52,7 @@
 
 func (m *stallMonitor) stop() { close(m.done) }
 
-// totalBetween is how long the machine stood still in a span of time.
+// totalBetween returns the total duration of the stalls that overlap a time span.
 func (m *stallMonitor) totalBetween(begin, end time.Time) (sum time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/tests/soak_test.go
+++ b/tests/soak_test.go
@@ -21,17 +21,17 @@
 
 const (
 	soakStopTimeout = 4 * time.Second         // from the first SIGTERM to SIGKILL
-	soakDrainGrace  = 2500 * time.Millisecond // after the notice
-	soakSocketDelay = 50 * time.Millisecond   // by which each time limit is longer on sockets
-	soakDeadline    = 3 * time.Second         // of each class
+	soakDrainGrace  = 2500 * time.Millisecond // drain grace period after SIGTERM
+	soakSocketDelay = 50 * time.Millisecond // extra time that sockets may add to each time limit
+	soakDeadline    = 3 * time.Second // deadline of each class
 	// soakResponseGrace is how long after its deadline a request may be answered (answer_slack_ns).
 	soakResponseGrace = 80 * time.Millisecond
 	soakMemoryMB      = 192
 	soakSockets       = 256
 )
 
-// soakRun is one process of the program among faulty peers. What happens is drawn from the seed;
-// when the program does what is up to the scheduler.
+// soakRun runs one process of the program with faulty peers. The seed determines the injected events, but not
+// how they interleave with the program.
 type soakRun struct {
 	*service
 	t        *testing.T
@@ -44,16 +44,16 @@
 
 	mu          sync.Mutex
 	attempts    []*soakAttempt
-	noticeAt    time.Time // of the first SIGTERM
-	peakMemory  int       // KB
+	noticeAt    time.Time // time of the first SIGTERM
+	peakMemory  int // in KB
 	peakSockets int
 }
 
-// soakPlan is what differs between seeds as a whole.
+// soakPlan holds the parameters that are drawn once per seed.
 type soakPlan struct {
 	callers           int
-	idleConnections   int           // connections that say nothing or half a request
-	meanFaultInterval time.Duration // between two faults
+	idleConnections   int // connections that send nothing or only a health check
+	meanFaultInterval time.Duration // between two injected faults
 }
 
 func drawSoakPlan(rng *rand.Rand) soakPlan {
@@ -67,21 +67,20 @@
 	return plan
 }
 
-// soakStreams set the generators of one seed apart.
+// Each random generator of a seed has its own stream.
 const (
 	streamPlan = iota
 	streamFaults
 	streamRunner
 	streamRecords
-	streamCallers // and the numbers after it, one a caller
+	streamCallers // caller n uses streamCallers+n
 )
 
 func (s *soakRun) rng(stream uint64) *rand.Rand { return rand.New(rand.NewPCG(s.seed, stream)) }
 
-// TestSoak: among lost connections, reloads, stops and callers who leave, no request that may
-// run once runs twice, each gets one true answer in time, and nothing runs after the drain's
-// grace, whether an engine does the work or AJP upstreams do. -soak-seeds 50 is its long form; -v
-// prints a row a seed.
+// TestSoak injects lost connections, reloads, pauses and callers that disconnect, with an engine and with AJP
+// upstreams. No at-most-once request may run twice, each request gets one correct response in time, and nothing
+// runs after the drain grace period. Run it longer with -soak-seeds 50; -v prints a table row per seed.
 func TestSoak(t *testing.T) {
 	for name, newRunner := range soakRunners {
 		t.Run(name, func(t *testing.T) {
@@ -117,15 +116,14 @@
 		site["safety"].(object)["answer_slack_ns"] = int64(soakResponseGrace)
 	})
 	s.awaitReady()
-	// An engine resets its notices for a service that has read none; from here on it has. A class
-	// without calls, as the records service fails some.
+	// The engine renumbers its notices for a service that has not read any, so one request makes the service
+	// read some. Its class makes no calls, because the records service fails some calls.
 	w := &testbed{service: s.service}
 	require.Equal(t, 200, w.responseStatus("cycle-check", "the first"))
 	return s
 }
 
-// run has the callers and the faults at it until the process has ended, and then checks what
-// everyone has seen.
+// run runs the callers and injects faults until the process has exited, then checks the outcomes.
 func (s *soakRun) run() {
 	s.stalls = newStallMonitor()
 	defer s.stalls.stop()
@@ -147,7 +145,7 @@
 	s.check()
 }
 
-// signalAndAwaitExit sends the notice, in a series of signals, and awaits the end of the process.
+// signalAndAwaitExit sends SIGTERM, possibly among other faults, and waits for the process to exit.
 func (s *soakRun) signalAndAwaitExit() {
 	rng := s.rng(streamPlan)
 	if rng.IntN(2) == 0 {
@@ -181,19 +179,19 @@
 	}
 }
 
-// soakAttempt is one request on its way, and what came of it.
+// soakAttempt is one attempt of a request and its outcome.
 type soakAttempt struct {
 	class    string
 	trace    string
-	identity string // its body; attempts of one idempotency key share it
+	identity string // request body; attempts with the same idempotency key share it
 	protocol string
-	// acceptedAt is when the request came to the machine, as it says itself (Accepted-At-Ms): for
-	// one that is written slowly long before its last byte.
+	// acceptedAt is the time sent in Accepted-At-Ms. For a slowly written request it is long before the last
+	// byte.
 	acceptedAt     time.Time
-	sentAt         time.Time // just before its last byte was written
+	sentAt         time.Time // time just before the last byte was written
 	endedAt        time.Time
-	abandoned      bool // its caller closed the connection and waits for nothing
-	sentCompletely bool // its last byte was written
+	abandoned      bool // the caller closed the connection and does not read a response
+	sentCompletely bool // the last byte was written
 	response       response
 	err            error
 }
--- a/tests/soak_upstreams_test.go
+++ b/tests/soak_upstreams_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// codes of AJP13 that an upstream reads and writes
+// AJP13 codes that an upstream reads and writes
 const (
 	ajpCodeForward   = 2
 	ajpCodeBodyChunk = 3
@@ -20,7 +20,7 @@
 	ajpCodeCPing     = 10
 )
 
-// newSoakUpstreams has AJP servers do the work, in place of an engine.
+// newSoakUpstreams starts AJP upstreams, which take the place of an engine.
 func newSoakUpstreams(t *testing.T, rng *rand.Rand) *soakRunner {
 	r := newSoakRunner(t, rng, upstreamsInUse)
 	r.malformedMessages = []string{"\r\n\r\n", "\x12\x34\x00\x01\x09", "AB\x00\x00", "AB\x00\x01\x63", "AB\xff\xff"}
@@ -44,8 +44,8 @@
 	}
 }
 
-// serveUpstreamPacket answers one packet, and tells whether the connection goes on. The program
-// sends the body right after its request.
+// serveUpstreamPacket handles one packet and reports whether the connection stays open. The program sends the
+// body right after its request.
 func (r *soakRunner) serveUpstreamPacket(c *ajpConn) bool {
 	packet, err := c.readPacket()
 	if err != nil || len(packet) == 0 {
@@ -72,7 +72,7 @@
 	return err == nil
 }
 
-// upstreamResult prints a response that goes well.
+// upstreamResult encodes a successful response.
 func upstreamResult(result string) []byte {
 	headers := ajpPacket("AB", append(appendAJPString([]byte{ajpCodeHeaders, 0, 200}, "OK"), 0, 0))
 	chunk := binary.BigEndian.AppendUint16([]byte{ajpCodeBodyChunk}, uint16(len(result)))
--- a/tests/store_soak_faults_test.go
+++ b/tests/store_soak_faults_test.go
@@ -8,14 +8,14 @@
 	"oxbowbridge/internal/testrig"
 )
 
-// soakFault is a fault of one node, or of the holder of the lease.
+// soakFault is a fault of one node or of one contender for the lease.
 type soakFault struct {
 	name  string
 	begin func()
 	end   func()
 }
 
-// drawFaults draws one fault of a node, and in half of the rounds one of the holder beside it.
+// drawFaults draws one fault of a node and, in half of the rounds, a concurrent fault of a contender.
 func (s *storeSoak) drawFaults() []soakFault {
 	nodes := s.nodeFaults(s.rng.IntN(storeSoakNodes))
 	drawn := []soakFault{nodes[s.rng.IntN(len(nodes))]}
@@ -55,7 +55,7 @@
 	}
 }
 
-// holderFaults are faults of one contender, which may hold the lease.
+// holderFaults are faults of one contender, which may be the lease holder.
 func (s *storeSoak) holderFaults() []soakFault {
 	holder := s.contest.contenders[s.rng.IntN(len(s.contest.contenders))]
 	return []soakFault{
--- a/tests/store_soak_test.go
+++ b/tests/store_soak_test.go
@@ -23,18 +23,19 @@
 
 const (
 	storeSoakNodes                = 3
-	storeSoakServicesWithoutStore = 2 // without a node of the store
+	storeSoakServicesWithoutStore = 2 // services in maintenance that are not members of the store
 	storeSoakContenders           = 3
 	storeSoakClients              = 4
-	storeSoakRounds               = 6 // of one or two faults at once
+	storeSoakRounds               = 6 // rounds of one or two concurrent faults
 	storeSoakLeaseTTL             = time.Second
-	// maintenanceCommand notes when a machine goes out and comes back.
+	// maintenanceCommand appends a line to a file when a machine's maintenance starts and when it ends.
 	maintenanceCommand = "echo out $OXBOWBRIDGE_WORK_NODE >> %[1]s; sleep 0.3; echo back $OXBOWBRIDGE_WORK_NODE >> %[1]s"
 )
 
-// TestStoreSoak: three processes with the store, a lease and maintenance under kills, stops, cuts and full disks, one or
-// two at once. An acknowledged write is lost or a read is stale, two holders act at once, two machines are out at once, or
-// something does not come back.
+// TestStoreSoak runs three store nodes, a contended lease and maintenance orders while nodes are killed,
+// paused, cut off or have failing disks, one or two faults at a time. It guards against lost acknowledged
+// writes, stale reads, two concurrent lease holders, two machines in maintenance at once, and anything that
+// does not recover.
 func TestStoreSoak(t *testing.T) {
 	t.Parallel()
 	for n := range *storeSoakSeeds {
@@ -43,7 +44,7 @@
 	}
 }
 
-// storeSoak is a cluster with clients, contenders for a lease, and machines that are asked out again and again.
+// storeSoak is a cluster with clients, contenders for a lease, and repeated maintenance orders.
 type storeSoak struct {
 	*maintenanceCluster
 	t                  *testing.T
@@ -51,10 +52,10 @@
 	rng                *rand.Rand
 	contest            *leaseContest
 	history            *testrig.History
-	maintenanceLogPath string // what maintenanceCommand notes
+	maintenanceLogPath string // file written by maintenanceCommand
 	stop               chan struct{}
 	background         sync.WaitGroup
-	submittedOrders    int // that were asked for
+	submittedOrders    int // accepted maintenance orders
 }
 
 func newStoreSoak(t *testing.T, seed uint64) *storeSoak {
@@ -78,7 +79,7 @@
 	return s
 }
 
-// run plays the rounds, and checks what happened.
+// run runs the rounds and checks the outcome.
 func (s *storeSoak) run() {
 	for id := range storeSoakClients {
 		s.background.Go(func() { s.history.RunClient(s.Cluster, id, s.stop) })
@@ -93,7 +94,8 @@
 	s.check()
 }
 
-// runRound has one or two faults begin and end. Processes that ended are started again, as by a supervisor.
+// runRound injects one or two faults and removes them. Processes that exited are restarted, as a supervisor
+// does.
 func (s *storeSoak) runRound(round int) {
 	faults := s.drawFaults()
 	for _, fault := range faults {
@@ -108,7 +110,8 @@
 	s.restartExited()
 }
 
-// restartExited starts the nodes whose process has ended: one that starts while its disk fails ends with an error.
+// restartExited restarts the nodes whose process has exited. A node that starts while its disk fails exits with
+// an error.
 func (s *storeSoak) restartExited() {
 	for node := range storeSoakNodes {
 		select {
@@ -125,7 +128,8 @@
 	return lines[len(lines)-1]
 }
 
-// submitOrders asks for one machine after the other, as soon as it is back.
+// submitOrders submits maintenance orders for the machines in turn. An order is accepted once the machine has
+// none.
 func (s *storeSoak) submitOrders() {
 	for n := 0; ; n++ {
 		machine := s.machineNames[storeSoakNodes+n%storeSoakServicesWithoutStore]
@@ -141,7 +145,7 @@
 	}
 }
 
-// check is called after all faults have ended.
+// check checks the outcome after all faults have ended.
 func (s *storeSoak) check() {
 	s.HealLinks()
 	s.WaitForVoters(0, 1, 2)
@@ -159,7 +163,8 @@
 		s.seed, s.history.Writes, s.history.Reads, s.history.UnknownWrites, tokens, acts, rejected, s.submittedOrders, trips)
 }
 
-// checkMaintenanceOverlap checks that no two machines were out at once, and returns how often one was.
+// checkMaintenanceOverlap checks that no two machines were in maintenance at once, and returns the number of
+// maintenance runs.
 func (s *storeSoak) checkMaintenanceOverlap() (roundTrips int) {
 	text, err := os.ReadFile(s.maintenanceLogPath)
 	require.NoError(s.t, err, "no machine ever went out")
--- a/tests/suite_test.go
+++ b/tests/suite_test.go
@@ -15,7 +15,7 @@
 
 var classNames = []string{"balance-view", "cycle-check", "nom-update", "nom-submit"}
 
-// protocolDialers are the ways in which the suite's callers come; "mixed" takes turns.
+// protocolDialers open caller connections, by protocol; "mixed" alternates between the two.
 var protocolDialers = map[string]func(w *service, i int) (protocolClient, error){
 	"fastcgi": func(s *service, _ int) (protocolClient, error) { return dialFCGI(s.fcgiAddr) },
 	"ajp":     func(s *service, _ int) (protocolClient, error) { return dialAJP(s.ajpAddr) },
@@ -27,7 +27,7 @@
 	},
 }
 
-// callerGroup sends requests, each on a connection of its own, and counts outcomes.
+// callerGroup sends requests, each on its own connection, and counts their outcomes.
 type callerGroup struct {
 	w             *testbed
 	dial          func(*service, int) (protocolClient, error)
@@ -46,7 +46,7 @@
 	c.sendOn(cl, class, body)
 }
 
-// sendOn sends a request sendOn an open connection.
+// sendOn sends a request on an open connection.
 func (c *callerGroup) sendOn(cl protocolClient, class, body string) {
 	c.wg.Add(1)
 	go func() {
@@ -86,8 +86,8 @@
 	})
 }
 
-// TestSuite is the same day in each protocol: all ways in which requests end,
-// mixed traffic at 110% of what fits, and a drain under load.
+// TestSuite checks in each protocol every way in which requests end, mixed traffic at 110% of the capacity, and
+// a drain under load.
 func TestSuite(t *testing.T) {
 	for name, dial := range protocolDialers {
 		t.Run(name, func(t *testing.T) {
@@ -106,11 +106,11 @@
 			w.records.setReply("WAIT")
 			c.send("nom-submit", "call")
 			c.awaitOutcomes(14)
-			c.send("cycle-check", "silence") // never ends: its deadline does it
+			c.send("cycle-check", "silence") // never completes; ends at its deadline
 			c.awaitOutcomes(15)
 			assert.Equal(t, map[string]int{"served": 8, "failed": 7}, c.outcomes())
 			first := len(c.clients)
-			for i := range 22 { // 20 fit
+			for i := range 22 { // the capacity is 20
 				c.send([]string{"balance-view", "nom-update", "nom-submit"}[i%3], "hold")
 				await(t, "a run or a refusal", func() bool { return w.engine.heldRuns()+c.outcomes()["refused"] == i+1 })
 			}
@@ -120,18 +120,18 @@
 			drainStartedAt := time.Now()
 			w.engine.releaseHeld()
 			c.awaitOutcomes(37)
-			for _, cl := range c.clients[first : first+10] { // within the grace: still run
+			for _, cl := range c.clients[first : first+10] { // within the drain grace period: they still run
 				c.sendOn(cl, "nom-submit", "ok")
 			}
 			c.awaitOutcomes(47)
-			c.send("nom-submit", "ok") // on a new connection: its balancer has not heard yet
+			c.send("nom-submit", "ok") // on a new connection, as from a balancer that does not know of the drain yet
 			c.awaitOutcomes(48)
 			assert.Equal(t, map[string]int{"served": 39, "failed": 7, "refused": 2}, c.outcomes())
-			for _, cl := range c.clients[first : first+4] { // some that must not be lost at the end
+			for _, cl := range c.clients[first : first+4] { // requests still running when the listeners close; each must get a response
 				c.sendOn(cl, "nom-submit", "hold")
 			}
 			await(t, "runs", func() bool { return w.engine.heldRuns() == 4 })
-			time.Sleep(time.Until(drainStartedAt.Add(2600 * time.Millisecond))) // past the grace
+			time.Sleep(time.Until(drainStartedAt.Add(2600 * time.Millisecond))) // after the drain grace period
 			await(t, "the listener to close", func() bool {
 				cl, err := net.Dial("tcp", w.fcgiAddr)
 				if err == nil {
