--- a/tests/disk_address_test.go
+++ b/tests/disk_address_test.go
@@ -6,8 +6,8 @@
 	"oxbowbridge/internal/testrig"
 )
 
-// TestWrongPeerAddress: another node answers at the admin address of a silent voter, which is taken for one that has lost
-// its disk, and keys that it alone holds are lost.
+// TestWrongPeerAddress guards against lost keys when another node answers at the admin address of a stopped
+// voter. The voter, which alone holds some keys, must not be taken for one that lost its disk.
 func TestWrongPeerAddress(t *testing.T) {
 	t.Parallel()
 	c := stopWithOlderAndLaggingDisks(t)
--- a/tests/disk_play_keys_test.go
+++ b/tests/disk_play_keys_test.go
@@ -16,15 +16,14 @@
 const (
 	// keyWriterPause is the time between two writes of a keyWriter.
 	keyWriterPause = 20 * time.Millisecond
-	// keyWriterTimeout bounds one of its writes.
+	// keyWriterTimeout is the timeout of one write.
 	keyWriterTimeout = 4 * time.Second
 )
 
-// keyWriter writes one key after the other, each once and at a random node, and remembers those
-// whose write was acknowledged.
+// keyWriter writes new keys, each once and at a random node, and records those whose write was acknowledged.
 type keyWriter struct {
 	mu    sync.Mutex
-	acked []string // keys; the value is the key in quotes
+	acked []string // keys; the value of a key is its name in quotes
 }
 
 // run writes until stop is closed.
@@ -46,7 +45,7 @@
 	}
 }
 
-// writeOnce reports whether the write was acknowledged. If not, its outcome is not known.
+// writeOnce reports whether the write was acknowledged. If not, its outcome is unknown.
 func writeOnce(client *http.Client, admin, key string) bool {
 	req, err := http.NewRequest(http.MethodPut, "http://"+admin+"/store/"+key, strings.NewReader(fmt.Sprintf("%q", key)))
 	if err != nil {
@@ -60,15 +59,15 @@
 	return res.StatusCode == http.StatusNoContent
 }
 
-// count is how many writes were acknowledged.
+// count returns the number of acknowledged writes.
 func (w *keyWriter) count() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.acked)
 }
 
-// checkAllAt reports whether a node answers a fresh read of all keys, and ends the test if one is
-// missing there that was acknowledged before the read.
+// checkAllAt reports whether a node answers a linearizable read of all keys. It ends the test if a key is
+// missing whose write was acknowledged before the read.
 func (w *keyWriter) checkAllAt(t *testing.T, c *cluster, node int) bool {
 	t.Helper()
 	w.mu.Lock()
--- a/tests/disk_play_plan_test.go
+++ b/tests/disk_play_plan_test.go
@@ -8,43 +8,43 @@
 	"time"
 )
 
-// folderFault is what happens to a node's folder while the node is down.
+// folderFault is what happens to a node's folder while the node is stopped.
 type folderFault int
 
 const (
 	folderIntact folderFault = iota
 	folderWiped
-	folderFromOlderCopy // brought back as it was when the incident began
+	folderFromOlderCopy // replaced by a copy from the start of the incident
 )
 
 func (f folderFault) String() string { return [...]string{"intact", "wiped", "older"}[f] }
 
 const (
-	// incidentsPerScenario is how many incidents a play has, one after the other.
+	// incidentsPerScenario is the number of incidents of a scenario, which run one after the other.
 	incidentsPerScenario = 3
-	// noNodeStoppedBefore is in place of a node in an incident before which no node is down.
+	// noNodeStoppedBefore is the value of incident.stoppedBefore if no node is stopped before the incident.
 	noNodeStoppedBefore = -1
-	// maxKillDelay bounds the moment of a kill; at most all nodes are down together after it.
+	// maxKillDelay bounds the time of a kill within an incident. Up to all nodes are stopped at once after it.
 	maxKillDelay = 400 * time.Millisecond
-	// minDowntime and maxDowntime bound how long a node is down that doesn't restart at once.
+	// minDowntime and maxDowntime bound the downtime of a node that does not restart at once.
 	minDowntime = 100 * time.Millisecond
 	maxDowntime = 1200 * time.Millisecond
-	// immediateRestartOdds: one killed node in this many restarts at once.
+	// immediateRestartOdds is n where one in n killed nodes restarts at once.
 	immediateRestartOdds = 3
 )
 
-// scenarioStep is the kill or the start of a node, at a time since the first step may come.
+// scenarioStep kills or starts a node. at is measured from the start of the incident's steps.
 type scenarioStep struct {
 	at      time.Duration
 	node    int
 	isStart bool
 }
 
-// incident is up to a minority of nodes whose folders fail, and the restarts of other nodes beside it.
+// incident damages the folders of a minority of the nodes and restarts other nodes at the same time.
 type incident struct {
 	faults        []folderFault  // by node
-	stoppedBefore int            // an intact node that is down before, while writes go on
-	steps         []scenarioStep // in order of time; at the end all nodes have been started
+	stoppedBefore int            // an intact node that is stopped before the incident, while writes continue
+	steps         []scenarioStep // by time; after the last one all nodes have been started
 }
 
 func (i incident) String() string {
@@ -67,7 +67,7 @@
 	return strings.Join(words, ", ")
 }
 
-// drawIncidents draws the incidents of a play. They depend on the seed and the number of nodes alone.
+// drawIncidents draws the incidents of a scenario. They depend only on the seed and the number of nodes.
 func drawIncidents(seed uint64, nodes int) []incident {
 	rng := rand.New(rand.NewPCG(seed, uint64(nodes)))
 	var list []incident
@@ -98,7 +98,7 @@
 	return drawn
 }
 
-// drawKilled draws which of the intact nodes are killed too: none, some or all.
+// drawKilled selects the intact nodes that are killed too: none, some or all.
 func drawKilled(rng *rand.Rand, intact []int) []int {
 	switch rng.IntN(3) {
 	case 0:
@@ -109,7 +109,7 @@
 	return intact
 }
 
-// addRestart adds the kill and the start of a node.
+// addRestart adds the kill and the restart of a node.
 func (i *incident) addRestart(rng *rand.Rand, node int) {
 	kill := time.Duration(rng.Int64N(int64(maxKillDelay)))
 	i.steps = append(i.steps,
--- a/tests/disk_play_report_test.go
+++ b/tests/disk_play_report_test.go
@@ -9,18 +9,18 @@
 	"oxbowbridge/internal/cluster/storeapi"
 )
 
-// logTimeOfDay is the form of the time in the nodes' logs.
+// logTimeOfDay is the layout of the time of day in the nodes' logs.
 const logTimeOfDay = "15:04:05.000Z"
 
-// memberIDPattern finds the members that a wait reason names.
+// memberIDPattern matches the member IDs in a waiting reason.
 var memberIDPattern = regexp.MustCompile(`s[0-9]+@[0-9a-f]+`)
 
-// logStep puts a step down with its time, to be read beside the nodes' logs.
+// logStep logs a step with its time, for comparison with the nodes' logs.
 func (p *diskScenario) logStep(verb string, node int) {
 	p.t.Logf("%s incident %d: %s s%d", time.Now().UTC().Format(logTimeOfDay), p.next+1, verb, node)
 }
 
-// reportFailure says on failure what was played, and what each node waits for.
+// reportFailure logs how to repeat the scenario, its incidents, and the status of each node.
 func (p *diskScenario) reportFailure() {
 	nodes := len(p.nodeIndexes)
 	p.t.Logf("the same play again: -run '^TestDiskPlays$/^%d-nodes-seed-%d$' -seed %d -disk-plays 1", nodes, p.seed, p.seed)
@@ -36,12 +36,12 @@
 			statuses = append(statuses, status)
 		}
 	}
-	if len(statuses) == nodes { // else the disk may be that of a node that does not answer
+	if len(statuses) == nodes { // otherwise a node that did not answer may have the disk
 		p.reportRemovedDisks(statuses)
 	}
 }
 
-// reportRemovedDisks names the nodes that wait for word of a disk that no node has any more.
+// reportRemovedDisks logs the nodes that wait for an attestation by a disk that no node has any more.
 func (p *diskScenario) reportRemovedDisks(statuses []storeapi.Status) {
 	var present []string
 	for _, status := range statuses {
--- a/tests/disk_plays_test.go
+++ b/tests/disk_plays_test.go
@@ -18,18 +18,20 @@
 var diskScenarios = flag.Int("disk-plays", 1, "how many seeds, from -seed on, TestDiskPlays plays with three nodes and with five")
 
 const (
-	// historyClients is how many clients of the history a play has.
+	// historyClients is the number of clients that record the history.
 	historyClients = 4
-	// writesBeforeIncident are acknowledged after the folders are copied and before any is damaged.
+	// writesBeforeIncident is the number of writes acknowledged between copying the folders and the first
+	// damage.
 	writesBeforeIncident = 20
-	// watermarkSaveTime is the time within which a node has saved what it observed of other disks: it
-	// saves once a second, on a tick of 200 ms.
+	// watermarkSaveTime is the time within which a node saves the watermarks that it observed of other disks:
+	// it saves them once a second, on a tick of 200 ms.
 	watermarkSaveTime = 1500 * time.Millisecond
 )
 
-// TestDiskPlays: with vouchers -1 up to a minority of the folders is wiped or brought back older,
-// beside restarts of the other nodes in a seeded order, while clients go on. It guards against
-// nodes that wait for ever for word of a disk that is gone, and against lost acknowledged writes.
+// TestDiskPlays wipes the folders of a minority of the nodes or replaces them by older copies, and restarts
+// other nodes in a seeded order, while clients continue. vouchers is -1: each node waits for all other voters.
+// The test guards against nodes that wait forever for an attestation by a removed disk, and against lost
+// acknowledged writes.
 func TestDiskPlays(t *testing.T) {
 	t.Parallel()
 	for _, nodes := range []int{3, 5} {
@@ -43,14 +45,14 @@
 	}
 }
 
-// diskScenario is a cluster whose folders fail while clients go on.
+// diskScenario is a cluster whose folders are damaged while clients continue.
 type diskScenario struct {
 	*cluster
 	t           *testing.T
 	seed        uint64
-	nodeIndexes []int // nodes
+	nodeIndexes []int // indexes of all nodes
 	incidents   []incident
-	next        int // index of the current incident, or how many there were
+	next        int // index of the current incident; the number of incidents after the last
 	history     *testrig.History
 	keys        keyWriter
 	stop        chan struct{}
@@ -80,7 +82,7 @@
 	p.clients.Go(func() { p.keys.run(p.cluster, p.seed, p.stop) })
 }
 
-// stopAndCheck stops the clients and checks what they saw, also of a play that has failed.
+// stopAndCheck stops the clients and checks their history, also if the scenario failed.
 func (p *diskScenario) stopAndCheck() {
 	if p.t.Failed() {
 		p.reportFailure()
@@ -91,13 +93,13 @@
 		p.next, p.keys.count(), p.history.Writes, p.history.Reads, p.history.UnknownWrites, p.history.FailedReads)
 	assert.True(p.t, p.history.Linearizable(), "the history is linearizable")
 	if p.t.Failed() {
-		return // not all nodes may answer
+		return // some nodes may not answer
 	}
 	p.WaitForEqualData(p.nodeIndexes...)
 	p.awaitRecovered()
 }
 
-// runIncident plays one incident, and waits until the cluster is whole again.
+// runIncident runs one incident and waits until the cluster has recovered.
 func (p *diskScenario) runIncident(now incident) {
 	copies, marks := p.copyFolders(now)
 	if now.stoppedBefore != noNodeStoppedBefore {
@@ -120,8 +122,8 @@
 	p.t.Logf("incident %d: whole after %v: %s", p.next+1, time.Since(started).Round(time.Millisecond), now)
 }
 
-// copyFolders copies the folders that are to be brought back, and returns the copies and a
-// watermark of each disk that is not before that of its copy.
+// copyFolders copies the folders that will be replaced by older copies. It returns the copies, and for each a
+// watermark of the disk that is not before the copy.
 func (p *diskScenario) copyFolders(now incident) (copies map[int]string, marks map[int]diskidentity.Watermark) {
 	copies, marks = map[int]string{}, map[int]diskidentity.Watermark{}
 	for node, fault := range now.faults {
@@ -133,7 +135,7 @@
 	return copies, marks
 }
 
-// diskReport is a node's report of its disk, and what it has observed of another node's.
+// diskReport returns a node's report of its own disk and of what it has observed of the asker's disk.
 func (p *diskScenario) diskReport(node int, askerID string) (report storeapi.PeerStatus) {
 	await(p.t, "a report of a disk", func() bool {
 		report = storeapi.PeerStatus{}
@@ -142,7 +144,8 @@
 	return report
 }
 
-// awaitLaterWatermark waits until each other node that is up has observed more of a node's disk.
+// awaitLaterWatermark waits until each other running node has observed a watermark of the node's disk after
+// mark.
 func (p *diskScenario) awaitLaterWatermark(node int, mark diskidentity.Watermark, laggard int) {
 	id := p.memberID(node)
 	for _, other := range p.nodeIndexes {
@@ -156,7 +159,7 @@
 	}
 }
 
-// runStep kills a node, and damages its folder if that is its part in the incident, or starts it.
+// runStep starts a node, or kills it and damages its folder if the incident says so.
 func (p *diskScenario) runStep(step scenarioStep, now incident, copies map[int]string) {
 	if step.isStart {
 		p.logStep("start", step.node)
@@ -173,8 +176,8 @@
 	}
 }
 
-// awaitRecovered waits until all nodes are voters with the disks that they have now, a write is done,
-// and each node has all acknowledged keys; all of it within one AwaitTimeout.
+// awaitRecovered waits, for at most awaitTimeout, until all nodes are voters with their current disks, a write
+// succeeds, and each node has all acknowledged keys.
 func (p *diskScenario) awaitRecovered() {
 	p.t.Helper()
 	key, value := fmt.Sprint("whole/", p.next), fmt.Sprint(p.next)
--- a/tests/disk_restarts_test.go
+++ b/tests/disk_restarts_test.go
@@ -11,8 +11,8 @@
 	"oxbowbridge/internal/storage/durable/faultfs"
 )
 
-// TestFailingDiskIsNotHammered: guards against a node that goes through incarnations, log lines and writes without a pause
-// while its folder opens and fails the first write. Once the disk works, the node serves what it had.
+// TestFailingDiskIsNotHammered guards against a node that starts incarnations, logs and writes without a pause
+// while its folder opens but fails the first write. Once the disk works, the node must serve its keys.
 func TestFailingDiskIsNotHammered(t *testing.T) {
 	t.Parallel()
 	build, err := faultInjectionBuild()
--- a/tests/disk_waits_test.go
+++ b/tests/disk_waits_test.go
@@ -15,17 +15,19 @@
 )
 
 const (
-	// vouchersAllOtherVoters is the setting "vouchers" with which a start waits for each other voter.
+	// vouchersAllOtherVoters is the value of the setting "vouchers" with which a starting node waits for every
+	// other voter.
 	vouchersAllOtherVoters = -1
-	// observationSaveTime is longer than a node keeps what it observed of other disks in memory only.
+	// observationSaveTime is longer than a node takes to save what it observed of other disks.
 	observationSaveTime = 1200 * time.Millisecond
-	// refusalCheckTime is how long nodes must refuse; an election takes half a second.
+	// refusalCheckTime is how long nodes must refuse requests; an election takes 0.5 s.
 	refusalCheckTime = 3 * time.Second
 	earlyKeys        = 5
 	noteKeys         = 30
 )
 
-// newClusterAwaitingAllVoters is a cluster of three with some keys, each of whose starts waits for all voters.
+// newClusterAwaitingAllVoters returns a running cluster of three with some keys, whose nodes wait for all
+// voters when they start.
 func newClusterAwaitingAllVoters(t *testing.T) *cluster {
 	c := newStoppedCluster(t, 3, 3)
 	c.AddLinks()
@@ -39,7 +41,7 @@
 	return c
 }
 
-// logDisksOnFailure logs what each node says of itself and of its disk, if the test has failed.
+// logDisksOnFailure logs each node's status and its log lines on disks, if the test has failed.
 func (c *cluster) logDisksOnFailure(t *testing.T) {
 	if !t.Failed() {
 		return
@@ -55,10 +57,10 @@
 	}
 }
 
-// diskLine matches what a node logs of its disk.
+// diskLine matches the log lines on disks.
 var diskLine = regexp.MustCompile("store not serving|disk verdict|disk identity renewed|join request not granted")
 
-// waitForObservation waits until a node has saved that it observed another's disk as it is now.
+// waitForObservation waits until node by has saved the current watermark of the disk of node of.
 func (c *cluster) waitForObservation(t *testing.T, by, of int) {
 	type position struct {
 		LastIndex uint64 `json:"last_index"`
@@ -74,12 +76,13 @@
 	time.Sleep(observationSaveTime)
 }
 
-// waitForLog waits until the present process of a node has logged a text.
+// waitForLog waits until the current process of a node has logged a text.
 func (c *cluster) waitForLog(t *testing.T, node int, text string) {
 	await(t, text, func() bool { return strings.Contains(c.nodes[node].log(), text) })
 }
 
-// requireNotServing requires that nodes, once they listen, serve neither a read nor a write for some time.
+// requireNotServing waits until the nodes listen, then requires that they refuse reads and writes for
+// refusalCheckTime.
 func (c *cluster) requireNotServing(t *testing.T, nodes ...int) {
 	for _, node := range nodes {
 		await(t, "the node to listen", func() bool { code, _ := c.Request(node, "GET", "/status", ""); return code == 200 })
@@ -94,8 +97,8 @@
 	}
 }
 
-// requireRecovery requires all three to be voters with the disks that they have, with all that was
-// acknowledged, and to take a write that each of them reads afresh.
+// requireRecovery requires that all three nodes are voters with their current disks, have all acknowledged
+// keys, and accept a write that each of them then reads.
 func (c *cluster) requireRecovery(t *testing.T) {
 	c.WaitForVoters(0, 1, 2)
 	for i := range 3 {
@@ -109,9 +112,9 @@
 	}
 }
 
-// testRenewedDisk has n0 go down, keys be acknowledged by n1 and n2, and n1 be found out by n2 with
-// a folder from before those keys. n0 stays down; n1 and n2 are up, and have no majority. One of these
-// two restarts, n0 starts, and all must recover.
+// testRenewedDisk stops n0, writes keys at n1 and n2, and starts n1 with a folder from before those keys. n1
+// renews its disk identity because n2 has observed the newer one. Without n0 there is no majority. Then one of
+// n1 and n2 restarts, n0 starts, and the cluster must recover.
 func testRenewedDisk(t *testing.T, restarted int) {
 	t.Helper()
 	c := newClusterAwaitingAllVoters(t)
@@ -130,19 +133,22 @@
 	c.requireRecovery(t)
 }
 
-// TestDiskGivenUpWhileOthersRestart: two voters start after a third one gave its older disk up, and wait for it for ever.
+// TestDiskGivenUpWhileOthersRestart guards against two starting voters that wait forever for the disk that the
+// third voter replaced because it was older.
 func TestDiskGivenUpWhileOthersRestart(t *testing.T) {
 	t.Parallel()
 	testRenewedDisk(t, 2)
 }
 
-// TestDiskGivenUpThenKilled: as above, but the one that gave its disk up restarts at once, and no longer knows why.
+// TestDiskGivenUpThenKilled guards against the same when the node that renewed its disk restarts at once and no
+// longer knows why it did so.
 func TestDiskGivenUpThenKilled(t *testing.T) {
 	t.Parallel()
 	testRenewedDisk(t, 1)
 }
 
-// TestDiskLostWhileVoterRestarts: a restarted voter waits for ever for a wiped disk, and the third has no majority.
+// TestDiskLostWhileVoterRestarts guards against a restarted voter that waits forever for a wiped disk, while
+// the third voter has no majority.
 func TestDiskLostWhileVoterRestarts(t *testing.T) {
 	t.Parallel()
 	c := newClusterAwaitingAllVoters(t)
@@ -156,7 +162,8 @@
 	c.requireRecovery(t)
 }
 
-// TestDiskLostWhileAllRestart: all restart, one wiped and one behind; keys are lost, or they wait for ever.
+// TestDiskLostWhileAllRestart restarts all nodes, one with a wiped disk and one that lacks the latest keys. It
+// guards against lost keys and against nodes that wait forever.
 func TestDiskLostWhileAllRestart(t *testing.T) {
 	t.Parallel()
 	c := newClusterAwaitingAllVoters(t)
@@ -178,14 +185,15 @@
 	c.requireRecovery(t)
 }
 
-// TestSilentVoterIsWaitedFor: a start goes on without a silent voter, and keys that it alone holds are lost.
+// TestSilentVoterIsWaitedFor guards against a start without a stopped voter that alone holds some keys, which
+// would lose them.
 func TestSilentVoterIsWaitedFor(t *testing.T) {
 	t.Parallel()
 	t.Run("OlderDiskGivenUpFirst", func(t *testing.T) {
 		t.Parallel()
 		c := startWithOlderAndLaggingDisks(t)
 		defer c.logDisksOnFailure(t)
-		c.SetLinksOneWay(2, 1, testrig.LinkMode{Cut: true}) // n2 hears of n1 after n0 has
+		c.SetLinksOneWay(2, 1, testrig.LinkMode{Cut: true}) // n2 reaches n1 only after n0 has
 		c.Start(1)
 		c.waitForLog(t, 0, "disk identity renewed")
 		c.HealLinks()
@@ -195,7 +203,7 @@
 		t.Parallel()
 		c := startWithOlderAndLaggingDisks(t)
 		defer c.logDisksOnFailure(t)
-		c.SetLinksOneWay(0, 1, testrig.LinkMode{Cut: true}) // n0 hears of n1 after n2 has
+		c.SetLinksOneWay(0, 1, testrig.LinkMode{Cut: true}) // n0 reaches n1 only after n2 has
 		c.Start(1)
 		c.waitForLog(t, 2, `"verdict":"resume"`)
 		c.HealLinks()
@@ -204,7 +212,8 @@
 	})
 }
 
-// stopWithOlderAndLaggingDisks has n0 with an older folder and n2 without the keys that n1 holds alone. None of them runs.
+// stopWithOlderAndLaggingDisks returns a stopped cluster: n0 has an older folder, n2 lacks the latest keys, and
+// only n1 holds them.
 func stopWithOlderAndLaggingDisks(t *testing.T) *cluster {
 	c := newClusterAwaitingAllVoters(t)
 	older := c.CopyDir(0)
@@ -217,8 +226,8 @@
 	return c
 }
 
-// startWithOlderAndLaggingDisks starts n0 with an older folder and n2 without the keys that n1 holds alone, and requires that both
-// refuse as long as n1 is away.
+// startWithOlderAndLaggingDisks starts n0 with an older folder and n2 without the latest keys, which only n1
+// holds. It requires that both refuse requests while n1 is stopped.
 func startWithOlderAndLaggingDisks(t *testing.T) *cluster {
 	c := stopWithOlderAndLaggingDisks(t)
 	c.Start(0)
@@ -230,7 +239,8 @@
 	return c
 }
 
-// TestWrongFolder: a start with an empty folder by mistake stops the others, or bars the way back to the true folder.
+// TestWrongFolder starts a node with an empty folder by mistake, then with its own again. The mistake must not
+// stop the other nodes, nor keep the node from returning with its own folder.
 func TestWrongFolder(t *testing.T) {
 	t.Parallel()
 	for name, waitForVote := range map[string]bool{"BeforeTheEmptyOneJoins": false, "AfterTheEmptyOneHasJoined": true} {
--- a/tests/disks_test.go
+++ b/tests/disks_test.go
@@ -19,14 +19,15 @@
 	"oxbowbridge/internal/testrig"
 )
 
-// writeKeys writes keys at a node, each until it is acknowledged.
+// writeKeys writes n keys at a node, each until the write is acknowledged.
 func writeKeys(c *cluster, node int, prefix string, n int) {
 	for k := range n {
 		c.Put(node, fmt.Sprint(prefix, "/", k), fmt.Sprint(k))
 	}
 }
 
-// hasWrittenKeys tells whether a node answers all of them, and fails on any other good answer.
+// hasWrittenKeys reports whether a node answers reads of all n keys. It fails the test if a key is missing or
+// has another value.
 func hasWrittenKeys(t *testing.T, c *cluster, node int, prefix string, n int) bool {
 	for k := range n {
 		code, text := c.Request(node, "GET", fmt.Sprint("/store/", prefix, "/", k), "")
@@ -39,16 +40,16 @@
 	return true
 }
 
-// memberID is a running node's name and disk.
+// memberID returns a running node's member ID, its name and disk identity.
 func (c *cluster) memberID(node int) string {
 	var self struct{ ID string }
 	c.GetJSON(node, "/self", &self)
 	return self.ID
 }
 
-// TestLostDisk: of three, n2 is down while keys are acknowledged; then n1 loses its disk
-// and n0 is away. What is left knows that it doesn't know: it refuses until n0 is back,
-// no key is lost, and n1 becomes a member again by itself.
+// TestLostDisk: n2 is stopped while keys are acknowledged, then n1 loses its disk and n0 is stopped. n1 and n2
+// must refuse requests until n0 is back, because they cannot know what they lack. No key is lost, and n1
+// becomes a voter again without help.
 func TestLostDisk(t *testing.T) {
 	t.Parallel()
 	c := newRunningCluster(t, nil)
@@ -64,7 +65,7 @@
 		return strings.Contains(c.nodes[2].log(), `"msg":"store not serving"`) && strings.Contains(c.nodes[2].log(), "must say that this disk is not older")
 	})
 	await(t, "an answer of the wiped node", func() bool { code, _ := c.Request(1, "GET", "/status", ""); return code == 200 })
-	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); { // six elections' worth
+	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); { // the time of six elections
 		for i := 1; i <= 2; i++ {
 			code, text := c.Request(i, "GET", "/store/note/1", "")
 			assert.Equal(t, 503, code, text)
@@ -80,8 +81,8 @@
 	}
 }
 
-// TestWipedDoesNotVote: one that is behind and never stopped asks for votes at the address
-// of a disk that is gone. The new disk there gives none for the old one.
+// TestWipedDoesNotVote: a node that lags and never stopped requests the vote of a disk that was wiped. The new
+// disk at that address must not vote in its place.
 func TestWipedDoesNotVote(t *testing.T) {
 	t.Parallel()
 	c := newLinkedCluster(t)
@@ -111,8 +112,8 @@
 	}
 }
 
-// TestEachDiskWiped: one voter after the other loses its disk while clients go on, until
-// none of the first disks is left. Nothing acknowledged is lost.
+// TestEachDiskWiped wipes the disk of each voter in turn while clients continue. No acknowledged write may be
+// lost.
 func TestEachDiskWiped(t *testing.T) {
 	t.Parallel()
 	c := newRunningCluster(t, nil)
@@ -137,8 +138,8 @@
 	assert.True(t, hasWrittenKeys(t, c, 1, "note", 20))
 }
 
-// TestOlderFolder: a folder that is brought back as it was a while ago is noticed by what
-// the others have seen of it, alone, and while its node reaches one other only.
+// TestOlderFolder replaces a node's folder by an older copy. The node must find out from what the other nodes
+// observed, also if it reaches only one of them.
 func TestOlderFolder(t *testing.T) {
 	t.Parallel()
 	c := newLinkedCluster(t)
@@ -181,7 +182,7 @@
 		c.RestoreDir(old, then)
 		if cut {
 			c.SetLinksBetween(old, lead, testrig.LinkMode{Cut: true})
-			c.Kill(lead) // the one that is left and the older folder would be a majority
+			c.Kill(lead) // without this kill's node, the third node and the older folder would form a majority
 		}
 		c.Start(old)
 		await(t, "the verdict", func() bool { return strings.Contains(c.nodes[old].log(), "disk identity renewed") })
@@ -209,8 +210,8 @@
 	}
 }
 
-// TestWipedAndCutOff: a node that lost its disk and reaches nobody makes no cluster of its
-// own, and is taken in when it is reached again.
+// TestWipedAndCutOff: a node that lost its disk and reaches no other node must not form a cluster. It rejoins
+// once the others can reach it.
 func TestWipedAndCutOff(t *testing.T) {
 	t.Parallel()
 	c := newLinkedCluster(t)
@@ -230,9 +231,8 @@
 	await(t, "all keys", func() bool { return hasWrittenKeys(t, c, lost, "note", 11) })
 }
 
-// TestMembers: a node joins from its seeds, takes the place of a voter that is gone, is
-// removed, is not let in, and joins again under its old name; a voter that operators want
-// gets its vote; the leader leaves.
+// TestMembers: a node joins from its seeds, replaces a stopped voter, is removed, is refused, and joins again
+// under its old name. An operator promotes it to voter, and the leader removes itself.
 func TestMembers(t *testing.T) {
 	t.Parallel()
 	c := newStoppedCluster(t, 3, 4)
@@ -262,7 +262,7 @@
 	}
 	name := c.Peers[3].Name
 	run("remove", name)
-	c.WaitForVoters(0, 1, 2) // the one that was gone is there to take its place
+	c.WaitForVoters(0, 1, 2) // the node that was stopped takes its vote
 	await(t, "a refusal", func() bool { return strings.Contains(c.nodes[3].log(), "was removed") })
 	c.Kill(3)
 	c.WipeDir(3)
@@ -289,8 +289,8 @@
 	}
 }
 
-// TestJoinBehindPartition: a node whose only seed is cut off from the others learns from
-// it who they are, and is taken in by them; with nobody else to reach it waits.
+// TestJoinBehindPartition: a node whose only seed is cut off learns the other members from that seed and joins
+// through them. It waits while none of them can be reached.
 func TestJoinBehindPartition(t *testing.T) {
 	t.Parallel()
 	c := newStoppedCluster(t, 3, 4)
@@ -319,8 +319,8 @@
 	await(t, "it to be seen everywhere", func() bool { return len(c.Members(alone)) == 4 })
 }
 
-// TestLeaderLostInStep: the leader is killed as soon as each kind of change is under way,
-// and all nodes at once; what was decided is done by the next one, once.
+// TestLeaderLostInStep kills the leader during each kind of membership change, and later all nodes. The next
+// leader must finish each decided change exactly once.
 func TestLeaderLostInStep(t *testing.T) {
 	t.Parallel()
 	c := newStoppedCluster(t, 3, 4)
@@ -335,7 +335,7 @@
 	joins := said(lead, `"step":"learner"`)
 	c.Start(3)
 	await(t, "a join", joins)
-	c.Kill(lead) // in the middle of taking a learner in; then it is the voter that is gone
+	c.Kill(lead) // while the learner is being added; the killed leader is then the voter to replace
 	next := c.WaitForLeader(lead)
 	await(t, "a promotion", said(next, `"step":"promote"`))
 	c.Kill(next)
@@ -372,9 +372,8 @@
 	}
 }
 
-// TestDiskFails: a disk that is full, or fails a write or a sync, costs its node the
-// leadership and its vote, not the process; the others go on, and the node comes back by
-// itself once the disk works again.
+// TestDiskFails: a disk that is full, or fails writes or syncs, costs its node the leadership and its vote, but
+// does not end the process. The other nodes continue, and the node returns once its disk works.
 func TestDiskFails(t *testing.T) {
 	t.Parallel()
 	build, err := faultInjectionBuild()
@@ -401,7 +400,7 @@
 			n++
 			code, text := c.Request(bad, "GET", "/store/note/0", "")
 			assert.Equal(t, 503, code, "%s, leader %v: %s", cue, leads, text)
-			c.nodes[bad].awaitReady() // it still serves its callers
+			c.nodes[bad].awaitReady() // it still serves requests
 			c.InjectFault(bad, "")
 			c.WaitForVoters(0, 1, 2)
 			await(t, "all keys", func() bool { return hasWrittenKeys(t, c, bad, "note", n) })
@@ -409,9 +408,9 @@
 	}
 }
 
-// TestRecover: two of three are lost for good. The one that is left shows what it has,
-// wants the cluster's id, and is a cluster of one; the two, brought back, stay out of it
-// and serve nothing, and new ones join.
+// TestRecover: two of three nodes are lost. The third shows its state, requires the cluster's id as
+// confirmation, and becomes a cluster of one. The lost nodes, when they return, serve nothing and do not rejoin
+// with their old disks; with wiped disks they join.
 func TestRecover(t *testing.T) {
 	t.Parallel()
 	c := newStoppedCluster(t, 3, 3)
@@ -459,8 +458,8 @@
 	}
 }
 
-// TestDamagedFolder: a node whose folder misses what was acknowledged sets it aside and
-// is a new member; it serves its callers all the while.
+// TestDamagedFolder: a node whose folder lost acknowledged entries sets the folder aside and rejoins as a new
+// member. It serves its callers meanwhile.
 func TestDamagedFolder(t *testing.T) {
 	t.Parallel()
 	c := newRunningCluster(t, nil)
@@ -474,7 +473,7 @@
 	text, err := os.ReadFile(logs[0])
 	require.NoError(t, err)
 	for i := range 64 {
-		text[len(text)/3+i] ^= 0xff // in the middle, with good entries behind it
+		text[len(text)/3+i] ^= 0xff // damages the middle of the file, before valid entries
 	}
 	require.NoError(t, os.WriteFile(logs[0], text, 0o600))
 	c.Start(1)
@@ -489,8 +488,8 @@
 	await(t, "all keys", func() bool { return hasWrittenKeys(t, c, 1, "note", 30) })
 }
 
-// TestFolderOfTheVersionBefore: folders whose members are names alone start, and one by
-// one, while all is well, each member becomes its disk; nothing is lost on the way.
+// TestFolderOfTheVersionBefore: nodes start from folders whose Raft configuration has names as member IDs. The
+// IDs are replaced one after the other by IDs with a disk identity, without losing keys.
 func TestFolderOfTheVersionBefore(t *testing.T) {
 	t.Parallel()
 	c := newStoppedCluster(t, 3, 3)
@@ -526,9 +525,9 @@
 	assert.True(t, hasWrittenKeys(t, c, 0, "note", 20))
 }
 
-// TestStateApart: a node has made something else of one entry than the others, and its log
-// goes on as theirs does, so that Raft sees nothing. The node finds out, says so, gives up all
-// that it has, and comes back as a new member with the others' state.
+// TestStateApart: one node's state machine applied another value than the others for one entry, while its Raft
+// log continues to match. The node must detect the difference, log it, set its folder aside and rejoin as a new
+// member with the others' state.
 func TestStateApart(t *testing.T) {
 	t.Parallel()
 	c := newRunningCluster(t, nil)
--- a/tests/first_start_test.go
+++ b/tests/first_start_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// damageLog overwrites bytes in the middle of each log file of a node that does not run.
+// damageLog overwrites bytes in the middle of each log file of a stopped node.
 func (c *cluster) damageLog(t *testing.T, node int) {
 	const damagedBytes = 16
 	files, err := filepath.Glob(filepath.Join(c.Dirs[node], "*.log"))
@@ -25,8 +25,8 @@
 	}
 }
 
-// TestFounderFolderSetAside: a founder's folder is damaged before there is a cluster, and all nodes wait for ever to join
-// one, also after that folder was removed.
+// TestFounderFolderSetAside: a founder's folder is damaged before the cluster exists. It guards against nodes
+// that wait forever to join a cluster, also after the folder was removed.
 func TestFounderFolderSetAside(t *testing.T) {
 	t.Parallel()
 	c := newStoppedCluster(t, 3, 3)
@@ -47,8 +47,8 @@
 	c.Put(0, "note/first", "1")
 }
 
-// TestFounderOfOtherCluster: a founder starts with the folder of an earlier cluster, the others wait for ever to join that
-// one, also after the folder was removed.
+// TestFounderOfOtherCluster: a founder starts with the folder of an earlier cluster. It guards against nodes
+// that wait forever to join that cluster, also after the folder was removed.
 func TestFounderOfOtherCluster(t *testing.T) {
 	t.Parallel()
 	earlier := newRunningCluster(t, nil)
--- a/tests/process_test.go
+++ b/tests/process_test.go
@@ -114,7 +114,7 @@
 	name      string
 	logFile   *os.File // receives the log; nil for logBuffer
 
-	descriptors int // file descriptor limit of the process; 0 to inherit the limit of the tests
+	descriptors int           // file descriptor limit of the process; 0 to inherit the limit of the tests
 	exited      chan struct{} // closed once the process has exited
 	cfg         object
 	configPath  string
@@ -339,13 +339,13 @@
 	callStages          map[string]string // by trace id: "two" before the reply to the first of two calls, then "call"
 	heldTraces          []string
 	receivedCommands    []string
-	ignoresCommands     bool // reads commands without handling them
-	ignoresStat         bool // does not answer STAT
-	ignoresRun          bool // reads RUN without starting a run
-	completesBeforeHalt bool // a run completes successfully just before its HALT is read
-	linksToIgnore       int // number of further connections that are accepted and never read
-	answeredStats       int // STAT commands answered
-	releaseAfterSync    bool // held runs complete right after the next answer to STAT sync
+	ignoresCommands     bool     // reads commands without handling them
+	ignoresStat         bool     // does not answer STAT
+	ignoresRun          bool     // reads RUN without starting a run
+	completesBeforeHalt bool     // a run completes successfully just before its HALT is read
+	linksToIgnore       int      // number of further connections that are accepted and never read
+	answeredStats       int      // STAT commands answered
+	releaseAfterSync    bool     // held runs complete right after the next answer to STAT sync
 	betweenCalls        []string // trace ids of runs that have the reply to their first call and wait for releaseHeld
 }
 
--- a/tests/soak_registry_test.go
+++ b/tests/soak_registry_test.go
@@ -15,9 +15,9 @@
 const (
 	registryHealthy      registryMode = "well"
 	registryClosed       registryMode = "gone"    // its socket is closed
-	registrySlow         registryMode = "slow" // it reads one report every slowRegistryDelay
+	registrySlow         registryMode = "slow"    // it reads one report every slowRegistryDelay
 	registrySendsGarbage registryMode = "garbled" // it answers reports with bytes that are not a message
-	registryMoved        registryMode = "moved" // it works, at another address
+	registryMoved        registryMode = "moved"   // it works, at another address
 )
 
 var registryModes = []registryMode{registryHealthy, registryClosed, registrySlow, registrySendsGarbage, registryMoved}
--- a/tests/soak_test.go
+++ b/tests/soak_test.go
@@ -22,8 +22,8 @@
 const (
 	soakStopTimeout = 4 * time.Second         // from the first SIGTERM to SIGKILL
 	soakDrainGrace  = 2500 * time.Millisecond // drain grace period after SIGTERM
-	soakSocketDelay = 50 * time.Millisecond // extra time that sockets may add to each time limit
-	soakDeadline    = 3 * time.Second // deadline of each class
+	soakSocketDelay = 50 * time.Millisecond   // extra time that sockets may add to each time limit
+	soakDeadline    = 3 * time.Second         // deadline of each class
 	// soakResponseGrace is how long after its deadline a request may be answered (answer_slack_ns).
 	soakResponseGrace = 80 * time.Millisecond
 	soakMemoryMB      = 192
@@ -45,14 +45,14 @@
 	mu          sync.Mutex
 	attempts    []*soakAttempt
 	noticeAt    time.Time // time of the first SIGTERM
-	peakMemory  int // in KB
+	peakMemory  int       // in KB
 	peakSockets int
 }
 
 // soakPlan holds the parameters that are drawn once per seed.
 type soakPlan struct {
 	callers           int
-	idleConnections   int // connections that send nothing or only a health check
+	idleConnections   int           // connections that send nothing or only a health check
 	meanFaultInterval time.Duration // between two injected faults
 }
 
@@ -116,7 +116,7 @@
 		site["safety"].(object)["answer_slack_ns"] = int64(soakResponseGrace)
 	})
 	s.awaitReady()
-	// The engine renumbers its notices for a service that has not read any, so one request makes the service
+	// An engine resets its notice sequence for a service that has not read any, so one request makes the service
 	// read some. Its class makes no calls, because the records service fails some calls.
 	w := &testbed{service: s.service}
 	require.Equal(t, 200, w.responseStatus("cycle-check", "the first"))
--- a/tests/store_test.go
+++ b/tests/store_test.go
@@ -21,14 +21,14 @@
 	"oxbowbridge/internal/testrig"
 )
 
-// cluster is services with a store, on the rig.
+// cluster is a test cluster whose nodes are processes of the program.
 type cluster struct {
 	*testrig.Cluster
 	nodes     []*service
-	buildPath string // another one of the program
+	buildPath string // executable to run; empty for the one that TestMain built
 }
 
-// newRunningCluster is three nodes that run.
+// newRunningCluster starts a cluster of three nodes, with an SQL mirror if sql is not nil.
 func newRunningCluster(t *testing.T, sql object) *cluster {
 	c := newStoppedCluster(t, 3, 3)
 	if sql != nil {
@@ -38,7 +38,7 @@
 	return c
 }
 
-// newStoppedCluster is a cluster of which nothing runs yet.
+// newStoppedCluster returns a cluster whose nodes have not been started.
 func newStoppedCluster(t *testing.T, founders, nodes int) *cluster {
 	c := &cluster{Cluster: testrig.NewCluster(t, founders, nodes), nodes: make([]*service, nodes)}
 	c.Launch = func(i int, store map[string]any) testrig.Process {
@@ -50,8 +50,8 @@
 	return c
 }
 
-// TestStore: writes at any node, the loss of the leader, a member that lags, a
-// restart of all, and settings that come from the store.
+// TestStore covers writes at any node, the loss of the leader, a lagging member, a restart of all nodes, and
+// settings from the store.
 func TestStore(t *testing.T) {
 	t.Parallel()
 	path := filepath.Join(t.TempDir(), "record.db")
@@ -73,7 +73,7 @@
 	code, _ = c.Request(next, "DELETE", "/store/note/0", "")
 	assert.Equal(t, 204, code)
 	c.Start(lost)
-	c.WaitForValue(lost, "note/while", `"away"`) // what it missed
+	c.WaitForValue(lost, "note/while", `"away"`) // written while it was stopped
 	await(t, "a deletion", func() bool { code, _ := c.Request(lost, "GET", "/store/note/0", ""); return code == 404 })
 	set := settings()
 	set["classes"] = []object{{"name": "only-class", "effect": "idempotent", "value": 1, "aim_ns": 1e9, "deadline_ns": 2e9}}
@@ -110,14 +110,14 @@
 	for i := range 3 {
 		c.nodes[i].terminate()
 	}
-	for i := range 3 { // all disks are lost: the store of record has it
+	for i := range 3 { // all disks are lost; the SQL mirror has the keys
 		c.Dirs[i] = t.TempDir()
 		c.Start(i)
 	}
 	c.WaitForValue(1, "note/while", `"away"`)
 }
 
-// awaitPublishedState is what the node itself has put down as its state.
+// awaitPublishedState waits until a node has published its service state, and returns it.
 func awaitPublishedState(t *testing.T, c *cluster, i int) (text string) {
 	await(t, "its state", func() bool {
 		var code int
@@ -128,13 +128,14 @@
 	return text
 }
 
-// TestStoreOfRecordAway: the store goes on without its PostgreSQL, and catches up.
+// TestStoreOfRecordAway: the store works while its PostgreSQL mirror is unreachable, and the mirror catches up
+// later.
 func TestStoreOfRecordAway(t *testing.T) {
 	t.Parallel()
 	addr := freeAddr(t)
 	c := newRunningCluster(t, object{"driver": "postgres", "dsn": "postgres://operator@" + addr + "/records?sslmode=disable"})
 	c.Put(0, "note/early", `{"n":1}`)
-	var at *service // the one that has the lease
+	var at *service // the node with the mirror lease
 	await(t, "a line", func() bool {
 		for _, n := range c.nodes {
 			if strings.Contains(n.log(), "sql mirror unavailable") {
@@ -154,17 +155,17 @@
 	for i := range 3 {
 		c.Start(i)
 	}
-	c.WaitForValue(2, "note/early", `{"n":1}`) // taken over from PostgreSQL
+	c.WaitForValue(2, "note/early", `{"n":1}`) // imported from PostgreSQL
 	c.Put(2, "note/early", `3`)
 	await(t, "the new row", func() bool { return pg.value("note/early") == "3" })
 }
 
-// postgresStandin stands in for a PostgreSQL server: version 3 of its protocol, and
-// the store's own statements.
+// postgresStandin stands in for a PostgreSQL server: version 3 of the protocol, limited to the store's
+// statements.
 type postgresStandin struct {
 	mu       sync.Mutex
-	rows     map[string][2]any // value (nil or string) and index
-	maxToken int64             // the highest of the lease
+	rows     map[string][2]any // by key: the value (nil or a string) and the index
+	maxToken int64             // highest fencing token
 }
 
 func newPostgresStandin(t *testing.T, addr string) *postgresStandin {
@@ -274,7 +275,7 @@
 	send('T', b...)
 }
 
-// parseBind reads the statement's name and the arguments.
+// parseBind decodes the statement's name and the arguments of a Bind message.
 func parseBind(b []byte, queries map[string]string) (string, [][]byte) {
 	parts := bytes.SplitN(b, []byte{0}, 3)
 	b = parts[2]
--- a/tests/stored_test.go
+++ b/tests/stored_test.go
@@ -26,24 +26,24 @@
 
 const (
 	storedDir      = "testdata/stored"
-	storedMembers  = "members.tar.gz"  // three voters, their SQLite record and a scheduled backup
+	storedMembers  = "members.tar.gz"  // three voters, their SQLite mirror and a scheduled backup
 	storedSnapshot = "snapshot.tar.gz" // one voter with a session and a snapshot
 )
 
-// storedKey is a key as it was read from the program that wrote it.
+// storedKey is a key as the program that wrote it returned it.
 type storedKey struct {
 	Value    json.RawMessage `json:"value"`
 	Revision uint64          `json:"revision"`
 }
 
-// storedLease is what a restart must not change of a lease.
+// storedLease holds the fields of a lease that a restart must not change.
 type storedLease struct {
 	Holder string `json:"holder"`
 	Token  uint64 `json:"token"`
 	TTLMS  int64  `json:"ttl_ms"`
 }
 
-// storedWrite is a write in a session, to be repeated, and its answer.
+// storedWrite is a write in a session, which is repeated, and its response.
 type storedWrite struct {
 	Session string `json:"session"`
 	Number  string `json:"number"`
@@ -52,7 +52,7 @@
 	Tag     string `json:"tag"`
 }
 
-// storedSite is what a program said of the folders that it wrote.
+// storedSite is the expected content of the stored folders, as reported by the program that wrote them.
 type storedSite struct {
 	Cluster        string                     `json:"cluster"`
 	Keys           map[string]storedKey       `json:"keys"`
@@ -62,7 +62,7 @@
 	Pause          string                     `json:"pause,omitempty"`
 	Backups        []string                   `json:"backups,omitempty"`
 	Write          *storedWrite               `json:"write,omitempty"`
-	RecoverReports map[string]json.RawMessage `json:"left"` // "store recover --json" of each node
+	RecoverReports map[string]json.RawMessage `json:"left"` // output of "store recover --json", by node
 }
 
 func readStoredSites(t *testing.T) (sites map[string]storedSite) {
@@ -72,14 +72,14 @@
 	return sites
 }
 
-// newStoredCluster has the folders of an archive, in a new place.
+// newStoredCluster unpacks an archive of folders and returns a stopped cluster that uses them.
 func newStoredCluster(t *testing.T, archive string, nodes int) (c *cluster, dir string) {
 	dir = t.TempDir()
 	unpackArchive(t, filepath.Join(storedDir, archive), dir)
 	return newClusterIn(t, dir, nodes), dir
 }
 
-// newClusterIn is a cluster whose folders and store of record lie in dir.
+// newClusterIn returns a stopped cluster whose folders and SQL mirror are in dir.
 func newClusterIn(t *testing.T, dir string, nodes int) *cluster {
 	c := newStoppedCluster(t, nodes, nodes)
 	for i, p := range c.Peers {
@@ -120,7 +120,7 @@
 	}
 }
 
-// checkRecoverReports compares what a stopped node's folder holds by its own account.
+// checkRecoverReports compares the stopped nodes' reports on their folders with the expected ones.
 func (c *cluster) checkRecoverReports(t *testing.T, site storedSite) {
 	t.Helper()
 	for i, p := range c.Peers {
@@ -128,8 +128,8 @@
 	}
 }
 
-// recoverReport is what the program says of a stopped node's folder. It counts as a start of the
-// disk, so it is asked of a copy.
+// recoverReport returns the output of "store recover --json" for a stopped node. The command counts as a start
+// of the disk, so it runs on a copy of the folder.
 func (c *cluster) recoverReport(t *testing.T, node int) string {
 	t.Helper()
 	dir := filepath.Join(t.TempDir(), "copy")
@@ -147,12 +147,12 @@
 	return out
 }
 
-// publishedState is what a service that is open writes of itself.
+// publishedState matches the state that an open service publishes.
 var publishedState = regexp.MustCompile(`^\{"since_ms":\d{13},"state":"open"\}$`)
 
-// TestStoredMembers: three nodes go on from the folders that an earlier version wrote, with
-// every key and its revision, their members, leases with their tokens, the order of work, the
-// settings that were good last, the store of record and the note of the last backup.
+// TestStoredMembers: three nodes start from the folders of an earlier version. They must keep all keys with
+// their revisions, the members, the leases with their tokens, the maintenance orders, the last good settings,
+// the SQL mirror and the record of the last backup.
 func TestStoredMembers(t *testing.T) {
 	t.Parallel()
 	site := readStoredSites(t)[storedMembers]
@@ -182,7 +182,7 @@
 	c.checkNewBackups(t, dir, site)
 }
 
-// checkStartOnLastGoodSettings starts a node alone: it has the settings that were good last, and nothing else.
+// checkStartOnLastGoodSettings starts one node alone. Without a quorum it must start on the last good settings.
 func (c *cluster) checkStartOnLastGoodSettings(t *testing.T, node int) {
 	c.Start(node)
 	c.nodes[node].awaitReady()
@@ -203,7 +203,7 @@
 	})
 }
 
-// checkStoredLeases checks that leases are held as before, and that their tokens count.
+// checkStoredLeases checks that leases have the same holders and that their tokens are still valid.
 func (c *cluster) checkStoredLeases(t *testing.T, leases map[string]storedLease) {
 	for name, want := range leases {
 		code, l := c.readLease(name)
@@ -223,8 +223,8 @@
 	assert.Equal(t, site.Pause, st.Pause.Reason)
 }
 
-// checkNewWrites writes a key, which the record gets too, with the rows that it had; and has a new lease,
-// whose token is above the stored ones.
+// checkNewWrites checks that a new key reaches the SQL mirror while its rows stay, and that a new lease gets a
+// token above the stored ones.
 func (c *cluster) checkNewWrites(t *testing.T, dir string, site storedSite, rows map[string]string) {
 	c.Put(0, "note/new", `"later"`)
 	db, err := sql.Open("sqlite", "file:"+filepath.Join(dir, "record.db")+"?mode=ro&_pragma=busy_timeout(5000)")
@@ -244,8 +244,8 @@
 	}
 }
 
-// checkNewBackups starts with a schedule: the note of the last backup is followed, its file stays, and a
-// new cluster can be made of it.
+// checkNewBackups checks that scheduled backups continue after the recorded one, whose file stays, and that the
+// stored backup can be restored into a new cluster.
 func (c *cluster) checkNewBackups(t *testing.T, dir string, site storedSite) {
 	c.StoreFields["backup"] = object{"dir": filepath.Join(dir, "backups"), "every": "1s", "keep": 100}
 	c.Bootstrap()
@@ -265,12 +265,12 @@
 // readLease reads a lease at the leader.
 func (c *cluster) readLease(name string) (code int, l storeapi.LeaseStatus) {
 	code, text := c.requestWithRetry(c.WaitForLeader(), "GET", "/lease/"+name, "")
-	json.Unmarshal([]byte(text), &l) // or it is the zero one
+	json.Unmarshal([]byte(text), &l) // on an error l stays empty
 	return code, l
 }
 
-// TestStoredSnapshot: a node goes on from a folder with a snapshot. A write in a session that
-// was open then takes effect once, though it is sent again.
+// TestStoredSnapshot: a node starts from a folder with a snapshot. A write repeated in a session from before
+// the snapshot must take effect only once.
 func TestStoredSnapshot(t *testing.T) {
 	t.Parallel()
 	site := readStoredSites(t)[storedSnapshot]
@@ -288,7 +288,7 @@
 	c.WaitForValue(0, "note/new", `"later"`)
 }
 
-// writeInSession sends a write, perhaps again.
+// writeInSession sends a write with its session and request number; it may be a repetition.
 func (c *cluster) writeInSession(t *testing.T, w *storedWrite) (code int, tag string) {
 	t.Helper()
 	await(t, "an answer to a write in a session", func() bool {
@@ -307,7 +307,7 @@
 	return code, tag
 }
 
-// mirrorRows is the content of the store of record.
+// mirrorRows returns the rows of the SQL mirror, by key.
 func mirrorRows(t *testing.T, dir string) map[string]string {
 	db, err := sql.Open("sqlite", "file:"+filepath.Join(dir, "record.db")+"?mode=ro&_pragma=busy_timeout(5000)")
 	require.NoError(t, err)
@@ -326,7 +326,7 @@
 	return rows
 }
 
-// unpackArchive is the reverse.
+// unpackArchive extracts an archive written by packFolder.
 func unpackArchive(t *testing.T, path, dir string) {
 	f, err := os.Open(path)
 	require.NoError(t, err)
--- a/tests/stored_write_test.go
+++ b/tests/stored_write_test.go
@@ -18,11 +18,11 @@
 	"oxbowbridge/internal/maintenance"
 )
 
-// storedProgram rewrites the folders below testdata/stored, which must be done with a released
-// program only: they stand for what is on the disks of nodes that are upgraded.
+// storedProgram is the program with which TestWriteStoredFolders rewrites testdata/stored. It must be a
+// released version, because the folders stand for the disks of nodes that are upgraded.
 var storedProgram = flag.String("stored-from", "", "program with which TestWriteStoredFolders writes the stored folders anew")
 
-// packFolder writes a folder's files into an archive.
+// packFolder writes a folder's files to an archive.
 func packFolder(t *testing.T, dir, path string) {
 	f, err := os.Create(path)
 	require.NoError(t, err)
@@ -34,7 +34,8 @@
 	require.NoError(t, f.Close())
 }
 
-// captureSite is what the program says of a running cluster and, once it is ended, of its folders.
+// captureSite returns what the program reports about a running cluster; stopAndPack adds the reports on the
+// stopped nodes' folders.
 func (c *cluster) captureSite(t *testing.T) (site storedSite) {
 	client := c.client()
 	leader := c.WaitForLeader()
@@ -51,7 +52,7 @@
 	leases, err := client.ListLeases(t.Context())
 	require.NoError(t, err)
 	for _, l := range leases {
-		if strings.HasPrefix(l.Name, "job/") { // others are held by processes
+		if strings.HasPrefix(l.Name, "job/") { // other leases are held by processes
 			site.Leases[l.Name] = storedLease{l.Holder, l.Token, l.TTLMS}
 		}
 	}
@@ -65,7 +66,7 @@
 	return site
 }
 
-// TestWriteStoredFolders writes the folders that the tests above read.
+// TestWriteStoredFolders writes the folders that TestStoredMembers and TestStoredSnapshot read.
 func TestWriteStoredFolders(t *testing.T) {
 	if *storedProgram == "" {
 		t.Skip("only with -stored-from")
@@ -78,7 +79,7 @@
 	require.NoError(t, os.WriteFile(filepath.Join(storedDir, "expected.json"), append(text, '\n'), 0o600))
 }
 
-// stopAndPack ends all nodes, and writes their folders.
+// stopAndPack stops all nodes and packs their folders.
 func (c *cluster) stopAndPack(t *testing.T, dir, archive string, site *storedSite) {
 	c.KillAll()
 	for i, p := range c.Peers {
@@ -109,7 +110,7 @@
 	code, text2 := c.requestWithRetry(0, "POST", "/members/s1", "")
 	require.Equal(t, 204, code, text2)
 	c.KillAll()
-	c.Bootstrap() // which keeps the settings as good ones
+	c.Bootstrap() // the restart stores the settings as the last good ones
 	for i := range 3 {
 		await(t, "settings of the store", func() bool { return strings.Contains(c.nodes[i].log(), `"last_good":false`) })
 	}
@@ -132,7 +133,7 @@
 		_, noted := c.Request(0, "GET", "/store/state/fleet.backup", "")
 		return len(names) > 0 && strings.Contains(noted, names[len(names)-1])
 	})
-	time.Sleep(5 * time.Second) // what services say of themselves settles, and the record follows
+	time.Sleep(5 * time.Second) // time for the services' published states to settle and for the SQL mirror to follow
 	site := c.captureSite(t)
 	site.Backups = names
 	c.stopAndPack(t, dir, storedMembers, &site)
@@ -143,14 +144,14 @@
 	dir := t.TempDir()
 	c := newClusterIn(t, dir, 1)
 	c.Bootstrap()
-	for i := range 1100 { // more than a snapshot is taken after
+	for i := range 1100 { // more entries than the snapshot threshold
 		c.Put(0, fmt.Sprint("note/", i%7), fmt.Sprint(i))
 	}
 	_, text := c.requestWithRetry(0, "POST", "/session", "")
 	var opened struct{ Session json.Number }
 	require.NoError(t, json.Unmarshal([]byte(text), &opened))
 	w := &storedWrite{Session: opened.Session.String(), Number: "1", Key: "note/in-session", Value: `"once"`}
-	time.Sleep(250 * time.Second) // Raft looks every two to four minutes whether one is due
+	time.Sleep(250 * time.Second) // Raft checks every two to four minutes whether a snapshot is due
 	var code int
 	code, w.Tag = c.writeInSession(t, w)
 	require.Equal(t, 204, code)
