--- a/tests/contenders_test.go
+++ b/tests/contenders_test.go
@@ -22,8 +22,8 @@
 
 const envLeaseCommandURL = "OXBOWBRIDGE_TEST_ACTOR"
 
-// runLeaseCommand is the command of a contender: this test's own program, which acts on the resource
-// without pause and without asking anybody, for as long as it is let.
+// runLeaseCommand is the command that a contender runs under its lease: this test binary, which keeps acting on
+// the resource without checking the lease.
 func runLeaseCommand(url string) int {
 	web := &http.Client{Timeout: time.Second}
 	query := "?holder=" + os.Getenv("HOLDER") + "&token=" + os.Getenv("OXBOWBRIDGE_LEASE_TOKEN")
@@ -38,8 +38,7 @@
 	return 0
 }
 
-// contender is a process that wants the lease again and again, and acts under it. It
-// reaches each node of the store over a link of its own.
+// contender repeatedly runs a command under the lease. It reaches each store node over its own link.
 type contender struct {
 	t           *testing.T
 	name        string
@@ -69,7 +68,7 @@
 	return x
 }
 
-// runRepeatedly runs the command under the lease, again and again.
+// runRepeatedly runs the command under the lease until stop is called.
 func (x *contender) runRepeatedly() {
 	for {
 		x.mu.Lock()
@@ -105,7 +104,8 @@
 	x.background.Wait()
 }
 
-// processTree are the present process and all below it, in any process group.
+// processTree returns the process IDs of the current lease process and all its descendants, in any process
+// group.
 func (x *contender) processTree() []int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -132,8 +132,8 @@
 	return all
 }
 
-// signalTree goes to all of them. When they go on, the command does so a moment earlier than
-// those that stop it, as may happen.
+// signalTree signals the lease process and its descendants. SIGCONT reaches the command 30 ms before the
+// processes that would stop it, which is the harder case for the fence.
 func (x *contender) signalTree(sig syscall.Signal) {
 	var rest []int
 	for _, pid := range x.processTree() {
@@ -151,7 +151,7 @@
 	}
 }
 
-// signalLeaseProcess goes to the process that holds the lease, and not to its command or its guard.
+// signalLeaseProcess signals the process that holds the lease, but not its command or its guard.
 func (x *contender) signalLeaseProcess(sig syscall.Signal) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -164,7 +164,7 @@
 	}
 }
 
-// leaseContest is nodes of the store and contenders for one lease.
+// leaseContest is a store cluster with contenders for one lease.
 type leaseContest struct {
 	*cluster
 	resource   *testrig.Resource
@@ -184,7 +184,7 @@
 	return s
 }
 
-// holder waits for a contender that has the lease and acts.
+// holder waits until a contender acts under the lease, and returns it with its token.
 func (s *leaseContest) holder() (x *contender, token uint64) {
 	testrig.Await(s.T, "a holder that acts", func() bool {
 		a, ok := s.resource.LastAction()
@@ -198,7 +198,7 @@
 	return x, token
 }
 
-// faults are those of the store's nodes and of the holder, which comes with its token.
+// faults returns the faults of the store's nodes and of the lease holder.
 func (s *leaseContest) faults() []testrig.Fault {
 	var at *contender
 	with := func(do func(x *contender)) func(int) {
@@ -245,9 +245,9 @@
 	}
 }
 
-// TestContenders: seven processes want one lease of five nodes, while leaders and holders
-// are killed, stopped and cut off. No two act at once, tokens only grow, and what one does
-// that stood still is refused. -faults 10m is its long form, and prints its table with -v.
+// TestContenders: seven processes contend for one lease at five nodes while leaders and holders are killed,
+// paused and cut off. No two may act at once, tokens only grow, and actions of a holder that was paused past
+// its lease are rejected. Run it longer with -faults 10m; -v prints a table per fault.
 func TestContenders(t *testing.T) {
 	t.Parallel()
 	logSeedOnFailure(t)
@@ -284,7 +284,7 @@
 	}
 }
 
-// TestContendersNoFence: the check sees what the fence keeps out.
+// TestContendersNoFence checks that without the fence the resource detects actions under an expired lease.
 func TestContendersNoFence(t *testing.T) {
 	t.Parallel()
 	s := newLeaseContest(t, 3, 3, false)
--- a/tests/disk_waits_test.go
+++ b/tests/disk_waits_test.go
@@ -140,8 +140,8 @@
 	testRenewedDisk(t, 2)
 }
 
-// TestDiskGivenUpThenKilled guards against the same when the node that renewed its disk restarts at once and no
-// longer knows why it did so.
+// TestDiskGivenUpThenKilled guards against a cluster that waits forever for a replaced disk when the node that
+// replaced it restarts at once and no longer knows why it did so.
 func TestDiskGivenUpThenKilled(t *testing.T) {
 	t.Parallel()
 	testRenewedDisk(t, 1)
--- a/tests/disks_test.go
+++ b/tests/disks_test.go
@@ -182,7 +182,7 @@
 		c.RestoreDir(old, then)
 		if cut {
 			c.SetLinksBetween(old, lead, testrig.LinkMode{Cut: true})
-			c.Kill(lead) // without this kill's node, the third node and the older folder would form a majority
+			c.Kill(lead) // the third node and the node with the older folder now form a majority
 		}
 		c.Start(old)
 		await(t, "the verdict", func() bool { return strings.Contains(c.nodes[old].log(), "disk identity renewed") })
--- a/tests/endings_test.go
+++ b/tests/endings_test.go
@@ -18,7 +18,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// requireOrderlyClose reads until the service ends the connection, which must not be a reset.
+// requireOrderlyClose requires that the service closes the connection without a reset and without further data.
 func requireOrderlyClose(t *testing.T, c net.Conn, r io.Reader) {
 	t.Helper()
 	rest, err := io.ReadAll(r)
@@ -26,7 +26,7 @@
 	require.Empty(t, rest, "more than was owed")
 }
 
-// awaitListenersClosed waits until the service takes no more connections.
+// awaitListenersClosed waits until the service refuses connections.
 func (s *service) awaitListenersClosed() {
 	await(s.t, "the listeners to close", func() bool {
 		for _, addr := range []string{s.fcgiAddr, s.ajpAddr} {
@@ -39,22 +39,21 @@
 	})
 }
 
-// TestFaultLeavesAnswers: what a connection is ended for takes no answer along that was
-// owed on it before: garbage, half a message that stays half, a request without
-// KEEP_CONN, and faults by the dozen.
+// TestFaultLeavesAnswers: a connection closed for malformed input, an incomplete message, a request without
+// KEEP_CONN or too many faults must first deliver all pending responses.
 func TestFaultLeavesAnswers(t *testing.T) {
 	t.Parallel()
 	w := newTestbed(t, nil)
 	half := fcgiRequest(9, "/call/nom-submit", requestHeaders(newTraceID()), []byte("ok"))
 	single := fcgiRequest(9, "/call/nom-submit", requestHeaders(newTraceID()), []byte("ok"))
-	single[10] = 0 // its flags: the connection is to be closed behind it
+	single[10] = 0 // clears KEEP_CONN: the service closes the connection after the response
 	var faults []byte
 	for id := range uint16(17) {
 		faults = append(faults, fcgiRequest(20+id, "/call/other", requestHeaders(newTraceID()), nil)...)
 	}
 	for what, tt := range map[string]struct {
 		then    []byte
-		answers int // that come before the one that is held
+		answers int // responses before the one of the held run
 	}{
 		"garbage":        {[]byte("GET / HTTP/1.1\r\n\r\n"), 0},
 		"half a record":  {half[:5], 0},
@@ -79,7 +78,7 @@
 			if strings.HasPrefix(what, "half") {
 				await(t, "the half to be given up", func() bool { return strings.Count(w.log(), "callers stalled") > given })
 			}
-			refused := newTraceID() // on a connection that is about to end nothing begins
+			refused := newTraceID() // nothing may start on a connection that is about to close
 			_, err = c.Write(fcgiRequest(5, "/call/nom-submit", requestHeaders(refused), []byte("ok")))
 			require.NoError(t, err)
 			if what != "garbage" {
@@ -109,9 +108,9 @@
 	requireOrderlyClose(t, c, c.r)
 }
 
-// TestDrainHearsTheHalf: of a request that was half written when the service began to
-// close what is idle, the rest is read, and the answer promises that nothing ran. One
-// that crosses the end of an idle connection meets no reset, and never runs.
+// TestDrainHearsTheHalf: if a request is half written when the drain closes idle connections, its rest is read
+// and the response says that it did not run. A request that arrives as its idle connection closes meets no
+// reset, and never runs.
 func TestDrainHearsTheHalf(t *testing.T) {
 	t.Parallel()
 	w := newTestbed(t, func(cfg object) {
@@ -119,13 +118,13 @@
 	})
 	trace := newTraceID()
 	fields := requestHeaders(trace)
-	fields["Accepted-At-Ms"] = strconv.FormatInt(time.Now().Add(30*time.Second).UnixMilli(), 10) // counts as the time of reading
+	fields["Accepted-At-Ms"] = strconv.FormatInt(time.Now().Add(30*time.Second).UnixMilli(), 10) // a time in the future counts as the time of reading
 	request := fcgiRequest(1, "/call/nom-submit", fields, []byte("ok"))
 	half, err := dialFCGI(w.fcgiAddr)
 	require.NoError(t, err)
 	defer half.Close()
 	half.do("/ping", nil, nil)
-	_, err = half.Write(request[:5]) // not even its first record is whole
+	_, err = half.Write(request[:5]) // its first record is incomplete
 	require.NoError(t, err)
 	idle, err := dialFCGI(w.fcgiAddr)
 	require.NoError(t, err)
@@ -133,7 +132,7 @@
 	_, err = idle.do("/ping", nil, nil)
 	require.NoError(t, err)
 	require.NoError(t, w.Signal(syscall.SIGTERM))
-	requireOrderlyClose(t, idle, idle.r) // it rested until the service ended it
+	requireOrderlyClose(t, idle, idle.r) // idle until the service closed it
 	crossed := newTraceID()
 	_, err = idle.Write(fcgiRequest(1, "/call/nom-submit", requestHeaders(crossed), []byte("ok")))
 	require.NoError(t, err)
@@ -146,13 +145,13 @@
 	requireOrderlyClose(t, half, half.r)
 	_, err = idle.Read(make([]byte, 1))
 	assert.Equal(t, io.EOF, err, "a reset")
-	w.requireCleanExit() // though neither peer has ended its side
+	w.requireCleanExit() // although neither peer has closed its side
 	assert.Zero(t, w.engine.countReceived("RUN "+crossed))
 	assert.Zero(t, w.engine.countReceived("RUN "+trace))
 }
 
-// TestCutAtEachByte: a request that is cut at any byte, by its caller's end or by the
-// service's, is none: nothing runs, and the service ends in order and in time.
+// TestCutAtEachByte: a request cut off at any byte, by its caller or by the drain, must not run, and the
+// service exits cleanly and in time.
 func TestCutAtEachByte(t *testing.T) {
 	t.Parallel()
 	for _, callerEnds := range []bool{true, false} {
@@ -181,9 +180,8 @@
 	}
 }
 
-// TestRestartsUnderLoad: callers that send without a pause, on connections that they keep
-// and ever new ones, each get a whole answer or the end of the connection, and never a
-// reset, while the service drains; nothing that they did not get an answer to has run.
+// TestRestartsUnderLoad: callers send continuously on old and new connections while the service drains. Each
+// gets a complete response or an orderly close, never a reset, and no request without a response has run.
 func TestRestartsUnderLoad(t *testing.T) {
 	t.Parallel()
 	for range 3 {
@@ -229,8 +227,8 @@
 	}
 }
 
-// TestSignalsAtAnyTime: a notice before the file is read, many at once, and a SIGHUP
-// during the drain, whose calls go to the new address.
+// TestSignalsAtAnyTime covers SIGTERM before the configuration is read, repeated signals, and SIGHUP during the
+// drain, after which calls go to the new address.
 func TestSignalsAtAnyTime(t *testing.T) {
 	t.Parallel()
 	w := newTestbed(t, nil)
@@ -240,7 +238,7 @@
 	early.Env = append(os.Environ(), "BALANCER_CONFIG="+path, "BALANCER_LISTEN="+freeAddr(t))
 	require.NoError(t, early.Start())
 	defer early.Process.Kill()
-	file, err := os.OpenFile(path, os.O_WRONLY, 0) // opens once the program reads
+	file, err := os.OpenFile(path, os.O_WRONLY, 0) // blocks until the program opens the file to read
 	require.NoError(t, err)
 	require.NoError(t, early.Process.Signal(syscall.SIGTERM))
 	require.NoError(t, early.Process.Signal(syscall.SIGHUP))
@@ -283,15 +281,15 @@
 	w.requireCleanExit()
 }
 
-// TestNoticeDuringReload: the notice comes while the program reads its file again, and the
-// file doesn't come to its end. It is told to leave all the same.
+// TestNoticeDuringReload: SIGTERM arrives while the program reads its configuration from a pipe that never
+// ends. It must drain all the same.
 func TestNoticeDuringReload(t *testing.T) {
 	t.Parallel()
 	w := newTestbed(t, nil)
 	require.NoError(t, os.Remove(w.configPath))
 	require.NoError(t, syscall.Mkfifo(w.configPath, 0o600))
 	require.NoError(t, w.Signal(syscall.SIGHUP))
-	file, err := os.OpenFile(w.configPath, os.O_WRONLY, 0) // opens once the program reads
+	file, err := os.OpenFile(w.configPath, os.O_WRONLY, 0) // blocks until the program opens the file to read
 	require.NoError(t, err)
 	defer file.Close()
 	require.NoError(t, w.Signal(syscall.SIGTERM))
@@ -299,7 +297,7 @@
 	assert.Contains(t, w.log(), `"msg":"drain finished"`)
 }
 
-// TestReadyOnceItServes: health checks are bad until the engine is there, whatever comes.
+// TestReadyOnceItServes: health checks fail until the engine has answered, whatever requests arrive.
 func TestReadyOnceItServes(t *testing.T) {
 	t.Parallel()
 	e := newEngineStandin(t)
@@ -307,7 +305,7 @@
 	s := startService(t, func(cfg object) { cfg["engine"], cfg["records"] = e.addr, newRecordsStandin(t).addr })
 	w := &testbed{service: s, engine: e}
 	await(t, "ATTACH", func() bool { return e.countReceived("ATTACH") == 1 })
-	got := w.sendAsync("nom-submit", newTraceID(), "ok") // has the module decide
+	got := w.sendAsync("nom-submit", newTraceID(), "ok") // the admission controller must decide on it
 	await(t, "a connection to be read", func() bool { return w.healthStatus() == 503 })
 	for range 20 {
 		require.Equal(t, 503, w.healthStatus())
@@ -320,16 +318,15 @@
 	assert.Equal(t, 200, w.healthStatus())
 }
 
-// healthStatus is the status of a health check.
+// healthStatus returns the status of a health check.
 func (w *testbed) healthStatus() int {
 	a, err := w.sendFCGI("/ping", nil, "")
 	require.NoError(w.t, err)
 	return a.status
 }
 
-// TestEngineSilent: an engine link that stays open and says nothing counts as lost after
-// a while, and what was sent on it in vain goes out on the next one, unless its class may run
-// once only: nothing shows that it was in vain.
+// TestEngineSilent: an engine link without answers counts as lost after a timeout. Unanswered runs are sent
+// again on the next link, except those of at-most-once classes, which the engine may have started.
 func TestEngineSilent(t *testing.T) {
 	t.Parallel()
 	w := newTestbed(t, nil)
@@ -351,8 +348,8 @@
 	assert.Equal(t, 1, w.engine.countReceived("RUN "+submit))
 }
 
-// TestReplyCutShort: a reply of the records service that ends in its middle proves
-// nothing: the call is made again only where that is safe.
+// TestReplyCutShort: a truncated reply of the records service does not show whether the call ran, so only calls
+// of idempotent requests are repeated.
 func TestReplyCutShort(t *testing.T) {
 	t.Parallel()
 	w := newTestbed(t, nil)
@@ -366,8 +363,8 @@
 	}
 }
 
-// TestDrainAtEachStage: a notice finds requests half read, held back, on the cores, at
-// their call, and answered with the answer unread. Each gets its one answer, whole.
+// TestDrainAtEachStage: SIGTERM arrives while requests are half read, queued, running, in a call, and answered
+// but unread. Each gets exactly one complete response.
 func TestDrainAtEachStage(t *testing.T) {
 	t.Parallel()
 	w := newTestbed(t, func(cfg object) { cfg["settings"].(object)["family_info"].(object)["cores"] = 1 })
@@ -409,7 +406,7 @@
 	for what, c := range map[string]*fcgiConn{"unread": unread, "at its call": called, "running": ran, "held": held, "half": half} {
 		_, a, _, err := c.readResponse()
 		require.NoError(t, err, what)
-		if what == "held" || what == "half" { // one core: they may have been turned away
+		if what == "held" || what == "half" { // there is only one core: they may have been rejected
 			assert.Contains(t, []int{200, 503}, a.status, what)
 		} else {
 			assert.Equal(t, 200, a.status, what)
@@ -423,8 +420,8 @@
 	}
 }
 
-// TestHaltCrossesDone: a run that ended before its HALT was read counts as it ended. Its
-// caller is gone, so nobody hears, and no other try under its name runs again.
+// TestHaltCrossesDone: a run that completed before its HALT was read counts as completed. Its caller has
+// disconnected, and another attempt with its trace id must not run.
 func TestHaltCrossesDone(t *testing.T) {
 	t.Parallel()
 	w := newTestbed(t, nil)
@@ -447,11 +444,11 @@
 	w.terminate()
 }
 
-// TestRoomForOthersFirst: a full table makes room by ending what has said nothing, before
-// what has said half a message, though that came first.
+// TestRoomForOthersFirst: a full connection table closes connections without any data before those with an
+// incomplete message, even if these are older.
 func TestRoomForOthersFirst(t *testing.T) {
 	t.Parallel()
-	w := newTestbed(t, func(cfg object) { cfg["limits"].(object)["sockets"] = 80 }) // some 20 connections of each front
+	w := newTestbed(t, func(cfg object) { cfg["limits"].(object)["sockets"] = 80 }) // about 20 connections per frontend
 	request := fcgiRequest(1, "/call/nom-submit", requestHeaders(newTraceID()), []byte("ok"))
 	half, err := dialFCGI(w.fcgiAddr)
 	require.NoError(t, err)
@@ -459,7 +456,7 @@
 	_, err = half.Write(request[:len(request)/2])
 	require.NoError(t, err)
 	assert.Equal(t, 200, w.healthStatus(), "the half is read")
-	for range 40 { // all within the time that half a message has
+	for range 40 { // within the time limit for an incomplete message
 		dialAndWrite(t, w.fcgiAddr)
 	}
 	assert.Equal(t, 200, w.healthStatus(), "the forty are taken")
--- a/tests/lease_lost_test.go
+++ b/tests/lease_lost_test.go
@@ -13,15 +13,15 @@
 	"oxbowbridge/internal/testrig"
 )
 
-// commandResult is what a run of the command line wrote, and its exit code.
+// commandResult is the output and the exit code of a command.
 type commandResult struct {
 	out, errs string
 	code      int
 }
 
-// runUnderStalledLease runs a command under a lease, stalls the way to all nodes once the lease is
-// held, so that the command is told to stop for want of an answer, and then calls afterStop. The
-// command goes on until heal, or afterStop's end, lets it exit with code 5.
+// runUnderStalledLease runs a command under a lease and stalls the links to all nodes once the lease is held,
+// so that the command gets SIGTERM for lack of keep-alives. It then calls afterStop, which may call heal to end
+// the stall. After that the command exits with code 5.
 func runUnderStalledLease(t *testing.T, c *cluster, afterStop func(heal func())) commandResult {
 	t.Helper()
 	var links []*testrig.Link
@@ -49,7 +49,7 @@
 		out, errs, code := runCLI(t, "", "lease", "run", "long", "--ttl=4s", "--grace=1s", "--nodes="+strings.Join(nodes, ","), "--", "sh", "-c", script)
 		ended <- commandResult{out, errs, code}
 	}()
-	await(t, "the command to run", exists(started)) // the grant has come, and SIGTERM is heard
+	await(t, "the command to run", exists(started)) // the lease is granted, and the command handles SIGTERM
 	setAll(testrig.LinkMode{StallRequests: true, StallResponses: true})
 	await(t, "the command to be told to stop", exists(stopRequested))
 	afterStop(func() { setAll(testrig.LinkMode{}) })
@@ -57,8 +57,8 @@
 	return <-ended
 }
 
-// TestRevokedWhileNodesStall guards against a revoked lease that `lease run` reports only as one that
-// was not kept alive in time, when no keep-alive was answered between the revocation and the grace.
+// TestRevokedWhileNodesStall guards against a `lease run` that reports a revoked lease only as one without
+// keep-alives, when no keep-alive was answered between the revocation and the end of the grace period.
 func TestRevokedWhileNodesStall(t *testing.T) {
 	t.Parallel()
 	c := newRunningCluster(t, nil)
@@ -71,8 +71,8 @@
 	assert.Regexp(t, `(?m)^oxbowbridge: command stopped: lease could not be kept alive in time: long .*; lease is lost: long$`, r.errs)
 }
 
-// TestStoppedWhileNodesStall guards against a lease that `lease run` calls lost though the store has it
-// as held, and against a stop whose line does not say how the last keep-alive failed.
+// TestStoppedWhileNodesStall guards against a `lease run` that reports its lease as lost while the store still
+// has it as held, and against a message that lacks the error of the last keep-alive.
 func TestStoppedWhileNodesStall(t *testing.T) {
 	t.Parallel()
 	c := newRunningCluster(t, nil)
@@ -84,8 +84,8 @@
 	assert.Equal(t, 404, code, "it was given back")
 }
 
-// TestStoppedWithoutAnswer guards against a `lease run` that claims to know what became of its lease
-// when no node answers, or that waits for that answer without end.
+// TestStoppedWithoutAnswer guards against a `lease run` that claims to know the state of its lease when no node
+// answers, or that waits for an answer without a limit.
 func TestStoppedWithoutAnswer(t *testing.T) {
 	t.Parallel()
 	c := newRunningCluster(t, nil)
--- a/tests/leases_test.go
+++ b/tests/leases_test.go
@@ -24,7 +24,7 @@
 	"oxbowbridge/internal/testrig"
 )
 
-// acquireLease asks a node for a lease until its answer is a sure one.
+// acquireLease requests a lease at a node until it gets a definite response.
 func (c *cluster) acquireLease(node int, name, body string) (code int, l storeapi.LeaseStatus) {
 	testrig.Await(c.T, "an answer to a request for a lease", func() bool {
 		var text string
@@ -35,7 +35,7 @@
 	return code, l
 }
 
-// requestWithRetry asks until it is not told to ask again.
+// requestWithRetry repeats a request while the response is 503 or missing.
 func (c *cluster) requestWithRetry(node int, method, path, body string, fields ...string) (code int, text string) {
 	testrig.Await(c.T, method+" "+path, func() bool {
 		req, err := http.NewRequest(method, "http://"+c.Peers[node].Admin+path, strings.NewReader(body))
@@ -57,8 +57,8 @@
 	return code, text
 }
 
-// TestLeases: any node takes requests for leases; who has one, waits, or asks for what
-// can't be, is told so, and tokens only grow.
+// TestLeases: any node accepts lease requests. Holders, waiters and invalid requests get the specified
+// responses, and tokens only grow.
 func TestLeases(t *testing.T) {
 	t.Parallel()
 	c := newRunningCluster(t, nil)
@@ -79,7 +79,7 @@
 		code, _ = c.requestWithRetry(i, "GET", "/lease/other", "")
 		assert.Equal(t, 404, code)
 	}
-	// Writes that hold only under the lease.
+	// Writes that are conditional on the lease.
 	fence := fmt.Sprintf("job/a/%d", first.Token)
 	code, text := c.requestWithRetry(1, "PUT", "/store/note/f", "1", "Lease", fence)
 	assert.Equal(t, 204, code, text)
@@ -95,7 +95,7 @@
 	code, _ = c.requestWithRetry(0, "PUT", "/store/note/f", "4", "Lease", "nonsense")
 	assert.Equal(t, 400, code)
 	c.WaitForValue(2, "note/f", "3")
-	// The queue: by priority, then in the order of coming; each waits at another node.
+	// Waiters are ordered by priority, then by arrival. Each waits at another node.
 	type got struct {
 		holder string
 		code   int
@@ -113,7 +113,7 @@
 		})
 	}
 	last := first.Token
-	for _, want := range []string{"w2", "w1", "w0"} { // w1 by being handed it
+	for _, want := range []string{"w2", "w1", "w0"} { // w1 gets the lease by a handover
 		path := fmt.Sprintf("/lease/job/a?token=%d", last)
 		if want == "w1" {
 			code, _ = c.requestWithRetry(0, "DELETE", path+"&to=nobody", "")
@@ -129,7 +129,7 @@
 	}
 	code, _ = c.requestWithRetry(0, "DELETE", fmt.Sprintf("/lease/job/a?token=%d", first.Token), "")
 	assert.Equal(t, 410, code)
-	// One that goes away while it waits leaves the queue.
+	// A waiter that disconnects leaves the queue.
 	web := &http.Client{Timeout: 500 * time.Millisecond}
 	_, err := web.Post("http://"+c.Peers[1].Admin+"/lease/job/a", "", strings.NewReader(`{"holder":"gone","ttl_ms":60000,"wait_ms":20000}`))
 	require.Error(t, err)
@@ -137,7 +137,7 @@
 		code, text := c.Request(0, "GET", "/lease/job/a", "")
 		return code == 200 && !strings.Contains(text, "gone")
 	})
-	// What can't be.
+	// Invalid requests.
 	for _, bad := range [][2]string{{"job/a", `{"holder":"","ttl_ms":5000}`}, {"job/a", `{"holder":"h","ttl_ms":1}`}, {"a%20b", `{"holder":"h","ttl_ms":5000}`},
 		{"job/a", `{"holder":"h","ttl_ms":5000,"wait_ms":-1}`}, {"job/a", `{"holder":"h","ttl_ms":5000,"wait_ms":99999999}`}, {"job/a", `{"nonsense":1}`}} {
 		code, text := c.requestWithRetry(1, "POST", "/lease/"+bad[0], bad[1])
@@ -151,8 +151,8 @@
 	assert.Equal(t, 400, code)
 }
 
-// TestLeaseExpires: a lease that nobody keeps alive ends, not before its time, also when
-// the leader is lost; all nodes killed at once, it is held on.
+// TestLeaseExpires: a lease without keep-alives expires, but not before its TTL, also when the leader is lost.
+// It outlasts a restart of all nodes.
 func TestLeaseExpires(t *testing.T) {
 	t.Parallel()
 	c := newRunningCluster(t, nil)
@@ -167,7 +167,7 @@
 		await(t, "a keep-alive", func() bool {
 			at = time.Now()
 			code, _ := c.Request(n, "PUT", "/lease/job", fmt.Sprintf(`{"token":%d}`, l.Token))
-			if code == 410 { // a slow machine
+			if code == 410 { // the machine was slow and the lease has expired
 				_, l = ask(n, "again", 15*time.Second)
 			}
 			return code == 200
@@ -179,7 +179,7 @@
 		assert.Greater(t, next.Token, l.Token)
 		l = next
 	}
-	// Revoked: not kept alive any more, and no one else's before its time is over.
+	// A revoked lease cannot be kept alive, and nobody else gets it before its TTL is over.
 	code, l = c.acquireLease(0, "long", `{"holder":"h","ttl_ms":600000}`)
 	require.Equal(t, 200, code)
 	code, text := c.requestWithRetry(0, "DELETE", "/lease/long?revoke=1", "")
@@ -190,15 +190,15 @@
 	assert.Equal(t, 409, code)
 }
 
-// TestTokensGrow: over a restore from a backup into another cluster, and over a cluster
-// that is made anew of one node.
+// TestTokensGrow: tokens keep growing after a restore into another cluster, and after a cluster is recovered
+// from one node.
 func TestTokensGrow(t *testing.T) {
 	t.Parallel()
 	c := newRunningCluster(t, nil)
 	_, before := c.acquireLease(0, "job", `{"holder":"h","ttl_ms":500}`)
 	_, text := c.requestWithRetry(0, "GET", "/backup", "")
 	later := before
-	for i := range 5 { // after the backup
+	for i := range 5 { // acquired after the backup
 		_, later = c.acquireLease(0, fmt.Sprint("job", i), `{"holder":"h","ttl_ms":500}`)
 	}
 	other := newRunningCluster(t, nil)
@@ -222,9 +222,10 @@
 	assert.Greater(t, l.Token, later.Token+maxLostTokens)
 }
 
-const maxLostTokens = 1000 // tokens that a lost majority may have given besides
+const maxLostTokens = 1000 // tokens that a lost majority may have granted
 
-// TestLeaseCommands: the command line, and a command that is stopped in time.
+// TestLeaseCommands covers the lease commands of the command line, and that a command is stopped in time when
+// its lease is lost.
 func TestLeaseCommands(t *testing.T) {
 	t.Parallel()
 	c := newRunningCluster(t, nil)
@@ -255,7 +256,7 @@
 		_, _, code = runCLI(t, "", append(append([]string{"lease"}, bad...), all)...)
 		assert.Equal(t, 2, code, bad)
 	}
-	// Revoked while the command runs: it is told to end, at the next sign of life.
+	// The lease is revoked while the command runs. The command gets SIGTERM at the next keep-alive.
 	type result struct {
 		out, errs string
 		code      int
@@ -275,8 +276,8 @@
 	assert.Contains(t, r.errs, "lease is lost")
 }
 
-// TestFleetTasks: of three nodes one writes the store of record and one takes backups;
-// when it is lost another does. What an older holder writes is refused by the database.
+// TestFleetTasks: one of three nodes writes the SQL mirror and one takes backups; another takes over when it is
+// lost. The database refuses writes by a former lease holder.
 func TestFleetTasks(t *testing.T) {
 	t.Parallel()
 	c := newStoppedCluster(t, 3, 3)
@@ -298,7 +299,7 @@
 		})
 		return node, token
 	}
-	// A backup that is being written stands under a temporary name, for a moment beside its final one.
+	// A backup is written under a temporary name, which for a moment exists beside the final name.
 	files := func() (backups, temporary []string) {
 		list, _ := os.ReadDir(dir)
 		for _, f := range list {
@@ -325,8 +326,8 @@
 		at0 = at1
 	}
 	at, token := holder("fleet/mirror")
-	// It stands still, and another one goes on. Not in a transaction of SQLite, whose lock would
-	// stand still with it (TestRecordIsLocked): it gets none while this one is open.
+	// The holder is paused and another node takes over. The lock ensures that the holder is not paused within
+	// an SQLite transaction, whose lock would remain (see TestRecordIsLocked).
 	withDatabaseLocked(t, db, "EXCLUSIVE", func() { c.Pause(at) })
 	next := (at + 1) % 3
 	await(t, "another holder", func() bool {
@@ -351,14 +352,13 @@
 	for _, name := range finished {
 		text, err := os.ReadFile(filepath.Join(dir, name))
 		if os.IsNotExist(err) {
-			continue // removed meanwhile
+			continue // deleted by the retention limit meanwhile
 		}
 		require.NoError(t, err)
 		_, _, err = backup.Read(bytes.NewReader(text))
 		assert.NoError(t, err, name)
 	}
-	// A higher token in the database, as one that another cluster has put there: nothing
-	// is written any more, and the node says why.
+	// A higher token in the database, as from another cluster, stops all writes, and the node reports why.
 	_, err = db.Exec(`UPDATE oxbowbridge_lease SET token = 9000000000000000`)
 	require.NoError(t, err)
 	c.Put(0, "note/3", "3")
@@ -374,13 +374,13 @@
 	assert.False(t, isMirrored(db, "note/3"))
 }
 
-// isMirrored tells whether the store of record has a key.
+// isMirrored reports whether the SQL mirror has a key.
 func isMirrored(db *sql.DB, key string) bool {
 	var n int
 	return db.QueryRow(`SELECT count(*) FROM oxbowbridge_store WHERE name = $1`, key).Scan(&n) == nil && n == 1
 }
 
-// withDatabaseLocked runs f while the database is locked by a transaction in the test's hand.
+// withDatabaseLocked runs f while a transaction of the test locks the database.
 func withDatabaseLocked(t *testing.T, db *sql.DB, lock string, f func()) {
 	t.Helper()
 	conn, err := db.Conn(t.Context())
@@ -395,8 +395,8 @@
 	f()
 }
 
-// TestRecordIsLocked: somebody else's transaction in the database stands still. The store takes
-// writes all the same, the node says why the record stays behind, and then catches up.
+// TestRecordIsLocked: another program's open transaction locks the SQL mirror's database. The store accepts
+// writes, the node reports why the mirror lags, and the mirror catches up afterwards.
 func TestRecordIsLocked(t *testing.T) {
 	t.Parallel()
 	c := newStoppedCluster(t, 1, 1)
@@ -424,8 +424,8 @@
 	await(t, "no reason any more", says(""))
 }
 
-// TestManagerEndsLeaseInTime: a holder that gets no answer any more has its context ended before
-// the lease can be another's; many leases travel in one keep-alive.
+// TestManagerEndsLeaseInTime: the context of a lease whose holder is cut off must end before another holder can
+// get the lease. One keep-alive request covers many leases.
 func TestManagerEndsLeaseInTime(t *testing.T) {
 	t.Parallel()
 	c := newRunningCluster(t, nil)
--- a/tests/notice_starved_test.go
+++ b/tests/notice_starved_test.go
@@ -16,18 +16,19 @@
 )
 
 const (
-	// servicesWithBusyThread is how many services each have one thread that waits for a core: twice as many as
-	// a service has threads, as a rule. Which thread takes the signal and which ones pass it on varies.
+	// servicesWithBusyThread is the number of services, each with one thread that waits for a CPU. It is about
+	// twice the number of threads of a service, because it varies which thread receives the signal and which
+	// ones pass it on.
 	servicesWithBusyThread = 16
-	// busyThreadCount have a thread that wakes up beside them wait for up to 0.5 s.
+	// busyThreadCount threads on one CPU delay a thread that wakes up there by up to 0.5 s.
 	busyThreadCount = 150
-	// busyLeadTime is the time from their begin to the first signal.
+	// busyLeadTime is the time between the start of the busy threads and the first signal.
 	busyLeadTime = 20 * time.Millisecond
 )
 
-// TestNoticeThreadStarved: one thread of the process waits for a core, and the others go on without the
-// notice, which that thread was to take or to pass on; it must not count from later than when it was sent.
-// It takes no part in t.Parallel: what else runs on that CPU waits too.
+// TestNoticeThreadStarved: the thread that must receive or pass on SIGTERM waits for a CPU while the other
+// threads run. The time of the signal must not be taken as later than when it was sent. The test does not use
+// t.Parallel, because anything else on that CPU would wait too.
 func TestNoticeThreadStarved(t *testing.T) {
 	cpu := lastCPU(t)
 	worlds := make([]*testbed, servicesWithBusyThread)
@@ -55,8 +56,8 @@
 	}
 }
 
-// pinOneThread has one thread of the process run on one CPU only: the main one for 0, and the others
-// in the order of their ids.
+// pinOneThread pins one thread of the process to a CPU: the main thread for number 0, the others in the order
+// of their IDs.
 func (s *service) pinOneThread(number, cpu int) {
 	threads, err := os.ReadDir("/proc/" + strconv.Itoa(s.cmd.Process.Pid) + "/task")
 	require.NoError(s.t, err)
@@ -68,7 +69,7 @@
 	require.NoError(s.t, pinThread(threadID, cpu))
 }
 
-// noticedUnixMS is the time from which the notice counts, as the log has it, in milliseconds.
+// noticedUnixMS returns the logged time of the termination signal, in Unix milliseconds.
 func (s *service) noticedUnixMS() int64 {
 	for line := range strings.Lines(s.log()) {
 		if !strings.Contains(line, `"msg":"drain started"`) {
--- a/tests/notice_test.go
+++ b/tests/notice_test.go
@@ -10,14 +10,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// withDrainGracePeriod sets the time after the notice in which requests still run.
+// withDrainGracePeriod sets the time after SIGTERM in which requests still run.
 func withDrainGracePeriod(grace time.Duration) func(object) {
 	return func(cfg object) {
 		cfg["settings"].(object)["safety"].(object)["drain_grace_ns"] = int64(grace)
 	}
 }
 
-// partialRequest is a request whose first bytes were written.
+// partialRequest is a request of which the first bytes have been written.
 type partialRequest struct {
 	*fcgiConn
 	trace string
@@ -39,7 +39,7 @@
 	return partialRequest{c, trace, request[8:]}
 }
 
-// finish writes the rest of the request, and returns the status of its answer.
+// finish writes the rest of the request and returns the status of the response.
 func (h partialRequest) finish(t *testing.T) int {
 	_, err := h.Write(h.rest)
 	require.NoError(t, err)
@@ -48,13 +48,13 @@
 	return a.status
 }
 
-// TestNoticeDuringStandstill: the notice comes while the process stands still, and it learns of it
-// late. The grace counts from the notice all the same: what comes after it is not run.
+// TestNoticeDuringStandstill: SIGTERM arrives while the process is stopped. The grace period starts at the
+// signal, not when the process continues, so a request after the grace period does not run.
 func TestNoticeDuringStandstill(t *testing.T) {
 	t.Parallel()
 	const grace = 500 * time.Millisecond
 	w := newTestbed(t, withDrainGracePeriod(grace))
-	late := w.writePartialRequest(time.Now().Add(30 * time.Second)) // counts as the time of reading
+	late := w.writePartialRequest(time.Now().Add(30 * time.Second)) // a time in the future counts as the time of reading
 	require.NoError(t, w.Signal(syscall.SIGSTOP))
 	require.NoError(t, w.Signal(syscall.SIGTERM))
 	time.Sleep(grace + 100*time.Millisecond)
@@ -65,8 +65,8 @@
 	w.requireCleanExit()
 }
 
-// TestLastByteAfterGrace: a request came to the machine before the notice, as its caller says, and
-// its last byte after the grace. It is not run: only the time of reading is known here.
+// TestLastByteAfterGrace: a request whose Accepted-At-Ms is before SIGTERM, but whose last byte arrives after
+// the grace period, must not run. The service only knows when it read the bytes.
 func TestLastByteAfterGrace(t *testing.T) {
 	t.Parallel()
 	const grace = 300 * time.Millisecond
--- a/tests/ramp_test.go
+++ b/tests/ramp_test.go
@@ -17,12 +17,12 @@
 	"oxbowbridge/internal/proxy/slowstart"
 )
 
-// sharedUpstream is an AJP server that many services send to, and that notes how many runs
-// it has on its cores. It can end and start again at its address.
+// sharedUpstream is an AJP server that many services use. It records how many runs it has, and can be stopped
+// and started again at its address.
 type sharedUpstream struct {
 	t           *testing.T
 	addr        string
-	runDuration time.Duration // of each run
+	runDuration time.Duration // duration of each run
 
 	mu              sync.Mutex
 	ln              net.Listener
@@ -32,7 +32,7 @@
 	completedRuns   int
 }
 
-// runCountChange is how many runs there were from a moment on.
+// runCountChange is the number of runs from a time on.
 type runCountChange struct {
 	at   time.Time
 	runs int
@@ -52,7 +52,7 @@
 				return
 			}
 			u.mu.Lock()
-			ended := u.conns == nil // since the accept
+			ended := u.conns == nil // stopped since Accept returned
 			if !ended {
 				u.conns[c] = true
 			}
@@ -66,7 +66,7 @@
 	}()
 }
 
-// stop closes its address and all its connections.
+// stop closes the listener and all connections.
 func (u *sharedUpstream) stop() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -77,7 +77,7 @@
 	u.conns = nil
 }
 
-// addRuns notes that a run has begun or ended on a connection of the present life.
+// addRuns records the start or the end of a run, unless its connection is from before the latest start.
 func (u *sharedUpstream) addRuns(c net.Conn, by int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -115,7 +115,8 @@
 	}
 }
 
-// maxExcess is the largest mean of runs in any window since the start, over what is allowed then.
+// maxExcess returns by how much the mean number of runs in a window exceeds the allowed number at most, and the
+// mean since the start.
 func (u *sharedUpstream) maxExcess(window time.Duration, allowed func(age time.Duration) float64) (excess, mean float64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -143,10 +144,9 @@
 	return excess, mean
 }
 
-// TestColdServerUnderThirty: thirty services under load send to one server, which ends and
-// starts again cold. What all of them have there together stays within what the settings
-// allow such a server and what chance adds, twice its root and two, though none knows of
-// the others more than their number.
+// TestColdServerUnderThirty: thirty services under load share an upstream that restarts. Their runs there
+// together must stay within the slow start limit plus a random excess of twice its square root and two,
+// although each service knows only how many others there are.
 func TestColdServerUnderThirty(t *testing.T) {
 	const services, callers = 30, 3
 	limits := slowstart.Config{Cores: 2, MaxRunsPerCore: 8, MinSpeed: 0.2, Duration: 5 * time.Second, AveragingWindow: time.Second, Processes: services}
--- a/tests/replay_test.go
+++ b/tests/replay_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// withIdempotencyKeys has nom-update come again within its window.
+// withIdempotencyKeys makes nom-update a deduplicated class with the given window and deadline.
 func withIdempotencyKeys(window, deadline time.Duration) func(object) {
 	return func(cfg object) {
 		k := cfg["settings"].(object)["classes"].([]object)[2]
@@ -23,7 +23,7 @@
 	}
 }
 
-// sendAttempt sends a sendAttempt of the request that the key names, on a new connection.
+// sendAttempt sends an attempt with an idempotency key on a new connection.
 func (w *testbed) sendAttempt(dial func(*service, int) (protocolClient, error), key, body string) (trace string, got <-chan response, c protocolClient) {
 	trace = newTraceID()
 	fields := requestHeaders(trace)
@@ -39,9 +39,9 @@
 	return trace, out, c
 }
 
-// TestReplayKey: a keyed request runs once, from whichever try, and its other tries get
-// that result: while it is held back or runs, after it was answered, after its caller was
-// lost, after it failed, over a link that broke and a reload, and in either protocol.
+// TestReplayKey: a request with an idempotency key runs once, and its other attempts get that result: while it
+// is queued or runs, after its response, after its caller disconnected, after it failed, and over a lost link
+// and a reload.
 func TestReplayKey(t *testing.T) {
 	t.Parallel()
 	for name, dial := range protocolDialers {
@@ -54,7 +54,7 @@
 			_, second, _ := w.sendAttempt(dial, key(1), "hold") // while it runs
 			lost, _, c := w.sendAttempt(dial, key(2), "hold")
 			await(t, "another run", func() bool { return w.engine.heldRuns() == 2 })
-			c.Close() // its caller is gone
+			c.Close() // its caller disconnects
 			w.reloadConfig(func(cfg object) { cfg["engine"] = w.engine.addListener(t) })
 			await(t, "the link to move", func() bool { return w.engine.countReceived("ATTACH") == 2 })
 			w.engine.mu.Lock()
@@ -67,7 +67,7 @@
 				assert.Equal(t, "result of "+first, a.body)
 			}
 			assert.Equal(t, "result of "+lost, (<-third).body)
-			_, fourth, _ := w.sendAttempt(dial, key(1), "hold") // after the answer
+			_, fourth, _ := w.sendAttempt(dial, key(1), "hold") // after the response
 			assert.Equal(t, "result of "+first, (<-fourth).body)
 			assert.Zero(t, w.engine.countReceived("HALT"), "a keyed run is of use to its next try")
 
@@ -95,12 +95,12 @@
 	}
 }
 
-// TestReplayKeyTwiceInOne: a try that names two keys has none.
+// TestReplayKeyTwiceInOne: an attempt with two idempotency keys is rejected.
 func TestReplayKeyTwiceInOne(t *testing.T) {
 	t.Parallel()
 	w := newTestbed(t, withIdempotencyKeys(20*time.Second, 12*time.Second))
 	fields := requestHeaders(newTraceID())
-	fields["Replay-Key"], fields["replay_key"] = "one", "two" // the same name on the wire
+	fields["Replay-Key"], fields["replay_key"] = "one", "two" // the same header on the wire
 	a, err := w.sendFCGI("/call/nom-update", fields, "ok")
 	require.NoError(t, err)
 	assert.Equal(t, 400, a.status)
@@ -114,13 +114,12 @@
 	assert.Zero(t, w.engine.countReceived("RUN"))
 }
 
-// TestReplayKeyRefused: a try that was refused unrun has used nothing up, and those that
-// wait for one that ends unrun are answered.
+// TestReplayKeyRefused: an attempt that was rejected without running leaves its key unused.
 func TestReplayKeyRefused(t *testing.T) {
 	t.Parallel()
 	w := newTestbed(t, func(cfg object) {
 		withIdempotencyKeys(20*time.Second, 12*time.Second)(cfg)
-		cfg["settings"].(object)["family_info"].(object)["memory_kb"] = 120 // for two requests
+		cfg["settings"].(object)["family_info"].(object)["memory_kb"] = 120 // enough for two requests
 	})
 	dial := protocolDialers["fastcgi"]
 	var held []<-chan response
@@ -142,8 +141,8 @@
 	assert.Equal(t, 3, len(w.engine.runCounts))
 }
 
-// TestReplayKeyWindow: the window is counted from the arrival of the try that ran. A key
-// is used anew once no try that was written within it can be run any more.
+// TestReplayKeyWindow: the window starts with the arrival of the attempt that ran. A key can be reused once no
+// attempt sent within the window can run any more.
 func TestReplayKeyWindow(t *testing.T) {
 	t.Parallel()
 	w := newTestbed(t, withIdempotencyKeys(300*time.Millisecond, 700*time.Millisecond))
@@ -161,12 +160,12 @@
 	assert.Len(t, w.engine.runCounts, 2)
 }
 
-// TestReplayKeysFull: a full table turns new keys away at once, and forgets none. Inside the
-// window the module knows of the bound and refuses by itself; after it the table does, until
-// the last tries of its keys are past their due time.
+// TestReplayKeysFull: a full idempotency table rejects new keys at once and drops none. Within the window the
+// admission controller knows the limit and rejects. After it the table rejects, until the last attempts of its
+// keys are past their deadline.
 func TestReplayKeysFull(t *testing.T) {
 	t.Parallel()
-	for window, holdOff := range map[time.Duration]string{time.Minute: "", time.Millisecond: "1000"} { // the longest that is honoured
+	for window, holdOff := range map[time.Duration]string{time.Minute: "", time.Millisecond: "1000"} { // the maximum Retry-After
 		t.Run(window.String(), func(t *testing.T) {
 			t.Parallel()
 			testIdempotencyTableFull(t, window, holdOff)
@@ -178,11 +177,11 @@
 	w := newTestbed(t, func(cfg object) {
 		withIdempotencyKeys(window, time.Minute)(cfg)
 		cfg["limits"].(object)["memory_mb"] = 32
-		cfg["settings"].(object)["family_info"].(object)["memory_kb"] = 1e6 // not the module's bound
+		cfg["settings"].(object)["family_info"].(object)["memory_kb"] = 1e6 // high enough that the admission controller does not reject for memory
 	})
 	c, err := dialFCGI(w.fcgiAddr)
 	require.NoError(t, err)
-	send := func(keys ...int) (out []response) { // on one connection, at once
+	send := func(keys ...int) (out []response) { // at once on one connection
 		for i, key := range keys {
 			fields := requestHeaders(newTraceID())
 			fields["Replay-Key"] = "key-" + strconv.Itoa(key)
@@ -224,7 +223,7 @@
 	assert.Equal(t, 200, w.responseStatus("nom-submit", "ok"), "other work goes on")
 }
 
-// TestReplayKeyDrain: in a drain other tries still get the result of the one that ran.
+// TestReplayKeyDrain: during a drain, other attempts still get the result of the one that ran.
 func TestReplayKeyDrain(t *testing.T) {
 	t.Parallel()
 	w := newTestbed(t, func(cfg object) {
@@ -240,7 +239,7 @@
 	c, err := dialFCGI(w.fcgiAddr)
 	require.NoError(t, err)
 	defer c.Close()
-	_, err = c.Write(again[:8]) // open when the drain begins
+	_, err = c.Write(again[:8]) // open when the drain starts
 	require.NoError(t, err)
 	c2, err := dialFCGI(w.fcgiAddr)
 	require.NoError(t, err)
@@ -248,7 +247,7 @@
 	_, err = c2.do("/ping", nil, nil)
 	require.NoError(t, err)
 	require.NoError(t, w.Signal(syscall.SIGTERM))
-	requireOrderlyClose(t, c2, c2.r) // past the grace
+	requireOrderlyClose(t, c2, c2.r) // after the drain grace period
 	_, err = c.Write(again[8:])
 	require.NoError(t, err)
 	_, other, _, err := func() (uint16, response, byte, error) {
@@ -262,8 +261,8 @@
 	assert.Equal(t, 1, w.engine.countReceived("RUN"))
 }
 
-// TestReplayKeyRace: many tries of few requests at once, on many connections, give one
-// run each and the same result to all.
+// TestReplayKeyRace: concurrent attempts on many connections with few keys result in one run per key, and all
+// attempts with a key get its result.
 func TestReplayKeyRace(t *testing.T) {
 	t.Parallel()
 	w := newTestbed(t, withIdempotencyKeys(20*time.Second, 12*time.Second))
--- a/tests/resync_test.go
+++ b/tests/resync_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// withSubmitDeadline gives nom-submit another deadline.
+// withSubmitDeadline sets the deadline of nom-submit.
 func withSubmitDeadline(deadline time.Duration) func(object) {
 	return func(cfg object) {
 		class := cfg["settings"].(object)["classes"].([]object)[3]
@@ -16,37 +16,37 @@
 	}
 }
 
-// closeLink loses the engine's connection.
+// closeLink closes the engine's connection.
 func (e *engineStandin) closeLink() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.conn.Close()
 }
 
-// setIgnoresStat has the engine answer no STAT, or answer them again.
+// setIgnoresStat sets whether the engine ignores STAT.
 func (e *engineStandin) setIgnoresStat(blind bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.ignoresStat = blind
 }
 
-// setReleaseAfterSync has what waits for release go on right after the next STATS sync.
+// setReleaseAfterSync makes the engine release held runs right after its next answer to STAT sync.
 func (e *engineStandin) setReleaseAfterSync() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.releaseAfterSync = true
 }
 
-// runCount is how often a request has run.
+// runCount returns how often a request has run.
 func (e *engineStandin) runCount(trace string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.runCounts[trace]
 }
 
-// TestUnconfirmedRunEndsAfterSync: nothing that the engine has sent shows that it has read RUN
-// when its connection is lost, and the run ends right after the answer to STAT sync. A nom-submit
-// and a keyed request run once, and get the result.
+// TestUnconfirmedRunEndsAfterSync: the link is lost before anything shows that the engine has read RUN, and the
+// run completes right after the answer to STAT sync. A nom-submit and a request with an idempotency key must
+// run once and get the result.
 func TestUnconfirmedRunEndsAfterSync(t *testing.T) {
 	t.Parallel()
 	w := newTestbed(t, withIdempotencyKeys(20*time.Second, 12*time.Second))
@@ -67,8 +67,8 @@
 	assert.Equal(t, 1, w.engine.runCount(update))
 }
 
-// TestReplyMeetsNextCall: the reply to a call was read when its connection was lost, and the run
-// goes on to its next call right after the answer to STAT sync. That call gets its own reply.
+// TestReplyMeetsNextCall: the engine has read the reply to a call when the link is lost, and the run makes its
+// next call right after the answer to STAT sync. That call must get its own reply.
 func TestReplyMeetsNextCall(t *testing.T) {
 	t.Parallel()
 	for _, class := range []string{"nom-submit", "balance-view"} {
@@ -87,8 +87,8 @@
 	}
 }
 
-// TestConfirmedRunIsNotRepeated: a run that an answer of the engine has shown to be read is not
-// sent again, even where it may be repeated: it would run twice for nothing.
+// TestConfirmedRunIsNotRepeated: a run whose RUN the engine has confirmed is not sent again, even if its class
+// is idempotent, because it would run twice.
 func TestConfirmedRunIsNotRepeated(t *testing.T) {
 	t.Parallel()
 	w := newTestbed(t, nil)
@@ -105,9 +105,9 @@
 	assert.Equal(t, 1, w.engine.countReceived("RUN "+trace))
 }
 
-// TestReadRunThatNeverBegan: an engine that has answered a STAT behind RUN, and never began the run,
-// loses its connection. No notice ever comes: what may be repeated is ordered again, and a nom-submit
-// fails by the time it is due, and neither takes a place for good.
+// TestReadRunThatNeverBegan: the engine confirms RUN by answering a later STAT, but never starts the run, and
+// the link is lost. No notice ever arrives. An idempotent request is sent again, a nom-submit fails at its
+// deadline, and neither occupies capacity for good.
 func TestReadRunThatNeverBegan(t *testing.T) {
 	t.Parallel()
 	w := newTestbed(t, withSubmitDeadline(3*time.Second))
@@ -120,7 +120,7 @@
 	w.engine.setIgnoresRun(false)
 	w.engine.closeLink()
 	await(t, "the run that is ordered again", func() bool {
-		w.responseStatus("nom-submit", "ok") // others end meanwhile
+		w.responseStatus("nom-submit", "ok") // other requests complete meanwhile
 		return w.engine.countReceived("RUN "+read) == 2
 	})
 	assert.Equal(t, "result of "+read, (<-got).body)
@@ -129,14 +129,14 @@
 	await(t, "the end of its run", func() bool { return w.engine.countReceived("HALT "+submit) > 0 })
 }
 
-// setIgnoresRun has the engine begin no run, or begin runs again.
+// setIgnoresRun sets whether the engine ignores RUN.
 func (e *engineStandin) setIgnoresRun(drops bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.ignoresRun = drops
 }
 
-// answeredPolls is how many STATs the engine has answered.
+// answeredPolls returns how many STAT commands the engine has answered.
 func (e *engineStandin) answeredPolls() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/tests/work_test.go
+++ b/tests/work_test.go
@@ -18,22 +18,24 @@
 	"oxbowbridge/internal/testrig"
 )
 
-// maintenanceCluster is services that are taken out for work: some with a node of the store, some without.
+// maintenanceCluster is a group of services under maintenance orders; some are members of the store, the others
+// are not.
 type maintenanceCluster struct {
 	*cluster
-	services          []*service // by their machine's number
+	services          []*service // by machine number
 	machineNames      []string
 	engines           []*engineStandin
 	client            *storeclient.Client
-	startWithoutStore func(i int) // one without the store
+	startWithoutStore func(i int) // starts a service that is not a member of the store
 }
 
-// newMaintenanceCluster has all of them take part; the limits let two go at once, one in a zone.
+// newMaintenanceCluster starts the services. Its disruption budget lets two machines out at once, and one per
+// zone.
 func newMaintenanceCluster(t *testing.T, stores, others int, command ...string) *maintenanceCluster {
 	return newMaintenanceClusterOfBuild(t, "", stores, others, command...)
 }
 
-// newMaintenanceClusterOfBuild is newYard with another build of the program.
+// newMaintenanceClusterOfBuild is newMaintenanceCluster with another build of the program.
 func newMaintenanceClusterOfBuild(t *testing.T, build string, stores, others int, command ...string) *maintenanceCluster {
 	c := newStoppedCluster(t, stores, stores)
 	c.buildPath = build
@@ -84,7 +86,7 @@
 	return y
 }
 
-// setDisruptionBudget writes those of the yard, changed.
+// setDisruptionBudget stores the default test budget, after change has modified it.
 func (y *maintenanceCluster) setDisruptionBudget(t *testing.T, change func(*maintenance.DisruptionBudget)) {
 	l := maintenance.DefaultDisruptionBudget()
 	l.MaxOut, l.MaxOutPerZone, l.MaxCapacityFraction, l.MaxZoneCapacityFraction, l.SpareCapacityFraction = 2, 1, 0.5, 1, 0
@@ -103,10 +105,10 @@
 	return out
 }
 
-// awaitPhases waits until machines have one of some states.
+// awaitPhases waits until each of the machines is in one of the wanted phases.
 func (y *maintenanceCluster) awaitPhases(t *testing.T, nodes []string, want ...maintenance.Phase) {
 	t.Helper()
-	end := time.Now().Add(4 * awaitTimeout) // an order takes its time
+	end := time.Now().Add(4 * awaitTimeout) // a maintenance order takes several phases
 	for time.Now().Before(end) {
 		have, n := y.orderPhases(t), 0
 		for _, node := range nodes {
@@ -125,7 +127,7 @@
 	t.Fatalf("never happened: %v of %v: %+v", want, nodes, st)
 }
 
-// outageObserver looks from outside how many services take no connection.
+// outageObserver records how many services refuse connections at once, in total and per zone.
 type outageObserver struct {
 	mu           sync.Mutex
 	maxOut       int
@@ -161,10 +163,9 @@
 	return o
 }
 
-// TestWorkOrder: seven services, five of them with the store, are all asked for at once by two
-// operators. Each goes out and comes back once, never more than two at a time nor two
-// of a zone, while the order's holder is stopped and cut off, the leader is lost to the others, and links are
-// slow. Each nom-submit runs at most once.
+// TestWorkOrder: two operators submit overlapping orders for all of seven services, five of them store members.
+// Each machine must go out and return once, at most two at a time and one per zone, while the controller's node
+// is paused and cut off, the leader is isolated, and links are slow. Each nom-submit runs at most once.
 func TestWorkOrder(t *testing.T) {
 	t.Parallel()
 	logSeedOnFailure(t)
@@ -185,7 +186,7 @@
 				}
 				cl, err := dialFCGI(y.services[i].fcgiAddr)
 				if err != nil {
-					continue // it is out
+					continue // it is out of service
 				}
 				trace := newTraceID()
 				if a, err := cl.do("/call/nom-submit", requestHeaders(trace), []byte("ok")); err == nil && a.status == 200 {
@@ -202,7 +203,7 @@
 	for _, half := range [][]string{y.machineNames[:5], y.machineNames[2:]} {
 		asks.Go(func() {
 			for _, n := range half {
-				runCLI(t, "", "work", "ask", n, "--for=30s", "--reason=kernel", "--nodes="+strings.Join(y.client.Nodes, ",")) // the other may have asked
+				runCLI(t, "", "work", "ask", n, "--for=30s", "--reason=kernel", "--nodes="+strings.Join(y.client.Nodes, ",")) // the other operator may have submitted the order
 			}
 		})
 	}
@@ -253,8 +254,8 @@
 	assert.Positive(t, served)
 }
 
-// TestWorkFails: a machine whose work fails, and one that never comes back, keep their
-// places and pause the order; an operator has it go on. A cancel and a pause hold.
+// TestWorkFails: a machine whose maintenance command fails keeps its slot and pauses all orders until an
+// operator resumes them. Cancelling and pausing take effect.
 func TestWorkFails(t *testing.T) {
 	t.Parallel()
 	y := newMaintenanceCluster(t, 3, 2, "sh", "-c", `test "$OXBOWBRIDGE_WORK_NODE" != s3 || { echo no such kernel; exit 3; }`)
@@ -279,14 +280,14 @@
 	_, errs, code = run("cancel", "nobody")
 	assert.Equal(t, 1, code)
 	assert.Contains(t, errs, "no work is asked for")
-	// s3 is started again by hand: it says that it is back.
+	// s3 is restarted by hand and reports that it is back.
 	<-y.services[3].exited
 	y.startWithoutStore(3)
 	y.awaitPhases(t, []string{"s3"}, maintenance.PhaseCompleted)
 	_, errs, code = run("resume")
 	assert.Zero(t, code, errs)
 	y.awaitPhases(t, []string{"s4"}, maintenance.PhaseCompleted)
-	// A voter of three would leave fewer than a quorum and one.
+	// Without one of the three voters, fewer than a quorum and one spare would stay.
 	_, errs, code = run("ask", "s0", "--for=5s")
 	assert.Zero(t, code, errs)
 	await(t, "why it waits", func() bool { out, _, _ := run("list"); return strings.Contains(out, "voters would stay") })
