--- a/tests/attesters_test.go
+++ b/tests/attesters_test.go
@@ -8,9 +8,9 @@
 	"oxbowbridge/internal/cluster/diskidentity"
 )
 
-// TestNodesWaitForDiskGivenUp: with vouchers -1 a node whose folder was brought back older has given
-// its disk up and joins anew, and the two others start. One of them at least must go on: if both wait
-// for word of the old disk, which nobody can give any more, nobody serves though all three are there.
+// TestNodesWaitForDiskGivenUp: with vouchers -1 a node whose folder was replaced by an older copy has renewed
+// its disk identity, and the two other nodes start. At least one of them must resume. If both wait for an
+// attestation by the old disk, which no node can give, no node serves although all three run.
 func TestNodesWaitForDiskGivenUp(t *testing.T) {
 	t.Parallel()
 	voters := []string{"n0@aa", "n1@bb", "n2@cc"}
@@ -18,7 +18,7 @@
 	attest := func(id string) diskidentity.Attestation {
 		return diskidentity.Attestation{ID: id, Cluster: "c", ConfigIndex: 1, Members: voters, Voters: voters, LastObserved: &mark}
 	}
-	renewed := attest("n1@dd") // the disk that was n1@bb
+	renewed := attest("n1@dd") // the disk that was n1@bb before
 	waiting := 0
 	for id, other := range map[string]string{"n0@aa": "n2@cc", "n2@cc": "n0@aa"} {
 		local := diskidentity.LocalDisk{ID: id, Cluster: "c", ConfigIndex: 1, Members: voters, Voters: voters, RequiredAttesters: -1}
--- a/tests/backup_test.go
+++ b/tests/backup_test.go
@@ -20,14 +20,14 @@
 	"oxbowbridge/internal/cluster/storeclient"
 )
 
-// putPairRequest is a transaction that writes two keys alike.
+// putPairRequest is a transaction that writes the same value to two keys.
 func putPairRequest(i int) kv.Request {
 	v := json.RawMessage(fmt.Sprint(i))
 	return kv.Request{Then: []kv.Op{{Kind: "put", Key: "pair/a", Value: v}, {Kind: "put", Key: "pair/b", Value: v}}}
 }
 
-// TestBackup: a backup that is taken at a follower under writes holds one moment of
-// the store; it makes a new cluster, and nothing else takes it.
+// TestBackup: a backup taken at a follower during writes is a consistent snapshot. It can be restored only into
+// a new, empty cluster.
 func TestBackup(t *testing.T) {
 	t.Parallel()
 	c := newRunningCluster(t, nil)
@@ -80,7 +80,7 @@
 	text, err = os.ReadFile(path)
 	require.NoError(t, err)
 	n := newRunningCluster(t, nil)
-	fresh := "--nodes=" + n.Peers[(n.WaitForLeader()+1)%3].Admin // not the leader
+	fresh := "--nodes=" + n.Peers[(n.WaitForLeader()+1)%3].Admin // a follower
 	bad := filepath.Join(t.TempDir(), "bad")
 	require.NoError(t, os.WriteFile(bad, bytes.Replace(text, []byte(`"n":39`), []byte(`"n":38`), 1), 0o600))
 	out, code = runCLICombined(t, "store", "restore", bad, fresh)
@@ -88,7 +88,7 @@
 	require.Contains(t, out, "damaged")
 	status, _ := n.Request(0, "POST", "/restore", string(text[:len(text)-3]))
 	require.Equal(t, 400, status)
-	for range 2 { // the second time as if the answer had been lost
+	for range 2 { // the second time as after a lost response
 		out, code = runCLICombined(t, "store", "restore", path, fresh)
 		require.Equal(t, 0, code, out)
 	}
@@ -116,8 +116,8 @@
 	require.Equal(t, 400, status, body)
 }
 
-// TestRestoreCutOff: while a backup is put back nothing is read or written, through
-// the loss of the leader too; asked for again, it goes on, or it is undone.
+// TestRestoreCutOff: during a restore no reads or writes are served, also after the leader is lost. The restore
+// can be undone or repeated.
 func TestRestoreCutOff(t *testing.T) {
 	t.Parallel()
 	var keys []backup.Entry
@@ -169,8 +169,8 @@
 	}
 }
 
-// TestOldFolder: a node whose folder is of an earlier cluster is kept out by those of
-// the new one. It serves nothing as fresh, and changes nothing there.
+// TestOldFolder: a node with the folder of an earlier cluster is refused by the new cluster's nodes. It must
+// not answer linearizable reads or change the new cluster.
 func TestOldFolder(t *testing.T) {
 	t.Parallel()
 	c := newRunningCluster(t, nil)
@@ -181,7 +181,7 @@
 		c.Kill(i)
 	}
 	old := c.Dirs[2]
-	for i := range 3 { // all begin anew
+	for i := range 3 { // all start with empty folders
 		c.Dirs[i] = t.TempDir()
 	}
 	c.Bootstrap()
@@ -194,7 +194,7 @@
 		return strings.Contains(c.nodes[2].log(), "peer belongs to another cluster") || strings.Contains(c.nodes[lead].log(), "peer belongs to another cluster")
 	})
 	c.Put(lead, "note/more", `3`)
-	time.Sleep(2 * time.Second) // four elections' worth
+	time.Sleep(2 * time.Second) // the time of four elections
 	code, body := c.Request(2, "GET", "/store/note/old", "")
 	assert.Equal(t, 503, code, body)
 	for i := range 2 {
@@ -209,13 +209,13 @@
 	client.Nodes = c.client().Nodes[2:]
 	_, err = client.Put(t.Context(), "note/x", json.RawMessage("1"), nil)
 	require.ErrorContains(t, err, "of cluster")
-	c.Kill(2) // emptied, it is taken in
+	c.Kill(2) // with an empty folder it joins
 	c.Dirs[2] = t.TempDir()
 	c.Start(2)
 	c.WaitForValue(2, "note/more", `3`)
 }
 
-// runCLICombined runs a runCLICombined-command, and gives both its outputs as one.
+// runCLICombined runs a command of the program and returns its output and errors as one text.
 func runCLICombined(t *testing.T, args ...string) (string, int) {
 	out, errs, code := runCLI(t, "", args...)
 	return out + errs, code
--- a/tests/busy_threads_test.go
+++ b/tests/busy_threads_test.go
@@ -16,25 +16,25 @@
 )
 
 const (
-	// envBusyThreads is how many threads of this test binary, started as a process of its own, wait
-	// for a word to use the CPU that envBusyCPU names, and nothing else.
+	// envBusyThreads makes this test binary, started as a process of its own, run only busyThreads with this
+	// many threads on the CPU in envBusyCPU.
 	envBusyThreads = "OXBOWBRIDGE_TEST_BUSY_THREADS"
 	envBusyCPU     = "OXBOWBRIDGE_TEST_BUSY_CPU"
-	// busyTime is how long they use it at most.
+	// busyTime is the longest time for which they use the CPU.
 	busyTime = 2 * time.Second
-	// busyStartPoll is the time between two looks at how many of them have started.
+	// busyStartPoll is the interval at which the number of started threads is polled.
 	busyStartPoll = time.Millisecond
 )
 
-// busyThreads is the busy process. It writes a line once all threads are on the CPU, where they
-// sleep until its standard input ends.
+// busyThreads is the main function of the busy process. It prints a line once all threads are pinned to the
+// CPU, where they block until standard input closes.
 func busyThreads(count, cpu string) int {
 	threads, countErr := strconv.Atoi(count)
 	cpuNumber, cpuErr := strconv.Atoi(cpu)
 	if countErr != nil || cpuErr != nil {
 		return 1
 	}
-	runtime.GOMAXPROCS(threads + runtime.NumCPU()) // a busy thread keeps its processor of the runtime
+	runtime.GOMAXPROCS(threads + runtime.NumCPU()) // a busy thread occupies a processor of the Go runtime
 	var started, pinned atomic.Int64
 	var done sync.WaitGroup
 	for range threads {
@@ -44,7 +44,7 @@
 				pinned.Add(1)
 			}
 			started.Add(1)
-			unix.Read(0, make([]byte, 1)) // in the kernel, which wakes all of them at once
+			unix.Read(0, make([]byte, 1)) // blocks in the kernel, which wakes all threads at once
 			for end := time.Now().Add(busyTime); time.Now().Before(end); {
 			}
 		})
@@ -60,8 +60,8 @@
 	return 0
 }
 
-// startBusyThreads starts so many threads on a CPU, which use it from the call of begin to that of
-// end. They all begin at once.
+// startBusyThreads starts a process whose threads use a CPU from the call of begin to the call of end. All
+// threads start to do so at once.
 func startBusyThreads(t *testing.T, threads, cpu int) (begin, end func()) {
 	busy := exec.Command(os.Args[0])
 	busy.Env = append(os.Environ(), fmt.Sprint(envBusyThreads, "=", threads), fmt.Sprint(envBusyCPU, "=", cpu))
@@ -80,14 +80,14 @@
 	return func() { stdin.Close() }, end
 }
 
-// pinThread has a thread, 0 for the calling one, run on one CPU only.
+// pinThread pins a thread to one CPU; thread 0 is the calling one.
 func pinThread(threadID, cpu int) error {
 	var set unix.CPUSet
 	set.Set(cpu)
 	return unix.SchedSetaffinity(threadID, &set)
 }
 
-// lastCPU is the last one of those that this process may run on.
+// lastCPU returns the highest CPU that this process may run on.
 func lastCPU(t *testing.T) int {
 	var allowed unix.CPUSet
 	require.NoError(t, unix.SchedGetaffinity(0, &allowed))
--- a/tests/clients_test.go
+++ b/tests/clients_test.go
@@ -12,14 +12,14 @@
 	"time"
 )
 
-// response is what a caller got.
+// response is a caller's response in either protocol.
 type response struct {
 	status  int
 	headers map[string]string
 	body    string
 }
 
-// protocolClient is a caller in one of the protocols, one request at a time.
+// protocolClient is a caller's connection in either protocol, with one request at a time.
 type protocolClient interface {
 	do(path string, fields map[string]string, body []byte) (response, error)
 	Close() error
@@ -27,10 +27,10 @@
 
 var traces atomic.Uint64
 
-// newTraceID names a new try.
+// newTraceID returns the trace id of a new attempt.
 func newTraceID() string { return fmt.Sprintf("%016x", traces.Add(1)) }
 
-// requestHeaders are the fields of a new request.
+// requestHeaders returns the headers of a new request.
 func requestHeaders(trace string) map[string]string {
 	return map[string]string{"Trace-Id": trace, "Accepted-At-Ms": strconv.FormatInt(time.Now().UnixMilli(), 10),
 		"Client-No": "4", "Expected-Ms": "12.50", "Reserve-Kb": "46", "Standing": "0.6250"}
@@ -47,7 +47,7 @@
 	return a
 }
 
-// fcgiConn is a FastCGI connection of a balancer.
+// fcgiConn is a FastCGI connection, as from a balancer.
 type fcgiConn struct {
 	net.Conn
 	r *bufio.Reader
@@ -67,18 +67,18 @@
 	return append(append(b, content...), 0, 0, 0) // with padding
 }
 
-// fcgiRequest prints a whole request.
+// fcgiRequest encodes a complete request.
 func fcgiRequest(id uint16, path string, fields map[string]string, body []byte) []byte {
 	var params []byte
 	add := func(name, value string) {
 		params = append(params, byte(len(name)))
-		params = binary.BigEndian.AppendUint32(params, uint32(len(value))|1<<31) // the long form
+		params = binary.BigEndian.AppendUint32(params, uint32(len(value))|1<<31) // the four-byte length
 		params = append(append(params, name...), value...)
 	}
 	add("SCRIPT_NAME", path)
 	add("REQUEST_METHOD", "POST")
 	for name, value := range fields {
-		if plain, ok := strings.CutPrefix(name, "\x00"); ok { // no header
+		if plain, ok := strings.CutPrefix(name, "\x00"); ok { // a parameter that is not a header
 			add(plain, value)
 			continue
 		}
@@ -93,7 +93,7 @@
 	return append(b, fcgiRecord(5, id, nil)...)
 }
 
-// readResponse takes the next answer, whatever its id; proto is its protocol status.
+// readResponse reads the next response, whatever its request id; proto is its protocol status.
 func (c *fcgiConn) readResponse() (id uint16, a response, proto byte, err error) {
 	var out []byte
 	for {
@@ -124,7 +124,7 @@
 	return a, err
 }
 
-// ajpConn is an AJP connection of a web server.
+// ajpConn is an AJP connection, as from a web server.
 type ajpConn struct {
 	net.Conn
 	r      *bufio.Reader
@@ -155,7 +155,7 @@
 	return ajpPacket("\x12\x34", append(binary.BigEndian.AppendUint16(nil, uint16(len(b))), b...))
 }
 
-// ajpForwardRequest prints a FORWARD_REQUEST; a negative length tells none.
+// ajpForwardRequest encodes a FORWARD_REQUEST; with a negative length it has no Content-Length.
 func ajpForwardRequest(path, secret string, fields map[string]string, length int) []byte {
 	b := []byte{2, 4}
 	for _, s := range []string{"HTTP/1.1", path, "127.0.0.1", "desk", "head-office"} {
@@ -163,7 +163,7 @@
 	}
 	b = append(b, 0, 80, 0)
 	b = binary.BigEndian.AppendUint16(b, uint16(len(fields)+2))
-	b = appendAJPString(append(b, 0xA0, 0x0B), "head-office") // a coded name
+	b = appendAJPString(append(b, 0xA0, 0x0B), "head-office") // a coded header name
 	if length >= 0 {
 		b = appendAJPString(append(b, 0xA0, 0x08), strconv.Itoa(length))
 	} else {
@@ -178,7 +178,7 @@
 	return ajpPacket("\x12\x34", append(b, 0xFF))
 }
 
-// readPacket reads one readPacket, of either direction.
+// readPacket reads one packet in either direction.
 func (c *ajpConn) readPacket() ([]byte, error) {
 	h := make([]byte, 4)
 	if _, err := io.ReadFull(c.r, h); err != nil {
@@ -189,7 +189,7 @@
 	return content, err
 }
 
-// readResponse takes the answer, and sends rest in pieces when asked.
+// readResponse reads the response, and sends rest in chunks when the service asks for it.
 func (c *ajpConn) readResponse(rest []byte) (response, error) {
 	a := response{headers: map[string]string{}}
 	for {
@@ -213,7 +213,7 @@
 	}
 }
 
-// ajpHeaders reads the message and the headers of SEND_HEADERS.
+// ajpHeaders decodes the message and the headers of SEND_HEADERS.
 func ajpHeaders(p []byte) map[string]string {
 	next := func() string {
 		n := int(p[0])<<8 + int(p[1])
--- a/tests/deploy_test.go
+++ b/tests/deploy_test.go
@@ -14,8 +14,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestDeployedForm: what the deploy file builds asks for a dynamic loader and the C
-// library, so that a library can be loaded into the process, and `run` becomes it.
+// TestDeployedForm: the executable that the deploy file builds needs a dynamic loader and the C library, so
+// that a library can be preloaded. The run command replaces itself with the executable.
 func TestDeployedForm(t *testing.T) {
 	file, err := elf.Open(programPath)
 	require.NoError(t, err)
@@ -27,9 +27,9 @@
 	assert.Equal(t, "exec bin/oxbowbridge", deployFileValue("run"))
 }
 
-// TestNothingOfOurs: with a file as the platform writes it the service listens at its one
-// address, talks to the three that are named, opens no Unix socket and no file to write,
-// and starts no other process: what is ours is off unless its section is there.
+// TestNothingOfOurs: with the platform's plain configuration the service listens at one address, connects only
+// to the three configured servers, opens no Unix socket and no file for writing, and starts no process.
+// Optional features are off unless their section is present.
 func TestNothingOfOurs(t *testing.T) {
 	t.Parallel()
 	w := newTestbed(t, func(cfg object) { delete(cfg, "ajp") })
@@ -44,14 +44,14 @@
 	for _, addr := range got.calls {
 		assert.Contains(t, []string{w.engine.addr, w.records.addr}, addr)
 	}
-	with := newTestbed(t, nil) // the check sees what a section turns on
+	with := newTestbed(t, nil) // shows that the check sees a listener that a section turns on
 	assert.Equal(t, 2, len(inspectProcess(t, with.cmd.Process.Pid).listens))
 }
 
-// openResources is what a process has openResources to the outside.
+// openResources are the sockets, files and child processes of a process.
 type openResources struct{ listens, calls, unix, writes, children []string }
 
-// inspectProcess reads what the system tells of a process.
+// inspectProcess reads a process's open resources from /proc.
 func inspectProcess(t *testing.T, pid int) (out openResources) {
 	proc := fmt.Sprint("/proc/", pid)
 	fds, err := filepath.Glob(proc + "/fd/*")
@@ -107,7 +107,7 @@
 	return out
 }
 
-// parseProcAddress is one of /proc/net/tcp, as the rest of the tests writes it.
+// parseProcAddress converts an address in /proc/net/tcp to host:port.
 func parseProcAddress(hex string) string {
 	var a, b, c, d byte
 	var port int
--- a/tests/descriptors_test.go
+++ b/tests/descriptors_test.go
@@ -14,8 +14,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// connectIdleClients connects without end, as fast as it is let, until the test is over: half of its
-// members say nothing, the others ask for the health once and stay.
+// connectIdleClients keeps size clients connected until the test ends; they reconnect whenever they are closed.
+// Half of them send nothing, the others one health check.
 func connectIdleClients(t *testing.T, addr string, size int) {
 	ctx, end := context.WithCancel(context.Background())
 	var members sync.WaitGroup
@@ -25,8 +25,8 @@
 	t.Cleanup(func() { end(); members.Wait() })
 }
 
-// runIdleClient opens another connection whenever the service has ended one, and ends its
-// own side of that only then: until then it holds a descriptor of the service.
+// runIdleClient reconnects whenever the service has closed its connection. It closes its side of the old
+// connection only then, so that the connection occupies a descriptor of the service until then.
 func runIdleClient(ctx context.Context, addr string, asks bool) {
 	var last net.Conn
 	for {
@@ -54,10 +54,9 @@
 	}
 }
 
-// TestIdleClientsFillDescriptors: callers that connect without end take no descriptor that
-// the service needs for itself. While discovery is down, a lost engine link and calls below
-// find one each; requests on new connections are served; and reports come back by
-// themselves with discovery.
+// TestIdleClientsFillDescriptors: clients that keep connecting must not take the descriptors that the service
+// needs itself. While the registry is down, a lost engine link and calls each find a descriptor, and requests
+// on new connections are served. Reports resume when the registry returns.
 func TestIdleClientsFillDescriptors(t *testing.T) {
 	t.Parallel()
 	const limit = 64
@@ -80,10 +79,10 @@
 		w.engine.conn.Close()
 		w.engine.mu.Unlock()
 		await(t, "the engine link again", func() bool { return w.engine.countReceived("ATTACH") > attached })
-		for _, class := range classNames { // with calls below, unsafe ones on a connection of their own
-			// A new connection may be ended for one of the crowd before its request is read,
-			// as any that is not in use, and a request that waited long to be read is refused:
-			// callers send such a request again. One that failed had no descriptor for its call.
+		for _, class := range classNames { // with calls; those of at-most-once classes use a new connection
+			// A new connection may be closed in favour of an idle client before its request is read, like any
+			// unused connection, and a request that waited long before it was read is rejected. Callers retry
+			// both. Any other failure means that there was no descriptor for the call.
 			await(t, "an answer", func() bool {
 				a, err := w.sendRequest(class, "call")
 				if err == nil && a.status != 503 {
--- a/tests/durable_test.go
+++ b/tests/durable_test.go
@@ -21,7 +21,7 @@
 
 var loadKills = flag.Int("kills", 8, "how often TestLoadKilled kills a load")
 
-// runCLI runs the program to its end.
+// runCLI runs a command of the program and waits for it to exit.
 func runCLI(t *testing.T, in string, args ...string) (out, errs string, code int) {
 	t.Helper()
 	c := exec.Command(programPath, args...)
@@ -37,7 +37,7 @@
 	return stdout.String(), stderr.String(), code
 }
 
-// TestCommands: what each says and exits with when called well and badly.
+// TestCommands checks the output and exit codes of commands with valid and invalid arguments.
 func TestCommands(t *testing.T) {
 	t.Parallel()
 	out, _, code := runCLI(t, "", "version")
@@ -69,7 +69,7 @@
 	}
 }
 
-// TestDurableCommands takes a folder through load, dump, damage and repair.
+// TestDurableCommands loads, dumps, damages and repairs a durable store.
 func TestDurableCommands(t *testing.T) {
 	t.Parallel()
 	dir := filepath.Join(t.TempDir(), "store")
@@ -135,8 +135,8 @@
 	return m
 }
 
-// TestLoadKilled: what a load said "ok" to is in the dump, whenever it was killed,
-// and the folder goes on where it was. -kills 200 is its long form.
+// TestLoadKilled kills "durable load" at random times. Every acknowledged write must be in the next dump, and
+// the store must stay usable. Run it longer with -kills 200.
 func TestLoadKilled(t *testing.T) {
 	t.Parallel()
 	dir, rng := filepath.Join(t.TempDir(), "store"), rand.New(rand.NewPCG(1, 2))
@@ -188,7 +188,7 @@
 			if have[k] == v {
 				continue
 			}
-			ok := false // a later value may have come to the disk unsaid
+			ok := false // a later value may be on disk without an acknowledgement
 			for i := n; i < end+1 && !ok; i++ {
 				ok = fmt.Sprintf("key%d", i%500) == k && valueOf(i) == have[k]
 			}
--- a/tests/examples_test.go
+++ b/tests/examples_test.go
@@ -13,8 +13,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// startFromFile starts the program on a configuration of the repository, with free
-// ports in place of its own, and the toy engine that it speaks to.
+// startFromFile starts the program with a configuration file of the repository, whose addresses it replaces by
+// free ones. It also builds and starts the example stand-in engine, and returns its executable and its log.
 func startFromFile(t *testing.T, path string) (s *service, standinPath string, said *logBuffer) {
 	text, err := os.ReadFile(path)
 	require.NoError(t, err)
@@ -53,7 +53,7 @@
 	return s, standinPath, said
 }
 
-// TestExample does what examples/README.md tells a newcomer to do.
+// TestExample follows examples/README.md.
 func TestExample(t *testing.T) {
 	t.Parallel()
 	s, toy, _ := startFromFile(t, "../examples/config.json")
@@ -64,7 +64,7 @@
 	s.terminate()
 }
 
-// TestKeyedExample does what the same page tells of a class that may come again.
+// TestKeyedExample follows the section of examples/README.md on idempotency keys.
 func TestKeyedExample(t *testing.T) {
 	t.Parallel()
 	s, toy, said := startFromFile(t, "../examples/keyed.json")
@@ -80,8 +80,8 @@
 	s.terminate()
 }
 
-// TestOperatorFile: the file under deploy/ serves both fronts, also while the
-// other nodes of its store are away.
+// TestOperatorFile: the configuration in deploy/ serves both frontends, also while the other nodes of its store
+// are not running.
 func TestOperatorFile(t *testing.T) {
 	t.Parallel()
 	s, _, _ := startFromFile(t, "../deploy/operator.json")
@@ -95,8 +95,8 @@
 	s.terminate()
 }
 
-// TestCallerGone: where the site says so, a request that its caller takes back
-// is stopped, in both protocols.
+// TestCallerGone: if the settings say that callers report cancelled requests, a run is stopped when its caller
+// cancels it, in both protocols.
 func TestCallerGone(t *testing.T) {
 	t.Parallel()
 	w := newTestbed(t, func(cfg object) { cfg["settings"].(object)["family_info"].(object)["tells_gone"] = true })
--- a/tests/faults_test.go
+++ b/tests/faults_test.go
@@ -20,7 +20,7 @@
 	"oxbowbridge/internal/testrig"
 )
 
-// newLinkedCluster is three nodes that run, and call each other over links.
+// newLinkedCluster starts a cluster of three nodes that reach each other over links.
 func newLinkedCluster(t *testing.T) *cluster {
 	c := newStoppedCluster(t, 3, 3)
 	c.AddLinks()
@@ -28,9 +28,9 @@
 	return c
 }
 
-// TestLeaderCutOff: a leader that its peers can't reach, but clients can, stops to
-// answer as if it were sure, and so does one that only hears and is not heard; the
-// others go on, and it catches up.
+// TestLeaderCutOff: a leader that clients can reach but its peers cannot must stop answering linearizable
+// reads; likewise one that receives messages but cannot send any. The others elect a leader, and the old one
+// catches up.
 func TestLeaderCutOff(t *testing.T) {
 	t.Parallel()
 	w := newLinkedCluster(t)
@@ -53,7 +53,7 @@
 		w.Put(next, "note/cut", now)
 		code, text := w.Request(lead, "GET", "/store/note/cut", "")
 		assert.Equal(t, 503, code, "fault %d: %s", n, text)
-		if deaf := fault[1] != (testrig.LinkMode{}); deaf { // else it hears of what follows, and can't be sure
+		if deaf := fault[1] != (testrig.LinkMode{}); deaf { // otherwise it learns of later entries, and its local value is not determined
 			code, text = w.Request(lead, "GET", "/store/note/cut?local=1", "")
 			assert.Equal(t, fmt.Sprint("200 ", old), fmt.Sprint(code, " ", text), "fault %d", n)
 		}
@@ -62,8 +62,8 @@
 	}
 }
 
-// writeAndQueueReads has the others write a key while their former leader stands still, and reads
-// wait in its sockets: they are answered with that value, or not at all.
+// writeAndQueueReads writes a key at the other nodes while the former leader is paused, and sends that node
+// reads that it answers when it resumes. Each must return the new value or 503.
 func (c *cluster) writeAndQueueReads(t *testing.T, stopped int, key, value string) *sync.WaitGroup {
 	others := storeclient.New([]string{c.Peers[(stopped+1)%3].Admin, c.Peers[(stopped+2)%3].Admin})
 	_, err := others.Put(t.Context(), key, json.RawMessage(value), nil)
@@ -86,8 +86,8 @@
 	return wg
 }
 
-// TestStoppedLeader: a leader that stood still while another took its place answers
-// reads that waited for it with what that one wrote, or not at all.
+// TestStoppedLeader: a leader that was paused while another one was elected must answer the reads queued
+// meanwhile with the new leader's value, or with 503.
 func TestStoppedLeader(t *testing.T) {
 	t.Parallel()
 	c := newRunningCluster(t, object{})
@@ -97,15 +97,15 @@
 		c.Pause(lead)
 		value := fmt.Sprint(2*round + 1)
 		wg := c.writeAndQueueReads(t, lead, "note/stop", value)
-		time.Sleep(50 * time.Millisecond) // they lie in its sockets
+		time.Sleep(50 * time.Millisecond) // so that the reads are in its socket buffers
 		c.Resume(lead)
 		wg.Wait()
 		c.WaitForValue(lead, "note/stop", value)
 	}
 }
 
-// TestForwardedWrite: a write in a session, sent to a follower when its leader has just
-// been stopped, is answered by the next leader in the same request.
+// TestForwardedWrite: a write in a session reaches a follower just after the leader was paused. The next leader
+// must answer it within the same request.
 func TestForwardedWrite(t *testing.T) {
 	t.Parallel()
 	c := newRunningCluster(t, nil)
@@ -132,10 +132,10 @@
 	c.WaitForValue(0, "note/session", fmt.Sprint(n))
 }
 
-// seed is that of the schedules.
+// seed is the first seed of the fault schedules.
 var seed = flag.Uint64("seed", 11, "of the faults' schedules")
 
-// logSeedOnFailure says on failure how the same schedule is played again.
+// logSeedOnFailure logs, on failure, the flags that repeat the schedule.
 func logSeedOnFailure(t *testing.T) {
 	t.Cleanup(func() {
 		if t.Failed() {
@@ -144,7 +144,7 @@
 	})
 }
 
-// changeMember has a member removed, or let in again.
+// changeMember removes a member (DELETE) or admits it again (PUT).
 func (c *cluster) changeMember(method string, node int) {
 	testrig.Await(c.T, "a change of the members", func() bool {
 		code, _ := c.Request(c.WaitForLeader(), method, "/members/"+c.Peers[node].Name, "")
@@ -152,16 +152,16 @@
 	})
 }
 
-// outage is how long no write was acknowledged after a fault.
+// outage is the time after a fault in which no write was acknowledged.
 type outage struct {
 	fault string
 	took  time.Duration
 }
 
-// TestFaults: clients read, write and compare-and-set at three nodes while leaders are
-// killed, cut off, stopped and not heard, links are slow and half open, and all nodes
-// die at once. Each key's history is linearizable, and the nodes end up equal.
-// -faults 10m is its long form, and prints its table with -v.
+// TestFaults: clients read, write and compare-and-set at three nodes while leaders are killed, cut off, paused
+// or isolated in one direction, links are slow or stalled, disks are lost, and all nodes are killed at once.
+// Each key's history must be linearizable, and all nodes end with equal data. Run it longer with -faults 10m;
+// -v prints a table per fault.
 func TestFaults(t *testing.T) {
 	t.Parallel()
 	logSeedOnFailure(t)
--- a/tests/fronts_test.go
+++ b/tests/fronts_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// sendRequest sends one request on a new connection of the front.
+// sendRequest sends one request on a new FastCGI connection.
 func (w *testbed) sendRequest(class, body string) (response, error) {
 	return w.sendFCGI("/call/"+class, requestHeaders(newTraceID()), body)
 }
@@ -34,8 +34,8 @@
 	return a.status
 }
 
-// TestFastCGIRecords: records in pieces and several at once, 32 requests of one
-// connection and no more, answers in any order, and closing only what is idle.
+// TestFastCGIRecords: records arrive in fragments and several at once. A connection may have at most 32 open
+// requests, responses come in any order, and only idle connections are closed.
 func TestFastCGIRecords(t *testing.T) {
 	t.Parallel()
 	w := newTestbed(t, func(cfg object) {
@@ -49,7 +49,7 @@
 	for id := range uint16(33) {
 		all = append(all, fcgiRequest(id+1, "/call/nom-submit", requestHeaders(newTraceID()), []byte("hold"))...)
 	}
-	for ; len(all) > 0; all = all[min(len(all), 1000):] { // cut through records
+	for ; len(all) > 0; all = all[min(len(all), 1000):] { // fragments that do not match records
 		_, err := c.Write(all[:min(len(all), 1000)])
 		require.NoError(t, err)
 	}
@@ -57,7 +57,7 @@
 	require.NoError(t, err)
 	assert.Equal(t, []int{33, 2}, []int{int(id), int(proto)}, "the 33rd is OVERLOADED")
 	await(t, "32 runs", func() bool { return w.engine.heldRuns() == 32 })
-	time.Sleep(1200 * time.Millisecond) // two sweeps for idle connections
+	time.Sleep(1200 * time.Millisecond) // the time of two scans for idle connections
 	w.engine.releaseHeld()
 	seen := map[uint16]bool{}
 	for range 32 {
@@ -71,7 +71,7 @@
 	assert.ErrorContains(t, err, "EOF", "closed once it is idle")
 }
 
-// TestFastCGIBadInput: a fault costs its request, or its connection, and one line.
+// TestFastCGIBadInput: malformed input fails its request or closes its connection, with one log line.
 func TestFastCGIBadInput(t *testing.T) {
 	t.Parallel()
 	w := newTestbed(t, nil)
@@ -121,7 +121,7 @@
 	assert.Equal(t, 200, w.responseStatus("nom-submit", "ok"))
 }
 
-// TestSlowReader: answers that nobody reads hold up no one else.
+// TestSlowReader: a caller that does not read its responses delays no other caller.
 func TestSlowReader(t *testing.T) {
 	t.Parallel()
 	w := newTestbed(t, nil)
@@ -140,13 +140,13 @@
 	}
 }
 
-// TestArrival: the stamp sets the arrival, from which the due time runs.
+// TestArrival: Accepted-At-Ms sets the arrival time, from which the deadline is measured.
 func TestArrival(t *testing.T) {
 	t.Parallel()
 	w := newTestbed(t, nil)
 	c, err := dialFCGI(w.fcgiAddr)
 	require.NoError(t, err)
-	for i, ago := range []time.Duration{-time.Minute, 0, 6 * time.Second, 11 * time.Second} { // of 12; ahead counts as now
+	for i, ago := range []time.Duration{-time.Minute, 0, 6 * time.Second, 11 * time.Second} { // of a deadline of 12 s; a time in the future counts as now
 		fields := requestHeaders(newTraceID())
 		fields["Accepted-At-Ms"] = strconv.FormatInt(time.Now().Add(-ago).UnixMilli(), 10)
 		_, err := c.Write(fcgiRequest(uint16(i+1), "/call/nom-submit", fields, []byte("silence")))
@@ -159,14 +159,14 @@
 	require.NoError(t, err)
 	assert.Equal(t, 503, past.status, "past its due time: never run")
 	assert.Equal(t, 4, w.engine.countReceived("RUN"))
-	for _, want := range []uint16{4, 3} { // read last, due first
+	for _, want := range []uint16{4, 3} { // in order of deadlines, the reverse of the order of reading
 		id, a, _, err := c.readResponse()
 		require.NoError(t, err)
 		assert.Equal(t, []int{int(want), 500}, []int{int(id), a.status})
 	}
 }
 
-// TestAJPCallers: pings, pieces of a body, secrets, and what is never a request.
+// TestAJPCallers covers CPING, bodies in chunks, secrets, and messages that are not requests.
 func TestAJPCallers(t *testing.T) {
 	t.Parallel()
 	w := newTestbed(t, nil)
@@ -181,7 +181,7 @@
 	require.NoError(t, err)
 	assert.Equal(t, []byte{9}, p)
 	trace := newTraceID()
-	c.Write(ajpForwardRequest("/call/nom-submit", "s3", requestHeaders(trace), -1)) // no length told: asked for
+	c.Write(ajpForwardRequest("/call/nom-submit", "s3", requestHeaders(trace), -1)) // without a Content-Length the service asks for the body
 	a, err := c.readResponse([]byte("ok"))
 	require.NoError(t, err)
 	assert.Equal(t, "result of "+trace, a.body)
@@ -207,7 +207,7 @@
 	p, err = c.readPacket()
 	require.NoError(t, err)
 	assert.EqualValues(t, 6, p[0], "GET_BODY_CHUNK")
-	c.Close() // mid-body
+	c.Close() // in the middle of the body
 	c = dial()
 	c.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
 	_, err = c.readPacket()
@@ -219,8 +219,8 @@
 	assert.Zero(t, w.engine.countReceived("RUN "+lost))
 }
 
-// requireStartRefused starts the program on a file that is wrong: it ends with 2 and one line
-// that says what.
+// requireStartRefused starts the program with an invalid configuration. It must exit with code 2 and one log
+// line that contains want.
 func requireStartRefused(t *testing.T, want string, change func(object)) {
 	s := startService(t, func(c object) {
 		c["engine"] = "127.0.0.1:1"
@@ -238,7 +238,7 @@
 	assert.Contains(t, s.log(), want)
 }
 
-// TestConfiguration: what is wrong is named in one plain line.
+// TestConfiguration: an invalid configuration is reported in one line that names the field.
 func TestConfiguration(t *testing.T) {
 	t.Parallel()
 	for want, change := range map[string]func(object){
@@ -251,7 +251,7 @@
 		},
 		"settings: family_info.halt": func(c object) { c["settings"].(object)["family_info"].(object)["halt"] = "stop" },
 		"ajp.secret":                 func(c object) { c["ajp"] = object{"listen": "0.0.0.0:8009"} },
-		"ajp.secret: ":               func(c object) { c["ajp"] = object{"listen": ":8009"} }, // all addresses
+		"ajp.secret: ":               func(c object) { c["ajp"] = object{"listen": ":8009"} }, // listens on all addresses
 		"ajp.upstreams":              func(c object) { c["ajp"] = object{"upstreams": []string{"127.0.0.1:1"}} },
 	} {
 		requireStartRefused(t, want, change)
@@ -265,7 +265,7 @@
 	assert.Equal(t, "oxbowbridge: configuration: unexpected end of JSON input\n", string(out))
 }
 
-// newRegistryStandin stands in for it: its address, and the next report that comes.
+// newRegistryStandin starts a stand-in service registry. next returns the next report that it receives.
 func newRegistryStandin(t *testing.T) (addr string, next func() string) {
 	udp, err := net.ListenPacket("udp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -279,8 +279,8 @@
 	}
 }
 
-// TestDirectoryListens: where the list goes along with the health, a drain is reported
-// again and again, as reports get lost, and never as open.
+// TestDirectoryListens: if the registry follows readiness, a drain is reported repeatedly, because reports may
+// get lost, and never as open again.
 func TestDirectoryListens(t *testing.T) {
 	t.Parallel()
 	addr, next := newRegistryStandin(t)
@@ -303,7 +303,7 @@
 	w.requireCleanExit()
 }
 
-// TestDirectory: reports while it serves, and a last one at the notice.
+// TestDirectory covers the reports while the service is open, and the last one after the termination signal.
 func TestDirectory(t *testing.T) {
 	t.Parallel()
 	addr, next := newRegistryStandin(t)
--- a/tests/guards_test.go
+++ b/tests/guards_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// dialAndWrite connects and writes all that it can of what is given.
+// dialAndWrite connects and writes the pieces in the background, until a write fails.
 func dialAndWrite(t *testing.T, addr string, pieces ...[]byte) net.Conn {
 	c, err := net.Dial("tcp", addr)
 	require.NoError(t, err)
@@ -37,7 +37,7 @@
 	return c
 }
 
-// requireClosed waits for the close of the connection.
+// requireClosed requires that the service closes the connection.
 func requireClosed(t *testing.T, c net.Conn, what string) {
 	_, err := io.Copy(io.Discard, c)
 	if networkError := net.Error(nil); errors.As(err, &networkError) {
@@ -45,8 +45,7 @@
 	}
 }
 
-// TestHalfDone: connections that say nothing, or never finish what they began,
-// are closed; one that is in use is not.
+// TestHalfDone: connections that send nothing or an incomplete message are closed; a connection in use is not.
 func TestHalfDone(t *testing.T) {
 	t.Parallel()
 	w := newTestbed(t, nil)
@@ -75,11 +74,11 @@
 	}
 }
 
-// TestCrowd: callers that connect by the hundred and say nothing, or ask once and
-// stay, keep no balancer out.
+// TestCrowd: hundreds of callers that connect and send nothing, or one request, must not keep balancers from
+// connecting.
 func TestCrowd(t *testing.T) {
 	t.Parallel()
-	w := newTestbed(t, func(cfg object) { cfg["limits"].(object)["sockets"] = 80 }) // some 20 connections of each front
+	w := newTestbed(t, func(cfg object) { cfg["limits"].(object)["sockets"] = 80 }) // about 20 connections per frontend
 	for i := range 60 {
 		dialAndWrite(t, w.fcgiAddr)
 		dialAndWrite(t, w.ajpAddr)
@@ -99,12 +98,12 @@
 	}
 }
 
-// TestWithoutEnd: messages that never end are not read to their end.
+// TestWithoutEnd: endless messages are not read to their end; the connection is closed.
 func TestWithoutEnd(t *testing.T) {
 	t.Parallel()
 	w := newTestbed(t, nil)
 	request := fcgiRequest(1, "/call/nom-submit", requestHeaders(newTraceID()), nil)
-	request = request[:len(request)-11] // without the end of its input
+	request = request[:len(request)-11] // without the record that ends its input
 	repeat := func(b []byte) (all [][]byte) {
 		for range (60 << 20) / len(b) {
 			all = append(all, b)
@@ -127,8 +126,8 @@
 	assert.Zero(t, w.engine.countReceived("HALT"))
 }
 
-// TestFigures: a request whose fields can't be right is failed and never runs;
-// a caller that sends nothing else loses its connection.
+// TestFigures: a request with an invalid header fails without running. A connection that sends nothing but such
+// requests is closed.
 func TestFigures(t *testing.T) {
 	t.Parallel()
 	w := newTestbed(t, nil)
@@ -153,12 +152,12 @@
 	c, err := dialFCGI(w.fcgiAddr)
 	require.NoError(t, err)
 	fields := requestHeaders(newTraceID())
-	fields["\x00CONTENT_LENGTH"] = "3" // of two
+	fields["\x00CONTENT_LENGTH"] = "3" // the body has two bytes
 	a, err := c.do("/call/nom-submit", fields, []byte("ok"))
 	require.NoError(t, err)
 	assert.Equal(t, 400, a.status)
 	for _, d := range []protocolClient{c, mustDialAJP(dialAJP(w.ajpAddr))} {
-		for i := range 20 { // a connection that serves others too is kept
+		for i := range 20 { // a connection that also sends valid requests stays open
 			a, err := d.do("/call/other", requestHeaders(newTraceID()), nil)
 			require.NoError(t, err, i)
 			assert.Equal(t, 400, a.status)
@@ -177,8 +176,8 @@
 	assert.Equal(t, runs, w.engine.countReceived("RUN"))
 }
 
-// TestUnknownToEngine: a request that the engine knows nothing of is failed, and
-// its caller loses the connection if it sends nothing else.
+// TestUnknownToEngine: a request that the engine does not know fails, and a connection that sends nothing but
+// such requests is closed.
 func TestUnknownToEngine(t *testing.T) {
 	t.Parallel()
 	w := newTestbed(t, nil)
@@ -197,8 +196,8 @@
 	assert.Equal(t, 200, w.responseStatus("nom-submit", "ok"))
 }
 
-// TestTakenBack: a request whose connection is lost, or that is taken back, is
-// stopped, whether or not the site's callers say that they are gone.
+// TestTakenBack: a run whose connection is lost is stopped, whether or not the settings say that callers report
+// cancelled requests.
 func TestTakenBack(t *testing.T) {
 	t.Parallel()
 	w := newTestbed(t, nil)
--- a/tests/linear_test.go
+++ b/tests/linear_test.go
@@ -21,10 +21,9 @@
 
 var faultDuration = flag.Duration("faults", 15*time.Second, "how long TestLinearizable and TestFaults go on")
 
-// TestLinearizable: clients read and write at three nodes while one after the other
-// is killed and comes back. No read is older than what was acknowledged before it
-// began, nothing acknowledged is lost, and the nodes end up equal. -faults 10m is its
-// long form.
+// TestLinearizable: clients read and write at three nodes that are killed and restarted in turn. No read may be
+// older than a write acknowledged before the read started, no acknowledged write is lost, and all nodes end
+// with equal data. Run it longer with -faults 10m.
 func TestLinearizable(t *testing.T) {
 	t.Parallel()
 	c := newRunningCluster(t, object{})
@@ -60,8 +59,8 @@
 	c.WaitForEqualData(0, 1, 2)
 }
 
-// TestCheckerBites: one read that is behind an acknowledged write is found out, and
-// one compare-and-set that was done or not done against what the key had.
+// TestCheckerBites: the checker must find a stale read, and a compare-and-set whose outcome contradicts the
+// key's value.
 func TestCheckerBites(t *testing.T) {
 	h := testrig.NewHistory()
 	h.Add(0, testrig.RegisterOp{Key: "k", Write: true, Value: "1"}, "", 1, 2)
@@ -72,7 +71,7 @@
 	set := testrig.RegisterOp{Key: "k", Write: true, Expected: "2", Value: "4"}
 	h.Add(2, set, "done", 7, 8)
 	h.Add(0, testrig.RegisterOp{Key: "j", Write: true, Value: "4"}, "", 1, 2)
-	h.Add(0, testrig.RegisterOp{Key: "k", Write: true, Expected: "4", Value: "5"}, testrig.CompareFailed, 9, 10) // the write of unknown outcome may be why
+	h.Add(0, testrig.RegisterOp{Key: "k", Write: true, Expected: "4", Value: "5"}, testrig.CompareFailed, 9, 10) // the write of unknown outcome may be the reason
 	assert.True(t, h.Linearizable())
 	for _, wrong := range []struct {
 		in  testrig.RegisterOp
@@ -85,8 +84,8 @@
 	}
 }
 
-// TestFreshness: a node without a majority answers no read as if it were fresh; what
-// it knows can be had for the asking.
+// TestFreshness: a node without a quorum answers no linearizable read, but answers local reads and reads that
+// allow enough staleness.
 func TestFreshness(t *testing.T) {
 	t.Parallel()
 	c := newRunningCluster(t, object{})
@@ -111,8 +110,8 @@
 	c.WaitForValue(0, "note/a", `"one"`)
 }
 
-// TestOnce: clients repeat each write, at any node, until it is answered, while nodes
-// are killed. Each took effect once, and none was lost.
+// TestOnce: clients repeat each write at random nodes until it is answered, while nodes are killed. Each write
+// must take effect exactly once.
 func TestOnce(t *testing.T) {
 	t.Parallel()
 	c := newRunningCluster(t, object{})
@@ -141,7 +140,7 @@
 						res.Body.Close()
 						if res.StatusCode != 503 {
 							if rng.IntN(4) == 0 && session != 0 {
-								repeats[id]++ // as if the answer had been lost
+								repeats[id]++ // as after a lost response
 								continue
 							}
 							return res.StatusCode, string(b)
@@ -198,7 +197,7 @@
 	}
 }
 
-// TestConditions: a write that names the revision it knows takes effect only on that.
+// TestConditions: a conditional write takes effect only at the revision that it names.
 func TestConditions(t *testing.T) {
 	t.Parallel()
 	c := newRunningCluster(t, object{})
@@ -227,7 +226,7 @@
 		with := func(method, path, body string, fields ...string) (int, string, string) {
 			code, tag, text := with(i, method, path, body, fields...)
 			if code == 503 {
-				panic(errUnsure) // the leader may have changed: all anew, on another key
+				panic(errUnsure) // the leader may have changed; repeat all requests with another key
 			}
 			return code, tag, text
 		}
@@ -260,7 +259,7 @@
 		assert.Equal(t, 400, code)
 		return true
 	}
-	for i := range 3 { // whichever leads
+	for i := range 3 { // one of them is the leader
 		attempt := 0
 		await(t, "a sure answer to all", func() bool { attempt++; return try(i, attempt) })
 	}
@@ -268,9 +267,8 @@
 
 var errUnsure = errors.New("a write's outcome is not known")
 
-// TestColdReplica: a node that comes back alone serves no setting of the store and
-// takes none from its old log; the service starts on the version that it last
-// started on. With the others back, it catches up.
+// TestColdReplica: a node that restarts alone serves no settings from its store and takes none from its log.
+// The service starts on the settings of its last start, and catches up when the other nodes return.
 func TestColdReplica(t *testing.T) {
 	t.Parallel()
 	c := newRunningCluster(t, object{})
@@ -285,7 +283,7 @@
 	c.Kill(2)
 	c.Start(2)
 	await(t, "a start on the first settings", func() bool { return strings.Contains(c.nodes[2].log(), `"last_good":false`) })
-	c.Put(0, "config/settings", classes("second")) // node 2 has it in its log, and never started on it
+	c.Put(0, "config/settings", classes("second")) // node 2 has these in its log but never started on them
 	c.WaitForValue(2, "config/settings", classes("second"))
 	for i := range 3 {
 		c.Kill(i)
@@ -300,7 +298,7 @@
 	c.Start(0)
 	c.Start(1)
 	c.WaitForValue(2, "config/settings", classes("second"))
-	for _, set := range []string{classes("second"), `{"classes":[]}`} { // the other would not start
+	for _, set := range []string{classes("second"), `{"classes":[]}`} { // the service would not start on the second value
 		c.Put(0, "config/settings", set)
 		c.Kill(2)
 		c.Start(2)
@@ -310,7 +308,7 @@
 	assert.Contains(t, c.nodes[2].log(), "invalid settings in store")
 }
 
-// TestStoreCommands: the command line works at any node, also just after a kill.
+// TestStoreCommands: the store commands work at any node, also just after a node was killed.
 func TestStoreCommands(t *testing.T) {
 	t.Parallel()
 	c := newRunningCluster(t, object{})
--- a/tests/links_test.go
+++ b/tests/links_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// sendAsync sends a request whose status comes when it comes.
+// sendAsync sends a request and returns a channel for its response.
 func (w *testbed) sendAsync(class, trace, body string) <-chan response {
 	got := make(chan response, 1)
 	c, err := dialFCGI(w.fcgiAddr)
@@ -26,9 +26,9 @@
 	return got
 }
 
-// TestEngineLinkLost: the link attaches again from the last notice, reads none
-// twice, and repeats RUN once no missed notice tells of the run, unless its class may run once
-// only: such a run is awaited until its request is due, and then fails.
+// TestEngineLinkLost: a new link resumes after the last notice that was read and skips repeated ones. It
+// repeats RUN if no missed notice mentions the run. A run of an at-most-once class is not repeated: its request
+// waits until its deadline and then fails.
 func TestEngineLinkLost(t *testing.T) {
 	t.Parallel()
 	w := newTestbed(t, withSubmitDeadline(3*time.Second))
@@ -37,9 +37,9 @@
 	got := w.sendAsync("nom-submit", running, "hold")
 	await(t, "a run", func() bool { return e.heldRuns() == 1 })
 	e.mu.Lock()
-	e.ignoresCommands = true // what is sent now is lost
+	e.ignoresCommands = true // commands sent from here on are lost
 	e.mu.Unlock()
-	unsafe, safe := newTraceID(), newTraceID() // both of classes that may run more than once
+	unsafe, safe := newTraceID(), newTraceID() // both of idempotent classes
 	lost, again := w.sendAsync("cycle-check", unsafe, "ok"), w.sendAsync("balance-view", safe, "ok")
 	_ = lost
 	submit := newTraceID()
@@ -49,7 +49,7 @@
 	e.ignoresCommands = false
 	n := len(e.notices)
 	e.notices = append(e.notices, fmt.Sprintf("NOTE %d hello\r\n", n+1),
-		fmt.Sprintf("DONE %d %s OK 5 4\r\nlate\r\n", n+2, running)) // while no link is there
+		fmt.Sprintf("DONE %d %s OK 5 4\r\nlate\r\n", n+2, running)) // sent while there is no link
 	e.heldTraces = nil
 	e.conn.Close()
 	e.mu.Unlock()
@@ -59,7 +59,7 @@
 	await(t, "ATTACH", func() bool { return e.countReceived("ATTACH") == 2 })
 	e.mu.Lock()
 	last := e.notices[len(e.notices)-1]
-	e.conn.Write([]byte(last)) // seen already
+	e.conn.Write([]byte(last)) // a notice that was already read
 	e.mu.Unlock()
 	assert.Equal(t, 500, (<-never).status, "RUN may have been read: not rejected")
 	assert.Equal(t, 1, e.countReceived("RUN "+submit), "not repeated: it may have run")
@@ -69,8 +69,8 @@
 	assert.Equal(t, 200, w.responseStatus("nom-submit", "ok"))
 }
 
-// TestEngineForgets: where the engine has dropped notices, a run may have ended
-// unheard. It is repeated only if that is safe, and given up at once if not.
+// TestEngineForgets: if the engine has dropped notices, a run may have completed without a notice. It is
+// repeated if its class is idempotent, and otherwise fails at once.
 func TestEngineForgets(t *testing.T) {
 	t.Parallel()
 	w := newTestbed(t, nil)
@@ -80,7 +80,7 @@
 	await(t, "two runs", func() bool { return e.heldRuns() == 2 })
 	e.mu.Lock()
 	e.heldTraces = nil
-	clear(e.active) // both ended
+	clear(e.active) // both completed
 	e.notices = append(e.notices, "", "", fmt.Sprintf("NOTE %d the first that is kept\r\n", len(e.notices)+3))
 	e.conn.Close()
 	e.mu.Unlock()
@@ -91,8 +91,8 @@
 	assert.Equal(t, 1, e.countReceived("RUN "+unsafe))
 }
 
-// TestRunEndsAfterSync: a run that the engine has read and that ends between its answer to STAT
-// sync and the repeated RUN runs once, as its class is at most once.
+// TestRunEndsAfterSync: the engine has read RUN, the link is lost, and the run completes after the answer to
+// STAT sync, before a repeated RUN could arrive. As its class is at-most-once, it must run once.
 func TestRunEndsAfterSync(t *testing.T) {
 	t.Parallel()
 	w := newTestbed(t, nil)
@@ -104,22 +104,21 @@
 	w.engine.conn.Close()
 	w.engine.mu.Unlock()
 	require.Equal(t, 200, (<-got).status)
-	// The commands of a connection are read in order: a repeated RUN comes before this one.
+	// The engine reads commands in order, so a repeated RUN would come before this one.
 	require.Equal(t, 200, w.responseStatus("nom-submit", "ok"))
 	w.engine.mu.Lock()
 	defer w.engine.mu.Unlock()
 	assert.Equal(t, 1, w.engine.runCounts[trace])
 }
 
-// TestGaugesAge: gauges that came long ago say nothing of the cores: no more runs
-// are put on the cores, whatever idled then.
+// TestGaugesAge: old gauges do not show idle cores, so no further runs are started on them.
 func TestGaugesAge(t *testing.T) {
 	t.Parallel()
 	w := newTestbed(t, func(cfg object) { cfg["settings"].(object)["family_info"].(object)["cores"] = 2 })
 	await(t, "gauges", func() bool {
 		w.engine.mu.Lock()
 		defer w.engine.mu.Unlock()
-		w.engine.ignoresStat = w.engine.answeredStats >= 3 // idle by its last gauges
+		w.engine.ignoresStat = w.engine.answeredStats >= 3 // its last gauges show idle cores
 		return w.engine.ignoresStat
 	})
 	time.Sleep(1500 * time.Millisecond)
@@ -128,7 +127,7 @@
 		c.send("nom-submit", "hold")
 		await(t, "a run", func() bool { return w.engine.heldRuns() == i+1 })
 	}
-	for range 3 { // one a tick of the module, which finds both cores in use
+	for range 3 { // one per tick of the admission controller, which finds both cores in use
 		c.send("nom-submit", "hold")
 		time.Sleep(300 * time.Millisecond)
 	}
@@ -143,7 +142,7 @@
 	})
 }
 
-// TestEngineAway: what was never sent waits for the link, whatever its class.
+// TestEngineAway: runs that were never sent wait for the link, whatever their class.
 func TestEngineAway(t *testing.T) {
 	t.Parallel()
 	w := newTestbed(t, nil)
@@ -153,7 +152,7 @@
 	w.engine.mu.Unlock()
 	await(t, "a new link", func() bool { return w.engine.countReceived("ATTACH") == 2 })
 	trace := newTraceID()
-	got := w.sendAsync("nom-submit", trace, "ok") // attached, and no HELLO yet
+	got := w.sendAsync("nom-submit", trace, "ok") // ATTACH is sent, HELLO has not arrived
 	time.Sleep(50 * time.Millisecond)
 	assert.Zero(t, w.engine.countReceived("RUN"))
 	w.engine.mu.Lock()
@@ -163,7 +162,7 @@
 	assert.Equal(t, "result of "+trace, (<-got).body)
 }
 
-// TestDoneAfterAbort: a run that ends after its answer gives no second one.
+// TestDoneAfterAbort: a run that completes after its request was answered causes no second response.
 func TestDoneAfterAbort(t *testing.T) {
 	t.Parallel()
 	w := newTestbed(t, nil)
@@ -179,7 +178,7 @@
 	a, err = c.do("/call/cycle-check", requestHeaders(newTraceID()), []byte("ok"))
 	require.NoError(t, err)
 	assert.True(t, strings.HasPrefix(a.body, "result of"), a.body)
-	a, err = c.do("/call/nom-submit", requestHeaders(trace), []byte("ok")) // a trace that was used, of another class
+	a, err = c.do("/call/nom-submit", requestHeaders(trace), []byte("ok")) // a trace id that was used before, with another class
 	require.NoError(t, err)
 	assert.Equal(t, 200, a.status)
 	same := newTraceID()
@@ -191,14 +190,14 @@
 	assert.Equal(t, 1, w.engine.countReceived("RUN "+same))
 }
 
-// TestRecords: each way in which calls end, and calls that are given up.
+// TestRecords covers all outcomes of calls, and calls that are abandoned.
 func TestRecords(t *testing.T) {
 	t.Parallel()
 	w := newTestbed(t, nil)
 	a, err := w.sendRequest("nom-submit", "call")
 	require.NoError(t, err)
 	assert.True(t, strings.HasPrefix(a.body, "reply:call of"), a.body)
-	for _, reply := range []string{"ERROR", "PAST", "break"} { // proof of nothing
+	for _, reply := range []string{"ERROR", "PAST", "break"} { // these do not show whether the call ran
 		w.records.setReply(reply)
 		ops := w.records.countReceived("OP")
 		assert.Equal(t, 500, w.responseStatus("nom-submit", "call"), reply)
@@ -209,7 +208,7 @@
 	got := w.sendAsync("nom-update", trace, "call")
 	await(t, "a call", func() bool { return w.records.countReceived("OP "+trace) == 1 })
 	w.engine.mu.Lock()
-	w.engine.sendNotice("DONE %d "+trace+" ERROR 5 ", "") // the run ends under its call
+	w.engine.sendNotice("DONE %d "+trace+" ERROR 5 ", "") // the run ends while its call is in flight
 	w.engine.mu.Unlock()
 	assert.Equal(t, 500, (<-got).status)
 	await(t, "UNOP", func() bool { return w.records.countReceived("UNOP "+trace) == 1 })
@@ -224,14 +223,14 @@
 	await(t, "closed before the service would", func() bool { return w.records.closedCount() == conns+1 })
 }
 
-// TestRecordsSpoilt: a spoilt reply costs no call but its own, which is made
-// again only where that is safe; what else comes with a good reply is skipped.
+// TestRecordsSpoilt: a malformed reply affects only its own call, which is repeated only if its class is
+// idempotent. Replies to unknown calls beside a valid reply are skipped.
 func TestRecordsSpoilt(t *testing.T) {
 	t.Parallel()
 	w := newTestbed(t, nil)
 	w.records.setReply("silence")
 	other := newTraceID()
-	got := w.sendAsync("nom-submit", other, "call") // in hand all the while
+	got := w.sendAsync("nom-submit", other, "call") // in flight throughout
 	await(t, "a call", func() bool { return w.records.countReceived("OP "+other) == 1 })
 	for _, raw := range []string{"\x00\xff\x07 noise\r\n", "%s DONE 3000000000\r\nxxxx", "%s DONE 3\r\nxxxx\r\n",
 		"%s DONE -1\r\n", "%s MAYBE\r\n", "%s WAIT 5\r\n", strings.Repeat("x", 2000),
@@ -266,13 +265,13 @@
 	assert.Equal(t, 200, w.responseStatus("nom-submit", "ok"))
 }
 
-// upstreamStandin stands in for an AJP server that does the work. The body says what
-// becomes of a request: "drop" loses the connection under it, "hold" waits for release.
+// upstreamStandin stands in for an AJP server that runs requests. The body selects the outcome: "drop" closes
+// the connection, "hold" waits until release is closed.
 type upstreamStandin struct {
 	addr      string
 	release   chan struct{}
 	mu        sync.Mutex
-	runCounts map[string]int // by trace
+	runCounts map[string]int // by trace id
 }
 
 func (u *upstreamStandin) runCount(trace string) int {
@@ -294,7 +293,7 @@
 	return u
 }
 
-// servePacket answers one packet and tells whether the connection goes on.
+// servePacket handles one packet and reports whether the connection stays open.
 func (u *upstreamStandin) servePacket(c *ajpConn) bool {
 	p, err := c.readPacket()
 	if err != nil {
@@ -320,7 +319,7 @@
 	case "hold":
 		<-u.release
 	}
-	c.Write(ajpPacket("AB", []byte{6, 0, 100})) // is there more?
+	c.Write(ajpPacket("AB", []byte{6, 0, 100})) // GET_BODY_CHUNK: asks for more of the body
 	if p, err = c.readPacket(); err != nil || len(p) > 0 {
 		return false
 	}
@@ -332,13 +331,13 @@
 	return true
 }
 
-// TestAJPUpstreams: AJP servers do the work, for callers of both protocols, and
-// no loss of a connection has them do a nom-submit twice.
+// TestAJPUpstreams: AJP servers run the requests of callers in both protocols, and a nom-submit is never
+// repeated after a lost connection.
 func TestAJPUpstreams(t *testing.T) {
 	t.Parallel()
 	up := newUpstreamStandin(t)
 	s := startService(t, func(cfg object) {
-		cfg["ajp"].(object)["upstreams"] = []string{freeAddr(t), up.addr} // one of them is away
+		cfg["ajp"].(object)["upstreams"] = []string{freeAddr(t), up.addr} // one upstream is not running
 	})
 	s.awaitReady()
 	w := &testbed{service: s}
--- a/tests/log_test.go
+++ b/tests/log_test.go
@@ -10,12 +10,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// sendBadRequests makes the service write more log lines than a pipe of one page holds.
+// sendBadRequests makes the service log more than the capacity of a one-page pipe.
 func sendBadRequests(t *testing.T, w *testbed) {
 	for range 3 {
 		c, err := dialFCGI(w.fcgiAddr)
 		require.NoError(t, err)
-		for range 12 { // one connection may send 16 faults
+		for range 12 { // a connection may send 16 malformed requests
 			a, err := c.do("/call/other", requestHeaders(newTraceID()), nil)
 			require.NoError(t, err)
 			assert.Equal(t, 400, a.status)
@@ -24,8 +24,8 @@
 	}
 }
 
-// TestLogNobodyReads: a reader of the log that stands still, or goes away, keeps the
-// service neither from answering nor from ending in time.
+// TestLogNobodyReads: a log reader that blocks or exits must not keep the service from answering, or from
+// exiting in time.
 func TestLogNobodyReads(t *testing.T) {
 	t.Parallel()
 	for name, leaves := range map[string]bool{"stands": false, "leaves": true} {
--- a/tests/ready_test.go
+++ b/tests/ready_test.go
@@ -13,10 +13,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// maxReadyTime is the operators' term for nine in ten restarted processes.
+// maxReadyTime is the time within which nine of ten restarted processes must be ready (required by the
+// operators).
 const maxReadyTime = 10 * time.Second
 
-// awaitReadyWithin tells how long a service takes to a good health check, if it is ready in time.
+// awaitReadyWithin returns the time until a health check succeeds, and whether that was within the limit.
 func (s *service) awaitReadyWithin(most time.Duration) (time.Duration, bool) {
 	began := time.Now()
 	for time.Since(began) < most {
@@ -32,14 +33,14 @@
 	return 0, false
 }
 
-// silentServer accepts connections, and neither reads nor writes.
+// silentServer accepts connections and neither reads nor writes.
 func silentServer(t *testing.T) string {
 	return startTCPServer(t, func(c net.Conn) { t.Cleanup(func() { c.Close() }) })
 }
 
-// TestReadyAfterRestart: services are killed and started again while the first link to the
-// engine is accepted and forgotten, directory and records service are away, the other nodes
-// of the store and its store of record too, and another process still holds the address.
+// TestReadyAfterRestart kills and restarts services while the engine ignores the first link, the registry, the
+// records service, the other store nodes and the SQL mirror are not reachable, and another process still has
+// the listen address.
 func TestReadyAfterRestart(t *testing.T) {
 	t.Parallel()
 	const services, withStore = 10, 4
@@ -70,12 +71,12 @@
 			engines[i].mu.Lock()
 			engines[i].linksToIgnore = 1
 			engines[i].mu.Unlock()
-			holder, err := net.Listen("tcp", s.fcgiAddr) // a predecessor that still drains
+			holder, err := net.Listen("tcp", s.fcgiAddr) // like a predecessor that is still draining
 			if !assert.NoError(t, err) {
 				return
 			}
 			s.startProcess()
-			go func() { // gone some time after it was found there
+			go func() { // closes the address after the service has found it in use
 				for !strings.Contains(s.log(), "address in use, retrying") {
 					time.Sleep(time.Millisecond)
 				}
@@ -95,9 +96,8 @@
 	assert.GreaterOrEqual(t, ready, services*9/10)
 }
 
-// TestAddressInUse: an address that another process holds is tried again for as long as a
-// predecessor may take to end, and then given up with a line that names it. A notice ends
-// the wait.
+// TestAddressInUse: binding an address in use is retried for as long as a predecessor may take to exit, then
+// fails with a log line that names the address. SIGTERM ends the retries.
 func TestAddressInUse(t *testing.T) {
 	t.Parallel()
 	holder, err := net.Listen("tcp", "127.0.0.1:0")
--- a/tests/rejections_test.go
+++ b/tests/rejections_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// rejectionLine is a log line that says which rule of the admission controller rejected.
+// rejectionLine is a log line that names the admission rule that rejected requests.
 type rejectionLine struct {
 	Msg    string `json:"msg"`
 	Class  string `json:"class"`
@@ -18,7 +18,7 @@
 	Count  int    `json:"count"`
 }
 
-// rejectionLines are the lines of the service's log on rejected requests.
+// rejectionLines returns the log lines on rejected requests.
 func (w *testbed) rejectionLines() (lines []rejectionLine) {
 	for text := range strings.Lines(w.log()) {
 		var line rejectionLine
@@ -29,8 +29,8 @@
 	return lines
 }
 
-// TestLogNamesRuleOfRejections: the log does not say which rule rejected a request, or a
-// crowd of rejected requests fills it.
+// TestLogNamesRuleOfRejections guards against a log that does not name the rule that rejected a request, and
+// against one that many rejected requests fill.
 func TestLogNamesRuleOfRejections(t *testing.T) {
 	t.Parallel()
 	w := newTestbed(t, nil)
@@ -64,7 +64,7 @@
 		return sum == 1+crowd
 	})
 	lines := w.rejectionLines()
-	intervals := int(time.Since(began)/time.Second) + 1 // begun, of a second
+	intervals := int(time.Since(began)/time.Second) + 1 // intervals of one second that have started
 	assert.LessOrEqual(t, len(lines), 1+intervals)
 	for _, line := range lines {
 		assert.Equal(t, first.Class, line.Class)
--- a/tests/reload_test.go
+++ b/tests/reload_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestReload: SIGHUP under load moves all links, more than once; runs, calls and
-// numbers of notices go on, in both protocols.
+// TestReload: SIGHUP under load moves all connections to new addresses, more than once. Runs and calls
+// continue, and so does the notice sequence, in both protocols.
 func TestReload(t *testing.T) {
 	t.Parallel()
 	listed := func() (net.PacketConn, func()) {
@@ -49,7 +49,7 @@
 		assert.Contains(t, line, `"changed":["engine","records","lookup"],"at_next_start":[]`, name)
 		await(t, "the link to move", func() bool { return w.engine.countReceived("ATTACH") == attached+1 })
 		report()
-		c.send("nom-submit", "call") // below, at the new address
+		c.send("nom-submit", "call") // its call goes to the new address
 		c.awaitOutcomes(1)
 		w.engine.releaseHeld()
 		c.awaitOutcomes(3)
@@ -69,7 +69,8 @@
 	w.terminate()
 }
 
-// TestReloadBadFile: one line names the field, and the old configuration stays.
+// TestReloadBadFile: an invalid file is reported in one line that names the field, and the old configuration
+// stays in effect.
 func TestReloadBadFile(t *testing.T) {
 	t.Parallel()
 	w := newTestbed(t, nil)
@@ -94,8 +95,7 @@
 	w.terminate()
 }
 
-// TestReloadAtOnce: SIGHUP ends the program at no time, not while it starts, nor
-// while it drains.
+// TestReloadAtOnce: SIGHUP never ends the program, neither during the start nor during a drain.
 func TestReloadAtOnce(t *testing.T) {
 	t.Parallel()
 	w := newTestbed(t, nil)
@@ -114,7 +114,7 @@
 	assert.Equal(t, map[string]int{"served": 1}, c.outcomes())
 }
 
-// TestReloadUpstreams: AJP upstreams are exchanged under load too.
+// TestReloadUpstreams: a reload replaces AJP upstreams while requests are served.
 func TestReloadUpstreams(t *testing.T) {
 	t.Parallel()
 	first, second := newUpstreamStandin(t), newUpstreamStandin(t)
--- a/tests/settings_test.go
+++ b/tests/settings_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestSettingsOfOthers: each value that the page on the wire allows is served.
+// TestSettingsOfOthers: the service starts with, and serves requests under, each valid value of the settings.
 func TestSettingsOfOthers(t *testing.T) {
 	t.Parallel()
 	for what, change := range map[string]func(set, info object){
@@ -68,8 +68,8 @@
 	}
 }
 
-// TestMaxWait: where the settings say that requests tell how long their callers wait, one is
-// answered by then, in either protocol; elsewhere its class's deadline counts.
+// TestMaxWait: if the settings say that requests carry their maximum wait, a request is answered by then, in
+// both protocols. Otherwise only the deadline of its class counts.
 func TestMaxWait(t *testing.T) {
 	t.Parallel()
 	for name, dial := range protocolDialers {
@@ -122,7 +122,7 @@
 	}
 }
 
-// TestSettingsRefused: what the page does not allow ends the start with 2 and one line.
+// TestSettingsRefused: invalid settings end the start with exit code 2 and one line.
 func TestSettingsRefused(t *testing.T) {
 	t.Parallel()
 	for want, change := range map[string]func(set, info object){
@@ -149,8 +149,8 @@
 	}
 }
 
-// TestSharedCallsLinger: where all share what lies below, a call that was lost may still be
-// in its hands, and counts there: it is made again only once it can't be any more.
+// TestSharedCallsLinger: if all services share the records service, a lost call may still run there and
+// occupies capacity. It is repeated only after the linger time, when it can no longer run.
 func TestSharedCallsLinger(t *testing.T) {
 	t.Parallel()
 	for below, lingers := range map[string]time.Duration{"shared": 400 * time.Millisecond, "tier": 0} {
@@ -168,9 +168,8 @@
 	}
 }
 
-// TestPause: a run that gives way is paused, goes on where it was, over a link that broke
-// too, and is neither run again nor stopped for good; where nothing may be stopped,
-// nothing is.
+// TestPause: a run that yields its core is paused and resumes, also after a lost link, and neither runs again
+// nor is stopped for good. With halt "none" no run is stopped.
 func TestPause(t *testing.T) {
 	t.Parallel()
 	for halt, halts := range map[string]int{"pause": 1, "none": 0} {
@@ -180,7 +179,7 @@
 				set := cfg["settings"].(object)
 				set["counted_by"] = "request"
 				set["family_info"].(object)["halt"], set["family_info"].(object)["cores"] = halt, 1
-				set["classes"].([]object)[0]["aim_ns"] = 60e6 // first taken for six mean runs
+				set["classes"].([]object)[0]["aim_ns"] = 60e6 // allows six runs of the initially assumed mean duration
 			})
 			var long string
 			var got <-chan response
@@ -191,7 +190,7 @@
 				return w.engine.heldRuns() == 1
 			})
 			if halts == 0 {
-				lost, _ := dialFCGI(w.fcgiAddr) // its caller goes, and it is not stopped
+				lost, _ := dialFCGI(w.fcgiAddr) // its caller disconnects, and the run is not stopped
 				gone := newTraceID()
 				lost.Write(fcgiRequest(1, "/call/nom-submit", requestHeaders(gone), []byte("hold")))
 				lost.Close()
--- a/tests/upstream_pause_test.go
+++ b/tests/upstream_pause_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestUpstreamsCannotPause: where the settings pause runs and AJP servers do the work, which can't, a
-// long run is not stopped for others: it would never go on, and its request fail at its deadline.
+// TestUpstreamsCannotPause: the settings allow pausing runs, but AJP upstreams cannot pause. A long run must
+// not be stopped in favour of others, because it could not resume and its request would fail at its deadline.
 func TestUpstreamsCannotPause(t *testing.T) {
 	t.Parallel()
 	up := newUpstreamStandin(t)
@@ -17,7 +17,7 @@
 		set := cfg["settings"].(object)
 		set["counted_by"] = "request"
 		set["family_info"].(object)["halt"], set["family_info"].(object)["cores"] = "pause", 1
-		set["classes"].([]object)[0]["aim_ns"] = 60e6 // first taken for six mean runs
+		set["classes"].([]object)[0]["aim_ns"] = 60e6 // allows six runs of the initially assumed mean duration
 	})
 	s.awaitReady()
 	w := &testbed{service: s}
@@ -25,7 +25,7 @@
 	got := w.sendAsync("balance-view", long, "hold")
 	await(t, "the run", func() bool { return up.runCount(long) == 1 })
 	for end := time.Now().Add(2 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		w.sendAsync("nom-update", newTraceID(), "ok") // for which an engine would pause it
+		w.sendAsync("nom-update", newTraceID(), "ok") // an engine's run would be paused for these
 	}
 	close(up.release)
 	assert.Equal(t, "result of "+long, (<-got).body)
--- a/tests/versions_test.go
+++ b/tests/versions_test.go
@@ -22,8 +22,7 @@
 // envPrevious names an executable of the previous version of the program.
 const envPrevious = "OXBOWBRIDGE_PREVIOUS"
 
-// mixedCluster is a cluster of three nodes, of which node previousNode runs the previous
-// version of the program and the others run this one.
+// mixedCluster is a cluster of three nodes of which previousNode runs the previous version of the program.
 type mixedCluster struct {
 	*cluster
 	t        *testing.T
@@ -41,7 +40,7 @@
 	return m
 }
 
-// start starts a node in the version that it runs in this cluster.
+// start starts a node with its version of the program.
 func (m *mixedCluster) start(node int) {
 	m.buildPath = ""
 	if node == previousNode {
@@ -50,15 +49,15 @@
 	m.Start(node)
 }
 
-// executable is the executable that a node's process executable.
+// executable returns the path of the executable that a node's process runs.
 func (m *mixedCluster) executable(node int) string {
 	path, err := os.Readlink(fmt.Sprintf("/proc/%d/exe", m.nodes[node].cmd.Process.Pid))
 	require.NoError(m.t, err)
 	return path
 }
 
-// makeLeader makes a node the leader: the other two are stopped one after the other, so that the
-// one that starts again lacks an entry that the wanted leader has, and cannot be elected.
+// makeLeader makes a node the leader. It stops the other two in turn, so that the one that restarts first lacks
+// an entry that the wanted leader has, and cannot be elected.
 func (m *mixedCluster) makeLeader(node int) {
 	m.WaitForVoters(0, 1, 2)
 	for m.WaitForLeader() != node {
@@ -75,7 +74,7 @@
 	}
 }
 
-// command runs a build of the program to its end, and returns what it printed.
+// command runs a build of the program to its exit and returns its output.
 func (m *mixedCluster) command(build string, args ...string) string {
 	m.t.Helper()
 	cmd := exec.Command(build, append(args, "--nodes="+strings.Join(m.client().Nodes, ","))...)
@@ -85,8 +84,8 @@
 	return stdout.String()
 }
 
-// TestMixedVersions runs the store on this version of the program and the previous one at
-// once, with the leader on either, as in an upgrade of one node after the other.
+// TestMixedVersions runs the store with this version of the program and the previous one together, as in a
+// rolling upgrade, with a leader of either version.
 func TestMixedVersions(t *testing.T) {
 	t.Parallel()
 	previous := os.Getenv(envPrevious)
@@ -101,8 +100,8 @@
 	m.checkFolders()
 }
 
-// checkUnderLeader makes all checks while one node leads. Where a busy machine makes the
-// cluster elect another one meanwhile, it makes them again.
+// checkUnderLeader makes all checks while one node leads. It repeats them if another leader was elected
+// meanwhile, as happens on a busy machine.
 func (m *mixedCluster) checkUnderLeader(leader int) {
 	const attempts = 4
 	for attempt := range attempts {
@@ -121,7 +120,7 @@
 	require.Failf(m.t, "no stable leader", "node %d lost the leadership in each of %d attempts", leader, attempts)
 }
 
-// checkWrites writes, reads, watches and deletes through each node.
+// checkWrites writes, reads, watches and deletes keys through each node.
 func (m *mixedCluster) checkWrites(prefix string) {
 	t := m.t
 	first, err := m.client().Put(t.Context(), prefix+"first", json.RawMessage("0"), nil)
@@ -154,8 +153,8 @@
 	m.WaitForEqualData(0, 1, 2)
 }
 
-// checkTransactions carries out a transaction whose compares hold, and one whose compares
-// don't, in a session of each node.
+// checkTransactions runs a transaction whose comparisons succeed and one whose comparisons fail, in a session
+// at each node.
 func (m *mixedCluster) checkTransactions(prefix string) {
 	t := m.t
 	for node := range 3 {
@@ -177,8 +176,8 @@
 	}
 }
 
-// checkLeases acquires leases through each node, renews each through all of them, writes
-// under its fencing token, and hands it to one that waits at a node of the other version.
+// checkLeases acquires a lease through each node, renews it through all nodes, writes with its fencing token,
+// and releases it to a waiter at another node.
 func (m *mixedCluster) checkLeases(prefix string) {
 	t := m.t
 	for node := range 3 {
@@ -222,8 +221,8 @@
 	Address, Away string
 }
 
-// statuses are those of all nodes as a build of the program reads them, once all nodes know
-// the same leader.
+// statuses returns the status of all nodes as a build of the program prints it, once all nodes agree on the
+// leader.
 func (m *mixedCluster) statuses(build string) (statuses []nodeStatus) {
 	await(m.t, "one leader in all statuses", func() bool {
 		statuses = nil
@@ -235,7 +234,7 @@
 	return statuses
 }
 
-// checkCommands reads the bodies of nodes of both versions by the command line of both.
+// checkCommands runs the commands of both versions against nodes of both versions.
 func (m *mixedCluster) checkCommands() {
 	t := m.t
 	for _, build := range []string{programPath, m.previous} {
@@ -269,7 +268,7 @@
 		var all map[string]json.RawMessage
 		require.NoError(t, json.Unmarshal([]byte(m.command(build, "store", "get", "--json")), &all))
 		for key := range all {
-			if strings.HasPrefix(key, "state/") { // the services go on to write of themselves
+			if strings.HasPrefix(key, "state/") { // the services continue to update their published states
 				delete(all, key)
 			}
 		}
@@ -280,7 +279,7 @@
 	assert.Equal(t, listed(m.previous), listed(programPath))
 }
 
-// checkReplacedDisk has a node join again on an empty disk and catch up from the leader.
+// checkReplacedDisk makes a node rejoin with an empty disk and catch up from the leader.
 func (m *mixedCluster) checkReplacedDisk(prefix string, node int) {
 	before := m.memberID(node)
 	m.Kill(node)
@@ -294,7 +293,7 @@
 	m.WaitForEqualData(0, 1, 2)
 }
 
-// checkFolders has each node go on with the folder that the other version has written.
+// checkFolders makes each node start from a folder that the other version has written.
 func (m *mixedCluster) checkFolders() {
 	t := m.t
 	for node, build := range []string{m.previous, m.previous, ""} {
@@ -308,7 +307,7 @@
 		m.WaitForValue(node, fmt.Sprint("folder/missed", node), "1")
 	}
 	m.KillAll()
-	for node := range 3 { // and once more, all at once
+	for node := range 3 { // and all nodes at once
 		m.start(node)
 	}
 	m.WaitForVoters(0, 1, 2)
--- a/tests/wake_test.go
+++ b/tests/wake_test.go
@@ -8,18 +8,18 @@
 	"oxbowbridge/internal/testrig"
 )
 
-// TestWakingLeader: a leader that stood still finds, on waking up, answers of its peers to
-// what it had sent before. They don't count for reads that came meanwhile.
+// TestWakingLeader: a leader that was paused finds its peers' replies to earlier heartbeats when it resumes.
+// These must not confirm its leadership for reads that arrived during the pause.
 func TestWakingLeader(t *testing.T) {
 	t.Parallel()
 	w := newLinkedCluster(t)
-	slow := testrig.LinkMode{Delay: 40 * time.Millisecond} // there is always a heartbeat on its way
+	slow := testrig.LinkMode{Delay: 40 * time.Millisecond} // so that a heartbeat is always in flight
 	late := testrig.LinkMode{Delay: 40 * time.Millisecond, StallResponses: true}
 	for round := range 6 {
 		lead := w.WaitForLeader()
 		w.SetNodeLinks(lead, slow, testrig.LinkMode{})
 		w.Put(lead, "note/wake", fmt.Sprint(2*round))
-		w.SetLinksOneWay(lead, (lead+1)%3, late) // one peer's answer comes only once the leader is awake
+		w.SetLinksOneWay(lead, (lead+1)%3, late) // one peer's reply arrives only after the leader resumes
 		time.Sleep(120 * time.Millisecond)
 		w.Pause(lead)
 		value := fmt.Sprint(2*round + 1)
--- a/tests/watch_test.go
+++ b/tests/watch_test.go
@@ -30,7 +30,7 @@
 	return storeclient.New(nodes)
 }
 
-// watchRecorder keeps what a watch has told.
+// watchRecorder records the revisions that a watch delivers.
 type watchRecorder struct {
 	mu        sync.Mutex
 	revisions []watch.Revision
@@ -55,7 +55,7 @@
 	return slices.Clone(f.revisions)
 }
 
-// awaitKey waits for a key to be told of.
+// awaitKey waits until the watch has delivered a change of a key.
 func (f *watchRecorder) awaitKey(t *testing.T, key string) {
 	await(t, "news of "+key, func() bool {
 		for _, r := range f.received() {
@@ -69,9 +69,9 @@
 	})
 }
 
-// TestWatchThroughKills: while nodes are killed one after the other, followers that
-// began at the same revision are told of each write under their prefix once, in order
-// and with all of its transaction, wherever they go on.
+// TestWatchThroughKills: nodes are killed in turn while watches that started at the same revision continue at
+// other nodes. Each watch must deliver every write under its prefix once, in order and with complete
+// transactions.
 func TestWatchThroughKills(t *testing.T) {
 	t.Parallel()
 	c := newRunningCluster(t, nil)
@@ -85,7 +85,7 @@
 		if i%50 == 20 {
 			node := i / 50
 			c.Kill(node)
-			go func() { // catches up meanwhile
+			go func() { // the node catches up while writes continue
 				time.Sleep(200 * time.Millisecond)
 				c.Start(node)
 			}()
@@ -129,8 +129,8 @@
 	}
 }
 
-// TestWatchBounds: a watcher that does not read is cut off, one that reads is told of
-// all, a position that is gone is said to be, and there is an end to how many may watch.
+// TestWatchBounds: a watcher that does not read is disconnected, one that reads gets all changes, a compacted
+// start position is reported, and the number of watchers is limited.
 func TestWatchBounds(t *testing.T) {
 	t.Parallel()
 	c := newRunningCluster(t, nil)
@@ -207,7 +207,7 @@
 	return code
 }
 
-// TestWatchCommand: the command line lists, follows, and ends well when interrupted.
+// TestWatchCommand: the watch command lists keys, prints changes, and exits with code 0 on SIGINT.
 func TestWatchCommand(t *testing.T) {
 	t.Parallel()
 	c := newRunningCluster(t, nil)
