--- a/tests/backup_test.go
+++ b/tests/backup_test.go
@@ -47,7 +47,7 @@
 	})
 	lead := c.WaitForLeader()
 	follower := storeclient.New([]string{c.Peers[(lead+1)%3].Admin})
-	await(t, "both keys", func() bool { _, _, err := follower.Get(t.Context(), "pair/b", ""); return err == nil })
+	await(t, "both keys of the transaction", func() bool { _, _, err := follower.Get(t.Context(), "pair/b", ""); return err == nil })
 	var text []byte
 	var head backup.Header
 	for range 20 {
@@ -60,7 +60,7 @@
 			got[k.Key] = string(k.Value)
 			require.LessOrEqual(t, k.Revision, head.Revision)
 		}
-		require.Equal(t, got["pair/a"], got["pair/b"], "half of a transaction")
+		require.Equal(t, got["pair/a"], got["pair/b"], "transaction only partly in the backup")
 		require.NotContains(t, got, "config/k7")
 		require.Equal(t, `{"n":39}`, got["config/k39"])
 	}
@@ -72,7 +72,7 @@
 	require.Equal(t, 0, code, out)
 	require.Contains(t, out, head.Cluster)
 	_, code = runCLICombined(t, "store", "backup", path, nodes)
-	require.Equal(t, 1, code, "a file that is there is not written over")
+	require.Equal(t, 1, code, "an existing file is not overwritten")
 	out, code = runCLICombined(t, "store", "restore", path, nodes)
 	require.Equal(t, 1, code, out)
 	require.Contains(t, out, "taken from")
@@ -111,7 +111,7 @@
 	out, code = runCLICombined(t, "store", "restore", path, fresh)
 	require.Equal(t, 1, code, out)
 	require.Contains(t, out, "empty")
-	require.Equal(t, 204, func() int { code, _ := n.Request(1, "PUT", "/store/note/on", "1"); return code }(), "it goes on after a refusal")
+	require.Equal(t, 204, func() int { code, _ := n.Request(1, "PUT", "/store/note/on", "1"); return code }(), "the cluster accepts writes after a refused restore")
 	status, body := n.Request(0, "PUT", "/store/_cluster/id", `"x"`)
 	require.Equal(t, 400, status, body)
 }
@@ -135,7 +135,7 @@
 	})
 	begin := func(i int) {
 		go c.Request(i, "POST", "/restore", text.String())
-		await(t, "a part of it", func() bool {
+		await(t, "a restored key", func() bool {
 			code, _ := c.Request(i, "GET", "/store/big/010?local=1", "")
 			return code == 200
 		})
@@ -146,7 +146,7 @@
 	others := storeclient.New([]string{c.Peers[(lead+1)%3].Admin, c.Peers[(lead+2)%3].Admin})
 	c.WaitForLeader()
 	code, body := c.Request(c.WaitForLeader(), "GET", "/store/_cluster/restore?local=1", "")
-	require.Equal(t, 200, code, "it was cut off: %s", body)
+	require.Equal(t, 200, code, "the restore is incomplete: %s", body)
 	for _, i := range []int{(lead + 1) % 3, (lead + 2) % 3} {
 		code, body := c.Request(i, "GET", "/store/big/000", "")
 		assert.Equal(t, 503, code, body)
@@ -190,7 +190,7 @@
 	c.Dirs[2] = old
 	c.Start(2)
 	lead := c.WaitForLeader()
-	await(t, "a line", func() bool {
+	await(t, "a log line", func() bool {
 		return strings.Contains(c.nodes[2].log(), "peer belongs to another cluster") || strings.Contains(c.nodes[lead].log(), "peer belongs to another cluster")
 	})
 	c.Put(lead, "note/more", `3`)
--- a/tests/contenders_test.go
+++ b/tests/contenders_test.go
@@ -180,13 +180,13 @@
 	for i := range contenders {
 		s.contenders = append(s.contenders, newContender(t, c, i, s.resource, s.ttl))
 	}
-	await(t, "a first act", func() bool { _, acts, _ := s.resource.Counts(); return acts > 0 })
+	await(t, "a first action under the lease", func() bool { _, acts, _ := s.resource.Counts(); return acts > 0 })
 	return s
 }
 
 // holder waits until a contender acts under the lease, and returns it with its token.
 func (s *leaseContest) holder() (x *contender, token uint64) {
-	testrig.Await(s.T, "a holder that acts", func() bool {
+	testrig.Await(s.T, "a lease holder that acts", func() bool {
 		a, ok := s.resource.LastAction()
 		for _, c := range s.contenders {
 			if name, _, _ := strings.Cut(a.Holder, "-"); ok && time.Since(a.End) < 50*time.Millisecond && c.name == name {
@@ -219,7 +219,7 @@
 		return with(func(x *contender) { do(x); time.Sleep(2 * s.ttl) })
 	}
 	return []testrig.Fault{
-		{Name: "all at once", IsolatesLeader: true, Inject: func(i int) {
+		{Name: "several faults at once", IsolatesLeader: true, Inject: func(i int) {
 			s.contenders[int(*seed)%len(s.contenders)].signalLeaseProcess(syscall.SIGKILL)
 			s.SetNodeLinks((i+1)%len(s.Peers), testrig.LinkMode{StallRequests: true}, testrig.LinkMode{})
 			s.SetNodeLinks((i+2)%len(s.Peers), slow, slow)
@@ -233,15 +233,15 @@
 		{Name: "leader killed", IsolatesLeader: true, Inject: s.Kill, Recover: s.Start},
 		{Name: "leader stopped", IsolatesLeader: true, Inject: s.Pause, Recover: s.Resume},
 		{Name: "leader cut off", Inject: func(i int) { s.SetNodeLinks(i, testrig.LinkMode{Cut: true}, testrig.LinkMode{Cut: true}) }, Recover: heal},
-		{Name: "leader not heard", Inject: func(i int) { s.SetNodeLinks(i, testrig.LinkMode{StallRequests: true}, testrig.LinkMode{}) }, Recover: heal},
+		{Name: "leader's messages stalled", Inject: func(i int) { s.SetNodeLinks(i, testrig.LinkMode{StallRequests: true}, testrig.LinkMode{}) }, Recover: heal},
 		{Name: "all links of the store slow", Inject: all(func(i int) { s.SetNodeLinks(i, slow, slow) }), Recover: all(heal)},
 		{Name: "all nodes killed", Inject: all(s.Kill), Recover: all(s.Start)},
 		{Name: "holder and its command stopped", Inject: long(func(x *contender) { x.signalTree(syscall.SIGSTOP) }), Recover: undo(func(x *contender) { x.signalTree(syscall.SIGCONT) })},
-		{Name: "holder stopped, its command goes on", Inject: long(func(x *contender) { x.signalLeaseProcess(syscall.SIGSTOP) }), Recover: undo(func(x *contender) { x.signalLeaseProcess(syscall.SIGCONT) })},
+		{Name: "holder stopped without its command", Inject: long(func(x *contender) { x.signalLeaseProcess(syscall.SIGSTOP) }), Recover: undo(func(x *contender) { x.signalLeaseProcess(syscall.SIGCONT) })},
 		{Name: "holder killed", Inject: with(func(x *contender) { x.signalLeaseProcess(syscall.SIGKILL) }), Recover: func(int) {}},
 		{Name: "holder cut off from the store", Inject: with(func(x *contender) { x.setLinks(testrig.LinkMode{Cut: true}) }), Recover: undo(func(x *contender) { x.setLinks(testrig.LinkMode{}) })},
-		{Name: "holder's answers are lost", Inject: with(func(x *contender) { x.setLinks(testrig.LinkMode{StallResponses: true}) }), Recover: undo(func(x *contender) { x.setLinks(testrig.LinkMode{}) })},
-		{Name: "holder half open", Inject: with(func(x *contender) { x.setLinks(held) }), Recover: undo(func(x *contender) { x.setLinks(testrig.LinkMode{}) })},
+		{Name: "responses to the holder stalled", Inject: with(func(x *contender) { x.setLinks(testrig.LinkMode{StallResponses: true}) }), Recover: undo(func(x *contender) { x.setLinks(testrig.LinkMode{}) })},
+		{Name: "holder's links stalled", Inject: with(func(x *contender) { x.setLinks(held) }), Recover: undo(func(x *contender) { x.setLinks(testrig.LinkMode{}) })},
 	}
 }
 
@@ -267,7 +267,7 @@
 		time.Sleep(turn.Duration)
 		f.Recover(i)
 		undone := time.Now()
-		await(t, "an act after "+f.Name, func() bool { return s.resource.ActedAfter(undone) })
+		await(t, "an action after "+f.Name, func() bool { return s.resource.ActedAfter(undone) })
 		gaps[f.Name] = append(gaps[f.Name], s.resource.LongestGap(at).Round(time.Millisecond))
 		_, _, after := s.resource.Counts()
 		refused[f.Name] += after - before
@@ -288,10 +288,10 @@
 func TestContendersNoFence(t *testing.T) {
 	t.Parallel()
 	s := newLeaseContest(t, 3, 3, false)
-	await(t, "an act of one that stood still", func() bool {
+	await(t, "an action of a paused former holder", func() bool {
 		x, token := s.holder()
 		x.signalTree(syscall.SIGSTOP)
-		await(t, "the next holder", func() bool { a, _ := s.resource.LastAction(); return a.Token != token })
+		await(t, "the next lease holder", func() bool { a, _ := s.resource.LastAction(); return a.Token != token })
 		x.signalTree(syscall.SIGCONT)
 		time.Sleep(100 * time.Millisecond)
 		return len(s.resource.Violations()) > 0
--- a/tests/descriptors_test.go
+++ b/tests/descriptors_test.go
@@ -78,12 +78,12 @@
 		attached := countWithPrefix(w.engine.receivedCommands, "ATTACH")
 		w.engine.conn.Close()
 		w.engine.mu.Unlock()
-		await(t, "the engine link again", func() bool { return w.engine.countReceived("ATTACH") > attached })
+		await(t, "the engine link to reconnect", func() bool { return w.engine.countReceived("ATTACH") > attached })
 		for _, class := range classNames { // with calls; those of at-most-once classes use a new connection
 			// A new connection may be closed in favour of an idle client before its request is read, like any
 			// unused connection, and a request that waited long before it was read is rejected. Callers retry
 			// both. Any other failure means that there was no descriptor for the call.
-			await(t, "an answer", func() bool {
+			await(t, "a definite response", func() bool {
 				a, err := w.sendRequest(class, "call")
 				if err == nil && a.status != 503 {
 					assert.Equal(t, 200, a.status, "%s in round %d", class, round)
@@ -104,7 +104,7 @@
 	n, _, err := udp.ReadFrom(b)
 	require.NoError(t, err)
 	assert.Equal(t, "PULSE n3 open", string(b[:n]))
-	await(t, "a good health check", func() bool {
+	await(t, "a successful health check", func() bool {
 		a, err := w.sendFCGI("/ping", nil, "")
 		return err == nil && a.status == 200
 	})
--- a/tests/disk_play_keys_test.go
+++ b/tests/disk_play_keys_test.go
@@ -83,6 +83,6 @@
 			lost = append(lost, key)
 		}
 	}
-	require.Empty(t, lost, "acknowledged keys that are gone at s%d, of %d", node, len(acked))
+	require.Empty(t, lost, "acknowledged keys missing at s%d, of %d", node, len(acked))
 	return true
 }
--- a/tests/disk_play_report_test.go
+++ b/tests/disk_play_report_test.go
@@ -23,7 +23,7 @@
 // reportFailure logs how to repeat the scenario, its incidents, and the status of each node.
 func (p *diskScenario) reportFailure() {
 	nodes := len(p.nodeIndexes)
-	p.t.Logf("the same play again: -run '^TestDiskPlays$/^%d-nodes-seed-%d$' -seed %d -disk-plays 1", nodes, p.seed, p.seed)
+	p.t.Logf("repeat with: -run '^TestDiskPlays$/^%d-nodes-seed-%d$' -seed %d -disk-plays 1", nodes, p.seed, p.seed)
 	for n, played := range p.incidents[:min(p.next+1, len(p.incidents))] {
 		p.t.Logf("incident %d of %d nodes, seed %d: %s", n+1, nodes, p.seed, played)
 	}
@@ -50,7 +50,7 @@
 	for _, status := range statuses {
 		for _, id := range memberIDPattern.FindAllString(status.WaitingReason, -1) {
 			if !slices.Contains(present, id) {
-				p.t.Logf("seed %d of %d nodes: %s waits for ever: no node has the disk %s", p.seed, len(statuses), status.ID, id)
+				p.t.Logf("seed %d of %d nodes: %s waits forever: no node has the disk %s", p.seed, len(statuses), status.ID, id)
 			}
 		}
 	}
--- a/tests/disk_plays_test.go
+++ b/tests/disk_plays_test.go
@@ -15,7 +15,7 @@
 	"oxbowbridge/internal/testrig"
 )
 
-var diskScenarios = flag.Int("disk-plays", 1, "how many seeds, from -seed on, TestDiskPlays plays with three nodes and with five")
+var diskScenarios = flag.Int("disk-plays", 1, "number of seeds, starting at -seed, that TestDiskPlays runs with three and with five nodes")
 
 const (
 	// historyClients is the number of clients that record the history.
@@ -119,7 +119,7 @@
 	}
 	started := time.Now()
 	p.awaitRecovered()
-	p.t.Logf("incident %d: whole after %v: %s", p.next+1, time.Since(started).Round(time.Millisecond), now)
+	p.t.Logf("incident %d: recovered after %v: %s", p.next+1, time.Since(started).Round(time.Millisecond), now)
 }
 
 // copyFolders copies the folders that will be replaced by older copies. It returns the copies, and for each a
@@ -181,7 +181,7 @@
 func (p *diskScenario) awaitRecovered() {
 	p.t.Helper()
 	key, value := fmt.Sprint("whole/", p.next), fmt.Sprint(p.next)
-	await(p.t, "a whole cluster", func() bool {
+	await(p.t, "a recovered cluster", func() bool {
 		if !p.HasVoters(p.nodeIndexes...) {
 			return false
 		}
@@ -191,7 +191,7 @@
 		for _, node := range p.nodeIndexes {
 			code, text := p.Request(node, "GET", "/store/"+key, "")
 			if code != 200 {
-				require.NotEqual(p.t, 404, code, "the write is gone at s%d", node)
+				require.NotEqual(p.t, 404, code, "the write is missing at s%d", node)
 				return false
 			}
 			require.Equal(p.t, value, text)
--- a/tests/disk_waits_test.go
+++ b/tests/disk_waits_test.go
@@ -179,7 +179,7 @@
 	c.waitForLog(t, 2, "voter's disk replaced; attestation no longer required")
 	var status storeapi.Status
 	require.True(t, c.GetJSON(2, "/status", &status))
-	assert.NotZero(t, status.LastIndex, "how far the log of a waiting node is")
+	assert.NotZero(t, status.LastIndex, "last log index of a waiting node")
 	assert.Contains(t, status.WaitingReason, "as its node has "+c.memberID(1))
 	c.Start(0)
 	c.requireRecovery(t)
--- a/tests/disks_test.go
+++ b/tests/disks_test.go
@@ -32,7 +32,7 @@
 	for k := range n {
 		code, text := c.Request(node, "GET", fmt.Sprint("/store/", prefix, "/", k), "")
 		if code != 200 {
-			require.NotEqual(t, 404, code, "%s/%d is gone at node %d", prefix, k, node)
+			require.NotEqual(t, 404, code, "%s/%d is missing at node %d", prefix, k, node)
 			return false
 		}
 		require.Equal(t, fmt.Sprint(k), text)
@@ -61,10 +61,10 @@
 	c.Kill(0)
 	c.Start(1)
 	c.Start(2)
-	await(t, "a line that says what is waited for", func() bool {
+	await(t, "a log line with the awaited voters", func() bool {
 		return strings.Contains(c.nodes[2].log(), `"msg":"store not serving"`) && strings.Contains(c.nodes[2].log(), "must say that this disk is not older")
 	})
-	await(t, "an answer of the wiped node", func() bool { code, _ := c.Request(1, "GET", "/status", ""); return code == 200 })
+	await(t, "a response of the wiped node", func() bool { code, _ := c.Request(1, "GET", "/status", ""); return code == 200 })
 	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); { // the time of six elections
 		for i := 1; i <= 2; i++ {
 			code, text := c.Request(i, "GET", "/store/note/1", "")
@@ -73,7 +73,7 @@
 			require.Equal(t, 503, code, text)
 		}
 	}
-	assert.Equal(t, 1, strings.Count(c.nodes[2].log(), "must say that this disk is not older"), "one line")
+	assert.Equal(t, 1, strings.Count(c.nodes[2].log(), "must say that this disk is not older"), "logged once")
 	c.Start(0)
 	c.WaitForVoters(0, 1, 2)
 	for i := range 3 {
@@ -176,7 +176,7 @@
 			}
 		}
 		require.True(t, c.GetJSON(lead, "/self?from=x", &before))
-		await(t, "the others to have seen it", func() bool { return mark(third, old) >= before.Mark.LastIndex })
+		await(t, "the watermark to be observed", func() bool { return mark(third, old) >= before.Mark.LastIndex })
 		was := c.memberID(old)
 		c.Kill(old)
 		c.RestoreDir(old, then)
@@ -185,7 +185,7 @@
 			c.Kill(lead) // the third node and the node with the older folder now form a majority
 		}
 		c.Start(old)
-		await(t, "the verdict", func() bool { return strings.Contains(c.nodes[old].log(), "disk identity renewed") })
+		await(t, "the disk identity to be renewed", func() bool { return strings.Contains(c.nodes[old].log(), "disk identity renewed") })
 		if cut {
 			for range 20 {
 				for _, i := range []int{old, third} {
@@ -197,7 +197,7 @@
 			c.HealLinks()
 			c.Start(lead)
 		}
-		await(t, "the older disk to be forgotten", func() bool {
+		await(t, "the older disk's membership to end", func() bool {
 			m := c.Members(lead)
 			_, there := m[was]
 			return len(m) > 0 && !there
@@ -223,7 +223,7 @@
 	c.Start(lost)
 	next := c.WaitForLeader(lost)
 	c.Put(next, "note/10", "10")
-	await(t, "a line", func() bool { return strings.Contains(c.nodes[lost].log(), "must say whether there is a cluster yet") })
+	await(t, "a log line", func() bool { return strings.Contains(c.nodes[lost].log(), "must say whether there is a cluster yet") })
 	code, text := c.Request(lost, "GET", "/store/note/1", "")
 	assert.Equal(t, 503, code, text)
 	c.HealLinks()
@@ -248,10 +248,10 @@
 		}
 		return role
 	}
-	await(t, "a learner", func() bool { return role(3) == "learner" })
+	await(t, "the node to become a learner", func() bool { return role(3) == "learner" })
 	gone := (c.WaitForLeader() + 1) % 3
 	c.Kill(gone)
-	await(t, "its vote to go to the standby", func() bool { return role(3) == "voter" && role(gone) == "learner" })
+	await(t, "the standby to become a voter", func() bool { return role(3) == "voter" && role(gone) == "learner" })
 	c.Start(gone)
 	await(t, "all keys", func() bool { return hasWrittenKeys(t, c, 3, "note", 10) && hasWrittenKeys(t, c, gone, "note", 10) })
 	nodes := "--nodes=" + strings.Join(c.client().Nodes, ",")
@@ -263,22 +263,22 @@
 	name := c.Peers[3].Name
 	run("remove", name)
 	c.WaitForVoters(0, 1, 2) // the node that was stopped takes its vote
-	await(t, "a refusal", func() bool { return strings.Contains(c.nodes[3].log(), "was removed") })
+	await(t, "the node to be refused as removed", func() bool { return strings.Contains(c.nodes[3].log(), "was removed") })
 	c.Kill(3)
 	c.WipeDir(3)
 	c.Start(3)
-	await(t, "a refusal after its folder was wiped", func() bool { return strings.Contains(c.nodes[3].log(), "was removed") })
+	await(t, "the wiped node to be refused as removed", func() bool { return strings.Contains(c.nodes[3].log(), "was removed") })
 	assert.Contains(t, run("members"), "s0@")
 	var m struct{ Removed []string }
 	require.NoError(t, json.Unmarshal([]byte(run("members", "--json")), &m))
 	assert.Equal(t, []string{name}, m.Removed)
 	run("add", name)
-	await(t, "a learner again", func() bool { return role(3) == "learner" })
+	await(t, "the node to become a learner again", func() bool { return role(3) == "learner" })
 	run("promote", name)
-	await(t, "a vote", func() bool { return role(3) == "voter" })
+	await(t, "the node to become a voter", func() bool { return role(3) == "voter" })
 	lead := c.WaitForLeader()
 	run("remove", c.Peers[lead].Name)
-	await(t, "the leader to be gone", func() bool { return c.WaitForLeader(lead) != lead && role(lead) == "" })
+	await(t, "the leader to be removed", func() bool { return c.WaitForLeader(lead) != lead && role(lead) == "" })
 	_, errs, code := runCLI(t, "", "store", "remove", "nobody", nodes)
 	assert.Equal(t, 1, code)
 	assert.Contains(t, errs, "no such member")
@@ -307,16 +307,16 @@
 	section := c.StoreConfig(3)
 	section["peers"], section["voters"] = c.Peers[alone:alone+1], 3
 	c.Launch(3, section)
-	await(t, "a line", func() bool { return strings.Contains(c.nodes[3].log(), `"msg":"join request not granted"`) })
+	await(t, "a log line", func() bool { return strings.Contains(c.nodes[3].log(), `"msg":"join request not granted"`) })
 	code, text := c.Request(3, "GET", "/store/note/1", "")
 	assert.Equal(t, 503, code, text)
 	for i := range 3 {
 		c.Resume(i)
 	}
 	await(t, "all keys", func() bool { return hasWrittenKeys(t, c, 3, "note", 10) })
-	assert.Empty(t, c.Members(alone), "it is still cut off")
+	assert.Empty(t, c.Members(alone), "the isolated node knows no members")
 	c.HealLinks()
-	await(t, "it to be seen everywhere", func() bool { return len(c.Members(alone)) == 4 })
+	await(t, "the new member at the isolated node", func() bool { return len(c.Members(alone)) == 4 })
 }
 
 // TestLeaderLostInStep kills the leader during each kind of membership change, and later all nodes. The next
@@ -334,25 +334,25 @@
 	lead := c.WaitForLeader()
 	joins := said(lead, `"step":"learner"`)
 	c.Start(3)
-	await(t, "a join", joins)
+	await(t, "a learner to be added", joins)
 	c.Kill(lead) // while the learner is being added; the killed leader is then the voter to replace
 	next := c.WaitForLeader(lead)
-	await(t, "a promotion", said(next, `"step":"promote"`))
+	await(t, "a promotion to voter", said(next, `"step":"promote"`))
 	c.Kill(next)
 	c.Start(lead)
 	next2 := c.WaitForLeader(next)
 	c.Start(next)
 	out := (next2 + 1) % 4
-	await(t, "a wish", func() bool {
+	await(t, "a removal to be accepted", func() bool {
 		code, _ := c.Request(next2, "DELETE", "/members/"+c.Peers[out].Name, "")
 		return code == 204
 	})
-	await(t, "its vote to be taken", func() bool { return c.Members(next2)[c.memberID(out)].Role != "voter" })
+	await(t, "the member to be demoted", func() bool { return c.Members(next2)[c.memberID(out)].Role != "voter" })
 	c.KillAll()
 	for i := range 4 {
 		c.Start(i)
 	}
-	await(t, "it to be removed", func() bool {
+	await(t, "the member to be removed", func() bool {
 		m := c.Members(c.WaitForLeader())
 		voters := 0
 		for _, x := range m {
@@ -391,7 +391,7 @@
 			}
 			lines := strings.Count(c.nodes[bad].log(), `"msg":"incarnation ended"`)
 			c.InjectFault(bad, cue)
-			await(t, "a line on its disk", func() bool {
+			await(t, "a log line on the failed incarnation", func() bool {
 				c.Request(good, "PUT", "/store/poke", "1")
 				return strings.Count(c.nodes[bad].log(), `"msg":"incarnation ended"`) > lines
 			})
@@ -416,12 +416,12 @@
 	c := newStoppedCluster(t, 3, 3)
 	c.Bootstrap()
 	writeKeys(c, 0, "note", 20)
-	await(t, "its keys", func() bool { return hasWrittenKeys(t, c, 2, "note", 20) })
+	await(t, "all keys at the node", func() bool { return hasWrittenKeys(t, c, 2, "note", 20) })
 	var st struct{ Cluster string }
 	await(t, "the cluster's id", func() bool { return c.GetJSON(2, "/status", &st) && st.Cluster != "" })
 	config := c.nodes[2].configPath
 	_, errs, code := runCLI(t, "", "store", "recover", config)
-	assert.Equal(t, 1, code, "it runs")
+	assert.Equal(t, 1, code, "the node is running")
 	assert.Contains(t, errs, "in use")
 	c.KillAll()
 	out, errs, code := runCLI(t, "", "store", "recover", config)
@@ -432,7 +432,7 @@
 	assert.Equal(t, 1, code)
 	assert.Contains(t, errs, "not confirmed")
 	c.Start(2)
-	await(t, "it to wait", func() bool { return strings.Contains(c.nodes[2].log(), "must say that this disk is not older") })
+	await(t, "the node to wait for attestations", func() bool { return strings.Contains(c.nodes[2].log(), "must say that this disk is not older") })
 	c.Kill(2)
 	_, errs, code = runCLI(t, "", "store", "recover", config, "--cluster", st.Cluster)
 	require.Zero(t, code, errs)
@@ -443,8 +443,8 @@
 	c.Start(0)
 	c.Start(1)
 	for i := range 2 {
-		await(t, "a line", func() bool { return strings.Contains(c.nodes[i].log(), "recovered as") })
-		await(t, "no answer", func() bool { code, _ := c.Request(i, "GET", "/store/note/1", ""); return code == 503 })
+		await(t, "a log line", func() bool { return strings.Contains(c.nodes[i].log(), "recovered as") })
+		await(t, "a 503 response", func() bool { code, _ := c.Request(i, "GET", "/store/note/1", ""); return code == 503 })
 	}
 	c.WaitForVoters(2)
 	for i := range 2 {
@@ -464,7 +464,7 @@
 	t.Parallel()
 	c := newRunningCluster(t, nil)
 	writeKeys(c, 0, "note", 30)
-	await(t, "its keys", func() bool { return hasWrittenKeys(t, c, 1, "note", 30) })
+	await(t, "all keys at the node", func() bool { return hasWrittenKeys(t, c, 1, "note", 30) })
 	was := c.memberID(1)
 	c.Kill(1)
 	logs, err := filepath.Glob(filepath.Join(c.Dirs[1], "*.log"))
@@ -477,8 +477,8 @@
 	}
 	require.NoError(t, os.WriteFile(logs[0], text, 0o600))
 	c.Start(1)
-	await(t, "a line", func() bool { return strings.Contains(c.nodes[1].log(), "storage folder set aside") })
-	await(t, "the old disk to be forgotten", func() bool {
+	await(t, "a log line", func() bool { return strings.Contains(c.nodes[1].log(), "storage folder set aside") })
+	await(t, "the old disk's membership to end", func() bool {
 		m := c.Members(0)
 		_, there := m[was]
 		return len(m) > 0 && !there
@@ -508,7 +508,7 @@
 	}
 	c.Bootstrap()
 	writeKeys(c, 0, "note", 20)
-	await(t, "three disks in place of three names", func() bool {
+	await(t, "member IDs with disk identities", func() bool {
 		m, disks := c.Members(c.WaitForLeader()), 0
 		for id, x := range m {
 			if strings.Contains(id, "@") && x.Role == "voter" {
@@ -555,7 +555,7 @@
 	require.NoError(t, disk.Close())
 	c.Start(odd)
 	writeKeys(c, other, "more", 40)
-	await(t, "the node to find out", func() bool {
+	await(t, "the node to detect the difference", func() bool {
 		return strings.Contains(c.nodes[odd].log(), "the state differs from that of most other nodes: at entry ")
 	})
 	c.WaitForVoters(0, 1, 2)
@@ -563,5 +563,5 @@
 	c.WaitForValue(odd, "note/one", `"as most have it"`)
 	await(t, "all keys", func() bool { return hasWrittenKeys(t, c, odd, "more", 40) })
 	c.WaitForEqualData(0, 1, 2)
-	assert.DirExists(t, c.Dirs[odd]+".refused-1", "what it had is kept for whoever looks into it")
+	assert.DirExists(t, c.Dirs[odd]+".refused-1", "the rejected folder is kept for inspection")
 }
--- a/tests/durable_test.go
+++ b/tests/durable_test.go
@@ -19,7 +19,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-var loadKills = flag.Int("kills", 8, "how often TestLoadKilled kills a load")
+var loadKills = flag.Int("kills", 8, "number of loads that TestLoadKilled kills")
 
 // runCLI runs a command of the program and waits for it to exit.
 func runCLI(t *testing.T, in string, args ...string) (out, errs string, code int) {
@@ -107,7 +107,7 @@
 	assert.Contains(t, errs, `"lost_keys": 1`)
 	_, _, code = runCLI(t, "", "durable", "verify", dir)
 	assert.Equal(t, 3, code)
-	assert.Equal(t, before, readFolder(t, dir), "reading changes nothing")
+	assert.Equal(t, before, readFolder(t, dir), "verify and dump change no file")
 	require.NoError(t, os.Truncate(log, 70))
 	_, errs, code = runCLI(t, "", "durable", "load", dir)
 	assert.Equal(t, 3, code)
--- a/tests/endings_test.go
+++ b/tests/endings_test.go
@@ -22,8 +22,8 @@
 func requireOrderlyClose(t *testing.T, c net.Conn, r io.Reader) {
 	t.Helper()
 	rest, err := io.ReadAll(r)
-	require.NoError(t, err, "reset, or still open")
-	require.Empty(t, rest, "more than was owed")
+	require.NoError(t, err, "connection reset or still open")
+	require.Empty(t, rest, "unexpected data after the pending responses")
 }
 
 // awaitListenersClosed waits until the service refuses connections.
@@ -69,24 +69,24 @@
 			defer c.Close()
 			_, err = c.Write(append(fcgiRequest(1, "/call/nom-submit", requestHeaders(trace), []byte("hold")), tt.then...))
 			require.NoError(t, err)
-			await(t, "the run", func() bool { return w.engine.heldRuns() == held+1 })
+			await(t, "the run to start", func() bool { return w.engine.heldRuns() == held+1 })
 			for range tt.answers {
 				id, _, _, err := c.readResponse()
 				require.NoError(t, err)
 				require.NotEqual(t, uint16(1), id)
 			}
 			if strings.HasPrefix(what, "half") {
-				await(t, "the half to be given up", func() bool { return strings.Count(w.log(), "callers stalled") > given })
+				await(t, "the incomplete message to time out", func() bool { return strings.Count(w.log(), "callers stalled") > given })
 			}
 			refused := newTraceID() // nothing may start on a connection that is about to close
 			_, err = c.Write(fcgiRequest(5, "/call/nom-submit", requestHeaders(refused), []byte("ok")))
 			require.NoError(t, err)
 			if what != "garbage" {
-				await(t, "what follows to be read", func() bool { return w.responseStatus("nom-submit", "ok") == 200 })
+				await(t, "the later request to be read", func() bool { return w.responseStatus("nom-submit", "ok") == 200 })
 			}
 			w.engine.releaseHeld()
 			id, a, _, err := c.readResponse()
-			require.NoError(t, err, "the answer that was owed")
+			require.NoError(t, err, "pending response lost")
 			assert.Equal(t, uint16(1), id)
 			assert.Equal(t, "result of "+trace, a.body)
 			requireOrderlyClose(t, c, c.r)
@@ -100,7 +100,7 @@
 	held := w.engine.heldRuns()
 	_, err = c.Write(append(append(ajpForwardRequest("/call/nom-submit", "s3", requestHeaders(trace), 4), ajpBodyChunk([]byte("hold"))...), "garbage"...))
 	require.NoError(t, err)
-	await(t, "the run", func() bool { return w.engine.heldRuns() == held+1 })
+	await(t, "the run to start", func() bool { return w.engine.heldRuns() == held+1 })
 	w.engine.releaseHeld()
 	a, err := c.readResponse(nil)
 	require.NoError(t, err)
@@ -144,7 +144,7 @@
 	assert.Equal(t, 503, a.status)
 	requireOrderlyClose(t, half, half.r)
 	_, err = idle.Read(make([]byte, 1))
-	assert.Equal(t, io.EOF, err, "a reset")
+	assert.Equal(t, io.EOF, err, "connection reset")
 	w.requireCleanExit() // although neither peer has closed its side
 	assert.Zero(t, w.engine.countReceived("RUN "+crossed))
 	assert.Zero(t, w.engine.countReceived("RUN "+trace))
@@ -213,7 +213,7 @@
 				}
 			}()
 		}
-		await(t, "load", func() bool { return w.engine.countReceived("RUN") > 50 })
+		await(t, "requests to complete", func() bool { return w.engine.countReceived("RUN") > 50 })
 		require.NoError(t, w.Signal(syscall.SIGTERM))
 		for range 8 {
 			<-done
@@ -222,7 +222,7 @@
 		close(lost)
 		for l := range lost {
 			assert.ErrorIs(t, l.err, io.EOF, l.trace)
-			assert.Zero(t, w.engine.countReceived("RUN "+l.trace), "ran, and its caller never heard")
+			assert.Zero(t, w.engine.countReceived("RUN "+l.trace), "ran, but its caller got no response")
 		}
 	}
 }
@@ -254,14 +254,14 @@
 	go func() { exit <- early.Wait() }()
 	select {
 	case err := <-exit:
-		assert.NoError(t, err, "told to leave before it had read its file")
+		assert.NoError(t, err, "SIGTERM before the configuration was read")
 	case <-time.After(awaitTimeout):
-		t.Fatal("told to leave before it had read its file, and still there")
+		t.Fatal("SIGTERM before the configuration was read, but the process has not exited")
 	}
 
 	old, trace := w.records, newTraceID()
 	got := w.sendAsync("nom-submit", trace, "hold")
-	await(t, "a run", func() bool { return w.engine.heldRuns() == 1 })
+	await(t, "a run to start", func() bool { return w.engine.heldRuns() == 1 })
 	require.NoError(t, w.Signal(syscall.SIGTERM))
 	w.awaitDrainStarted()
 	w.records = newRecordsStandin(t)
@@ -306,7 +306,7 @@
 	w := &testbed{service: s, engine: e}
 	await(t, "ATTACH", func() bool { return e.countReceived("ATTACH") == 1 })
 	got := w.sendAsync("nom-submit", newTraceID(), "ok") // the admission controller must decide on it
-	await(t, "a connection to be read", func() bool { return w.healthStatus() == 503 })
+	await(t, "the request to be read", func() bool { return w.healthStatus() == 503 })
 	for range 20 {
 		require.Equal(t, 503, w.healthStatus())
 	}
@@ -335,9 +335,9 @@
 	w.engine.mu.Unlock()
 	trace, submit := newTraceID(), newTraceID()
 	got, never := w.sendAsync("balance-view", trace, "ok"), w.sendAsync("nom-submit", submit, "ok")
-	await(t, "a RUN in vain", func() bool { return w.engine.countReceived("RUN "+trace) == 1 })
-	await(t, "a RUN that may not be repeated", func() bool { return w.engine.countReceived("RUN "+submit) == 1 })
-	await(t, "another link", func() bool { return w.engine.countReceived("ATTACH") == 2 })
+	await(t, "an unanswered RUN", func() bool { return w.engine.countReceived("RUN "+trace) == 1 })
+	await(t, "RUN of the at-most-once request", func() bool { return w.engine.countReceived("RUN "+submit) == 1 })
+	await(t, "another engine link", func() bool { return w.engine.countReceived("ATTACH") == 2 })
 	w.engine.mu.Lock()
 	w.engine.ignoresCommands = false
 	w.engine.mu.Unlock()
@@ -381,14 +381,14 @@
 		return c
 	}
 	unread := send(newTraceID(), "ok")
-	await(t, "a run", func() bool { return w.engine.countReceived("RUN") == 1 })
+	await(t, "a run to start", func() bool { return w.engine.countReceived("RUN") == 1 })
 	w.records.setReply("silence")
 	calling := newTraceID()
 	called := send(calling, "call")
-	await(t, "a call", func() bool { return w.records.countReceived("OP "+calling) == 1 })
+	await(t, "a call to the records service", func() bool { return w.records.countReceived("OP "+calling) == 1 })
 	running := newTraceID()
 	ran := send(running, "hold")
-	await(t, "a run", func() bool { return w.engine.heldRuns() == 1 })
+	await(t, "a run to start", func() bool { return w.engine.heldRuns() == 1 })
 	late := newTraceID()
 	held := send(late, "ok")
 	half := dial()
@@ -396,7 +396,7 @@
 	request := fcgiRequest(1, "/call/nom-submit", requestHeaders(last), []byte("ok"))
 	_, err := half.Write(request[:len(request)/2])
 	require.NoError(t, err)
-	assert.Equal(t, 200, w.healthStatus(), "all before it is read")
+	assert.Equal(t, 200, w.healthStatus(), "everything sent before is read")
 	require.NoError(t, w.Signal(syscall.SIGTERM))
 	w.awaitDrainStarted()
 	_, err = half.Write(request[len(request)/2:])
@@ -433,12 +433,12 @@
 	require.NoError(t, err)
 	_, err = c.Write(fcgiRequest(1, "/call/nom-submit", requestHeaders(trace), []byte("hold")))
 	require.NoError(t, err)
-	await(t, "a run", func() bool { return w.engine.heldRuns() == 1 })
+	await(t, "a run to start", func() bool { return w.engine.heldRuns() == 1 })
 	c.Close()
 	await(t, "HALT", func() bool { return w.engine.countReceived("HALT "+trace) == 1 })
 	a, err := w.sendFCGI("/call/nom-submit", requestHeaders(trace), "ok")
 	require.NoError(t, err)
-	assert.Equal(t, 500, a.status, "it may have had its effect")
+	assert.Equal(t, 500, a.status, "the run may have taken effect")
 	assert.Equal(t, 200, w.responseStatus("nom-submit", "ok"))
 	assert.Equal(t, 1, w.engine.runCounts[trace])
 	w.terminate()
@@ -455,11 +455,11 @@
 	defer half.Close()
 	_, err = half.Write(request[:len(request)/2])
 	require.NoError(t, err)
-	assert.Equal(t, 200, w.healthStatus(), "the half is read")
+	assert.Equal(t, 200, w.healthStatus(), "the first half is read")
 	for range 40 { // within the time limit for an incomplete message
 		dialAndWrite(t, w.fcgiAddr)
 	}
-	assert.Equal(t, 200, w.healthStatus(), "the forty are taken")
+	assert.Equal(t, 200, w.healthStatus(), "the forty connections are accepted")
 	_, err = half.Write(request[len(request)/2:])
 	require.NoError(t, err)
 	_, a, _, err := half.readResponse()
--- a/tests/examples_test.go
+++ b/tests/examples_test.go
@@ -109,14 +109,14 @@
 	require.NoError(t, err)
 	_, err = d.Write(append(ajpForwardRequest("/call/nom-submit", "s3", requestHeaders(second), 4), ajpBodyChunk([]byte("hold"))...))
 	require.NoError(t, err)
-	await(t, "two runs", func() bool { return w.engine.heldRuns() == 2 })
+	await(t, "two runs to start", func() bool { return w.engine.heldRuns() == 2 })
 	_, err = c.Write(fcgiRecord(2, 1, nil)) // ABORT_REQUEST
 	require.NoError(t, err)
 	id, _, _, err := c.readResponse()
 	require.NoError(t, err)
 	assert.EqualValues(t, 1, id)
 	d.Close()
-	await(t, "both to be stopped", func() bool {
+	await(t, "both runs to be stopped", func() bool {
 		return w.engine.countReceived("HALT "+first) == 1 && w.engine.countReceived("HALT "+second) == 1
 	})
 	w.engine.mu.Lock()
--- a/tests/faults_test.go
+++ b/tests/faults_test.go
@@ -133,20 +133,20 @@
 }
 
 // seed is the first seed of the fault schedules.
-var seed = flag.Uint64("seed", 11, "of the faults' schedules")
+var seed = flag.Uint64("seed", 11, "seed of the fault schedules")
 
 // logSeedOnFailure logs, on failure, the flags that repeat the schedule.
 func logSeedOnFailure(t *testing.T) {
 	t.Cleanup(func() {
 		if t.Failed() {
-			t.Logf("the same schedule again: -run '^%s$' -seed %d", t.Name(), *seed)
+			t.Logf("repeat the schedule with: -run '^%s$' -seed %d", t.Name(), *seed)
 		}
 	})
 }
 
 // changeMember removes a member (DELETE) or admits it again (PUT).
 func (c *cluster) changeMember(method string, node int) {
-	testrig.Await(c.T, "a change of the members", func() bool {
+	testrig.Await(c.T, "a membership change", func() bool {
 		code, _ := c.Request(c.WaitForLeader(), method, "/members/"+c.Peers[node].Name, "")
 		return code == 204
 	})
@@ -187,8 +187,8 @@
 		{Name: "leader killed", IsolatesLeader: true, Inject: w.Kill, Recover: w.Start},
 		{Name: "leader cut off", IsolatesLeader: true, Inject: around(testrig.LinkMode{Cut: true}, testrig.LinkMode{Cut: true}), Recover: heal},
 		{Name: "leader stopped", IsolatesLeader: true, Inject: w.Pause, Recover: w.Resume},
-		{Name: "leader not heard", IsolatesLeader: true, Inject: around(testrig.LinkMode{StallRequests: true}, testrig.LinkMode{}), Recover: heal},
-		{Name: "leader half open", IsolatesLeader: true, Inject: around(held, held), Recover: heal},
+		{Name: "leader's messages stalled", IsolatesLeader: true, Inject: around(testrig.LinkMode{StallRequests: true}, testrig.LinkMode{}), Recover: heal},
+		{Name: "leader's links stalled", IsolatesLeader: true, Inject: around(held, held), Recover: heal},
 		{Name: "all killed", Inject: all(w.Kill), Recover: all(w.Start)},
 		{Name: "follower cut off", Inject: func(i int) { w.SetNodeLinks((i+1)%3, testrig.LinkMode{Cut: true}, testrig.LinkMode{Cut: true}) }, Recover: func(i int) { heal((i + 1) % 3) }},
 		{Name: "all links slow", Inject: all(around(testrig.LinkMode{Delay: 30 * time.Millisecond}, testrig.LinkMode{Delay: 30 * time.Millisecond})), Recover: all(heal)},
@@ -202,14 +202,14 @@
 	faults = append(faults,
 		testrig.Fault{Name: "leader's disk lost", IsolatesLeader: true, Inject: func(i int) { w.Kill(i); w.WipeDir(i); w.Start(i) }, Recover: strong},
 		testrig.Fault{Name: "follower's disk lost", Inject: func(i int) { w.ReplaceDisk((i + 1) % 3) }, Recover: strong},
-		testrig.Fault{Name: "folder goes back", Inject: func(i int) { older[(i+1)%3] = w.CopyDir((i + 1) % 3) }, Recover: func(i int) {
+		testrig.Fault{Name: "folder replaced by older copy", Inject: func(i int) { older[(i+1)%3] = w.CopyDir((i + 1) % 3) }, Recover: func(i int) {
 			i = (i + 1) % 3
 			w.Kill(i)
 			w.RestoreDir(i, older[i])
 			w.Start(i)
 			strong(i)
 		}},
-		testrig.Fault{Name: "member removed, and let in again", Inject: func(i int) { w.changeMember("DELETE", (i+1)%3) }, Recover: func(i int) {
+		testrig.Fault{Name: "member removed and added again", Inject: func(i int) { w.changeMember("DELETE", (i+1)%3) }, Recover: func(i int) {
 			w.changeMember("PUT", (i+1)%3)
 			strong(i)
 		}})
--- a/tests/fronts_test.go
+++ b/tests/fronts_test.go
@@ -55,8 +55,8 @@
 	}
 	id, _, proto, err := c.readResponse()
 	require.NoError(t, err)
-	assert.Equal(t, []int{33, 2}, []int{int(id), int(proto)}, "the 33rd is OVERLOADED")
-	await(t, "32 runs", func() bool { return w.engine.heldRuns() == 32 })
+	assert.Equal(t, []int{33, 2}, []int{int(id), int(proto)}, "the 33rd request gets OVERLOADED")
+	await(t, "32 runs to start", func() bool { return w.engine.heldRuns() == 32 })
 	time.Sleep(1200 * time.Millisecond) // the time of two scans for idle connections
 	w.engine.releaseHeld()
 	seen := map[uint16]bool{}
@@ -68,7 +68,7 @@
 		seen[id] = true
 	}
 	_, _, _, err = c.readResponse()
-	assert.ErrorContains(t, err, "EOF", "closed once it is idle")
+	assert.ErrorContains(t, err, "EOF", "closed once idle")
 }
 
 // TestFastCGIBadInput: malformed input fails its request or closes its connection, with one log line.
@@ -98,7 +98,7 @@
 		await(t, tt.logs, func() bool { return strings.Count(w.log(), tt.logs) == 1 })
 	}
 	a, err := c.do("/call/nom-submit", requestHeaders(newTraceID()), []byte("ok"))
-	require.NoError(t, err, "the connection goes on")
+	require.NoError(t, err, "the connection stays open")
 	assert.Equal(t, 200, a.status)
 	_, err = c.Write(fcgiRecord(1, 7, []byte{0, 9, 1, 0, 0, 0, 0, 0}))
 	require.NoError(t, err)
@@ -115,7 +115,7 @@
 	require.NoError(t, err)
 	_, _, _, err = c.readResponse()
 	assert.Error(t, err, "closed")
-	await(t, "a line", func() bool {
+	await(t, "a log line", func() bool {
 		return strings.Count(w.log(), `"malformed input, connection closed","name":"n3","protocol":"FastCGI"`) == 1
 	})
 	assert.Equal(t, 200, w.responseStatus("nom-submit", "ok"))
@@ -152,12 +152,12 @@
 		_, err := c.Write(fcgiRequest(uint16(i+1), "/call/nom-submit", fields, []byte("silence")))
 		require.NoError(t, err)
 	}
-	await(t, "four runs", func() bool { return w.engine.countReceived("RUN") == 4 })
+	await(t, "four runs to start", func() bool { return w.engine.countReceived("RUN") == 4 })
 	fields := requestHeaders(newTraceID())
 	fields["Accepted-At-Ms"] = strconv.FormatInt(time.Now().Add(-time.Minute).UnixMilli(), 10)
 	past, err := w.sendFCGI("/call/nom-submit", fields, "ok")
 	require.NoError(t, err)
-	assert.Equal(t, 503, past.status, "past its due time: never run")
+	assert.Equal(t, 503, past.status, "past its deadline: not run")
 	assert.Equal(t, 4, w.engine.countReceived("RUN"))
 	for _, want := range []uint16{4, 3} { // in order of deadlines, the reverse of the order of reading
 		id, a, _, err := c.readResponse()
@@ -187,7 +187,7 @@
 	assert.Equal(t, "result of "+trace, a.body)
 	a, err = c.do("/call/nom-submit", requestHeaders(newTraceID()), append([]byte("ok"), bytes.Repeat([]byte(" "), 2000)...))
 	require.NoError(t, err)
-	assert.Equal(t, 500, a.status, "a body of three pieces, which the engine doesn't know")
+	assert.Equal(t, 500, a.status, "a body in three chunks, which the engine stand-in does not handle")
 	a, err = c.do("/ping", nil, nil)
 	require.NoError(t, err)
 	assert.Equal(t, 200, a.status)
@@ -212,7 +212,7 @@
 	c.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
 	_, err = c.readPacket()
 	assert.Error(t, err, "closed")
-	await(t, "a line", func() bool {
+	await(t, "a log line", func() bool {
 		return strings.Count(w.log(), `"malformed input, connection closed","name":"n3","protocol":"AJP"`) == 1
 	})
 	w.terminate()
@@ -232,7 +232,7 @@
 		require.ErrorAs(t, err, &exit, want)
 		assert.Equal(t, 2, exit.ExitCode(), want)
 	case <-time.After(awaitTimeout):
-		t.Fatal("still there: ", want)
+		t.Fatal("process has not exited: ", want)
 	}
 	assert.Equal(t, 1, strings.Count(s.log(), "\n"), s.log())
 	assert.Contains(t, s.log(), want)
@@ -290,7 +290,7 @@
 	})
 	require.Equal(t, "PULSE n3 open", next())
 	got := w.sendAsync("nom-submit", newTraceID(), "hold")
-	await(t, "a run", func() bool { return w.engine.heldRuns() == 1 })
+	await(t, "a run to start", func() bool { return w.engine.heldRuns() == 1 })
 	require.NoError(t, w.cmd.Process.Signal(os.Interrupt))
 	for s := next(); s != "PULSE n3 closed"; s = next() {
 		require.Equal(t, "PULSE n3 open", s)
--- a/tests/guards_test.go
+++ b/tests/guards_test.go
@@ -92,7 +92,7 @@
 			require.NoError(t, err)
 			defer c.Close()
 			a, err := c.do("/call/nom-submit", requestHeaders(newTraceID()), []byte("ok"))
-			require.NoError(t, err, "the %dth that asks once and stays", i)
+			require.NoError(t, err, "connection %d, which sends one request and stays open", i)
 			assert.Equal(t, 200, a.status)
 		}
 	}
@@ -168,7 +168,7 @@
 	}
 	runs = w.engine.countReceived("RUN")
 	for i := 0; ; i++ {
-		require.Less(t, i, 100, "a caller of nothing but faults")
+		require.Less(t, i, 100, "a connection with nothing but malformed requests")
 		if _, err := c.do("/call/other", requestHeaders(newTraceID()), nil); err != nil {
 			break
 		}
@@ -204,10 +204,10 @@
 	first, second := newTraceID(), newTraceID()
 	c := dialAndWrite(t, w.fcgiAddr, fcgiRequest(1, "/call/nom-submit", requestHeaders(first), []byte("hold")))
 	d := dialAndWrite(t, w.ajpAddr, append(ajpForwardRequest("/call/nom-submit", "s3", requestHeaders(second), 4), ajpBodyChunk([]byte("hold"))...))
-	await(t, "two runs", func() bool { return w.engine.heldRuns() == 2 })
+	await(t, "two runs to start", func() bool { return w.engine.heldRuns() == 2 })
 	c.Close()
 	d.Close()
-	await(t, "both to be stopped", func() bool {
+	await(t, "both runs to be stopped", func() bool {
 		return w.engine.countReceived("HALT "+first) == 1 && w.engine.countReceived("HALT "+second) == 1
 	})
 	assert.Equal(t, 200, w.responseStatus("nom-submit", "ok"))
--- a/tests/lease_lost_test.go
+++ b/tests/lease_lost_test.go
@@ -51,7 +51,7 @@
 	}()
 	await(t, "the command to run", exists(started)) // the lease is granted, and the command handles SIGTERM
 	setAll(testrig.LinkMode{StallRequests: true, StallResponses: true})
-	await(t, "the command to be told to stop", exists(stopRequested))
+	await(t, "SIGTERM to the command", exists(stopRequested))
 	afterStop(func() { setAll(testrig.LinkMode{}) })
 	require.NoError(t, os.WriteFile(mayEnd, nil, 0o600))
 	return <-ended
@@ -81,7 +81,7 @@
 	assert.Regexp(t, `(?m)^oxbowbridge: command stopped: lease could not be kept alive in time: long \(last keep-alive: .*deadline exceeded.*\)$`, r.errs)
 	assert.NotContains(t, r.errs, "lease is lost")
 	code, _ := c.requestWithRetry(0, "GET", "/lease/long", "")
-	assert.Equal(t, 404, code, "it was given back")
+	assert.Equal(t, 404, code, "the lease was released")
 }
 
 // TestStoppedWithoutAnswer guards against a `lease run` that claims to know the state of its lease when no node
--- a/tests/leases_test.go
+++ b/tests/leases_test.go
@@ -26,7 +26,7 @@
 
 // acquireLease requests a lease at a node until it gets a definite response.
 func (c *cluster) acquireLease(node int, name, body string) (code int, l storeapi.LeaseStatus) {
-	testrig.Await(c.T, "an answer to a request for a lease", func() bool {
+	testrig.Await(c.T, "a response to a lease request", func() bool {
 		var text string
 		code, text = c.Request(node, "POST", "/lease/"+name, body)
 		l = storeapi.LeaseStatus{}
@@ -65,7 +65,7 @@
 	code, first := c.acquireLease(0, "job/a", `{"holder":"h1","ttl_ms":60000}`)
 	require.Equal(t, 200, code)
 	code, same := c.acquireLease(1, "job/a", `{"holder":"h1","ttl_ms":60000}`)
-	assert.Equal(t, []any{200, first.Token}, []any{code, same.Token}, "its answer was lost")
+	assert.Equal(t, []any{200, first.Token}, []any{code, same.Token}, "repeated request after a lost response")
 	code, held := c.acquireLease(2, "job/a", `{"holder":"h2","ttl_ms":60000}`)
 	assert.Equal(t, []any{409, "h1", first.Token}, []any{code, held.Holder, held.Token})
 	for i := range 3 {
@@ -289,7 +289,7 @@
 	require.NoError(t, err)
 	defer db.Close()
 	holder := func(name string) (node int, token uint64) {
-		await(t, "a holder of "+name, func() bool {
+		await(t, "a lease holder of "+name, func() bool {
 			var l storeapi.LeaseStatus
 			if !c.GetJSON(c.WaitForLeader(), "/lease/"+name, &l) {
 				return false
@@ -316,13 +316,13 @@
 		return names
 	}
 	c.Put(0, "note/1", "1")
-	await(t, "the store of record", func() bool { return isMirrored(db, "note/1") })
+	await(t, "the key in the SQL mirror", func() bool { return isMirrored(db, "note/1") })
 	await(t, "three backups", func() bool { return len(backups()) >= 3 })
 	var at0, at1 int64
 	for _, name := range backups() {
 		_, err := fmt.Sscanf(name, "oxbowbridge-%d-", &at1)
 		require.NoError(t, err)
-		assert.GreaterOrEqual(t, at1-at0, int64(999), "two in one period: %s", name)
+		assert.GreaterOrEqual(t, at1-at0, int64(999), "two backups in one period: %s", name)
 		at0 = at1
 	}
 	at, token := holder("fleet/mirror")
@@ -330,12 +330,12 @@
 	// an SQLite transaction, whose lock would remain (see TestRecordIsLocked).
 	withDatabaseLocked(t, db, "EXCLUSIVE", func() { c.Pause(at) })
 	next := (at + 1) % 3
-	await(t, "another holder", func() bool {
+	await(t, "another lease holder", func() bool {
 		var l storeapi.LeaseStatus
 		return c.GetJSON(next, "/lease/fleet/mirror", &l) && l.Token > token
 	})
 	c.Put(next, "note/2", "2")
-	await(t, "the store of record by another", func() bool { return isMirrored(db, "note/2") })
+	await(t, "the key in the SQL mirror, by another node", func() bool { return isMirrored(db, "note/2") })
 	c.Resume(at)
 	c.WaitForValue(at, "note/2", "2")
 	newest := backups()
@@ -347,8 +347,8 @@
 	})
 	c.Start(at)
 	finished, temporary := files()
-	assert.LessOrEqual(t, len(finished), 4, "one may just have been written")
-	assert.LessOrEqual(t, len(temporary), 1, "one may be being written")
+	assert.LessOrEqual(t, len(finished), 4, "more backups than the retention limit and one new one")
+	assert.LessOrEqual(t, len(temporary), 1, "more than one unfinished backup")
 	for _, name := range finished {
 		text, err := os.ReadFile(filepath.Join(dir, name))
 		if os.IsNotExist(err) {
@@ -362,7 +362,7 @@
 	_, err = db.Exec(`UPDATE oxbowbridge_lease SET token = 9000000000000000`)
 	require.NoError(t, err)
 	c.Put(0, "note/3", "3")
-	await(t, "a refusal by the database", func() bool {
+	await(t, "a write rejected by the database", func() bool {
 		for i := range 3 {
 			var st storeapi.Status
 			if c.GetJSON(i, "/status", &st) && strings.Contains(st.SQLError, "higher token") {
@@ -413,15 +413,15 @@
 		}
 	}
 	c.Put(0, "note/1", "1")
-	await(t, "the store of record", func() bool { return isMirrored(db, "note/1") })
+	await(t, "the key in the SQL mirror", func() bool { return isMirrored(db, "note/1") })
 	withDatabaseLocked(t, db, "IMMEDIATE", func() {
 		c.Put(0, "note/2", "2")
 		c.WaitForValue(0, "note/2", "2")
-		await(t, "the reason", says("locked"))
+		await(t, "the reported reason", says("locked"))
 		assert.False(t, isMirrored(db, "note/2"))
 	})
-	await(t, "the record to catch up", func() bool { return isMirrored(db, "note/2") })
-	await(t, "no reason any more", says(""))
+	await(t, "the SQL mirror to catch up", func() bool { return isMirrored(db, "note/2") })
+	await(t, "the reported reason to be cleared", says(""))
 }
 
 // TestManagerEndsLeaseInTime: the context of a lease whose holder is cut off must end before another holder can
@@ -448,7 +448,7 @@
 	}
 	time.Sleep(2 * ttl)
 	for _, h := range held {
-		require.NoError(t, h.Context().Err(), "is kept alive")
+		require.NoError(t, h.Context().Err(), "lease is kept alive")
 	}
 	_, err := k.Acquire(t.Context(), leaseclient.AcquireOptions{Name: "job/0", TTL: ttl})
 	assert.ErrorIs(t, err, leaseclient.ErrAlreadyHeld)
--- a/tests/linear_test.go
+++ b/tests/linear_test.go
@@ -19,7 +19,7 @@
 	"oxbowbridge/internal/testrig"
 )
 
-var faultDuration = flag.Duration("faults", 15*time.Second, "how long TestLinearizable and TestFaults go on")
+var faultDuration = flag.Duration("faults", 15*time.Second, "duration of TestLinearizable, TestFaults and TestContenders")
 
 // TestLinearizable: clients read and write at three nodes that are killed and restarted in turn. No read may be
 // older than a write acknowledged before the read started, no acknowledged write is lost, and all nodes end
@@ -171,12 +171,12 @@
 			t.Log(kills, "kills,", repeats, "repeats")
 			for id := range clients {
 				code, text := 0, ""
-				await(t, "an answer", func() bool {
+				await(t, "a definite response", func() bool {
 					code, text = c.Request(id%3, "POST", "/txn", fmt.Sprintf(`{"then":[{"do":"get","key":"once/%d"}]}`, id))
 					return code == 200
 				})
 				assert.Contains(t, text, fmt.Sprintf(`"value":%d`, writes))
-				await(t, "how many puts took effect", func() bool {
+				await(t, "the key's version", func() bool {
 					res, err := http.Get("http://" + c.Peers[id%3].Admin + fmt.Sprint("/store/once/", id))
 					if err != nil {
 						return false
@@ -261,7 +261,7 @@
 	}
 	for i := range 3 { // one of them is the leader
 		attempt := 0
-		await(t, "a sure answer to all", func() bool { attempt++; return try(i, attempt) })
+		await(t, "definite responses to all requests", func() bool { attempt++; return try(i, attempt) })
 	}
 }
 
@@ -332,7 +332,7 @@
 	out, _, code = runCLI(t, "", "store", "status", all)
 	assert.Zero(t, code)
 	assert.Contains(t, out, "Leader")
-	assert.Contains(t, out, "refused", "the one that is away")
+	assert.Contains(t, out, "refused", "error of the stopped node")
 	_, _, code = runCLI(t, "", "store", "delete", "note/b", all)
 	assert.Zero(t, code)
 	_, errs, code = runCLI(t, "", "store", "get", "note/b", all)
--- a/tests/links_test.go
+++ b/tests/links_test.go
@@ -35,7 +35,7 @@
 	e := w.engine
 	running := newTraceID()
 	got := w.sendAsync("nom-submit", running, "hold")
-	await(t, "a run", func() bool { return e.heldRuns() == 1 })
+	await(t, "a run to start", func() bool { return e.heldRuns() == 1 })
 	e.mu.Lock()
 	e.ignoresCommands = true // commands sent from here on are lost
 	e.mu.Unlock()
@@ -53,7 +53,7 @@
 	e.heldTraces = nil
 	e.conn.Close()
 	e.mu.Unlock()
-	assert.Equal(t, "late", (<-got).body, "the missed notice")
+	assert.Equal(t, "late", (<-got).body, "result from the missed notice")
 	assert.Equal(t, "result of "+safe, (<-again).body)
 	assert.Equal(t, 200, (<-lost).status)
 	await(t, "ATTACH", func() bool { return e.countReceived("ATTACH") == 2 })
@@ -62,7 +62,7 @@
 	e.conn.Write([]byte(last)) // a notice that was already read
 	e.mu.Unlock()
 	assert.Equal(t, 500, (<-never).status, "RUN may have been read: not rejected")
-	assert.Equal(t, 1, e.countReceived("RUN "+submit), "not repeated: it may have run")
+	assert.Equal(t, 1, e.countReceived("RUN "+submit), "not repeated, because it may have run")
 	assert.Zero(t, e.runCounts[submit])
 	assert.Equal(t, 2, e.countReceived("RUN "+safe))
 	assert.Equal(t, 1, e.countReceived("RUN "+running))
@@ -77,7 +77,7 @@
 	e := w.engine
 	unsafe, safe := newTraceID(), newTraceID()
 	lost, again := w.sendAsync("nom-submit", unsafe, "hold"), w.sendAsync("balance-view", safe, "hold")
-	await(t, "two runs", func() bool { return e.heldRuns() == 2 })
+	await(t, "two runs to start", func() bool { return e.heldRuns() == 2 })
 	e.mu.Lock()
 	e.heldTraces = nil
 	clear(e.active) // both completed
@@ -85,7 +85,7 @@
 	e.conn.Close()
 	e.mu.Unlock()
 	assert.Equal(t, 500, (<-lost).status)
-	await(t, "the safe one again", func() bool { return e.countReceived("RUN "+safe) == 2 })
+	await(t, "the idempotent run to be repeated", func() bool { return e.countReceived("RUN "+safe) == 2 })
 	e.releaseHeld()
 	assert.Equal(t, "result of "+safe, (<-again).body)
 	assert.Equal(t, 1, e.countReceived("RUN "+unsafe))
@@ -98,7 +98,7 @@
 	w := newTestbed(t, nil)
 	trace := newTraceID()
 	got := w.sendAsync("nom-submit", trace, "hold")
-	await(t, "the run", func() bool { return w.engine.heldRuns() == 1 })
+	await(t, "the run to start", func() bool { return w.engine.heldRuns() == 1 })
 	w.engine.mu.Lock()
 	w.engine.releaseAfterSync = true
 	w.engine.conn.Close()
@@ -125,7 +125,7 @@
 	c := &callerGroup{w: w, dial: protocolDialers["mixed"], outcomeCounts: map[string]int{}}
 	for i := range 2 {
 		c.send("nom-submit", "hold")
-		await(t, "a run", func() bool { return w.engine.heldRuns() == i+1 })
+		await(t, "a run to start", func() bool { return w.engine.heldRuns() == i+1 })
 	}
 	for range 3 { // one per tick of the admission controller, which finds both cores in use
 		c.send("nom-submit", "hold")
@@ -135,7 +135,7 @@
 	w.engine.mu.Lock()
 	w.engine.ignoresStat = false
 	w.engine.mu.Unlock()
-	await(t, "growth, once the gauges say that cores idle", func() bool {
+	await(t, "more runs once gauges show idle cores", func() bool {
 		c.send("nom-submit", "hold")
 		time.Sleep(100 * time.Millisecond)
 		return w.engine.heldRuns() > 2
@@ -150,7 +150,7 @@
 	w.engine.ignoresCommands = true
 	w.engine.conn.Close()
 	w.engine.mu.Unlock()
-	await(t, "a new link", func() bool { return w.engine.countReceived("ATTACH") == 2 })
+	await(t, "a new engine link", func() bool { return w.engine.countReceived("ATTACH") == 2 })
 	trace := newTraceID()
 	got := w.sendAsync("nom-submit", trace, "ok") // ATTACH is sent, HELLO has not arrived
 	time.Sleep(50 * time.Millisecond)
@@ -185,7 +185,7 @@
 	for i, want := range []int{200, 500} {
 		a, err = c.do("/call/nom-submit", requestHeaders(same), []byte("ok"))
 		require.NoError(t, err)
-		assert.Equal(t, want, a.status, "try %d under one name", i)
+		assert.Equal(t, want, a.status, "attempt %d with the same trace id", i)
 	}
 	assert.Equal(t, 1, w.engine.countReceived("RUN "+same))
 }
@@ -206,7 +206,7 @@
 	w.records.setReply("silence")
 	trace := newTraceID()
 	got := w.sendAsync("nom-update", trace, "call")
-	await(t, "a call", func() bool { return w.records.countReceived("OP "+trace) == 1 })
+	await(t, "a call to the records service", func() bool { return w.records.countReceived("OP "+trace) == 1 })
 	w.engine.mu.Lock()
 	w.engine.sendNotice("DONE %d "+trace+" ERROR 5 ", "") // the run ends while its call is in flight
 	w.engine.mu.Unlock()
@@ -217,10 +217,10 @@
 	assert.Equal(t, 200, w.responseStatus("balance-view", "call"))
 	conns := w.records.acceptedConns
 	assert.Equal(t, 200, w.responseStatus("balance-view", "call"))
-	assert.Equal(t, conns, w.records.acceptedConns, "kept for what comes soon")
+	assert.Equal(t, conns, w.records.acceptedConns, "connection reused for the next call")
 	assert.Equal(t, 200, w.responseStatus("nom-submit", "call"))
-	assert.Equal(t, conns+1, w.records.acceptedConns, "a kept one may have been forgotten: none for an unsafe call")
-	await(t, "closed before the service would", func() bool { return w.records.closedCount() == conns+1 })
+	assert.Equal(t, conns+1, w.records.acceptedConns, "an at-most-once call must not use a cached connection")
+	await(t, "the connection to be closed first by the client", func() bool { return w.records.closedCount() == conns+1 })
 }
 
 // TestRecordsSpoilt: a malformed reply affects only its own call, which is repeated only if its class is
@@ -231,7 +231,7 @@
 	w.records.setReply("silence")
 	other := newTraceID()
 	got := w.sendAsync("nom-submit", other, "call") // in flight throughout
-	await(t, "a call", func() bool { return w.records.countReceived("OP "+other) == 1 })
+	await(t, "a call to the records service", func() bool { return w.records.countReceived("OP "+other) == 1 })
 	for _, raw := range []string{"\x00\xff\x07 noise\r\n", "%s DONE 3000000000\r\nxxxx", "%s DONE 3\r\nxxxx\r\n",
 		"%s DONE -1\r\n", "%s MAYBE\r\n", "%s WAIT 5\r\n", strings.Repeat("x", 2000),
 		strings.Repeat("00000000deadbeef ERROR\r\n", 100)} {
@@ -244,7 +244,7 @@
 		assert.Equal(t, ops+3, w.records.countReceived("OP"), raw)
 	}
 	w.records.setNextReply("silence")
-	assert.Equal(t, 200, w.responseStatus("nom-update", "call"), "a reply that never comes")
+	assert.Equal(t, 200, w.responseStatus("nom-update", "call"), "no reply to the first call")
 	w.records.setReply("00000000deadbeef DONE 2\r\nhi\r\n%[1]s DONE 2\r\nok\r\n%[1]s DONE 2\r\nno\r\n")
 	for range 3 {
 		a, err := w.sendRequest("nom-update", "call")
@@ -357,5 +357,5 @@
 	assert.Equal(t, 500, (<-w.sendAsync("balance-view", safe, "drop")).status)
 	s.terminate()
 	assert.Equal(t, 1, up.runCounts[trace])
-	assert.Equal(t, 2, up.runCounts[safe], "safe to repeat")
+	assert.Equal(t, 2, up.runCounts[safe], "an idempotent run is repeated")
 }
--- a/tests/notice_starved_test.go
+++ b/tests/notice_starved_test.go
@@ -81,6 +81,6 @@
 		require.NoError(s.t, json.Unmarshal([]byte(line), &fields))
 		return fields.NoticedUnixMS
 	}
-	require.Fail(s.t, "no notice in the log")
+	require.Fail(s.t, "no \"drain started\" line in the log")
 	return 0
 }
--- a/tests/process_test.go
+++ b/tests/process_test.go
@@ -158,7 +158,7 @@
 	change(s.cfg)
 	s.writeConfig()
 	require.NoError(s.t, s.cmd.Process.Signal(syscall.SIGHUP))
-	await(s.t, "a line on the configuration", func() bool { return len(said()) > n })
+	await(s.t, "a log line about the configuration", func() bool { return len(said()) > n })
 	return said()[n]
 }
 
@@ -229,7 +229,7 @@
 
 // awaitReady waits until a health check succeeds.
 func (s *service) awaitReady() {
-	await(s.t, "a good health check", func() bool {
+	await(s.t, "a successful health check", func() bool {
 		c, err := dialFCGI(s.fcgiAddr)
 		if err != nil {
 			return false
@@ -242,7 +242,7 @@
 
 // awaitDrainStarted waits until the service has logged that it handles a termination signal.
 func (s *service) awaitDrainStarted() {
-	await(s.t, "the notice", func() bool { return strings.Contains(s.log(), `"msg":"drain started"`) })
+	await(s.t, "the drain to start", func() bool { return strings.Contains(s.log(), `"msg":"drain started"`) })
 }
 
 // terminate sends SIGTERM. The process must exit with code 0 within stop_ms.
@@ -256,7 +256,7 @@
 	case err := <-s.exit:
 		require.NoError(s.t, err, "exit code")
 	case <-time.After(4 * time.Second): // stop_ms of the default configuration
-		s.t.Fatal("still there when it would be killed")
+		s.t.Fatal("process has not exited within stop_ms")
 	}
 }
 
--- a/tests/ramp_test.go
+++ b/tests/ramp_test.go
@@ -181,13 +181,13 @@
 		}
 	}
 	t.Cleanup(func() { ended.Store(true); load.Wait() })
-	await(t, "load", func() bool { u.mu.Lock(); defer u.mu.Unlock(); return u.completedRuns > 10*services })
+	await(t, "requests to complete", func() bool { u.mu.Lock(); defer u.mu.Unlock(); return u.completedRuns > 10*services })
 	u.stop()
 	for _, s := range all {
-		await(t, "the news of the end", func() bool { return strings.Contains(s.log(), "upstream not reached") })
+		await(t, "a failed connection to the upstream", func() bool { return strings.Contains(s.log(), "upstream not reached") })
 	}
 	u.start()
-	await(t, "a warm server", func() bool {
+	await(t, "the end of the slow start", func() bool {
 		u.mu.Lock()
 		defer u.mu.Unlock()
 		return time.Since(u.runCountChanges[0].at) > limits.Duration
@@ -198,5 +198,5 @@
 	})
 	t.Logf("mean of runs while cold %.1f, largest excess over the bound %.1f", mean, excess)
 	assert.LessOrEqual(t, excess, 0.0)
-	assert.Greater(t, mean, limits.MaxRuns(0)/2, "the server is used meanwhile")
+	assert.Greater(t, mean, limits.MaxRuns(0)/2, "the upstream gets runs during its slow start")
 }
--- a/tests/ready_test.go
+++ b/tests/ready_test.go
@@ -107,7 +107,7 @@
 		cfg["listen"], cfg["engine"], cfg["stop_ms"] = holder.Addr().String(), newEngineStandin(t).addr, 500
 	}
 	s := startService(t, held)
-	await(t, "the first try", func() bool { return strings.Contains(s.log(), "address in use, retrying") })
+	await(t, "the first bind attempt", func() bool { return strings.Contains(s.log(), "address in use, retrying") })
 	require.NoError(t, s.Signal(syscall.SIGTERM))
 	assert.NoError(t, <-s.exit)
 
--- a/tests/rejections_test.go
+++ b/tests/rejections_test.go
@@ -38,12 +38,12 @@
 	const fit = 20
 	for i := range fit {
 		c.send("nom-update", "hold")
-		await(t, "a run", func() bool { return w.engine.heldRuns() == i+1 })
+		await(t, "a run to start", func() bool { return w.engine.heldRuns() == i+1 })
 	}
 
 	require.Equal(t, 503, w.responseStatus("balance-view", "ok"))
 	first := rejectionLine{Msg: "requests rejected by the admission controller", Class: "balance-view", Reason: "memory_full", Count: 1}
-	await(t, "a line", func() bool { return len(w.rejectionLines()) > 0 })
+	await(t, "a log line", func() bool { return len(w.rejectionLines()) > 0 })
 	require.Equal(t, first, w.rejectionLines()[0])
 
 	const crowd = 300
@@ -56,7 +56,7 @@
 		require.NoError(t, err)
 		require.Equal(t, 503, a.status)
 	}
-	await(t, "lines on all of them", func() bool {
+	await(t, "log lines on all rejections", func() bool {
 		sum := 0
 		for _, line := range w.rejectionLines() {
 			sum += line.Count
--- a/tests/reload_test.go
+++ b/tests/reload_test.go
@@ -34,12 +34,12 @@
 		c := &callerGroup{w: w, dial: dial, outcomeCounts: map[string]int{}}
 		c.send("balance-view", "hold")
 		c.send("nom-submit", "hold")
-		await(t, "two runs", func() bool { return w.engine.heldRuns() == 2 })
+		await(t, "two runs to start", func() bool { return w.engine.heldRuns() == 2 })
 		w.records.setReply("silence")
 		inCall := newTraceID()
 		got := w.sendAsync("nom-submit", inCall, "call")
 		was := w.records
-		await(t, "a call", func() bool { return was.countReceived("OP "+inCall) == 1 })
+		await(t, "a call to the records service", func() bool { return was.countReceived("OP "+inCall) == 1 })
 		w.records = newRecordsStandin(t)
 		attached := w.engine.countReceived("ATTACH")
 		udp, report = listed()
@@ -47,7 +47,7 @@
 			cfg["engine"], cfg["records"], cfg["lookup"] = w.engine.addListener(t), w.records.addr, udp.LocalAddr().String()
 		})
 		assert.Contains(t, line, `"changed":["engine","records","lookup"],"at_next_start":[]`, name)
-		await(t, "the link to move", func() bool { return w.engine.countReceived("ATTACH") == attached+1 })
+		await(t, "a link at the new address", func() bool { return w.engine.countReceived("ATTACH") == attached+1 })
 		report()
 		c.send("nom-submit", "call") // its call goes to the new address
 		c.awaitOutcomes(1)
@@ -65,7 +65,7 @@
 		assert.Equal(t, 1, n, "runs of %s", trace)
 	}
 	w.engine.mu.Unlock()
-	assert.Equal(t, 1, w.engine.countReceived("ATTACH 0"), "numbers of notices go on")
+	assert.Equal(t, 1, w.engine.countReceived("ATTACH 0"), "the notice sequence continues")
 	w.terminate()
 }
 
@@ -101,7 +101,7 @@
 	w := newTestbed(t, nil)
 	c := &callerGroup{w: w, dial: protocolDialers["mixed"], outcomeCounts: map[string]int{}}
 	c.send("nom-submit", "hold")
-	await(t, "a run", func() bool { return w.engine.heldRuns() == 1 })
+	await(t, "a run to start", func() bool { return w.engine.heldRuns() == 1 })
 	for range 20 {
 		require.NoError(t, w.cmd.Process.Signal(syscall.SIGHUP))
 		time.Sleep(time.Millisecond)
--- a/tests/replay_test.go
+++ b/tests/replay_test.go
@@ -50,17 +50,17 @@
 			w := newTestbed(t, withIdempotencyKeys(20*time.Second, 12*time.Second))
 			key := func(n int) string { return fmt.Sprintf("%s-%d", name, n) }
 			first, got, _ := w.sendAttempt(dial, key(1), "hold")
-			await(t, "the run", func() bool { return w.engine.heldRuns() == 1 })
+			await(t, "the run to start", func() bool { return w.engine.heldRuns() == 1 })
 			_, second, _ := w.sendAttempt(dial, key(1), "hold") // while it runs
 			lost, _, c := w.sendAttempt(dial, key(2), "hold")
-			await(t, "another run", func() bool { return w.engine.heldRuns() == 2 })
+			await(t, "another run to start", func() bool { return w.engine.heldRuns() == 2 })
 			c.Close() // its caller disconnects
 			w.reloadConfig(func(cfg object) { cfg["engine"] = w.engine.addListener(t) })
-			await(t, "the link to move", func() bool { return w.engine.countReceived("ATTACH") == 2 })
+			await(t, "a link at the new address", func() bool { return w.engine.countReceived("ATTACH") == 2 })
 			w.engine.mu.Lock()
 			w.engine.conn.Close()
 			w.engine.mu.Unlock()
-			await(t, "the link again", func() bool { return w.engine.countReceived("ATTACH") == 3 })
+			await(t, "the engine link to reconnect", func() bool { return w.engine.countReceived("ATTACH") == 3 })
 			_, third, _ := w.sendAttempt(dial, key(2), "hold")
 			w.engine.releaseHeld()
 			for _, a := range []response{<-got, <-second} {
@@ -69,14 +69,14 @@
 			assert.Equal(t, "result of "+lost, (<-third).body)
 			_, fourth, _ := w.sendAttempt(dial, key(1), "hold") // after the response
 			assert.Equal(t, "result of "+first, (<-fourth).body)
-			assert.Zero(t, w.engine.countReceived("HALT"), "a keyed run is of use to its next try")
+			assert.Zero(t, w.engine.countReceived("HALT"), "a run with an idempotency key is not stopped")
 
 			_, failed, _ := w.sendAttempt(dial, key(3), "error")
 			assert.Equal(t, 500, (<-failed).status)
 			_, failed, _ = w.sendAttempt(dial, key(3), "error")
-			assert.Equal(t, 500, (<-failed).status, "it ran: not refused, and not run again")
+			assert.Equal(t, 500, (<-failed).status, "it ran: neither rejected nor repeated")
 			_, other, _ := w.sendAttempt(dial, key(1), "ok")
-			assert.Equal(t, 500, (<-other).status, "the key of another request")
+			assert.Equal(t, 500, (<-other).status, "idempotency key of another request")
 			runs := w.engine.countReceived("RUN")
 			for _, bad := range []string{"", strings.Repeat("x", 200), "a b", "a,b", "k\x01"} {
 				_, a, _ := w.sendAttempt(dial, bad, "ok")
@@ -126,7 +126,7 @@
 	for i := range 2 {
 		_, got, _ := w.sendAttempt(dial, fmt.Sprint("held", i), "hold")
 		held = append(held, got)
-		await(t, "a run", func() bool { return w.engine.heldRuns() == i+1 })
+		await(t, "a run to start", func() bool { return w.engine.heldRuns() == i+1 })
 	}
 	_, got, _ := w.sendAttempt(dial, "later", "ok")
 	assert.Equal(t, 503, (<-got).status)
@@ -134,7 +134,7 @@
 	for _, got := range held {
 		assert.Equal(t, 200, (<-got).status)
 	}
-	await(t, "its next try to run", func() bool {
+	await(t, "its next attempt to run", func() bool {
 		_, got, _ := w.sendAttempt(dial, "later", "ok")
 		return (<-got).status == 200
 	})
@@ -156,7 +156,7 @@
 		seen = (<-got).body
 		require.Less(t, time.Since(told), awaitTimeout)
 	}
-	assert.GreaterOrEqual(t, time.Since(told), time.Second, "window and deadline")
+	assert.GreaterOrEqual(t, time.Since(told), time.Second, "key reused before window and deadline have passed")
 	assert.Len(t, w.engine.runCounts, 2)
 }
 
@@ -210,7 +210,7 @@
 			if holdOff != "" {
 				assert.Equal(t, holdOff, refused[0].headers["Hold-Off-Ms"])
 			}
-			assert.Equal(t, holdOff != "", strings.Contains(w.log(), "idempotency table full"), "by the table")
+			assert.Equal(t, holdOff != "", strings.Contains(w.log(), "idempotency table full"), "rejected by the idempotency table")
 			break
 		}
 	}
@@ -219,8 +219,8 @@
 	for _, a := range send(0, 1, runs/2, runs-20) {
 		assert.Equal(t, 200, a.status)
 	}
-	assert.Equal(t, runs, w.engine.countReceived("RUN"), "none was forgotten")
-	assert.Equal(t, 200, w.responseStatus("nom-submit", "ok"), "other work goes on")
+	assert.Equal(t, runs, w.engine.countReceived("RUN"), "no key was dropped")
+	assert.Equal(t, 200, w.responseStatus("nom-submit", "ok"), "other classes are served")
 }
 
 // TestReplayKeyDrain: during a drain, other attempts still get the result of the one that ran.
@@ -232,7 +232,7 @@
 	})
 	dial := protocolDialers["fastcgi"]
 	trace, got, _ := w.sendAttempt(dial, "k", "hold")
-	await(t, "the run", func() bool { return w.engine.heldRuns() == 1 })
+	await(t, "the run to start", func() bool { return w.engine.heldRuns() == 1 })
 	fields := requestHeaders(newTraceID())
 	fields["Replay-Key"], fields["Accepted-At-Ms"] = "k", strconv.FormatInt(time.Now().Add(30*time.Second).UnixMilli(), 10)
 	again := fcgiRequest(1, "/call/nom-update", fields, []byte("hold"))
@@ -251,7 +251,7 @@
 	_, err = c.Write(again[8:])
 	require.NoError(t, err)
 	_, other, _, err := func() (uint16, response, byte, error) {
-		await(t, "the repeat to be read", func() bool { w.engine.releaseHeld(); return len(got) == 1 })
+		await(t, "the second attempt to be read", func() bool { w.engine.releaseHeld(); return len(got) == 1 })
 		return c.readResponse()
 	}()
 	require.NoError(t, err)
--- a/tests/resync_test.go
+++ b/tests/resync_test.go
@@ -54,10 +54,10 @@
 	submit := newTraceID()
 	got := w.sendAsync("nom-submit", submit, "hold")
 	update, gotUpdate, _ := w.sendAttempt(protocolDialers["fastcgi"], "key", "hold")
-	await(t, "the runs", func() bool { return w.engine.heldRuns() == 2 })
+	await(t, "the runs to start", func() bool { return w.engine.heldRuns() == 2 })
 	w.engine.setReleaseAfterSync()
 	w.engine.closeLink()
-	await(t, "another link", func() bool { return w.engine.countReceived("ATTACH") == 2 })
+	await(t, "another engine link", func() bool { return w.engine.countReceived("ATTACH") == 2 })
 	w.engine.setIgnoresStat(false)
 	w.engine.handleCommand([]string{"STAT", "sync"}, nil)
 	assert.Equal(t, "result of "+submit, (<-got).body)
@@ -79,7 +79,7 @@
 		await(t, "FEED", func() bool { return w.engine.countReceived("FEED "+trace) == 1 })
 		w.engine.setReleaseAfterSync()
 		w.engine.closeLink()
-		await(t, "another link", func() bool { return w.engine.countReceived("ATTACH") == 2 })
+		await(t, "another engine link", func() bool { return w.engine.countReceived("ATTACH") == 2 })
 		w.engine.setIgnoresStat(false)
 		w.engine.handleCommand([]string{"STAT", "sync"}, nil)
 		assert.Equal(t, "reply:second call of "+trace, (<-got).body, class)
@@ -94,11 +94,11 @@
 	w := newTestbed(t, nil)
 	trace := newTraceID()
 	got := w.sendAsync("balance-view", trace, "hold")
-	await(t, "the run", func() bool { return w.engine.heldRuns() == 1 })
+	await(t, "the run to start", func() bool { return w.engine.heldRuns() == 1 })
 	before := w.engine.answeredPolls()
-	await(t, "polls that were answered", func() bool { return w.engine.answeredPolls() > before+1 })
+	await(t, "answered STAT commands", func() bool { return w.engine.answeredPolls() > before+1 })
 	w.engine.closeLink()
-	await(t, "another link", func() bool { return w.engine.countReceived("ATTACH") == 2 })
+	await(t, "another engine link", func() bool { return w.engine.countReceived("ATTACH") == 2 })
 	require.Equal(t, 200, w.responseStatus("nom-submit", "ok"))
 	w.engine.releaseHeld()
 	assert.Equal(t, "result of "+trace, (<-got).body)
@@ -116,17 +116,17 @@
 	got, never := w.sendAsync("balance-view", read, "ok"), w.sendAsync("nom-submit", submit, "ok")
 	await(t, "both RUNs", func() bool { return w.engine.countReceived("RUN "+read)+w.engine.countReceived("RUN "+submit) == 2 })
 	polls := w.engine.answeredPolls()
-	await(t, "polls that were answered", func() bool { return w.engine.answeredPolls() > polls+1 })
+	await(t, "answered STAT commands", func() bool { return w.engine.answeredPolls() > polls+1 })
 	w.engine.setIgnoresRun(false)
 	w.engine.closeLink()
-	await(t, "the run that is ordered again", func() bool {
+	await(t, "the run to be repeated", func() bool {
 		w.responseStatus("nom-submit", "ok") // other requests complete meanwhile
 		return w.engine.countReceived("RUN "+read) == 2
 	})
 	assert.Equal(t, "result of "+read, (<-got).body)
 	assert.Equal(t, 500, (<-never).status)
 	assert.Equal(t, 1, w.engine.countReceived("RUN "+submit))
-	await(t, "the end of its run", func() bool { return w.engine.countReceived("HALT "+submit) > 0 })
+	await(t, "HALT of its run", func() bool { return w.engine.countReceived("HALT "+submit) > 0 })
 }
 
 // setIgnoresRun sets whether the engine ignores RUN.
--- a/tests/settings_test.go
+++ b/tests/settings_test.go
@@ -52,7 +52,7 @@
 				assert.Equal(t, 200, a.status, class)
 			}
 			if what == "level" || what == "weight" || what == "credit" {
-				await(t, "the free value", func() bool {
+				await(t, "a Feedback header", func() bool {
 					a, err := w.sendFCGI("/ping", nil, "")
 					return err == nil && a.headers["Feedback"] != ""
 				})
@@ -62,7 +62,7 @@
 			} else {
 				a, err := w.sendRequest("nom-submit", "ok")
 				require.NoError(t, err)
-				assert.NotContains(t, a.headers, "Feedback", "nothing is said where nothing is heard")
+				assert.NotContains(t, a.headers, "Feedback", "no Feedback header")
 			}
 		})
 	}
@@ -107,14 +107,14 @@
 				for _, bad := range []string{"-5", "soon", "1e3"} {
 					assert.Equal(t, 400, answered(send(bad, "ok")), bad)
 				}
-				assert.Equal(t, 200, answered(send("0", "ok")), "as if it said nothing")
+				assert.Equal(t, 200, answered(send("0", "ok")), "0 is treated as no limit")
 				if passes {
-					assert.Equal(t, 500, answered(send("2000", "hold")), "its run goes on or was stopped: failed")
-					assert.Equal(t, 503, answered(send("1", "hold")), "over before it was read: it never ran")
+					assert.Equal(t, 500, answered(send("2000", "hold")), "its run continues or was stopped, so the request fails")
+					assert.Equal(t, 503, answered(send("1", "hold")), "the wait was over before the request was read")
 					return
 				}
 				got := send("1", "hold")
-				await(t, "the run", func() bool { return w.engine.heldRuns() == 1 })
+				await(t, "the run to start", func() bool { return w.engine.heldRuns() == 1 })
 				w.engine.releaseHeld()
 				assert.Equal(t, 200, answered(got))
 			})
@@ -183,10 +183,10 @@
 			})
 			var long string
 			var got <-chan response
-			await(t, "a run", func() bool {
+			await(t, "a run to start", func() bool {
 				long = newTraceID()
 				got = w.sendAsync("balance-view", long, "hold")
-				await(t, "a run or a refusal", func() bool { return w.engine.heldRuns() == 1 || len(got) == 1 })
+				await(t, "a run or a rejection", func() bool { return w.engine.heldRuns() == 1 || len(got) == 1 })
 				return w.engine.heldRuns() == 1
 			})
 			if halts == 0 {
@@ -200,16 +200,16 @@
 				assert.Zero(t, w.engine.countReceived("HALT"))
 				return
 			}
-			await(t, "it to give way", func() bool {
+			await(t, "the run to be paused", func() bool {
 				a, err := w.sendRequest("nom-update", "ok")
 				return err == nil && a.status == 200 && w.engine.countReceived("HALT "+long) > 0
 			})
-			await(t, "it to go on", func() bool { return w.engine.countReceived("RESUME "+long) > 0 })
+			await(t, "the run to resume", func() bool { return w.engine.countReceived("RESUME "+long) > 0 })
 			w.engine.mu.Lock()
 			w.engine.conn.Close()
 			w.engine.mu.Unlock()
-			await(t, "the link again", func() bool { return w.engine.countReceived("ATTACH") == 2 })
-			await(t, "what may have been lost with it", func() bool { return w.engine.countReceived("RESUME "+long) == 2 })
+			await(t, "the engine link to reconnect", func() bool { return w.engine.countReceived("ATTACH") == 2 })
+			await(t, "RESUME on the new link", func() bool { return w.engine.countReceived("RESUME "+long) == 2 })
 			w.engine.releaseHeld()
 			assert.Equal(t, "result of "+long, (<-got).body)
 			assert.Equal(t, 1, w.engine.countReceived("RUN "+long))
--- a/tests/soak_answers_test.go
+++ b/tests/soak_answers_test.go
@@ -29,13 +29,13 @@
 			continue
 		}
 		if at, ok := givenUp[a.trace]; ok {
-			s.checkPromptResponse(a, at.Add(logTimeResolution), "its run was given up")
+			s.checkPromptResponse(a, at.Add(logTimeResolution), "its run failed")
 		}
 		if a.class == "nom-submit" {
 			s.checkCalls(a)
 		}
 		if a.sentAt.After(s.noticeAt.Add(soakDrainGrace + soakSocketDelay)) {
-			s.checkPromptResponse(a, a.sentAt, "it came after the grace")
+			s.checkPromptResponse(a, a.sentAt, "it arrived after the grace period")
 		}
 	}
 	return len(givenUp)
@@ -47,7 +47,7 @@
 	calls := s.records.calls[a.trace]
 	for i, call := range calls {
 		if call.result != standin.CallRejected && i+1 < len(calls) {
-			s.t.Errorf("called again after %q: %s", call.result, a.identity)
+			s.t.Errorf("call repeated after %q: %s", call.result, a.identity)
 		}
 		if call.result == standin.CallFailed || call.result == standin.CallLost {
 			s.checkPromptResponse(a, call.at, "its call failed")
@@ -58,7 +58,7 @@
 func (s *soakRun) checkPromptResponse(a *soakAttempt, at time.Time, why string) {
 	limit := soakSocketDelay + s.stalls.totalBetween(at, a.endedAt)
 	if late := a.endedAt.Sub(at); late > limit {
-		s.t.Errorf("answered %v after %s, %v are allowed: %s", late, why, limit, a.identity)
+		s.t.Errorf("answered %v after %s, limit %v: %s", late, why, limit, a.identity)
 	}
 }
 
--- a/tests/soak_checks_test.go
+++ b/tests/soak_checks_test.go
@@ -23,7 +23,7 @@
 	s.t.Logf("| %d | %d | %d | %d | %d | %d | %d | %d | %d | %d | %d | %d |", s.seed, s.plan.callers, s.plan.idleConnections, len(s.attempts),
 		s.runner.linkFaults, outcomes["served"], outcomes["rejected"], outcomes["failed"], givenUp, outcomes["not taken"], outcomes["left"], twice)
 	if s.t.Failed() {
-		s.t.Logf("the same events again: go test ./tests -run '^%s$' -soak-seeds 1 -soak-seed %d", strings.ReplaceAll(s.t.Name(), "/", "$/^"), s.seed)
+		s.t.Logf("repeat with: go test ./tests -run '^%s$' -soak-seeds 1 -soak-seed %d", strings.ReplaceAll(s.t.Name(), "/", "$/^"), s.seed)
 	}
 }
 
@@ -48,7 +48,7 @@
 	runs := s.runner.runs[a.identity]
 	late := a.sentAt.After(s.noticeAt.Add(soakDrainGrace + soakSocketDelay))
 	if a.sentCompletely && late && len(runs) > 0 && a.class == "nom-submit" {
-		s.t.Errorf("ran though its last byte came %v after the notice: %s", a.sentAt.Sub(s.noticeAt), a.identity)
+		s.t.Errorf("ran although its last byte was sent %v after SIGTERM: %s", a.sentAt.Sub(s.noticeAt), a.identity)
 	}
 	if a.abandoned {
 		return "left"
@@ -58,17 +58,17 @@
 	}
 	limit := soakDeadline + soakResponseGrace + soakSocketDelay + s.stalls.totalBetween(a.acceptedAt, a.endedAt)
 	if took := a.endedAt.Sub(a.acceptedAt); took > limit {
-		s.t.Errorf("answered after %v, %v are allowed: %s", took, limit, a.identity)
+		s.t.Errorf("answered after %v, limit %v: %s", took, limit, a.identity)
 	}
 	switch a.response.status {
 	case 200:
 		if len(runs) == 0 || !strings.Contains(a.response.body, a.identity) {
-			s.t.Errorf("not the result of a run of its own: %s: %s", a.identity, a.response.body)
+			s.t.Errorf("response is not the result of the request's own run: %s: %s", a.identity, a.response.body)
 		}
 		return "served"
 	case 429, 503:
 		if a.class == "nom-submit" && len(runs) > 0 {
-			s.t.Errorf("rejected, and it ran: %s", a.identity)
+			s.t.Errorf("rejected, but it ran: %s", a.identity)
 		}
 		return "rejected"
 	}
@@ -84,10 +84,10 @@
 		s.t.Errorf("never answered: %s", a.identity)
 	}
 	if !mayEnd && a.sentCompletely {
-		s.t.Errorf("lost: %s %s: %v", a.protocol, a.identity, a.err)
+		s.t.Errorf("connection closed without a response: %s %s: %v", a.protocol, a.identity, a.err)
 	}
 	if a.class == "nom-submit" && a.sentCompletely && runs > 0 {
-		s.t.Errorf("ran, and its caller never heard: %s: %v", a.identity, a.err)
+		s.t.Errorf("ran, but its caller got no response: %s: %v", a.identity, a.err)
 	}
 	return "not taken"
 }
--- a/tests/soak_registry_test.go
+++ b/tests/soak_registry_test.go
@@ -133,10 +133,10 @@
 		case "PULSE n3 closed":
 			closed = true
 		default:
-			r.t.Errorf("not a report: %q", report.text)
+			r.t.Errorf("invalid report: %q", report.text)
 		}
 	}
 	if !closed {
-		r.t.Errorf("never reported as closed")
+		r.t.Errorf("closed state never reported")
 	}
 }
--- a/tests/soak_test.go
+++ b/tests/soak_test.go
@@ -15,8 +15,8 @@
 
 var (
 	soakSeed     = flag.Uint64("soak-seed", 1, "the first seed of TestSoak")
-	soakSeeds    = flag.Int("soak-seeds", 2, "how many seeds, from the first on, TestSoak plays")
-	soakDuration = flag.Duration("soak", 6*time.Second, "how long TestSoak plays each seed before SIGTERM")
+	soakSeeds    = flag.Int("soak-seeds", 2, "number of seeds that TestSoak runs")
+	soakDuration = flag.Duration("soak", 6*time.Second, "time for which TestSoak runs each seed before SIGTERM")
 )
 
 const (
@@ -174,7 +174,7 @@
 	case err := <-s.exit:
 		assert.NoError(s.t, err, "exit code")
 	case <-time.After(time.Until(s.noticeAt.Add(soakStopTimeout))):
-		assert.Fail(s.t, "still there when it would be killed")
+		assert.Fail(s.t, "process has not exited within stop_ms")
 		s.Kill()
 	}
 }
--- a/tests/store_soak_faults_test.go
+++ b/tests/store_soak_faults_test.go
@@ -42,7 +42,7 @@
 		{name: "leader stopped", begin: func() { node = s.WaitForLeader(); s.Pause(node) }, end: func() { s.Resume(node) }},
 		{name: "all killed", begin: func() { s.forAllNodes(s.Kill) }, end: func() { s.forAllNodes(s.Start) }},
 		linked("node cut off", cut, cut),
-		linked("node not heard", testrig.LinkMode{StallRequests: true}, testrig.LinkMode{}),
+		linked("node's messages stalled", testrig.LinkMode{StallRequests: true}, testrig.LinkMode{}),
 		linked("links slow", slow, slow),
 		disk("disk full", faultfs.DiskFull),
 		disk("disk fails syncs", faultfs.FailSyncs),
@@ -60,7 +60,7 @@
 	holder := s.contest.contenders[s.rng.IntN(len(s.contest.contenders))]
 	return []soakFault{
 		{name: "contender stopped with its command", begin: func() { holder.signalTree(syscall.SIGSTOP) }, end: func() { holder.signalTree(syscall.SIGCONT) }},
-		{name: "contender stopped, its command goes on", begin: func() { holder.signalLeaseProcess(syscall.SIGSTOP) }, end: func() { holder.signalLeaseProcess(syscall.SIGCONT) }},
+		{name: "contender stopped without its command", begin: func() { holder.signalLeaseProcess(syscall.SIGSTOP) }, end: func() { holder.signalLeaseProcess(syscall.SIGCONT) }},
 		{name: "contender killed", begin: func() { holder.signalLeaseProcess(syscall.SIGKILL) }, end: func() {}},
 		{name: "contender cut off", begin: func() { holder.setLinks(testrig.LinkMode{Cut: true}) }, end: func() { holder.setLinks(testrig.LinkMode{}) }},
 	}
--- a/tests/store_soak_test.go
+++ b/tests/store_soak_test.go
@@ -19,7 +19,7 @@
 	"oxbowbridge/internal/testrig"
 )
 
-var storeSoakSeeds = flag.Int("store-soak-seeds", 1, "how many seeds, from -seed on, TestStoreSoak plays, one after the other")
+var storeSoakSeeds = flag.Int("store-soak-seeds", 1, "number of seeds, starting at -seed, that TestStoreSoak runs one after the other")
 
 const (
 	storeSoakNodes                = 3
@@ -88,7 +88,7 @@
 	for round := range storeSoakRounds {
 		s.runRound(round)
 	}
-	await(s.t, "enough of a history", func() bool { return s.history.HasEnoughOperations(0) })
+	await(s.t, "a long enough history", func() bool { return s.history.HasEnoughOperations(0) })
 	close(s.stop)
 	s.background.Wait()
 	s.check()
@@ -116,7 +116,7 @@
 	for node := range storeSoakNodes {
 		select {
 		case <-s.nodes[node].exited:
-			s.t.Logf("seed %d: node %d had ended: %s", s.seed, node, lastLine(s.nodes[node].log()))
+			s.t.Logf("seed %d: node %d has exited: %s", s.seed, node, lastLine(s.nodes[node].log()))
 			s.Start(node)
 		default:
 		}
@@ -152,7 +152,7 @@
 	assert.True(s.t, s.history.Linearizable(), "the history is linearizable")
 	s.WaitForEqualData(0, 1, 2)
 	healed := time.Now()
-	await(s.t, "an act under the lease", func() bool { return s.contest.resource.ActedAfter(healed) })
+	await(s.t, "an action under the lease", func() bool { return s.contest.resource.ActedAfter(healed) })
 	assert.Empty(s.t, s.contest.resource.Violations(), "two holders at once")
 	for _, machine := range s.machineNames[storeSoakNodes:] {
 		s.awaitPhases(s.t, []string{machine}, maintenance.PhaseCompleted, maintenance.PhaseFailed)
@@ -167,13 +167,13 @@
 // maintenance runs.
 func (s *storeSoak) checkMaintenanceOverlap() (roundTrips int) {
 	text, err := os.ReadFile(s.maintenanceLogPath)
-	require.NoError(s.t, err, "no machine ever went out")
+	require.NoError(s.t, err, "no maintenance command ran")
 	out := ""
 	for line := range strings.Lines(string(text)) {
 		what, machine, _ := strings.Cut(strings.TrimSpace(line), " ")
 		switch what {
 		case "out":
-			assert.Empty(s.t, out, "%s goes out, and another one is", machine)
+			assert.Empty(s.t, out, "maintenance of %s starts during another one", machine)
 			out = machine
 			roundTrips++
 		case "back":
--- a/tests/store_test.go
+++ b/tests/store_test.go
@@ -93,7 +93,7 @@
 		assert.Equal(t, []int{200, 400}, []int{w.responseStatus("only-class", "ok"), w.responseStatus("nom-submit", "ok")})
 	}
 	c.Put(0, "config/log_level", `"error"`)
-	await(t, "silence on warnings", func() bool {
+	await(t, "warnings to be suppressed", func() bool {
 		lines := strings.Count(c.nodes[1].log(), "no such class")
 		(&testbed{service: c.nodes[1]}).responseStatus("nom-submit", "ok")
 		return lines > 0 && strings.Count(c.nodes[1].log(), "no such class") == lines
@@ -102,7 +102,7 @@
 	db, err := sql.Open("sqlite", "file:"+path+"?mode=ro&_pragma=busy_timeout(5000)")
 	require.NoError(t, err)
 	defer db.Close()
-	await(t, "the store of record", func() bool {
+	await(t, "the key in the SQL mirror", func() bool {
 		var n, gone int
 		err := db.QueryRow(`SELECT count(value), count(*) - count(value) FROM oxbowbridge_store WHERE name LIKE 'note/%'`).Scan(&n, &gone)
 		return err == nil && n == 3 && gone == 1
@@ -119,7 +119,7 @@
 
 // awaitPublishedState waits until a node has published its service state, and returns it.
 func awaitPublishedState(t *testing.T, c *cluster, i int) (text string) {
-	await(t, "its state", func() bool {
+	await(t, "the published state", func() bool {
 		var code int
 		code, text = c.Request(i, "GET", fmt.Sprint("/store/state/s", i), "")
 		return code == 200
@@ -136,7 +136,7 @@
 	c := newRunningCluster(t, object{"driver": "postgres", "dsn": "postgres://operator@" + addr + "/records?sslmode=disable"})
 	c.Put(0, "note/early", `{"n":1}`)
 	var at *service // the node with the mirror lease
-	await(t, "a line", func() bool {
+	await(t, "a log line", func() bool {
 		for _, n := range c.nodes {
 			if strings.Contains(n.log(), "sql mirror unavailable") {
 				at = n
@@ -146,8 +146,8 @@
 	})
 	pg := newPostgresStandin(t, addr)
 	c.Put(1, "note/later", `2`)
-	await(t, "both rows", func() bool { return pg.value("note/early") == `{"n":1}` && pg.value("note/later") == "2" })
-	await(t, "a line", func() bool { return strings.Contains(at.log(), "sql mirror available again") })
+	await(t, "both rows in PostgreSQL", func() bool { return pg.value("note/early") == `{"n":1}` && pg.value("note/later") == "2" })
+	await(t, "a log line", func() bool { return strings.Contains(at.log(), "sql mirror available again") })
 	for i := range 3 {
 		c.Kill(i)
 		c.Dirs[i] = t.TempDir()
@@ -157,7 +157,7 @@
 	}
 	c.WaitForValue(2, "note/early", `{"n":1}`) // imported from PostgreSQL
 	c.Put(2, "note/early", `3`)
-	await(t, "the new row", func() bool { return pg.value("note/early") == "3" })
+	await(t, "the new row in PostgreSQL", func() bool { return pg.value("note/early") == "3" })
 }
 
 // postgresStandin stands in for a PostgreSQL server: version 3 of the protocol, limited to the store's
--- a/tests/stored_test.go
+++ b/tests/stored_test.go
@@ -169,7 +169,7 @@
 		assert.Equal(t, site.Cluster, st.Cluster)
 		c.nodes[i].awaitReady() // the store answers before the service listens
 		assert.Equal(t, 200, (&testbed{service: c.nodes[i]}).responseStatus("stored-class", "ok"))
-		await(t, "the state of the service", func() bool {
+		await(t, "the service's published state", func() bool {
 			_, text := c.requestWithRetry(i, "GET", fmt.Sprint("/store/state/s", i), "")
 			return publishedState.MatchString(strings.TrimSpace(text))
 		})
@@ -192,7 +192,7 @@
 }
 
 func (c *cluster) awaitStoredMembers(t *testing.T, members map[string]testrig.Member) {
-	await(t, "the members that were there", func() bool {
+	await(t, "the stored members", func() bool {
 		m := c.Members(c.WaitForLeader())
 		for id, want := range members {
 			if m[id].Role != want.Role || m[id].Name != want.Name {
@@ -209,7 +209,7 @@
 		code, l := c.readLease(name)
 		assert.Equal(t, []any{200, want.Holder, want.Token, want.TTLMS}, []any{code, l.Holder, l.Token, l.TTLMS}, name)
 		code, text := c.requestWithRetry(c.WaitForLeader(), "PUT", "/lease/"+name, fmt.Sprintf(`{"token":%d}`, want.Token))
-		assert.Equal(t, 200, code, "its token counts: %s", text)
+		assert.Equal(t, 200, code, "its token is valid: %s", text)
 	}
 }
 
@@ -230,7 +230,7 @@
 	db, err := sql.Open("sqlite", "file:"+filepath.Join(dir, "record.db")+"?mode=ro&_pragma=busy_timeout(5000)")
 	require.NoError(t, err)
 	defer db.Close()
-	await(t, "the store of record", func() bool { return isMirrored(db, "note/new") })
+	await(t, "the key in the SQL mirror", func() bool { return isMirrored(db, "note/new") })
 	now := mirrorRows(t, dir)
 	for name, row := range rows {
 		if !serviceKey.MatchString(name) {
@@ -279,7 +279,7 @@
 	c.Bootstrap()
 	w := site.Write
 	code, tag := c.writeInSession(t, w)
-	assert.Equal(t, []any{204, w.Tag}, []any{code, tag}, "a repeated write has the answer that it had")
+	assert.Equal(t, []any{204, w.Tag}, []any{code, tag}, "a repeated write gets its original response")
 	c.checkStoredKeys(t, 0, site.Keys)
 	c.Put(0, "note/new", `"later"`)
 	c.KillAll()
@@ -291,7 +291,7 @@
 // writeInSession sends a write with its session and request number; it may be a repetition.
 func (c *cluster) writeInSession(t *testing.T, w *storedWrite) (code int, tag string) {
 	t.Helper()
-	await(t, "an answer to a write in a session", func() bool {
+	await(t, "a response to a write in a session", func() bool {
 		req, err := http.NewRequest("PUT", "http://"+c.Peers[0].Admin+"/store/"+w.Key, strings.NewReader(w.Value))
 		require.NoError(t, err)
 		req.Header.Set("Session", w.Session)
--- a/tests/stored_write_test.go
+++ b/tests/stored_write_test.go
@@ -20,7 +20,7 @@
 
 // storedProgram is the program with which TestWriteStoredFolders rewrites testdata/stored. It must be a
 // released version, because the folders stand for the disks of nodes that are upgraded.
-var storedProgram = flag.String("stored-from", "", "program with which TestWriteStoredFolders writes the stored folders anew")
+var storedProgram = flag.String("stored-from", "", "released program with which TestWriteStoredFolders rewrites testdata/stored")
 
 // packFolder writes a folder's files to an archive.
 func packFolder(t *testing.T, dir, path string) {
@@ -112,7 +112,7 @@
 	c.KillAll()
 	c.Bootstrap() // the restart stores the settings as the last good ones
 	for i := range 3 {
-		await(t, "settings of the store", func() bool { return strings.Contains(c.nodes[i].log(), `"last_good":false`) })
+		await(t, "a start on the store's settings", func() bool { return strings.Contains(c.nodes[i].log(), `"last_good":false`) })
 	}
 	require.NoError(t, c.client().PauseMaintenance(t.Context(), true, "stored"))
 	_, err = c.client().SubmitOrder(t.Context(), maintenance.Order{Machine: "s1", Reason: "kernel", DurationMS: 60000, Priority: 2})
--- a/tests/suite_test.go
+++ b/tests/suite_test.go
@@ -77,7 +77,7 @@
 }
 
 func (c *callerGroup) awaitOutcomes(n int) {
-	await(c.w.t, "answers", func() bool {
+	await(c.w.t, "all responses", func() bool {
 		sum := 0
 		for _, k := range c.outcomes() {
 			sum += k
@@ -112,7 +112,7 @@
 			first := len(c.clients)
 			for i := range 22 { // the capacity is 20
 				c.send([]string{"balance-view", "nom-update", "nom-submit"}[i%3], "hold")
-				await(t, "a run or a refusal", func() bool { return w.engine.heldRuns()+c.outcomes()["refused"] == i+1 })
+				await(t, "a run or a rejection", func() bool { return w.engine.heldRuns()+c.outcomes()["refused"] == i+1 })
 			}
 			assert.Equal(t, map[string]int{"served": 8, "failed": 7, "refused": 2}, c.outcomes())
 			require.NoError(t, w.cmd.Process.Signal(syscall.SIGTERM))
@@ -130,7 +130,7 @@
 			for _, cl := range c.clients[first : first+4] { // requests still running when the listeners close; each must get a response
 				c.sendOn(cl, "nom-submit", "hold")
 			}
-			await(t, "runs", func() bool { return w.engine.heldRuns() == 4 })
+			await(t, "four held runs", func() bool { return w.engine.heldRuns() == 4 })
 			time.Sleep(time.Until(drainStartedAt.Add(2600 * time.Millisecond))) // after the drain grace period
 			await(t, "the listener to close", func() bool {
 				cl, err := net.Dial("tcp", w.fcgiAddr)
--- a/tests/upstream_pause_test.go
+++ b/tests/upstream_pause_test.go
@@ -23,7 +23,7 @@
 	w := &testbed{service: s}
 	long := newTraceID()
 	got := w.sendAsync("balance-view", long, "hold")
-	await(t, "the run", func() bool { return up.runCount(long) == 1 })
+	await(t, "the run to start", func() bool { return up.runCount(long) == 1 })
 	for end := time.Now().Add(2 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		w.sendAsync("nom-update", newTraceID(), "ok") // an engine's run would be paused for these
 	}
--- a/tests/versions_test.go
+++ b/tests/versions_test.go
@@ -148,7 +148,7 @@
 	m.Put(0, prefix+"last", "1")
 	for _, f := range followers {
 		f.awaitKey(t, prefix+"last")
-		assert.Equal(t, followers[0].received(), f.received(), "watch events through nodes of both versions")
+		assert.Equal(t, followers[0].received(), f.received(), "watch events differ between nodes")
 	}
 	m.WaitForEqualData(0, 1, 2)
 }
--- a/tests/watch_test.go
+++ b/tests/watch_test.go
@@ -57,7 +57,7 @@
 
 // awaitKey waits until the watch has delivered a change of a key.
 func (f *watchRecorder) awaitKey(t *testing.T, key string) {
-	await(t, "news of "+key, func() bool {
+	await(t, "a watch event for "+key, func() bool {
 		for _, r := range f.received() {
 			for _, k := range r.Changes {
 				if k.Key == key {
@@ -105,7 +105,7 @@
 		f.awaitKey(t, "w/end")
 		last, got := uint64(0), map[uint64]string{}
 		for _, r := range f.received() {
-			require.Greater(t, r.Number, last, "in order, once")
+			require.Greater(t, r.Number, last, "revisions in order, without repetitions")
 			last = r.Number
 			switch len(r.Changes) {
 			case 1:
@@ -151,7 +151,7 @@
 	fmt.Fprintf(deaf, "GET /watch?prefix=w/&from=%d HTTP/1.1\r\nHost: x\r\n\r\n", first.Revision)
 	await(t, "a watcher", watchers(1))
 	reads := startWatch(t, storeclient.New([]string{addr}), "w/", first.Revision)
-	await(t, "a second one", watchers(2))
+	await(t, "a second watcher", watchers(2))
 	big := json.RawMessage(`"` + strings.Repeat("x", 60<<10) + `"`)
 	for i := range 160 {
 		_, err := client.Put(t.Context(), fmt.Sprint("w/big", i%10), big, nil)
@@ -161,7 +161,7 @@
 	require.NoError(t, err)
 	reads.awaitKey(t, "w/end")
 	assert.Len(t, reads.received(), 162)
-	await(t, "the one that does not read to be cut off", watchers(1))
+	await(t, "the watcher that does not read to be disconnected", watchers(1))
 
 	code, text := c.Request(0, "GET", fmt.Sprint("/watch?from=", first.Revision), "")
 	assert.Equal(t, 410, code)
@@ -192,10 +192,10 @@
 			continue
 		}
 		assert.Equal(t, []any{503, "1"}, []any{res.StatusCode, res.Header.Get("Retry-After")})
-		assert.Equal(t, []int{204, 200}, []int{putStatus(c, 0), getStatus(c, 0)}, "others go on")
+		assert.Equal(t, []int{204, 200}, []int{putStatus(c, 0), getStatus(c, 0)}, "other requests are served")
 		return
 	}
-	t.Fatal("100 may watch")
+	t.Fatal("no limit of watchers reached at 100")
 }
 
 func putStatus(c *cluster, i int) int {
@@ -220,7 +220,7 @@
 	require.NoError(t, cmd.Start())
 	t.Cleanup(func() { cmd.Process.Kill() })
 	says := func(what string) {
-		await(t, "the line "+what, func() bool { return strings.Contains(out.log(), what) })
+		await(t, "the output line "+what, func() bool { return strings.Contains(out.log(), what) })
 	}
 	says("w/first\t1\n")
 	_, err = client.Put(t.Context(), "w/second", json.RawMessage(`{"x":2}`), nil)
--- a/tests/work_test.go
+++ b/tests/work_test.go
@@ -73,7 +73,7 @@
 	}
 	y.client = c.client()
 	y.setDisruptionBudget(t, func(*maintenance.DisruptionBudget) {})
-	await(t, "all machines to be in", func() bool {
+	await(t, "all machines to be in service", func() bool {
 		st, err := y.client.MaintenanceStatus(t.Context())
 		in := 0
 		for _, m := range st.Machines {
@@ -124,7 +124,7 @@
 		time.Sleep(50 * time.Millisecond)
 	}
 	st, _ := y.client.MaintenanceStatus(t.Context())
-	t.Fatalf("never happened: %v of %v: %+v", want, nodes, st)
+	t.Fatalf("machines did not reach the phases %v: %v: %+v", want, nodes, st)
 }
 
 // outageObserver records how many services refuse connections at once, in total and per zone.
@@ -217,9 +217,9 @@
 	}
 	slow := testrig.LinkMode{Delay: 10 * time.Millisecond}
 	plan := testrig.NewSchedule(*seed, 5, time.Second,
-		testrig.Fault{Name: "order's holder stopped", Inject: func(i int) { y.Pause(i) }, Recover: func(i int) { y.Resume(i) }},
-		testrig.Fault{Name: "order's holder cut off", Inject: func(i int) { y.SetNodeLinks(i, testrig.LinkMode{Cut: true}, testrig.LinkMode{Cut: true}) }, Recover: func(int) { y.HealLinks() }},
-		testrig.Fault{Name: "leader not heard", IsolatesLeader: true, Inject: func(i int) { y.SetNodeLinks(i, testrig.LinkMode{StallRequests: true}, testrig.LinkMode{}) }, Recover: func(int) { y.HealLinks() }},
+		testrig.Fault{Name: "controller's node stopped", Inject: func(i int) { y.Pause(i) }, Recover: func(i int) { y.Resume(i) }},
+		testrig.Fault{Name: "controller's node cut off", Inject: func(i int) { y.SetNodeLinks(i, testrig.LinkMode{Cut: true}, testrig.LinkMode{Cut: true}) }, Recover: func(int) { y.HealLinks() }},
+		testrig.Fault{Name: "leader's messages stalled", IsolatesLeader: true, Inject: func(i int) { y.SetNodeLinks(i, testrig.LinkMode{StallRequests: true}, testrig.LinkMode{}) }, Recover: func(int) { y.HealLinks() }},
 		testrig.Fault{Name: "links slow", Inject: func(i int) { y.SetNodeLinks(i, slow, slow) }, Recover: func(int) { y.HealLinks() }})
 	for range 4 {
 		turn := plan.Next()
@@ -236,8 +236,8 @@
 	close(stop)
 	traffic.Wait()
 	o.finished.Wait()
-	assert.LessOrEqual(t, o.maxOut, 2, "out at once")
-	assert.LessOrEqual(t, o.maxOutInZone, 1, "out in a zone")
+	assert.LessOrEqual(t, o.maxOut, 2, "machines out at once")
+	assert.LessOrEqual(t, o.maxOutInZone, 1, "machines out in one zone")
 	assert.Positive(t, o.maxOut)
 	text, err := os.ReadFile(mark)
 	require.NoError(t, err)
@@ -269,7 +269,7 @@
 	y.awaitPhases(t, []string{"s3"}, maintenance.PhaseFailed)
 	_, errs, code = run("ask", "s4", "nobody", "--for=5s")
 	assert.Zero(t, code, errs)
-	await(t, "a pause", func() bool {
+	await(t, "the orders to be paused", func() bool {
 		out, _, _ := run("list")
 		return strings.Contains(out, "PAUSED: 1 machines failed to return") && strings.Contains(out, "no such kernel")
 	})
@@ -290,7 +290,7 @@
 	// Without one of the three voters, fewer than a quorum and one spare would stay.
 	_, errs, code = run("ask", "s0", "--for=5s")
 	assert.Zero(t, code, errs)
-	await(t, "why it waits", func() bool { out, _, _ := run("list"); return strings.Contains(out, "voters would stay") })
+	await(t, "the reason for waiting", func() bool { out, _, _ := run("list"); return strings.Contains(out, "voters would stay") })
 	out, errs, code := run("plan", "--chart="+filepath.Join(t.TempDir(), "plan.svg"))
 	assert.Zero(t, code, errs)
 	assert.Contains(t, out, "no plan within the limits is shorter")
