--- a/tests/reload_test.go
+++ b/tests/reload_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestReload: SIGHUP under load moves all links, more than once; runs, calls and
-// numbers of notices go on, in both protocols.
+// TestReload: SIGHUP under load moves all connections to new addresses, more than once. Runs and calls
+// continue, and so does the notice sequence, in both protocols.
 func TestReload(t *testing.T) {
 	t.Parallel()
 	listed := func() (net.PacketConn, func()) {
@@ -34,12 +34,12 @@
 		c := &callerGroup{w: w, dial: dial, outcomeCounts: map[string]int{}}
 		c.send("balance-view", "hold")
 		c.send("nom-submit", "hold")
-		await(t, "two runs", func() bool { return w.engine.heldRuns() == 2 })
+		await(t, "two runs to start", func() bool { return w.engine.heldRuns() == 2 })
 		w.records.setReply("silence")
 		inCall := newTraceID()
 		got := w.sendAsync("nom-submit", inCall, "call")
 		was := w.records
-		await(t, "a call", func() bool { return was.countReceived("OP "+inCall) == 1 })
+		await(t, "a call to the records service", func() bool { return was.countReceived("OP "+inCall) == 1 })
 		w.records = newRecordsStandin(t)
 		attached := w.engine.countReceived("ATTACH")
 		udp, report = listed()
@@ -47,9 +47,9 @@
 			cfg["engine"], cfg["records"], cfg["lookup"] = w.engine.addListener(t), w.records.addr, udp.LocalAddr().String()
 		})
 		assert.Contains(t, line, `"changed":["engine","records","lookup"],"at_next_start":[]`, name)
-		await(t, "the link to move", func() bool { return w.engine.countReceived("ATTACH") == attached+1 })
+		await(t, "a link at the new address", func() bool { return w.engine.countReceived("ATTACH") == attached+1 })
 		report()
-		c.send("nom-submit", "call") // below, at the new address
+		c.send("nom-submit", "call") // its call goes to the new address
 		c.awaitOutcomes(1)
 		w.engine.releaseHeld()
 		c.awaitOutcomes(3)
@@ -65,11 +65,12 @@
 		assert.Equal(t, 1, n, "runs of %s", trace)
 	}
 	w.engine.mu.Unlock()
-	assert.Equal(t, 1, w.engine.countReceived("ATTACH 0"), "numbers of notices go on")
+	assert.Equal(t, 1, w.engine.countReceived("ATTACH 0"), "the notice sequence continues")
 	w.terminate()
 }
 
-// TestReloadBadFile: one line names the field, and the old configuration stays.
+// TestReloadBadFile: an invalid file is reported in one line that names the field, and the old configuration
+// stays in effect.
 func TestReloadBadFile(t *testing.T) {
 	t.Parallel()
 	w := newTestbed(t, nil)
@@ -94,14 +95,13 @@
 	w.terminate()
 }
 
-// TestReloadAtOnce: SIGHUP ends the program at no time, not while it starts, nor
-// while it drains.
+// TestReloadAtOnce: SIGHUP never ends the program, neither during the start nor during a drain.
 func TestReloadAtOnce(t *testing.T) {
 	t.Parallel()
 	w := newTestbed(t, nil)
 	c := &callerGroup{w: w, dial: protocolDialers["mixed"], outcomeCounts: map[string]int{}}
 	c.send("nom-submit", "hold")
-	await(t, "a run", func() bool { return w.engine.heldRuns() == 1 })
+	await(t, "a run to start", func() bool { return w.engine.heldRuns() == 1 })
 	for range 20 {
 		require.NoError(t, w.cmd.Process.Signal(syscall.SIGHUP))
 		time.Sleep(time.Millisecond)
@@ -114,7 +114,7 @@
 	assert.Equal(t, map[string]int{"served": 1}, c.outcomes())
 }
 
-// TestReloadUpstreams: AJP upstreams are exchanged under load too.
+// TestReloadUpstreams: a reload replaces AJP upstreams while requests are served.
 func TestReloadUpstreams(t *testing.T) {
 	t.Parallel()
 	first, second := newUpstreamStandin(t), newUpstreamStandin(t)
--- a/tests/soak_checks_test.go
+++ b/tests/soak_checks_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// check holds what callers saw against what the engine did.
+// check compares the outcomes that callers saw with the runs at the engine or the upstreams.
 func (s *soakRun) check() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -23,11 +23,11 @@
 	s.t.Logf("| %d | %d | %d | %d | %d | %d | %d | %d | %d | %d | %d | %d |", s.seed, s.plan.callers, s.plan.idleConnections, len(s.attempts),
 		s.runner.linkFaults, outcomes["served"], outcomes["rejected"], outcomes["failed"], givenUp, outcomes["not taken"], outcomes["left"], twice)
 	if s.t.Failed() {
-		s.t.Logf("the same events again: go test ./tests -run '^%s$' -soak-seeds 1 -soak-seed %d", strings.ReplaceAll(s.t.Name(), "/", "$/^"), s.seed)
+		s.t.Logf("repeat with: go test ./tests -run '^%s$' -soak-seeds 1 -soak-seed %d", strings.ReplaceAll(s.t.Name(), "/", "$/^"), s.seed)
 	}
 }
 
-// checkRuns: a request that may run once ran once at most.
+// checkRuns checks that no at-most-once request ran twice, and returns how many did.
 func (s *soakRun) checkRuns() (twice int) {
 	for identity, runs := range s.runner.runs {
 		if len(runs) > 1 && isAtMostOnce(identity) {
@@ -38,17 +38,17 @@
 	return twice
 }
 
-// isAtMostOnce tells it by the class, with which an identity begins.
+// isAtMostOnce reports whether the class at the start of the identity is at-most-once.
 func isAtMostOnce(identity string) bool {
 	return strings.HasPrefix(identity, "nom-submit") || strings.HasPrefix(identity, "nom-update")
 }
 
-// checkAttempt returns the attempt's outcome for the table.
+// checkAttempt checks one attempt and returns its outcome for the table.
 func (s *soakRun) checkAttempt(a *soakAttempt) string {
 	runs := s.runner.runs[a.identity]
 	late := a.sentAt.After(s.noticeAt.Add(soakDrainGrace + soakSocketDelay))
 	if a.sentCompletely && late && len(runs) > 0 && a.class == "nom-submit" {
-		s.t.Errorf("ran though its last byte came %v after the notice: %s", a.sentAt.Sub(s.noticeAt), a.identity)
+		s.t.Errorf("ran although its last byte was sent %v after SIGTERM: %s", a.sentAt.Sub(s.noticeAt), a.identity)
 	}
 	if a.abandoned {
 		return "left"
@@ -58,25 +58,25 @@
 	}
 	limit := soakDeadline + soakResponseGrace + soakSocketDelay + s.stalls.totalBetween(a.acceptedAt, a.endedAt)
 	if took := a.endedAt.Sub(a.acceptedAt); took > limit {
-		s.t.Errorf("answered after %v, %v are allowed: %s", took, limit, a.identity)
+		s.t.Errorf("answered after %v, limit %v: %s", took, limit, a.identity)
 	}
 	switch a.response.status {
 	case 200:
 		if len(runs) == 0 || !strings.Contains(a.response.body, a.identity) {
-			s.t.Errorf("not the result of a run of its own: %s: %s", a.identity, a.response.body)
+			s.t.Errorf("response is not the result of the request's own run: %s: %s", a.identity, a.response.body)
 		}
 		return "served"
 	case 429, 503:
 		if a.class == "nom-submit" && len(runs) > 0 {
-			s.t.Errorf("rejected, and it ran: %s", a.identity)
+			s.t.Errorf("rejected, but it ran: %s", a.identity)
 		}
 		return "rejected"
 	}
 	return "failed"
 }
 
-// checkConnectionError: a connection may end without an answer only where its end crosses a request that
-// never runs: in a drain, and in a crowd.
+// checkConnectionError checks an attempt whose connection closed without a response. That is allowed only if
+// the request did not run, and only during the drain or while idle connections fill the connection table.
 func (s *soakRun) checkConnectionError(a *soakAttempt, runs int) string {
 	var failure net.Error
 	mayEnd := a.endedAt.After(s.noticeAt) || s.plan.idleConnections > 0
@@ -84,21 +84,21 @@
 		s.t.Errorf("never answered: %s", a.identity)
 	}
 	if !mayEnd && a.sentCompletely {
-		s.t.Errorf("lost: %s %s: %v", a.protocol, a.identity, a.err)
+		s.t.Errorf("connection closed without a response: %s %s: %v", a.protocol, a.identity, a.err)
 	}
 	if a.class == "nom-submit" && a.sentCompletely && runs > 0 {
-		s.t.Errorf("ran, and its caller never heard: %s: %v", a.identity, a.err)
+		s.t.Errorf("ran, but its caller got no response: %s: %v", a.identity, a.err)
 	}
 	return "not taken"
 }
 
-// checkProcess: no panic, and memory and descriptors within their limits.
+// checkProcess checks that the process did not panic and stayed within its memory and descriptor limits.
 func (s *soakRun) checkProcess() {
 	log := s.log()
 	assert.NotContains(s.t, log, "panic:")
 	assert.NotContains(s.t, log, "fatal error:")
 	assert.NotContains(s.t, log, "too many open files")
 	assert.LessOrEqual(s.t, s.peakMemory, soakMemoryMB<<10, "KB of memory")
-	// The system lets the process have no more than the limit: one that used them all ran out.
+	// The kernel enforces the limit, so a process that reaches it has run out of descriptors.
 	assert.Less(s.t, s.peakSockets, soakSockets, "descriptors")
 }
--- a/tests/store_soak_faults_test.go
+++ b/tests/store_soak_faults_test.go
@@ -8,14 +8,14 @@
 	"oxbowbridge/internal/testrig"
 )
 
-// soakFault is a fault of one node, or of the holder of the lease.
+// soakFault is a fault of one node or of one contender for the lease.
 type soakFault struct {
 	name  string
 	begin func()
 	end   func()
 }
 
-// drawFaults draws one fault of a node, and in half of the rounds one of the holder beside it.
+// drawFaults draws one fault of a node and, in half of the rounds, a concurrent fault of a contender.
 func (s *storeSoak) drawFaults() []soakFault {
 	nodes := s.nodeFaults(s.rng.IntN(storeSoakNodes))
 	drawn := []soakFault{nodes[s.rng.IntN(len(nodes))]}
@@ -42,7 +42,7 @@
 		{name: "leader stopped", begin: func() { node = s.WaitForLeader(); s.Pause(node) }, end: func() { s.Resume(node) }},
 		{name: "all killed", begin: func() { s.forAllNodes(s.Kill) }, end: func() { s.forAllNodes(s.Start) }},
 		linked("node cut off", cut, cut),
-		linked("node not heard", testrig.LinkMode{StallRequests: true}, testrig.LinkMode{}),
+		linked("node's messages stalled", testrig.LinkMode{StallRequests: true}, testrig.LinkMode{}),
 		linked("links slow", slow, slow),
 		disk("disk full", faultfs.DiskFull),
 		disk("disk fails syncs", faultfs.FailSyncs),
@@ -55,12 +55,12 @@
 	}
 }
 
-// holderFaults are faults of one contender, which may hold the lease.
+// holderFaults are faults of one contender, which may be the lease holder.
 func (s *storeSoak) holderFaults() []soakFault {
 	holder := s.contest.contenders[s.rng.IntN(len(s.contest.contenders))]
 	return []soakFault{
 		{name: "contender stopped with its command", begin: func() { holder.signalTree(syscall.SIGSTOP) }, end: func() { holder.signalTree(syscall.SIGCONT) }},
-		{name: "contender stopped, its command goes on", begin: func() { holder.signalLeaseProcess(syscall.SIGSTOP) }, end: func() { holder.signalLeaseProcess(syscall.SIGCONT) }},
+		{name: "contender stopped without its command", begin: func() { holder.signalLeaseProcess(syscall.SIGSTOP) }, end: func() { holder.signalLeaseProcess(syscall.SIGCONT) }},
 		{name: "contender killed", begin: func() { holder.signalLeaseProcess(syscall.SIGKILL) }, end: func() {}},
 		{name: "contender cut off", begin: func() { holder.setLinks(testrig.LinkMode{Cut: true}) }, end: func() { holder.setLinks(testrig.LinkMode{}) }},
 	}
