--- a/tests/contenders_test.go
+++ b/tests/contenders_test.go
@@ -22,8 +22,8 @@
 
 const envLeaseCommandURL = "OXBOWBRIDGE_TEST_ACTOR"
 
-// runLeaseCommand is the command of a contender: this test's own program, which acts on the resource
-// without pause and without asking anybody, for as long as it is let.
+// runLeaseCommand is the command that a contender runs under its lease: this test binary, which keeps acting on
+// the resource without checking the lease.
 func runLeaseCommand(url string) int {
 	web := &http.Client{Timeout: time.Second}
 	query := "?holder=" + os.Getenv("HOLDER") + "&token=" + os.Getenv("OXBOWBRIDGE_LEASE_TOKEN")
@@ -38,8 +38,7 @@
 	return 0
 }
 
-// contender is a process that wants the lease again and again, and acts under it. It
-// reaches each node of the store over a link of its own.
+// contender repeatedly runs a command under the lease. It reaches each store node over its own link.
 type contender struct {
 	t           *testing.T
 	name        string
@@ -69,7 +68,7 @@
 	return x
 }
 
-// runRepeatedly runs the command under the lease, again and again.
+// runRepeatedly runs the command under the lease until stop is called.
 func (x *contender) runRepeatedly() {
 	for {
 		x.mu.Lock()
@@ -105,7 +104,8 @@
 	x.background.Wait()
 }
 
-// processTree are the present process and all below it, in any process group.
+// processTree returns the process IDs of the current lease process and all its descendants, in any process
+// group.
 func (x *contender) processTree() []int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -132,8 +132,8 @@
 	return all
 }
 
-// signalTree goes to all of them. When they go on, the command does so a moment earlier than
-// those that stop it, as may happen.
+// signalTree signals the lease process and its descendants. SIGCONT reaches the command 30 ms before the
+// processes that would stop it, which is the harder case for the fence.
 func (x *contender) signalTree(sig syscall.Signal) {
 	var rest []int
 	for _, pid := range x.processTree() {
@@ -151,7 +151,7 @@
 	}
 }
 
-// signalLeaseProcess goes to the process that holds the lease, and not to its command or its guard.
+// signalLeaseProcess signals the process that holds the lease, but not its command or its guard.
 func (x *contender) signalLeaseProcess(sig syscall.Signal) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -164,7 +164,7 @@
 	}
 }
 
-// leaseContest is nodes of the store and contenders for one lease.
+// leaseContest is a store cluster with contenders for one lease.
 type leaseContest struct {
 	*cluster
 	resource   *testrig.Resource
@@ -180,13 +180,13 @@
 	for i := range contenders {
 		s.contenders = append(s.contenders, newContender(t, c, i, s.resource, s.ttl))
 	}
-	await(t, "a first act", func() bool { _, acts, _ := s.resource.Counts(); return acts > 0 })
+	await(t, "a first action under the lease", func() bool { _, acts, _ := s.resource.Counts(); return acts > 0 })
 	return s
 }
 
-// holder waits for a contender that has the lease and acts.
+// holder waits until a contender acts under the lease, and returns it with its token.
 func (s *leaseContest) holder() (x *contender, token uint64) {
-	testrig.Await(s.T, "a holder that acts", func() bool {
+	testrig.Await(s.T, "a lease holder that acts", func() bool {
 		a, ok := s.resource.LastAction()
 		for _, c := range s.contenders {
 			if name, _, _ := strings.Cut(a.Holder, "-"); ok && time.Since(a.End) < 50*time.Millisecond && c.name == name {
@@ -198,7 +198,7 @@
 	return x, token
 }
 
-// faults are those of the store's nodes and of the holder, which comes with its token.
+// faults returns the faults of the store's nodes and of the lease holder.
 func (s *leaseContest) faults() []testrig.Fault {
 	var at *contender
 	with := func(do func(x *contender)) func(int) {
@@ -219,7 +219,7 @@
 		return with(func(x *contender) { do(x); time.Sleep(2 * s.ttl) })
 	}
 	return []testrig.Fault{
-		{Name: "all at once", IsolatesLeader: true, Inject: func(i int) {
+		{Name: "several faults at once", IsolatesLeader: true, Inject: func(i int) {
 			s.contenders[int(*seed)%len(s.contenders)].signalLeaseProcess(syscall.SIGKILL)
 			s.SetNodeLinks((i+1)%len(s.Peers), testrig.LinkMode{StallRequests: true}, testrig.LinkMode{})
 			s.SetNodeLinks((i+2)%len(s.Peers), slow, slow)
@@ -233,21 +233,21 @@
 		{Name: "leader killed", IsolatesLeader: true, Inject: s.Kill, Recover: s.Start},
 		{Name: "leader stopped", IsolatesLeader: true, Inject: s.Pause, Recover: s.Resume},
 		{Name: "leader cut off", Inject: func(i int) { s.SetNodeLinks(i, testrig.LinkMode{Cut: true}, testrig.LinkMode{Cut: true}) }, Recover: heal},
-		{Name: "leader not heard", Inject: func(i int) { s.SetNodeLinks(i, testrig.LinkMode{StallRequests: true}, testrig.LinkMode{}) }, Recover: heal},
+		{Name: "leader's messages stalled", Inject: func(i int) { s.SetNodeLinks(i, testrig.LinkMode{StallRequests: true}, testrig.LinkMode{}) }, Recover: heal},
 		{Name: "all links of the store slow", Inject: all(func(i int) { s.SetNodeLinks(i, slow, slow) }), Recover: all(heal)},
 		{Name: "all nodes killed", Inject: all(s.Kill), Recover: all(s.Start)},
 		{Name: "holder and its command stopped", Inject: long(func(x *contender) { x.signalTree(syscall.SIGSTOP) }), Recover: undo(func(x *contender) { x.signalTree(syscall.SIGCONT) })},
-		{Name: "holder stopped, its command goes on", Inject: long(func(x *contender) { x.signalLeaseProcess(syscall.SIGSTOP) }), Recover: undo(func(x *contender) { x.signalLeaseProcess(syscall.SIGCONT) })},
+		{Name: "holder stopped without its command", Inject: long(func(x *contender) { x.signalLeaseProcess(syscall.SIGSTOP) }), Recover: undo(func(x *contender) { x.signalLeaseProcess(syscall.SIGCONT) })},
 		{Name: "holder killed", Inject: with(func(x *contender) { x.signalLeaseProcess(syscall.SIGKILL) }), Recover: func(int) {}},
 		{Name: "holder cut off from the store", Inject: with(func(x *contender) { x.setLinks(testrig.LinkMode{Cut: true}) }), Recover: undo(func(x *contender) { x.setLinks(testrig.LinkMode{}) })},
-		{Name: "holder's answers are lost", Inject: with(func(x *contender) { x.setLinks(testrig.LinkMode{StallResponses: true}) }), Recover: undo(func(x *contender) { x.setLinks(testrig.LinkMode{}) })},
-		{Name: "holder half open", Inject: with(func(x *contender) { x.setLinks(held) }), Recover: undo(func(x *contender) { x.setLinks(testrig.LinkMode{}) })},
+		{Name: "responses to the holder stalled", Inject: with(func(x *contender) { x.setLinks(testrig.LinkMode{StallResponses: true}) }), Recover: undo(func(x *contender) { x.setLinks(testrig.LinkMode{}) })},
+		{Name: "holder's links stalled", Inject: with(func(x *contender) { x.setLinks(held) }), Recover: undo(func(x *contender) { x.setLinks(testrig.LinkMode{}) })},
 	}
 }
 
-// TestContenders: seven processes want one lease of five nodes, while leaders and holders
-// are killed, stopped and cut off. No two act at once, tokens only grow, and what one does
-// that stood still is refused. -faults 10m is its long form, and prints its table with -v.
+// TestContenders: seven processes contend for one lease at five nodes while leaders and holders are killed,
+// paused and cut off. No two may act at once, tokens only grow, and actions of a holder that was paused past
+// its lease are rejected. Run it longer with -faults 10m; -v prints a table per fault.
 func TestContenders(t *testing.T) {
 	t.Parallel()
 	logSeedOnFailure(t)
@@ -267,7 +267,7 @@
 		time.Sleep(turn.Duration)
 		f.Recover(i)
 		undone := time.Now()
-		await(t, "an act after "+f.Name, func() bool { return s.resource.ActedAfter(undone) })
+		await(t, "an action after "+f.Name, func() bool { return s.resource.ActedAfter(undone) })
 		gaps[f.Name] = append(gaps[f.Name], s.resource.LongestGap(at).Round(time.Millisecond))
 		_, _, after := s.resource.Counts()
 		refused[f.Name] += after - before
@@ -284,14 +284,14 @@
 	}
 }
 
-// TestContendersNoFence: the check sees what the fence keeps out.
+// TestContendersNoFence checks that without the fence the resource detects actions under an expired lease.
 func TestContendersNoFence(t *testing.T) {
 	t.Parallel()
 	s := newLeaseContest(t, 3, 3, false)
-	await(t, "an act of one that stood still", func() bool {
+	await(t, "an action of a paused former holder", func() bool {
 		x, token := s.holder()
 		x.signalTree(syscall.SIGSTOP)
-		await(t, "the next holder", func() bool { a, _ := s.resource.LastAction(); return a.Token != token })
+		await(t, "the next lease holder", func() bool { a, _ := s.resource.LastAction(); return a.Token != token })
 		x.signalTree(syscall.SIGCONT)
 		time.Sleep(100 * time.Millisecond)
 		return len(s.resource.Violations()) > 0
--- a/tests/settings_test.go
+++ b/tests/settings_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestSettingsOfOthers: each value that the page on the wire allows is served.
+// TestSettingsOfOthers: the service starts with, and serves requests under, each valid value of the settings.
 func TestSettingsOfOthers(t *testing.T) {
 	t.Parallel()
 	for what, change := range map[string]func(set, info object){
@@ -52,7 +52,7 @@
 				assert.Equal(t, 200, a.status, class)
 			}
 			if what == "level" || what == "weight" || what == "credit" {
-				await(t, "the free value", func() bool {
+				await(t, "a Feedback header", func() bool {
 					a, err := w.sendFCGI("/ping", nil, "")
 					return err == nil && a.headers["Feedback"] != ""
 				})
@@ -62,14 +62,14 @@
 			} else {
 				a, err := w.sendRequest("nom-submit", "ok")
 				require.NoError(t, err)
-				assert.NotContains(t, a.headers, "Feedback", "nothing is said where nothing is heard")
+				assert.NotContains(t, a.headers, "Feedback", "no Feedback header")
 			}
 		})
 	}
 }
 
-// TestMaxWait: where the settings say that requests tell how long their callers wait, one is
-// answered by then, in either protocol; elsewhere its class's deadline counts.
+// TestMaxWait: if the settings say that requests carry their maximum wait, a request is answered by then, in
+// both protocols. Otherwise only the deadline of its class counts.
 func TestMaxWait(t *testing.T) {
 	t.Parallel()
 	for name, dial := range protocolDialers {
@@ -107,14 +107,14 @@
 				for _, bad := range []string{"-5", "soon", "1e3"} {
 					assert.Equal(t, 400, answered(send(bad, "ok")), bad)
 				}
-				assert.Equal(t, 200, answered(send("0", "ok")), "as if it said nothing")
+				assert.Equal(t, 200, answered(send("0", "ok")), "0 is treated as no limit")
 				if passes {
-					assert.Equal(t, 500, answered(send("2000", "hold")), "its run goes on or was stopped: failed")
-					assert.Equal(t, 503, answered(send("1", "hold")), "over before it was read: it never ran")
+					assert.Equal(t, 500, answered(send("2000", "hold")), "its run continues or was stopped, so the request fails")
+					assert.Equal(t, 503, answered(send("1", "hold")), "the wait was over before the request was read")
 					return
 				}
 				got := send("1", "hold")
-				await(t, "the run", func() bool { return w.engine.heldRuns() == 1 })
+				await(t, "the run to start", func() bool { return w.engine.heldRuns() == 1 })
 				w.engine.releaseHeld()
 				assert.Equal(t, 200, answered(got))
 			})
@@ -122,7 +122,7 @@
 	}
 }
 
-// TestSettingsRefused: what the page does not allow ends the start with 2 and one line.
+// TestSettingsRefused: invalid settings end the start with exit code 2 and one line.
 func TestSettingsRefused(t *testing.T) {
 	t.Parallel()
 	for want, change := range map[string]func(set, info object){
@@ -149,8 +149,8 @@
 	}
 }
 
-// TestSharedCallsLinger: where all share what lies below, a call that was lost may still be
-// in its hands, and counts there: it is made again only once it can't be any more.
+// TestSharedCallsLinger: if all services share the records service, a lost call may still run there and
+// occupies capacity. It is repeated only after the linger time, when it can no longer run.
 func TestSharedCallsLinger(t *testing.T) {
 	t.Parallel()
 	for below, lingers := range map[string]time.Duration{"shared": 400 * time.Millisecond, "tier": 0} {
@@ -168,9 +168,8 @@
 	}
 }
 
-// TestPause: a run that gives way is paused, goes on where it was, over a link that broke
-// too, and is neither run again nor stopped for good; where nothing may be stopped,
-// nothing is.
+// TestPause: a run that yields its core is paused and resumes, also after a lost link, and neither runs again
+// nor is stopped for good. With halt "none" no run is stopped.
 func TestPause(t *testing.T) {
 	t.Parallel()
 	for halt, halts := range map[string]int{"pause": 1, "none": 0} {
@@ -180,18 +179,18 @@
 				set := cfg["settings"].(object)
 				set["counted_by"] = "request"
 				set["family_info"].(object)["halt"], set["family_info"].(object)["cores"] = halt, 1
-				set["classes"].([]object)[0]["aim_ns"] = 60e6 // first taken for six mean runs
+				set["classes"].([]object)[0]["aim_ns"] = 60e6 // allows six runs of the initially assumed mean duration
 			})
 			var long string
 			var got <-chan response
-			await(t, "a run", func() bool {
+			await(t, "a run to start", func() bool {
 				long = newTraceID()
 				got = w.sendAsync("balance-view", long, "hold")
-				await(t, "a run or a refusal", func() bool { return w.engine.heldRuns() == 1 || len(got) == 1 })
+				await(t, "a run or a rejection", func() bool { return w.engine.heldRuns() == 1 || len(got) == 1 })
 				return w.engine.heldRuns() == 1
 			})
 			if halts == 0 {
-				lost, _ := dialFCGI(w.fcgiAddr) // its caller goes, and it is not stopped
+				lost, _ := dialFCGI(w.fcgiAddr) // its caller disconnects, and the run is not stopped
 				gone := newTraceID()
 				lost.Write(fcgiRequest(1, "/call/nom-submit", requestHeaders(gone), []byte("hold")))
 				lost.Close()
@@ -201,16 +200,16 @@
 				assert.Zero(t, w.engine.countReceived("HALT"))
 				return
 			}
-			await(t, "it to give way", func() bool {
+			await(t, "the run to be paused", func() bool {
 				a, err := w.sendRequest("nom-update", "ok")
 				return err == nil && a.status == 200 && w.engine.countReceived("HALT "+long) > 0
 			})
-			await(t, "it to go on", func() bool { return w.engine.countReceived("RESUME "+long) > 0 })
+			await(t, "the run to resume", func() bool { return w.engine.countReceived("RESUME "+long) > 0 })
 			w.engine.mu.Lock()
 			w.engine.conn.Close()
 			w.engine.mu.Unlock()
-			await(t, "the link again", func() bool { return w.engine.countReceived("ATTACH") == 2 })
-			await(t, "what may have been lost with it", func() bool { return w.engine.countReceived("RESUME "+long) == 2 })
+			await(t, "the engine link to reconnect", func() bool { return w.engine.countReceived("ATTACH") == 2 })
+			await(t, "RESUME on the new link", func() bool { return w.engine.countReceived("RESUME "+long) == 2 })
 			w.engine.releaseHeld()
 			assert.Equal(t, "result of "+long, (<-got).body)
 			assert.Equal(t, 1, w.engine.countReceived("RUN "+long))
