--- a/admission/episodes.go
+++ b/admission/episodes.go
@@ -29,8 +29,8 @@
 	// maxServiceRateDrift is the relative change of μ above which the policy is solved again. It
 	// exceeds the estimation error of μ.
 	maxServiceRateDrift = 0.25
-	// arrivalWindowGaugeTicks is the length of the arrival window in gauge ticks; 4 gauge ticks are 1
-	// s.
+	// arrivalWindowGaugeTicks is the length of the arrival window in gauge ticks; 4 gauge ticks
+	// are 1 s.
 	arrivalWindowGaugeTicks = 4
 	// maxStateFactor is S as a multiple of the number of runs that the server sustains: a request that
 	// is queued in a higher state would miss its latency objective.
--- a/admission/policy.go
+++ b/admission/policy.go
@@ -19,7 +19,7 @@
 	// tieTolerance is the relative difference below which a reward counts as equal to the bias
 	// difference.
 	tieTolerance = 1e-9
-	// rescaleWeight is the unnormalised state probability above which the sums of equation 11 are
+	// rescaleWeight is the unnormalized state probability above which the sums of equation 11 are
 	// scaled down, to prevent an overflow.
 	rescaleWeight = 1e100
 )
@@ -95,7 +95,7 @@
 }
 
 // iteratePolicy runs PI-B until an iteration leaves the policy unchanged. The first iteration never
-// ends it: its initial bias is 0 in every state and is not the bias of any policy.
+// ends the loop: its initial bias is 0 in every state and is not the bias of any policy.
 func iteratePolicy(m admissionModel) policy {
 	m.fillRatesAndRewards()
 	p := policy{bias: make([]float64, m.maxState), model: m}
--- a/admission/purity_test.go
+++ b/admission/purity_test.go
@@ -29,10 +29,10 @@
 	"time":    {"Duration", "Nanosecond", "Microsecond", "Millisecond", "Second", "Minute", "Hour"},
 }
 
-// TestModuleIsPure: the decisions depend only on the events. The files of the package use no clock
+// TestPackageIsPure: the decisions depend only on the events. The files of the package use no clock
 // or timer, do no I/O, start no goroutine, use no channel and import no other package of this
 // module.
-func TestModuleIsPure(t *testing.T) {
+func TestPackageIsPure(t *testing.T) {
 	fileSet := token.NewFileSet()
 	paths, err := filepath.Glob("*.go")
 	require.NoError(t, err)
--- a/admission/rejectreason_test.go
+++ b/admission/rejectreason_test.go
@@ -93,8 +93,8 @@
 }
 
 // maxAllocsPerRejection is the number of allocations of one call of Handle that reads and rejects a
-// request: the event, the request, the action and the slice of actions. It is the number of
-// allocations without a reason.
+// request: the event, the request, the action and the slice of actions. The
+// reason must add none to them.
 const maxAllocsPerRejection = 4
 
 // TestReasonAllocatesNothing: reporting the reason must not cost an allocation per decision, which
--- a/internal/proxy/dispatch/rejections_test.go
+++ b/internal/proxy/dispatch/rejections_test.go
@@ -67,7 +67,7 @@
 }
 
 // TestRejectionsAreLoggedBeforeTheEnd checks that rejections counted in the last interval of a drain
-// are logged before the drain finishes. They were lost if the process exited before the interval ended.
+// are logged before the drain finishes. Otherwise they are lost if the process exits before the interval ends.
 func TestRejectionsAreLoggedBeforeTheEnd(t *testing.T) {
 	core, logs := observer.New(zapcore.InfoLevel)
 	var settings sitesettings.Settings
--- a/internal/transport/engine/golden_test.go
+++ b/internal/transport/engine/golden_test.go
@@ -49,9 +49,9 @@
 	}
 }
 
-func (f *sessionFixture) waitFor(what string, condition func() bool) {
+func (f *sessionFixture) waitFor(description string, condition func() bool) {
 	f.t.Helper()
-	require.Eventually(f.t, func() bool { f.handleEvents(); return condition() }, 10*time.Second, time.Millisecond, what)
+	require.Eventually(f.t, func() bool { f.handleEvents(); return condition() }, 10*time.Second, time.Millisecond, description)
 }
 
 // acceptConn accepts the session's next connection and returns the engine's end of it.
--- a/internal/transport/eventloop/loop.go
+++ b/internal/transport/eventloop/loop.go
@@ -23,7 +23,7 @@
 type Loop struct {
 	engine       *nbio.Engine
 	maxLingering int        // target for the number of lingering connections
-	registerMu   sync.Mutex // one conversion at a time: nbio duplicates the descriptor during it
+	registerMu   sync.Mutex // serializes conversions of connections: nbio duplicates the descriptor during each
 
 	mu        sync.Mutex // also makes sure that a Conn is initialized before its first use
 	lingering []*Conn    // closing connections, the oldest first
--- a/internal/transport/records/client_test.go
+++ b/internal/transport/records/client_test.go
@@ -92,9 +92,9 @@
 	}
 }
 
-func (r *clientFixture) waitFor(what string, condition func() bool) {
+func (r *clientFixture) waitFor(description string, condition func() bool) {
 	r.t.Helper()
-	require.Eventually(r.t, func() bool { r.handleEvents(); return condition() }, 20*time.Second, time.Millisecond, what)
+	require.Eventually(r.t, func() bool { r.handleEvents(); return condition() }, 20*time.Second, time.Millisecond, description)
 }
 
 // nextCall waits for the next call at the service.
