--- a/tests/contenders_test.go
+++ b/tests/contenders_test.go
@@ -25,12 +25,12 @@
 // runLeaseCommand is the command that a contender runs under its lease: this test binary, which keeps acting on
 // the resource without checking the lease.
 func runLeaseCommand(url string) int {
-	web := &http.Client{Timeout: time.Second}
+	httpClient := &http.Client{Timeout: time.Second}
 	query := "?holder=" + os.Getenv("HOLDER") + "&token=" + os.Getenv("OXBOWBRIDGE_LEASE_TOKEN")
 	maxActions, _ := strconv.Atoi(os.Getenv("ACTS"))
 	for range maxActions {
 		time.Sleep(3 * time.Millisecond)
-		res, err := web.Post(url+"/act"+query, "", nil)
+		res, err := httpClient.Post(url+"/act"+query, "", nil)
 		if err == nil {
 			res.Body.Close()
 		}
@@ -200,13 +200,13 @@
 
 // faults returns the faults of the store's nodes and of the lease holder.
 func (s *leaseContest) faults() []testrig.Fault {
-	var at *contender
-	with := func(do func(x *contender)) func(int) {
-		return func(int) { at, _ = s.holder(); do(at) }
+	var faultyHolder *contender
+	onHolder := func(do func(x *contender)) func(int) {
+		return func(int) { faultyHolder, _ = s.holder(); do(faultyHolder) }
 	}
-	undo := func(do func(x *contender)) func(int) { return func(int) { do(at) } }
+	onFaultyHolder := func(do func(x *contender)) func(int) { return func(int) { do(faultyHolder) } }
 	held := testrig.LinkMode{StallRequests: true, StallResponses: true}
-	all := func(do func(i int)) func(int) {
+	onAllNodes := func(do func(i int)) func(int) {
 		return func(int) {
 			for i := range s.Peers {
 				do(i)
@@ -215,8 +215,8 @@
 	}
 	heal := func(i int) { s.SetNodeLinks(i, testrig.LinkMode{}, testrig.LinkMode{}) }
 	slow := testrig.LinkMode{Delay: 15 * time.Millisecond}
-	long := func(do func(x *contender)) func(int) {
-		return with(func(x *contender) { do(x); time.Sleep(2 * s.ttl) })
+	onHolderPastTTL := func(do func(x *contender)) func(int) {
+		return onHolder(func(x *contender) { do(x); time.Sleep(2 * s.ttl) })
 	}
 	return []testrig.Fault{
 		{Name: "several faults at once", IsolatesLeader: true, Inject: func(i int) {
@@ -224,9 +224,9 @@
 			s.SetNodeLinks((i+1)%len(s.Peers), testrig.LinkMode{StallRequests: true}, testrig.LinkMode{})
 			s.SetNodeLinks((i+2)%len(s.Peers), slow, slow)
 			s.Pause(i)
-			long(func(x *contender) { x.signalTree(syscall.SIGSTOP) })(i)
+			onHolderPastTTL(func(x *contender) { x.signalTree(syscall.SIGSTOP) })(i)
 		}, Recover: func(i int) {
-			at.signalTree(syscall.SIGCONT)
+			faultyHolder.signalTree(syscall.SIGCONT)
 			s.Resume(i)
 			s.HealLinks()
 		}},
@@ -234,14 +234,14 @@
 		{Name: "leader stopped", IsolatesLeader: true, Inject: s.Pause, Recover: s.Resume},
 		{Name: "leader cut off", Inject: func(i int) { s.SetNodeLinks(i, testrig.LinkMode{Cut: true}, testrig.LinkMode{Cut: true}) }, Recover: heal},
 		{Name: "leader's messages stalled", Inject: func(i int) { s.SetNodeLinks(i, testrig.LinkMode{StallRequests: true}, testrig.LinkMode{}) }, Recover: heal},
-		{Name: "all links of the store slow", Inject: all(func(i int) { s.SetNodeLinks(i, slow, slow) }), Recover: all(heal)},
-		{Name: "all nodes killed", Inject: all(s.Kill), Recover: all(s.Start)},
-		{Name: "holder and its command stopped", Inject: long(func(x *contender) { x.signalTree(syscall.SIGSTOP) }), Recover: undo(func(x *contender) { x.signalTree(syscall.SIGCONT) })},
-		{Name: "holder stopped without its command", Inject: long(func(x *contender) { x.signalLeaseProcess(syscall.SIGSTOP) }), Recover: undo(func(x *contender) { x.signalLeaseProcess(syscall.SIGCONT) })},
-		{Name: "holder killed", Inject: with(func(x *contender) { x.signalLeaseProcess(syscall.SIGKILL) }), Recover: func(int) {}},
-		{Name: "holder cut off from the store", Inject: with(func(x *contender) { x.setLinks(testrig.LinkMode{Cut: true}) }), Recover: undo(func(x *contender) { x.setLinks(testrig.LinkMode{}) })},
-		{Name: "responses to the holder stalled", Inject: with(func(x *contender) { x.setLinks(testrig.LinkMode{StallResponses: true}) }), Recover: undo(func(x *contender) { x.setLinks(testrig.LinkMode{}) })},
-		{Name: "holder's links stalled", Inject: with(func(x *contender) { x.setLinks(held) }), Recover: undo(func(x *contender) { x.setLinks(testrig.LinkMode{}) })},
+		{Name: "all links of the store slow", Inject: onAllNodes(func(i int) { s.SetNodeLinks(i, slow, slow) }), Recover: onAllNodes(heal)},
+		{Name: "all nodes killed", Inject: onAllNodes(s.Kill), Recover: onAllNodes(s.Start)},
+		{Name: "holder and its command stopped", Inject: onHolderPastTTL(func(x *contender) { x.signalTree(syscall.SIGSTOP) }), Recover: onFaultyHolder(func(x *contender) { x.signalTree(syscall.SIGCONT) })},
+		{Name: "holder stopped without its command", Inject: onHolderPastTTL(func(x *contender) { x.signalLeaseProcess(syscall.SIGSTOP) }), Recover: onFaultyHolder(func(x *contender) { x.signalLeaseProcess(syscall.SIGCONT) })},
+		{Name: "holder killed", Inject: onHolder(func(x *contender) { x.signalLeaseProcess(syscall.SIGKILL) }), Recover: func(int) {}},
+		{Name: "holder cut off from the store", Inject: onHolder(func(x *contender) { x.setLinks(testrig.LinkMode{Cut: true}) }), Recover: onFaultyHolder(func(x *contender) { x.setLinks(testrig.LinkMode{}) })},
+		{Name: "responses to the holder stalled", Inject: onHolder(func(x *contender) { x.setLinks(testrig.LinkMode{StallResponses: true}) }), Recover: onFaultyHolder(func(x *contender) { x.setLinks(testrig.LinkMode{}) })},
+		{Name: "holder's links stalled", Inject: onHolder(func(x *contender) { x.setLinks(held) }), Recover: onFaultyHolder(func(x *contender) { x.setLinks(testrig.LinkMode{}) })},
 	}
 }
 
@@ -266,16 +266,16 @@
 		f.Inject(i)
 		time.Sleep(turn.Duration)
 		f.Recover(i)
-		undone := time.Now()
-		await(t, "an action after "+f.Name, func() bool { return s.resource.ActedAfter(undone) })
+		recoveredAt := time.Now()
+		await(t, "an action after "+f.Name, func() bool { return s.resource.ActedAfter(recoveredAt) })
 		gaps[f.Name] = append(gaps[f.Name], s.resource.LongestGap(at).Round(time.Millisecond))
 		_, _, after := s.resource.Counts()
 		refused[f.Name] += after - before
 	}
-	tokens, acts, all := s.resource.Counts()
+	tokens, acts, rejectedTotal := s.resource.Counts()
 	assert.Empty(t, s.resource.Violations())
 	assert.Greater(t, tokens, len(faults))
-	t.Logf("seed %d, %v: %d tokens acted, %d acts, %d acts refused by the fence", *seed, time.Since(began).Round(time.Second), tokens, acts, all)
+	t.Logf("seed %d, %v: %d tokens acted, %d acts, %d acts refused by the fence", *seed, time.Since(began).Round(time.Second), tokens, acts, rejectedTotal)
 	for _, f := range faults {
 		list := gaps[f.Name]
 		if slices.Sort(list); len(list) > 0 {
--- a/tests/deploy_test.go
+++ b/tests/deploy_test.go
@@ -27,50 +27,50 @@
 	assert.Equal(t, "exec bin/oxbowbridge", deployFileValue("run"))
 }
 
-// TestNothingOfOurs: with the platform's plain configuration the service listens at one address, connects only
+// TestOptionalFeaturesOff: with the platform's plain configuration the service listens at one address, connects only
 // to the three configured servers, opens no Unix socket and no file for writing, and starts no process.
 // Optional features are off unless their section is present.
-func TestNothingOfOurs(t *testing.T) {
+func TestOptionalFeaturesOff(t *testing.T) {
 	t.Parallel()
 	w := newTestbed(t, func(cfg object) { delete(cfg, "ajp") })
 	for _, class := range classNames {
 		assert.Equal(t, 200, w.responseStatus(class, "call"))
 	}
 	got := inspectProcess(t, w.cmd.Process.Pid)
-	assert.Equal(t, []string{w.fcgiAddr}, got.listens)
-	assert.Empty(t, got.unix)
-	assert.Empty(t, got.writes)
+	assert.Equal(t, []string{w.fcgiAddr}, got.listenAddrs)
+	assert.Empty(t, got.unixSockets)
+	assert.Empty(t, got.writableFiles)
 	assert.Empty(t, got.children)
-	for _, addr := range got.calls {
+	for _, addr := range got.remoteAddrs {
 		assert.Contains(t, []string{w.engine.addr, w.records.addr}, addr)
 	}
-	with := newTestbed(t, nil) // shows that the check sees a listener that a section turns on
-	assert.Equal(t, 2, len(inspectProcess(t, with.cmd.Process.Pid).listens))
+	withAJP := newTestbed(t, nil) // shows that the check sees a listener that a section turns on
+	assert.Equal(t, 2, len(inspectProcess(t, withAJP.cmd.Process.Pid).listenAddrs))
 }
 
 // openResources are the sockets, files and child processes of a process.
-type openResources struct{ listens, calls, unix, writes, children []string }
+type openResources struct{ listenAddrs, remoteAddrs, unixSockets, writableFiles, children []string }
 
 // inspectProcess reads a process's open resources from /proc.
 func inspectProcess(t *testing.T, pid int) (out openResources) {
 	proc := fmt.Sprint("/proc/", pid)
 	fds, err := filepath.Glob(proc + "/fd/*")
 	require.NoError(t, err)
-	own := map[string]bool{}
+	ownInodes := map[string]bool{}
 	for _, fd := range fds {
 		to, err := os.Readlink(fd)
 		if err != nil {
 			continue // closed meanwhile
 		}
 		if inode, ok := strings.CutPrefix(to, "socket:["); ok {
-			own[strings.TrimSuffix(inode, "]")] = true
+			ownInodes[strings.TrimSuffix(inode, "]")] = true
 			continue
 		}
 		info, err := os.ReadFile(proc + "/fdinfo/" + filepath.Base(fd))
 		_, flags, _ := strings.Cut(string(info), "flags:\t")
 		flags, _, _ = strings.Cut(flags, "\n")
 		if mode, perr := strconv.ParseUint(flags, 8, 64); err == nil && perr == nil && mode&3 != 0 && strings.HasPrefix(to, "/") && !strings.HasPrefix(to, "/dev/") {
-			out.writes = append(out.writes, to)
+			out.writableFiles = append(out.writableFiles, to)
 		}
 	}
 	rows := func(name string, inode int, each func([]string)) {
@@ -80,7 +80,7 @@
 		}
 		require.NoError(t, err)
 		for line := range strings.Lines(string(text)) {
-			if f := strings.Fields(line); len(f) > inode && own[f[inode]] {
+			if f := strings.Fields(line); len(f) > inode && ownInodes[f[inode]] {
 				each(f)
 			}
 		}
@@ -89,13 +89,13 @@
 		rows(name, 9, func(f []string) {
 			switch local, remote := parseProcAddress(f[1]), parseProcAddress(f[2]); {
 			case f[3] == "0A":
-				out.listens = append(out.listens, local)
-			case !slices.Contains(out.listens, local):
-				out.calls = append(out.calls, remote)
+				out.listenAddrs = append(out.listenAddrs, local)
+			case !slices.Contains(out.listenAddrs, local):
+				out.remoteAddrs = append(out.remoteAddrs, remote)
 			}
 		})
 	}
-	rows("unix", 6, func(f []string) { out.unix = append(out.unix, strings.Join(f, " ")) })
+	rows("unix", 6, func(f []string) { out.unixSockets = append(out.unixSockets, strings.Join(f, " ")) })
 	stats, err := filepath.Glob("/proc/[0-9]*/stat")
 	require.NoError(t, err)
 	for _, path := range stats {
--- a/tests/disk_plays_test.go
+++ b/tests/disk_plays_test.go
@@ -59,8 +59,8 @@
 	clients     sync.WaitGroup
 }
 
-func runDiskScenario(t *testing.T, playSeed uint64, nodes int) {
-	p := &diskScenario{cluster: newStoppedCluster(t, nodes, nodes), t: t, seed: playSeed, incidents: drawIncidents(playSeed, nodes),
+func runDiskScenario(t *testing.T, scenarioSeed uint64, nodes int) {
+	p := &diskScenario{cluster: newStoppedCluster(t, nodes, nodes), t: t, seed: scenarioSeed, incidents: drawIncidents(scenarioSeed, nodes),
 		history: testrig.NewHistory(), stop: make(chan struct{})}
 	for node := range nodes {
 		p.nodeIndexes = append(p.nodeIndexes, node)
@@ -100,33 +100,33 @@
 }
 
 // runIncident runs one incident and waits until the cluster has recovered.
-func (p *diskScenario) runIncident(now incident) {
-	copies, marks := p.copyFolders(now)
-	if now.stoppedBefore != noNodeStoppedBefore {
-		p.logStep("kill", now.stoppedBefore)
-		p.Kill(now.stoppedBefore)
+func (p *diskScenario) runIncident(current incident) {
+	copies, marks := p.copyFolders(current)
+	if current.stoppedBefore != noNodeStoppedBefore {
+		p.logStep("kill", current.stoppedBefore)
+		p.Kill(current.stoppedBefore)
 	}
 	before := p.keys.count()
 	await(p.t, "writes before the incident", func() bool { return p.keys.count() >= before+writesBeforeIncident })
 	for node, mark := range marks {
-		p.awaitLaterWatermark(node, mark, now.stoppedBefore)
+		p.awaitLaterWatermark(node, mark, current.stoppedBefore)
 	}
 	time.Sleep(watermarkSaveTime)
 	startedAt := time.Now()
-	for _, step := range now.steps {
+	for _, step := range current.steps {
 		time.Sleep(time.Until(startedAt.Add(step.at)))
-		p.runStep(step, now, copies)
+		p.runStep(step, current, copies)
 	}
 	started := time.Now()
 	p.awaitRecovered()
-	p.t.Logf("incident %d: recovered after %v: %s", p.next+1, time.Since(started).Round(time.Millisecond), now)
+	p.t.Logf("incident %d: recovered after %v: %s", p.next+1, time.Since(started).Round(time.Millisecond), current)
 }
 
 // copyFolders copies the folders that will be replaced by older copies. It returns the copies, and for each a
 // watermark of the disk that is not before the copy.
-func (p *diskScenario) copyFolders(now incident) (copies map[int]string, marks map[int]diskidentity.Watermark) {
+func (p *diskScenario) copyFolders(current incident) (copies map[int]string, marks map[int]diskidentity.Watermark) {
 	copies, marks = map[int]string{}, map[int]diskidentity.Watermark{}
-	for node, fault := range now.faults {
+	for node, fault := range current.faults {
 		if fault == folderFromOlderCopy {
 			copies[node] = p.CopyDir(node)
 			marks[node] = p.diskReport(node, "").Watermark
@@ -160,7 +160,7 @@
 }
 
 // runStep starts a node, or kills it and damages its folder if the incident says so.
-func (p *diskScenario) runStep(step scenarioStep, now incident, copies map[int]string) {
+func (p *diskScenario) runStep(step scenarioStep, current incident, copies map[int]string) {
 	if step.isStart {
 		p.logStep("start", step.node)
 		p.Start(step.node)
@@ -168,7 +168,7 @@
 	}
 	p.logStep("kill", step.node)
 	p.Kill(step.node)
-	switch now.faults[step.node] {
+	switch current.faults[step.node] {
 	case folderWiped:
 		p.WipeDir(step.node)
 	case folderFromOlderCopy:
--- a/tests/disks_test.go
+++ b/tests/disks_test.go
@@ -145,18 +145,18 @@
 	c := newLinkedCluster(t)
 	for _, cut := range []bool{false, true} {
 		lead := c.WaitForLeader()
-		old := (lead + 1) % 3
+		olderNode := (lead + 1) % 3
 		third := (lead + 2) % 3
 		c.Put(lead, "note/age", `"old"`)
-		c.WaitForValue(old, "note/age", `"old"`)
-		then := c.CopyDir(old)
+		c.WaitForValue(olderNode, "note/age", `"old"`)
+		olderCopy := c.CopyDir(olderNode)
 		c.WaitForLeader()
 		for n := range 30 {
 			c.Put(lead, fmt.Sprint("more/", n), fmt.Sprint(n))
 		}
 		c.Put(lead, "note/age", `"new"`)
 		c.WaitForValue(third, "note/age", `"new"`)
-		mark := func(by, of int) uint64 {
+		observedIndex := func(by, of int) uint64 {
 			var self, seen struct {
 				ID   string
 				Mark struct {
@@ -176,19 +176,19 @@
 			}
 		}
 		require.True(t, c.GetJSON(lead, "/self?from=x", &before))
-		await(t, "the watermark to be observed", func() bool { return mark(third, old) >= before.Mark.LastIndex })
-		was := c.memberID(old)
-		c.Kill(old)
-		c.RestoreDir(old, then)
+		await(t, "the watermark to be observed", func() bool { return observedIndex(third, olderNode) >= before.Mark.LastIndex })
+		oldID := c.memberID(olderNode)
+		c.Kill(olderNode)
+		c.RestoreDir(olderNode, olderCopy)
 		if cut {
-			c.SetLinksBetween(old, lead, testrig.LinkMode{Cut: true})
+			c.SetLinksBetween(olderNode, lead, testrig.LinkMode{Cut: true})
 			c.Kill(lead) // the third node and the node with the older folder now form a majority
 		}
-		c.Start(old)
-		await(t, "the disk identity to be renewed", func() bool { return strings.Contains(c.nodes[old].log(), "disk identity renewed") })
+		c.Start(olderNode)
+		await(t, "the disk identity to be renewed", func() bool { return strings.Contains(c.nodes[olderNode].log(), "disk identity renewed") })
 		if cut {
 			for range 20 {
-				for _, i := range []int{old, third} {
+				for _, i := range []int{olderNode, third} {
 					code, text := c.Request(i, "GET", "/store/note/age", "")
 					assert.Equal(t, 503, code, text)
 				}
@@ -199,7 +199,7 @@
 		}
 		await(t, "the older disk's membership to end", func() bool {
 			m := c.Members(lead)
-			_, there := m[was]
+			_, there := m[oldID]
 			return len(m) > 0 && !there
 		})
 		c.WaitForVoters(0, 1, 2)
@@ -249,11 +249,13 @@
 		return role
 	}
 	await(t, "the node to become a learner", func() bool { return role(3) == "learner" })
-	gone := (c.WaitForLeader() + 1) % 3
-	c.Kill(gone)
-	await(t, "the standby to become a voter", func() bool { return role(3) == "voter" && role(gone) == "learner" })
-	c.Start(gone)
-	await(t, "all keys", func() bool { return hasWrittenKeys(t, c, 3, "note", 10) && hasWrittenKeys(t, c, gone, "note", 10) })
+	stoppedNode := (c.WaitForLeader() + 1) % 3
+	c.Kill(stoppedNode)
+	await(t, "the standby to become a voter", func() bool { return role(3) == "voter" && role(stoppedNode) == "learner" })
+	c.Start(stoppedNode)
+	await(t, "all keys", func() bool {
+		return hasWrittenKeys(t, c, 3, "note", 10) && hasWrittenKeys(t, c, stoppedNode, "note", 10)
+	})
 	nodes := "--nodes=" + strings.Join(c.client().Nodes, ",")
 	run := func(args ...string) string {
 		out, errs, code := runCLI(t, "", append(append([]string{"store"}, args...), nodes)...)
@@ -297,15 +299,15 @@
 	c.AddLinks()
 	c.Bootstrap()
 	writeKeys(c, 0, "note", 10)
-	alone := (c.WaitForLeader() + 1) % 3
-	c.SetNodeLinks(alone, testrig.LinkMode{Cut: true}, testrig.LinkMode{Cut: true})
+	isolatedNode := (c.WaitForLeader() + 1) % 3
+	c.SetNodeLinks(isolatedNode, testrig.LinkMode{Cut: true}, testrig.LinkMode{Cut: true})
 	for i := range 3 {
-		if i != alone {
+		if i != isolatedNode {
 			c.Pause(i)
 		}
 	}
 	section := c.StoreConfig(3)
-	section["peers"], section["voters"] = c.Peers[alone:alone+1], 3
+	section["peers"], section["voters"] = c.Peers[isolatedNode:isolatedNode+1], 3
 	c.Launch(3, section)
 	await(t, "a log line", func() bool { return strings.Contains(c.nodes[3].log(), `"msg":"join request not granted"`) })
 	code, text := c.Request(3, "GET", "/store/note/1", "")
@@ -314,9 +316,9 @@
 		c.Resume(i)
 	}
 	await(t, "all keys", func() bool { return hasWrittenKeys(t, c, 3, "note", 10) })
-	assert.Empty(t, c.Members(alone), "the isolated node knows no members")
+	assert.Empty(t, c.Members(isolatedNode), "the isolated node knows no members")
 	c.HealLinks()
-	await(t, "the new member at the isolated node", func() bool { return len(c.Members(alone)) == 4 })
+	await(t, "the new member at the isolated node", func() bool { return len(c.Members(isolatedNode)) == 4 })
 }
 
 // TestLeaderLostInStep kills the leader during each kind of membership change, and later all nodes. The next
@@ -327,27 +329,27 @@
 	c.StoreFields["replace_after_ms"] = 1000
 	c.Bootstrap()
 	writeKeys(c, 0, "note", 10)
-	said := func(node int, step string) func() bool {
+	loggedAgain := func(node int, step string) func() bool {
 		n := strings.Count(c.nodes[node].log(), step)
 		return func() bool { return strings.Count(c.nodes[node].log(), step) > n }
 	}
 	lead := c.WaitForLeader()
-	joins := said(lead, `"step":"learner"`)
+	learnerAdded := loggedAgain(lead, `"step":"learner"`)
 	c.Start(3)
-	await(t, "a learner to be added", joins)
+	await(t, "a learner to be added", learnerAdded)
 	c.Kill(lead) // while the learner is being added; the killed leader is then the voter to replace
 	next := c.WaitForLeader(lead)
-	await(t, "a promotion to voter", said(next, `"step":"promote"`))
+	await(t, "a promotion to voter", loggedAgain(next, `"step":"promote"`))
 	c.Kill(next)
 	c.Start(lead)
-	next2 := c.WaitForLeader(next)
+	thirdLeader := c.WaitForLeader(next)
 	c.Start(next)
-	out := (next2 + 1) % 4
+	removedNode := (thirdLeader + 1) % 4
 	await(t, "a removal to be accepted", func() bool {
-		code, _ := c.Request(next2, "DELETE", "/members/"+c.Peers[out].Name, "")
+		code, _ := c.Request(thirdLeader, "DELETE", "/members/"+c.Peers[removedNode].Name, "")
 		return code == 204
 	})
-	await(t, "the member to be demoted", func() bool { return c.Members(next2)[c.memberID(out)].Role != "voter" })
+	await(t, "the member to be demoted", func() bool { return c.Members(thirdLeader)[c.memberID(removedNode)].Role != "voter" })
 	c.KillAll()
 	for i := range 4 {
 		c.Start(i)
@@ -356,7 +358,7 @@
 		m := c.Members(c.WaitForLeader())
 		voters := 0
 		for _, x := range m {
-			if x.Name == c.Peers[out].Name {
+			if x.Name == c.Peers[removedNode].Name {
 				return false
 			}
 			if x.Role == "voter" {
@@ -366,7 +368,7 @@
 		return voters == 3
 	})
 	for i := range 4 {
-		if i != out {
+		if i != removedNode {
 			await(t, "all keys", func() bool { return hasWrittenKeys(t, c, i, "note", 10) })
 		}
 	}
@@ -382,28 +384,28 @@
 	c.buildPath = build
 	c.Bootstrap()
 	n := 0
-	for _, cue := range []string{faultfs.DiskFull, faultfs.FailWrites, faultfs.FailSyncs} {
-		for _, leads := range []bool{true, false} {
+	for _, diskFault := range []string{faultfs.DiskFull, faultfs.FailWrites, faultfs.FailSyncs} {
+		for _, faultOnLeader := range []bool{true, false} {
 			lead := c.WaitForLeader()
-			bad, good := lead, (lead+1)%3
-			if !leads {
-				bad, good = (lead+1)%3, lead
+			faultyNode, healthyNode := lead, (lead+1)%3
+			if !faultOnLeader {
+				faultyNode, healthyNode = (lead+1)%3, lead
 			}
-			lines := strings.Count(c.nodes[bad].log(), `"msg":"incarnation ended"`)
-			c.InjectFault(bad, cue)
+			lines := strings.Count(c.nodes[faultyNode].log(), `"msg":"incarnation ended"`)
+			c.InjectFault(faultyNode, diskFault)
 			await(t, "a log line on the failed incarnation", func() bool {
-				c.Request(good, "PUT", "/store/poke", "1")
-				return strings.Count(c.nodes[bad].log(), `"msg":"incarnation ended"`) > lines
+				c.Request(healthyNode, "PUT", "/store/poke", "1")
+				return strings.Count(c.nodes[faultyNode].log(), `"msg":"incarnation ended"`) > lines
 			})
-			c.WaitForLeader(bad)
-			c.Put(good, fmt.Sprint("note/", n), fmt.Sprint(n))
+			c.WaitForLeader(faultyNode)
+			c.Put(healthyNode, fmt.Sprint("note/", n), fmt.Sprint(n))
 			n++
-			code, text := c.Request(bad, "GET", "/store/note/0", "")
-			assert.Equal(t, 503, code, "%s, leader %v: %s", cue, leads, text)
-			c.nodes[bad].awaitReady() // it still serves requests
-			c.InjectFault(bad, "")
+			code, text := c.Request(faultyNode, "GET", "/store/note/0", "")
+			assert.Equal(t, 503, code, "%s, leader %v: %s", diskFault, faultOnLeader, text)
+			c.nodes[faultyNode].awaitReady() // it still serves requests
+			c.InjectFault(faultyNode, "")
 			c.WaitForVoters(0, 1, 2)
-			await(t, "all keys", func() bool { return hasWrittenKeys(t, c, bad, "note", n) })
+			await(t, "all keys", func() bool { return hasWrittenKeys(t, c, faultyNode, "note", n) })
 		}
 	}
 }
@@ -465,7 +467,7 @@
 	c := newRunningCluster(t, nil)
 	writeKeys(c, 0, "note", 30)
 	await(t, "all keys at the node", func() bool { return hasWrittenKeys(t, c, 1, "note", 30) })
-	was := c.memberID(1)
+	oldID := c.memberID(1)
 	c.Kill(1)
 	logs, err := filepath.Glob(filepath.Join(c.Dirs[1], "*.log"))
 	require.NoError(t, err)
@@ -480,7 +482,7 @@
 	await(t, "a log line", func() bool { return strings.Contains(c.nodes[1].log(), "storage folder set aside") })
 	await(t, "the old disk's membership to end", func() bool {
 		m := c.Members(0)
-		_, there := m[was]
+		_, there := m[oldID]
 		return len(m) > 0 && !there
 	})
 	c.WaitForVoters(0, 1, 2)
@@ -531,37 +533,37 @@
 func TestStateApart(t *testing.T) {
 	t.Parallel()
 	c := newRunningCluster(t, nil)
-	odd := (c.WaitForLeader() + 1) % 3
-	other := (odd + 1) % 3
+	divergedNode := (c.WaitForLeader() + 1) % 3
+	other := (divergedNode + 1) % 3
 	c.Put(other, "note/one", `"as most have it"`)
 	c.WaitForEqualData(0, 1, 2)
-	was := c.memberID(odd)
-	c.Kill(odd)
-	disk, _, err := raftstorage.Open(c.Dirs[odd])
+	oldID := c.memberID(divergedNode)
+	c.Kill(divergedNode)
+	disk, _, err := raftstorage.Open(c.Dirs[divergedNode])
 	require.NoError(t, err)
 	last, err := disk.LastIndex()
 	require.NoError(t, err)
-	var rest []*raft.Log
+	var entries []*raft.Log
 	for i, found := last, false; !found; i-- {
 		l := &raft.Log{}
 		require.NoError(t, disk.GetLog(i, l))
 		if found = strings.Contains(string(l.Data), "as most have it"); found {
 			l.Data = []byte(strings.Replace(string(l.Data), "as most have it", "as only this one has it", 1))
 		}
-		rest = append([]*raft.Log{l}, rest...)
+		entries = append([]*raft.Log{l}, entries...)
 	}
-	require.NoError(t, disk.DeleteRange(rest[0].Index, last))
-	require.NoError(t, disk.StoreLogs(rest))
+	require.NoError(t, disk.DeleteRange(entries[0].Index, last))
+	require.NoError(t, disk.StoreLogs(entries))
 	require.NoError(t, disk.Close())
-	c.Start(odd)
+	c.Start(divergedNode)
 	writeKeys(c, other, "more", 40)
 	await(t, "the node to detect the difference", func() bool {
-		return strings.Contains(c.nodes[odd].log(), "the state differs from that of most other nodes: at entry ")
+		return strings.Contains(c.nodes[divergedNode].log(), "the state differs from that of most other nodes: at entry ")
 	})
 	c.WaitForVoters(0, 1, 2)
-	assert.NotEqual(t, was, c.memberID(odd))
-	c.WaitForValue(odd, "note/one", `"as most have it"`)
-	await(t, "all keys", func() bool { return hasWrittenKeys(t, c, odd, "more", 40) })
+	assert.NotEqual(t, oldID, c.memberID(divergedNode))
+	c.WaitForValue(divergedNode, "note/one", `"as most have it"`)
+	await(t, "all keys", func() bool { return hasWrittenKeys(t, c, divergedNode, "more", 40) })
 	c.WaitForEqualData(0, 1, 2)
-	assert.DirExists(t, c.Dirs[odd]+".refused-1", "the rejected folder is kept for inspection")
+	assert.DirExists(t, c.Dirs[divergedNode]+".refused-1", "the rejected folder is kept for inspection")
 }
--- a/tests/endings_test.go
+++ b/tests/endings_test.go
@@ -52,8 +52,8 @@
 		faults = append(faults, fcgiRequest(20+id, "/call/other", requestHeaders(newTraceID()), nil)...)
 	}
 	for what, tt := range map[string]struct {
-		then    []byte
-		answers int // responses before the one of the held run
+		followUp        []byte
+		responsesBefore int // responses before the one of the held run
 	}{
 		"garbage":        {[]byte("GET / HTTP/1.1\r\n\r\n"), 0},
 		"half a record":  {half[:5], 0},
@@ -67,10 +67,10 @@
 			c, err := dialFCGI(w.fcgiAddr)
 			require.NoError(t, err)
 			defer c.Close()
-			_, err = c.Write(append(fcgiRequest(1, "/call/nom-submit", requestHeaders(trace), []byte("hold")), tt.then...))
+			_, err = c.Write(append(fcgiRequest(1, "/call/nom-submit", requestHeaders(trace), []byte("hold")), tt.followUp...))
 			require.NoError(t, err)
 			await(t, "the run to start", func() bool { return w.engine.heldRuns() == held+1 })
-			for range tt.answers {
+			for range tt.responsesBefore {
 				id, _, _, err := c.readResponse()
 				require.NoError(t, err)
 				require.NotEqual(t, uint16(1), id)
@@ -78,8 +78,8 @@
 			if strings.HasPrefix(what, "half") {
 				await(t, "the incomplete message to time out", func() bool { return strings.Count(w.log(), "callers stalled") > given })
 			}
-			refused := newTraceID() // nothing may start on a connection that is about to close
-			_, err = c.Write(fcgiRequest(5, "/call/nom-submit", requestHeaders(refused), []byte("ok")))
+			lateTrace := newTraceID() // nothing may start on a connection that is about to close
+			_, err = c.Write(fcgiRequest(5, "/call/nom-submit", requestHeaders(lateTrace), []byte("ok")))
 			require.NoError(t, err)
 			if what != "garbage" {
 				await(t, "the later request to be read", func() bool { return w.responseStatus("nom-submit", "ok") == 200 })
@@ -90,7 +90,7 @@
 			assert.Equal(t, uint16(1), id)
 			assert.Equal(t, "result of "+trace, a.body)
 			requireOrderlyClose(t, c, c.r)
-			assert.Zero(t, w.engine.countReceived("RUN "+refused))
+			assert.Zero(t, w.engine.countReceived("RUN "+lateTrace))
 		})
 	}
 	trace := newTraceID()
--- a/tests/examples_test.go
+++ b/tests/examples_test.go
@@ -15,7 +15,7 @@
 
 // startFromFile starts the program with a configuration file of the repository, whose addresses it replaces by
 // free ones. It also builds and starts the example stand-in engine, and returns its executable and its log.
-func startFromFile(t *testing.T, path string) (s *service, standinPath string, said *logBuffer) {
+func startFromFile(t *testing.T, path string) (s *service, standinPath string, engineLog *logBuffer) {
 	text, err := os.ReadFile(path)
 	require.NoError(t, err)
 	ports := map[string]string{}
@@ -35,8 +35,8 @@
 	out, err := exec.Command("go", "build", "-o", standinPath, "../examples/standin").CombinedOutput()
 	require.NoError(t, err, string(out))
 	engine := exec.Command(standinPath, "-engine", cfg["engine"].(string))
-	said = &logBuffer{}
-	engine.Stderr = said
+	engineLog = &logBuffer{}
+	engine.Stderr = engineLog
 	require.NoError(t, engine.Start())
 	t.Cleanup(func() { engine.Process.Kill() })
 	s = startService(t, func(c object) {
@@ -50,14 +50,14 @@
 		s.ajpAddr = ajp["listen"].(string)
 	}
 	s.awaitReady()
-	return s, standinPath, said
+	return s, standinPath, engineLog
 }
 
 // TestExample follows examples/README.md.
 func TestExample(t *testing.T) {
 	t.Parallel()
-	s, toy, _ := startFromFile(t, "../examples/config.json")
-	out, err := exec.Command(toy, "-service", s.fcgiAddr, "-call", "nom-submit", "200", "GJ").CombinedOutput()
+	s, standinPath, _ := startFromFile(t, "../examples/config.json")
+	out, err := exec.Command(standinPath, "-service", s.fcgiAddr, "-call", "nom-submit", "200", "GJ").CombinedOutput()
 	require.NoError(t, err, string(out))
 	assert.Contains(t, string(out), "Status: 200")
 	assert.Contains(t, string(out), "nom-submit done: 200 GJ")
@@ -67,12 +67,12 @@
 // TestKeyedExample follows the section of examples/README.md on idempotency keys.
 func TestKeyedExample(t *testing.T) {
 	t.Parallel()
-	s, toy, said := startFromFile(t, "../examples/keyed.json")
+	s, standinPath, said := startFromFile(t, "../examples/keyed.json")
 	for i, tt := range []struct{ key, body, want string }{
 		{"k1", "200", "Status: 200\n\nnom-update done: 200"}, {"k1", "200", "Status: 200\n\nnom-update done: 200"},
 		{"k1", "300", "Status: 500"}, {"k2", "200", "Status: 200"}, {"", "200", "Status: 400"},
 	} {
-		out, err := exec.Command(toy, "-service", s.fcgiAddr, "-call", "nom-update", "-key", tt.key, tt.body).CombinedOutput()
+		out, err := exec.Command(standinPath, "-service", s.fcgiAddr, "-call", "nom-update", "-key", tt.key, tt.body).CombinedOutput()
 		require.NoError(t, err, string(out))
 		assert.Contains(t, string(out), tt.want, i)
 	}
--- a/tests/faults_test.go
+++ b/tests/faults_test.go
@@ -36,8 +36,8 @@
 	w := newLinkedCluster(t)
 	for n, fault := range [][2]testrig.LinkMode{{{Cut: true}, {Cut: true}}, {{StallRequests: true}, {}}, {{StallRequests: true, StallResponses: true}, {StallRequests: true, StallResponses: true}}} {
 		lead := w.WaitForLeader()
-		old, now := fmt.Sprintf("%d", 2*n), fmt.Sprintf("%d", 2*n+1)
-		w.Put(lead, "note/cut", old)
+		oldValue, newValue := fmt.Sprintf("%d", 2*n), fmt.Sprintf("%d", 2*n+1)
+		w.Put(lead, "note/cut", oldValue)
 		w.SetNodeLinks(lead, fault[0], fault[1])
 		next := -1
 		await(t, "another leader", func() bool {
@@ -50,15 +50,15 @@
 			}
 			return next >= 0
 		})
-		w.Put(next, "note/cut", now)
+		w.Put(next, "note/cut", newValue)
 		code, text := w.Request(lead, "GET", "/store/note/cut", "")
 		assert.Equal(t, 503, code, "fault %d: %s", n, text)
-		if deaf := fault[1] != (testrig.LinkMode{}); deaf { // otherwise it learns of later entries, and its local value is not determined
+		if isolatedBothWays := fault[1] != (testrig.LinkMode{}); isolatedBothWays { // otherwise it learns of later entries, and its local value is not determined
 			code, text = w.Request(lead, "GET", "/store/note/cut?local=1", "")
-			assert.Equal(t, fmt.Sprint("200 ", old), fmt.Sprint(code, " ", text), "fault %d", n)
+			assert.Equal(t, fmt.Sprint("200 ", oldValue), fmt.Sprint(code, " ", text), "fault %d", n)
 		}
 		w.SetNodeLinks(lead, testrig.LinkMode{}, testrig.LinkMode{})
-		w.WaitForValue(lead, "note/cut", now)
+		w.WaitForValue(lead, "note/cut", newValue)
 	}
 }
 
@@ -174,7 +174,7 @@
 	}
 	wg.Go(func() { probe.Run(w.Cluster, stop) })
 	heal := func(i int) { w.SetNodeLinks(i, testrig.LinkMode{}, testrig.LinkMode{}) }
-	all := func(do func(i int)) func(int) {
+	onAllNodes := func(do func(i int)) func(int) {
 		return func(int) {
 			for i := range 3 {
 				do(i)
@@ -189,29 +189,29 @@
 		{Name: "leader stopped", IsolatesLeader: true, Inject: w.Pause, Recover: w.Resume},
 		{Name: "leader's messages stalled", IsolatesLeader: true, Inject: around(testrig.LinkMode{StallRequests: true}, testrig.LinkMode{}), Recover: heal},
 		{Name: "leader's links stalled", IsolatesLeader: true, Inject: around(held, held), Recover: heal},
-		{Name: "all killed", Inject: all(w.Kill), Recover: all(w.Start)},
+		{Name: "all killed", Inject: onAllNodes(w.Kill), Recover: onAllNodes(w.Start)},
 		{Name: "follower cut off", Inject: func(i int) { w.SetNodeLinks((i+1)%3, testrig.LinkMode{Cut: true}, testrig.LinkMode{Cut: true}) }, Recover: func(i int) { heal((i + 1) % 3) }},
-		{Name: "all links slow", Inject: all(around(testrig.LinkMode{Delay: 30 * time.Millisecond}, testrig.LinkMode{Delay: 30 * time.Millisecond})), Recover: all(heal)},
-		{Name: "resets in bursts", Inject: all(around(testrig.LinkMode{ResetBurst: 60 * time.Millisecond, ResetInterval: 300 * time.Millisecond}, testrig.LinkMode{})), Recover: all(heal)},
+		{Name: "all links slow", Inject: onAllNodes(around(testrig.LinkMode{Delay: 30 * time.Millisecond}, testrig.LinkMode{Delay: 30 * time.Millisecond})), Recover: onAllNodes(heal)},
+		{Name: "resets in bursts", Inject: onAllNodes(around(testrig.LinkMode{ResetBurst: 60 * time.Millisecond, ResetInterval: 300 * time.Millisecond}, testrig.LinkMode{})), Recover: onAllNodes(heal)},
 		{Name: "follower on 20 kB/s", Inject: func(i int) {
 			w.SetNodeLinks((i+1)%3, testrig.LinkMode{BytesPerSecond: 20 << 10}, testrig.LinkMode{BytesPerSecond: 20 << 10})
 		}, Recover: func(i int) { heal((i + 1) % 3) }},
 	}
-	strong := func(int) { w.WaitForVoters(0, 1, 2) }
-	older := map[int]string{}
+	awaitAllVoters := func(int) { w.WaitForVoters(0, 1, 2) }
+	olderCopies := map[int]string{}
 	faults = append(faults,
-		testrig.Fault{Name: "leader's disk lost", IsolatesLeader: true, Inject: func(i int) { w.Kill(i); w.WipeDir(i); w.Start(i) }, Recover: strong},
-		testrig.Fault{Name: "follower's disk lost", Inject: func(i int) { w.ReplaceDisk((i + 1) % 3) }, Recover: strong},
-		testrig.Fault{Name: "folder replaced by older copy", Inject: func(i int) { older[(i+1)%3] = w.CopyDir((i + 1) % 3) }, Recover: func(i int) {
+		testrig.Fault{Name: "leader's disk lost", IsolatesLeader: true, Inject: func(i int) { w.Kill(i); w.WipeDir(i); w.Start(i) }, Recover: awaitAllVoters},
+		testrig.Fault{Name: "follower's disk lost", Inject: func(i int) { w.ReplaceDisk((i + 1) % 3) }, Recover: awaitAllVoters},
+		testrig.Fault{Name: "folder replaced by older copy", Inject: func(i int) { olderCopies[(i+1)%3] = w.CopyDir((i + 1) % 3) }, Recover: func(i int) {
 			i = (i + 1) % 3
 			w.Kill(i)
-			w.RestoreDir(i, older[i])
+			w.RestoreDir(i, olderCopies[i])
 			w.Start(i)
-			strong(i)
+			awaitAllVoters(i)
 		}},
 		testrig.Fault{Name: "member removed and added again", Inject: func(i int) { w.changeMember("DELETE", (i+1)%3) }, Recover: func(i int) {
 			w.changeMember("PUT", (i+1)%3)
-			strong(i)
+			awaitAllVoters(i)
 		}})
 	plan := testrig.NewSchedule(*seed, 3, 1500*time.Millisecond, faults...)
 	var outages []outage
--- a/tests/guards_test.go
+++ b/tests/guards_test.go
@@ -126,9 +126,9 @@
 	assert.Zero(t, w.engine.countReceived("HALT"))
 }
 
-// TestFigures: a request with an invalid header fails without running. A connection that sends nothing but such
+// TestInvalidHeaders: a request with an invalid header fails without running. A connection that sends nothing but such
 // requests is closed.
-func TestFigures(t *testing.T) {
+func TestInvalidHeaders(t *testing.T) {
 	t.Parallel()
 	w := newTestbed(t, nil)
 	runs := w.engine.countReceived("RUN")
--- a/tests/leases_test.go
+++ b/tests/leases_test.go
@@ -64,8 +64,8 @@
 	c := newRunningCluster(t, nil)
 	code, first := c.acquireLease(0, "job/a", `{"holder":"h1","ttl_ms":60000}`)
 	require.Equal(t, 200, code)
-	code, same := c.acquireLease(1, "job/a", `{"holder":"h1","ttl_ms":60000}`)
-	assert.Equal(t, []any{200, first.Token}, []any{code, same.Token}, "repeated request after a lost response")
+	code, repeated := c.acquireLease(1, "job/a", `{"holder":"h1","ttl_ms":60000}`)
+	assert.Equal(t, []any{200, first.Token}, []any{code, repeated.Token}, "repeated request after a lost response")
 	code, held := c.acquireLease(2, "job/a", `{"holder":"h2","ttl_ms":60000}`)
 	assert.Equal(t, []any{409, "h1", first.Token}, []any{code, held.Holder, held.Token})
 	for i := range 3 {
@@ -96,16 +96,16 @@
 	assert.Equal(t, 400, code)
 	c.WaitForValue(2, "note/f", "3")
 	// Waiters are ordered by priority, then by arrival. Each waits at another node.
-	type got struct {
+	type grantResult struct {
 		holder string
 		code   int
 		token  uint64
 	}
-	answers := make(chan got, 3)
+	answers := make(chan grantResult, 3)
 	for i, w := range []string{"w0", "w1", "w2"} {
 		go func() {
 			code, l := c.acquireLease(i, "job/a", fmt.Sprintf(`{"holder":%q,"ttl_ms":60000,"wait_ms":20000,"priority":%d}`, w, map[string]int{"w2": 1}[w]))
-			answers <- got{w, code, l.Token}
+			answers <- grantResult{w, code, l.Token}
 		}()
 		await(t, w+" in the queue", func() bool {
 			_, text := c.Request(0, "GET", "/lease/job/a", "")
@@ -130,8 +130,8 @@
 	code, _ = c.requestWithRetry(0, "DELETE", fmt.Sprintf("/lease/job/a?token=%d", first.Token), "")
 	assert.Equal(t, 410, code)
 	// A waiter that disconnects leaves the queue.
-	web := &http.Client{Timeout: 500 * time.Millisecond}
-	_, err := web.Post("http://"+c.Peers[1].Admin+"/lease/job/a", "", strings.NewReader(`{"holder":"gone","ttl_ms":60000,"wait_ms":20000}`))
+	httpClient := &http.Client{Timeout: 500 * time.Millisecond}
+	_, err := httpClient.Post("http://"+c.Peers[1].Admin+"/lease/job/a", "", strings.NewReader(`{"holder":"gone","ttl_ms":60000,"wait_ms":20000}`))
 	require.Error(t, err)
 	await(t, "an empty queue", func() bool {
 		code, text := c.Request(0, "GET", "/lease/job/a", "")
@@ -157,10 +157,10 @@
 	t.Parallel()
 	c := newRunningCluster(t, nil)
 	const ttl = 3 * time.Second
-	ask := func(node int, holder string, wait time.Duration) (int, storeapi.LeaseStatus) {
+	requestLease := func(node int, holder string, wait time.Duration) (int, storeapi.LeaseStatus) {
 		return c.acquireLease(node, "job", fmt.Sprintf(`{"holder":%q,"ttl_ms":%d,"wait_ms":%d}`, holder, ttl.Milliseconds(), wait.Milliseconds()))
 	}
-	code, l := ask(0, "h0", 0)
+	code, l := requestLease(0, "h0", 0)
 	require.Equal(t, 200, code)
 	for n, fault := range []func(){func() {}, func() { i := c.WaitForLeader(); c.Kill(i); c.Start(i) }, func() { c.KillAll(); c.Start(0); c.Start(1); c.Start(2) }} {
 		var at time.Time
@@ -168,12 +168,12 @@
 			at = time.Now()
 			code, _ := c.Request(n, "PUT", "/lease/job", fmt.Sprintf(`{"token":%d}`, l.Token))
 			if code == 410 { // the machine was slow and the lease has expired
-				_, l = ask(n, "again", 15*time.Second)
+				_, l = requestLease(n, "again", 15*time.Second)
 			}
 			return code == 200
 		})
 		fault()
-		code, next := ask(n, fmt.Sprint("next", n), 15*time.Second)
+		code, next := requestLease(n, fmt.Sprint("next", n), 15*time.Second)
 		require.Equal(t, 200, code)
 		assert.GreaterOrEqual(t, time.Since(at), ttl, "fault %d", n)
 		assert.Greater(t, next.Token, l.Token)
@@ -318,12 +318,12 @@
 	c.Put(0, "note/1", "1")
 	await(t, "the key in the SQL mirror", func() bool { return isMirrored(db, "note/1") })
 	await(t, "three backups", func() bool { return len(backups()) >= 3 })
-	var at0, at1 int64
+	var previousMS, currentMS int64
 	for _, name := range backups() {
-		_, err := fmt.Sscanf(name, "oxbowbridge-%d-", &at1)
+		_, err := fmt.Sscanf(name, "oxbowbridge-%d-", &currentMS)
 		require.NoError(t, err)
-		assert.GreaterOrEqual(t, at1-at0, int64(999), "two backups in one period: %s", name)
-		at0 = at1
+		assert.GreaterOrEqual(t, currentMS-previousMS, int64(999), "two backups in one period: %s", name)
+		previousMS = currentMS
 	}
 	at, token := holder("fleet/mirror")
 	// The holder is paused and another node takes over. The lock ensures that the holder is not paused within
@@ -406,7 +406,7 @@
 	db, err := sql.Open("sqlite", fmt.Sprintf(dsn, 5000))
 	require.NoError(t, err)
 	defer db.Close()
-	says := func(text string) func() bool {
+	reportsSQLError := func(text string) func() bool {
 		return func() bool {
 			var st storeapi.Status
 			return c.GetJSON(0, "/status", &st) && strings.Contains(st.SQLError, text) && (text != "") == (st.SQLError != "")
@@ -417,11 +417,11 @@
 	withDatabaseLocked(t, db, "IMMEDIATE", func() {
 		c.Put(0, "note/2", "2")
 		c.WaitForValue(0, "note/2", "2")
-		await(t, "the reported reason", says("locked"))
+		await(t, "the reported reason", reportsSQLError("locked"))
 		assert.False(t, isMirrored(db, "note/2"))
 	})
 	await(t, "the SQL mirror to catch up", func() bool { return isMirrored(db, "note/2") })
-	await(t, "the reported reason to be cleared", says(""))
+	await(t, "the reported reason to be cleared", reportsSQLError(""))
 }
 
 // TestManagerEndsLeaseInTime: the context of a lease whose holder is cut off must end before another holder can
@@ -437,12 +437,12 @@
 		defer l.Close()
 		links, nodes = append(links, l), append(nodes, l.Addr)
 	}
-	k := leaseclient.New(nodes, "cut-off")
-	defer k.Close()
+	manager := leaseclient.New(nodes, "cut-off")
+	defer manager.Close()
 	const ttl = 2 * time.Second
 	var held []*leaseclient.Lease
 	for i := range 20 {
-		h, err := k.Acquire(t.Context(), leaseclient.AcquireOptions{Name: fmt.Sprint("job/", i), TTL: ttl, Wait: true})
+		h, err := manager.Acquire(t.Context(), leaseclient.AcquireOptions{Name: fmt.Sprint("job/", i), TTL: ttl, Wait: true})
 		require.NoError(t, err)
 		held = append(held, h)
 	}
@@ -450,7 +450,7 @@
 	for _, h := range held {
 		require.NoError(t, h.Context().Err(), "lease is kept alive")
 	}
-	_, err := k.Acquire(t.Context(), leaseclient.AcquireOptions{Name: "job/0", TTL: ttl})
+	_, err := manager.Acquire(t.Context(), leaseclient.AcquireOptions{Name: "job/0", TTL: ttl})
 	assert.ErrorIs(t, err, leaseclient.ErrAlreadyHeld)
 	for _, l := range links {
 		l.SetMode(testrig.LinkMode{StallRequests: true, StallResponses: true})
@@ -458,8 +458,8 @@
 	ends := make(chan time.Time, 1)
 	go func() { <-held[0].Context().Done(); ends <- time.Now() }()
 	code, _ := c.acquireLease(0, "job/0", fmt.Sprintf(`{"holder":"next","ttl_ms":%d,"wait_ms":15000}`, ttl.Milliseconds()))
-	given := time.Now()
+	grantedAt := time.Now()
 	require.Equal(t, 200, code)
-	assert.True(t, (<-ends).Before(given))
+	assert.True(t, (<-ends).Before(grantedAt))
 	assert.ErrorIs(t, context.Cause(held[0].Context()), leaseclient.ErrExpired)
 }
--- a/tests/linear_test.go
+++ b/tests/linear_test.go
@@ -59,9 +59,9 @@
 	c.WaitForEqualData(0, 1, 2)
 }
 
-// TestCheckerBites: the checker must find a stale read, and a compare-and-set whose outcome contradicts the
+// TestLinearizabilityChecker: the checker must find a stale read, and a compare-and-set whose outcome contradicts the
 // key's value.
-func TestCheckerBites(t *testing.T) {
+func TestLinearizabilityChecker(t *testing.T) {
 	h := testrig.NewHistory()
 	h.Add(0, testrig.RegisterOp{Key: "k", Write: true, Value: "1"}, "", 1, 2)
 	h.Add(0, testrig.RegisterOp{Key: "k", Write: true, Value: "2"}, "", 3, 4)
@@ -123,7 +123,7 @@
 		go func() {
 			defer wg.Done()
 			rng := rand.New(rand.NewPCG(uint64(id), 5))
-			web := &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+			httpClient := &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 			do := func(method, path, body string, session, number int) (code int, text string) {
 				for end := time.Now().Add(2 * awaitTimeout); time.Now().Before(end); time.Sleep(30 * time.Millisecond) {
 					req, err := http.NewRequest(method, "http://"+c.Peers[rng.IntN(3)].Admin+path, strings.NewReader(body))
@@ -134,7 +134,7 @@
 						req.Header.Set("Session", fmt.Sprint(session))
 						req.Header.Set("Request-Number", fmt.Sprint(number))
 					}
-					res, err := web.Do(req)
+					res, err := httpClient.Do(req)
 					if err == nil {
 						b, _ := io.ReadAll(res.Body)
 						res.Body.Close()
@@ -201,7 +201,7 @@
 func TestConditions(t *testing.T) {
 	t.Parallel()
 	c := newRunningCluster(t, object{})
-	with := func(i int, method, path, body string, fields ...string) (int, string, string) {
+	request := func(i int, method, path, body string, fields ...string) (int, string, string) {
 		req, err := http.NewRequest(method, "http://"+c.Peers[i].Admin+path, strings.NewReader(body))
 		require.NoError(t, err)
 		for f := 0; f < len(fields); f += 2 {
@@ -213,7 +213,7 @@
 		text, _ := io.ReadAll(res.Body)
 		return res.StatusCode, res.Header.Get("ETag"), string(text)
 	}
-	try := func(i, attempt int) (sure bool) {
+	checkConditions := func(i, attempt int) (definite bool) {
 		defer func() {
 			recovered := recover()
 			if recovered == nil {
@@ -223,8 +223,8 @@
 				panic(recovered)
 			}
 		}()
-		with := func(method, path, body string, fields ...string) (int, string, string) {
-			code, tag, text := with(i, method, path, body, fields...)
+		requestOrPanic := func(method, path, body string, fields ...string) (int, string, string) {
+			code, tag, text := request(i, method, path, body, fields...)
 			if code == 503 {
 				panic(errUnsure) // the leader may have changed; repeat all requests with another key
 			}
@@ -232,36 +232,36 @@
 		}
 		name := fmt.Sprintf("%d-%d", i, attempt)
 		key := "/store/cas/" + name
-		code, tag, text := with("PUT", key, "1", "If-None-Match", "*")
+		code, tag, text := requestOrPanic("PUT", key, "1", "If-None-Match", "*")
 		assert.Equal(t, 204, code, text)
-		code, _, _ = with("PUT", key, "2", "If-None-Match", "*")
+		code, _, _ = requestOrPanic("PUT", key, "2", "If-None-Match", "*")
 		assert.Equal(t, 412, code)
-		code, got, _ := with("GET", key, "")
+		code, got, _ := requestOrPanic("GET", key, "")
 		assert.Equal(t, []any{200, tag}, []any{code, got})
-		code, next, _ := with("PUT", key, "2", "If-Match", tag)
+		code, next, _ := requestOrPanic("PUT", key, "2", "If-Match", tag)
 		assert.Equal(t, 204, code)
 		assert.NotEqual(t, tag, next)
-		code, _, _ = with("DELETE", key, "", "If-Match", tag)
+		code, _, _ = requestOrPanic("DELETE", key, "", "If-Match", tag)
 		assert.Equal(t, 412, code)
-		code, _, _ = with("DELETE", key, "", "If-Match", next)
+		code, _, _ = requestOrPanic("DELETE", key, "", "If-Match", next)
 		assert.Equal(t, 204, code)
-		code, _, _ = with("PUT", key, "2", "If-Match", "seven")
+		code, _, _ = requestOrPanic("PUT", key, "2", "If-Match", "seven")
 		assert.Equal(t, 400, code)
-		code, _, _ = with("PUT", key, "2", "Session", "99999", "Request-Number", "1")
+		code, _, _ = requestOrPanic("PUT", key, "2", "Session", "99999", "Request-Number", "1")
 		assert.Equal(t, 410, code)
-		code, _, text = with("POST", "/txn", strings.ReplaceAll(`{"if":[{"key":"cas/N","revision":0}],"then":[{"do":"put","key":"t/N","value":[1]},{"do":"get","key":"t/N"}]}`, "N", name))
+		code, _, text = requestOrPanic("POST", "/txn", strings.ReplaceAll(`{"if":[{"key":"cas/N","revision":0}],"then":[{"do":"put","key":"t/N","value":[1]},{"do":"get","key":"t/N"}]}`, "N", name))
 		assert.Equal(t, 200, code)
 		assert.Contains(t, text, `"held":true`)
 		assert.Contains(t, text, `"value":[1]`)
-		code, _, _ = with("POST", "/txn", `{"then":[{"do":"swap","key":"x"}]}`)
+		code, _, _ = requestOrPanic("POST", "/txn", `{"then":[{"do":"swap","key":"x"}]}`)
 		assert.Equal(t, 400, code)
-		code, _, _ = with("POST", "/txn", `{"nonsense":1}`)
+		code, _, _ = requestOrPanic("POST", "/txn", `{"nonsense":1}`)
 		assert.Equal(t, 400, code)
 		return true
 	}
 	for i := range 3 { // one of them is the leader
 		attempt := 0
-		await(t, "definite responses to all requests", func() bool { attempt++; return try(i, attempt) })
+		await(t, "definite responses to all requests", func() bool { attempt++; return checkConditions(i, attempt) })
 	}
 }
 
--- a/tests/links_test.go
+++ b/tests/links_test.go
@@ -76,7 +76,7 @@
 	w := newTestbed(t, nil)
 	e := w.engine
 	unsafe, safe := newTraceID(), newTraceID()
-	lost, again := w.sendAsync("nom-submit", unsafe, "hold"), w.sendAsync("balance-view", safe, "hold")
+	failedRun, again := w.sendAsync("nom-submit", unsafe, "hold"), w.sendAsync("balance-view", safe, "hold")
 	await(t, "two runs to start", func() bool { return e.heldRuns() == 2 })
 	e.mu.Lock()
 	e.heldTraces = nil
@@ -84,7 +84,7 @@
 	e.notices = append(e.notices, "", "", fmt.Sprintf("NOTE %d the first that is kept\r\n", len(e.notices)+3))
 	e.conn.Close()
 	e.mu.Unlock()
-	assert.Equal(t, 500, (<-lost).status)
+	assert.Equal(t, 500, (<-failedRun).status)
 	await(t, "the idempotent run to be repeated", func() bool { return e.countReceived("RUN "+safe) == 2 })
 	e.releaseHeld()
 	assert.Equal(t, "result of "+safe, (<-again).body)
--- a/tests/notice_starved_test.go
+++ b/tests/notice_starved_test.go
@@ -31,26 +31,26 @@
 // t.Parallel, because anything else on that CPU would wait too.
 func TestNoticeThreadStarved(t *testing.T) {
 	cpu := lastCPU(t)
-	worlds := make([]*testbed, servicesWithBusyThread)
-	for i := range worlds {
-		worlds[i] = newTestbed(t, nil)
+	testbeds := make([]*testbed, servicesWithBusyThread)
+	for i := range testbeds {
+		testbeds[i] = newTestbed(t, nil)
 	}
 	beginBusy, endBusy := startBusyThreads(t, busyThreadCount, cpu)
-	for i, w := range worlds {
+	for i, w := range testbeds {
 		w.pinOneThread(i, cpu)
 	}
 	beginBusy()
 	time.Sleep(busyLeadTime)
-	sentAt := make([]time.Time, len(worlds))
-	for i, w := range worlds {
+	sentAt := make([]time.Time, len(testbeds))
+	for i, w := range testbeds {
 		sentAt[i] = time.Now()
 		require.NoError(t, w.Signal(syscall.SIGTERM))
 	}
-	for _, w := range worlds {
+	for _, w := range testbeds {
 		w.awaitDrainStarted()
 	}
 	endBusy()
-	for i, w := range worlds {
+	for i, w := range testbeds {
 		noticedAt := w.noticedUnixMS()
 		assert.LessOrEqual(t, noticedAt, sentAt[i].UnixMilli(), "service %d: counted from %d ms after it was sent", i, noticedAt-sentAt[i].UnixMilli())
 	}
--- a/tests/process_test.go
+++ b/tests/process_test.go
@@ -151,15 +151,15 @@
 // reloadConfig changes the configuration file and sends SIGHUP. It returns the line that the program logs about
 // the configuration.
 func (s *service) reloadConfig(change func(object)) string {
-	said := func() []string {
+	configLines := func() []string {
 		return slices.DeleteFunc(strings.Split(s.log(), "\n"), func(l string) bool { return !strings.Contains(l, `"msg":"configuration `) })
 	}
-	n := len(said())
+	n := len(configLines())
 	change(s.cfg)
 	s.writeConfig()
 	require.NoError(s.t, s.cmd.Process.Signal(syscall.SIGHUP))
-	await(s.t, "a log line about the configuration", func() bool { return len(said()) > n })
-	return said()[n]
+	await(s.t, "a log line about the configuration", func() bool { return len(configLines()) > n })
+	return configLines()[n]
 }
 
 // startService starts the program with the default test configuration, after change has modified it.
@@ -460,9 +460,9 @@
 	return countWithPrefix(e.receivedCommands, prefix)
 }
 
-func countWithPrefix(lines []string, start string) (n int) {
+func countWithPrefix(lines []string, prefix string) (n int) {
 	for _, l := range lines {
-		if strings.HasPrefix(l, start) {
+		if strings.HasPrefix(l, prefix) {
 			n++
 		}
 	}
--- a/tests/rejections_test.go
+++ b/tests/rejections_test.go
@@ -35,8 +35,8 @@
 	t.Parallel()
 	w := newTestbed(t, nil)
 	c := &callerGroup{w: w, dial: protocolDialers["fastcgi"], outcomeCounts: map[string]int{}}
-	const fit = 20
-	for i := range fit {
+	const capacity = 20
+	for i := range capacity {
 		c.send("nom-update", "hold")
 		await(t, "a run to start", func() bool { return w.engine.heldRuns() == i+1 })
 	}
@@ -46,12 +46,12 @@
 	await(t, "a log line", func() bool { return len(w.rejectionLines()) > 0 })
 	require.Equal(t, first, w.rejectionLines()[0])
 
-	const crowd = 300
+	const rejectedRequests = 300
 	began := time.Now()
 	connection, err := dialFCGI(w.fcgiAddr)
 	require.NoError(t, err)
 	defer connection.Close()
-	for range crowd {
+	for range rejectedRequests {
 		a, err := connection.do("/call/balance-view", requestHeaders(newTraceID()), []byte("ok"))
 		require.NoError(t, err)
 		require.Equal(t, 503, a.status)
@@ -61,7 +61,7 @@
 		for _, line := range w.rejectionLines() {
 			sum += line.Count
 		}
-		return sum == 1+crowd
+		return sum == 1+rejectedRequests
 	})
 	lines := w.rejectionLines()
 	intervals := int(time.Since(began)/time.Second) + 1 // intervals of one second that have started
@@ -71,6 +71,6 @@
 		assert.Equal(t, first.Reason, line.Reason)
 	}
 	w.engine.releaseHeld()
-	c.awaitOutcomes(fit)
+	c.awaitOutcomes(capacity)
 	w.terminate()
 }
--- a/tests/reload_test.go
+++ b/tests/reload_test.go
@@ -14,7 +14,7 @@
 // continue, and so does the notice sequence, in both protocols.
 func TestReload(t *testing.T) {
 	t.Parallel()
-	listed := func() (net.PacketConn, func()) {
+	newRegistry := func() (net.PacketConn, func()) {
 		udp, err := net.ListenPacket("udp", "127.0.0.1:0")
 		require.NoError(t, err)
 		t.Cleanup(func() { udp.Close() })
@@ -26,10 +26,10 @@
 			require.Equal(t, "PULSE n3 open", string(b[:n]))
 		}
 	}
-	udp, report := listed()
+	udp, report := newRegistry()
 	w := newTestbed(t, func(cfg object) { cfg["lookup"] = udp.LocalAddr().String() })
 	report()
-	old := w.records
+	firstRecords := w.records
 	for name, dial := range protocolDialers {
 		c := &callerGroup{w: w, dial: dial, outcomeCounts: map[string]int{}}
 		c.send("balance-view", "hold")
@@ -38,11 +38,11 @@
 		w.records.setReply("silence")
 		inCall := newTraceID()
 		got := w.sendAsync("nom-submit", inCall, "call")
-		was := w.records
-		await(t, "a call to the records service", func() bool { return was.countReceived("OP "+inCall) == 1 })
+		oldRecords := w.records
+		await(t, "a call to the records service", func() bool { return oldRecords.countReceived("OP "+inCall) == 1 })
 		w.records = newRecordsStandin(t)
 		attached := w.engine.countReceived("ATTACH")
-		udp, report = listed()
+		udp, report = newRegistry()
 		line := w.reloadConfig(func(cfg object) {
 			cfg["engine"], cfg["records"], cfg["lookup"] = w.engine.addListener(t), w.records.addr, udp.LocalAddr().String()
 		})
@@ -55,11 +55,11 @@
 		c.awaitOutcomes(3)
 		assert.Equal(t, map[string]int{"served": 3}, c.outcomes(), name)
 		assert.Equal(t, 1, w.records.countReceived("OP"), name)
-		was.replyToLast("late")
+		oldRecords.replyToLast("late")
 		assert.Equal(t, response{200, map[string]string{"Status": "200", "Content-Type": "application/octet-stream"}, "late"}, <-got,
 			"the call at the old address is waited for")
 	}
-	assert.NotSame(t, old, w.records)
+	assert.NotSame(t, firstRecords, w.records)
 	w.engine.mu.Lock()
 	for trace, n := range w.engine.runCounts {
 		assert.Equal(t, 1, n, "runs of %s", trace)
--- a/tests/replay_test.go
+++ b/tests/replay_test.go
@@ -147,16 +147,16 @@
 	t.Parallel()
 	w := newTestbed(t, withIdempotencyKeys(300*time.Millisecond, 700*time.Millisecond))
 	dial := protocolDialers["fastcgi"]
-	told := time.Now()
+	startedAt := time.Now()
 	first, got, _ := w.sendAttempt(dial, "k", "ok")
 	assert.Equal(t, "result of "+first, (<-got).body)
 	seen := "result of " + first
 	for seen == "result of "+first {
 		_, got, _ = w.sendAttempt(dial, "k", "ok")
 		seen = (<-got).body
-		require.Less(t, time.Since(told), awaitTimeout)
+		require.Less(t, time.Since(startedAt), awaitTimeout)
 	}
-	assert.GreaterOrEqual(t, time.Since(told), time.Second, "key reused before window and deadline have passed")
+	assert.GreaterOrEqual(t, time.Since(startedAt), time.Second, "key reused before window and deadline have passed")
 	assert.Len(t, w.engine.runCounts, 2)
 }
 
--- a/tests/resync_test.go
+++ b/tests/resync_test.go
@@ -24,10 +24,10 @@
 }
 
 // setIgnoresStat sets whether the engine ignores STAT.
-func (e *engineStandin) setIgnoresStat(blind bool) {
+func (e *engineStandin) setIgnoresStat(ignore bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.ignoresStat = blind
+	e.ignoresStat = ignore
 }
 
 // setReleaseAfterSync makes the engine release held runs right after its next answer to STAT sync.
@@ -130,10 +130,10 @@
 }
 
 // setIgnoresRun sets whether the engine ignores RUN.
-func (e *engineStandin) setIgnoresRun(drops bool) {
+func (e *engineStandin) setIgnoresRun(ignore bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.ignoresRun = drops
+	e.ignoresRun = ignore
 }
 
 // answeredPolls returns how many STAT commands the engine has answered.
--- a/tests/settings_test.go
+++ b/tests/settings_test.go
@@ -73,12 +73,12 @@
 func TestMaxWait(t *testing.T) {
 	t.Parallel()
 	for name, dial := range protocolDialers {
-		for _, passes := range []bool{true, false} {
-			t.Run(fmt.Sprint(name, passes), func(t *testing.T) {
+		for _, passesDeadline := range []bool{true, false} {
+			t.Run(fmt.Sprint(name, passesDeadline), func(t *testing.T) {
 				t.Parallel()
 				w := newTestbed(t, func(cfg object) {
 					set := cfg["settings"].(object)
-					set["family_info"].(object)["passes_deadline"] = passes
+					set["family_info"].(object)["passes_deadline"] = passesDeadline
 					for _, k := range set["classes"].([]object) {
 						k["deadline_ns"] = int64(10 * time.Minute)
 					}
@@ -108,7 +108,7 @@
 					assert.Equal(t, 400, answered(send(bad, "ok")), bad)
 				}
 				assert.Equal(t, 200, answered(send("0", "ok")), "0 is treated as no limit")
-				if passes {
+				if passesDeadline {
 					assert.Equal(t, 500, answered(send("2000", "hold")), "its run continues or was stopped, so the request fails")
 					assert.Equal(t, 503, answered(send("1", "hold")), "the wait was over before the request was read")
 					return
--- a/tests/soak_answers_test.go
+++ b/tests/soak_answers_test.go
@@ -34,7 +34,7 @@
 		if a.class == "nom-submit" {
 			s.checkCalls(a)
 		}
-		if a.sentAt.After(s.noticeAt.Add(soakDrainGrace + soakSocketDelay)) {
+		if a.sentAt.After(s.signaledAt.Add(soakDrainGrace + soakSocketDelay)) {
 			s.checkPromptResponse(a, a.sentAt, "it arrived after the grace period")
 		}
 	}
--- a/tests/soak_callers_test.go
+++ b/tests/soak_callers_test.go
@@ -191,8 +191,8 @@
 // sendWithDuplicate sends a request with an idempotency key and, up to 30 ms later, a second attempt on another
 // connection. The second attempt may arrive before the first is answered.
 func (c *soakCaller) sendWithDuplicate(a *soakAttempt) {
-	again := *a
-	request := c.encoded(&again)
+	duplicate := *a
+	request := c.encoded(&duplicate)
 	conn, err := c.dial()
 	if err != nil {
 		c.exchange(a)
@@ -204,13 +204,13 @@
 		defer close(done)
 		defer conn.Close()
 		time.Sleep(delay)
-		again.sentAt = time.Now()
-		if _, again.err = conn.Write(request); again.err == nil {
-			again.sentCompletely = true
-			again.response, again.err = conn.receive()
+		duplicate.sentAt = time.Now()
+		if _, duplicate.err = conn.Write(request); duplicate.err == nil {
+			duplicate.sentCompletely = true
+			duplicate.response, duplicate.err = conn.receive()
 		}
-		again.endedAt = time.Now()
-		c.record(&again)
+		duplicate.endedAt = time.Now()
+		c.record(&duplicate)
 	}()
 	c.exchange(a)
 	<-done
--- a/tests/soak_checks_test.go
+++ b/tests/soak_checks_test.go
@@ -16,26 +16,26 @@
 	for _, a := range s.attempts {
 		outcomes[s.checkAttempt(a)]++
 	}
-	twice := s.checkRuns()
+	repeatedRuns := s.checkRuns()
 	s.checkProcess()
 	givenUp := s.checkFailedRuns()
 	s.registry.check()
 	s.t.Logf("| %d | %d | %d | %d | %d | %d | %d | %d | %d | %d | %d | %d |", s.seed, s.plan.callers, s.plan.idleConnections, len(s.attempts),
-		s.runner.linkFaults, outcomes["served"], outcomes["rejected"], outcomes["failed"], givenUp, outcomes["not taken"], outcomes["left"], twice)
+		s.runner.linkFaults, outcomes["served"], outcomes["rejected"], outcomes["failed"], givenUp, outcomes["not taken"], outcomes["left"], repeatedRuns)
 	if s.t.Failed() {
 		s.t.Logf("repeat with: go test ./tests -run '^%s$' -soak-seeds 1 -soak-seed %d", strings.ReplaceAll(s.t.Name(), "/", "$/^"), s.seed)
 	}
 }
 
 // checkRuns checks that no at-most-once request ran twice, and returns how many did.
-func (s *soakRun) checkRuns() (twice int) {
+func (s *soakRun) checkRuns() (repeatedRuns int) {
 	for identity, runs := range s.runner.runs {
 		if len(runs) > 1 && isAtMostOnce(identity) {
-			twice++
+			repeatedRuns++
 			s.t.Errorf("ran %d times: %s, %v apart", len(runs), identity, runs[1].Sub(runs[0]))
 		}
 	}
-	return twice
+	return repeatedRuns
 }
 
 // isAtMostOnce reports whether the class at the start of the identity is at-most-once.
@@ -46,9 +46,9 @@
 // checkAttempt checks one attempt and returns its outcome for the table.
 func (s *soakRun) checkAttempt(a *soakAttempt) string {
 	runs := s.runner.runs[a.identity]
-	late := a.sentAt.After(s.noticeAt.Add(soakDrainGrace + soakSocketDelay))
+	late := a.sentAt.After(s.signaledAt.Add(soakDrainGrace + soakSocketDelay))
 	if a.sentCompletely && late && len(runs) > 0 && a.class == "nom-submit" {
-		s.t.Errorf("ran although its last byte was sent %v after SIGTERM: %s", a.sentAt.Sub(s.noticeAt), a.identity)
+		s.t.Errorf("ran although its last byte was sent %v after SIGTERM: %s", a.sentAt.Sub(s.signaledAt), a.identity)
 	}
 	if a.abandoned {
 		return "left"
@@ -79,7 +79,7 @@
 // the request did not run, and only during the drain or while idle connections fill the connection table.
 func (s *soakRun) checkConnectionError(a *soakAttempt, runs int) string {
 	var failure net.Error
-	mayEnd := a.endedAt.After(s.noticeAt) || s.plan.idleConnections > 0
+	mayEnd := a.endedAt.After(s.signaledAt) || s.plan.idleConnections > 0
 	if errors.As(a.err, &failure) && failure.Timeout() {
 		s.t.Errorf("never answered: %s", a.identity)
 	}
--- a/tests/soak_registry_test.go
+++ b/tests/soak_registry_test.go
@@ -115,8 +115,8 @@
 // awaitReport requires that a registry that works again gets a report before it would remove the service from
 // its list.
 func (r *soakRegistry) awaitReport(t *testing.T) {
-	heard := len(r.allReports())
-	require.Eventually(t, func() bool { return len(r.allReports()) > heard }, registryReportTimeout, time.Millisecond, "no report to the registry")
+	reportsBefore := len(r.allReports())
+	require.Eventually(t, func() bool { return len(r.allReports()) > reportsBefore }, registryReportTimeout, time.Millisecond, "no report to the registry")
 }
 
 // check requires that each report is valid, that the last state reported is closed, and that no report lists
--- a/tests/soak_test.go
+++ b/tests/soak_test.go
@@ -44,7 +44,7 @@
 
 	mu          sync.Mutex
 	attempts    []*soakAttempt
-	noticeAt    time.Time // time of the first SIGTERM
+	signaledAt  time.Time // time of the first SIGTERM
 	peakMemory  int       // in KB
 	peakSockets int
 }
@@ -156,13 +156,13 @@
 		s.Signal(syscall.SIGSTOP)
 	}
 	s.mu.Lock()
-	s.noticeAt = time.Now()
+	s.signaledAt = time.Now()
 	s.mu.Unlock()
 	require.NoError(s.t, s.Signal(syscall.SIGTERM))
 	if paused {
 		time.Sleep(time.Duration(rng.IntN(400)) * time.Millisecond)
 		s.Signal(syscall.SIGCONT)
-		s.stalls.recordStall(time.Since(s.noticeAt))
+		s.stalls.recordStall(time.Since(s.signaledAt))
 	}
 	if rng.IntN(2) == 0 {
 		s.Signal(syscall.SIGTERM)
@@ -173,7 +173,7 @@
 	select {
 	case err := <-s.exit:
 		assert.NoError(s.t, err, "exit code")
-	case <-time.After(time.Until(s.noticeAt.Add(soakStopTimeout))):
+	case <-time.After(time.Until(s.signaledAt.Add(soakStopTimeout))):
 		assert.Fail(s.t, "process has not exited within stop_ms")
 		s.Kill()
 	}
--- a/tests/store_test.go
+++ b/tests/store_test.go
@@ -77,9 +77,9 @@
 	await(t, "a deletion", func() bool { code, _ := c.Request(lost, "GET", "/store/note/0", ""); return code == 404 })
 	set := settings()
 	set["classes"] = []object{{"name": "only-class", "effect": "idempotent", "value": 1, "aim_ns": 1e9, "deadline_ns": 2e9}}
-	text2, err := json.Marshal(set)
+	settingsText, err := json.Marshal(set)
 	require.NoError(t, err)
-	c.Put(0, "config/settings", string(text2))
+	c.Put(0, "config/settings", string(settingsText))
 	for i := range 3 {
 		c.Kill(i)
 	}
@@ -135,19 +135,19 @@
 	addr := freeAddr(t)
 	c := newRunningCluster(t, object{"driver": "postgres", "dsn": "postgres://operator@" + addr + "/records?sslmode=disable"})
 	c.Put(0, "note/early", `{"n":1}`)
-	var at *service // the node with the mirror lease
+	var mirrorNode *service // the node with the mirror lease
 	await(t, "a log line", func() bool {
 		for _, n := range c.nodes {
 			if strings.Contains(n.log(), "sql mirror unavailable") {
-				at = n
+				mirrorNode = n
 			}
 		}
-		return at != nil
+		return mirrorNode != nil
 	})
 	pg := newPostgresStandin(t, addr)
 	c.Put(1, "note/later", `2`)
 	await(t, "both rows in PostgreSQL", func() bool { return pg.value("note/early") == `{"n":1}` && pg.value("note/later") == "2" })
-	await(t, "a log line", func() bool { return strings.Contains(at.log(), "sql mirror available again") })
+	await(t, "a log line", func() bool { return strings.Contains(mirrorNode.log(), "sql mirror available again") })
 	for i := range 3 {
 		c.Kill(i)
 		c.Dirs[i] = t.TempDir()
--- a/tests/stored_write_test.go
+++ b/tests/stored_write_test.go
@@ -107,8 +107,8 @@
 	c.Put(0, "config/log_level", `"info"`)
 	c.Put(0, "config/work", `{"most":1,"most_zone":1,"share":0.5,"share_zone":1,"spare":0}`)
 	c.Put(0, "state/elsewhere", `{"since_ms":1700000000000,"state":"open"}`)
-	code, text2 := c.requestWithRetry(0, "POST", "/members/s1", "")
-	require.Equal(t, 204, code, text2)
+	code, body := c.requestWithRetry(0, "POST", "/members/s1", "")
+	require.Equal(t, 204, code, body)
 	c.KillAll()
 	c.Bootstrap() // the restart stores the settings as the last good ones
 	for i := range 3 {
--- a/tests/suite_test.go
+++ b/tests/suite_test.go
@@ -77,7 +77,7 @@
 }
 
 func (c *callerGroup) awaitOutcomes(n int) {
-	await(c.w.t, "all responses", func() bool {
+	await(c.w.t, "answers", func() bool {
 		sum := 0
 		for _, k := range c.outcomes() {
 			sum += k
@@ -109,7 +109,7 @@
 			c.send("cycle-check", "silence") // never completes; ends at its deadline
 			c.awaitOutcomes(15)
 			assert.Equal(t, map[string]int{"served": 8, "failed": 7}, c.outcomes())
-			first := len(c.clients)
+			firstHeld := len(c.clients)
 			for i := range 22 { // the capacity is 20
 				c.send([]string{"balance-view", "nom-update", "nom-submit"}[i%3], "hold")
 				await(t, "a run or a rejection", func() bool { return w.engine.heldRuns()+c.outcomes()["refused"] == i+1 })
@@ -120,14 +120,14 @@
 			drainStartedAt := time.Now()
 			w.engine.releaseHeld()
 			c.awaitOutcomes(37)
-			for _, cl := range c.clients[first : first+10] { // within the drain grace period: they still run
+			for _, cl := range c.clients[firstHeld : firstHeld+10] { // within the drain grace period: they still run
 				c.sendOn(cl, "nom-submit", "ok")
 			}
 			c.awaitOutcomes(47)
 			c.send("nom-submit", "ok") // on a new connection, as from a balancer that does not know of the drain yet
 			c.awaitOutcomes(48)
 			assert.Equal(t, map[string]int{"served": 39, "failed": 7, "refused": 2}, c.outcomes())
-			for _, cl := range c.clients[first : first+4] { // requests still running when the listeners close; each must get a response
+			for _, cl := range c.clients[firstHeld : firstHeld+4] { // requests still running when the listeners close; each must get a response
 				c.sendOn(cl, "nom-submit", "hold")
 			}
 			await(t, "four held runs", func() bool { return w.engine.heldRuns() == 4 })
--- a/tests/versions_test.go
+++ b/tests/versions_test.go
@@ -160,18 +160,18 @@
 	for node := range 3 {
 		client := storeclient.New([]string{m.Peers[node].Admin})
 		key := fmt.Sprint(prefix, "txn", node)
-		made, err := client.Txn(t.Context(), kv.Request{If: []kv.Compare{{Key: key}},
+		succeeded, err := client.Txn(t.Context(), kv.Request{If: []kv.Compare{{Key: key}},
 			Then: []kv.Op{{Kind: "put", Key: key, Value: json.RawMessage("1")}, {Kind: "get", Key: key}}})
 		require.NoError(t, err)
-		require.True(t, made.Succeeded)
-		require.Len(t, made.Results, 2)
-		assert.Equal(t, "1", string(made.Results[1].Value))
-		missed, err := client.Txn(t.Context(), kv.Request{If: []kv.Compare{{Key: key, Revision: made.Revision + 1}},
+		require.True(t, succeeded.Succeeded)
+		require.Len(t, succeeded.Results, 2)
+		assert.Equal(t, "1", string(succeeded.Results[1].Value))
+		failed, err := client.Txn(t.Context(), kv.Request{If: []kv.Compare{{Key: key, Revision: succeeded.Revision + 1}},
 			Then: []kv.Op{{Kind: "delete", Key: key}}, Else: []kv.Op{{Kind: "get", Key: key}}})
 		require.NoError(t, err)
-		require.False(t, missed.Succeeded)
-		require.Len(t, missed.Results, 1)
-		assert.Equal(t, made.Revision, missed.Results[0].Revision)
+		require.False(t, failed.Succeeded)
+		require.Len(t, failed.Results, 1)
+		assert.Equal(t, succeeded.Revision, failed.Results[0].Revision)
 		m.WaitForValue((node+1)%3, key, "1")
 	}
 }
@@ -182,20 +182,20 @@
 	t := m.t
 	for node := range 3 {
 		name := fmt.Sprint(prefix, "job", node)
-		code, held := m.acquireLease(node, name, `{"holder":"h1","ttl_ms":60000}`)
+		code, lease := m.acquireLease(node, name, `{"holder":"h1","ttl_ms":60000}`)
 		require.Equal(t, 200, code)
 		for other := range 3 {
-			code, text := m.requestWithRetry(other, "PUT", "/lease/"+name, fmt.Sprintf(`{"token":%d}`, held.Token))
+			code, text := m.requestWithRetry(other, "PUT", "/lease/"+name, fmt.Sprintf(`{"token":%d}`, lease.Token))
 			assert.Equal(t, 200, code, text)
-			code, text = m.requestWithRetry(other, "PUT", "/lease", fmt.Sprintf(`{"leases":[{"name":%q,"token":%d},{"name":"none","token":1}]}`, name, held.Token))
+			code, text = m.requestWithRetry(other, "PUT", "/lease", fmt.Sprintf(`{"leases":[{"name":%q,"token":%d},{"name":"none","token":1}]}`, name, lease.Token))
 			assert.Equal(t, 200, code, text)
 			assert.JSONEq(t, `{"gone":["none"]}`, text)
 			code, text = m.requestWithRetry(other, "GET", "/lease/"+name, "")
 			assert.Equal(t, 200, code)
 			assert.Contains(t, text, `"holder":"h1"`)
-			code, text = m.requestWithRetry(other, "PUT", "/store/"+prefix+"fenced", "1", "Lease", fmt.Sprintf("%s/%d", name, held.Token))
+			code, text = m.requestWithRetry(other, "PUT", "/store/"+prefix+"fenced", "1", "Lease", fmt.Sprintf("%s/%d", name, lease.Token))
 			assert.Equal(t, 204, code, text)
-			code, _ = m.requestWithRetry(other, "PUT", "/store/"+prefix+"fenced", "2", "Lease", fmt.Sprintf("%s/%d", name, held.Token+1))
+			code, _ = m.requestWithRetry(other, "PUT", "/store/"+prefix+"fenced", "2", "Lease", fmt.Sprintf("%s/%d", name, lease.Token+1))
 			assert.Equal(t, 412, code)
 		}
 		next := make(chan storeapi.LeaseStatus, 1)
@@ -207,11 +207,11 @@
 			_, text := m.Request((node+2)%3, "GET", "/lease/"+name, "")
 			return strings.Contains(text, `"holder":"h2"`)
 		})
-		code, text := m.requestWithRetry((node+2)%3, "DELETE", fmt.Sprintf("/lease/%s?token=%d", name, held.Token), "")
+		code, text := m.requestWithRetry((node+2)%3, "DELETE", fmt.Sprintf("/lease/%s?token=%d", name, lease.Token), "")
 		assert.Equal(t, 204, code, text)
-		given := <-next
-		assert.Equal(t, "h2", given.Holder)
-		assert.Greater(t, given.Token, held.Token)
+		granted := <-next
+		assert.Equal(t, "h2", granted.Holder)
+		assert.Greater(t, granted.Token, lease.Token)
 	}
 }
 
--- a/tests/watch_test.go
+++ b/tests/watch_test.go
@@ -78,7 +78,7 @@
 	first, err := c.client().Put(t.Context(), "w/first", json.RawMessage("0"), nil)
 	require.NoError(t, err)
 	followers := []*watchRecorder{startWatch(t, c.client(), "w/", first.Revision), startWatch(t, c.client(), "w/", first.Revision)}
-	only := startWatch(t, c.client(), "other/", first.Revision)
+	otherPrefixWatch := startWatch(t, c.client(), "other/", first.Revision)
 	writer := c.client()
 	want := map[uint64]string{first.Revision: "0"}
 	for i := range 150 {
@@ -122,8 +122,8 @@
 		}
 		assert.Equal(t, want, got)
 	}
-	only.awaitKey(t, "other/x")
-	for _, r := range only.received() {
+	otherPrefixWatch.awaitKey(t, "other/x")
+	for _, r := range otherPrefixWatch.received() {
 		require.Len(t, r.Changes, 1)
 		require.True(t, strings.HasPrefix(r.Changes[0].Key, "other/"))
 	}
@@ -144,13 +144,13 @@
 			return err == nil && st.Watchers == n
 		}
 	}
-	deaf, err := net.Dial("tcp", addr)
+	stalledWatcher, err := net.Dial("tcp", addr)
 	require.NoError(t, err)
-	defer deaf.Close()
-	require.NoError(t, deaf.(*net.TCPConn).SetReadBuffer(4<<10))
-	fmt.Fprintf(deaf, "GET /watch?prefix=w/&from=%d HTTP/1.1\r\nHost: x\r\n\r\n", first.Revision)
+	defer stalledWatcher.Close()
+	require.NoError(t, stalledWatcher.(*net.TCPConn).SetReadBuffer(4<<10))
+	fmt.Fprintf(stalledWatcher, "GET /watch?prefix=w/&from=%d HTTP/1.1\r\nHost: x\r\n\r\n", first.Revision)
 	await(t, "a watcher", watchers(1))
-	reads := startWatch(t, storeclient.New([]string{addr}), "w/", first.Revision)
+	activeWatcher := startWatch(t, storeclient.New([]string{addr}), "w/", first.Revision)
 	await(t, "a second watcher", watchers(2))
 	big := json.RawMessage(`"` + strings.Repeat("x", 60<<10) + `"`)
 	for i := range 160 {
@@ -159,24 +159,24 @@
 	}
 	_, err = client.Put(t.Context(), "w/end", json.RawMessage("1"), nil)
 	require.NoError(t, err)
-	reads.awaitKey(t, "w/end")
-	assert.Len(t, reads.received(), 162)
+	activeWatcher.awaitKey(t, "w/end")
+	assert.Len(t, activeWatcher.received(), 162)
 	await(t, "the watcher that does not read to be disconnected", watchers(1))
 
 	code, text := c.Request(0, "GET", fmt.Sprint("/watch?from=", first.Revision), "")
 	assert.Equal(t, 410, code)
-	var gone struct {
+	var compactedResponse struct {
 		Error  string
 		Oldest uint64
 	}
-	require.NoError(t, json.Unmarshal([]byte(text), &gone))
-	assert.Equal(t, "compacted", gone.Error)
-	assert.Greater(t, gone.Oldest, first.Revision)
-	var typed *watch.CompactedError
+	require.NoError(t, json.Unmarshal([]byte(text), &compactedResponse))
+	assert.Equal(t, "compacted", compactedResponse.Error)
+	assert.Greater(t, compactedResponse.Oldest, first.Revision)
+	var compacted *watch.CompactedError
 	err = client.Watch(t.Context(), "", first.Revision, func(watch.Revision) error { return nil })
-	require.ErrorAs(t, err, &typed)
-	late := startWatch(t, client, "w/", typed.OldestRevision)
-	late.awaitKey(t, "w/end")
+	require.ErrorAs(t, err, &compacted)
+	laterWatch := startWatch(t, client, "w/", compacted.OldestRevision)
+	laterWatch.awaitKey(t, "w/end")
 	for _, query := range []string{"from=x", "from=-1", "prefix=" + strings.Repeat("p", 300)} {
 		code, _ := c.Request(0, "GET", "/watch?"+query, "")
 		assert.Equal(t, 400, code, query)
@@ -219,16 +219,16 @@
 	cmd.Stdout, cmd.Stderr = &out, &out
 	require.NoError(t, cmd.Start())
 	t.Cleanup(func() { cmd.Process.Kill() })
-	says := func(what string) {
+	awaitOutput := func(what string) {
 		await(t, "the output line "+what, func() bool { return strings.Contains(out.log(), what) })
 	}
-	says("w/first\t1\n")
+	awaitOutput("w/first\t1\n")
 	_, err = client.Put(t.Context(), "w/second", json.RawMessage(`{"x":2}`), nil)
 	require.NoError(t, err)
-	says("w/second\t{\"x\":2}\n")
+	awaitOutput("w/second\t{\"x\":2}\n")
 	_, err = client.Delete(t.Context(), "w/first", nil)
 	require.NoError(t, err)
-	says("w/first\t(deleted)\n")
+	awaitOutput("w/first\t(deleted)\n")
 	require.NoError(t, cmd.Process.Signal(syscall.SIGINT))
 	require.NoError(t, cmd.Wait())
 	_, code := runCLICombined(t, "store", "watch", "--list", "--from", "3")
--- a/tests/work_test.go
+++ b/tests/work_test.go
@@ -31,19 +31,19 @@
 
 // newMaintenanceCluster starts the services. Its disruption budget lets two machines out at once, and one per
 // zone.
-func newMaintenanceCluster(t *testing.T, stores, others int, command ...string) *maintenanceCluster {
-	return newMaintenanceClusterOfBuild(t, "", stores, others, command...)
+func newMaintenanceCluster(t *testing.T, storeNodes, withoutStore int, command ...string) *maintenanceCluster {
+	return newMaintenanceClusterOfBuild(t, "", storeNodes, withoutStore, command...)
 }
 
 // newMaintenanceClusterOfBuild is newMaintenanceCluster with another build of the program.
-func newMaintenanceClusterOfBuild(t *testing.T, build string, stores, others int, command ...string) *maintenanceCluster {
-	c := newStoppedCluster(t, stores, stores)
+func newMaintenanceClusterOfBuild(t *testing.T, build string, storeNodes, withoutStore int, command ...string) *maintenanceCluster {
+	c := newStoppedCluster(t, storeNodes, storeNodes)
 	c.buildPath = build
 	c.AddLinks()
-	y := &maintenanceCluster{cluster: c, services: make([]*service, stores+others)}
+	y := &maintenanceCluster{cluster: c, services: make([]*service, storeNodes+withoutStore)}
 	section := func(i int) object {
 		o := object{"zone": fmt.Sprint("z", i%3), "every_ms": 200, "command": command, "command_ms": 20000}
-		if i >= stores {
+		if i >= storeNodes {
 			var nodes []string
 			for _, p := range c.Peers {
 				nodes = append(nodes, p.Admin)
@@ -52,7 +52,7 @@
 		}
 		return o
 	}
-	for i := range stores + others {
+	for i := range storeNodes + withoutStore {
 		y.machineNames, y.engines = append(y.machineNames, fmt.Sprint("s", i)), append(y.engines, newEngineStandin(t))
 	}
 	c.Launch = func(i int, store map[string]any) testrig.Process {
@@ -68,7 +68,7 @@
 			cfg["name"], cfg["engine"], cfg["work"] = y.machineNames[i], y.engines[i].addr, section(i)
 		})
 	}
-	for i := stores; i < stores+others; i++ {
+	for i := storeNodes; i < storeNodes+withoutStore; i++ {
 		y.startWithoutStore(i)
 	}
 	y.client = c.client()
@@ -169,8 +169,8 @@
 func TestWorkOrder(t *testing.T) {
 	t.Parallel()
 	logSeedOnFailure(t)
-	mark := filepath.Join(t.TempDir(), "went")
-	y := newMaintenanceCluster(t, 5, 2, "sh", "-c", "echo $OXBOWBRIDGE_WORK_NODE >> "+mark+"; sleep 0.5")
+	startedPath := filepath.Join(t.TempDir(), "went")
+	y := newMaintenanceCluster(t, 5, 2, "sh", "-c", "echo $OXBOWBRIDGE_WORK_NODE >> "+startedPath+"; sleep 0.5")
 	stop := make(chan struct{})
 	o := y.observeOutages(stop)
 	var traffic sync.WaitGroup
@@ -199,15 +199,15 @@
 			}
 		})
 	}
-	var asks sync.WaitGroup
+	var operators sync.WaitGroup
 	for _, half := range [][]string{y.machineNames[:5], y.machineNames[2:]} {
-		asks.Go(func() {
+		operators.Go(func() {
 			for _, n := range half {
 				runCLI(t, "", "work", "ask", n, "--for=30s", "--reason=kernel", "--nodes="+strings.Join(y.client.Nodes, ",")) // the other operator may have submitted the order
 			}
 		})
 	}
-	asks.Wait()
+	operators.Wait()
 	holder := func() int {
 		st, err := y.client.MaintenanceStatus(t.Context())
 		if err != nil || st.Controller == "" {
@@ -239,14 +239,14 @@
 	assert.LessOrEqual(t, o.maxOut, 2, "machines out at once")
 	assert.LessOrEqual(t, o.maxOutInZone, 1, "machines out in one zone")
 	assert.Positive(t, o.maxOut)
-	text, err := os.ReadFile(mark)
+	text, err := os.ReadFile(startedPath)
 	require.NoError(t, err)
-	went := map[string]int{}
+	startCounts := map[string]int{}
 	for _, n := range strings.Fields(string(text)) {
-		went[n]++
+		startCounts[n]++
 	}
 	for i, n := range y.machineNames {
-		assert.Equal(t, 1, went[n], n)
+		assert.Equal(t, 1, startCounts[n], n)
 		for trace, runs := range y.engines[i].runCounts {
 			assert.Equal(t, 1, runs, "runs of %s", trace)
 		}
