--- a/tests/backup_test.go
+++ b/tests/backup_test.go
@@ -80,7 +80,7 @@
 	text, err = os.ReadFile(path)
 	require.NoError(t, err)
 	n := newRunningCluster(t, nil)
-	fresh := "--nodes=" + n.Peers[(n.WaitForLeader()+1)%3].Admin // a follower
+	fresh := "--nodes=" + n.Peers[(n.WaitForLeader()+1)%3].Admin // restores through a follower
 	bad := filepath.Join(t.TempDir(), "bad")
 	require.NoError(t, os.WriteFile(bad, bytes.Replace(text, []byte(`"n":39`), []byte(`"n":38`), 1), 0o600))
 	out, code = runCLICombined(t, "store", "restore", bad, fresh)
@@ -88,7 +88,7 @@
 	require.Contains(t, out, "damaged")
 	status, _ := n.Request(0, "POST", "/restore", string(text[:len(text)-3]))
 	require.Equal(t, 400, status)
-	for range 2 { // the second time as after a lost response
+	for range 2 { // the second time, as a retry after a lost response
 		out, code = runCLICombined(t, "store", "restore", path, fresh)
 		require.Equal(t, 0, code, out)
 	}
--- a/tests/clients_test.go
+++ b/tests/clients_test.go
@@ -64,7 +64,7 @@
 
 func fcgiRecord(kind byte, id uint16, content []byte) []byte {
 	b := []byte{1, kind, byte(id >> 8), byte(id), byte(len(content) >> 8), byte(len(content)), 3, 0}
-	return append(append(b, content...), 0, 0, 0) // with padding
+	return append(append(b, content...), 0, 0, 0) // with three bytes of padding
 }
 
 // fcgiRequest encodes a complete request.
--- a/tests/deploy_test.go
+++ b/tests/deploy_test.go
@@ -60,7 +60,7 @@
 	for _, fd := range fds {
 		to, err := os.Readlink(fd)
 		if err != nil {
-			continue // closed meanwhile
+			continue // the descriptor has been closed
 		}
 		if inode, ok := strings.CutPrefix(to, "socket:["); ok {
 			ownInodes[strings.TrimSuffix(inode, "]")] = true
--- a/tests/descriptors_test.go
+++ b/tests/descriptors_test.go
@@ -79,7 +79,7 @@
 		w.engine.conn.Close()
 		w.engine.mu.Unlock()
 		await(t, "the engine link to reconnect", func() bool { return w.engine.countReceived("ATTACH") > attached })
-		for _, class := range classNames { // with calls; those of at-most-once classes use a new connection
+		for _, class := range classNames { // each request makes a call; calls of at-most-once classes use a new connection
 			// A new connection may be closed in favour of an idle client before its request is read, like any
 			// unused connection, and a request that waited long before it was read is rejected. Callers retry
 			// both. Any other failure means that there was no descriptor for the call.
--- a/tests/disk_plays_test.go
+++ b/tests/disk_plays_test.go
@@ -69,7 +69,7 @@
 	p.Bootstrap()
 	p.awaitRecovered()
 	p.startClients()
-	defer p.stopAndCheck() // also if a check ends the test
+	defer p.stopAndCheck() // also runs if a check ends the test
 	for ; p.next < len(p.incidents); p.next++ {
 		p.runIncident(p.incidents[p.next])
 	}
--- a/tests/disks_test.go
+++ b/tests/disks_test.go
@@ -65,7 +65,7 @@
 		return strings.Contains(c.nodes[2].log(), `"msg":"store not serving"`) && strings.Contains(c.nodes[2].log(), "must say that this disk is not older")
 	})
 	await(t, "a response of the wiped node", func() bool { code, _ := c.Request(1, "GET", "/status", ""); return code == 200 })
-	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); { // the time of six elections
+	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); { // 3 s is the time of six elections
 		for i := 1; i <= 2; i++ {
 			code, text := c.Request(i, "GET", "/store/note/1", "")
 			assert.Equal(t, 503, code, text)
@@ -264,7 +264,7 @@
 	}
 	name := c.Peers[3].Name
 	run("remove", name)
-	c.WaitForVoters(0, 1, 2) // the node that was stopped takes its vote
+	c.WaitForVoters(0, 1, 2) // the restarted node gets the vote of the removed one
 	await(t, "the node to be refused as removed", func() bool { return strings.Contains(c.nodes[3].log(), "was removed") })
 	c.Kill(3)
 	c.WipeDir(3)
@@ -402,7 +402,7 @@
 			n++
 			code, text := c.Request(faultyNode, "GET", "/store/note/0", "")
 			assert.Equal(t, 503, code, "%s, leader %v: %s", diskFault, faultOnLeader, text)
-			c.nodes[faultyNode].awaitReady() // it still serves requests
+			c.nodes[faultyNode].awaitReady() // the node still serves requests
 			c.InjectFault(faultyNode, "")
 			c.WaitForVoters(0, 1, 2)
 			await(t, "all keys", func() bool { return hasWrittenKeys(t, c, faultyNode, "note", n) })
--- a/tests/durable_test.go
+++ b/tests/durable_test.go
@@ -150,7 +150,7 @@
 		require.NoError(t, c.Start())
 		first := n
 		sent := make(chan int)
-		go func() { // until the pipe breaks
+		go func() { // writes until the pipe breaks
 			w := bufio.NewWriterSize(in, 2048)
 			i := first
 			for ; ; i++ {
--- a/tests/endings_test.go
+++ b/tests/endings_test.go
@@ -132,7 +132,7 @@
 	_, err = idle.do("/ping", nil, nil)
 	require.NoError(t, err)
 	require.NoError(t, w.Signal(syscall.SIGTERM))
-	requireOrderlyClose(t, idle, idle.r) // idle until the service closed it
+	requireOrderlyClose(t, idle, idle.r) // the connection was idle until the service closed it
 	crossed := newTraceID()
 	_, err = idle.Write(fcgiRequest(1, "/call/nom-submit", requestHeaders(crossed), []byte("ok")))
 	require.NoError(t, err)
@@ -145,7 +145,7 @@
 	requireOrderlyClose(t, half, half.r)
 	_, err = idle.Read(make([]byte, 1))
 	assert.Equal(t, io.EOF, err, "connection reset")
-	w.requireCleanExit() // although neither peer has closed its side
+	w.requireCleanExit() // exits although neither peer has closed its side of the connection
 	assert.Zero(t, w.engine.countReceived("RUN "+crossed))
 	assert.Zero(t, w.engine.countReceived("RUN "+trace))
 }
@@ -200,7 +200,7 @@
 				for {
 					c, err := dialFCGI(w.fcgiAddr)
 					if err != nil {
-						return // refused: nothing ran
+						return // connection refused: nothing ran
 					}
 					for range 50 {
 						trace := newTraceID()
@@ -406,7 +406,7 @@
 	for what, c := range map[string]*fcgiConn{"unread": unread, "at its call": called, "running": ran, "held": held, "half": partial} {
 		_, a, _, err := c.readResponse()
 		require.NoError(t, err, what)
-		if what == "held" || what == "half" { // there is only one core: they may have been rejected
+		if what == "held" || what == "half" { // with one core, these two may have been rejected
 			assert.Contains(t, []int{200, 503}, a.status, what)
 		} else {
 			assert.Equal(t, 200, a.status, what)
--- a/tests/examples_test.go
+++ b/tests/examples_test.go
@@ -110,7 +110,7 @@
 	_, err = d.Write(append(ajpForwardRequest("/call/nom-submit", "s3", requestHeaders(second), 4), ajpBodyChunk([]byte("hold"))...))
 	require.NoError(t, err)
 	await(t, "two runs to start", func() bool { return w.engine.heldRuns() == 2 })
-	_, err = c.Write(fcgiRecord(2, 1, nil)) // ABORT_REQUEST
+	_, err = c.Write(fcgiRecord(2, 1, nil)) // type 2 is ABORT_REQUEST
 	require.NoError(t, err)
 	id, _, _, err := c.readResponse()
 	require.NoError(t, err)
--- a/tests/faults_test.go
+++ b/tests/faults_test.go
@@ -53,7 +53,7 @@
 		w.Put(next, "note/cut", newValue)
 		code, text := w.Request(leader, "GET", "/store/note/cut", "")
 		assert.Equal(t, 503, code, "fault %d: %s", n, text)
-		if isolatedBothWays := fault[1] != (testrig.LinkMode{}); isolatedBothWays { // otherwise it learns of later entries, and its local value is not determined
+		if isolatedBothWays := fault[1] != (testrig.LinkMode{}); isolatedBothWays { // otherwise the node receives later entries, so its local value is not determined
 			code, text = w.Request(leader, "GET", "/store/note/cut?local=1", "")
 			assert.Equal(t, fmt.Sprint("200 ", oldValue), fmt.Sprint(code, " ", text), "fault %d", n)
 		}
--- a/tests/fronts_test.go
+++ b/tests/fronts_test.go
@@ -39,7 +39,7 @@
 func TestFastCGIRecords(t *testing.T) {
 	t.Parallel()
 	w := newTestbed(t, func(cfg object) {
-		cfg["settings"].(object)["family_info"].(object)["idle_ns"] = 10e6 // shorter than the runs below
+		cfg["settings"].(object)["family_info"].(object)["idle_ns"] = 10e6 // idle timeout shorter than the runs below
 		cfg["settings"].(object)["family_info"].(object)["memory_kb"] = 4000
 		cfg["settings"].(object)["family_info"].(object)["cores"] = 40
 	})
@@ -49,7 +49,7 @@
 	for id := range uint16(33) {
 		all = append(all, fcgiRequest(id+1, "/call/nom-submit", requestHeaders(newTraceID()), []byte("hold"))...)
 	}
-	for ; len(all) > 0; all = all[min(len(all), 1000):] { // fragments that do not match records
+	for ; len(all) > 0; all = all[min(len(all), 1000):] { // writes fragments that do not match records
 		_, err := c.Write(all[:min(len(all), 1000)])
 		require.NoError(t, err)
 	}
@@ -146,7 +146,7 @@
 	w := newTestbed(t, nil)
 	c, err := dialFCGI(w.fcgiAddr)
 	require.NoError(t, err)
-	for i, ago := range []time.Duration{-time.Minute, 0, 6 * time.Second, 11 * time.Second} { // of a deadline of 12 s; a time in the future counts as now
+	for i, ago := range []time.Duration{-time.Minute, 0, 6 * time.Second, 11 * time.Second} { // measured against a deadline of 12 s; a time in the future counts as now
 		fields := requestHeaders(newTraceID())
 		fields["Accepted-At-Ms"] = strconv.FormatInt(time.Now().Add(-ago).UnixMilli(), 10)
 		_, err := c.Write(fcgiRequest(uint16(i+1), "/call/nom-submit", fields, []byte("silence")))
@@ -176,7 +176,7 @@
 		return c
 	}
 	c := dial()
-	c.Write(append(ajpPacket("\x12\x34", []byte{7}), ajpPacket("\x12\x34", []byte{10})...)) // SHUTDOWN, CPING
+	c.Write(append(ajpPacket("\x12\x34", []byte{7}), ajpPacket("\x12\x34", []byte{10})...)) // types 7 SHUTDOWN and 10 CPING
 	p, err := c.readPacket()
 	require.NoError(t, err)
 	assert.Equal(t, []byte{9}, p)
@@ -207,7 +207,7 @@
 	p, err = c.readPacket()
 	require.NoError(t, err)
 	assert.EqualValues(t, 6, p[0], "GET_BODY_CHUNK")
-	c.Close() // in the middle of the body
+	c.Close() // disconnects in the middle of the body
 	c = dial()
 	c.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
 	_, err = c.readPacket()
--- a/tests/guards_test.go
+++ b/tests/guards_test.go
@@ -103,7 +103,7 @@
 	t.Parallel()
 	w := newTestbed(t, nil)
 	request := fcgiRequest(1, "/call/nom-submit", requestHeaders(newTraceID()), nil)
-	request = request[:len(request)-11] // without the record that ends its input
+	request = request[:len(request)-11] // drops the record that ends the request's input
 	repeat := func(b []byte) (all [][]byte) {
 		for range (60 << 20) / len(b) {
 			all = append(all, b)
@@ -152,7 +152,7 @@
 	c, err := dialFCGI(w.fcgiAddr)
 	require.NoError(t, err)
 	fields := requestHeaders(newTraceID())
-	fields["\x00CONTENT_LENGTH"] = "3" // the body has two bytes
+	fields["\x00CONTENT_LENGTH"] = "3" // wrong, as the body has two bytes
 	a, err := c.do("/call/nom-submit", fields, []byte("ok"))
 	require.NoError(t, err)
 	assert.Equal(t, 400, a.status)
--- a/tests/leases_test.go
+++ b/tests/leases_test.go
@@ -167,7 +167,7 @@
 		await(t, "a keep-alive", func() bool {
 			at = time.Now()
 			code, _ := c.Request(n, "PUT", "/lease/job", fmt.Sprintf(`{"token":%d}`, l.Token))
-			if code == 410 { // the machine was slow and the lease has expired
+			if code == 410 { // the machine was slow: the lease has expired
 				_, l = requestLease(n, "again", 15*time.Second)
 			}
 			return code == 200
--- a/tests/linear_test.go
+++ b/tests/linear_test.go
@@ -71,7 +71,7 @@
 	set := testrig.RegisterOp{Key: "k", Write: true, Expected: "2", Value: "4"}
 	h.Add(2, set, "done", 7, 8)
 	h.Add(0, testrig.RegisterOp{Key: "j", Write: true, Value: "4"}, "", 1, 2)
-	h.Add(0, testrig.RegisterOp{Key: "k", Write: true, Expected: "4", Value: "5"}, testrig.CompareFailed, 9, 10) // the write of unknown outcome may be the reason
+	h.Add(0, testrig.RegisterOp{Key: "k", Write: true, Expected: "4", Value: "5"}, testrig.CompareFailed, 9, 10) // correct if the write of unknown outcome took effect
 	assert.True(t, h.Linearizable())
 	for _, wrong := range []struct {
 		in  testrig.RegisterOp
@@ -259,7 +259,7 @@
 		assert.Equal(t, 400, code)
 		return true
 	}
-	for i := range 3 { // one of them is the leader
+	for i := range 3 { // one of the three nodes is the leader
 		attempt := 0
 		await(t, "definite responses to all requests", func() bool { attempt++; return checkConditions(i, attempt) })
 	}
--- a/tests/links_test.go
+++ b/tests/links_test.go
@@ -39,7 +39,7 @@
 	e.mu.Lock()
 	e.ignoresCommands = true // commands sent from here on are lost
 	e.mu.Unlock()
-	unsafe, safe := newTraceID(), newTraceID() // both of idempotent classes
+	unsafe, safe := newTraceID(), newTraceID() // both requests are of idempotent classes
 	lost, again := w.sendAsync("cycle-check", unsafe, "ok"), w.sendAsync("balance-view", safe, "ok")
 	_ = lost
 	submit := newTraceID()
@@ -80,7 +80,7 @@
 	await(t, "two runs to start", func() bool { return e.heldRuns() == 2 })
 	e.mu.Lock()
 	e.heldTraces = nil
-	clear(e.active) // both completed
+	clear(e.active) // both runs have completed
 	e.notices = append(e.notices, "", "", fmt.Sprintf("NOTE %d the first that is kept\r\n", len(e.notices)+3))
 	e.conn.Close()
 	e.mu.Unlock()
@@ -178,7 +178,7 @@
 	a, err = c.do("/call/cycle-check", requestHeaders(newTraceID()), []byte("ok"))
 	require.NoError(t, err)
 	assert.True(t, strings.HasPrefix(a.body, "result of"), a.body)
-	a, err = c.do("/call/nom-submit", requestHeaders(trace), []byte("ok")) // a trace id that was used before, with another class
+	a, err = c.do("/call/nom-submit", requestHeaders(trace), []byte("ok")) // reuses a trace id with another class
 	require.NoError(t, err)
 	assert.Equal(t, 200, a.status)
 	same := newTraceID()
@@ -230,7 +230,7 @@
 	w := newTestbed(t, nil)
 	w.records.setReply("silence")
 	other := newTraceID()
-	got := w.sendAsync("nom-submit", other, "call") // in flight throughout
+	got := w.sendAsync("nom-submit", other, "call") // this call stays in flight throughout
 	await(t, "a call to the records service", func() bool { return w.records.countReceived("OP "+other) == 1 })
 	for _, raw := range []string{"\x00\xff\x07 noise\r\n", "%s DONE 3000000000\r\nxxxx", "%s DONE 3\r\nxxxx\r\n",
 		"%s DONE -1\r\n", "%s MAYBE\r\n", "%s WAIT 5\r\n", strings.Repeat("x", 2000),
--- a/tests/ramp_test.go
+++ b/tests/ramp_test.go
@@ -28,7 +28,7 @@
 	ln              net.Listener
 	conns           map[net.Conn]bool
 	running         int
-	runCountChanges []runCountChange // since the latest start
+	runCountChanges []runCountChange // changes since the latest start
 	completedRuns   int
 }
 
@@ -99,11 +99,11 @@
 		if err != nil {
 			return
 		}
-		if p[0] == 10 { // CPING
+		if p[0] == 10 { // type CPING
 			c.Write(ajpPacket("AB", []byte{9}))
 			continue
 		}
-		if _, err := c.readPacket(); err != nil { // the body
+		if _, err := c.readPacket(); err != nil { // the packet with the body
 			return
 		}
 		u.addRuns(raw, 1)
--- a/tests/ready_test.go
+++ b/tests/ready_test.go
@@ -71,7 +71,7 @@
 			engines[i].mu.Lock()
 			engines[i].linksToIgnore = 1
 			engines[i].mu.Unlock()
-			holder, err := net.Listen("tcp", s.fcgiAddr) // like a predecessor that is still draining
+			holder, err := net.Listen("tcp", s.fcgiAddr) // stands for a predecessor that is still draining
 			if !assert.NoError(t, err) {
 				return
 			}
--- a/tests/replay_test.go
+++ b/tests/replay_test.go
@@ -51,10 +51,10 @@
 			key := func(n int) string { return fmt.Sprintf("%s-%d", name, n) }
 			first, got, _ := w.sendAttempt(dial, key(1), "hold")
 			await(t, "the run to start", func() bool { return w.engine.heldRuns() == 1 })
-			_, second, _ := w.sendAttempt(dial, key(1), "hold") // while it runs
+			_, second, _ := w.sendAttempt(dial, key(1), "hold") // while the first attempt runs
 			lost, _, c := w.sendAttempt(dial, key(2), "hold")
 			await(t, "another run to start", func() bool { return w.engine.heldRuns() == 2 })
-			c.Close() // its caller disconnects
+			c.Close() // the caller disconnects
 			w.reloadConfig(func(cfg object) { cfg["engine"] = w.engine.addListener(t) })
 			await(t, "a link at the new address", func() bool { return w.engine.countReceived("ATTACH") == 2 })
 			w.engine.mu.Lock()
@@ -67,7 +67,7 @@
 				assert.Equal(t, "result of "+first, a.body)
 			}
 			assert.Equal(t, "result of "+lost, (<-third).body)
-			_, fourth, _ := w.sendAttempt(dial, key(1), "hold") // after the response
+			_, fourth, _ := w.sendAttempt(dial, key(1), "hold") // sent after the response
 			assert.Equal(t, "result of "+first, (<-fourth).body)
 			assert.Zero(t, w.engine.countReceived("HALT"), "a run with an idempotency key is not stopped")
 
@@ -119,7 +119,7 @@
 	t.Parallel()
 	w := newTestbed(t, func(cfg object) {
 		withIdempotencyKeys(20*time.Second, 12*time.Second)(cfg)
-		cfg["settings"].(object)["family_info"].(object)["memory_kb"] = 120 // enough for two requests
+		cfg["settings"].(object)["family_info"].(object)["memory_kb"] = 120 // memory for two requests
 	})
 	dial := protocolDialers["fastcgi"]
 	var held []<-chan response
@@ -239,7 +239,7 @@
 	c, err := dialFCGI(w.fcgiAddr)
 	require.NoError(t, err)
 	defer c.Close()
-	_, err = c.Write(again[:8]) // open when the drain starts
+	_, err = c.Write(again[:8]) // the connection is open when the drain starts
 	require.NoError(t, err)
 	c2, err := dialFCGI(w.fcgiAddr)
 	require.NoError(t, err)
--- a/tests/soak_runner_test.go
+++ b/tests/soak_runner_test.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	maxRunTime      = 16 * time.Millisecond // of a run
+	maxRunTime      = 16 * time.Millisecond // maximum duration of a run
 	upstreamsInUse  = 2
 	maxHoldMs       = 60
 	maxOutageMs     = 400
--- a/tests/soak_test.go
+++ b/tests/soak_test.go
@@ -20,7 +20,7 @@
 )
 
 const (
-	soakStopTimeout = 4 * time.Second         // from the first SIGTERM to SIGKILL
+	soakStopTimeout = 4 * time.Second         // time from the first SIGTERM to SIGKILL
 	soakDrainGrace  = 2500 * time.Millisecond // drain grace period after SIGTERM
 	soakSocketDelay = 50 * time.Millisecond   // extra time that sockets may add to each time limit
 	soakDeadline    = 3 * time.Second         // deadline of each class
@@ -53,7 +53,7 @@
 type soakPlan struct {
 	callers           int
 	idleConnections   int           // connections that send nothing or only a health check
-	meanFaultInterval time.Duration // between two injected faults
+	meanFaultInterval time.Duration // mean time between two injected faults
 }
 
 func drawSoakPlan(rng *rand.Rand) soakPlan {
--- a/tests/store_test.go
+++ b/tests/store_test.go
@@ -73,7 +73,7 @@
 	code, _ = c.Request(next, "DELETE", "/store/note/0", "")
 	assert.Equal(t, 204, code)
 	c.Start(lost)
-	c.WaitForValue(lost, "note/while", `"away"`) // written while it was stopped
+	c.WaitForValue(lost, "note/while", `"away"`) // written while the node was stopped
 	await(t, "a deletion", func() bool { code, _ := c.Request(lost, "GET", "/store/note/0", ""); return code == 404 })
 	set := settings()
 	set["classes"] = []object{{"name": "only-class", "effect": "idempotent", "value": 1, "aim_ns": 1e9, "deadline_ns": 2e9}}
@@ -207,7 +207,7 @@
 		io.ReadFull(r, b)
 		return b
 	}
-	read() // startup
+	read() // startup message
 	send('R', 0, 0, 0, 0)
 	send('S', []byte("client_encoding\x00UTF8\x00")...)
 	send('S', []byte("standard_conforming_strings\x00on\x00")...)
@@ -279,7 +279,7 @@
 func parseBind(b []byte, queries map[string]string) (string, [][]byte) {
 	parts := bytes.SplitN(b, []byte{0}, 3)
 	b = parts[2]
-	b = b[2+2*binary.BigEndian.Uint16(b):] // formats
+	b = b[2+2*binary.BigEndian.Uint16(b):] // skips the parameter formats
 	n := binary.BigEndian.Uint16(b)
 	b = b[2:]
 	var args [][]byte
--- a/tests/stored_test.go
+++ b/tests/stored_test.go
@@ -265,7 +265,7 @@
 // readLease reads a lease at the leader.
 func (c *cluster) readLease(name string) (code int, l storeapi.LeaseStatus) {
 	code, text := c.requestWithRetry(c.WaitForLeader(), "GET", "/lease/"+name, "")
-	json.Unmarshal([]byte(text), &l) // on an error l stays empty
+	json.Unmarshal([]byte(text), &l) // l stays empty if the text is not JSON
 	return code, l
 }
 
--- a/tests/versions_test.go
+++ b/tests/versions_test.go
@@ -307,7 +307,7 @@
 		m.WaitForValue(node, fmt.Sprint("folder/missed", node), "1")
 	}
 	m.KillAll()
-	for node := range 3 { // and all nodes at once
+	for node := range 3 { // starts all nodes at once
 		m.start(node)
 	}
 	m.WaitForVoters(0, 1, 2)
--- a/tests/work_test.go
+++ b/tests/work_test.go
@@ -186,7 +186,7 @@
 				}
 				cl, err := dialFCGI(y.services[i].fcgiAddr)
 				if err != nil {
-					continue // it is out of service
+					continue // the service is out for maintenance
 				}
 				trace := newTraceID()
 				if a, err := cl.do("/call/nom-submit", requestHeaders(trace), []byte("ok")); err == nil && a.status == 200 {
