--- a/tests/endings_test.go
+++ b/tests/endings_test.go
@@ -52,8 +52,8 @@
 		faults = append(faults, fcgiRequest(20+id, "/call/other", requestHeaders(newTraceID()), nil)...)
 	}
 	for what, tt := range map[string]struct {
-		then    []byte
-		answers int // responses before the one of the held run
+		followUp        []byte
+		responsesBefore int // responses before the one of the held run
 	}{
 		"garbage":        {[]byte("GET / HTTP/1.1\r\n\r\n"), 0},
 		"half a record":  {half[:5], 0},
@@ -63,23 +63,23 @@
 	} {
 		t.Run(what, func(t *testing.T) {
 			trace := newTraceID()
-			held, given := w.engine.heldRuns(), strings.Count(w.log(), "callers stalled")
+			held, stalledLines := w.engine.heldRuns(), strings.Count(w.log(), "callers stalled")
 			c, err := dialFCGI(w.fcgiAddr)
 			require.NoError(t, err)
 			defer c.Close()
-			_, err = c.Write(append(fcgiRequest(1, "/call/nom-submit", requestHeaders(trace), []byte("hold")), tt.then...))
+			_, err = c.Write(append(fcgiRequest(1, "/call/nom-submit", requestHeaders(trace), []byte("hold")), tt.followUp...))
 			require.NoError(t, err)
 			await(t, "the run to start", func() bool { return w.engine.heldRuns() == held+1 })
-			for range tt.answers {
+			for range tt.responsesBefore {
 				id, _, _, err := c.readResponse()
 				require.NoError(t, err)
 				require.NotEqual(t, uint16(1), id)
 			}
 			if strings.HasPrefix(what, "half") {
-				await(t, "the incomplete message to time out", func() bool { return strings.Count(w.log(), "callers stalled") > given })
+				await(t, "the incomplete message to time out", func() bool { return strings.Count(w.log(), "callers stalled") > stalledLines })
 			}
-			refused := newTraceID() // nothing may start on a connection that is about to close
-			_, err = c.Write(fcgiRequest(5, "/call/nom-submit", requestHeaders(refused), []byte("ok")))
+			lateTrace := newTraceID() // nothing may start on a connection that is about to close
+			_, err = c.Write(fcgiRequest(5, "/call/nom-submit", requestHeaders(lateTrace), []byte("ok")))
 			require.NoError(t, err)
 			if what != "garbage" {
 				await(t, "the later request to be read", func() bool { return w.responseStatus("nom-submit", "ok") == 200 })
@@ -90,7 +90,7 @@
 			assert.Equal(t, uint16(1), id)
 			assert.Equal(t, "result of "+trace, a.body)
 			requireOrderlyClose(t, c, c.r)
-			assert.Zero(t, w.engine.countReceived("RUN "+refused))
+			assert.Zero(t, w.engine.countReceived("RUN "+lateTrace))
 		})
 	}
 	trace := newTraceID()
@@ -132,7 +132,7 @@
 	_, err = idle.do("/ping", nil, nil)
 	require.NoError(t, err)
 	require.NoError(t, w.Signal(syscall.SIGTERM))
-	requireOrderlyClose(t, idle, idle.r) // idle until the service closed it
+	requireOrderlyClose(t, idle, idle.r) // the connection was idle until the service closed it
 	crossed := newTraceID()
 	_, err = idle.Write(fcgiRequest(1, "/call/nom-submit", requestHeaders(crossed), []byte("ok")))
 	require.NoError(t, err)
@@ -145,7 +145,7 @@
 	requireOrderlyClose(t, half, half.r)
 	_, err = idle.Read(make([]byte, 1))
 	assert.Equal(t, io.EOF, err, "connection reset")
-	w.requireCleanExit() // although neither peer has closed its side
+	w.requireCleanExit() // exits although neither peer has closed its side of the connection
 	assert.Zero(t, w.engine.countReceived("RUN "+crossed))
 	assert.Zero(t, w.engine.countReceived("RUN "+trace))
 }
@@ -200,7 +200,7 @@
 				for {
 					c, err := dialFCGI(w.fcgiAddr)
 					if err != nil {
-						return // refused: nothing ran
+						return // connection refused: nothing ran
 					}
 					for range 50 {
 						trace := newTraceID()
@@ -391,22 +391,22 @@
 	await(t, "a run to start", func() bool { return w.engine.heldRuns() == 1 })
 	late := newTraceID()
 	held := send(late, "ok")
-	half := dial()
+	partial := dial()
 	last := newTraceID()
 	request := fcgiRequest(1, "/call/nom-submit", requestHeaders(last), []byte("ok"))
-	_, err := half.Write(request[:len(request)/2])
+	_, err := partial.Write(request[:len(request)/2])
 	require.NoError(t, err)
 	assert.Equal(t, 200, w.healthStatus(), "everything sent before is read")
 	require.NoError(t, w.Signal(syscall.SIGTERM))
 	w.awaitDrainStarted()
-	_, err = half.Write(request[len(request)/2:])
+	_, err = partial.Write(request[len(request)/2:])
 	require.NoError(t, err)
 	w.records.replyToLast("reply")
 	w.engine.releaseHeld()
-	for what, c := range map[string]*fcgiConn{"unread": unread, "at its call": called, "running": ran, "held": held, "half": half} {
+	for what, c := range map[string]*fcgiConn{"unread": unread, "at its call": called, "running": ran, "held": held, "half": partial} {
 		_, a, _, err := c.readResponse()
 		require.NoError(t, err, what)
-		if what == "held" || what == "half" { // there is only one core: they may have been rejected
+		if what == "held" || what == "half" { // with one core, these two may have been rejected
 			assert.Contains(t, []int{200, 503}, a.status, what)
 		} else {
 			assert.Equal(t, 200, a.status, what)
--- a/tests/guards_test.go
+++ b/tests/guards_test.go
@@ -103,7 +103,7 @@
 	t.Parallel()
 	w := newTestbed(t, nil)
 	request := fcgiRequest(1, "/call/nom-submit", requestHeaders(newTraceID()), nil)
-	request = request[:len(request)-11] // without the record that ends its input
+	request = request[:len(request)-11] // drops the record that ends the request's input
 	repeat := func(b []byte) (all [][]byte) {
 		for range (60 << 20) / len(b) {
 			all = append(all, b)
@@ -126,9 +126,9 @@
 	assert.Zero(t, w.engine.countReceived("HALT"))
 }
 
-// TestFigures: a request with an invalid header fails without running. A connection that sends nothing but such
+// TestInvalidHeaders: a request with an invalid header fails without running. A connection that sends nothing but such
 // requests is closed.
-func TestFigures(t *testing.T) {
+func TestInvalidHeaders(t *testing.T) {
 	t.Parallel()
 	w := newTestbed(t, nil)
 	runs := w.engine.countReceived("RUN")
@@ -152,7 +152,7 @@
 	c, err := dialFCGI(w.fcgiAddr)
 	require.NoError(t, err)
 	fields := requestHeaders(newTraceID())
-	fields["\x00CONTENT_LENGTH"] = "3" // the body has two bytes
+	fields["\x00CONTENT_LENGTH"] = "3" // wrong, as the body has two bytes
 	a, err := c.do("/call/nom-submit", fields, []byte("ok"))
 	require.NoError(t, err)
 	assert.Equal(t, 400, a.status)
--- a/tests/settings_test.go
+++ b/tests/settings_test.go
@@ -73,12 +73,12 @@
 func TestMaxWait(t *testing.T) {
 	t.Parallel()
 	for name, dial := range protocolDialers {
-		for _, passes := range []bool{true, false} {
-			t.Run(fmt.Sprint(name, passes), func(t *testing.T) {
+		for _, passesDeadline := range []bool{true, false} {
+			t.Run(fmt.Sprint(name, passesDeadline), func(t *testing.T) {
 				t.Parallel()
 				w := newTestbed(t, func(cfg object) {
 					set := cfg["settings"].(object)
-					set["family_info"].(object)["passes_deadline"] = passes
+					set["family_info"].(object)["passes_deadline"] = passesDeadline
 					for _, k := range set["classes"].([]object) {
 						k["deadline_ns"] = int64(10 * time.Minute)
 					}
@@ -108,7 +108,7 @@
 					assert.Equal(t, 400, answered(send(bad, "ok")), bad)
 				}
 				assert.Equal(t, 200, answered(send("0", "ok")), "0 is treated as no limit")
-				if passes {
+				if passesDeadline {
 					assert.Equal(t, 500, answered(send("2000", "hold")), "its run continues or was stopped, so the request fails")
 					assert.Equal(t, 503, answered(send("1", "hold")), "the wait was over before the request was read")
 					return
@@ -153,7 +153,7 @@
 // occupies capacity. It is repeated only after the linger time, when it can no longer run.
 func TestSharedCallsLinger(t *testing.T) {
 	t.Parallel()
-	for below, lingers := range map[string]time.Duration{"shared": 400 * time.Millisecond, "tier": 0} {
+	for below, minDelay := range map[string]time.Duration{"shared": 400 * time.Millisecond, "tier": 0} {
 		w := newTestbed(t, func(cfg object) {
 			info := cfg["settings"].(object)["family_info"].(object)
 			info["below"], info["calls_out"], info["dep_window_ns"], info["linger_ns"] = below, 5, 5e9, 400e6
@@ -164,7 +164,7 @@
 		got := w.sendAsync("balance-view", trace, "call")
 		assert.Equal(t, 200, (<-got).status, below)
 		assert.Equal(t, 2, w.records.countReceived("OP "+trace), below)
-		assert.GreaterOrEqual(t, time.Since(began), lingers, below)
+		assert.GreaterOrEqual(t, time.Since(began), minDelay, below)
 	}
 }
 
@@ -172,7 +172,7 @@
 // nor is stopped for good. With halt "none" no run is stopped.
 func TestPause(t *testing.T) {
 	t.Parallel()
-	for halt, halts := range map[string]int{"pause": 1, "none": 0} {
+	for halt, wantHalts := range map[string]int{"pause": 1, "none": 0} {
 		t.Run(halt, func(t *testing.T) {
 			t.Parallel()
 			w := newTestbed(t, func(cfg object) {
@@ -189,10 +189,10 @@
 				await(t, "a run or a rejection", func() bool { return w.engine.heldRuns() == 1 || len(got) == 1 })
 				return w.engine.heldRuns() == 1
 			})
-			if halts == 0 {
+			if wantHalts == 0 {
 				lost, _ := dialFCGI(w.fcgiAddr) // its caller disconnects, and the run is not stopped
-				gone := newTraceID()
-				lost.Write(fcgiRequest(1, "/call/nom-submit", requestHeaders(gone), []byte("hold")))
+				cancelled := newTraceID()
+				lost.Write(fcgiRequest(1, "/call/nom-submit", requestHeaders(cancelled), []byte("hold")))
 				lost.Close()
 				w.responseStatus("nom-update", "ok")
 				w.engine.releaseHeld()
--- a/tests/soak_test.go
+++ b/tests/soak_test.go
@@ -20,7 +20,7 @@
 )
 
 const (
-	soakStopTimeout = 4 * time.Second         // from the first SIGTERM to SIGKILL
+	soakStopTimeout = 4 * time.Second         // time from the first SIGTERM to SIGKILL
 	soakDrainGrace  = 2500 * time.Millisecond // drain grace period after SIGTERM
 	soakSocketDelay = 50 * time.Millisecond   // extra time that sockets may add to each time limit
 	soakDeadline    = 3 * time.Second         // deadline of each class
@@ -44,7 +44,7 @@
 
 	mu          sync.Mutex
 	attempts    []*soakAttempt
-	noticeAt    time.Time // time of the first SIGTERM
+	signaledAt  time.Time // time of the first SIGTERM
 	peakMemory  int       // in KB
 	peakSockets int
 }
@@ -53,7 +53,7 @@
 type soakPlan struct {
 	callers           int
 	idleConnections   int           // connections that send nothing or only a health check
-	meanFaultInterval time.Duration // between two injected faults
+	meanFaultInterval time.Duration // mean time between two injected faults
 }
 
 func drawSoakPlan(rng *rand.Rand) soakPlan {
@@ -156,13 +156,13 @@
 		s.Signal(syscall.SIGSTOP)
 	}
 	s.mu.Lock()
-	s.noticeAt = time.Now()
+	s.signaledAt = time.Now()
 	s.mu.Unlock()
 	require.NoError(s.t, s.Signal(syscall.SIGTERM))
 	if paused {
 		time.Sleep(time.Duration(rng.IntN(400)) * time.Millisecond)
 		s.Signal(syscall.SIGCONT)
-		s.stalls.recordStall(time.Since(s.noticeAt))
+		s.stalls.recordStall(time.Since(s.signaledAt))
 	}
 	if rng.IntN(2) == 0 {
 		s.Signal(syscall.SIGTERM)
@@ -173,7 +173,7 @@
 	select {
 	case err := <-s.exit:
 		assert.NoError(s.t, err, "exit code")
-	case <-time.After(time.Until(s.noticeAt.Add(soakStopTimeout))):
+	case <-time.After(time.Until(s.signaledAt.Add(soakStopTimeout))):
 		assert.Fail(s.t, "process has not exited within stop_ms")
 		s.Kill()
 	}
