--- a/admission/purity_test.go
+++ b/admission/purity_test.go
@@ -29,10 +29,10 @@
 	"time":    {"Duration", "Nanosecond", "Microsecond", "Millisecond", "Second", "Minute", "Hour"},
 }
 
-// TestModuleIsPure: the decisions depend only on the events. The files of the package use no clock
+// TestPackageIsPure: the decisions depend only on the events. The files of the package use no clock
 // or timer, do no I/O, start no goroutine, use no channel and import no other package of this
 // module.
-func TestModuleIsPure(t *testing.T) {
+func TestPackageIsPure(t *testing.T) {
 	fileSet := token.NewFileSet()
 	paths, err := filepath.Glob("*.go")
 	require.NoError(t, err)
@@ -53,8 +53,8 @@
 
 // findImpurities lists the imports and uses in a file that are not allowed.
 func findImpurities(fileSet *token.FileSet, file *ast.File) (problems []string) {
-	report := func(node ast.Node, what string) {
-		problems = append(problems, fileSet.Position(node.Pos()).String()+": "+what)
+	report := func(node ast.Node, problem string) {
+		problems = append(problems, fileSet.Position(node.Pos()).String()+": "+problem)
 	}
 	imported := map[string]string{} // local name -> path
 	for _, spec := range file.Imports {
--- a/internal/proxy/dispatch/invariants_test.go
+++ b/internal/proxy/dispatch/invariants_test.go
@@ -65,7 +65,7 @@
 	requestResponses int // number of responses to the request
 }
 
-// Respond checks that a request gets one response and that the response is true.
+// Respond checks that a request gets one response and that the response agrees with the runs of the request.
 func (a *fakeResponder) Respond(r exchange.Response) {
 	a.requestResponses++
 	a.responseCount++
@@ -197,7 +197,7 @@
 }
 
 // submitRandomRequests submits random requests. Some repeat an earlier request, some reuse the
-// idempotency key of an earlier request, and some are cancelled.
+// idempotency key of an earlier request, and some are canceled.
 func (s *fakeEnvironment) submitRandomRequests() {
 	for range s.random.IntN(4) {
 		request := s.newRandomRequest()
--- a/internal/transport/engine/golden_test.go
+++ b/internal/transport/engine/golden_test.go
@@ -49,9 +49,9 @@
 	}
 }
 
-func (f *sessionFixture) waitFor(what string, condition func() bool) {
+func (f *sessionFixture) waitFor(description string, condition func() bool) {
 	f.t.Helper()
-	require.Eventually(f.t, func() bool { f.handleEvents(); return condition() }, 10*time.Second, time.Millisecond, what)
+	require.Eventually(f.t, func() bool { f.handleEvents(); return condition() }, 10*time.Second, time.Millisecond, description)
 }
 
 // acceptConn accepts the session's next connection and returns the engine's end of it.
@@ -65,11 +65,11 @@
 
 // connectEngine opens the session, checks ATTACH, sends hello, waits for the given number of events and
 // reads the first poll. The test sends the answer to that poll on the returned connection.
-func (f *sessionFixture) connectEngine(lastNotice int, hello string, events int) net.Conn {
+func (f *sessionFixture) connectEngine(lastNotification int, hello string, events int) net.Conn {
 	f.t.Helper()
 	f.session.Open()
 	c := f.acceptConn()
-	f.engineReads(c, fmt.Sprintf("ATTACH %d\r\n", lastNotice))
+	f.engineReads(c, fmt.Sprintf("ATTACH %d\r\n", lastNotification))
 	f.engineSends(c, hello+"\r\n", events)
 	f.engineReads(c, "STAT sync\r\n")
 	return c
--- a/tests/disks_test.go
+++ b/tests/disks_test.go
@@ -19,19 +19,20 @@
 	"oxbowbridge/internal/testrig"
 )
 
-// writeKeys writes keys at a node, each until it is acknowledged.
+// writeKeys writes n keys at a node, each until the write is acknowledged.
 func writeKeys(c *cluster, node int, prefix string, n int) {
 	for k := range n {
 		c.Put(node, fmt.Sprint(prefix, "/", k), fmt.Sprint(k))
 	}
 }
 
-// hasWrittenKeys tells whether a node answers all of them, and fails on any other good answer.
+// hasWrittenKeys reports whether a node answers reads of all n keys. It fails the test if a key is missing or
+// has another value.
 func hasWrittenKeys(t *testing.T, c *cluster, node int, prefix string, n int) bool {
 	for k := range n {
 		code, text := c.Request(node, "GET", fmt.Sprint("/store/", prefix, "/", k), "")
 		if code != 200 {
-			require.NotEqual(t, 404, code, "%s/%d is gone at node %d", prefix, k, node)
+			require.NotEqual(t, 404, code, "%s/%d is missing at node %d", prefix, k, node)
 			return false
 		}
 		require.Equal(t, fmt.Sprint(k), text)
@@ -39,16 +40,16 @@
 	return true
 }
 
-// memberID is a running node's name and disk.
+// memberID returns a running node's member ID, its name and disk identity.
 func (c *cluster) memberID(node int) string {
 	var self struct{ ID string }
 	c.GetJSON(node, "/self", &self)
 	return self.ID
 }
 
-// TestLostDisk: of three, n2 is down while keys are acknowledged; then n1 loses its disk
-// and n0 is away. What is left knows that it doesn't know: it refuses until n0 is back,
-// no key is lost, and n1 becomes a member again by itself.
+// TestLostDisk: n2 is stopped while keys are acknowledged, then n1 loses its disk and n0 is stopped. n1 and n2
+// must refuse requests until n0 is back, because they cannot know what they lack. No key is lost, and n1
+// becomes a voter again without help.
 func TestLostDisk(t *testing.T) {
 	t.Parallel()
 	c := newRunningCluster(t, nil)
@@ -60,11 +61,11 @@
 	c.Kill(0)
 	c.Start(1)
 	c.Start(2)
-	await(t, "a line that says what is waited for", func() bool {
+	await(t, "a log line with the awaited voters", func() bool {
 		return strings.Contains(c.nodes[2].log(), `"msg":"store not serving"`) && strings.Contains(c.nodes[2].log(), "must say that this disk is not older")
 	})
-	await(t, "an answer of the wiped node", func() bool { code, _ := c.Request(1, "GET", "/status", ""); return code == 200 })
-	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); { // six elections' worth
+	await(t, "a response of the wiped node", func() bool { code, _ := c.Request(1, "GET", "/status", ""); return code == 200 })
+	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); { // 3 s is the time of six elections
 		for i := 1; i <= 2; i++ {
 			code, text := c.Request(i, "GET", "/store/note/1", "")
 			assert.Equal(t, 503, code, text)
@@ -72,7 +73,7 @@
 			require.Equal(t, 503, code, text)
 		}
 	}
-	assert.Equal(t, 1, strings.Count(c.nodes[2].log(), "must say that this disk is not older"), "one line")
+	assert.Equal(t, 1, strings.Count(c.nodes[2].log(), "must say that this disk is not older"), "logged once")
 	c.Start(0)
 	c.WaitForVoters(0, 1, 2)
 	for i := range 3 {
@@ -80,17 +81,17 @@
 	}
 }
 
-// TestWipedDoesNotVote: one that is behind and never stopped asks for votes at the address
-// of a disk that is gone. The new disk there gives none for the old one.
+// TestWipedDoesNotVote: a node that lags and never stopped requests the vote of a disk that was wiped. The new
+// disk at that address must not vote in its place.
 func TestWipedDoesNotVote(t *testing.T) {
 	t.Parallel()
 	c := newLinkedCluster(t)
-	lead := c.WaitForLeader()
-	lost, behind := (lead+1)%3, (lead+2)%3
-	writeKeys(c, lead, "early", 5)
+	leader := c.WaitForLeader()
+	lost, behind := (leader+1)%3, (leader+2)%3
+	writeKeys(c, leader, "early", 5)
 	c.SetNodeLinks(behind, testrig.LinkMode{Cut: true}, testrig.LinkMode{Cut: true})
-	writeKeys(c, lead, "note", 20)
-	c.Kill(lead)
+	writeKeys(c, leader, "note", 20)
+	c.Kill(leader)
 	c.Kill(lost)
 	c.WipeDir(lost)
 	c.Start(lost)
@@ -104,15 +105,15 @@
 			require.Equal(t, 503, code, text)
 		}
 	}
-	c.Start(lead)
+	c.Start(leader)
 	c.WaitForVoters(0, 1, 2)
 	for i := range 3 {
 		await(t, "all keys", func() bool { return hasWrittenKeys(t, c, i, "note", 20) && hasWrittenKeys(t, c, i, "early", 5) })
 	}
 }
 
-// TestEachDiskWiped: one voter after the other loses its disk while clients go on, until
-// none of the first disks is left. Nothing acknowledged is lost.
+// TestEachDiskWiped wipes the disk of each voter in turn while clients continue. No acknowledged write may be
+// lost.
 func TestEachDiskWiped(t *testing.T) {
 	t.Parallel()
 	c := newRunningCluster(t, nil)
@@ -137,25 +138,25 @@
 	assert.True(t, hasWrittenKeys(t, c, 1, "note", 20))
 }
 
-// TestOlderFolder: a folder that is brought back as it was a while ago is noticed by what
-// the others have seen of it, alone, and while its node reaches one other only.
+// TestOlderFolder replaces a node's folder by an older copy. The node must find out from what the other nodes
+// observed, also if it reaches only one of them.
 func TestOlderFolder(t *testing.T) {
 	t.Parallel()
 	c := newLinkedCluster(t)
 	for _, cut := range []bool{false, true} {
-		lead := c.WaitForLeader()
-		old := (lead + 1) % 3
-		third := (lead + 2) % 3
-		c.Put(lead, "note/age", `"old"`)
-		c.WaitForValue(old, "note/age", `"old"`)
-		then := c.CopyDir(old)
+		leader := c.WaitForLeader()
+		olderNode := (leader + 1) % 3
+		third := (leader + 2) % 3
+		c.Put(leader, "note/age", `"old"`)
+		c.WaitForValue(olderNode, "note/age", `"old"`)
+		olderCopy := c.CopyDir(olderNode)
 		c.WaitForLeader()
 		for n := range 30 {
-			c.Put(lead, fmt.Sprint("more/", n), fmt.Sprint(n))
+			c.Put(leader, fmt.Sprint("more/", n), fmt.Sprint(n))
 		}
-		c.Put(lead, "note/age", `"new"`)
+		c.Put(leader, "note/age", `"new"`)
 		c.WaitForValue(third, "note/age", `"new"`)
-		mark := func(by, of int) uint64 {
+		observedIndex := func(by, of int) uint64 {
 			var self, seen struct {
 				ID   string
 				Mark struct {
@@ -174,31 +175,31 @@
 				LastIndex uint64 `json:"last_index"`
 			}
 		}
-		require.True(t, c.GetJSON(lead, "/self?from=x", &before))
-		await(t, "the others to have seen it", func() bool { return mark(third, old) >= before.Mark.LastIndex })
-		was := c.memberID(old)
-		c.Kill(old)
-		c.RestoreDir(old, then)
+		require.True(t, c.GetJSON(leader, "/self?from=x", &before))
+		await(t, "the watermark to be observed", func() bool { return observedIndex(third, olderNode) >= before.Mark.LastIndex })
+		oldID := c.memberID(olderNode)
+		c.Kill(olderNode)
+		c.RestoreDir(olderNode, olderCopy)
 		if cut {
-			c.SetLinksBetween(old, lead, testrig.LinkMode{Cut: true})
-			c.Kill(lead) // the one that is left and the older folder would be a majority
+			c.SetLinksBetween(olderNode, leader, testrig.LinkMode{Cut: true})
+			c.Kill(leader) // the third node and the node with the older folder now form a majority
 		}
-		c.Start(old)
-		await(t, "the verdict", func() bool { return strings.Contains(c.nodes[old].log(), "disk identity renewed") })
+		c.Start(olderNode)
+		await(t, "the disk identity to be renewed", func() bool { return strings.Contains(c.nodes[olderNode].log(), "disk identity renewed") })
 		if cut {
 			for range 20 {
-				for _, i := range []int{old, third} {
+				for _, i := range []int{olderNode, third} {
 					code, text := c.Request(i, "GET", "/store/note/age", "")
 					assert.Equal(t, 503, code, text)
 				}
 				time.Sleep(50 * time.Millisecond)
 			}
 			c.HealLinks()
-			c.Start(lead)
+			c.Start(leader)
 		}
-		await(t, "the older disk to be forgotten", func() bool {
-			m := c.Members(lead)
-			_, there := m[was]
+		await(t, "the older disk's membership to end", func() bool {
+			m := c.Members(leader)
+			_, there := m[oldID]
 			return len(m) > 0 && !there
 		})
 		c.WaitForVoters(0, 1, 2)
@@ -209,8 +210,8 @@
 	}
 }
 
-// TestWipedAndCutOff: a node that lost its disk and reaches nobody makes no cluster of its
-// own, and is taken in when it is reached again.
+// TestWipedAndCutOff: a node that lost its disk and reaches no other node must not form a cluster. It rejoins
+// once the others can reach it.
 func TestWipedAndCutOff(t *testing.T) {
 	t.Parallel()
 	c := newLinkedCluster(t)
@@ -222,7 +223,7 @@
 	c.Start(lost)
 	next := c.WaitForLeader(lost)
 	c.Put(next, "note/10", "10")
-	await(t, "a line", func() bool { return strings.Contains(c.nodes[lost].log(), "must say whether there is a cluster yet") })
+	await(t, "a log line", func() bool { return strings.Contains(c.nodes[lost].log(), "must say whether there is a cluster yet") })
 	code, text := c.Request(lost, "GET", "/store/note/1", "")
 	assert.Equal(t, 503, code, text)
 	c.HealLinks()
@@ -230,9 +231,8 @@
 	await(t, "all keys", func() bool { return hasWrittenKeys(t, c, lost, "note", 11) })
 }
 
-// TestMembers: a node joins from its seeds, takes the place of a voter that is gone, is
-// removed, is not let in, and joins again under its old name; a voter that operators want
-// gets its vote; the leader leaves.
+// TestMembers: a node joins from its seeds, replaces a stopped voter, is removed, is refused, and joins again
+// under its old name. An operator promotes it to voter, and the leader removes itself.
 func TestMembers(t *testing.T) {
 	t.Parallel()
 	c := newStoppedCluster(t, 3, 4)
@@ -248,12 +248,14 @@
 		}
 		return role
 	}
-	await(t, "a learner", func() bool { return role(3) == "learner" })
-	gone := (c.WaitForLeader() + 1) % 3
-	c.Kill(gone)
-	await(t, "its vote to go to the standby", func() bool { return role(3) == "voter" && role(gone) == "learner" })
-	c.Start(gone)
-	await(t, "all keys", func() bool { return hasWrittenKeys(t, c, 3, "note", 10) && hasWrittenKeys(t, c, gone, "note", 10) })
+	await(t, "the node to become a learner", func() bool { return role(3) == "learner" })
+	stoppedNode := (c.WaitForLeader() + 1) % 3
+	c.Kill(stoppedNode)
+	await(t, "the standby to become a voter", func() bool { return role(3) == "voter" && role(stoppedNode) == "learner" })
+	c.Start(stoppedNode)
+	await(t, "all keys", func() bool {
+		return hasWrittenKeys(t, c, 3, "note", 10) && hasWrittenKeys(t, c, stoppedNode, "note", 10)
+	})
 	nodes := "--nodes=" + strings.Join(c.client().Nodes, ",")
 	run := func(args ...string) string {
 		out, errs, code := runCLI(t, "", append(append([]string{"store"}, args...), nodes)...)
@@ -262,23 +264,23 @@
 	}
 	name := c.Peers[3].Name
 	run("remove", name)
-	c.WaitForVoters(0, 1, 2) // the one that was gone is there to take its place
-	await(t, "a refusal", func() bool { return strings.Contains(c.nodes[3].log(), "was removed") })
+	c.WaitForVoters(0, 1, 2) // the restarted node gets the vote of the removed one
+	await(t, "the node to be refused as removed", func() bool { return strings.Contains(c.nodes[3].log(), "was removed") })
 	c.Kill(3)
 	c.WipeDir(3)
 	c.Start(3)
-	await(t, "a refusal after its folder was wiped", func() bool { return strings.Contains(c.nodes[3].log(), "was removed") })
+	await(t, "the wiped node to be refused as removed", func() bool { return strings.Contains(c.nodes[3].log(), "was removed") })
 	assert.Contains(t, run("members"), "s0@")
 	var m struct{ Removed []string }
 	require.NoError(t, json.Unmarshal([]byte(run("members", "--json")), &m))
 	assert.Equal(t, []string{name}, m.Removed)
 	run("add", name)
-	await(t, "a learner again", func() bool { return role(3) == "learner" })
+	await(t, "the node to become a learner again", func() bool { return role(3) == "learner" })
 	run("promote", name)
-	await(t, "a vote", func() bool { return role(3) == "voter" })
-	lead := c.WaitForLeader()
-	run("remove", c.Peers[lead].Name)
-	await(t, "the leader to be gone", func() bool { return c.WaitForLeader(lead) != lead && role(lead) == "" })
+	await(t, "the node to become a voter", func() bool { return role(3) == "voter" })
+	leader := c.WaitForLeader()
+	run("remove", c.Peers[leader].Name)
+	await(t, "the leader to be removed", func() bool { return c.WaitForLeader(leader) != leader && role(leader) == "" })
 	_, errs, code := runCLI(t, "", "store", "remove", "nobody", nodes)
 	assert.Equal(t, 1, code)
 	assert.Contains(t, errs, "no such member")
@@ -289,74 +291,74 @@
 	}
 }
 
-// TestJoinBehindPartition: a node whose only seed is cut off from the others learns from
-// it who they are, and is taken in by them; with nobody else to reach it waits.
+// TestJoinBehindPartition: a node whose only seed is cut off learns the other members from that seed and joins
+// through them. It waits while none of them can be reached.
 func TestJoinBehindPartition(t *testing.T) {
 	t.Parallel()
 	c := newStoppedCluster(t, 3, 4)
 	c.AddLinks()
 	c.Bootstrap()
 	writeKeys(c, 0, "note", 10)
-	alone := (c.WaitForLeader() + 1) % 3
-	c.SetNodeLinks(alone, testrig.LinkMode{Cut: true}, testrig.LinkMode{Cut: true})
+	isolatedNode := (c.WaitForLeader() + 1) % 3
+	c.SetNodeLinks(isolatedNode, testrig.LinkMode{Cut: true}, testrig.LinkMode{Cut: true})
 	for i := range 3 {
-		if i != alone {
+		if i != isolatedNode {
 			c.Pause(i)
 		}
 	}
 	section := c.StoreConfig(3)
-	section["peers"], section["voters"] = c.Peers[alone:alone+1], 3
+	section["peers"], section["voters"] = c.Peers[isolatedNode:isolatedNode+1], 3
 	c.Launch(3, section)
-	await(t, "a line", func() bool { return strings.Contains(c.nodes[3].log(), `"msg":"join request not granted"`) })
+	await(t, "a log line", func() bool { return strings.Contains(c.nodes[3].log(), `"msg":"join request not granted"`) })
 	code, text := c.Request(3, "GET", "/store/note/1", "")
 	assert.Equal(t, 503, code, text)
 	for i := range 3 {
 		c.Resume(i)
 	}
 	await(t, "all keys", func() bool { return hasWrittenKeys(t, c, 3, "note", 10) })
-	assert.Empty(t, c.Members(alone), "it is still cut off")
+	assert.Empty(t, c.Members(isolatedNode), "the isolated node knows no members")
 	c.HealLinks()
-	await(t, "it to be seen everywhere", func() bool { return len(c.Members(alone)) == 4 })
+	await(t, "the new member at the isolated node", func() bool { return len(c.Members(isolatedNode)) == 4 })
 }
 
-// TestLeaderLostInStep: the leader is killed as soon as each kind of change is under way,
-// and all nodes at once; what was decided is done by the next one, once.
+// TestLeaderLostInStep kills the leader during each kind of membership change, and later all nodes. The next
+// leader must finish each decided change exactly once.
 func TestLeaderLostInStep(t *testing.T) {
 	t.Parallel()
 	c := newStoppedCluster(t, 3, 4)
 	c.StoreFields["replace_after_ms"] = 1000
 	c.Bootstrap()
 	writeKeys(c, 0, "note", 10)
-	said := func(node int, step string) func() bool {
+	loggedAgain := func(node int, step string) func() bool {
 		n := strings.Count(c.nodes[node].log(), step)
 		return func() bool { return strings.Count(c.nodes[node].log(), step) > n }
 	}
-	lead := c.WaitForLeader()
-	joins := said(lead, `"step":"learner"`)
+	leader := c.WaitForLeader()
+	learnerAdded := loggedAgain(leader, `"step":"learner"`)
 	c.Start(3)
-	await(t, "a join", joins)
-	c.Kill(lead) // in the middle of taking a learner in; then it is the voter that is gone
-	next := c.WaitForLeader(lead)
-	await(t, "a promotion", said(next, `"step":"promote"`))
+	await(t, "a learner to be added", learnerAdded)
+	c.Kill(leader) // while the learner is being added; the killed leader is then the voter to replace
+	next := c.WaitForLeader(leader)
+	await(t, "a promotion to voter", loggedAgain(next, `"step":"promote"`))
 	c.Kill(next)
-	c.Start(lead)
-	next2 := c.WaitForLeader(next)
+	c.Start(leader)
+	thirdLeader := c.WaitForLeader(next)
 	c.Start(next)
-	out := (next2 + 1) % 4
-	await(t, "a wish", func() bool {
-		code, _ := c.Request(next2, "DELETE", "/members/"+c.Peers[out].Name, "")
+	removedNode := (thirdLeader + 1) % 4
+	await(t, "a removal to be accepted", func() bool {
+		code, _ := c.Request(thirdLeader, "DELETE", "/members/"+c.Peers[removedNode].Name, "")
 		return code == 204
 	})
-	await(t, "its vote to be taken", func() bool { return c.Members(next2)[c.memberID(out)].Role != "voter" })
+	await(t, "the member to be demoted", func() bool { return c.Members(thirdLeader)[c.memberID(removedNode)].Role != "voter" })
 	c.KillAll()
 	for i := range 4 {
 		c.Start(i)
 	}
-	await(t, "it to be removed", func() bool {
+	await(t, "the member to be removed", func() bool {
 		m := c.Members(c.WaitForLeader())
 		voters := 0
 		for _, x := range m {
-			if x.Name == c.Peers[out].Name {
+			if x.Name == c.Peers[removedNode].Name {
 				return false
 			}
 			if x.Role == "voter" {
@@ -366,15 +368,14 @@
 		return voters == 3
 	})
 	for i := range 4 {
-		if i != out {
+		if i != removedNode {
 			await(t, "all keys", func() bool { return hasWrittenKeys(t, c, i, "note", 10) })
 		}
 	}
 }
 
-// TestDiskFails: a disk that is full, or fails a write or a sync, costs its node the
-// leadership and its vote, not the process; the others go on, and the node comes back by
-// itself once the disk works again.
+// TestDiskFails: a disk that is full, or fails writes or syncs, costs its node the leadership and its vote, but
+// does not end the process. The other nodes continue, and the node returns once its disk works.
 func TestDiskFails(t *testing.T) {
 	t.Parallel()
 	build, err := faultInjectionBuild()
@@ -383,46 +384,46 @@
 	c.buildPath = build
 	c.Bootstrap()
 	n := 0
-	for _, cue := range []string{faultfs.DiskFull, faultfs.FailWrites, faultfs.FailSyncs} {
-		for _, leads := range []bool{true, false} {
-			lead := c.WaitForLeader()
-			bad, good := lead, (lead+1)%3
-			if !leads {
-				bad, good = (lead+1)%3, lead
+	for _, diskFault := range []string{faultfs.DiskFull, faultfs.FailWrites, faultfs.FailSyncs} {
+		for _, faultOnLeader := range []bool{true, false} {
+			leader := c.WaitForLeader()
+			faultyNode, healthyNode := leader, (leader+1)%3
+			if !faultOnLeader {
+				faultyNode, healthyNode = (leader+1)%3, leader
 			}
-			lines := strings.Count(c.nodes[bad].log(), `"msg":"incarnation ended"`)
-			c.InjectFault(bad, cue)
-			await(t, "a line on its disk", func() bool {
-				c.Request(good, "PUT", "/store/poke", "1")
-				return strings.Count(c.nodes[bad].log(), `"msg":"incarnation ended"`) > lines
+			lines := strings.Count(c.nodes[faultyNode].log(), `"msg":"incarnation ended"`)
+			c.InjectFault(faultyNode, diskFault)
+			await(t, "a log line on the failed incarnation", func() bool {
+				c.Request(healthyNode, "PUT", "/store/poke", "1")
+				return strings.Count(c.nodes[faultyNode].log(), `"msg":"incarnation ended"`) > lines
 			})
-			c.WaitForLeader(bad)
-			c.Put(good, fmt.Sprint("note/", n), fmt.Sprint(n))
+			c.WaitForLeader(faultyNode)
+			c.Put(healthyNode, fmt.Sprint("note/", n), fmt.Sprint(n))
 			n++
-			code, text := c.Request(bad, "GET", "/store/note/0", "")
-			assert.Equal(t, 503, code, "%s, leader %v: %s", cue, leads, text)
-			c.nodes[bad].awaitReady() // it still serves its callers
-			c.InjectFault(bad, "")
+			code, text := c.Request(faultyNode, "GET", "/store/note/0", "")
+			assert.Equal(t, 503, code, "%s, leader %v: %s", diskFault, faultOnLeader, text)
+			c.nodes[faultyNode].awaitReady() // the node still serves requests
+			c.InjectFault(faultyNode, "")
 			c.WaitForVoters(0, 1, 2)
-			await(t, "all keys", func() bool { return hasWrittenKeys(t, c, bad, "note", n) })
+			await(t, "all keys", func() bool { return hasWrittenKeys(t, c, faultyNode, "note", n) })
 		}
 	}
 }
 
-// TestRecover: two of three are lost for good. The one that is left shows what it has,
-// wants the cluster's id, and is a cluster of one; the two, brought back, stay out of it
-// and serve nothing, and new ones join.
+// TestRecover: two of three nodes are lost. The third shows its state, requires the cluster's id as
+// confirmation, and becomes a cluster of one. The lost nodes, when they return, serve nothing and do not rejoin
+// with their old disks; with wiped disks they join.
 func TestRecover(t *testing.T) {
 	t.Parallel()
 	c := newStoppedCluster(t, 3, 3)
 	c.Bootstrap()
 	writeKeys(c, 0, "note", 20)
-	await(t, "its keys", func() bool { return hasWrittenKeys(t, c, 2, "note", 20) })
+	await(t, "all keys at the node", func() bool { return hasWrittenKeys(t, c, 2, "note", 20) })
 	var st struct{ Cluster string }
 	await(t, "the cluster's id", func() bool { return c.GetJSON(2, "/status", &st) && st.Cluster != "" })
 	config := c.nodes[2].configPath
 	_, errs, code := runCLI(t, "", "store", "recover", config)
-	assert.Equal(t, 1, code, "it runs")
+	assert.Equal(t, 1, code, "the node is running")
 	assert.Contains(t, errs, "in use")
 	c.KillAll()
 	out, errs, code := runCLI(t, "", "store", "recover", config)
@@ -433,7 +434,7 @@
 	assert.Equal(t, 1, code)
 	assert.Contains(t, errs, "not confirmed")
 	c.Start(2)
-	await(t, "it to wait", func() bool { return strings.Contains(c.nodes[2].log(), "must say that this disk is not older") })
+	await(t, "the node to wait for attestations", func() bool { return strings.Contains(c.nodes[2].log(), "must say that this disk is not older") })
 	c.Kill(2)
 	_, errs, code = runCLI(t, "", "store", "recover", config, "--cluster", st.Cluster)
 	require.Zero(t, code, errs)
@@ -444,8 +445,8 @@
 	c.Start(0)
 	c.Start(1)
 	for i := range 2 {
-		await(t, "a line", func() bool { return strings.Contains(c.nodes[i].log(), "recovered as") })
-		await(t, "no answer", func() bool { code, _ := c.Request(i, "GET", "/store/note/1", ""); return code == 503 })
+		await(t, "a log line", func() bool { return strings.Contains(c.nodes[i].log(), "recovered as") })
+		await(t, "a 503 response", func() bool { code, _ := c.Request(i, "GET", "/store/note/1", ""); return code == 503 })
 	}
 	c.WaitForVoters(2)
 	for i := range 2 {
@@ -459,14 +460,14 @@
 	}
 }
 
-// TestDamagedFolder: a node whose folder misses what was acknowledged sets it aside and
-// is a new member; it serves its callers all the while.
+// TestDamagedFolder: a node whose folder lost acknowledged entries sets the folder aside and rejoins as a new
+// member. It serves its callers meanwhile.
 func TestDamagedFolder(t *testing.T) {
 	t.Parallel()
 	c := newRunningCluster(t, nil)
 	writeKeys(c, 0, "note", 30)
-	await(t, "its keys", func() bool { return hasWrittenKeys(t, c, 1, "note", 30) })
-	was := c.memberID(1)
+	await(t, "all keys at the node", func() bool { return hasWrittenKeys(t, c, 1, "note", 30) })
+	oldID := c.memberID(1)
 	c.Kill(1)
 	logs, err := filepath.Glob(filepath.Join(c.Dirs[1], "*.log"))
 	require.NoError(t, err)
@@ -474,14 +475,14 @@
 	text, err := os.ReadFile(logs[0])
 	require.NoError(t, err)
 	for i := range 64 {
-		text[len(text)/3+i] ^= 0xff // in the middle, with good entries behind it
+		text[len(text)/3+i] ^= 0xff // damages the middle of the file, before valid entries
 	}
 	require.NoError(t, os.WriteFile(logs[0], text, 0o600))
 	c.Start(1)
-	await(t, "a line", func() bool { return strings.Contains(c.nodes[1].log(), "storage folder set aside") })
-	await(t, "the old disk to be forgotten", func() bool {
+	await(t, "a log line", func() bool { return strings.Contains(c.nodes[1].log(), "storage folder set aside") })
+	await(t, "the old disk's membership to end", func() bool {
 		m := c.Members(0)
-		_, there := m[was]
+		_, there := m[oldID]
 		return len(m) > 0 && !there
 	})
 	c.WaitForVoters(0, 1, 2)
@@ -489,8 +490,8 @@
 	await(t, "all keys", func() bool { return hasWrittenKeys(t, c, 1, "note", 30) })
 }
 
-// TestFolderOfTheVersionBefore: folders whose members are names alone start, and one by
-// one, while all is well, each member becomes its disk; nothing is lost on the way.
+// TestFolderOfTheVersionBefore: nodes start from folders whose Raft configuration has names as member IDs. The
+// IDs are replaced one after the other by IDs with a disk identity, without losing keys.
 func TestFolderOfTheVersionBefore(t *testing.T) {
 	t.Parallel()
 	c := newStoppedCluster(t, 3, 3)
@@ -509,7 +510,7 @@
 	}
 	c.Bootstrap()
 	writeKeys(c, 0, "note", 20)
-	await(t, "three disks in place of three names", func() bool {
+	await(t, "member IDs with disk identities", func() bool {
 		m, disks := c.Members(c.WaitForLeader()), 0
 		for id, x := range m {
 			if strings.Contains(id, "@") && x.Role == "voter" {
@@ -526,43 +527,43 @@
 	assert.True(t, hasWrittenKeys(t, c, 0, "note", 20))
 }
 
-// TestStateApart: a node has made something else of one entry than the others, and its log
-// goes on as theirs does, so that Raft sees nothing. The node finds out, says so, gives up all
-// that it has, and comes back as a new member with the others' state.
+// TestStateApart: one node's state machine applied another value than the others for one entry, while its Raft
+// log continues to match. The node must detect the difference, log it, set its folder aside and rejoin as a new
+// member with the others' state.
 func TestStateApart(t *testing.T) {
 	t.Parallel()
 	c := newRunningCluster(t, nil)
-	odd := (c.WaitForLeader() + 1) % 3
-	other := (odd + 1) % 3
+	divergedNode := (c.WaitForLeader() + 1) % 3
+	other := (divergedNode + 1) % 3
 	c.Put(other, "note/one", `"as most have it"`)
 	c.WaitForEqualData(0, 1, 2)
-	was := c.memberID(odd)
-	c.Kill(odd)
-	disk, _, err := raftstorage.Open(c.Dirs[odd])
+	oldID := c.memberID(divergedNode)
+	c.Kill(divergedNode)
+	disk, _, err := raftstorage.Open(c.Dirs[divergedNode])
 	require.NoError(t, err)
 	last, err := disk.LastIndex()
 	require.NoError(t, err)
-	var rest []*raft.Log
+	var entries []*raft.Log
 	for i, found := last, false; !found; i-- {
 		l := &raft.Log{}
 		require.NoError(t, disk.GetLog(i, l))
 		if found = strings.Contains(string(l.Data), "as most have it"); found {
 			l.Data = []byte(strings.Replace(string(l.Data), "as most have it", "as only this one has it", 1))
 		}
-		rest = append([]*raft.Log{l}, rest...)
+		entries = append([]*raft.Log{l}, entries...)
 	}
-	require.NoError(t, disk.DeleteRange(rest[0].Index, last))
-	require.NoError(t, disk.StoreLogs(rest))
+	require.NoError(t, disk.DeleteRange(entries[0].Index, last))
+	require.NoError(t, disk.StoreLogs(entries))
 	require.NoError(t, disk.Close())
-	c.Start(odd)
+	c.Start(divergedNode)
 	writeKeys(c, other, "more", 40)
-	await(t, "the node to find out", func() bool {
-		return strings.Contains(c.nodes[odd].log(), "the state differs from that of most other nodes: at entry ")
+	await(t, "the node to detect the difference", func() bool {
+		return strings.Contains(c.nodes[divergedNode].log(), "the state differs from that of most other nodes: at entry ")
 	})
 	c.WaitForVoters(0, 1, 2)
-	assert.NotEqual(t, was, c.memberID(odd))
-	c.WaitForValue(odd, "note/one", `"as most have it"`)
-	await(t, "all keys", func() bool { return hasWrittenKeys(t, c, odd, "more", 40) })
+	assert.NotEqual(t, oldID, c.memberID(divergedNode))
+	c.WaitForValue(divergedNode, "note/one", `"as most have it"`)
+	await(t, "all keys", func() bool { return hasWrittenKeys(t, c, divergedNode, "more", 40) })
 	c.WaitForEqualData(0, 1, 2)
-	assert.DirExists(t, c.Dirs[odd]+".refused-1", "what it had is kept for whoever looks into it")
+	assert.DirExists(t, c.Dirs[divergedNode]+".refused-1", "the rejected folder is kept for inspection")
 }
--- a/tests/faults_test.go
+++ b/tests/faults_test.go
@@ -20,7 +20,7 @@
 	"oxbowbridge/internal/testrig"
 )
 
-// newLinkedCluster is three nodes that run, and call each other over links.
+// newLinkedCluster starts a cluster of three nodes that reach each other over links.
 func newLinkedCluster(t *testing.T) *cluster {
 	c := newStoppedCluster(t, 3, 3)
 	c.AddLinks()
@@ -28,42 +28,42 @@
 	return c
 }
 
-// TestLeaderCutOff: a leader that its peers can't reach, but clients can, stops to
-// answer as if it were sure, and so does one that only hears and is not heard; the
-// others go on, and it catches up.
+// TestLeaderCutOff: a leader that clients can reach but its peers cannot must stop answering linearizable
+// reads; likewise one that receives messages but cannot send any. The others elect a leader, and the old one
+// catches up.
 func TestLeaderCutOff(t *testing.T) {
 	t.Parallel()
 	w := newLinkedCluster(t)
 	for n, fault := range [][2]testrig.LinkMode{{{Cut: true}, {Cut: true}}, {{StallRequests: true}, {}}, {{StallRequests: true, StallResponses: true}, {StallRequests: true, StallResponses: true}}} {
-		lead := w.WaitForLeader()
-		old, now := fmt.Sprintf("%d", 2*n), fmt.Sprintf("%d", 2*n+1)
-		w.Put(lead, "note/cut", old)
-		w.SetNodeLinks(lead, fault[0], fault[1])
+		leader := w.WaitForLeader()
+		oldValue, newValue := fmt.Sprintf("%d", 2*n), fmt.Sprintf("%d", 2*n+1)
+		w.Put(leader, "note/cut", oldValue)
+		w.SetNodeLinks(leader, fault[0], fault[1])
 		next := -1
 		await(t, "another leader", func() bool {
 			for i := range 3 {
 				var st struct{ State string }
 				_, text := w.Request(i, "GET", "/status", "")
-				if i != lead && json.Unmarshal([]byte(text), &st) == nil && st.State == "Leader" {
+				if i != leader && json.Unmarshal([]byte(text), &st) == nil && st.State == "Leader" {
 					next = i
 				}
 			}
 			return next >= 0
 		})
-		w.Put(next, "note/cut", now)
-		code, text := w.Request(lead, "GET", "/store/note/cut", "")
+		w.Put(next, "note/cut", newValue)
+		code, text := w.Request(leader, "GET", "/store/note/cut", "")
 		assert.Equal(t, 503, code, "fault %d: %s", n, text)
-		if deaf := fault[1] != (testrig.LinkMode{}); deaf { // else it hears of what follows, and can't be sure
-			code, text = w.Request(lead, "GET", "/store/note/cut?local=1", "")
-			assert.Equal(t, fmt.Sprint("200 ", old), fmt.Sprint(code, " ", text), "fault %d", n)
+		if isolatedBothWays := fault[1] != (testrig.LinkMode{}); isolatedBothWays { // otherwise the node receives later entries, so its local value is not determined
+			code, text = w.Request(leader, "GET", "/store/note/cut?local=1", "")
+			assert.Equal(t, fmt.Sprint("200 ", oldValue), fmt.Sprint(code, " ", text), "fault %d", n)
 		}
-		w.SetNodeLinks(lead, testrig.LinkMode{}, testrig.LinkMode{})
-		w.WaitForValue(lead, "note/cut", now)
+		w.SetNodeLinks(leader, testrig.LinkMode{}, testrig.LinkMode{})
+		w.WaitForValue(leader, "note/cut", newValue)
 	}
 }
 
-// writeAndQueueReads has the others write a key while their former leader stands still, and reads
-// wait in its sockets: they are answered with that value, or not at all.
+// writeAndQueueReads writes a key at the other nodes while the former leader is paused, and sends that node
+// reads that it answers when it resumes. Each must return the new value or 503.
 func (c *cluster) writeAndQueueReads(t *testing.T, stopped int, key, value string) *sync.WaitGroup {
 	others := storeclient.New([]string{c.Peers[(stopped+1)%3].Admin, c.Peers[(stopped+2)%3].Admin})
 	_, err := others.Put(t.Context(), key, json.RawMessage(value), nil)
@@ -86,26 +86,26 @@
 	return wg
 }
 
-// TestStoppedLeader: a leader that stood still while another took its place answers
-// reads that waited for it with what that one wrote, or not at all.
+// TestStoppedLeader: a leader that was paused while another one was elected must answer the reads queued
+// meanwhile with the new leader's value, or with 503.
 func TestStoppedLeader(t *testing.T) {
 	t.Parallel()
 	c := newRunningCluster(t, object{})
 	for round := range 2 {
-		lead := c.WaitForLeader()
-		c.Put(lead, "note/stop", fmt.Sprint(2*round))
-		c.Pause(lead)
+		leader := c.WaitForLeader()
+		c.Put(leader, "note/stop", fmt.Sprint(2*round))
+		c.Pause(leader)
 		value := fmt.Sprint(2*round + 1)
-		wg := c.writeAndQueueReads(t, lead, "note/stop", value)
-		time.Sleep(50 * time.Millisecond) // they lie in its sockets
-		c.Resume(lead)
+		wg := c.writeAndQueueReads(t, leader, "note/stop", value)
+		time.Sleep(50 * time.Millisecond) // so that the reads are in its socket buffers
+		c.Resume(leader)
 		wg.Wait()
-		c.WaitForValue(lead, "note/stop", value)
+		c.WaitForValue(leader, "note/stop", value)
 	}
 }
 
-// TestForwardedWrite: a write in a session, sent to a follower when its leader has just
-// been stopped, is answered by the next leader in the same request.
+// TestForwardedWrite: a write in a session reaches a follower just after the leader was paused. The next leader
+// must answer it within the same request.
 func TestForwardedWrite(t *testing.T) {
 	t.Parallel()
 	c := newRunningCluster(t, nil)
@@ -117,10 +117,10 @@
 	n := 0
 	await(t, "a write that the next leader answers", func() bool {
 		n++
-		lead := c.WaitForLeader()
-		c.Pause(lead)
-		defer c.Resume(lead)
-		req, err := http.NewRequest("PUT", "http://"+c.Peers[(lead+1)%3].Admin+"/store/note/session", strings.NewReader(fmt.Sprint(n)))
+		leader := c.WaitForLeader()
+		c.Pause(leader)
+		defer c.Resume(leader)
+		req, err := http.NewRequest("PUT", "http://"+c.Peers[(leader+1)%3].Admin+"/store/note/session", strings.NewReader(fmt.Sprint(n)))
 		require.NoError(t, err)
 		req.Header.Set("Session", fmt.Sprint(a.Session))
 		req.Header.Set("Request-Number", fmt.Sprint(n))
@@ -132,36 +132,36 @@
 	c.WaitForValue(0, "note/session", fmt.Sprint(n))
 }
 
-// seed is that of the schedules.
-var seed = flag.Uint64("seed", 11, "of the faults' schedules")
+// seed is the first seed of the fault schedules.
+var seed = flag.Uint64("seed", 11, "seed of the fault schedules")
 
-// logSeedOnFailure says on failure how the same schedule is played again.
+// logSeedOnFailure logs, on failure, the flags that repeat the schedule.
 func logSeedOnFailure(t *testing.T) {
 	t.Cleanup(func() {
 		if t.Failed() {
-			t.Logf("the same schedule again: -run '^%s$' -seed %d", t.Name(), *seed)
+			t.Logf("repeat the schedule with: -run '^%s$' -seed %d", t.Name(), *seed)
 		}
 	})
 }
 
-// changeMember has a member removed, or let in again.
+// changeMember removes a member (DELETE) or admits it again (PUT).
 func (c *cluster) changeMember(method string, node int) {
-	testrig.Await(c.T, "a change of the members", func() bool {
+	testrig.Await(c.T, "a membership change", func() bool {
 		code, _ := c.Request(c.WaitForLeader(), method, "/members/"+c.Peers[node].Name, "")
 		return code == 204
 	})
 }
 
-// outage is how long no write was acknowledged after a fault.
+// outage is the time after a fault in which no write was acknowledged.
 type outage struct {
 	fault string
 	took  time.Duration
 }
 
-// TestFaults: clients read, write and compare-and-set at three nodes while leaders are
-// killed, cut off, stopped and not heard, links are slow and half open, and all nodes
-// die at once. Each key's history is linearizable, and the nodes end up equal.
-// -faults 10m is its long form, and prints its table with -v.
+// TestFaults: clients read, write and compare-and-set at three nodes while leaders are killed, cut off, paused
+// or isolated in one direction, links are slow or stalled, disks are lost, and all nodes are killed at once.
+// Each key's history must be linearizable, and all nodes end with equal data. Run it longer with -faults 10m;
+// -v prints a table per fault.
 func TestFaults(t *testing.T) {
 	t.Parallel()
 	logSeedOnFailure(t)
@@ -174,7 +174,7 @@
 	}
 	wg.Go(func() { probe.Run(w.Cluster, stop) })
 	heal := func(i int) { w.SetNodeLinks(i, testrig.LinkMode{}, testrig.LinkMode{}) }
-	all := func(do func(i int)) func(int) {
+	onAllNodes := func(do func(i int)) func(int) {
 		return func(int) {
 			for i := range 3 {
 				do(i)
@@ -187,31 +187,31 @@
 		{Name: "leader killed", IsolatesLeader: true, Inject: w.Kill, Recover: w.Start},
 		{Name: "leader cut off", IsolatesLeader: true, Inject: around(testrig.LinkMode{Cut: true}, testrig.LinkMode{Cut: true}), Recover: heal},
 		{Name: "leader stopped", IsolatesLeader: true, Inject: w.Pause, Recover: w.Resume},
-		{Name: "leader not heard", IsolatesLeader: true, Inject: around(testrig.LinkMode{StallRequests: true}, testrig.LinkMode{}), Recover: heal},
-		{Name: "leader half open", IsolatesLeader: true, Inject: around(held, held), Recover: heal},
-		{Name: "all killed", Inject: all(w.Kill), Recover: all(w.Start)},
+		{Name: "leader's messages stalled", IsolatesLeader: true, Inject: around(testrig.LinkMode{StallRequests: true}, testrig.LinkMode{}), Recover: heal},
+		{Name: "leader's links stalled", IsolatesLeader: true, Inject: around(held, held), Recover: heal},
+		{Name: "all killed", Inject: onAllNodes(w.Kill), Recover: onAllNodes(w.Start)},
 		{Name: "follower cut off", Inject: func(i int) { w.SetNodeLinks((i+1)%3, testrig.LinkMode{Cut: true}, testrig.LinkMode{Cut: true}) }, Recover: func(i int) { heal((i + 1) % 3) }},
-		{Name: "all links slow", Inject: all(around(testrig.LinkMode{Delay: 30 * time.Millisecond}, testrig.LinkMode{Delay: 30 * time.Millisecond})), Recover: all(heal)},
-		{Name: "resets in bursts", Inject: all(around(testrig.LinkMode{ResetBurst: 60 * time.Millisecond, ResetInterval: 300 * time.Millisecond}, testrig.LinkMode{})), Recover: all(heal)},
+		{Name: "all links slow", Inject: onAllNodes(around(testrig.LinkMode{Delay: 30 * time.Millisecond}, testrig.LinkMode{Delay: 30 * time.Millisecond})), Recover: onAllNodes(heal)},
+		{Name: "resets in bursts", Inject: onAllNodes(around(testrig.LinkMode{ResetBurst: 60 * time.Millisecond, ResetInterval: 300 * time.Millisecond}, testrig.LinkMode{})), Recover: onAllNodes(heal)},
 		{Name: "follower on 20 kB/s", Inject: func(i int) {
 			w.SetNodeLinks((i+1)%3, testrig.LinkMode{BytesPerSecond: 20 << 10}, testrig.LinkMode{BytesPerSecond: 20 << 10})
 		}, Recover: func(i int) { heal((i + 1) % 3) }},
 	}
-	strong := func(int) { w.WaitForVoters(0, 1, 2) }
-	older := map[int]string{}
+	awaitAllVoters := func(int) { w.WaitForVoters(0, 1, 2) }
+	olderCopies := map[int]string{}
 	faults = append(faults,
-		testrig.Fault{Name: "leader's disk lost", IsolatesLeader: true, Inject: func(i int) { w.Kill(i); w.WipeDir(i); w.Start(i) }, Recover: strong},
-		testrig.Fault{Name: "follower's disk lost", Inject: func(i int) { w.ReplaceDisk((i + 1) % 3) }, Recover: strong},
-		testrig.Fault{Name: "folder goes back", Inject: func(i int) { older[(i+1)%3] = w.CopyDir((i + 1) % 3) }, Recover: func(i int) {
+		testrig.Fault{Name: "leader's disk lost", IsolatesLeader: true, Inject: func(i int) { w.Kill(i); w.WipeDir(i); w.Start(i) }, Recover: awaitAllVoters},
+		testrig.Fault{Name: "follower's disk lost", Inject: func(i int) { w.ReplaceDisk((i + 1) % 3) }, Recover: awaitAllVoters},
+		testrig.Fault{Name: "folder replaced by older copy", Inject: func(i int) { olderCopies[(i+1)%3] = w.CopyDir((i + 1) % 3) }, Recover: func(i int) {
 			i = (i + 1) % 3
 			w.Kill(i)
-			w.RestoreDir(i, older[i])
+			w.RestoreDir(i, olderCopies[i])
 			w.Start(i)
-			strong(i)
+			awaitAllVoters(i)
 		}},
-		testrig.Fault{Name: "member removed, and let in again", Inject: func(i int) { w.changeMember("DELETE", (i+1)%3) }, Recover: func(i int) {
+		testrig.Fault{Name: "member removed and added again", Inject: func(i int) { w.changeMember("DELETE", (i+1)%3) }, Recover: func(i int) {
 			w.changeMember("PUT", (i+1)%3)
-			strong(i)
+			awaitAllVoters(i)
 		}})
 	plan := testrig.NewSchedule(*seed, 3, 1500*time.Millisecond, faults...)
 	var outages []outage
--- a/tests/linear_test.go
+++ b/tests/linear_test.go
@@ -19,12 +19,11 @@
 	"oxbowbridge/internal/testrig"
 )
 
-var faultDuration = flag.Duration("faults", 15*time.Second, "how long TestLinearizable and TestFaults go on")
+var faultDuration = flag.Duration("faults", 15*time.Second, "duration of TestLinearizable, TestFaults and TestContenders")
 
-// TestLinearizable: clients read and write at three nodes while one after the other
-// is killed and comes back. No read is older than what was acknowledged before it
-// began, nothing acknowledged is lost, and the nodes end up equal. -faults 10m is its
-// long form.
+// TestLinearizable: clients read and write at three nodes that are killed and restarted in turn. No read may be
+// older than a write acknowledged before the read started, no acknowledged write is lost, and all nodes end
+// with equal data. Run it longer with -faults 10m.
 func TestLinearizable(t *testing.T) {
 	t.Parallel()
 	c := newRunningCluster(t, object{})
@@ -60,9 +59,9 @@
 	c.WaitForEqualData(0, 1, 2)
 }
 
-// TestCheckerBites: one read that is behind an acknowledged write is found out, and
-// one compare-and-set that was done or not done against what the key had.
-func TestCheckerBites(t *testing.T) {
+// TestLinearizabilityChecker: the checker must find a stale read, and a compare-and-set whose outcome contradicts the
+// key's value.
+func TestLinearizabilityChecker(t *testing.T) {
 	h := testrig.NewHistory()
 	h.Add(0, testrig.RegisterOp{Key: "k", Write: true, Value: "1"}, "", 1, 2)
 	h.Add(0, testrig.RegisterOp{Key: "k", Write: true, Value: "2"}, "", 3, 4)
@@ -72,7 +71,7 @@
 	set := testrig.RegisterOp{Key: "k", Write: true, Expected: "2", Value: "4"}
 	h.Add(2, set, "done", 7, 8)
 	h.Add(0, testrig.RegisterOp{Key: "j", Write: true, Value: "4"}, "", 1, 2)
-	h.Add(0, testrig.RegisterOp{Key: "k", Write: true, Expected: "4", Value: "5"}, testrig.CompareFailed, 9, 10) // the write of unknown outcome may be why
+	h.Add(0, testrig.RegisterOp{Key: "k", Write: true, Expected: "4", Value: "5"}, testrig.CompareFailed, 9, 10) // correct if the write of unknown outcome took effect
 	assert.True(t, h.Linearizable())
 	for _, wrong := range []struct {
 		in  testrig.RegisterOp
@@ -85,8 +84,8 @@
 	}
 }
 
-// TestFreshness: a node without a majority answers no read as if it were fresh; what
-// it knows can be had for the asking.
+// TestFreshness: a node without a quorum answers no linearizable read, but answers local reads and reads that
+// allow enough staleness.
 func TestFreshness(t *testing.T) {
 	t.Parallel()
 	c := newRunningCluster(t, object{})
@@ -111,8 +110,8 @@
 	c.WaitForValue(0, "note/a", `"one"`)
 }
 
-// TestOnce: clients repeat each write, at any node, until it is answered, while nodes
-// are killed. Each took effect once, and none was lost.
+// TestOnce: clients repeat each write at random nodes until it is answered, while nodes are killed. Each write
+// must take effect exactly once.
 func TestOnce(t *testing.T) {
 	t.Parallel()
 	c := newRunningCluster(t, object{})
@@ -124,7 +123,7 @@
 		go func() {
 			defer wg.Done()
 			rng := rand.New(rand.NewPCG(uint64(id), 5))
-			web := &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+			httpClient := &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 			do := func(method, path, body string, session, number int) (code int, text string) {
 				for end := time.Now().Add(2 * awaitTimeout); time.Now().Before(end); time.Sleep(30 * time.Millisecond) {
 					req, err := http.NewRequest(method, "http://"+c.Peers[rng.IntN(3)].Admin+path, strings.NewReader(body))
@@ -135,13 +134,13 @@
 						req.Header.Set("Session", fmt.Sprint(session))
 						req.Header.Set("Request-Number", fmt.Sprint(number))
 					}
-					res, err := web.Do(req)
+					res, err := httpClient.Do(req)
 					if err == nil {
 						b, _ := io.ReadAll(res.Body)
 						res.Body.Close()
 						if res.StatusCode != 503 {
 							if rng.IntN(4) == 0 && session != 0 {
-								repeats[id]++ // as if the answer had been lost
+								repeats[id]++ // as after a lost response
 								continue
 							}
 							return res.StatusCode, string(b)
@@ -172,12 +171,12 @@
 			t.Log(kills, "kills,", repeats, "repeats")
 			for id := range clients {
 				code, text := 0, ""
-				await(t, "an answer", func() bool {
+				await(t, "a definite response", func() bool {
 					code, text = c.Request(id%3, "POST", "/txn", fmt.Sprintf(`{"then":[{"do":"get","key":"once/%d"}]}`, id))
 					return code == 200
 				})
 				assert.Contains(t, text, fmt.Sprintf(`"value":%d`, writes))
-				await(t, "how many puts took effect", func() bool {
+				await(t, "the key's version", func() bool {
 					res, err := http.Get("http://" + c.Peers[id%3].Admin + fmt.Sprint("/store/once/", id))
 					if err != nil {
 						return false
@@ -198,11 +197,11 @@
 	}
 }
 
-// TestConditions: a write that names the revision it knows takes effect only on that.
+// TestConditions: a conditional write takes effect only at the revision that it names.
 func TestConditions(t *testing.T) {
 	t.Parallel()
 	c := newRunningCluster(t, object{})
-	with := func(i int, method, path, body string, fields ...string) (int, string, string) {
+	request := func(i int, method, path, body string, fields ...string) (int, string, string) {
 		req, err := http.NewRequest(method, "http://"+c.Peers[i].Admin+path, strings.NewReader(body))
 		require.NoError(t, err)
 		for f := 0; f < len(fields); f += 2 {
@@ -214,7 +213,7 @@
 		text, _ := io.ReadAll(res.Body)
 		return res.StatusCode, res.Header.Get("ETag"), string(text)
 	}
-	try := func(i, attempt int) (sure bool) {
+	checkConditions := func(i, attempt int) (definite bool) {
 		defer func() {
 			recovered := recover()
 			if recovered == nil {
@@ -224,53 +223,52 @@
 				panic(recovered)
 			}
 		}()
-		with := func(method, path, body string, fields ...string) (int, string, string) {
-			code, tag, text := with(i, method, path, body, fields...)
+		requestOrPanic := func(method, path, body string, fields ...string) (int, string, string) {
+			code, tag, text := request(i, method, path, body, fields...)
 			if code == 503 {
-				panic(errUnsure) // the leader may have changed: all anew, on another key
+				panic(errUnsure) // the leader may have changed; repeat all requests with another key
 			}
 			return code, tag, text
 		}
 		name := fmt.Sprintf("%d-%d", i, attempt)
 		key := "/store/cas/" + name
-		code, tag, text := with("PUT", key, "1", "If-None-Match", "*")
+		code, tag, text := requestOrPanic("PUT", key, "1", "If-None-Match", "*")
 		assert.Equal(t, 204, code, text)
-		code, _, _ = with("PUT", key, "2", "If-None-Match", "*")
+		code, _, _ = requestOrPanic("PUT", key, "2", "If-None-Match", "*")
 		assert.Equal(t, 412, code)
-		code, got, _ := with("GET", key, "")
+		code, got, _ := requestOrPanic("GET", key, "")
 		assert.Equal(t, []any{200, tag}, []any{code, got})
-		code, next, _ := with("PUT", key, "2", "If-Match", tag)
+		code, next, _ := requestOrPanic("PUT", key, "2", "If-Match", tag)
 		assert.Equal(t, 204, code)
 		assert.NotEqual(t, tag, next)
-		code, _, _ = with("DELETE", key, "", "If-Match", tag)
+		code, _, _ = requestOrPanic("DELETE", key, "", "If-Match", tag)
 		assert.Equal(t, 412, code)
-		code, _, _ = with("DELETE", key, "", "If-Match", next)
+		code, _, _ = requestOrPanic("DELETE", key, "", "If-Match", next)
 		assert.Equal(t, 204, code)
-		code, _, _ = with("PUT", key, "2", "If-Match", "seven")
+		code, _, _ = requestOrPanic("PUT", key, "2", "If-Match", "seven")
 		assert.Equal(t, 400, code)
-		code, _, _ = with("PUT", key, "2", "Session", "99999", "Request-Number", "1")
+		code, _, _ = requestOrPanic("PUT", key, "2", "Session", "99999", "Request-Number", "1")
 		assert.Equal(t, 410, code)
-		code, _, text = with("POST", "/txn", strings.ReplaceAll(`{"if":[{"key":"cas/N","revision":0}],"then":[{"do":"put","key":"t/N","value":[1]},{"do":"get","key":"t/N"}]}`, "N", name))
+		code, _, text = requestOrPanic("POST", "/txn", strings.ReplaceAll(`{"if":[{"key":"cas/N","revision":0}],"then":[{"do":"put","key":"t/N","value":[1]},{"do":"get","key":"t/N"}]}`, "N", name))
 		assert.Equal(t, 200, code)
 		assert.Contains(t, text, `"held":true`)
 		assert.Contains(t, text, `"value":[1]`)
-		code, _, _ = with("POST", "/txn", `{"then":[{"do":"swap","key":"x"}]}`)
+		code, _, _ = requestOrPanic("POST", "/txn", `{"then":[{"do":"swap","key":"x"}]}`)
 		assert.Equal(t, 400, code)
-		code, _, _ = with("POST", "/txn", `{"nonsense":1}`)
+		code, _, _ = requestOrPanic("POST", "/txn", `{"nonsense":1}`)
 		assert.Equal(t, 400, code)
 		return true
 	}
-	for i := range 3 { // whichever leads
+	for i := range 3 { // one of the three nodes is the leader
 		attempt := 0
-		await(t, "a sure answer to all", func() bool { attempt++; return try(i, attempt) })
+		await(t, "definite responses to all requests", func() bool { attempt++; return checkConditions(i, attempt) })
 	}
 }
 
 var errUnsure = errors.New("a write's outcome is not known")
 
-// TestColdReplica: a node that comes back alone serves no setting of the store and
-// takes none from its old log; the service starts on the version that it last
-// started on. With the others back, it catches up.
+// TestColdReplica: a node that restarts alone serves no settings from its store and takes none from its log.
+// The service starts on the settings of its last start, and catches up when the other nodes return.
 func TestColdReplica(t *testing.T) {
 	t.Parallel()
 	c := newRunningCluster(t, object{})
@@ -285,7 +283,7 @@
 	c.Kill(2)
 	c.Start(2)
 	await(t, "a start on the first settings", func() bool { return strings.Contains(c.nodes[2].log(), `"last_good":false`) })
-	c.Put(0, "config/settings", classes("second")) // node 2 has it in its log, and never started on it
+	c.Put(0, "config/settings", classes("second")) // node 2 has these in its log but never started on them
 	c.WaitForValue(2, "config/settings", classes("second"))
 	for i := range 3 {
 		c.Kill(i)
@@ -300,7 +298,7 @@
 	c.Start(0)
 	c.Start(1)
 	c.WaitForValue(2, "config/settings", classes("second"))
-	for _, set := range []string{classes("second"), `{"classes":[]}`} { // the other would not start
+	for _, set := range []string{classes("second"), `{"classes":[]}`} { // the service would not start on the second value
 		c.Put(0, "config/settings", set)
 		c.Kill(2)
 		c.Start(2)
@@ -310,7 +308,7 @@
 	assert.Contains(t, c.nodes[2].log(), "invalid settings in store")
 }
 
-// TestStoreCommands: the command line works at any node, also just after a kill.
+// TestStoreCommands: the store commands work at any node, also just after a node was killed.
 func TestStoreCommands(t *testing.T) {
 	t.Parallel()
 	c := newRunningCluster(t, object{})
@@ -334,7 +332,7 @@
 	out, _, code = runCLI(t, "", "store", "status", all)
 	assert.Zero(t, code)
 	assert.Contains(t, out, "Leader")
-	assert.Contains(t, out, "refused", "the one that is away")
+	assert.Contains(t, out, "refused", "error of the stopped node")
 	_, _, code = runCLI(t, "", "store", "delete", "note/b", all)
 	assert.Zero(t, code)
 	_, errs, code = runCLI(t, "", "store", "get", "note/b", all)
--- a/tests/rejections_test.go
+++ b/tests/rejections_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// rejectionLine is a log line that says which rule of the admission controller rejected.
+// rejectionLine is a log line that names the admission rule that rejected requests.
 type rejectionLine struct {
 	Msg    string `json:"msg"`
 	Class  string `json:"class"`
@@ -18,7 +18,7 @@
 	Count  int    `json:"count"`
 }
 
-// rejectionLines are the lines of the service's log on rejected requests.
+// rejectionLines returns the log lines on rejected requests.
 func (w *testbed) rejectionLines() (lines []rejectionLine) {
 	for text := range strings.Lines(w.log()) {
 		var line rejectionLine
@@ -29,48 +29,48 @@
 	return lines
 }
 
-// TestLogNamesRuleOfRejections: the log does not say which rule rejected a request, or a
-// crowd of rejected requests fills it.
+// TestLogNamesRuleOfRejections guards against a log that does not name the rule that rejected a request, and
+// against one that many rejected requests fill.
 func TestLogNamesRuleOfRejections(t *testing.T) {
 	t.Parallel()
 	w := newTestbed(t, nil)
 	c := &callerGroup{w: w, dial: protocolDialers["fastcgi"], outcomeCounts: map[string]int{}}
-	const fit = 20
-	for i := range fit {
+	const capacity = 20
+	for i := range capacity {
 		c.send("nom-update", "hold")
-		await(t, "a run", func() bool { return w.engine.heldRuns() == i+1 })
+		await(t, "a run to start", func() bool { return w.engine.heldRuns() == i+1 })
 	}
 
 	require.Equal(t, 503, w.responseStatus("balance-view", "ok"))
 	first := rejectionLine{Msg: "requests rejected by the admission controller", Class: "balance-view", Reason: "memory_full", Count: 1}
-	await(t, "a line", func() bool { return len(w.rejectionLines()) > 0 })
+	await(t, "a log line", func() bool { return len(w.rejectionLines()) > 0 })
 	require.Equal(t, first, w.rejectionLines()[0])
 
-	const crowd = 300
+	const rejectedRequests = 300
 	began := time.Now()
 	connection, err := dialFCGI(w.fcgiAddr)
 	require.NoError(t, err)
 	defer connection.Close()
-	for range crowd {
+	for range rejectedRequests {
 		a, err := connection.do("/call/balance-view", requestHeaders(newTraceID()), []byte("ok"))
 		require.NoError(t, err)
 		require.Equal(t, 503, a.status)
 	}
-	await(t, "lines on all of them", func() bool {
+	await(t, "log lines on all rejections", func() bool {
 		sum := 0
 		for _, line := range w.rejectionLines() {
 			sum += line.Count
 		}
-		return sum == 1+crowd
+		return sum == 1+rejectedRequests
 	})
 	lines := w.rejectionLines()
-	intervals := int(time.Since(began)/time.Second) + 1 // begun, of a second
+	intervals := int(time.Since(began)/time.Second) + 1 // intervals of one second that have started
 	assert.LessOrEqual(t, len(lines), 1+intervals)
 	for _, line := range lines {
 		assert.Equal(t, first.Class, line.Class)
 		assert.Equal(t, first.Reason, line.Reason)
 	}
 	w.engine.releaseHeld()
-	c.awaitOutcomes(fit)
+	c.awaitOutcomes(capacity)
 	w.terminate()
 }
