--- a/internal/cluster/kv/state.go
+++ b/internal/cluster/kv/state.go
@@ -19,7 +19,7 @@
 // request of a leader whose clock is far ahead does not expire all sessions.
 const maxClockAdvanceMS = 60 * 1000
 
-// Entry is the state of one key. The entry of a deleted key is kept, so that the deletion also reaches
+// Entry is the state of one key. The entry of a deleted key is retained, so that the deletion also reaches
 // the SQL mirror.
 type Entry struct {
 	Value          json.RawMessage `json:"value,omitempty"`   // omitted if nil, because null would be decoded as a value
--- a/internal/cluster/raftstorage/snapshot_sink.go
+++ b/internal/cluster/raftstorage/snapshot_sink.go
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// Close writes the meta key, by which the snapshot comes into existence, and deletes the oldest
+// Close writes the meta key, which makes the snapshot visible, and deletes the oldest
 // snapshots beyond retainedSnapshots.
 func (w *snapshotSink) Close() error {
 	if w.finished {
--- a/internal/cluster/store/backup_restore.go
+++ b/internal/cluster/store/backup_restore.go
@@ -14,7 +14,7 @@
 
 const (
 	maxRestoreBatchOps   = kv.MaxOps / 2 // keys that one log entry restores
-	maxRestoreBatchBytes = 256 << 10     // total size of their values
+	maxRestoreBatchBytes = 256 << 10     // total size of the values that one log entry restores
 	// restoreResultKey holds the result of the completed restore, as a storeapi.RestoreResponse.
 	restoreResultKey = kv.ReservedPrefix + "restored"
 )
--- a/internal/cluster/store/leader_view.go
+++ b/internal/cluster/store/leader_view.go
@@ -21,7 +21,7 @@
 	leaderSince time.Time            // when this node became leader; zero while it is not
 	configIndex uint64               // log index of the latest configuration
 	changedAt   time.Time            // when that configuration was first observed
-	downSince   map[string]time.Time // by member ID, for members without a recent report
+	downSince   map[string]time.Time // since when members without a recent report are down, by member ID
 }
 
 // manageMembers observes the members at each pollInterval, and applies the next membership change while
--- a/internal/cluster/store/pending_writes.go
+++ b/internal/cluster/store/pending_writes.go
@@ -14,7 +14,7 @@
 // Limits of the writes that a leader has proposed and that are not applied yet.
 const (
 	maxPendingWrites = 512
-	maxPendingBytes  = 8 << 20 // total size of their values
+	maxPendingBytes  = 8 << 20 // total size of the values in these writes
 )
 
 // pendingWrites counts the entries that this node has proposed as leader and that are not applied yet.
--- a/internal/cluster/storeadmin/fenced_write_test.go
+++ b/internal/cluster/storeadmin/fenced_write_test.go
@@ -95,7 +95,8 @@
 // it would keep the controller task from moving to another node, and log changes that are never written.
 func TestControllerEndsWithItsLease(t *testing.T) {
 	leader, follower := openTwoNodes(t)
-	order := maintenance.Order{Machine: "m1", DurationMS: 1000, LatestStartMS: 1} // has passed, so the controller has to write that the order expired
+	// The latest start has passed, so the controller has to write that the order expired.
+	order := maintenance.Order{Machine: "m1", DurationMS: 1000, LatestStartMS: 1}
 	_, err := leader.controller.Submit(t.Context(), order)
 	require.NoError(t, err)
 	for _, node := range []testNode{leader, follower} {
--- a/internal/cluster/storeclient/client.go
+++ b/internal/cluster/storeclient/client.go
@@ -58,7 +58,7 @@
 // RetryPolicy sets the number of retries and the backoff before each.
 type RetryPolicy struct {
 	MaxRetries int           // attempts after the first one
-	MinBackoff time.Duration // before the first retry; doubles with each retry
+	MinBackoff time.Duration // backoff before the first retry; doubles with each retry
 	MaxBackoff time.Duration
 }
 
