--- a/tests/contenders_test.go
+++ b/tests/contenders_test.go
@@ -205,7 +205,7 @@
 		return func(int) { faultyHolder, _ = s.holder(); do(faultyHolder) }
 	}
 	onFaultyHolder := func(do func(x *contender)) func(int) { return func(int) { do(faultyHolder) } }
-	held := testrig.LinkMode{StallRequests: true, StallResponses: true}
+	stalled := testrig.LinkMode{StallRequests: true, StallResponses: true}
 	onAllNodes := func(do func(i int)) func(int) {
 		return func(int) {
 			for i := range s.Peers {
@@ -241,7 +241,7 @@
 		{Name: "holder killed", Inject: onHolder(func(x *contender) { x.signalLeaseProcess(syscall.SIGKILL) }), Recover: func(int) {}},
 		{Name: "holder cut off from the store", Inject: onHolder(func(x *contender) { x.setLinks(testrig.LinkMode{Cut: true}) }), Recover: onFaultyHolder(func(x *contender) { x.setLinks(testrig.LinkMode{}) })},
 		{Name: "responses to the holder stalled", Inject: onHolder(func(x *contender) { x.setLinks(testrig.LinkMode{StallResponses: true}) }), Recover: onFaultyHolder(func(x *contender) { x.setLinks(testrig.LinkMode{}) })},
-		{Name: "holder's links stalled", Inject: onHolder(func(x *contender) { x.setLinks(held) }), Recover: onFaultyHolder(func(x *contender) { x.setLinks(testrig.LinkMode{}) })},
+		{Name: "holder's links stalled", Inject: onHolder(func(x *contender) { x.setLinks(stalled) }), Recover: onFaultyHolder(func(x *contender) { x.setLinks(testrig.LinkMode{}) })},
 	}
 }
 
@@ -254,28 +254,28 @@
 	s := newLeaseContest(t, 5, 7, true)
 	faults := s.faults()
 	plan := testrig.NewSchedule(*seed, 5, s.ttl, faults...)
-	began, gaps, refused := time.Now(), map[string][]time.Duration{}, map[string]int{}
-	for n := 0; n < len(faults) || time.Since(began) < *faultDuration; n++ {
+	startedAt, gaps, refused := time.Now(), map[string][]time.Duration{}, map[string]int{}
+	for n := 0; n < len(faults) || time.Since(startedAt) < *faultDuration; n++ {
 		turn := plan.Next()
 		f := turn.Fault
 		i := s.WaitForLeader()
 		s.holder()
 		time.Sleep(turn.DelayBefore)
 		_, _, before := s.resource.Counts()
-		at := time.Now()
+		injectedAt := time.Now()
 		f.Inject(i)
 		time.Sleep(turn.Duration)
 		f.Recover(i)
 		recoveredAt := time.Now()
 		await(t, "an action after "+f.Name, func() bool { return s.resource.ActedAfter(recoveredAt) })
-		gaps[f.Name] = append(gaps[f.Name], s.resource.LongestGap(at).Round(time.Millisecond))
+		gaps[f.Name] = append(gaps[f.Name], s.resource.LongestGap(injectedAt).Round(time.Millisecond))
 		_, _, after := s.resource.Counts()
 		refused[f.Name] += after - before
 	}
 	tokens, acts, rejectedTotal := s.resource.Counts()
 	assert.Empty(t, s.resource.Violations())
 	assert.Greater(t, tokens, len(faults))
-	t.Logf("seed %d, %v: %d tokens acted, %d acts, %d acts refused by the fence", *seed, time.Since(began).Round(time.Second), tokens, acts, rejectedTotal)
+	t.Logf("seed %d, %v: %d tokens acted, %d acts, %d acts refused by the fence", *seed, time.Since(startedAt).Round(time.Second), tokens, acts, rejectedTotal)
 	for _, f := range faults {
 		list := gaps[f.Name]
 		if slices.Sort(list); len(list) > 0 {
--- a/tests/descriptors_test.go
+++ b/tests/descriptors_test.go
@@ -67,7 +67,7 @@
 		cfg["limits"].(object)["sockets"] = limit
 	})
 	connectIdleClients(t, w.fcgiAddr, limit)
-	held := func() int {
+	openDescriptors := func() int {
 		list, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", w.cmd.Process.Pid))
 		require.NoError(t, err)
 		return len(list)
@@ -91,7 +91,7 @@
 				return err == nil && a.status != 503
 			})
 		}
-		most = max(most, held())
+		most = max(most, openDescriptors())
 	}
 	assert.LessOrEqual(t, most, limit)
 	assert.NotContains(t, w.log(), "too many open files")
--- a/tests/disk_restarts_test.go
+++ b/tests/disk_restarts_test.go
@@ -32,13 +32,13 @@
 	c.Bootstrap()
 	writeKeys(c, 0, "note", 5)
 	lines := func() int { return strings.Count(c.nodes[0].log(), `"msg":"incarnation ended"`) }
-	began := time.Now()
+	startedAt := time.Now()
 	c.InjectFault(0, fault)
 	await(t, "the incarnations to end", func() bool {
 		c.Request(0, "PUT", "/store/poke", "1")
 		return lines() >= wantLines
 	})
-	assert.GreaterOrEqual(t, time.Since(began), minimum, "%d lines", lines())
+	assert.GreaterOrEqual(t, time.Since(startedAt), minimum, "%d lines", lines())
 	c.InjectFault(0, "")
 	await(t, "all keys", func() bool { return hasWrittenKeys(t, c, 0, "note", 5) })
 }
--- a/tests/disks_test.go
+++ b/tests/disks_test.go
@@ -87,18 +87,18 @@
 	t.Parallel()
 	c := newLinkedCluster(t)
 	leader := c.WaitForLeader()
-	lost, behind := (leader+1)%3, (leader+2)%3
+	wipedNode, laggingNode := (leader+1)%3, (leader+2)%3
 	writeKeys(c, leader, "early", 5)
-	c.SetNodeLinks(behind, testrig.LinkMode{Cut: true}, testrig.LinkMode{Cut: true})
+	c.SetNodeLinks(laggingNode, testrig.LinkMode{Cut: true}, testrig.LinkMode{Cut: true})
 	writeKeys(c, leader, "note", 20)
 	c.Kill(leader)
-	c.Kill(lost)
-	c.WipeDir(lost)
-	c.Start(lost)
+	c.Kill(wipedNode)
+	c.WipeDir(wipedNode)
+	c.Start(wipedNode)
 	c.HealLinks()
-	await(t, "the new disk to join", func() bool { return strings.Contains(c.nodes[lost].log(), `"verdict":"join"`) })
+	await(t, "the new disk to join", func() bool { return strings.Contains(c.nodes[wipedNode].log(), `"verdict":"join"`) })
 	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); {
-		for _, i := range []int{lost, behind} {
+		for _, i := range []int{wipedNode, laggingNode} {
 			code, text := c.Request(i, "GET", "/store/note/1", "")
 			require.Equal(t, 503, code, text)
 			code, text = c.Request(i, "PUT", "/store/note/1", `"new"`)
@@ -216,19 +216,21 @@
 	t.Parallel()
 	c := newLinkedCluster(t)
 	writeKeys(c, 0, "note", 10)
-	lost := c.WaitForLeader()
-	c.Kill(lost)
-	c.WipeDir(lost)
-	c.SetNodeLinks(lost, testrig.LinkMode{Cut: true}, testrig.LinkMode{Cut: true})
-	c.Start(lost)
-	next := c.WaitForLeader(lost)
-	c.Put(next, "note/10", "10")
-	await(t, "a log line", func() bool { return strings.Contains(c.nodes[lost].log(), "must say whether there is a cluster yet") })
-	code, text := c.Request(lost, "GET", "/store/note/1", "")
+	wipedNode := c.WaitForLeader()
+	c.Kill(wipedNode)
+	c.WipeDir(wipedNode)
+	c.SetNodeLinks(wipedNode, testrig.LinkMode{Cut: true}, testrig.LinkMode{Cut: true})
+	c.Start(wipedNode)
+	newLeader := c.WaitForLeader(wipedNode)
+	c.Put(newLeader, "note/10", "10")
+	await(t, "a log line", func() bool {
+		return strings.Contains(c.nodes[wipedNode].log(), "must say whether there is a cluster yet")
+	})
+	code, text := c.Request(wipedNode, "GET", "/store/note/1", "")
 	assert.Equal(t, 503, code, text)
 	c.HealLinks()
 	c.WaitForVoters(0, 1, 2)
-	await(t, "all keys", func() bool { return hasWrittenKeys(t, c, lost, "note", 11) })
+	await(t, "all keys", func() bool { return hasWrittenKeys(t, c, wipedNode, "note", 11) })
 }
 
 // TestMembers: a node joins from its seeds, replaces a stopped voter, is removed, is refused, and joins again
@@ -338,12 +340,12 @@
 	c.Start(3)
 	await(t, "a learner to be added", learnerAdded)
 	c.Kill(leader) // while the learner is being added; the killed leader is then the voter to replace
-	next := c.WaitForLeader(leader)
-	await(t, "a promotion to voter", loggedAgain(next, `"step":"promote"`))
-	c.Kill(next)
+	secondLeader := c.WaitForLeader(leader)
+	await(t, "a promotion to voter", loggedAgain(secondLeader, `"step":"promote"`))
+	c.Kill(secondLeader)
 	c.Start(leader)
-	thirdLeader := c.WaitForLeader(next)
-	c.Start(next)
+	thirdLeader := c.WaitForLeader(secondLeader)
+	c.Start(secondLeader)
 	removedNode := (thirdLeader + 1) % 4
 	await(t, "a removal to be accepted", func() bool {
 		code, _ := c.Request(thirdLeader, "DELETE", "/members/"+c.Peers[removedNode].Name, "")
--- a/tests/endings_test.go
+++ b/tests/endings_test.go
@@ -45,8 +45,8 @@
 	t.Parallel()
 	w := newTestbed(t, nil)
 	half := fcgiRequest(9, "/call/nom-submit", requestHeaders(newTraceID()), []byte("ok"))
-	single := fcgiRequest(9, "/call/nom-submit", requestHeaders(newTraceID()), []byte("ok"))
-	single[10] = 0 // clears KEEP_CONN: the service closes the connection after the response
+	withoutKeepConn := fcgiRequest(9, "/call/nom-submit", requestHeaders(newTraceID()), []byte("ok"))
+	withoutKeepConn[10] = 0 // clears KEEP_CONN: the service closes the connection after the response
 	var faults []byte
 	for id := range uint16(17) {
 		faults = append(faults, fcgiRequest(20+id, "/call/other", requestHeaders(newTraceID()), nil)...)
@@ -58,18 +58,18 @@
 		"garbage":        {[]byte("GET / HTTP/1.1\r\n\r\n"), 0},
 		"half a record":  {half[:5], 0},
 		"half a request": {half[:len(half)-11], 0},
-		"no KEEP_CONN":   {single, 1},
+		"no KEEP_CONN":   {withoutKeepConn, 1},
 		"faults":         {faults, 17},
 	} {
 		t.Run(what, func(t *testing.T) {
 			trace := newTraceID()
-			held, stalledLines := w.engine.heldRuns(), strings.Count(w.log(), "callers stalled")
+			heldBefore, stalledLines := w.engine.heldRuns(), strings.Count(w.log(), "callers stalled")
 			c, err := dialFCGI(w.fcgiAddr)
 			require.NoError(t, err)
 			defer c.Close()
 			_, err = c.Write(append(fcgiRequest(1, "/call/nom-submit", requestHeaders(trace), []byte("hold")), tt.followUp...))
 			require.NoError(t, err)
-			await(t, "the run to start", func() bool { return w.engine.heldRuns() == held+1 })
+			await(t, "the run to start", func() bool { return w.engine.heldRuns() == heldBefore+1 })
 			for range tt.responsesBefore {
 				id, _, _, err := c.readResponse()
 				require.NoError(t, err)
@@ -97,10 +97,10 @@
 	c, err := dialAJP(w.ajpAddr)
 	require.NoError(t, err)
 	defer c.Close()
-	held := w.engine.heldRuns()
+	heldBefore := w.engine.heldRuns()
 	_, err = c.Write(append(append(ajpForwardRequest("/call/nom-submit", "s3", requestHeaders(trace), 4), ajpBodyChunk([]byte("hold"))...), "garbage"...))
 	require.NoError(t, err)
-	await(t, "the run to start", func() bool { return w.engine.heldRuns() == held+1 })
+	await(t, "the run to start", func() bool { return w.engine.heldRuns() == heldBefore+1 })
 	w.engine.releaseHeld()
 	a, err := c.readResponse(nil)
 	require.NoError(t, err)
@@ -133,8 +133,8 @@
 	require.NoError(t, err)
 	require.NoError(t, w.Signal(syscall.SIGTERM))
 	requireOrderlyClose(t, idle, idle.r) // the connection was idle until the service closed it
-	crossed := newTraceID()
-	_, err = idle.Write(fcgiRequest(1, "/call/nom-submit", requestHeaders(crossed), []byte("ok")))
+	crossingTrace := newTraceID()
+	_, err = idle.Write(fcgiRequest(1, "/call/nom-submit", requestHeaders(crossingTrace), []byte("ok")))
 	require.NoError(t, err)
 	w.awaitListenersClosed()
 	_, err = half.Write(request[5:])
@@ -146,7 +146,7 @@
 	_, err = idle.Read(make([]byte, 1))
 	assert.Equal(t, io.EOF, err, "connection reset")
 	w.requireCleanExit() // exits although neither peer has closed its side of the connection
-	assert.Zero(t, w.engine.countReceived("RUN "+crossed))
+	assert.Zero(t, w.engine.countReceived("RUN "+crossingTrace))
 	assert.Zero(t, w.engine.countReceived("RUN "+trace))
 }
 
@@ -234,14 +234,14 @@
 	w := newTestbed(t, nil)
 	path := filepath.Join(t.TempDir(), "fifo")
 	require.NoError(t, syscall.Mkfifo(path, 0o600))
-	early := exec.Command(programPath)
-	early.Env = append(os.Environ(), "BALANCER_CONFIG="+path, "BALANCER_LISTEN="+freeAddr(t))
-	require.NoError(t, early.Start())
-	defer early.Process.Kill()
+	earlyProcess := exec.Command(programPath)
+	earlyProcess.Env = append(os.Environ(), "BALANCER_CONFIG="+path, "BALANCER_LISTEN="+freeAddr(t))
+	require.NoError(t, earlyProcess.Start())
+	defer earlyProcess.Process.Kill()
 	file, err := os.OpenFile(path, os.O_WRONLY, 0) // blocks until the program opens the file to read
 	require.NoError(t, err)
-	require.NoError(t, early.Process.Signal(syscall.SIGTERM))
-	require.NoError(t, early.Process.Signal(syscall.SIGHUP))
+	require.NoError(t, earlyProcess.Process.Signal(syscall.SIGTERM))
+	require.NoError(t, earlyProcess.Process.Signal(syscall.SIGHUP))
 	cfg := object{}
 	for k, v := range w.cfg {
 		cfg[k] = v
@@ -251,7 +251,7 @@
 	require.NoError(t, json.NewEncoder(file).Encode(cfg))
 	require.NoError(t, file.Close())
 	exit := make(chan error, 1)
-	go func() { exit <- early.Wait() }()
+	go func() { exit <- earlyProcess.Wait() }()
 	select {
 	case err := <-exit:
 		assert.NoError(t, err, "SIGTERM before the configuration was read")
@@ -334,7 +334,7 @@
 	w.engine.ignoresCommands = true
 	w.engine.mu.Unlock()
 	trace, submit := newTraceID(), newTraceID()
-	got, never := w.sendAsync("balance-view", trace, "ok"), w.sendAsync("nom-submit", submit, "ok")
+	got, submitResult := w.sendAsync("balance-view", trace, "ok"), w.sendAsync("nom-submit", submit, "ok")
 	await(t, "an unanswered RUN", func() bool { return w.engine.countReceived("RUN "+trace) == 1 })
 	await(t, "RUN of the at-most-once request", func() bool { return w.engine.countReceived("RUN "+submit) == 1 })
 	await(t, "another engine link", func() bool { return w.engine.countReceived("ATTACH") == 2 })
@@ -344,7 +344,7 @@
 	w.engine.handleCommand([]string{"ATTACH", "0"}, nil)
 	assert.Equal(t, "result of "+trace, (<-got).body)
 	assert.Equal(t, 1, w.engine.runCounts[trace])
-	assert.Equal(t, 500, (<-never).status, "RUN may have been read: not rejected")
+	assert.Equal(t, 500, (<-submitResult).status, "RUN may have been read: not rejected")
 	assert.Equal(t, 1, w.engine.countReceived("RUN "+submit))
 }
 
@@ -390,7 +390,7 @@
 	ran := send(running, "hold")
 	await(t, "a run to start", func() bool { return w.engine.heldRuns() == 1 })
 	late := newTraceID()
-	held := send(late, "ok")
+	queued := send(late, "ok")
 	partial := dial()
 	last := newTraceID()
 	request := fcgiRequest(1, "/call/nom-submit", requestHeaders(last), []byte("ok"))
@@ -403,7 +403,7 @@
 	require.NoError(t, err)
 	w.records.replyToLast("reply")
 	w.engine.releaseHeld()
-	for what, c := range map[string]*fcgiConn{"unread": unread, "at its call": called, "running": ran, "held": held, "half": partial} {
+	for what, c := range map[string]*fcgiConn{"unread": unread, "at its call": called, "running": ran, "held": queued, "half": partial} {
 		_, a, _, err := c.readResponse()
 		require.NoError(t, err, what)
 		if what == "held" || what == "half" { // with one core, these two may have been rejected
--- a/tests/faults_test.go
+++ b/tests/faults_test.go
@@ -39,18 +39,18 @@
 		oldValue, newValue := fmt.Sprintf("%d", 2*n), fmt.Sprintf("%d", 2*n+1)
 		w.Put(leader, "note/cut", oldValue)
 		w.SetNodeLinks(leader, fault[0], fault[1])
-		next := -1
+		newLeader := -1
 		await(t, "another leader", func() bool {
 			for i := range 3 {
 				var st struct{ State string }
 				_, text := w.Request(i, "GET", "/status", "")
 				if i != leader && json.Unmarshal([]byte(text), &st) == nil && st.State == "Leader" {
-					next = i
+					newLeader = i
 				}
 			}
-			return next >= 0
+			return newLeader >= 0
 		})
-		w.Put(next, "note/cut", newValue)
+		w.Put(newLeader, "note/cut", newValue)
 		code, text := w.Request(leader, "GET", "/store/note/cut", "")
 		assert.Equal(t, 503, code, "fault %d: %s", n, text)
 		if isolatedBothWays := fault[1] != (testrig.LinkMode{}); isolatedBothWays { // otherwise the node receives later entries, so its local value is not determined
@@ -182,13 +182,13 @@
 		}
 	}
 	around := func(from, to testrig.LinkMode) func(int) { return func(i int) { w.SetNodeLinks(i, from, to) } }
-	held := testrig.LinkMode{StallRequests: true, StallResponses: true}
+	stalled := testrig.LinkMode{StallRequests: true, StallResponses: true}
 	faults := []testrig.Fault{
 		{Name: "leader killed", IsolatesLeader: true, Inject: w.Kill, Recover: w.Start},
 		{Name: "leader cut off", IsolatesLeader: true, Inject: around(testrig.LinkMode{Cut: true}, testrig.LinkMode{Cut: true}), Recover: heal},
 		{Name: "leader stopped", IsolatesLeader: true, Inject: w.Pause, Recover: w.Resume},
 		{Name: "leader's messages stalled", IsolatesLeader: true, Inject: around(testrig.LinkMode{StallRequests: true}, testrig.LinkMode{}), Recover: heal},
-		{Name: "leader's links stalled", IsolatesLeader: true, Inject: around(held, held), Recover: heal},
+		{Name: "leader's links stalled", IsolatesLeader: true, Inject: around(stalled, stalled), Recover: heal},
 		{Name: "all killed", Inject: onAllNodes(w.Kill), Recover: onAllNodes(w.Start)},
 		{Name: "follower cut off", Inject: func(i int) { w.SetNodeLinks((i+1)%3, testrig.LinkMode{Cut: true}, testrig.LinkMode{Cut: true}) }, Recover: func(i int) { heal((i + 1) % 3) }},
 		{Name: "all links slow", Inject: onAllNodes(around(testrig.LinkMode{Delay: 30 * time.Millisecond}, testrig.LinkMode{Delay: 30 * time.Millisecond})), Recover: onAllNodes(heal)},
@@ -221,16 +221,16 @@
 		f := turn.Fault
 		i := w.WaitForLeader()
 		time.Sleep(turn.DelayBefore)
-		at := time.Now()
+		injectedAt := time.Now()
 		f.Inject(i)
 		count[f.Name]++
 		time.Sleep(turn.Duration)
 		f.Recover(i)
 		if f.IsolatesLeader {
 			await(t, "a write after "+f.Name, func() bool {
-				end, ok := probe.FirstWriteAfter(at)
+				end, ok := probe.FirstWriteAfter(injectedAt)
 				if ok {
-					outages = append(outages, outage{f.Name, end.Sub(at)})
+					outages = append(outages, outage{f.Name, end.Sub(injectedAt)})
 				}
 				return ok
 			})
--- a/tests/fronts_test.go
+++ b/tests/fronts_test.go
@@ -78,8 +78,8 @@
 	c, err := dialFCGI(w.fcgiAddr)
 	require.NoError(t, err)
 	big := bytes.Repeat([]byte("x"), 3000)
-	past := requestHeaders(newTraceID())
-	past["Reserve-Kb"] = "-1"
+	negativeReserve := requestHeaders(newTraceID())
+	negativeReserve["Reserve-Kb"] = "-1"
 	for _, tt := range []struct {
 		path   string
 		fields map[string]string
@@ -90,7 +90,7 @@
 		{"/call/nom-submit", requestHeaders(newTraceID()), big, 413, "body exceeds"},
 		{"/call/other", requestHeaders(newTraceID()), nil, 400, "no such class"},
 		{"/call/nom-submit", map[string]string{"Trace-Id": "xyz"}, nil, 400, "Trace-Id"},
-		{"/call/nom-submit", past, nil, 400, "Reserve-Kb"},
+		{"/call/nom-submit", negativeReserve, nil, 400, "Reserve-Kb"},
 	} {
 		a, err := c.do(tt.path, tt.fields, tt.body)
 		require.NoError(t, err)
@@ -155,9 +155,9 @@
 	await(t, "four runs to start", func() bool { return w.engine.countReceived("RUN") == 4 })
 	fields := requestHeaders(newTraceID())
 	fields["Accepted-At-Ms"] = strconv.FormatInt(time.Now().Add(-time.Minute).UnixMilli(), 10)
-	past, err := w.sendFCGI("/call/nom-submit", fields, "ok")
+	expired, err := w.sendFCGI("/call/nom-submit", fields, "ok")
 	require.NoError(t, err)
-	assert.Equal(t, 503, past.status, "past its deadline: not run")
+	assert.Equal(t, 503, expired.status, "past its deadline: not run")
 	assert.Equal(t, 4, w.engine.countReceived("RUN"))
 	for _, want := range []uint16{4, 3} { // in order of deadlines, the reverse of the order of reading
 		id, a, _, err := c.readResponse()
--- a/tests/guards_test.go
+++ b/tests/guards_test.go
@@ -49,14 +49,14 @@
 func TestHalfDone(t *testing.T) {
 	t.Parallel()
 	w := newTestbed(t, nil)
-	whole := fcgiRequest(1, "/call/nom-submit", requestHeaders(newTraceID()), []byte("ok"))
+	fullRequest := fcgiRequest(1, "/call/nom-submit", requestHeaders(newTraceID()), []byte("ok"))
 	forward := ajpForwardRequest("/call/nom-submit", "s3", requestHeaders(newTraceID()), 10)
 	var conns []net.Conn
 	for _, tt := range []struct {
 		addr string
 		sent []byte
 	}{
-		{w.fcgiAddr, nil}, {w.fcgiAddr, whole[:3]}, {w.fcgiAddr, whole[:30]}, {w.fcgiAddr, whole[:len(whole)-11]},
+		{w.fcgiAddr, nil}, {w.fcgiAddr, fullRequest[:3]}, {w.fcgiAddr, fullRequest[:30]}, {w.fcgiAddr, fullRequest[:len(fullRequest)-11]},
 		{w.ajpAddr, nil}, {w.ajpAddr, forward[:3]}, {w.ajpAddr, forward}, {w.ajpAddr, append(forward, ajpBodyChunk([]byte("o"))...)},
 	} {
 		conns = append(conns, dialAndWrite(t, tt.addr, tt.sent))
@@ -64,10 +64,10 @@
 	for i, c := range conns {
 		requireClosed(t, c, strconv.Itoa(i))
 	}
-	used, err := dialFCGI(w.fcgiAddr)
+	usedConn, err := dialFCGI(w.fcgiAddr)
 	require.NoError(t, err)
 	for range 3 {
-		a, err := used.do("/call/nom-submit", requestHeaders(newTraceID()), []byte("ok"))
+		a, err := usedConn.do("/call/nom-submit", requestHeaders(newTraceID()), []byte("ok"))
 		require.NoError(t, err)
 		assert.Equal(t, 200, a.status)
 		time.Sleep(1200 * time.Millisecond)
--- a/tests/lease_lost_test.go
+++ b/tests/lease_lost_test.go
@@ -33,7 +33,7 @@
 		links = append(links, l)
 		nodes = append(nodes, l.Addr)
 	}
-	setAll := func(mode testrig.LinkMode) {
+	setLinkModes := func(mode testrig.LinkMode) {
 		for _, l := range links {
 			l.SetMode(mode)
 		}
@@ -50,9 +50,9 @@
 		ended <- commandResult{out, errs, code}
 	}()
 	await(t, "the command to run", exists(started)) // the lease is granted, and the command handles SIGTERM
-	setAll(testrig.LinkMode{StallRequests: true, StallResponses: true})
+	setLinkModes(testrig.LinkMode{StallRequests: true, StallResponses: true})
 	await(t, "SIGTERM to the command", exists(stopRequested))
-	afterStop(func() { setAll(testrig.LinkMode{}) })
+	afterStop(func() { setLinkModes(testrig.LinkMode{}) })
 	require.NoError(t, os.WriteFile(mayEnd, nil, 0o600))
 	return <-ended
 }
--- a/tests/leases_test.go
+++ b/tests/leases_test.go
@@ -163,9 +163,9 @@
 	code, l := requestLease(0, "h0", 0)
 	require.Equal(t, 200, code)
 	for n, fault := range []func(){func() {}, func() { i := c.WaitForLeader(); c.Kill(i); c.Start(i) }, func() { c.KillAll(); c.Start(0); c.Start(1); c.Start(2) }} {
-		var at time.Time
+		var keptAliveAt time.Time
 		await(t, "a keep-alive", func() bool {
-			at = time.Now()
+			keptAliveAt = time.Now()
 			code, _ := c.Request(n, "PUT", "/lease/job", fmt.Sprintf(`{"token":%d}`, l.Token))
 			if code == 410 { // the machine was slow: the lease has expired
 				_, l = requestLease(n, "again", 15*time.Second)
@@ -173,11 +173,11 @@
 			return code == 200
 		})
 		fault()
-		code, next := requestLease(n, fmt.Sprint("next", n), 15*time.Second)
+		code, newHolder := requestLease(n, fmt.Sprint("next", n), 15*time.Second)
 		require.Equal(t, 200, code)
-		assert.GreaterOrEqual(t, time.Since(at), ttl, "fault %d", n)
-		assert.Greater(t, next.Token, l.Token)
-		l = next
+		assert.GreaterOrEqual(t, time.Since(keptAliveAt), ttl, "fault %d", n)
+		assert.Greater(t, newHolder.Token, l.Token)
+		l = newHolder
 	}
 	// A revoked lease cannot be kept alive, and nobody else gets it before its TTL is over.
 	code, l = c.acquireLease(0, "long", `{"holder":"h","ttl_ms":600000}`)
--- a/tests/links_test.go
+++ b/tests/links_test.go
@@ -43,7 +43,7 @@
 	lost, again := w.sendAsync("cycle-check", unsafe, "ok"), w.sendAsync("balance-view", safe, "ok")
 	_ = lost
 	submit := newTraceID()
-	never := w.sendAsync("nom-submit", submit, "ok")
+	submitResult := w.sendAsync("nom-submit", submit, "ok")
 	await(t, "three commands", func() bool { return e.countReceived("RUN") == 4 })
 	e.mu.Lock()
 	e.ignoresCommands = false
@@ -61,7 +61,7 @@
 	last := e.notices[len(e.notices)-1]
 	e.conn.Write([]byte(last)) // a notice that was already read
 	e.mu.Unlock()
-	assert.Equal(t, 500, (<-never).status, "RUN may have been read: not rejected")
+	assert.Equal(t, 500, (<-submitResult).status, "RUN may have been read: not rejected")
 	assert.Equal(t, 1, e.countReceived("RUN "+submit), "not repeated, because it may have run")
 	assert.Zero(t, e.runCounts[submit])
 	assert.Equal(t, 2, e.countReceived("RUN "+safe))
--- a/tests/ramp_test.go
+++ b/tests/ramp_test.go
@@ -120,7 +120,7 @@
 func (u *sharedUpstream) maxExcess(window time.Duration, allowed func(age time.Duration) float64) (excess, mean float64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	began := u.runCountChanges[0].at
+	startedAt := u.runCountChanges[0].at
 	excess = math.Inf(-1)
 	for i, end := range u.runCountChanges {
 		from, sum := end.at.Add(-window), 0.0
@@ -135,9 +135,9 @@
 			}
 		}
 		mean := sum / window.Seconds()
-		excess = max(excess, mean-allowed(end.at.Sub(began)))
+		excess = max(excess, mean-allowed(end.at.Sub(startedAt)))
 	}
-	last := u.runCountChanges[len(u.runCountChanges)-1].at.Sub(began).Seconds()
+	last := u.runCountChanges[len(u.runCountChanges)-1].at.Sub(startedAt).Seconds()
 	for i := 1; i < len(u.runCountChanges); i++ {
 		mean += u.runCountChanges[i].at.Sub(u.runCountChanges[i-1].at).Seconds() * float64(u.runCountChanges[i-1].runs) / last
 	}
--- a/tests/ready_test.go
+++ b/tests/ready_test.go
@@ -19,13 +19,13 @@
 
 // awaitReadyWithin returns the time until a health check succeeds, and whether that was within the limit.
 func (s *service) awaitReadyWithin(most time.Duration) (time.Duration, bool) {
-	began := time.Now()
-	for time.Since(began) < most {
+	startedAt := time.Now()
+	for time.Since(startedAt) < most {
 		if c, err := dialFCGI(s.fcgiAddr); err == nil {
 			a, err := c.do("/ping", nil, nil)
 			c.Close()
 			if err == nil && a.status == 200 {
-				return time.Since(began), true
+				return time.Since(startedAt), true
 			}
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -103,15 +103,15 @@
 	holder, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer holder.Close()
-	held := func(cfg object) {
+	withAddressInUse := func(cfg object) {
 		cfg["listen"], cfg["engine"], cfg["stop_ms"] = holder.Addr().String(), newEngineStandin(t).addr, 500
 	}
-	s := startService(t, held)
+	s := startService(t, withAddressInUse)
 	await(t, "the first bind attempt", func() bool { return strings.Contains(s.log(), "address in use, retrying") })
 	require.NoError(t, s.Signal(syscall.SIGTERM))
 	assert.NoError(t, <-s.exit)
 
-	s = startService(t, held)
+	s = startService(t, withAddressInUse)
 	assert.EqualError(t, <-s.exit, "exit status 2")
 	assert.Contains(t, s.log(), "listen: listen tcp "+holder.Addr().String()+": bind: address already in use")
 	assert.Equal(t, 1, strings.Count(s.log(), "address in use, retrying"))
--- a/tests/rejections_test.go
+++ b/tests/rejections_test.go
@@ -47,7 +47,7 @@
 	require.Equal(t, first, w.rejectionLines()[0])
 
 	const rejectedRequests = 300
-	began := time.Now()
+	startedAt := time.Now()
 	connection, err := dialFCGI(w.fcgiAddr)
 	require.NoError(t, err)
 	defer connection.Close()
@@ -64,7 +64,7 @@
 		return sum == 1+rejectedRequests
 	})
 	lines := w.rejectionLines()
-	intervals := int(time.Since(began)/time.Second) + 1 // intervals of one second that have started
+	intervals := int(time.Since(startedAt)/time.Second) + 1 // intervals of one second that have started
 	assert.LessOrEqual(t, len(lines), 1+intervals)
 	for _, line := range lines {
 		assert.Equal(t, first.Class, line.Class)
--- a/tests/replay_test.go
+++ b/tests/replay_test.go
@@ -235,28 +235,28 @@
 	await(t, "the run to start", func() bool { return w.engine.heldRuns() == 1 })
 	fields := requestHeaders(newTraceID())
 	fields["Replay-Key"], fields["Accepted-At-Ms"] = "k", strconv.FormatInt(time.Now().Add(30*time.Second).UnixMilli(), 10)
-	again := fcgiRequest(1, "/call/nom-update", fields, []byte("hold"))
+	duplicate := fcgiRequest(1, "/call/nom-update", fields, []byte("hold"))
 	c, err := dialFCGI(w.fcgiAddr)
 	require.NoError(t, err)
 	defer c.Close()
-	_, err = c.Write(again[:8]) // the connection is open when the drain starts
+	_, err = c.Write(duplicate[:8]) // the connection is open when the drain starts
 	require.NoError(t, err)
-	c2, err := dialFCGI(w.fcgiAddr)
+	idleConn, err := dialFCGI(w.fcgiAddr)
 	require.NoError(t, err)
-	defer c2.Close()
-	_, err = c2.do("/ping", nil, nil)
+	defer idleConn.Close()
+	_, err = idleConn.do("/ping", nil, nil)
 	require.NoError(t, err)
 	require.NoError(t, w.Signal(syscall.SIGTERM))
-	requireOrderlyClose(t, c2, c2.r) // after the drain grace period
-	_, err = c.Write(again[8:])
+	requireOrderlyClose(t, idleConn, idleConn.r) // after the drain grace period
+	_, err = c.Write(duplicate[8:])
 	require.NoError(t, err)
-	_, other, _, err := func() (uint16, response, byte, error) {
+	_, duplicateResult, _, err := func() (uint16, response, byte, error) {
 		await(t, "the second attempt to be read", func() bool { w.engine.releaseHeld(); return len(got) == 1 })
 		return c.readResponse()
 	}()
 	require.NoError(t, err)
 	assert.Equal(t, "result of "+trace, (<-got).body)
-	assert.Equal(t, "result of "+trace, other.body)
+	assert.Equal(t, "result of "+trace, duplicateResult.body)
 	w.requireCleanExit()
 	assert.Equal(t, 1, w.engine.countReceived("RUN"))
 }
--- a/tests/resync_test.go
+++ b/tests/resync_test.go
@@ -112,21 +112,23 @@
 	t.Parallel()
 	w := newTestbed(t, withSubmitDeadline(3*time.Second))
 	w.engine.setIgnoresRun(true)
-	read, submit := newTraceID(), newTraceID()
-	got, never := w.sendAsync("balance-view", read, "ok"), w.sendAsync("nom-submit", submit, "ok")
-	await(t, "both RUNs", func() bool { return w.engine.countReceived("RUN "+read)+w.engine.countReceived("RUN "+submit) == 2 })
+	readTrace, submitTrace := newTraceID(), newTraceID()
+	got, submitResult := w.sendAsync("balance-view", readTrace, "ok"), w.sendAsync("nom-submit", submitTrace, "ok")
+	await(t, "both RUNs", func() bool {
+		return w.engine.countReceived("RUN "+readTrace)+w.engine.countReceived("RUN "+submitTrace) == 2
+	})
 	polls := w.engine.answeredPolls()
 	await(t, "answered STAT commands", func() bool { return w.engine.answeredPolls() > polls+1 })
 	w.engine.setIgnoresRun(false)
 	w.engine.closeLink()
 	await(t, "the run to be repeated", func() bool {
 		w.responseStatus("nom-submit", "ok") // other requests complete meanwhile
-		return w.engine.countReceived("RUN "+read) == 2
+		return w.engine.countReceived("RUN "+readTrace) == 2
 	})
-	assert.Equal(t, "result of "+read, (<-got).body)
-	assert.Equal(t, 500, (<-never).status)
-	assert.Equal(t, 1, w.engine.countReceived("RUN "+submit))
-	await(t, "HALT of its run", func() bool { return w.engine.countReceived("HALT "+submit) > 0 })
+	assert.Equal(t, "result of "+readTrace, (<-got).body)
+	assert.Equal(t, 500, (<-submitResult).status)
+	assert.Equal(t, 1, w.engine.countReceived("RUN "+submitTrace))
+	await(t, "HALT of its run", func() bool { return w.engine.countReceived("HALT "+submitTrace) > 0 })
 }
 
 // setIgnoresRun sets whether the engine ignores RUN.
--- a/tests/settings_test.go
+++ b/tests/settings_test.go
@@ -160,11 +160,11 @@
 		})
 		w.records.setNextReply("break")
 		trace := newTraceID()
-		began := time.Now()
+		startedAt := time.Now()
 		got := w.sendAsync("balance-view", trace, "call")
 		assert.Equal(t, 200, (<-got).status, below)
 		assert.Equal(t, 2, w.records.countReceived("OP "+trace), below)
-		assert.GreaterOrEqual(t, time.Since(began), minDelay, below)
+		assert.GreaterOrEqual(t, time.Since(startedAt), minDelay, below)
 	}
 }
 
--- a/tests/soak_faults_test.go
+++ b/tests/soak_faults_test.go
@@ -34,7 +34,7 @@
 		s.runner.linkFaults++
 		s.runner.drawLink(rng).SetMode(testrig.LinkMode{CutAfterBytes: 1 + rng.IntN(maxCutBytes)})
 	case kind < 11:
-		s.runner.holdTraffic(rng)
+		s.runner.stallTraffic(rng)
 	case kind < 12:
 		s.runner.setMaxCommandDelay(time.Duration(rng.IntN(4)) * time.Millisecond)
 	case kind < 13:
@@ -99,11 +99,11 @@
 
 // pause stops the process for a time with SIGSTOP.
 func (s *soakRun) pause(span time.Duration) {
-	began := time.Now()
+	startedAt := time.Now()
 	s.Signal(syscall.SIGSTOP)
 	time.Sleep(span)
 	s.Signal(syscall.SIGCONT)
-	s.stalls.recordStall(time.Since(began))
+	s.stalls.recordStall(time.Since(startedAt))
 }
 
 // measure records the peak memory and descriptor use of the process.
--- a/tests/soak_runner_test.go
+++ b/tests/soak_runner_test.go
@@ -17,7 +17,7 @@
 const (
 	maxRunTime      = 16 * time.Millisecond // maximum duration of a run
 	upstreamsInUse  = 2
-	maxHoldMs       = 60
+	maxStallMs      = 60
 	maxOutageMs     = 400
 	relistenTimeout = 2 * time.Second // time within which a closed address must be available again
 )
@@ -93,9 +93,9 @@
 	return r.malformedMessages[rng.IntN(len(r.malformedMessages))]
 }
 
-// holdTraffic stalls a link in one direction for a time. Then the stalled bytes are delivered, or lost with the
+// stallTraffic stalls a link in one direction for a time. Then the stalled bytes are delivered, or lost with the
 // connection.
-func (r *soakRunner) holdTraffic(rng *rand.Rand) {
+func (r *soakRunner) stallTraffic(rng *rand.Rand) {
 	link := r.drawLink(rng)
 	mode := testrig.LinkMode{StallResponses: true}
 	cut := true
@@ -104,7 +104,7 @@
 		cut = rng.IntN(2) == 0
 	}
 	link.SetMode(mode)
-	time.Sleep(time.Duration(rng.IntN(maxHoldMs)) * time.Millisecond)
+	time.Sleep(time.Duration(rng.IntN(maxStallMs)) * time.Millisecond)
 	if cut {
 		r.linkFaults++
 	}
--- a/tests/store_test.go
+++ b/tests/store_test.go
@@ -65,16 +65,16 @@
 	}
 	code, text := c.Request(0, "PUT", "/store/note/x", "{")
 	assert.Equal(t, 400, code, text)
-	lost := c.WaitForLeader()
-	c.Kill(lost)
-	next := c.WaitForLeader()
-	require.NotEqual(t, lost, next)
-	c.Put(next, "note/while", `"away"`)
-	code, _ = c.Request(next, "DELETE", "/store/note/0", "")
+	stoppedNode := c.WaitForLeader()
+	c.Kill(stoppedNode)
+	newLeader := c.WaitForLeader()
+	require.NotEqual(t, stoppedNode, newLeader)
+	c.Put(newLeader, "note/while", `"away"`)
+	code, _ = c.Request(newLeader, "DELETE", "/store/note/0", "")
 	assert.Equal(t, 204, code)
-	c.Start(lost)
-	c.WaitForValue(lost, "note/while", `"away"`) // written while the node was stopped
-	await(t, "a deletion", func() bool { code, _ := c.Request(lost, "GET", "/store/note/0", ""); return code == 404 })
+	c.Start(stoppedNode)
+	c.WaitForValue(stoppedNode, "note/while", `"away"`) // written while the node was stopped
+	await(t, "a deletion", func() bool { code, _ := c.Request(stoppedNode, "GET", "/store/note/0", ""); return code == 404 })
 	set := settings()
 	set["classes"] = []object{{"name": "only-class", "effect": "idempotent", "value": 1, "aim_ns": 1e9, "deadline_ns": 2e9}}
 	settingsText, err := json.Marshal(set)
--- a/tests/suite_test.go
+++ b/tests/suite_test.go
@@ -39,11 +39,11 @@
 }
 
 func (c *callerGroup) send(class, body string) {
-	cl, err := c.dial(c.w.service, c.sent)
+	conn, err := c.dial(c.w.service, c.sent)
 	require.NoError(c.w.t, err)
 	c.sent++
-	c.clients = append(c.clients, cl)
-	c.sendOn(cl, class, body)
+	c.clients = append(c.clients, conn)
+	c.sendOn(conn, class, body)
 }
 
 // sendOn sends a request on an open connection.
--- a/tests/versions_test.go
+++ b/tests/versions_test.go
@@ -125,9 +125,9 @@
 	t := m.t
 	first, err := m.client().Put(t.Context(), prefix+"first", json.RawMessage("0"), nil)
 	require.NoError(t, err)
-	var followers []*watchRecorder
+	var watches []*watchRecorder
 	for node := range 3 {
-		followers = append(followers, startWatch(t, storeclient.New([]string{m.Peers[node].Admin}), prefix, first.Revision))
+		watches = append(watches, startWatch(t, storeclient.New([]string{m.Peers[node].Admin}), prefix, first.Revision))
 	}
 	for node := range 3 {
 		m.Put(node, fmt.Sprint(prefix, "note", node), fmt.Sprintf(`{"from":%d}`, node))
@@ -146,9 +146,9 @@
 		assert.Equal(t, 404, code)
 	}
 	m.Put(0, prefix+"last", "1")
-	for _, f := range followers {
+	for _, f := range watches {
 		f.awaitKey(t, prefix+"last")
-		assert.Equal(t, followers[0].received(), f.received(), "watch events differ between nodes")
+		assert.Equal(t, watches[0].received(), f.received(), "watch events differ between nodes")
 	}
 	m.WaitForEqualData(0, 1, 2)
 }
--- a/tests/watch_test.go
+++ b/tests/watch_test.go
@@ -77,7 +77,7 @@
 	c := newRunningCluster(t, nil)
 	first, err := c.client().Put(t.Context(), "w/first", json.RawMessage("0"), nil)
 	require.NoError(t, err)
-	followers := []*watchRecorder{startWatch(t, c.client(), "w/", first.Revision), startWatch(t, c.client(), "w/", first.Revision)}
+	watches := []*watchRecorder{startWatch(t, c.client(), "w/", first.Revision), startWatch(t, c.client(), "w/", first.Revision)}
 	otherPrefixWatch := startWatch(t, c.client(), "other/", first.Revision)
 	writer := c.client()
 	want := map[uint64]string{first.Revision: "0"}
@@ -101,7 +101,7 @@
 	require.NoError(t, err)
 	_, err = writer.Put(t.Context(), "w/end", json.RawMessage("1"), nil)
 	require.NoError(t, err)
-	for _, f := range followers {
+	for _, f := range watches {
 		f.awaitKey(t, "w/end")
 		last, got := uint64(0), map[uint64]string{}
 		for _, r := range f.received() {
