--- a/tests/disks_test.go
+++ b/tests/disks_test.go
@@ -234,7 +234,7 @@
 }
 
 // TestMembers: a node joins from its seeds, replaces a stopped voter, is removed, is refused, and joins again
-// under its old name. An operator promotes it to voter, and the leader removes itself.
+// under its old name. An operator promotes it to voter, then removes the leader.
 func TestMembers(t *testing.T) {
 	t.Parallel()
 	c := newStoppedCluster(t, 3, 4)
--- a/tests/examples_test.go
+++ b/tests/examples_test.go
@@ -53,7 +53,7 @@
 	return s, standinPath, engineLog
 }
 
-// TestExample follows examples/README.md.
+// TestExample runs the commands of examples/README.md.
 func TestExample(t *testing.T) {
 	t.Parallel()
 	s, standinPath, _ := startFromFile(t, "../examples/config.json")
--- a/tests/fronts_test.go
+++ b/tests/fronts_test.go
@@ -279,8 +279,8 @@
 	}
 }
 
-// TestDirectoryListens: if the registry follows readiness, a drain is reported repeatedly, because reports may
-// get lost, and never as open again.
+// TestDirectoryListens: if the registry's endpoint list follows readiness, a drain is reported repeatedly,
+// because reports may get lost, and the service is never reported as open again.
 func TestDirectoryListens(t *testing.T) {
 	t.Parallel()
 	addr, next := newRegistryStandin(t)
--- a/tests/ready_test.go
+++ b/tests/ready_test.go
@@ -38,8 +38,8 @@
 	return startTCPServer(t, func(c net.Conn) { t.Cleanup(func() { c.Close() }) })
 }
 
-// TestReadyAfterRestart kills and restarts services while the engine ignores the first link, the registry, the
-// records service, the other store nodes and the SQL mirror are not reachable, and another process still has
+// TestReadyAfterRestart kills and restarts services. The engine ignores the first link; the registry, the
+// records service, the other store nodes and the SQL mirror are not reachable; and another process still has
 // the listen address.
 func TestReadyAfterRestart(t *testing.T) {
 	t.Parallel()
