--- a/admission/idletimeout.go
+++ b/admission/idletimeout.go
@@ -19,7 +19,7 @@
 	// shrinkIdleRejectedFraction is the fraction of rejected requests below which the idle timeout
 	// shrinks.
 	shrinkIdleRejectedFraction = 0.5
-	// The idle timeout grows by idleGrowthFactor, or shrinks by 1/idleShrinkDivisor of itself, per gauge tick.
+	// Per gauge tick, the idle timeout is multiplied by idleGrowthFactor, or shrinks by 1/idleShrinkDivisor.
 	idleGrowthFactor  = 4
 	idleShrinkDivisor = 10
 )
--- a/admission/settings.go
+++ b/admission/settings.go
@@ -62,8 +62,8 @@
 	// PriorityWeight is the reward of one request, or of one unit of work if Settings.WeightPerWork is
 	// set. At least 0.
 	PriorityWeight float64
-	// DegradedFraction is the fraction of the priority weight that a response earns without its call;
-	// 0 forbids Degrade.
+	// DegradedFraction is the fraction of the priority weight that a degraded response, one without its
+	// call, earns; 0 forbids Degrade.
 	DegradedFraction float64
 
 	// No decision uses the fields below.
--- a/cmd/oxbowbridge/durable_dump.go
+++ b/cmd/oxbowbridge/durable_dump.go
@@ -14,7 +14,8 @@
 )
 
 // dumpDirectory prints all keys, including those with an expiry time, in ascending order, as
-// lines of KEY TAB VALUE. It omits values that can't be read and then returns an error.
+// lines of KEY TAB VALUE. It omits values that can't be read; the store then counts as damaged,
+// and the result is an error.
 func dumpDirectory(dir string, out io.Writer, asHex bool) error {
 	return withView(dir, func(view *durable.View, _ vfs.FS) error {
 		if err := dumpKeys(view, out, asHex); err != nil {
--- a/cmd/oxbowbridge/store.go
+++ b/cmd/oxbowbridge/store.go
@@ -62,7 +62,7 @@
 	watchCommand := add("watch [PREFIX]", "Print changes of keys until interrupted, from any node that is available", cobra.MaximumNArgs(1), s.watch)
 	watchCommand.Flags().Uint64Var(&s.fromRevision, "from", 0, "first revision to print; 0 starts with the next change")
 	watchCommand.Flags().BoolVar(&s.listFirst, "list", false, "print the current keys first, then the changes after them")
-	put := add("put KEY JSON", "Write a key", cobra.ExactArgs(2), s.put)
+	put := add("put KEY JSON", "Write a key; it is written only once, even if the request is retried", cobra.ExactArgs(2), s.put)
 	del := add("delete KEY", "Delete a key", cobra.ExactArgs(1), s.delete)
 	for _, sub := range []*cobra.Command{put, del} {
 		sub.Flags().Uint64Var(&s.ifRevision, "if-revision", 0, "only if the key has this revision; 0 only if the key does not exist")
@@ -70,7 +70,7 @@
 	add("backup FILE", "Write a consistent backup of all keys, with a checksum, to a new file", cobra.ExactArgs(1), s.backup)
 	restore := add("restore FILE", "Restore a backup to the empty store of another cluster", cobra.MaximumNArgs(1), s.restore)
 	restore.Flags().BoolVar(&s.undoRestore, "undo", false, "without FILE: empty a store in which a restore was interrupted")
-	add("txn", "Execute a transaction, read as JSON from standard input:\n"+
+	add("txn", "Execute a transaction only once, even if the request is retried. It is read as JSON from standard input:\n"+
 		`{"if": [{"key": K, "revision": N}], "then": [{"do": "put", "key": K, "value": V}], "else": []}`, cobra.NoArgs, s.txn)
 	return c
 }
--- a/internal/proxy/dispatch/dispatcher.go
+++ b/internal/proxy/dispatch/dispatcher.go
@@ -38,7 +38,7 @@
 	byTraceID    map[string]*request
 	usedTraceIDs map[string]struct{} // trace ids that have run and must not run again; see atmostonce.go
 
-	runnerWarmingUp   bool          // the runner was warming up when it became ready
+	runnerWarmingUp   bool          // the runner was warming up when it became ready; before that, whether the settings ask for a slow start
 	readyAt           time.Duration // when the runner became ready; 0 if it is not ready yet
 	warmUpEndsAt      time.Duration // end of the runner's warm-up
 	controllerHealthy bool          // health check status set by the controller
--- a/internal/transport/ajp/upstream_placement.go
+++ b/internal/transport/ajp/upstream_placement.go
@@ -68,8 +68,8 @@
 
 // takeNextAddress returns the next listed address in round-robin order.
 func (p *UpstreamPool) takeNextAddress() string {
-	addr := p.addrs[p.nextAddrIndex%len(p.addrs)]
-	p.nextAddrIndex++
+	addr := p.addrs[p.takenAddrCount%len(p.addrs)]
+	p.takenAddrCount++
 	return addr
 }
 
--- a/internal/transport/ajp/upstream_pool.go
+++ b/internal/transport/ajp/upstream_pool.go
@@ -28,7 +28,7 @@
 	seed       uint64 // random seed of the slow starts; differs between processes
 
 	servers            map[string]*upstreamServer // by address
-	nextAddrIndex      int                        // counts the addresses taken; modulo len(addrs) it is the next index
+	takenAddrCount     int                        // addresses taken so far; modulo len(addrs) it is the index of the next one
 	idle               []*upstreamConn            // the most recently used is last
 	runs               map[string]*upstreamRun    // by trace id
 	queue              []*upstreamRun             // runs that wait for a slot at a server in slow start, oldest first
--- a/internal/transport/engine/run.go
+++ b/internal/transport/engine/run.go
@@ -13,7 +13,7 @@
 type run struct {
 	job               exchange.Job
 	submittedAt       time.Duration
-	deadline          time.Duration    // of the request; the run is given up no later than this
+	deadline          time.Duration    // of the request; when notificationTimer fires at or after it, the run is given up
 	runCommand        delivery.Command // RUN
 	stopRequested     bool             // HALT was requested and no notification has confirmed it
 	requestAnswered   bool             // the request has its response, so the run is not resumed
--- a/internal/transport/fastcgi/record.go
+++ b/internal/transport/fastcgi/record.go
@@ -35,7 +35,7 @@
 
 const (
 	maxContentBytes       = 65535    // for records that are written; the length field has 16 bits
-	maxParsedContentBytes = 16 << 10 // for records that are read; limits memory, as each connection may buffer one
+	maxParsedContentBytes = 16 << 10 // for records that are read; more than any request needs, and a limit on the memory, as each connection may buffer one
 )
 
 var (
--- a/internal/transport/frontend/reap.go
+++ b/internal/transport/frontend/reap.go
@@ -6,9 +6,9 @@
 	"go.uber.org/zap"
 )
 
-// maxStalledSweeps is the number of consecutive sweeps during which a caller may make no progress. The
-// next sweep closes its connection, after 2 s with the dispatcher's sweepInterval of 200 ms. Sweeps are
-// counted instead of time, so that a pause of the machine does not count.
+// maxStalledSweeps is the maximum number of consecutive sweeps without progress of a caller. At the next
+// sweep without progress its connection is closed, which is after 2 s with the dispatcher's sweepInterval
+// of 200 ms. Sweeps are counted instead of time, so that a pause of the machine does not count.
 const maxStalledSweeps = 9
 
 // stall tracks how long a caller has made no progress.
