--- a/internal/cluster/leaseclient/task.go
+++ b/internal/cluster/leaseclient/task.go
@@ -16,8 +16,8 @@
 type Task struct {
 	Name string // name of the lease
 	TTL  time.Duration
-	// Run does the work until ctx ends, or returns earlier. ctx ends if the lease is lost or RunTask ends. After Run
-	// returns, the lease is released, and another process may run the task.
+	// Run does the work until ctx ends, or returns earlier. ctx ends if the lease is lost or expires, or with the
+	// context of RunTask. After Run returns, the lease is released, and another process may run the task.
 	Run func(ctx context.Context, l *Lease) error
 }
 
--- a/internal/cluster/membership/step.go
+++ b/internal/cluster/membership/step.go
@@ -34,7 +34,7 @@
 }
 
 // NextStep returns the step to take now. It returns no step while a change is pending, for SettleTime after a
-// change, or if no majority of the voters is healthy.
+// change or after the election of the leader, or if no majority of the voters is healthy.
 func (p Policy) NextStep(v View) Step {
 	c := p.countVoters(v)
 	if v.ChangePending || v.SinceChange < p.SettleTime || c.healthy < Quorum(c.voters) {
--- a/internal/cluster/membership/view.go
+++ b/internal/cluster/membership/view.go
@@ -79,7 +79,7 @@
 	voters   int
 	healthy  int            // healthy voters
 	retained int            // voters for which shouldLoseVote is false
-	zones    map[string]int // retained voters by zone; 0 for a zone that has only healthy learners
+	zones    map[string]int // retained voters by zone; 0 for a zone without any that has a healthy learner
 }
 
 func (p Policy) countVoters(v View) voterCounts {
--- a/internal/cluster/store/storage.go
+++ b/internal/cluster/store/storage.go
@@ -25,8 +25,8 @@
 const replacementMarkerSuffix = ".replacement"
 
 // openStorage opens the node's folder, or creates it. A folder that is damaged, or whose state has
-// diverged, is moved aside and replaced by an empty one. A replacement never bootstraps a cluster: its
-// cluster already exists, and the other members know the votes and acknowledgments of the old folder.
+// diverged, is moved aside and replaced by an empty one. A replacement never bootstraps a cluster: the
+// old folder may have held votes and acknowledged entries of a cluster, which only the other members still know.
 func (s *Store) openStorage() (*raftstorage.Storage, error) {
 	storage, err := s.tryOpenStorage()
 	if errors.Is(err, durable.ErrDamaged) || errors.Is(err, errDiverged) {
--- a/internal/cluster/storeclient/watch.go
+++ b/internal/cluster/storeclient/watch.go
@@ -23,7 +23,7 @@
 const maxErrorBodyBytes = 1 << 10
 
 // Watch calls handle once for each revision that changes keys with a prefix, in order. It starts at the
-// revision from, or at the current revision if from is 0. If the connection to a node fails, Watch
+// revision from, or after the current revision if from is 0. If the connection to a node fails, Watch
 // continues at another node. It returns when ctx ends; with the error of handle; with a
 // *watch.CompactedError; on an error response other than 503; or when more than RetryPolicy.MaxRetries
 // attempts in a row have failed.
--- a/internal/maintenance/phase.go
+++ b/internal/maintenance/phase.go
@@ -37,7 +37,7 @@
 	PhaseOut       Phase = "out"      // the machine is out of service
 	PhaseReturned  Phase = "back"     // the service on the machine has started again, and is warming up
 	PhaseCompleted Phase = "warm"     // the machine is in service again; final
-	PhaseFailed    Phase = "failed"   // the machine is late, or its maintenance failed; it counts as out
+	PhaseFailed    Phase = "failed"   // the machine is late, possibly after a crash, or its maintenance failed; it counts as out
 	PhaseAbandoned Phase = "given-up" // failed, and no longer counts as out; final
 	PhaseExpired   Phase = "too-late" // not granted before LatestStartMS; final
 )
--- a/internal/storage/durable/plan/reclaim.go
+++ b/internal/storage/durable/plan/reclaim.go
@@ -10,8 +10,9 @@
 	minReclaimDivisor = 8
 )
 
-// reclaimStep returns the next step with State.ReclaimAll. Every segment with dead data
-// is compacted, and after two checkpoints the dead segments can be dropped.
+// reclaimStep returns the next step with State.ReclaimAll. Every segment with enough dead
+// data (see worthReclaiming) is compacted, and after two checkpoints the dead segments
+// can be dropped.
 func reclaimStep(s State) Step {
 	if s.Task != NoTask {
 		return Step{Kind: ContinueTask, BudgetBytes: reclaimStepBytes}
--- a/internal/storage/durable/snapshot.go
+++ b/internal/storage/durable/snapshot.go
@@ -3,8 +3,8 @@
 import "github.com/tidwall/btree"
 
 // Snapshot is a consistent read view of the store after one batch, unaffected by later
-// writes. It writes no file. Segments that it may read are not removed until it is
-// closed, so close it soon.
+// writes. It is held in memory and writes no file. Segments that it may read are not
+// removed until it is closed, so close it soon.
 type Snapshot struct {
 	store  *Store
 	seq    uint64
