--- a/internal/testrig/link.go
+++ b/internal/testrig/link.go
@@ -16,7 +16,7 @@
 	StallRequests  bool
 	StallResponses bool
 	// CutAfterBytes closes a connection once the link has forwarded this many more bytes, counted over all
-	// connections and both directions. It then resets to 0, which means no limit.
+	// connections and both directions. The limit ends then: the value becomes 0, which means no limit.
 	CutAfterBytes int
 	// ResponseGarbage is inserted once, before the next bytes from the target port.
 	ResponseGarbage string
--- a/tests/backup_test.go
+++ b/tests/backup_test.go
@@ -190,7 +190,7 @@
 	c.Dirs[2] = old
 	c.Start(2)
 	leader := c.WaitForLeader()
-	await(t, "a log line", func() bool {
+	await(t, "a node to log that the peer belongs to another cluster", func() bool {
 		return strings.Contains(c.nodes[2].log(), "peer belongs to another cluster") || strings.Contains(c.nodes[leader].log(), "peer belongs to another cluster")
 	})
 	c.Put(leader, "note/more", `3`)
--- a/tests/busy_threads_test.go
+++ b/tests/busy_threads_test.go
@@ -20,7 +20,7 @@
 	// many threads on the CPU in envBusyCPU.
 	envBusyThreads = "OXBOWBRIDGE_TEST_BUSY_THREADS"
 	envBusyCPU     = "OXBOWBRIDGE_TEST_BUSY_CPU"
-	// busyTime is the longest time for which they use the CPU.
+	// busyTime is the maximum time for which the threads use the CPU.
 	busyTime = 2 * time.Second
 	// busyStartPoll is the interval at which the number of started threads is polled.
 	busyStartPoll = time.Millisecond
@@ -61,7 +61,7 @@
 }
 
 // startBusyThreads starts a process whose threads use a CPU from the call of begin to the call of end. All
-// threads start to do so at once.
+// threads start using it at once.
 func startBusyThreads(t *testing.T, threads, cpu int) (begin, end func()) {
 	busy := exec.Command(os.Args[0])
 	busy.Env = append(os.Environ(), fmt.Sprint(envBusyThreads, "=", threads), fmt.Sprint(envBusyCPU, "=", cpu))
--- a/tests/disk_waits_test.go
+++ b/tests/disk_waits_test.go
@@ -193,7 +193,7 @@
 		t.Parallel()
 		c := startWithOlderAndLaggingDisks(t)
 		defer c.logDisksOnFailure(t)
-		c.SetLinksOneWay(2, 1, testrig.LinkMode{Cut: true}) // n2 reaches n1 only after n0 has
+		c.SetLinksOneWay(2, 1, testrig.LinkMode{Cut: true}) // so that n0 reaches n1 before n2 does
 		c.Start(1)
 		c.waitForLog(t, 0, "disk identity renewed")
 		c.HealLinks()
@@ -203,7 +203,7 @@
 		t.Parallel()
 		c := startWithOlderAndLaggingDisks(t)
 		defer c.logDisksOnFailure(t)
-		c.SetLinksOneWay(0, 1, testrig.LinkMode{Cut: true}) // n0 reaches n1 only after n2 has
+		c.SetLinksOneWay(0, 1, testrig.LinkMode{Cut: true}) // so that n2 reaches n1 before n0 does
 		c.Start(1)
 		c.waitForLog(t, 2, `"verdict":"resume"`)
 		c.HealLinks()
--- a/tests/disks_test.go
+++ b/tests/disks_test.go
@@ -112,8 +112,8 @@
 	}
 }
 
-// TestEachDiskWiped wipes the disk of each voter in turn while clients continue. No acknowledged write may be
-// lost.
+// TestEachDiskWiped wipes the disk of each voter in turn while clients continue, until none of the first disks
+// is a member. No acknowledged write may be lost.
 func TestEachDiskWiped(t *testing.T) {
 	t.Parallel()
 	c := newRunningCluster(t, nil)
@@ -223,7 +223,7 @@
 	c.Start(wipedNode)
 	newLeader := c.WaitForLeader(wipedNode)
 	c.Put(newLeader, "note/10", "10")
-	await(t, "a log line", func() bool {
+	await(t, "the wiped node to log whom it waits for", func() bool {
 		return strings.Contains(c.nodes[wipedNode].log(), "must say whether there is a cluster yet")
 	})
 	code, text := c.Request(wipedNode, "GET", "/store/note/1", "")
@@ -266,7 +266,7 @@
 	}
 	name := c.Peers[3].Name
 	run("remove", name)
-	c.WaitForVoters(0, 1, 2) // the restarted node gets the vote of the removed one
+	c.WaitForVoters(0, 1, 2) // the restarted node becomes a voter in place of the removed one
 	await(t, "the node to be refused as removed", func() bool { return strings.Contains(c.nodes[3].log(), "was removed") })
 	c.Kill(3)
 	c.WipeDir(3)
@@ -311,7 +311,7 @@
 	section := c.StoreConfig(3)
 	section["peers"], section["voters"] = c.Peers[isolatedNode:isolatedNode+1], 3
 	c.Launch(3, section)
-	await(t, "a log line", func() bool { return strings.Contains(c.nodes[3].log(), `"msg":"join request not granted"`) })
+	await(t, "the log line on the join request", func() bool { return strings.Contains(c.nodes[3].log(), `"msg":"join request not granted"`) })
 	code, text := c.Request(3, "GET", "/store/note/1", "")
 	assert.Equal(t, 503, code, text)
 	for i := range 3 {
@@ -447,7 +447,7 @@
 	c.Start(0)
 	c.Start(1)
 	for i := range 2 {
-		await(t, "a log line", func() bool { return strings.Contains(c.nodes[i].log(), "recovered as") })
+		await(t, "the log line on the recovered cluster", func() bool { return strings.Contains(c.nodes[i].log(), "recovered as") })
 		await(t, "a 503 response", func() bool { code, _ := c.Request(i, "GET", "/store/note/1", ""); return code == 503 })
 	}
 	c.WaitForVoters(2)
@@ -481,7 +481,7 @@
 	}
 	require.NoError(t, os.WriteFile(logs[0], text, 0o600))
 	c.Start(1)
-	await(t, "a log line", func() bool { return strings.Contains(c.nodes[1].log(), "storage folder set aside") })
+	await(t, "the log line on the folder set aside", func() bool { return strings.Contains(c.nodes[1].log(), "storage folder set aside") })
 	await(t, "the old disk's membership to end", func() bool {
 		m := c.Members(0)
 		_, there := m[oldID]
--- a/tests/endings_test.go
+++ b/tests/endings_test.go
@@ -53,7 +53,7 @@
 	}
 	for what, tt := range map[string]struct {
 		followUp        []byte
-		responsesBefore int // responses before the one of the held run
+		responsesBefore int // number of responses that arrive before that of the held run
 	}{
 		"garbage":        {[]byte("GET / HTTP/1.1\r\n\r\n"), 0},
 		"half a record":  {half[:5], 0},
@@ -124,7 +124,7 @@
 	require.NoError(t, err)
 	defer half.Close()
 	half.do("/ping", nil, nil)
-	_, err = half.Write(request[:5]) // its first record is incomplete
+	_, err = half.Write(request[:5]) // even the first record of the request is incomplete
 	require.NoError(t, err)
 	idle, err := dialFCGI(w.fcgiAddr)
 	require.NoError(t, err)
@@ -282,7 +282,7 @@
 }
 
 // TestNoticeDuringReload: SIGTERM arrives while the program reads its configuration from a pipe that never
-// ends. It must drain all the same.
+// ends. The program must drain all the same.
 func TestNoticeDuringReload(t *testing.T) {
 	t.Parallel()
 	w := newTestbed(t, nil)
@@ -305,7 +305,7 @@
 	s := startService(t, func(cfg object) { cfg["engine"], cfg["records"] = e.addr, newRecordsStandin(t).addr })
 	w := &testbed{service: s, engine: e}
 	await(t, "ATTACH", func() bool { return e.countReceived("ATTACH") == 1 })
-	got := w.sendAsync("nom-submit", newTraceID(), "ok") // the admission controller must decide on it
+	got := w.sendAsync("nom-submit", newTraceID(), "ok") // makes the admission controller decide
 	await(t, "the request to be read", func() bool { return w.healthStatus() == 503 })
 	for range 20 {
 		require.Equal(t, 503, w.healthStatus())
--- a/tests/faults_test.go
+++ b/tests/faults_test.go
@@ -97,7 +97,7 @@
 		c.Pause(leader)
 		value := fmt.Sprint(2*round + 1)
 		wg := c.writeAndQueueReads(t, leader, "note/stop", value)
-		time.Sleep(50 * time.Millisecond) // so that the reads are in its socket buffers
+		time.Sleep(50 * time.Millisecond) // so that the reads are in the paused leader's socket buffers
 		c.Resume(leader)
 		wg.Wait()
 		c.WaitForValue(leader, "note/stop", value)
--- a/tests/first_start_test.go
+++ b/tests/first_start_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// TestFounderFolderSetAside: a founder's folder is damaged before the cluster exists. It guards against nodes
+// TestFounderFolderSetAside: a founder's folder is damaged before the cluster exists. The test guards against nodes
 // that wait forever to join a cluster, also after the folder was removed.
 func TestFounderFolderSetAside(t *testing.T) {
 	t.Parallel()
@@ -47,7 +47,7 @@
 	c.Put(0, "note/first", "1")
 }
 
-// TestFounderOfOtherCluster: a founder starts with the folder of an earlier cluster. It guards against nodes
+// TestFounderOfOtherCluster: a founder starts with the folder of an earlier cluster. The test guards against nodes
 // that wait forever to join that cluster, also after the folder was removed.
 func TestFounderOfOtherCluster(t *testing.T) {
 	t.Parallel()
--- a/tests/fronts_test.go
+++ b/tests/fronts_test.go
@@ -115,7 +115,7 @@
 	require.NoError(t, err)
 	_, _, _, err = c.readResponse()
 	assert.Error(t, err, "closed")
-	await(t, "a log line", func() bool {
+	await(t, "one log line on the malformed input", func() bool {
 		return strings.Count(w.log(), `"malformed input, connection closed","name":"n3","protocol":"FastCGI"`) == 1
 	})
 	assert.Equal(t, 200, w.responseStatus("nom-submit", "ok"))
@@ -212,7 +212,7 @@
 	c.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
 	_, err = c.readPacket()
 	assert.Error(t, err, "closed")
-	await(t, "a log line", func() bool {
+	await(t, "one log line on the malformed input", func() bool {
 		return strings.Count(w.log(), `"malformed input, connection closed","name":"n3","protocol":"AJP"`) == 1
 	})
 	w.terminate()
--- a/tests/leases_test.go
+++ b/tests/leases_test.go
@@ -152,7 +152,7 @@
 }
 
 // TestLeaseExpires: a lease without keep-alives expires, but not before its TTL, also when the leader is lost.
-// It outlasts a restart of all nodes.
+// A lease outlasts a restart of all nodes.
 func TestLeaseExpires(t *testing.T) {
 	t.Parallel()
 	c := newRunningCluster(t, nil)
--- a/tests/linear_test.go
+++ b/tests/linear_test.go
@@ -283,7 +283,7 @@
 	c.Kill(2)
 	c.Start(2)
 	await(t, "a start on the first settings", func() bool { return strings.Contains(c.nodes[2].log(), `"last_good":false`) })
-	c.Put(0, "config/settings", classes("second")) // node 2 has these in its log but never started on them
+	c.Put(0, "config/settings", classes("second")) // node 2 has these settings in its log but never started on them
 	c.WaitForValue(2, "config/settings", classes("second"))
 	for i := range 3 {
 		c.Kill(i)
--- a/tests/links_test.go
+++ b/tests/links_test.go
@@ -118,7 +118,7 @@
 	await(t, "gauges", func() bool {
 		w.engine.mu.Lock()
 		defer w.engine.mu.Unlock()
-		w.engine.ignoresStat = w.engine.answeredStats >= 3 // its last gauges show idle cores
+		w.engine.ignoresStat = w.engine.answeredStats >= 3 // the engine's last gauges show idle cores
 		return w.engine.ignoresStat
 	})
 	time.Sleep(1500 * time.Millisecond)
--- a/tests/ramp_test.go
+++ b/tests/ramp_test.go
@@ -115,7 +115,7 @@
 	}
 }
 
-// maxExcess returns by how much the mean number of runs in a window exceeds the allowed number at most, and the
+// maxExcess returns the largest excess of the mean number of runs in a window over the allowed number, and the
 // mean since the start.
 func (u *sharedUpstream) maxExcess(window time.Duration, allowed func(age time.Duration) float64) (excess, mean float64) {
 	u.mu.Lock()
--- a/tests/rejections_test.go
+++ b/tests/rejections_test.go
@@ -43,7 +43,7 @@
 
 	require.Equal(t, 503, w.responseStatus("balance-view", "ok"))
 	first := rejectionLine{Msg: "requests rejected by the admission controller", Class: "balance-view", Reason: "memory_full", Count: 1}
-	await(t, "a log line", func() bool { return len(w.rejectionLines()) > 0 })
+	await(t, "a log line on rejected requests", func() bool { return len(w.rejectionLines()) > 0 })
 	require.Equal(t, first, w.rejectionLines()[0])
 
 	const rejectedRequests = 300
--- a/tests/reload_test.go
+++ b/tests/reload_test.go
@@ -49,7 +49,7 @@
 		assert.Contains(t, line, `"changed":["engine","records","lookup"],"at_next_start":[]`, name)
 		await(t, "a link at the new address", func() bool { return w.engine.countReceived("ATTACH") == attached+1 })
 		report()
-		c.send("nom-submit", "call") // its call goes to the new address
+		c.send("nom-submit", "call") // this run's call goes to the new address
 		c.awaitOutcomes(1)
 		w.engine.releaseHeld()
 		c.awaitOutcomes(3)
--- a/tests/replay_test.go
+++ b/tests/replay_test.go
@@ -41,7 +41,7 @@
 
 // TestReplayKey: a request with an idempotency key runs once, and its other attempts get that result: while it
 // is queued or runs, after its response, after its caller disconnected, after it failed, and over a lost link
-// and a reload.
+// and a reload, in either protocol.
 func TestReplayKey(t *testing.T) {
 	t.Parallel()
 	for name, dial := range protocolDialers {
@@ -100,7 +100,7 @@
 	t.Parallel()
 	w := newTestbed(t, withIdempotencyKeys(20*time.Second, 12*time.Second))
 	fields := requestHeaders(newTraceID())
-	fields["Replay-Key"], fields["replay_key"] = "one", "two" // the same header on the wire
+	fields["Replay-Key"], fields["replay_key"] = "one", "two" // both names are the same header on the wire
 	a, err := w.sendFCGI("/call/nom-update", fields, "ok")
 	require.NoError(t, err)
 	assert.Equal(t, 400, a.status)
@@ -181,7 +181,7 @@
 	})
 	c, err := dialFCGI(w.fcgiAddr)
 	require.NoError(t, err)
-	send := func(keys ...int) (out []response) { // at once on one connection
+	send := func(keys ...int) (out []response) { // sends the requests at once on one connection
 		for i, key := range keys {
 			fields := requestHeaders(newTraceID())
 			fields["Replay-Key"] = "key-" + strconv.Itoa(key)
--- a/tests/settings_test.go
+++ b/tests/settings_test.go
@@ -190,7 +190,7 @@
 				return w.engine.heldRuns() == 1
 			})
 			if wantHalts == 0 {
-				lost, _ := dialFCGI(w.fcgiAddr) // its caller disconnects, and the run is not stopped
+				lost, _ := dialFCGI(w.fcgiAddr) // the caller of this run disconnects, and the run is not stopped
 				cancelled := newTraceID()
 				lost.Write(fcgiRequest(1, "/call/nom-submit", requestHeaders(cancelled), []byte("hold")))
 				lost.Close()
--- a/tests/soak_checks_test.go
+++ b/tests/soak_checks_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// checkRuns checks that no at-most-once request ran twice, and returns how many did.
+// checkRuns checks that no at-most-once request ran twice, and returns the number of those that did.
 func (s *soakRun) checkRuns() (repeatedRuns int) {
 	for identity, runs := range s.runner.runs {
 		if len(runs) > 1 && isAtMostOnce(identity) {
--- a/tests/soak_faults_test.go
+++ b/tests/soak_faults_test.go
@@ -12,7 +12,7 @@
 	"oxbowbridge/internal/testrig"
 )
 
-// maxCutBytes is the most bytes that pass before a link is cut. It is more than the longest command.
+// maxCutBytes is the maximum number of bytes that pass before a link is cut. It is more than the longest command.
 const maxCutBytes = 400
 
 // injectFaults injects one fault after the other for soakDuration, then removes all faults.
--- a/tests/store_test.go
+++ b/tests/store_test.go
@@ -74,7 +74,7 @@
 	assert.Equal(t, 204, code)
 	c.Start(stoppedNode)
 	c.WaitForValue(stoppedNode, "note/while", `"away"`) // written while the node was stopped
-	await(t, "a deletion", func() bool { code, _ := c.Request(stoppedNode, "GET", "/store/note/0", ""); return code == 404 })
+	await(t, "the deletion at the restarted node", func() bool { code, _ := c.Request(stoppedNode, "GET", "/store/note/0", ""); return code == 404 })
 	set := settings()
 	set["classes"] = []object{{"name": "only-class", "effect": "idempotent", "value": 1, "aim_ns": 1e9, "deadline_ns": 2e9}}
 	settingsText, err := json.Marshal(set)
@@ -136,7 +136,7 @@
 	c := newRunningCluster(t, object{"driver": "postgres", "dsn": "postgres://operator@" + addr + "/records?sslmode=disable"})
 	c.Put(0, "note/early", `{"n":1}`)
 	var mirrorNode *service // the node with the mirror lease
-	await(t, "a log line", func() bool {
+	await(t, "a node to log that the SQL mirror is unavailable", func() bool {
 		for _, n := range c.nodes {
 			if strings.Contains(n.log(), "sql mirror unavailable") {
 				mirrorNode = n
@@ -147,7 +147,7 @@
 	pg := newPostgresStandin(t, addr)
 	c.Put(1, "note/later", `2`)
 	await(t, "both rows in PostgreSQL", func() bool { return pg.value("note/early") == `{"n":1}` && pg.value("note/later") == "2" })
-	await(t, "a log line", func() bool { return strings.Contains(mirrorNode.log(), "sql mirror available again") })
+	await(t, "the node to log that the SQL mirror is available", func() bool { return strings.Contains(mirrorNode.log(), "sql mirror available again") })
 	for i := range 3 {
 		c.Kill(i)
 		c.Dirs[i] = t.TempDir()
--- a/tests/upstream_pause_test.go
+++ b/tests/upstream_pause_test.go
@@ -25,7 +25,7 @@
 	got := w.sendAsync("balance-view", long, "hold")
 	await(t, "the run to start", func() bool { return up.runCount(long) == 1 })
 	for end := time.Now().Add(2 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		w.sendAsync("nom-update", newTraceID(), "ok") // an engine's run would be paused for these
+		w.sendAsync("nom-update", newTraceID(), "ok") // an engine would pause the long run for these requests
 	}
 	close(up.release)
 	assert.Equal(t, "result of "+long, (<-got).body)
--- a/tests/versions_test.go
+++ b/tests/versions_test.go
@@ -203,7 +203,7 @@
 			_, l := m.acquireLease((node+1)%3, name, `{"holder":"h2","ttl_ms":60000,"wait_ms":20000}`)
 			next <- l
 		}()
-		await(t, "a waiter", func() bool {
+		await(t, "a waiter for the lease", func() bool {
 			_, text := m.Request((node+2)%3, "GET", "/lease/"+name, "")
 			return strings.Contains(text, `"holder":"h2"`)
 		})
