--- a/tests/backup_test.go
+++ b/tests/backup_test.go
@@ -80,16 +80,16 @@
 	text, err = os.ReadFile(path)
 	require.NoError(t, err)
 	n := newRunningCluster(t, nil)
-	fresh := "--nodes=" + n.Peers[(n.WaitForLeader()+1)%3].Admin // restores through a follower
+	followerFlag := "--nodes=" + n.Peers[(n.WaitForLeader()+1)%3].Admin // restores through a follower
 	bad := filepath.Join(t.TempDir(), "bad")
 	require.NoError(t, os.WriteFile(bad, bytes.Replace(text, []byte(`"n":39`), []byte(`"n":38`), 1), 0o600))
-	out, code = runCLICombined(t, "store", "restore", bad, fresh)
+	out, code = runCLICombined(t, "store", "restore", bad, followerFlag)
 	require.Equal(t, 1, code, out)
 	require.Contains(t, out, "damaged")
 	status, _ := n.Request(0, "POST", "/restore", string(text[:len(text)-3]))
 	require.Equal(t, 400, status)
 	for range 2 { // the second time, as a retry after a lost response
-		out, code = runCLICombined(t, "store", "restore", path, fresh)
+		out, code = runCLICombined(t, "store", "restore", path, followerFlag)
 		require.Equal(t, 0, code, out)
 	}
 	for i := range 3 {
@@ -98,7 +98,7 @@
 		require.Equal(t, 404, status)
 	}
 	other := filepath.Join(t.TempDir(), "other")
-	_, code = runCLICombined(t, "store", "backup", other, fresh)
+	_, code = runCLICombined(t, "store", "backup", other, followerFlag)
 	require.Equal(t, 0, code)
 	_, code = runCLICombined(t, "store", "put", "note/later", "1", nodes)
 	require.Equal(t, 0, code)
@@ -108,7 +108,7 @@
 	require.NoError(t, os.Remove(path))
 	_, code = runCLICombined(t, "store", "backup", path, nodes)
 	require.Equal(t, 0, code)
-	out, code = runCLICombined(t, "store", "restore", path, fresh)
+	out, code = runCLICombined(t, "store", "restore", path, followerFlag)
 	require.Equal(t, 1, code, out)
 	require.Contains(t, out, "empty")
 	require.Equal(t, 204, func() int { code, _ := n.Request(1, "PUT", "/store/note/on", "1"); return code }(), "the cluster accepts writes after a refused restore")
--- a/tests/disk_play_report_test.go
+++ b/tests/disk_play_report_test.go
@@ -24,8 +24,8 @@
 func (p *diskScenario) reportFailure() {
 	nodes := len(p.nodeIndexes)
 	p.t.Logf("repeat with: -run '^TestDiskPlays$/^%d-nodes-seed-%d$' -seed %d -disk-plays 1", nodes, p.seed, p.seed)
-	for n, played := range p.incidents[:min(p.next+1, len(p.incidents))] {
-		p.t.Logf("incident %d of %d nodes, seed %d: %s", n+1, nodes, p.seed, played)
+	for n, incident := range p.incidents[:min(p.next+1, len(p.incidents))] {
+		p.t.Logf("incident %d of %d nodes, seed %d: %s", n+1, nodes, p.seed, incident)
 	}
 	var statuses []storeapi.Status
 	for _, node := range p.nodeIndexes {
--- a/tests/links_test.go
+++ b/tests/links_test.go
@@ -39,9 +39,9 @@
 	e.mu.Lock()
 	e.ignoresCommands = true // commands sent from here on are lost
 	e.mu.Unlock()
-	unsafe, safe := newTraceID(), newTraceID() // both requests are of idempotent classes
-	lost, again := w.sendAsync("cycle-check", unsafe, "ok"), w.sendAsync("balance-view", safe, "ok")
-	_ = lost
+	cycleTrace, viewTrace := newTraceID(), newTraceID() // both requests are of idempotent classes
+	cycleResult, viewResult := w.sendAsync("cycle-check", cycleTrace, "ok"), w.sendAsync("balance-view", viewTrace, "ok")
+	_ = cycleResult
 	submit := newTraceID()
 	submitResult := w.sendAsync("nom-submit", submit, "ok")
 	await(t, "three commands", func() bool { return e.countReceived("RUN") == 4 })
@@ -54,8 +54,8 @@
 	e.conn.Close()
 	e.mu.Unlock()
 	assert.Equal(t, "late", (<-got).body, "result from the missed notice")
-	assert.Equal(t, "result of "+safe, (<-again).body)
-	assert.Equal(t, 200, (<-lost).status)
+	assert.Equal(t, "result of "+viewTrace, (<-viewResult).body)
+	assert.Equal(t, 200, (<-cycleResult).status)
 	await(t, "ATTACH", func() bool { return e.countReceived("ATTACH") == 2 })
 	e.mu.Lock()
 	last := e.notices[len(e.notices)-1]
@@ -64,7 +64,7 @@
 	assert.Equal(t, 500, (<-submitResult).status, "RUN may have been read: not rejected")
 	assert.Equal(t, 1, e.countReceived("RUN "+submit), "not repeated, because it may have run")
 	assert.Zero(t, e.runCounts[submit])
-	assert.Equal(t, 2, e.countReceived("RUN "+safe))
+	assert.Equal(t, 2, e.countReceived("RUN "+viewTrace))
 	assert.Equal(t, 1, e.countReceived("RUN "+running))
 	assert.Equal(t, 200, w.responseStatus("nom-submit", "ok"))
 }
@@ -75,8 +75,8 @@
 	t.Parallel()
 	w := newTestbed(t, nil)
 	e := w.engine
-	unsafe, safe := newTraceID(), newTraceID()
-	failedRun, again := w.sendAsync("nom-submit", unsafe, "hold"), w.sendAsync("balance-view", safe, "hold")
+	submitTrace, viewTrace := newTraceID(), newTraceID()
+	submitResult, viewResult := w.sendAsync("nom-submit", submitTrace, "hold"), w.sendAsync("balance-view", viewTrace, "hold")
 	await(t, "two runs to start", func() bool { return e.heldRuns() == 2 })
 	e.mu.Lock()
 	e.heldTraces = nil
@@ -84,11 +84,11 @@
 	e.notices = append(e.notices, "", "", fmt.Sprintf("NOTE %d the first that is kept\r\n", len(e.notices)+3))
 	e.conn.Close()
 	e.mu.Unlock()
-	assert.Equal(t, 500, (<-failedRun).status)
-	await(t, "the idempotent run to be repeated", func() bool { return e.countReceived("RUN "+safe) == 2 })
+	assert.Equal(t, 500, (<-submitResult).status)
+	await(t, "the idempotent run to be repeated", func() bool { return e.countReceived("RUN "+viewTrace) == 2 })
 	e.releaseHeld()
-	assert.Equal(t, "result of "+safe, (<-again).body)
-	assert.Equal(t, 1, e.countReceived("RUN "+unsafe))
+	assert.Equal(t, "result of "+viewTrace, (<-viewResult).body)
+	assert.Equal(t, 1, e.countReceived("RUN "+submitTrace))
 }
 
 // TestRunEndsAfterSync: the engine has read RUN, the link is lost, and the run completes after the answer to
@@ -181,13 +181,13 @@
 	a, err = c.do("/call/nom-submit", requestHeaders(trace), []byte("ok")) // reuses a trace id with another class
 	require.NoError(t, err)
 	assert.Equal(t, 200, a.status)
-	same := newTraceID()
+	reusedTrace := newTraceID()
 	for i, want := range []int{200, 500} {
-		a, err = c.do("/call/nom-submit", requestHeaders(same), []byte("ok"))
+		a, err = c.do("/call/nom-submit", requestHeaders(reusedTrace), []byte("ok"))
 		require.NoError(t, err)
 		assert.Equal(t, want, a.status, "attempt %d with the same trace id", i)
 	}
-	assert.Equal(t, 1, w.engine.countReceived("RUN "+same))
+	assert.Equal(t, 1, w.engine.countReceived("RUN "+reusedTrace))
 }
 
 // TestRecords covers all outcomes of calls, and calls that are abandoned.
@@ -351,11 +351,11 @@
 		}
 		assert.Equal(t, map[string]int{"served": 4, "failed": 8}, c.outcomes(), name)
 	}
-	trace := newTraceID()
-	assert.Equal(t, 500, (<-w.sendAsync("nom-submit", trace, "drop")).status)
-	safe := newTraceID()
-	assert.Equal(t, 500, (<-w.sendAsync("balance-view", safe, "drop")).status)
+	submitTrace := newTraceID()
+	assert.Equal(t, 500, (<-w.sendAsync("nom-submit", submitTrace, "drop")).status)
+	viewTrace := newTraceID()
+	assert.Equal(t, 500, (<-w.sendAsync("balance-view", viewTrace, "drop")).status)
 	s.terminate()
-	assert.Equal(t, 1, up.runCounts[trace])
-	assert.Equal(t, 2, up.runCounts[safe], "an idempotent run is repeated")
+	assert.Equal(t, 1, up.runCounts[submitTrace])
+	assert.Equal(t, 2, up.runCounts[viewTrace], "an idempotent run is repeated")
 }
--- a/tests/process_test.go
+++ b/tests/process_test.go
@@ -214,8 +214,8 @@
 		s.cmd.Stderr = s.logFile
 	}
 	require.NoError(s.t, s.cmd.Start())
-	running, exit, gone := s.cmd, s.exit, s.exited
-	go func() { exit <- running.Wait(); close(gone) }()
+	running, exit, exited := s.cmd, s.exit, s.exited
+	go func() { exit <- running.Wait(); close(exited) }()
 }
 
 // Signal sends a signal to the process.
--- a/tests/store_soak_test.go
+++ b/tests/store_soak_test.go
@@ -157,10 +157,10 @@
 	for _, machine := range s.machineNames[storeSoakNodes:] {
 		s.awaitPhases(s.t, []string{machine}, maintenance.PhaseCompleted, maintenance.PhaseFailed)
 	}
-	trips := s.checkMaintenanceOverlap()
+	maintenanceRuns := s.checkMaintenanceOverlap()
 	tokens, acts, rejected := s.contest.resource.Counts()
 	s.t.Logf("seed %d: %d writes, %d reads, %d of unknown outcome; %d tokens, %d acts, %d rejected by the fence; %d orders, %d machines out and back",
-		s.seed, s.history.Writes, s.history.Reads, s.history.UnknownWrites, tokens, acts, rejected, s.submittedOrders, trips)
+		s.seed, s.history.Writes, s.history.Reads, s.history.UnknownWrites, tokens, acts, rejected, s.submittedOrders, maintenanceRuns)
 }
 
 // checkMaintenanceOverlap checks that no two machines were in maintenance at once, and returns the number of
--- a/tests/store_test.go
+++ b/tests/store_test.go
@@ -103,9 +103,9 @@
 	require.NoError(t, err)
 	defer db.Close()
 	await(t, "the key in the SQL mirror", func() bool {
-		var n, gone int
-		err := db.QueryRow(`SELECT count(value), count(*) - count(value) FROM oxbowbridge_store WHERE name LIKE 'note/%'`).Scan(&n, &gone)
-		return err == nil && n == 3 && gone == 1
+		var written, deleted int
+		err := db.QueryRow(`SELECT count(value), count(*) - count(value) FROM oxbowbridge_store WHERE name LIKE 'note/%'`).Scan(&written, &deleted)
+		return err == nil && written == 3 && deleted == 1
 	})
 	for i := range 3 {
 		c.nodes[i].terminate()
