--- a/internal/cluster/storeadmin/backup.go
+++ b/internal/cluster/storeadmin/backup.go
@@ -16,8 +16,8 @@
 	"oxbowbridge/internal/cluster/storeapi"
 )
 
-// takeBackup serves GET /backup: all keys but the reserved ones, as they were at one revision.
-func (s *server) takeBackup(w http.ResponseWriter, r *http.Request) error {
+// getBackup serves GET /backup: a backup of all keys except the reserved ones, at one revision.
+func (s *server) getBackup(w http.ResponseWriter, r *http.Request) error {
 	if err := s.waitFresh(w, r); err != nil {
 		return err
 	}
@@ -32,15 +32,16 @@
 		TimeMS:   time.Now().UnixMilli(),
 		Token:    s.store.LastToken(),
 	}
-	var text bytes.Buffer
-	if _, err := backup.Write(&text, header, backupEntries(entries)); err != nil {
+	var buffer bytes.Buffer
+	if _, err := backup.Write(&buffer, header, backupEntries(entries)); err != nil {
 		return withStatus(http.StatusInternalServerError, err)
 	}
 	w.Header().Set("Content-Type", "application/octet-stream")
-	w.Write(text.Bytes())
+	w.Write(buffer.Bytes())
 	return nil
 }
 
+// backupEntries returns the entries to back up, sorted by key.
 func backupEntries(entries map[string]kv.Entry) (list []backup.Entry) {
 	for key, e := range entries {
 		if !strings.HasPrefix(key, kv.ReservedPrefix) {
@@ -51,17 +52,17 @@
 	return list
 }
 
-// restore serves POST /restore: it restores a backup into an empty store of another cluster. One that
-// was interrupted continues when it is requested again; until it is complete, nothing but local reads
-// is possible (see waitFresh). DELETE /restore empties a store in which one was interrupted.
+// restore serves POST /restore, which restores a backup into an empty store of another cluster. An
+// interrupted restore continues when the request is sent again. Until the restore is complete, the store
+// serves local reads only (see waitFresh). DELETE /restore empties a store whose restore was interrupted.
 func (s *server) restore(w http.ResponseWriter, r *http.Request) error {
 	http.NewResponseController(w).SetReadDeadline(time.Now().Add(storeapi.RestoreTimeout))
-	const maxBytes = backup.MaxBytes + 1<<10 // with the header
-	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBytes))
+	const maxBytes = backup.MaxBytes + 1<<10 // includes the header
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBytes))
 	if err != nil {
 		return withStatus(http.StatusBadRequest, err)
 	}
-	if done, err := s.forwardOnce(w, r, text); done || err != nil { // the caller repeats it
+	if done, err := s.forwardOnce(w, r, body); done || err != nil { // the client retries
 		return err
 	}
 	if !s.restoreLock.TryLock() {
@@ -69,13 +70,14 @@
 	}
 	defer s.restoreLock.Unlock()
 	if r.Method == http.MethodDelete {
-		return noContent(w, s.store.UndoRestore(r.Context()))
+		return writeNoContent(w, s.store.UndoRestore(r.Context()))
 	}
-	return s.restoreBackup(w, r, text)
+	return s.restoreBackup(w, r, body)
 }
 
-func (s *server) restoreBackup(w http.ResponseWriter, r *http.Request, text []byte) error {
-	header, entries, err := backup.Read(bytes.NewReader(text))
+// restoreBackup decodes a backup and restores it into this node's store.
+func (s *server) restoreBackup(w http.ResponseWriter, r *http.Request, body []byte) error {
+	header, entries, err := backup.Read(bytes.NewReader(body))
 	if err != nil {
 		return withStatus(http.StatusBadRequest, err)
 	}
--- a/internal/cluster/storeadmin/conditions.go
+++ b/internal/cluster/storeadmin/conditions.go
@@ -11,14 +11,14 @@
 	"oxbowbridge/internal/cluster/storeapi"
 )
 
-// conditionHeaders are the fields that make a PUT or DELETE a transaction.
+// conditionHeaders are the header fields that turn a PUT or DELETE into a transaction.
 var conditionHeaders = []string{"If-Match", "If-None-Match", storeapi.HeaderSession, storeapi.HeaderRequestNumber, storeapi.HeaderLease}
 
 func isConditional(r *http.Request) bool {
 	return slices.ContainsFunc(conditionHeaders, func(name string) bool { return r.Header.Get(name) != "" })
 }
 
-// parseConditions reads the conditions, the session and the leases of a PUT or DELETE.
+// parseConditions parses the conditions, the session and the fencing tokens of a PUT or DELETE.
 func parseConditions(r *http.Request) (request kv.Request, err error) {
 	if request.If, err = parseCompares(r); err != nil {
 		return request, err
@@ -33,7 +33,7 @@
 	return request, err
 }
 
-// parseCompares reads If-Match: "REVISION" and If-None-Match: *.
+// parseCompares parses If-Match: "REVISION" and If-None-Match: *.
 func parseCompares(r *http.Request) (compares []kv.Compare, err error) {
 	key := r.PathValue("key")
 	if tag := r.Header.Get("If-Match"); tag != "" {
@@ -52,7 +52,7 @@
 	return compares, nil
 }
 
-// parseNumber reads a field that is a number; 0 if it is missing.
+// parseNumber parses a header field that holds a number. It returns 0 if the field is missing.
 func parseNumber(r *http.Request, name string) (uint64, error) {
 	text := r.Header.Get(name)
 	if text == "" {
@@ -65,7 +65,7 @@
 	return number, nil
 }
 
-// parseFences reads the leases that a write depends on.
+// parseFences parses the fencing tokens of the leases that a write requires.
 func parseFences(r *http.Request) (fences []lease.FencingToken, err error) {
 	for _, text := range r.Header.Values(storeapi.HeaderLease) {
 		fence, err := storeapi.ParseFencingToken(text)
--- a/internal/cluster/storeadmin/errors.go
+++ b/internal/cluster/storeadmin/errors.go
@@ -11,14 +11,14 @@
 	"oxbowbridge/internal/maintenance/controller"
 )
 
-// errTooManyRequests means that maxForwards or maxLeaseRequests is reached.
+// errTooManyRequests means that maxForwards or maxLeaseWaits has been reached.
 var errTooManyRequests = errors.New("too many requests wait here")
 
-// retryAfterSeconds is the Retry-After of each answer of 503.
+// retryAfterSeconds is the Retry-After of each 503 response.
 const retryAfterSeconds = "1"
 
-// statusCodes maps errors to status codes; the first match counts. Any other error is 503: a
-// retry may help.
+// statusCodes maps errors to status codes; the first match applies. Any other error maps to 503, since a
+// retry may succeed.
 var statusCodes = []struct {
 	err  error
 	code int
@@ -38,7 +38,7 @@
 	{kv.ErrFull, http.StatusInsufficientStorage},
 }
 
-// httpError is an error with a status code of its own, whatever it wraps.
+// httpError is an error with an explicit status code, which takes precedence over statusCodes.
 type httpError struct {
 	code int
 	err  error
@@ -47,26 +47,26 @@
 func (e *httpError) Error() string { return e.err.Error() }
 func (e *httpError) Unwrap() error { return e.err }
 
-// withStatus returns an error with a status code of its own.
+// withStatus returns an error with an explicit status code.
 func withStatus(code int, err error) error { return &httpError{code, err} }
 
-// unavailable returns an error that is answered with 503.
+// unavailable returns an error with status code 503.
 func unavailable(err error) error { return withStatus(http.StatusServiceUnavailable, err) }
 
 func statusCodeOf(err error) int {
-	var withCode *httpError
-	if errors.As(err, &withCode) {
-		return withCode.code
+	var explicit *httpError
+	if errors.As(err, &explicit) {
+		return explicit.code
 	}
-	for _, known := range statusCodes {
-		if errors.Is(err, known.err) {
-			return known.code
+	for _, mapping := range statusCodes {
+		if errors.Is(err, mapping.err) {
+			return mapping.code
 		}
 	}
 	return http.StatusServiceUnavailable
 }
 
-// writeError answers with an error's status code and text.
+// writeError responds with an error's status code and text.
 func writeError(w http.ResponseWriter, err error) {
 	code := statusCodeOf(err)
 	if code == http.StatusServiceUnavailable {
--- a/internal/cluster/storeadmin/eventstream.go
+++ b/internal/cluster/storeadmin/eventstream.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	// watcherWriteTimeout is for one write; a watcher that does not read is cut off by it, and
-	// holds no more than one page until then.
+	// watcherWriteTimeout limits one write. A watcher that does not read is disconnected after it, and uses the
+	// memory of at most one page until then.
 	watcherWriteTimeout = 5 * time.Second
-	// maxIdleBufferPages is how many pages of buffer a stream keeps between two writes.
+	// maxIdleBufferPages is the largest buffer, in pages, that a stream keeps between two writes.
 	maxIdleBufferPages = 4
 )
 
-// eventStream is the answer to one watcher: server-sent events.
+// eventStream is the response to one watcher: a stream of server-sent events.
 type eventStream struct {
 	writer  http.ResponseWriter
 	control *http.ResponseController
@@ -31,6 +31,7 @@
 	return &eventStream{writer: w, control: http.NewResponseController(w)}
 }
 
+// writeEvent adds an event to the buffer. flush sends the buffer.
 func (s *eventStream) writeEvent(eventType storeapi.EventType, id uint64, data any) {
 	text, _ := json.Marshal(data) // values in the store are JSON
 	fmt.Fprintf(&s.buffer, "id: %d\nevent: %s\ndata: %s\n\n", id, eventType, text)
@@ -41,17 +42,17 @@
 	Revision uint64 `json:"revision"`
 }
 
-// writeProgress announces the position to continue from, so that the watcher can do so at another
-// node.
+// writeProgress writes an event with the revision before next, so that the watcher can continue at next on
+// another node.
 func (s *eventStream) writeProgress(next uint64) {
 	s.writeEvent(storeapi.EventProgress, next-1, progressData{Revision: next - 1})
 }
 
-// writeKeepAlive writes a comment, which clients ignore.
+// writeKeepAlive writes a server-sent comment, which clients ignore.
 func (s *eventStream) writeKeepAlive() { s.buffer.WriteString(":\n\n") }
 
-// writeCompacted says that the position is not available any more: as the answer, or as the last
-// event of a stream.
+// writeCompacted reports that the watcher's position has been compacted: as the response, or as the last event
+// of a stream that has started.
 func (s *eventStream) writeCompacted(oldestRevision uint64) {
 	body := storeapi.CompactedResponse{Error: storeapi.CompactedCode, OldestRevision: oldestRevision}
 	if s.started {
@@ -65,7 +66,7 @@
 	json.NewEncoder(s.writer).Encode(body)
 }
 
-// flush sends what has been written, and reports whether the watcher is still there.
+// flush sends the buffer, and reports whether the watcher is still connected.
 func (s *eventStream) flush() bool {
 	if s.started && s.buffer.Len() == 0 {
 		return true
--- a/internal/cluster/storeadmin/forward.go
+++ b/internal/cluster/storeadmin/forward.go
@@ -16,40 +16,40 @@
 )
 
 const (
-	forwardTimeout      = storeapi.CommitTimeout + time.Second // for all attempts of one request
-	leaderPollInterval  = 20 * time.Millisecond                // how soon another leader is noticed
-	leaderlessTimeout   = 1500 * time.Millisecond              // for which a request waits while no leader can be asked
-	maxForwardedBytes   = kv.MaxOps * 2 * kv.MaxValueBytes     // of an answer that is relayed
-	maxForwardedError   = 1 << 10                              // bytes of an answer of 503 that are read
-	headerForwarded     = "Forwarded"                          // by the node that forwards a request
-	pathRestore         = "/restore"
-	leasePathsWithNames = "/lease/"
+	forwardTimeout     = storeapi.CommitTimeout + time.Second // total for all attempts of one request
+	leaderPollInterval = 20 * time.Millisecond                // interval of the checks for a new leader
+	leaderlessTimeout  = 1500 * time.Millisecond              // maximum wait of a request while no leader can be reached
+	maxRelayedBytes    = kv.MaxOps * 2 * kv.MaxValueBytes     // maximum size of a relayed response
+	maxErrorBodyBytes  = 1 << 10                              // bytes that are read of a 503 response
+	headerForwarded    = "Forwarded"                          // set by a node that forwards a request
+	restorePath        = "/restore"
+	leasePathPrefix    = "/lease/"
 )
 
-// errLeaderChanged cancels a forwarded request when another node leads.
+// errLeaderChanged is the cause of the cancellation of a forwarded request when another node becomes leader.
 var errLeaderChanged = errors.New("another node leads now; whether this was carried out is not known")
 
-// errBecameLeader means that this node leads by now: it carries the request out itself.
+// errBecameLeader means that this node has become the leader, so it must execute the request itself.
 var errBecameLeader = errors.New("this node leads now")
 
-// forwardOptions is how a request is forwarded.
+// forwardOptions configures how a request is forwarded.
 type forwardOptions struct {
-	idempotent bool          // it may be sent again when its outcome is not known
-	timeout    time.Duration // for all attempts
-	slots      slots         // one is taken while the request is forwarded
+	idempotent bool          // the request may be sent again when its outcome is unknown
+	timeout    time.Duration // total for all attempts
+	slots      slots         // one is occupied while the request is forwarded
 }
 
-// forwardIdempotent has the leader answer a request that may be sent more than once; see forward.
+// forwardIdempotent forwards a request that may be sent more than once to the leader; see forward.
 func (s *server) forwardIdempotent(w http.ResponseWriter, r *http.Request, body []byte) (done bool, err error) {
-	return s.forward(w, r, body, forwardOptions{idempotent: true, timeout: forwardTimeout, slots: s.forwards})
+	return s.forward(w, r, body, forwardOptions{idempotent: true, timeout: forwardTimeout, slots: s.forwardSlots})
 }
 
-// forwardOnce has the leader answer a request that must not reach a leader twice; see forward.
+// forwardOnce forwards a request that must not reach a leader twice; see forward.
 func (s *server) forwardOnce(w http.ResponseWriter, r *http.Request, body []byte) (done bool, err error) {
-	return s.forward(w, r, body, forwardOptions{idempotent: false, timeout: forwardTimeout, slots: s.forwards})
+	return s.forward(w, r, body, forwardOptions{idempotent: false, timeout: forwardTimeout, slots: s.forwardSlots})
 }
 
-// forwardWrite has the leader answer a write, which is idempotent in a session (0 is none); see forward.
+// forwardWrite forwards a write, which is idempotent within a session; session 0 means none. See forward.
 func (s *server) forwardWrite(w http.ResponseWriter, r *http.Request, body []byte, session uint64) (done bool, err error) {
 	if session == 0 {
 		return s.forwardOnce(w, r, body)
@@ -57,20 +57,20 @@
 	return s.forwardIdempotent(w, r, body)
 }
 
-// forwardAcquire has the leader answer a request that waits for a lease for maxWait at most; see forward.
-// One that waits takes no slot of the other requests.
+// forwardAcquire forwards a request that waits for a lease for at most maxWait; see forward. A request that may wait
+// occupies a slot of its own kind, so that waiting requests don't use up the slots of the others.
 func (s *server) forwardAcquire(w http.ResponseWriter, r *http.Request, body []byte, maxWait time.Duration) (done bool, err error) {
-	options := forwardOptions{idempotent: true, timeout: forwardTimeout + maxWait, slots: s.forwards}
+	options := forwardOptions{idempotent: true, timeout: forwardTimeout + maxWait, slots: s.forwardSlots}
 	if maxWait > 0 {
-		options.slots = s.leaseWaits
+		options.slots = s.leaseWaitSlots
 	}
 	return s.forward(w, r, body, options)
 }
 
-// forward has the leader answer a request, if that is another node; done reports whether it did. The
-// answer is not waited for once another node leads. An idempotent request is then sent to the next
-// leader until the timeout; of any other it is unknown whether it was carried out. If done is false
-// and there is no error, this node leads.
+// forward forwards a request to the leader and relays the response, unless this node is the leader. done reports
+// whether a response was relayed; if it is false without an error, this node is the leader and must execute the
+// request. When the leader changes, forward stops waiting for the old leader. It then sends an idempotent request to
+// the new leader, until the timeout; for any other request it returns an error, since its outcome is unknown.
 func (s *server) forward(w http.ResponseWriter, r *http.Request, body []byte, options forwardOptions) (done bool, err error) {
 	if s.store.IsLeader() {
 		return false, nil
@@ -84,24 +84,24 @@
 	defer options.slots.release()
 	ctx, cancel := context.WithTimeout(r.Context(), options.timeout)
 	defer cancel()
-	answer, err := s.requestFromLeaders(ctx, r, body, options.idempotent)
+	response, err := s.sendToLeaderWithRetries(ctx, r, body, options.idempotent)
 	switch {
 	case errors.Is(err, errBecameLeader):
 		return false, nil
 	case err != nil:
 		return false, unavailable(fmt.Errorf("ask leader: %w", err))
 	}
-	relay(w, answer)
+	relayResponse(w, response)
 	return true, nil
 }
 
-// requestFromLeaders sends a request to the leader, and an idempotent one again until a leader answers it with
-// something else than 503. It gives up when ctx ends, or when no leader could be asked for
-// leaderlessTimeout. The error is errBecameLeader if this node leads by now.
-func (s *server) requestFromLeaders(ctx context.Context, r *http.Request, body []byte, idempotent bool) (*http.Response, error) {
-	var leaderlessSince time.Time // since when no leader could be asked; zero if the last one was
+// sendToLeaderWithRetries sends a request to the leader. It retries an idempotent request until a leader responds with
+// a status other than 503, and any request while it can't have reached a leader. It gives up when ctx ends, or when no
+// leader could be reached for leaderlessTimeout. The error is errBecameLeader if this node has become the leader.
+func (s *server) sendToLeaderWithRetries(ctx context.Context, r *http.Request, body []byte, idempotent bool) (*http.Response, error) {
+	var leaderlessSince time.Time // start of the time without a reachable leader; zero if there was one
 	for {
-		res, sent, err := s.requestFromLeader(ctx, r, body)
+		res, sent, err := s.sendToLeader(ctx, r, body)
 		if err == nil {
 			retry := res.StatusCode == http.StatusServiceUnavailable && idempotent && ctx.Err() == nil
 			if !retry {
@@ -109,16 +109,16 @@
 			}
 			err = readError(res)
 		}
-		leaderless := false
+		gaveUp := false
 		switch {
 		case sent:
 			leaderlessSince = time.Time{}
 		case leaderlessSince.IsZero():
 			leaderlessSince = time.Now()
 		default:
-			leaderless = time.Since(leaderlessSince) > leaderlessTimeout
+			gaveUp = time.Since(leaderlessSince) > leaderlessTimeout
 		}
-		if sent && !idempotent || leaderless || ctx.Err() != nil {
+		if sent && !idempotent || gaveUp || ctx.Err() != nil {
 			return nil, err
 		}
 		select {
@@ -132,8 +132,8 @@
 	}
 }
 
-// checkForwardable rejects a request that another node has forwarded, or two nodes that take each
-// other for the leader would forward it for ever; and any request while this node takes no part.
+// checkForwardable rejects a request that another node has already forwarded: two nodes that each consider the other
+// the leader would forward it in a loop. It also rejects all requests while this node is not serving.
 func (s *server) checkForwardable(r *http.Request) error {
 	if r.Header.Get(headerForwarded) != "" {
 		return unavailable(store.ErrNoLeader)
@@ -144,17 +144,17 @@
 	return nil
 }
 
-// requestFromLeader sends a request to the present leader and waits for the answer until another node
-// leads. sent is false if nothing can have reached a leader.
-func (s *server) requestFromLeader(ctx context.Context, r *http.Request, body []byte) (res *http.Response, sent bool, err error) {
+// sendToLeader sends a request to the current leader and waits for the response until another node becomes leader.
+// sent is false if the request can't have reached a leader.
+func (s *server) sendToLeader(ctx context.Context, r *http.Request, body []byte) (res *http.Response, sent bool, err error) {
 	leader, leaderID, ok := s.store.Leader()
 	if !ok || leader.Name == s.store.Name() {
 		return nil, false, store.ErrNoLeader
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
-	answered := make(chan struct{})
-	defer close(answered)
-	go s.cancelOnNewLeader(ctx, cancel, leaderID, answered)
+	done := make(chan struct{})
+	defer close(done)
+	go s.cancelOnNewLeader(ctx, cancel, leaderID, done)
 	req, err := s.forwardedRequest(ctx, r, leader.Admin, body)
 	if err != nil {
 		return nil, false, err
@@ -169,27 +169,28 @@
 	return res, true, nil
 }
 
-// forwardingClient returns the client for a forwarded request: restores, and requests for a lease that may
-// wait, take longer than others.
+// forwardingClient returns the HTTP client for a forwarded request. Restores and lease requests, which may wait, get
+// the longer timeout.
 func (s *server) forwardingClient(r *http.Request) *http.Client {
-	if r.URL.Path == pathRestore || strings.HasPrefix(r.URL.Path, leasePathsWithNames) {
-		return s.slowClient
+	if r.URL.Path == restorePath || strings.HasPrefix(r.URL.Path, leasePathPrefix) {
+		return s.longTimeoutClient
 	}
 	return s.client
 }
 
-// cancelOnNewLeader cancels a request to a leader when another node leads.
-func (s *server) cancelOnNewLeader(ctx context.Context, cancel context.CancelCauseFunc, leaderID string, answered <-chan struct{}) {
+// cancelOnNewLeader cancels a request to the leader leaderID when another node becomes leader. It returns when done is
+// closed or ctx ends.
+func (s *server) cancelOnNewLeader(ctx context.Context, cancel context.CancelCauseFunc, leaderID string, done <-chan struct{}) {
 	tick := time.NewTicker(leaderPollInterval)
 	defer tick.Stop()
 	for {
 		select {
-		case <-answered:
+		case <-done:
 			return
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			if _, present, ok := s.store.Leader(); ok && present != leaderID {
+			if _, currentID, ok := s.store.Leader(); ok && currentID != leaderID {
 				cancel(errLeaderChanged)
 				return
 			}
@@ -197,7 +198,7 @@
 	}
 }
 
-// forwardedRequest returns a copy of a request, for the leader's admin address.
+// forwardedRequest returns the copy of a request that is sent to the leader's admin address.
 func (s *server) forwardedRequest(ctx context.Context, r *http.Request, address string, body []byte) (*http.Request, error) {
 	req, err := http.NewRequestWithContext(ctx, r.Method, "http://"+address+r.URL.RequestURI(), bytes.NewReader(body))
 	if err != nil {
@@ -214,18 +215,18 @@
 	return req, nil
 }
 
-// relay answers with the leader's answer.
-func relay(w http.ResponseWriter, res *http.Response) {
+// relayResponse responds with the leader's response.
+func relayResponse(w http.ResponseWriter, res *http.Response) {
 	defer res.Body.Close()
 	copyHeaders(w.Header(), res.Header, "ETag", "Retry-After", "Content-Type")
 	w.WriteHeader(res.StatusCode)
-	io.Copy(w, io.LimitReader(res.Body, maxForwardedBytes))
+	io.Copy(w, io.LimitReader(res.Body, maxRelayedBytes))
 }
 
-// readError returns the leader's answer as an error.
+// readError returns the leader's error response as an error.
 func readError(res *http.Response) error {
 	defer res.Body.Close()
-	body, _ := io.ReadAll(io.LimitReader(res.Body, maxForwardedError))
+	body, _ := io.ReadAll(io.LimitReader(res.Body, maxErrorBodyBytes))
 	return storeapi.NewStatusError(res.StatusCode, body)
 }
 
--- a/internal/cluster/storeadmin/handler.go
+++ b/internal/cluster/storeadmin/handler.go
@@ -10,7 +10,7 @@
 	"oxbowbridge/internal/cluster/kv"
 )
 
-// handler answers a request, or returns the error to answer with.
+// handler serves a request, or returns the error to respond with.
 type handler func(w http.ResponseWriter, r *http.Request) error
 
 func (h handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -19,8 +19,8 @@
 	}
 }
 
-// decodeJSON decodes a request's body of at most maxBytes into out. It returns the body, to be
-// forwarded. Its error wraps kv.ErrInvalidRequest.
+// decodeJSON decodes a request's body of at most maxBytes into out, and rejects unknown fields. It returns the
+// body, so that the request can be forwarded. Its error wraps kv.ErrInvalidRequest.
 func decodeJSON(w http.ResponseWriter, r *http.Request, maxBytes int64, out any) (body []byte, err error) {
 	body, err = io.ReadAll(http.MaxBytesReader(w, r.Body, maxBytes))
 	if err == nil {
@@ -34,8 +34,8 @@
 	return body, nil
 }
 
-// noContent answers with success and no body, or returns the error.
-func noContent(w http.ResponseWriter, err error) error {
+// writeNoContent responds with 204 if err is nil, and returns err otherwise.
+func writeNoContent(w http.ResponseWriter, err error) error {
 	if err == nil {
 		w.WriteHeader(http.StatusNoContent)
 	}
--- a/internal/cluster/storeadmin/leases.go
+++ b/internal/cluster/storeadmin/leases.go
@@ -16,20 +16,21 @@
 	"oxbowbridge/internal/cluster/storeapi"
 )
 
-// Limits of bodies in bytes.
+// Maximum sizes of request bodies in bytes.
 const (
-	maxAcquireBytes = 1 << 10
-	maxRenewBytes   = 1 << 20
+	maxAcquireBodyBytes = 1 << 10
+	maxRenewBodyBytes   = 1 << 20
 )
 
+// leaseStatus returns a lease as it is encoded in responses.
 func leaseStatus(name string, l lease.Lease) storeapi.LeaseStatus {
 	return storeapi.LeaseStatus{Name: name, Holder: l.Holder, Token: l.Token, TTLMS: l.TTLMS, Revoked: l.Revoked}
 }
 
-// acquireLease serves POST /lease/NAME. The leader may have it wait in the lease's queue.
+// acquireLease serves POST /lease/NAME. The request may wait in the lease's queue on the leader.
 func (s *server) acquireLease(w http.ResponseWriter, r *http.Request) error {
 	var request storeapi.AcquireRequest
-	body, err := decodeJSON(w, r, maxAcquireBytes, &request)
+	body, err := decodeJSON(w, r, maxAcquireBodyBytes, &request)
 	if err != nil {
 		return err
 	}
@@ -38,15 +39,15 @@
 		return err
 	}
 	maxWait := time.Duration(request.WaitMS) * time.Millisecond
-	http.NewResponseController(w).SetReadDeadline(time.Time{}) // readTimeout would end the wait
+	http.NewResponseController(w).SetReadDeadline(time.Time{}) // otherwise readTimeout would end the wait
 	if done, err := s.forwardAcquire(w, r, body, maxWait); done || err != nil {
 		return err
 	}
 	if maxWait > 0 {
-		if !s.leaseWaits.tryAcquire() {
+		if !s.leaseWaitSlots.tryAcquire() {
 			return unavailable(errTooManyRequests)
 		}
-		defer s.leaseWaits.release()
+		defer s.leaseWaitSlots.release()
 	}
 	l, err := s.store.AcquireLease(r.Context(), store.LeaseRequest{
 		Name:     name,
@@ -75,10 +76,10 @@
 	return lease.Validate(name, request.Holder, request.TTLMS)
 }
 
-// renewLeases serves PUT /lease: keep-alives of many leases.
+// renewLeases serves PUT /lease, which renews several leases.
 func (s *server) renewLeases(w http.ResponseWriter, r *http.Request) error {
 	var request storeapi.RenewRequest
-	body, err := decodeJSON(w, r, maxRenewBytes, &request)
+	body, err := decodeJSON(w, r, maxRenewBodyBytes, &request)
 	if err != nil {
 		return err
 	}
@@ -96,14 +97,14 @@
 	return nil
 }
 
-// renewLease serves PUT /lease/NAME: a keep-alive of one lease. Without a name it is renewLeases.
+// renewLease serves PUT /lease/NAME, which renews one lease. Without a name, it behaves like renewLeases.
 func (s *server) renewLease(w http.ResponseWriter, r *http.Request) error {
 	name := r.PathValue("name")
 	if name == "" {
 		return s.renewLeases(w, r)
 	}
 	var request storeapi.RenewRequest
-	body, err := decodeJSON(w, r, maxRenewBytes, &request)
+	body, err := decodeJSON(w, r, maxRenewBodyBytes, &request)
 	if err != nil {
 		return err
 	}
@@ -124,9 +125,9 @@
 	return nil
 }
 
-// endLease serves DELETE /lease/NAME?token=T to release a lease, with &to=HOLDER in favour of that
-// waiter; or ?revoke=1, for operators.
-func (s *server) endLease(w http.ResponseWriter, r *http.Request) error {
+// releaseOrRevokeLease serves DELETE /lease/NAME. With ?token=T it releases a lease, and with &to=HOLDER hands it over
+// to that waiter. With ?revoke=1, for operators, it revokes the lease.
+func (s *server) releaseOrRevokeLease(w http.ResponseWriter, r *http.Request) error {
 	query := r.URL.Query()
 	revoke := query.Get("revoke") == "1"
 	hasToken := query.Get("token") != ""
@@ -137,7 +138,7 @@
 	if done, err := s.forwardIdempotent(w, r, nil); done || err != nil {
 		return err
 	}
-	return noContent(w, s.store.EndLease(r.PathValue("name"), token, query.Get("to")))
+	return writeNoContent(w, s.store.EndLease(r.PathValue("name"), token, query.Get("to")))
 }
 
 // listLeases serves GET /lease.
@@ -169,7 +170,7 @@
 	return nil
 }
 
-// heldLeases returns the lease of a name, if it is held; with "" all leases that are held, sorted
+// heldLeases returns the lease with a name, if it is held. For an empty name it returns all held leases, sorted
 // by name.
 func (s *server) heldLeases(r *http.Request, name string) ([]storeapi.LeaseStatus, error) {
 	held, remaining, err := s.store.Leases(r.Context(), name)
--- a/internal/cluster/storeadmin/maintenance.go
+++ b/internal/cluster/storeadmin/maintenance.go
@@ -7,16 +7,16 @@
 	"oxbowbridge/internal/maintenance"
 )
 
-const maxMaintenanceBytes = 8 << 10 // of the body of a request under /work
+const maxMaintenanceBodyBytes = 8 << 10 // maximum size of a request body under /work
 
-// answerAtLeader decodes a request's body, forwards the request to the leader, and answers there
-// with what answer returns: as JSON, or with 204 if it is an untyped nil.
-func answerAtLeader[Body any](s *server, w http.ResponseWriter, r *http.Request, answer func(Body) (any, error)) error {
+// serveAtLeader decodes a request's body and forwards the request to the leader. On the leader, it responds with the
+// result of serve as JSON, or with 204 if that is an untyped nil.
+func serveAtLeader[Body any](s *server, w http.ResponseWriter, r *http.Request, serve func(Body) (any, error)) error {
 	var decoded Body
 	var body []byte
 	if r.Method != http.MethodGet && r.Method != http.MethodDelete {
 		var err error
-		body, err = decodeJSON(w, r, maxMaintenanceBytes, &decoded)
+		body, err = decodeJSON(w, r, maxMaintenanceBodyBytes, &decoded)
 		if err != nil {
 			return err
 		}
@@ -24,32 +24,32 @@
 	if done, err := s.forwardIdempotent(w, r, body); done || err != nil {
 		return err
 	}
-	out, err := answer(decoded)
+	out, err := serve(decoded)
 	if err != nil || out == nil {
-		return noContent(w, err)
+		return writeNoContent(w, err)
 	}
 	storeapi.WriteJSON(w, out)
 	return nil
 }
 
-// none is the body of requests without one.
-type none struct{}
+// noBody is the type of the body of requests that have none.
+type noBody struct{}
 
 // maintenanceStatus serves GET /work.
 func (s *server) maintenanceStatus(w http.ResponseWriter, r *http.Request) error {
-	return answerAtLeader(s, w, r, func(none) (any, error) { return s.controller.Status(r.Context()) })
+	return serveAtLeader(s, w, r, func(noBody) (any, error) { return s.controller.Status(r.Context()) })
 }
 
 // submitOrder serves POST /work.
 func (s *server) submitOrder(w http.ResponseWriter, r *http.Request) error {
-	return answerAtLeader(s, w, r, func(order maintenance.Order) (any, error) {
+	return serveAtLeader(s, w, r, func(order maintenance.Order) (any, error) {
 		return s.controller.Submit(r.Context(), order)
 	})
 }
 
 // cancelOrder serves DELETE /work/MACHINE.
 func (s *server) cancelOrder(w http.ResponseWriter, r *http.Request) error {
-	return answerAtLeader(s, w, r, func(none) (any, error) {
+	return serveAtLeader(s, w, r, func(noBody) (any, error) {
 		return nil, s.controller.Cancel(r.Context(), r.PathValue("machine"))
 	})
 }
@@ -57,7 +57,7 @@
 // setPause serves POST /work/pause and /work/resume.
 func (s *server) setPause(paused bool) handler {
 	return func(w http.ResponseWriter, r *http.Request) error {
-		return answerAtLeader(s, w, r, func(request maintenance.PauseRequest) (any, error) {
+		return serveAtLeader(s, w, r, func(request maintenance.PauseRequest) (any, error) {
 			return nil, s.controller.SetPause(r.Context(), paused, request.Reason)
 		})
 	}
@@ -65,16 +65,16 @@
 
 // reportPhase serves PUT /work/MACHINE.
 func (s *server) reportPhase(w http.ResponseWriter, r *http.Request) error {
-	return answerAtLeader(s, w, r, func(report maintenance.PhaseReport) (any, error) {
+	return serveAtLeader(s, w, r, func(report maintenance.PhaseReport) (any, error) {
 		return nil, s.controller.Report(r.Context(), r.PathValue("machine"), report)
 	})
 }
 
-// recordHeartbeat serves PUT /work/MACHINE/beat. The answer is the machine's order, or null.
+// recordHeartbeat serves PUT /work/MACHINE/beat. The response is the machine's order, or null.
 func (s *server) recordHeartbeat(w http.ResponseWriter, r *http.Request) error {
-	return answerAtLeader(s, w, r, func(heartbeat maintenance.Heartbeat) (any, error) {
+	return serveAtLeader(s, w, r, func(heartbeat maintenance.Heartbeat) (any, error) {
 		heartbeat.Name = r.PathValue("machine")
 		order, err := s.controller.RecordHeartbeat(r.Context(), heartbeat)
-		return order, err // a nil *Order is answered as null
+		return order, err // a nil *Order is encoded as null
 	})
 }
--- a/internal/cluster/storeadmin/members.go
+++ b/internal/cluster/storeadmin/members.go
@@ -6,7 +6,7 @@
 	"oxbowbridge/internal/cluster/storeapi"
 )
 
-const maxJoinBytes = 4 << 10 // of the body of POST /members
+const maxJoinBodyBytes = 4 << 10 // maximum size of the body of POST /members
 
 // listMembers serves GET /members: the members as the leader sees them.
 func (s *server) listMembers(w http.ResponseWriter, r *http.Request) error {
@@ -21,25 +21,25 @@
 	return nil
 }
 
-// joinMember serves POST /members: a node becomes a learner.
+// joinMember serves POST /members: a node joins as a learner.
 func (s *server) joinMember(w http.ResponseWriter, r *http.Request) error {
 	var request storeapi.JoinRequest
-	body, err := decodeJSON(w, r, maxJoinBytes, &request)
+	body, err := decodeJSON(w, r, maxJoinBodyBytes, &request)
 	if err != nil {
 		return err
 	}
 	if done, err := s.forwardIdempotent(w, r, body); done || err != nil {
 		return err
 	}
-	return noContent(w, s.store.Join(r.Context(), request))
+	return writeNoContent(w, s.store.Join(r.Context(), request))
 }
 
-// changeMember serves PUT, DELETE or POST /members/NAME.
+// changeMember returns a handler of /members/NAME that applies change to the member.
 func (s *server) changeMember(change func(name string) error) handler {
 	return func(w http.ResponseWriter, r *http.Request) error {
 		if done, err := s.forwardIdempotent(w, r, nil); done || err != nil {
 			return err
 		}
-		return noContent(w, change(r.PathValue("name")))
+		return writeNoContent(w, change(r.PathValue("name")))
 	}
 }
--- a/internal/cluster/storeadmin/read.go
+++ b/internal/cluster/storeadmin/read.go
@@ -13,16 +13,16 @@
 	"oxbowbridge/internal/cluster/storeapi"
 )
 
-// Header fields of reads.
+// Header fields of responses to reads.
 const (
 	headerKeyVersion = "Key-Version" // number of puts since the key was created
-	headerAge        = "Age-Ms"      // of the state that a stale read shows, milliseconds
+	headerAge        = "Age-Ms"      // age in milliseconds of the state that a stale read returns
 )
 
 // getStatus serves GET /status.
 func (s *server) getStatus(w http.ResponseWriter, _ *http.Request) error {
 	status := s.store.Status()
-	status.Watchers = len(s.watchers)
+	status.Watchers = len(s.watcherSlots)
 	storeapi.WriteJSON(w, status)
 	return nil
 }
@@ -37,8 +37,8 @@
 	return nil
 }
 
-// getIndex serves GET /index: the committed log index, for a node that wants to prove that its state
-// is fresh.
+// getIndex serves GET /index: the committed log index. Other nodes request it to verify that their state is
+// fresh.
 func (s *server) getIndex(w http.ResponseWriter, r *http.Request) error {
 	index, err := s.store.ReadIndex(r.Context())
 	if err != nil {
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// listKeys serves GET /store: all keys but the reserved ones.
+// listKeys serves GET /store: all keys except the reserved ones.
 func (s *server) listKeys(w http.ResponseWriter, r *http.Request) error {
 	if err := s.waitFresh(w, r); err != nil {
 		return err
@@ -80,9 +80,9 @@
 	return nil
 }
 
-// waitFresh waits until this node's state is as fresh as a request asks for: linearizable by
-// default, ?stale=DURATION, or ?local=1. Nothing but a local read is possible while a backup is
-// being restored: others are answered with 503.
+// waitFresh waits until this node's state is as fresh as a request demands: linearizable by default, at
+// most DURATION old with ?stale=DURATION, or of any age with ?local=1. While a backup is being restored,
+// only local reads succeed; all others get a 503.
 func (s *server) waitFresh(w http.ResponseWriter, r *http.Request) error {
 	freshness, err := parseFreshness(r)
 	if err != nil {
--- a/internal/cluster/storeadmin/watch.go
+++ b/internal/cluster/storeadmin/watch.go
@@ -13,35 +13,35 @@
 	"oxbowbridge/internal/cluster/watch"
 )
 
-// watchPage bounds what one watcher takes at a time, and so the memory that it holds.
+// watchPage limits the revisions that are read for one watcher at a time, and so the memory that it uses.
 var watchPage = watch.Page{MaxRevisions: 512, MaxBytes: 64 << 10}
 
-// watch serves GET /watch?prefix=P&from=REVISION, or with Last-Event-ID: a stream of the changes to
-// keys with a prefix as server-sent events, from a revision on or else from now. Each event is one
-// revision. Its id is that revision: a watch continues after it.
+// watch serves GET /watch?prefix=P&from=REVISION: a stream of server-sent events with the changes to keys
+// with a prefix. It starts at a revision, after the Last-Event-ID, or, without either, after the current
+// revision. Each event is one revision and has its number as id, so that a client can resume after it.
 func (s *server) watch(w http.ResponseWriter, r *http.Request) error {
 	prefix := r.URL.Query().Get("prefix")
 	from, err := parsePosition(r)
 	if err != nil || len(prefix) > kv.MaxKeyBytes {
 		return fmt.Errorf("%w: from: want the number of a revision; prefix: at most %d bytes", kv.ErrInvalidRequest, kv.MaxKeyBytes)
 	}
-	if !s.watchers.tryAcquire() {
+	if !s.watcherSlots.tryAcquire() {
 		return unavailable(fmt.Errorf("%d watchers already", maxWatchers))
 	}
-	defer s.watchers.release()
+	defer s.watcherSlots.release()
 	if from == 0 {
-		if err := s.waitFresh(w, r); err != nil { // "now" is after all writes that were acknowledged
+		if err := s.waitFresh(w, r); err != nil { // the watch must start after all acknowledged writes
 			return err
 		}
 		from = s.store.AppliedRevision() + 1
 	}
 	stream := newEventStream(w)
-	stream.control.SetReadDeadline(time.Time{}) // readTimeout is for requests that end
+	stream.control.SetReadDeadline(time.Time{}) // readTimeout would end the stream
 	s.streamChanges(r.Context(), stream, from, prefix)
 	return nil
 }
 
-// parsePosition returns the revision to watch from; 0 is from now.
+// parsePosition returns the revision to watch from; 0 means after the current revision.
 func parsePosition(r *http.Request) (uint64, error) {
 	if last := r.Header.Get(storeapi.HeaderLastEventID); last != "" {
 		revision, err := strconv.ParseUint(last, 10, 63)
@@ -53,11 +53,11 @@
 	return 0, nil
 }
 
-// streamChanges sends changes until the watcher is gone, too slow, or too far behind.
+// streamChanges sends changes until the watcher disconnects, reads too slowly, or falls behind the compaction.
 func (s *server) streamChanges(ctx context.Context, stream *eventStream, from uint64, prefix string) {
 	progress := time.NewTicker(storeapi.WatchProgressInterval)
 	defer progress.Stop()
-	announced := from // the position that the watcher knows
+	announced := from // the position last sent to the watcher
 	stream.writeProgress(from)
 	for {
 		revisions, next, more, err := s.store.RevisionsSince(from, prefix, watchPage)
@@ -82,7 +82,7 @@
 			return
 		case <-more:
 		case <-progress.C:
-			if from > announced { // the revisions since then changed other keys
+			if from > announced { // the revisions since then changed other keys only
 				announced = from
 				stream.writeProgress(from)
 			} else {
--- a/internal/cluster/storeadmin/write.go
+++ b/internal/cluster/storeadmin/write.go
@@ -14,11 +14,11 @@
 	"oxbowbridge/internal/maintenance/controller"
 )
 
-const maxTxnBytes = 1 << 20 // of a transaction's body
+const maxTxnBodyBytes = 1 << 20 // maximum size of a transaction's body
 
-// writeKey serves PUT and DELETE /store/KEY. With conditions, in a session or with a lease it is a
-// transaction; otherwise it is a plain write, which is sent to the leader once: after an answer of
-// 503 it may have been carried out.
+// writeKey serves PUT and DELETE /store/KEY. A request with conditions, a session or a lease is a
+// transaction. Any other is a plain write, which is sent to the leader once. After a 503 response it may
+// have been executed.
 func (s *server) writeKey(w http.ResponseWriter, r *http.Request) error {
 	value, err := readValue(w, r)
 	if err != nil {
@@ -33,10 +33,10 @@
 	if done, err := s.forwardOnce(w, r, value); done || err != nil {
 		return err
 	}
-	return noContent(w, s.store.Set(r.Context(), r.PathValue("key"), value))
+	return writeNoContent(w, s.store.Set(r.Context(), r.PathValue("key"), value))
 }
 
-// readValue reads the value of a PUT; that of a DELETE is nil.
+// readValue reads the value of a PUT. It returns nil for a DELETE.
 func readValue(w http.ResponseWriter, r *http.Request) (json.RawMessage, error) {
 	if r.Method != http.MethodPut {
 		return nil, nil
@@ -48,7 +48,7 @@
 	return value, nil
 }
 
-// writeKeyIf carries out a PUT or DELETE as a transaction.
+// writeKeyIf executes a PUT or DELETE as a transaction.
 func (s *server) writeKeyIf(w http.ResponseWriter, r *http.Request, value json.RawMessage) error {
 	request, err := parseConditions(r)
 	if err != nil {
@@ -72,7 +72,7 @@
 	if revision := response.Results[0].Revision; revision != 0 {
 		w.Header().Set("ETag", storeapi.FormatETag(revision))
 	}
-	return noContent(w, nil)
+	return writeNoContent(w, nil)
 }
 
 // openSession serves POST /session.
@@ -87,7 +87,7 @@
 // "else": [...], "session": N, "number": N}.
 func (s *server) txn(w http.ResponseWriter, r *http.Request) error {
 	var request kv.Request
-	body, err := decodeJSON(w, r, maxTxnBytes, &request)
+	body, err := decodeJSON(w, r, maxTxnBodyBytes, &request)
 	if err != nil {
 		return err
 	}
@@ -108,7 +108,7 @@
 	return s.execute(w, request)
 }
 
-// execute answers with a request's response.
+// execute executes a store request, and responds with its result.
 func (s *server) execute(w http.ResponseWriter, request kv.Request) error {
 	response, err := s.store.Execute(request)
 	if err != nil {
@@ -118,8 +118,8 @@
 	return nil
 }
 
-// checkMayWrite makes sure that a transaction writes no reserved keys, but for those of the
-// maintenance controller under its lease.
+// checkMayWrite rejects a transaction that writes reserved keys, except those of the maintenance controller
+// under its lease.
 func checkMayWrite(request kv.Request) error {
 	for _, op := range slices.Concat(request.Then, request.Else) {
 		if op.Kind == kv.OpGet || controller.MayWrite(request.Fences, op.Key) {
